--- /dev/null
+++ b/src/test/java/sagepulley/host/DecisionDigestTest.java
@@ -0,0 +1,363 @@
+package sagepulley.host;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.Random;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import sagepulley.model.Attempt;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+import sagepulley.model.Placement;
+
+/**
+ * Plays seeded random events to the engine and compares a digest of every decision with the one
+ * that was taken before the code was restructured. A differing digest means that a change altered
+ * at least one decision, or the order of random draws or floating-point sums behind it.
+ */
+class DecisionDigestTest {
+    private static final int EVENTS = 60_000;
+    private static final int ENDPOINTS = 14;
+    private static final int CELLS = 12;
+    private static final double WATCH_SPAN_MILLIS = 6_000;
+    private static final String SETTINGS =
+            """
+            me=1
+            balancers=3
+            az=1
+            tickNs=2000000
+            classes.count=5
+            classes.0.effect=retryable
+            classes.0.sloNs=60000000
+            classes.0.hardLimitNs=400000000
+            classes.0.worth=3
+            classes.0.lateShare=0.2
+            classes.1.effect=retryable
+            classes.1.sloNs=90000000
+            classes.1.hardLimitNs=500000000
+            classes.1.worth=2
+            classes.1.lateShare=0.6
+            classes.2.effect=dedup
+            classes.2.dedupScope=cell
+            classes.2.keyTtlNs=300000000
+            classes.2.sloNs=80000000
+            classes.2.hardLimitNs=500000000
+            classes.2.worth=3
+            classes.3.effect=fragile
+            classes.3.sloNs=120000000
+            classes.3.hardLimitNs=600000000
+            classes.4.effect=retryable
+            classes.4.fifoByKey=true
+            classes.4.sloNs=100000000
+            classes.4.hardLimitNs=600000000
+            plans.count=3
+            plans.0.rate=300
+            plans.0.weight=1
+            plans.1.rate=400
+            plans.1.guaranteed=250
+            plans.1.weight=3
+            plans.1.price=2
+            plans.2.rate=300
+            plans.2.cap=900
+            plans.2.limitBurst=120
+            plans.2.slack=2
+            discovery=subscribe
+            contract.askEveryNs=4000000000
+            contract.graceToAnswerNs=8000000
+            contract.drainGraceNs=1000000000
+            contract.coldFrom=0.25
+            contract.coldNs=3000000000
+            contract.fallMultiple=2
+            contract.overloadForNs=500000000
+            contract.keyRestNs=40000000
+            contract.extraWindowNs=1000000000
+            contract.extraFloor=4
+            contract.extraRatio=0.1
+            domain.changesData=false,true,true,true,true
+            domain.coldBears=6
+            domain.shards=12
+            domain.usualUnits=2
+            domain.maxUnits=6
+            domain.shareWorth=0.35
+            domain.beyondShare=0.05
+            domain.saysOthers=true
+            limits.mayProbe=true
+            limits.cancel=true
+            limits.retryAfter=true
+            limits.maxRetryAfterNs=1000000000
+            limits.mostTries=3
+            limits.mayDuplicate=false
+            charges.crossZone=0.1
+            weights=list
+            """;
+
+    @ParameterizedTest
+    @CsvSource({
+        "1, false, 574980b9f672cc66d6a6892902f8ae719bc7e482b1bc5de49725a7af70b618d7",
+        "2, false, 7ef1abdbb8dbe64a970a693bece5af44fcb6a7baa34d6917b8b708696e3f24d6",
+        "3, true, a4e7bcd23908886b6cde5252f7309f6aed98ed6c2fd5736d054d4cf7bc609b29",
+        "4, true, cb688d194076deb30bc7e2386ecc6dcfac5f3606a02ee1b001b24c387985f007",
+    })
+    void everyDecisionIsAsBefore(long seed, boolean leaseIsBounded, String expected) {
+        Play play = new Play(seed, leaseIsBounded);
+        play.run();
+        assertTrue(play.everyKindOfDecisionSeen(), play.counts());
+        assertEquals(expected, play.digest(), play.counts());
+    }
+
+    /** An answer, or its absence, that is on its way to the gateway. */
+    private record Ending(double at, long order, Attempt attempt, Outcome outcome, boolean ends) {}
+
+    /** One gateway under random traffic, endpoints with random faults, and a list that changes. */
+    private static final class Play implements Exit {
+        private final Random random;
+        private final MessageDigest digest;
+        private final boolean leaseIsBounded;
+        private final Host host;
+        private final List<ListEntry> entries = new ArrayList<>();
+        private final double[] slowness = new double[ENDPOINTS];
+        private final boolean[] silent = new boolean[ENDPOINTS];
+        private final PriorityQueue<Ending> endings =
+                new PriorityQueue<>(
+                        Comparator.comparingDouble(Ending::at).thenComparingLong(Ending::order));
+        private final List<Long> open = new ArrayList<>();
+        private double now = 100_000;
+        private double wakeAt = Double.POSITIVE_INFINITY;
+        private long sequence;
+        private int sent;
+        private int rejected;
+        private int abandoned;
+        private int cancelled;
+        private int polls;
+
+        Play(long seed, boolean leaseIsBounded) {
+            this.random = new Random(seed);
+            this.leaseIsBounded = leaseIsBounded;
+            try {
+                this.digest = MessageDigest.getInstance("SHA-256");
+            } catch (NoSuchAlgorithmException e) {
+                throw new AssertionError(e);
+            }
+            Deployment deployment = FirstMessage.ofLines(SETTINGS).deployment();
+            this.host =
+                    new Host(
+                            leaseIsBounded ? deployment.onWatch(WATCH_SPAN_MILLIS) : deployment,
+                            seed,
+                            this);
+            for (int i = 0; i < ENDPOINTS; i++) {
+                slowness[i] = 1;
+                entries.add(entry(i, Node.Standing.READY, Double.NEGATIVE_INFINITY));
+            }
+            host.listed(entries, true, now);
+            if (leaseIsBounded) {
+                host.listConfirmed(now);
+            }
+        }
+
+        void run() {
+            for (int i = 0; i < EVENTS; i++) {
+                now += random.nextDouble() * 1.5;
+                deliverEndings();
+                randomEvent();
+                if (random.nextInt(4) == 0 || now >= wakeAt) {
+                    wakeAt = Double.POSITIVE_INFINITY;
+                    host.settle(now);
+                }
+            }
+        }
+
+        private void deliverEndings() {
+            while (!endings.isEmpty() && endings.peek().at() <= now) {
+                Ending ending = endings.poll();
+                Attempt attempt = ending.attempt();
+                if (attempt.outcome != null) {
+                    continue;
+                }
+                attempt.outcome = ending.outcome();
+                attempt.took = ending.at() - attempt.sentAt;
+                attempt.othersUnits = random.nextInt(5) == 0 ? random.nextInt(4) : 0;
+                host.ended(attempt, ending.ends(), now);
+            }
+        }
+
+        private void randomEvent() {
+            int dice = random.nextInt(1000);
+            if (dice < 600) {
+                arrive();
+            } else if (dice < 630) {
+                leave();
+            } else if (dice < 634) {
+                changeEndpoint(random.nextInt(ENDPOINTS));
+            } else if (dice < 650) {
+                slowness[random.nextInt(ENDPOINTS)] = 0.5 + 4 * random.nextDouble();
+            } else if (dice < 653) {
+                silent[random.nextInt(ENDPOINTS)] ^= true;
+            } else if (dice == 653 && random.nextInt(6) == 0) {
+                host.listFailed(now);
+            } else if (leaseIsBounded) {
+                leaseEvent(dice);
+            }
+        }
+
+        private void leaseEvent(int dice) {
+            if (dice < 662) {
+                host.listConfirmed(now - 100 * random.nextDouble());
+            } else if (dice < 664) {
+                host.discoveryUnreachable(now - 50);
+            } else if (dice == 664 && random.nextInt(4) == 0) {
+                host.reloadTold(now);
+                host.listMoved(now);
+            } else if (dice < 668) {
+                host.reloadRead(now);
+            }
+        }
+
+        private void arrive() {
+            int plan = random.nextInt(3);
+            int bandIndex = random.nextInt(5);
+            long extent = random.nextInt(20) == 0 ? 0 : 1 + random.nextInt(300);
+            int cell = random.nextInt(6) == 0 ? -1 : (int) (extent % CELLS);
+            double patience = random.nextInt(10) == 0 ? 60 : 400;
+            Operation operation =
+                    new Operation(
+                            ++sequence,
+                            host.deployment().bands().get(bandIndex),
+                            host.volume(1 + 10L * plan + random.nextInt(4), plan),
+                            extent,
+                            1 + random.nextInt(6),
+                            cell,
+                            now,
+                            now + patience,
+                            random.nextInt(30) == 0);
+            open.add(operation.id);
+            host.arrived(operation);
+        }
+
+        private void leave() {
+            if (!open.isEmpty()) {
+                host.left(open.remove(random.nextInt(open.size())), now);
+            }
+            if (open.size() > 200) {
+                open.subList(0, 100).clear();
+            }
+        }
+
+        private void changeEndpoint(int index) {
+            switch (random.nextInt(5)) {
+                case 0 -> entries.set(index, entry(index, Node.Standing.DRAINING, 0));
+                case 1 -> entries.set(index, entry(index, Node.Standing.GONE, 0));
+                case 2 -> entries.set(index, entry(index, Node.Standing.READY, now - 20));
+                default ->
+                        entries.set(
+                                index, entry(index, Node.Standing.READY, Double.NEGATIVE_INFINITY));
+            }
+            host.listed(entries, random.nextBoolean(), now);
+        }
+
+        private static ListEntry entry(int index, Node.Standing standing, double startedAt) {
+            return new ListEntry(
+                    index % 3, index % CELLS, 100 + index, standing, startedAt, 0, 1 + index % 2);
+        }
+
+        boolean everyKindOfDecisionSeen() {
+            return Math.min(Math.min(sent, rejected), Math.min(abandoned, cancelled)) > 50
+                    && polls > 0;
+        }
+
+        String counts() {
+            return String.format(
+                    "sent %d, rejected %d, abandoned %d, cancelled %d, polls %d",
+                    sent, rejected, abandoned, cancelled, polls);
+        }
+
+        String digest() {
+            return HexFormat.of().formatHex(digest.digest());
+        }
+
+        private void record(String what, double figure) {
+            String line = now + " " + what + " " + figure + "\n";
+            digest.update(line.getBytes(StandardCharsets.UTF_8));
+        }
+
+        @Override
+        public void send(Attempt attempt, double timeout) {
+            sent++;
+            record("send " + attempt.operation.id + " to " + attempt.node.id, timeout);
+            record("may begin " + host.mayBegin(attempt, now + 5), attempt.owed.ordinal());
+            int index = attempt.node.id - 100;
+            double took = (2 + attempt.operation.units * 3) * slowness[index] * random.nextDouble();
+            int dice = random.nextInt(100);
+            if (silent[index] || took >= timeout) {
+                later(timeout, attempt, Outcome.TIMED_OUT, false);
+            } else if (dice < 90) {
+                later(took, attempt, Outcome.SATISFIED, true);
+            } else if (dice < 93) {
+                later(took, attempt, Outcome.FAULT, false);
+            } else if (dice < 95) {
+                later(took / 2, attempt, Outcome.FULL, false);
+            } else if (dice < 96) {
+                later(took / 2, attempt, Outcome.RESET, false);
+            } else if (dice < 98) {
+                later(took / 2, attempt, Outcome.NO_CONNECTION, false);
+            } else {
+                later(took, attempt, Outcome.MOOT, false);
+            }
+        }
+
+        private void later(double delay, Attempt attempt, Outcome outcome, boolean ends) {
+            endings.add(new Ending(now + delay, ++sequence, attempt, outcome, ends));
+        }
+
+        @Override
+        public void giveUp(Operation operation, Placement placement) {
+            if (placement.kind() == Placement.Kind.DECLINE) {
+                rejected++;
+            } else {
+                abandoned++;
+            }
+            record(
+                    "give up " + operation.id + " " + placement.kind().ordinal(),
+                    placement.advice() + placement.reason().ordinal());
+        }
+
+        @Override
+        public void callOff(Attempt attempt) {
+            cancelled++;
+            record("call off " + attempt.operation.id, attempt.number);
+            later(1, attempt, Outcome.CALLED_OFF, false);
+        }
+
+        @Override
+        public void probe(Node node) {
+            record("probe", node.id);
+        }
+
+        @Override
+        public void subscribe() {
+            polls++;
+            record("subscribe", 0);
+        }
+
+        @Override
+        public void fetch() {
+            record("fetch", 0);
+        }
+
+        @Override
+        public void wakeIn(double pause, double settledAt) {
+            wakeAt = settledAt + pause;
+            record("wake", pause);
+        }
+    }
+}
