--- /dev/null
+++ b/src/test/java/sagepulley/stored/KeyPaths.java
@@ -0,0 +1,31 @@
+package sagepulley.stored;
+
+import com.fasterxml.jackson.databind.JsonNode;
+
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+
+/** The key paths of a JSON or CBOR tree, sorted; the elements of an array share one path. */
+public final class KeyPaths {
+    private KeyPaths() {}
+
+    /** One path a line, such as {@code nodes[].line.host}. */
+    public static String of(JsonNode tree) {
+        Set<String> paths = new TreeSet<>();
+        add("", tree, paths);
+        return String.join("\n", paths) + "\n";
+    }
+
+    private static void add(String path, JsonNode node, Set<String> paths) {
+        if (node.isObject()) {
+            for (Map.Entry<String, JsonNode> field : node.properties()) {
+                add((path.isEmpty() ? "" : path + ".") + field.getKey(), field.getValue(), paths);
+            }
+        } else if (node.isArray() && !node.isEmpty()) {
+            node.forEach(item -> add(path + "[]", item, paths));
+        } else {
+            paths.add(path);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -0,0 +1,374 @@
+package sagepulley.stored;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.json.JsonMapper;
+import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
+import com.github.luben.zstd.Zstd;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+import sagepulley.accounts.Cause;
+import sagepulley.accounts.Kept;
+import sagepulley.accounts.PlanPart;
+import sagepulley.accounts.Report;
+import sagepulley.accounts.Spent;
+import sagepulley.books.BookFile;
+import sagepulley.books.GatewayBook;
+import sagepulley.lists.HoldersFile;
+import sagepulley.lists.ListFile;
+import sagepulley.membership.KeptList;
+import sagepulley.membership.NodeLine;
+import sagepulley.membership.Source;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
+ * same content is written with the same keys, enum names and bytes.
+ */
+class StoredFormatTest {
+    private static final long WRITTEN_AT = 1_764_700_000_123L;
+    private static final Path STORED = Path.of("src/test/resources/stored");
+    @TempDir private Path folder;
+
+    // ---- the contents of the files ----
+
+    private static KeptList nodes() {
+        return new KeptList(
+                "hall-1",
+                77,
+                12,
+                1_764_699_999_000L,
+                List.of(
+                        kept(1, NodeLine.Standing.GONE, Source.DIRECTORY, false),
+                        kept(2, NodeLine.Standing.READY, Source.DISK, true),
+                        kept(3, NodeLine.Standing.DRAINING, Source.IMPORT, false),
+                        kept(4, NodeLine.Standing.READY, Source.SITE, true)));
+    }
+
+    private static KeptList.KeptLine kept(
+            int node, NodeLine.Standing standing, Source source, boolean draining) {
+        return new KeptList.KeptLine(
+                new NodeLine(
+                        node,
+                        10 + node,
+                        20 + node,
+                        30 + node,
+                        standing,
+                        1_764_000_000_000L + node,
+                        0.5f * node,
+                        "10.0.0." + node,
+                        7000 + node),
+                source,
+                draining);
+    }
+
+    private static Map<Integer, int[]> holders() {
+        Map<Integer, int[]> cells = new LinkedHashMap<>();
+        cells.put(7, new int[] {3, 3, -1, 4});
+        cells.put(8, new int[] {});
+        cells.put(9, new int[] {5, 5, 5, 5, 5});
+        return cells;
+    }
+
+    /** A key: ordinal of the kind and the estimate's bit, then 24 bits of node, 34 of volume. */
+    private static long key(long kind, long estimate, long node, long volume) {
+        return (kind << 1 | estimate) << 58 | node << 34 | volume;
+    }
+
+    private static double[] sums(int keys, double first) {
+        double[] sums = new double[4 * keys];
+        Arrays.setAll(sums, i -> i % 4 == 0 ? first + i : i % 4 == 3 ? 0.25 + i : first + i - 0.5);
+        return sums;
+    }
+
+    private static Kept.KeptWindow window(int level, long number) {
+        long[] keys = new long[12];
+        Arrays.setAll(keys, kind -> key(kind, kind % 2, 1 + kind, 100 + kind));
+        double[] parts = new double[16];
+        Arrays.setAll(parts, part -> 1000.5 + part);
+        return new Kept.KeptWindow(
+                level,
+                number,
+                parts,
+                keys,
+                sums(12, 500),
+                new long[] {2, 3, 4},
+                new long[] {11, 12, 13, 14, 15},
+                new long[] {21, 22, 23, 24, 25},
+                new double[] {31.5, 32.5, 33.5, 34.5, 35.5},
+                new double[] {41.5, 42.5, 43.5, 44.5, 45.5},
+                new long[][] {{3, 2, 1023, 1}, {4, 1}, {5, 1}, {6, 1}, {7, 9}});
+    }
+
+    private static GatewayBook accounts() {
+        Map<Long, String> names = new LinkedHashMap<>();
+        names.put(1L, "exams");
+        names.put(2L, "archive");
+        Map<Long, Double> told = new LinkedHashMap<>();
+        told.put(3L, 7.5);
+        told.put(4L, 1_764_699_990_000.25);
+        return new GatewayBook(
+                "gw-1",
+                WRITTEN_AT,
+                names,
+                told,
+                new Kept(
+                        List.of(
+                                new Kept.KeptVolume(
+                                        1,
+                                        List.of(
+                                                window(0, 176_470_000),
+                                                window(1, 5_882_000),
+                                                window(2, 490_000))),
+                                new Kept.KeptVolume(2, List.of(window(0, 176_470_001)))),
+                        List.of(
+                                new Kept.KeptNode(
+                                        5,
+                                        2,
+                                        List.of(
+                                                new Kept.KeptFlow(
+                                                        0,
+                                                        176_470_000,
+                                                        new long[] {
+                                                            key(3, 0, 0, 1), key(3, 1, 0, 2)
+                                                        },
+                                                        sums(2, 60)))),
+                                new Kept.KeptNode(6, 1, List.of()))));
+    }
+
+    // ---- helpers ----
+
+    /** Read from a copy, so that a reader that sets a file aside changes no committed file. */
+    private Path stored(String name) throws IOException {
+        return Files.copy(STORED.resolve(name), folder.resolve("stored-" + name));
+    }
+
+    private static String head(Path file) throws IOException {
+        String text = Files.readString(file, StandardCharsets.ISO_8859_1);
+        return text.substring(0, text.indexOf('\n'));
+    }
+
+    private static byte[] body(Path file) throws IOException {
+        byte[] all = Files.readAllBytes(file);
+        return Arrays.copyOfRange(all, head(file).length() + 1, all.length);
+    }
+
+    // ---- list of nodes ----
+
+    @Test
+    void theListOfNodesIsRead() throws IOException {
+        ListFile.Look look = new ListFile(stored("nodes"), "hall-1").look();
+        assertEquals(List.of(), look.refused());
+        assertEquals(WRITTEN_AT, look.writtenAt());
+        assertEquals(nodes(), look.list());
+        assertEquals("hall-1", look.list().site());
+        assertEquals(77, look.list().history());
+        assertEquals(12, look.list().version());
+        assertEquals(1_764_699_999_000L, look.list().confirmedAt());
+        NodeLine third = look.list().lines().get(2).line();
+        assertEquals(3, third.node());
+        assertEquals(13, third.cell());
+        assertEquals(23, third.zone());
+        assertEquals(33, third.kind());
+        assertEquals(NodeLine.Standing.DRAINING, third.standing());
+        assertEquals(1_764_000_000_003L, third.startedAt());
+        assertEquals(1.5f, third.weight());
+        assertEquals("10.0.0.3", third.host());
+        assertEquals(7003, third.port());
+        assertEquals(Source.IMPORT, look.list().lines().get(2).source());
+        assertTrue(look.list().lines().get(1).selfDraining());
+    }
+
+    private static String json(int node, String standing, String source, boolean draining) {
+        return "{\"line\":{\"node\":%d,\"cell\":1%d,\"zone\":2%d,\"kind\":3%d,\"standing\":\"%s\",\"startedAt\":176400000000%d,\"weight\":%s,\"host\":\"10.0.0.%d\",\"port\":700%d},\"source\":\"%s\",\"selfDraining\":%s}"
+                .formatted(
+                        node,
+                        node,
+                        node,
+                        node,
+                        standing,
+                        node,
+                        0.5 * node,
+                        node,
+                        node,
+                        source,
+                        draining);
+    }
+
+    @Test
+    void theListOfNodesIsWrittenAsBefore() throws IOException {
+        Path file = folder.resolve("nodes");
+        new ListFile(file, "hall-1").write(nodes(), WRITTEN_AT);
+        String expected =
+                "{\"site\":\"hall-1\",\"history\":77,\"version\":12,\"confirmedAt\":1764699999000,\"lines\":["
+                        + String.join(
+                                ",",
+                                json(1, "GONE", "DIRECTORY", false),
+                                json(2, "READY", "DISK", true),
+                                json(3, "DRAINING", "IMPORT", false),
+                                json(4, "READY", "SITE", true))
+                        + "]}";
+        assertEquals(new JsonMapper().readTree(expected), new JsonMapper().readTree(body(file)));
+        assertTrue(head(file).startsWith("sagepulley nodes 1 hall-1 1764700000123 1 "), head(file));
+        assertArrayEquals(Files.readAllBytes(STORED.resolve("nodes")), Files.readAllBytes(file));
+    }
+
+    // ---- holders ----
+
+    @Test
+    void theHoldersAreReadAndWrittenAsBefore() throws IOException {
+        Map<Integer, int[]> read = new HoldersFile(stored("holders"), "hall-1").start();
+        assertEquals(List.of(7, 8, 9), List.copyOf(read.keySet()));
+        assertArrayEquals(new int[] {3, 3, -1, 4}, read.get(7));
+        assertArrayEquals(new int[] {}, read.get(8));
+        assertArrayEquals(new int[] {5, 5, 5, 5, 5}, read.get(9));
+
+        Path file = folder.resolve("holders");
+        new HoldersFile(file, "hall-1").write(holders(), WRITTEN_AT);
+        assertTrue(
+                head(file).startsWith("sagepulley holders 1 hall-1 1764700000123 1 "), head(file));
+        ByteBuffer expected = ByteBuffer.allocate(4 * 18);
+        for (int word : new int[] {3, 7, 4, 3, 3, 2, -1, 1, 4, 1, 8, 0, 0, 9, 5, 1, 5, 5}) {
+            expected.putInt(word);
+        }
+        assertArrayEquals(expected.array(), Zstd.decompress(body(file), 4 * 18));
+    }
+
+    // ---- accounts ----
+
+    @Test
+    void theAccountsAreRead() throws IOException {
+        BookFile.Read read = new BookFile(stored("accounts"), "gw-1").goOn();
+        assertEquals("gw-1", read.head().gateway());
+        assertEquals(WRITTEN_AT, read.head().writtenAt());
+        assertEquals(Map.of(1L, "exams", 2L, "archive"), read.head().names());
+        assertEquals(Map.of(3L, 7.5, 4L, 1_764_699_990_000.25), read.head().told());
+        assertEquals(List.of(1L, 2L), read.book().volumes());
+        assertEquals(Map.of(5, 2, 6, 1), read.book().zones());
+        CBORMapper cbor = new CBORMapper();
+        assertEquals(
+                cbor.<JsonNode>valueToTree(accounts().kept()),
+                cbor.<JsonNode>valueToTree(Kept.of(read.book())),
+                "the figures, after they went through the book");
+        double[] flow = read.book().flows(0, 1e13).get(5).get(2L);
+        assertArrayEquals(new double[] {64, 64}, flow, "units and writes at node 5");
+    }
+
+    /** Parts, parts of the plan and kinds of causes are stored by their order. */
+    @Test
+    void theOrderOfStoredFiguresStandsForTheSameNames() throws IOException {
+        Report report = BookFile.report(stored("accounts")).book().report(2, 0, 1e13);
+        assertEquals(2, report.declined());
+        assertEquals(3, report.scrapped());
+        assertEquals(4, report.left());
+        List<Spent> parts =
+                List.of(
+                        Spent.RESERVE_FULL,
+                        Spent.SHARE_FULL,
+                        Spent.BEYOND_SHARE,
+                        Spent.HELD_BACK,
+                        Spent.COLD,
+                        Spent.SILENT,
+                        Spent.NOT_READY,
+                        Spent.LIMIT,
+                        Spent.BUDGET,
+                        Spent.ORDER,
+                        Spent.RANKS_LATER,
+                        Spent.DIRECTORY,
+                        Spent.ON_THE_WAY,
+                        Spent.NODE_QUEUE,
+                        Spent.NODE_WORK,
+                        Spent.FUTILE);
+        for (int i = 0; i < 16; i++) {
+            assertEquals(1000.5 + i, report.parts().get(parts.get(i)), parts.get(i).toString());
+        }
+        List<PlanPart> plan =
+                List.of(
+                        PlanPart.RESERVE,
+                        PlanPart.SHARE,
+                        PlanPart.EXCESS,
+                        PlanPart.LIMIT,
+                        PlanPart.NONE);
+        for (Report.PlanLine line : report.plan()) {
+            int at = plan.indexOf(line.part());
+            assertEquals(11 + at, line.met(), line.toString());
+            assertEquals(21 + at, line.missed(), line.toString());
+            assertEquals(31.5 + at, line.units(), line.toString());
+            assertEquals(41.5 + at, line.utilityLost(), line.toString());
+        }
+        assertEquals(5, report.plan().size());
+        List<Cause.Kind> kinds =
+                List.of(
+                        Cause.Kind.OWN_LOAD,
+                        Cause.Kind.OWN_LIMIT,
+                        Cause.Kind.OWN_WORK,
+                        Cause.Kind.NEIGHBOUR,
+                        Cause.Kind.ELSEWHERE,
+                        Cause.Kind.SLOW_NODE,
+                        Cause.Kind.PAUSE,
+                        Cause.Kind.COLD_NODE,
+                        Cause.Kind.FAULT,
+                        Cause.Kind.CAUTION,
+                        Cause.Kind.DIRECTORY,
+                        Cause.Kind.NETWORK);
+        assertEquals(12, report.causes().size(), report.causes().toString());
+        for (Report.Charged charged : report.causes()) {
+            int at = kinds.indexOf(charged.kind());
+            assertEquals(500 + 4 * at, charged.waited(), charged.toString());
+            assertEquals(0.25 + 4 * at + 3, charged.utilityLost(), charged.toString());
+            assertEquals(1 + at, charged.node(), charged.toString());
+        }
+    }
+
+    @Test
+    void theAccountsAreWrittenAsBefore() throws IOException {
+        Path file = folder.resolve("accounts");
+        new BookFile(file, "gw-1").write(accounts());
+        assertTrue(
+                head(file).startsWith("sagepulley accounts 1 gw-1 1764700000123 1 "), head(file));
+        assertEquals(
+                """
+                gateway
+                kept.nodes[].flows
+                kept.nodes[].flows[].keys[]
+                kept.nodes[].flows[].level
+                kept.nodes[].flows[].number
+                kept.nodes[].flows[].sums[]
+                kept.nodes[].node
+                kept.nodes[].zone
+                kept.volumes[].volume
+                kept.volumes[].windows[].ends[]
+                kept.volumes[].windows[].keys[]
+                kept.volumes[].windows[].level
+                kept.volumes[].windows[].lost[]
+                kept.volumes[].windows[].met[]
+                kept.volumes[].windows[].missed[]
+                kept.volumes[].windows[].number
+                kept.volumes[].windows[].parts[]
+                kept.volumes[].windows[].sums[]
+                kept.volumes[].windows[].times[][]
+                kept.volumes[].windows[].units[]
+                names.1
+                names.2
+                told.3
+                told.4
+                writtenAt
+                """,
+                KeyPaths.of(new CBORMapper().readTree(body(file))));
+        assertArrayEquals(Files.readAllBytes(STORED.resolve("accounts")), Files.readAllBytes(file));
+    }
+}
