--- a/src/test/java/sagepulley/stored/KeyPaths.java
+++ b/src/test/java/sagepulley/stored/KeyPaths.java
@@ -18,7 +18,7 @@
     }
 
     private static void add(String path, JsonNode node, Set<String> paths) {
-        if (node.isObject()) {
+        if (node.isObject() && !node.isEmpty()) {
             for (Map.Entry<String, JsonNode> field : node.properties()) {
                 add((path.isEmpty() ? "" : path + ".") + field.getKey(), field.getValue(), paths);
             }
