--- /dev/null
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -0,0 +1,305 @@
+package sagepulley.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+import sagepulley.host.FirstMessage;
+import sagepulley.model.Band;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+import sagepulley.model.Plan;
+import sagepulley.model.Rulebook;
+import sagepulley.site.BooksLine;
+import sagepulley.site.HostPort;
+import sagepulley.site.MembersLine;
+import sagepulley.site.Site;
+import sagepulley.site.TracesLine;
+import sagepulley.site.VolumeLine;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Keys of settings: each key of the committed files has a value that is not its default, and what
+ * is read from them is compared as a whole.
+ */
+class SettingNamesTest {
+    private static final Path FOLDER = Path.of("src/test/resources/external");
+    @TempDir private Path folder;
+
+    /** What first-message.txt and config.json say alike. */
+    private static Deployment told() {
+        return new Deployment(
+                2,
+                5,
+                1,
+                List.of(
+                        new Band(
+                                0,
+                                "get",
+                                Band.Repeat.IDEMPOTENT,
+                                Band.Group.ALL,
+                                0,
+                                false,
+                                false,
+                                11,
+                                1.5,
+                                12,
+                                13,
+                                0.25),
+                        new Band(
+                                1,
+                                "put",
+                                Band.Repeat.DEDUPLICATED,
+                                Band.Group.ZONE,
+                                14,
+                                true,
+                                true,
+                                15,
+                                0,
+                                16,
+                                1,
+                                0),
+                        new Band(
+                                2,
+                                "add",
+                                Band.Repeat.UNREPEATABLE,
+                                Band.Group.ALL,
+                                0,
+                                false,
+                                true,
+                                17,
+                                0,
+                                18,
+                                1,
+                                0),
+                        new Band(
+                                3,
+                                "all",
+                                Band.Repeat.DEDUPLICATED,
+                                Band.Group.ALL,
+                                19,
+                                false,
+                                true,
+                                20,
+                                0,
+                                21,
+                                1,
+                                0),
+                        new Band(
+                                4,
+                                "cell",
+                                Band.Repeat.DEDUPLICATED,
+                                Band.Group.CELL,
+                                22,
+                                false,
+                                true,
+                                23,
+                                0,
+                                24,
+                                1,
+                                0)),
+                List.of(new Plan(0, "gold", 31, 32, 33, 34, 35, 36, 37)),
+                new Rulebook(41, 42, 0.43, 44, 45, 46, 47, 48, 49, 0.5, 51, 52, true),
+                61,
+                62,
+                63,
+                64,
+                0.65,
+                0.66,
+                67,
+                true,
+                true,
+                68,
+                Double.POSITIVE_INFINITY,
+                true,
+                true,
+                true,
+                69,
+                70,
+                71,
+                72,
+                true,
+                List.of("queue", "busy"));
+    }
+
+    @Test
+    void pathsOfTheFirstMessage() throws IOException {
+        String text = Files.readString(FOLDER.resolve("first-message.txt"));
+        assertEquals(told(), FirstMessage.ofLines(text).deployment());
+    }
+
+    private static Config config(String name, String listen, int discoveryPort) {
+        return new Config(
+                name,
+                Addresses.read(listen),
+                new InetSocketAddress("127.0.0.1", discoveryPort),
+                0xabc,
+                300,
+                128,
+                new Listing(
+                        9,
+                        true,
+                        List.of(
+                                member("one", Node.Standing.READY, 81),
+                                member("two", Node.Standing.DRAINING, 82),
+                                member("three", Node.Standing.GONE, 83)),
+                        List.of()),
+                told().onWatch(6_000),
+                List.of("here", "there"),
+                List.of("plain", "fast"),
+                91,
+                92,
+                93);
+    }
+
+    private static Listing.Member member(String id, Node.Standing standing, int port) {
+        return new Listing.Member(
+                id,
+                new InetSocketAddress("127.0.0.1", port),
+                "here",
+                "plain",
+                port + 100,
+                standing,
+                1.5,
+                port + 1000);
+    }
+
+    @Test
+    void keysOfTheConfiguration() throws Exception {
+        Map<String, String> environment =
+                Map.of("GW_CONFIG", FOLDER.resolve("config.json").toString());
+        assertEquals(config("gw-1", "127.0.0.1:101", 102), Config.read(environment));
+    }
+
+    @Test
+    void variablesOfTheEnvironment() throws Exception {
+        Path file = folder.resolve("config.json");
+        Files.writeString(
+                file,
+                Files.readString(FOLDER.resolve("config.json"))
+                        .replaceAll("\"(name|listen|discovery)\": \"(gw-1|127.0.0.1:10.)\",", ""));
+        Map<String, String> environment =
+                Map.of(
+                        "GW_CONFIG",
+                        file.toString(),
+                        "GW_NAME",
+                        "gw-2",
+                        "GW_LISTEN",
+                        "127.0.0.1:201",
+                        "GW_DISCOVERY",
+                        "127.0.0.1:202");
+        assertEquals(config("gw-2", "127.0.0.1:201", 202), Config.read(environment));
+    }
+
+    @Test
+    void keysOfTheSiteFile() throws Exception {
+        Deployment deployment =
+                new Deployment(
+                        2,
+                        5,
+                        1,
+                        List.of(
+                                new Band(
+                                        0,
+                                        "read",
+                                        Band.Repeat.DEDUPLICATED,
+                                        Band.Group.ZONE,
+                                        11,
+                                        true,
+                                        false,
+                                        12,
+                                        0,
+                                        13,
+                                        14,
+                                        0.5),
+                                new Band(
+                                        1,
+                                        "write",
+                                        Band.Repeat.UNREPEATABLE,
+                                        Band.Group.ALL,
+                                        60_000,
+                                        false,
+                                        true,
+                                        15,
+                                        0,
+                                        16,
+                                        1,
+                                        0.2),
+                                new Band(
+                                        2,
+                                        "bulk",
+                                        Band.Repeat.IDEMPOTENT,
+                                        Band.Group.CELL,
+                                        60_000,
+                                        false,
+                                        false,
+                                        17,
+                                        0,
+                                        18,
+                                        1,
+                                        0.2)),
+                        List.of(
+                                new Plan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
+                                new Plan(1, "gold", 31, 32, 33, 34, 35, 36, 37)),
+                        new Rulebook(41, 42, 0.43, 44, 45, 46, 47, 48, 49, 50, 51, 12, false),
+                        61,
+                        62,
+                        63,
+                        8192 / 1024,
+                        0.65,
+                        0.66,
+                        67,
+                        true,
+                        true,
+                        168,
+                        Double.POSITIVE_INFINITY,
+                        false,
+                        true,
+                        true,
+                        69,
+                        70,
+                        0,
+                        0,
+                        true,
+                        List.of("queue"));
+        Site expected =
+                new Site(
+                        "gw-1",
+                        List.of("hall-a", "hall-b"),
+                        new HostPort("127.0.0.1", 101),
+                        new HostPort("127.0.0.1", 102),
+                        3,
+                        2 << 20,
+                        3 << 20,
+                        4,
+                        5,
+                        8192,
+                        1024,
+                        4096,
+                        deployment,
+                        List.of(
+                                new VolumeLine(
+                                        7, "exams", "papers", 1024, 1, 8, true, 0, 1, 2, 2048)),
+                        new BooksLine(false, Path.of("a"), 106),
+                        new TracesLine(Path.of("t"), 8192, 5, "http://h:1/v1/traces", 6, 0.7),
+                        new HostPort("127.0.0.1", 103),
+                        new MembersLine(
+                                Path.of("l"),
+                                Path.of("h"),
+                                107,
+                                108,
+                                9,
+                                List.of(
+                                        new MembersLine.FixedNode(
+                                                12, 13, 1, new HostPort("127.0.0.1", 104)))),
+                        "hall-1");
+        assertEquals(expected, Site.read(FOLDER.resolve("site.ini")));
+    }
+}
