--- /dev/null
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -0,0 +1,110 @@
+package sagepulley.platform;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+import sagepulley.model.Attempt;
+import sagepulley.model.Band;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+import sagepulley.model.Reason;
+import sagepulley.resp.Resp;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+
+/** Words of 'serve' on its wire and in its log, and how the program is started. */
+class ServeNamesTest {
+    private static final String FIELDS =
+            "c=get,t=any,d=900,volume=0000000000000007,units=1,shard=0,hosts=3,r=1";
+
+    private static BlockCommand command(String word, String fields, String... more)
+            throws Exception {
+        Deployment deployment = Rehearsal.config(null, null, null).deployment();
+        List<byte[]> words = new ArrayList<>();
+        for (String each : List.of(word, "000000000000000a", "000000000000000b", fields)) {
+            words.add(each.getBytes(StandardCharsets.US_ASCII));
+        }
+        for (String each : more) {
+            words.add(each.getBytes(StandardCharsets.US_ASCII));
+        }
+        return BlockCommand.read(words, deployment);
+    }
+
+    @Test
+    void commandsAndTheirFields() throws Exception {
+        BlockCommand read = command("BLK.READ", FIELDS);
+        assertEquals(10, read.extent);
+        assertEquals(11, read.id);
+        assertEquals("get", read.band.name());
+        assertEquals("any", read.plan.name());
+        assertEquals(900, read.patience);
+        assertEquals(7, read.volume);
+        assertEquals(1, read.units);
+        assertEquals(0, read.shard);
+        assertEquals(3, read.gateways);
+        assertTrue(read.repeat);
+        assertEquals("put", command("BLK.WRITE", FIELDS.replace("get", "put"), "x").band.name());
+        assertEquals(
+                FIELDS.replace("d=900", "d=42"),
+                new String(read.forNode(42).get(3), StandardCharsets.US_ASCII));
+    }
+
+    @Test
+    void figuresOfANodesAnswer() throws Exception {
+        Band band = Rehearsal.config(null, null, null).deployment().bands().get(0);
+        Operation operation = new Operation(1, band, null, 0, 1, 0, 0, 900, false);
+        Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
+        Answer.tell(attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
+        assertEquals(5, attempt.usedPercent);
+        assertEquals(6, attempt.othersUnits);
+        assertEquals(7, attempt.report[0]);
+    }
+
+    @Test
+    void countsInTheLog() throws Exception {
+        Counts counts = new Counts();
+        Band band = Rehearsal.config(null, null, null).deployment().bands().get(0);
+        for (Outcome outcome : Outcome.values()) {
+            counts.ended(outcome, new Node(1));
+        }
+        Map<Reason, Integer> waits = new EnumMap<>(Reason.class);
+        for (Reason reason : Reason.values()) {
+            waits.put(reason, 1);
+        }
+        counts.waits(waits);
+        counts.gaveUp(band, Reason.LATE);
+        assertEquals(
+                "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SATISFIED=1,"
+                        + " FAULT=1, FULL=1, TIMED_OUT=1, NO_CONNECTION=1, RESET=1, CALLED_OFF=1,"
+                        + " MOOT=1} given-up={get/LATE=1} waits={NONE=1, RESERVE_FULL=1,"
+                        + " SHARE_FULL=1, BEYOND_SHARE=1, HELD_BACK=1, COLD=1, SILENT=1,"
+                        + " NOT_READY=1, NO_NODE=1, NO_LEASE=1, LIMIT=1, BUDGET=1, ORDER=1,"
+                        + " RANKS_LATER=1, LATE=1, PATIENCE=1, NO_FURTHER_HOP=1, MAY_HAVE_RUN=1}",
+                counts.toString());
+    }
+
+    /** The class that pom.xml and GatewayProcess name, with the word that starts the service. */
+    @Test
+    void theProgramIsStartedBySagepulleyMainServe() throws Exception {
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        System.getProperty("java.home") + "/bin/java",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sagepulley.Main",
+                        "serve");
+        builder.environment().remove("GW_CONFIG");
+        Process process = builder.redirectErrorStream(true).start();
+        String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(1, process.waitFor(), out);
+        assertTrue(out.contains("sagepulley: GW_CONFIG is not set"), out);
+    }
+}
