--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -3,8 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
-
 import sagepulley.model.Attempt;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
@@ -14,12 +18,6 @@
 import sagepulley.model.Reason;
 import sagepulley.resp.Resp;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.EnumMap;
-import java.util.List;
-import java.util.Map;
-
 /** Words of 'serve' on its wire and in its log, and how the program is started. */
 class ServeNamesTest {
     private static final String FIELDS =
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -2,9 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-
 import sagepulley.host.FirstMessage;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
@@ -18,13 +23,6 @@
 import sagepulley.site.TracesLine;
 import sagepulley.site.VolumeLine;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Keys of settings: each key of the committed files has a value that is not its default, and what
  * is read from them is compared as a whole.
--- a/src/test/java/sagepulley/stored/Expected.java
+++ b/src/test/java/sagepulley/stored/Expected.java
@@ -4,7 +4,6 @@
 
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -4,15 +4,31 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TimeZone;
+import java.util.TreeSet;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
-
 import picocli.CommandLine;
-
 import sagepulley.accounts.Accounts;
 import sagepulley.accounts.Book;
 import sagepulley.accounts.Report;
@@ -43,26 +59,6 @@
 import sagepulley.traces.Tracer;
 import sagepulley.watch.Watch;
 
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
-import java.io.PrintStream;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
-import java.net.http.HttpResponse;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-import java.util.Map;
-import java.util.TimeZone;
-import java.util.TreeSet;
-import java.util.stream.Collectors;
-
 /**
  * Names that users, scripts and dashboards rely on: options, JSON keys, metrics, fields of spans,
  * words of scripted days. Compared with literals and with src/test/resources/external.
--- a/src/test/java/sagepulley/stored/KeyPaths.java
+++ b/src/test/java/sagepulley/stored/KeyPaths.java
@@ -1,7 +1,6 @@
 package sagepulley.stored;
 
 import com.fasterxml.jackson.databind.JsonNode;
-
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -8,10 +8,17 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import com.github.luben.zstd.Zstd;
-
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.Kept;
 import sagepulley.accounts.PlanPart;
@@ -25,16 +32,6 @@
 import sagepulley.membership.NodeLine;
 import sagepulley.membership.Source;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
  * same content is written with the same keys, enum names and bytes.
