--- a/src/jmh/java/sagepulley/accounts/AccountsBench.java
+++ b/src/jmh/java/sagepulley/accounts/AccountsBench.java
@@ -15,7 +15,7 @@
 import sagepulley.model.Band;
 import sagepulley.model.Owed;
 import sagepulley.model.Reason;
-import sagepulley.traces.TailSampler;
+import sagepulley.tracing.TailSampler;
 
 /** What the accounts of one operation cost: taken, sent, answered, ended; and held first, and the sampler. */
 @State(Scope.Thread)
--- a/src/jmh/java/sagepulley/bench/ControlBench.java
+++ b/src/jmh/java/sagepulley/bench/ControlBench.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import sagepulley.control.Control;
+import sagepulley.scheduler.Control;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
 import sagepulley.model.Attempt;
--- a/src/main/antlr4/sagepulley/drill/grammar/Day.g4
+++ b/src/main/antlr4/sagepulley/scenario/grammar/Scenario.g4
@@ -1,5 +1,5 @@
 /* A scripted day: what runs, what load comes, what goes wrong and when (docs/operate/drill.md). */
-grammar Day;
+grammar Scenario;
 
 day        : statement* EOF ;
 
--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -8,8 +8,8 @@
 import sagepulley.platform.ConfigError;
 import sagepulley.platform.Rehearsal;
 import sagepulley.platform.Serve;
-import sagepulley.simhost.MalformedFrame;
-import sagepulley.simhost.SimHost;
+import sagepulley.simulator.MalformedFrame;
+import sagepulley.simulator.SimHost;
 
 /** Picks the command; simhost and serve start without anything of the others. */
 public final class Main {
--- a/src/main/java/sagepulley/cli/AddressConverter.java
+++ b/src/main/java/sagepulley/cli/AddressConverter.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
-import sagepulley.site.HostPort;
+import sagepulley.config.HostPort;
 
 /** Reads host:port on the command line. */
 final class AddressConverter implements ITypeConverter<HostPort> {
--- a/src/main/java/sagepulley/cli/CheckSiteCommand.java
+++ b/src/main/java/sagepulley/cli/CheckSiteCommand.java
@@ -8,8 +8,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.site.Site;
-import sagepulley.site.SiteError;
+import sagepulley.config.Site;
+import sagepulley.config.SiteError;
 
 /** Checks a site file without starting anything. */
 @Command(
--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -4,8 +4,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
-import sagepulley.drill.DayError;
-import sagepulley.site.SiteError;
+import sagepulley.config.SiteError;
+import sagepulley.scenario.DayError;
 
 /**
  * The command line. Exit codes: 0 all went well, 1 it failed, 2 the words were wrong, 3 a site file
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.drill.Town;
-import sagepulley.gateway.Gateway;
+import sagepulley.frontend.nbd.Gateway;
+import sagepulley.scenario.Town;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.Witness;
 
--- a/src/main/java/sagepulley/cli/DirectoryCommand.java
+++ b/src/main/java/sagepulley/cli/DirectoryCommand.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.drill.Town;
-import sagepulley.site.HostPort;
+import sagepulley.codec.frame.Loops;
+import sagepulley.config.HostPort;
+import sagepulley.scenario.Town;
 import sagepulley.standin.StandInDirectory;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Loops;
 
 /** Runs a stand-in directory. */
 @Command(
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.books.BookFile;
-import sagepulley.books.GatewayBook;
-import sagepulley.drill.Day;
-import sagepulley.drill.DayReader;
-import sagepulley.drill.Drill;
-import sagepulley.drill.Verdict;
+import sagepulley.persistence.BookFile;
+import sagepulley.persistence.GatewayBook;
+import sagepulley.scenario.Day;
+import sagepulley.scenario.DayReader;
+import sagepulley.scenario.Drill;
+import sagepulley.scenario.Verdict;
 
 /** Plays a scripted day. */
 @Command(
--- a/src/main/java/sagepulley/cli/GatewayCommand.java
+++ b/src/main/java/sagepulley/cli/GatewayCommand.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CompletionException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import sagepulley.gateway.Gateway;
-import sagepulley.site.Site;
-import sagepulley.watch.Watch;
+import sagepulley.config.Site;
+import sagepulley.frontend.nbd.Gateway;
+import sagepulley.monitoring.Watch;
 
 /** Runs one gateway by its site file. */
 @Command(
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -15,12 +15,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.keep.Generations;
-import sagepulley.lists.ListFile;
+import sagepulley.config.HostPort;
 import sagepulley.membership.KeptList;
 import sagepulley.membership.NodeLine;
 import sagepulley.membership.Source;
-import sagepulley.site.HostPort;
+import sagepulley.persistence.Generations;
+import sagepulley.persistence.ListFile;
 
 /** Looks after the file in which a gateway keeps its list of nodes. */
 @Command(
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.drill.SideBySide;
+import sagepulley.scenario.SideBySide;
 
 /** Measures the gateway against the direct way. */
 @Command(
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.drill.Town;
-import sagepulley.site.HostPort;
+import sagepulley.codec.frame.Loops;
+import sagepulley.config.HostPort;
+import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.scenario.Town;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.Registration;
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Loops;
 
 /** Runs a stand-in node. */
 @Command(
--- a/src/main/java/sagepulley/cli/NodesCommand.java
+++ b/src/main/java/sagepulley/cli/NodesCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.site.HostPort;
+import sagepulley.config.HostPort;
 
 /** Shows what a running gateway knows of its nodes. */
 @Command(
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -25,7 +25,7 @@
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.Fleet;
 import sagepulley.accounts.Report;
-import sagepulley.books.BookFile;
+import sagepulley.persistence.BookFile;
 
 /** Tells from gateways' accounts who waited behind whom. */
 @Command(
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.faults.SoakRun;
+import sagepulley.faultinjection.SoakRun;
 
 /** Runs the seeded soak by hand. */
 @Command(
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.drill.Starts;
+import sagepulley.scenario.Starts;
 
 /** Measures starts without discovery. */
 @Command(
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sagepulley.accounts.Report;
-import sagepulley.site.HostPort;
-import sagepulley.watch.Watch;
+import sagepulley.config.HostPort;
+import sagepulley.monitoring.Watch;
 
 /** Shows a gateway's volumes and nodes live. */
 @Command(
--- a/src/main/java/sagepulley/cli/TruthCommand.java
+++ b/src/main/java/sagepulley/cli/TruthCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.drill.Truth;
+import sagepulley.scenario.Truth;
 
 /** Holds the accounts against days whose causes are known. */
 @Command(
--- a/src/main/java/sagepulley/cli/WatchClient.java
+++ b/src/main/java/sagepulley/cli/WatchClient.java
@@ -6,7 +6,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.time.Duration;
-import sagepulley.site.HostPort;
+import sagepulley.config.HostPort;
 
 /** Asks a running gateway for its figures ([watch] listen). */
 final class WatchClient {
--- a/src/main/java/sagepulley/wire/Alarm.java
+++ b/src/main/java/sagepulley/codec/frame/Alarm.java
@@ -1,4 +1,4 @@
-package sagepulley.wire;
+package sagepulley.codec.frame;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
--- a/src/main/java/sagepulley/wire/BadBytes.java
+++ b/src/main/java/sagepulley/codec/frame/BadBytes.java
@@ -1,4 +1,4 @@
-package sagepulley.wire;
+package sagepulley.codec.frame;
 
 /** What came from a socket is not what its protocol allows: that connection ends. */
 public final class BadBytes extends Exception {
--- a/src/main/java/sagepulley/wire/Crc.java
+++ b/src/main/java/sagepulley/codec/frame/Crc.java
@@ -1,4 +1,4 @@
-package sagepulley.wire;
+package sagepulley.codec.frame;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.ByteBuffer;
--- a/src/main/java/sagepulley/wire/Loops.java
+++ b/src/main/java/sagepulley/codec/frame/Loops.java
@@ -1,4 +1,4 @@
-package sagepulley.wire;
+package sagepulley.codec.frame;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
--- a/src/main/java/sagepulley/nbd/Export.java
+++ b/src/main/java/sagepulley/codec/nbd/Export.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 /**
  * What the handshake tells of one export. Sizes are bytes; block sizes are those of 'Block size
--- a/src/main/java/sagepulley/nbd/Exports.java
+++ b/src/main/java/sagepulley/codec/nbd/Exports.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import java.util.List;
 
--- a/src/main/java/sagepulley/nbd/Gate.java
+++ b/src/main/java/sagepulley/codec/nbd/Gate.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 /** Says whether a connection may take another request into its hands. */
 public interface Gate {
--- a/src/main/java/sagepulley/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.wire.BadBytes;
+import sagepulley.codec.frame.BadBytes;
 
 /** The server's side of fixed newstyle negotiation ('Negotiation' of the protocol text). */
 final class Handshake extends ChannelInboundHandlerAdapter {
--- a/src/main/java/sagepulley/nbd/Nbd.java
+++ b/src/main/java/sagepulley/codec/nbd/Nbd.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 /** Numbers of the NBD protocol text, by its names ('Values'). */
 public final class Nbd {
--- a/src/main/java/sagepulley/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
-import sagepulley.wire.BadBytes;
+import sagepulley.codec.frame.BadBytes;
 
 /**
  * A client's connection to one export: fixed newstyle, structured replies and base:allocation where
--- a/src/main/java/sagepulley/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -1,10 +1,10 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import java.nio.charset.StandardCharsets;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.PieceDecoder;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.PieceDecoder;
 
 /**
  * What a server sends, cut into its messages; the client says of each cookie how long its data is.
--- a/src/main/java/sagepulley/nbd/NbdReply.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReply.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
--- a/src/main/java/sagepulley/nbd/NbdServer.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServer.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelPipeline;
--- a/src/main/java/sagepulley/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -1,10 +1,10 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.PieceDecoder;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.PieceDecoder;
 
 /**
  * What a client sends: its flags, options, then requests. Reads no payload before the gate admits
--- a/src/main/java/sagepulley/resp/Resp.java
+++ b/src/main/java/sagepulley/codec/resp/Resp.java
@@ -1,4 +1,4 @@
-package sagepulley.resp;
+package sagepulley.codec.resp;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/main/java/sagepulley/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -1,4 +1,4 @@
-package sagepulley.resp;
+package sagepulley.codec.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/main/java/sagepulley/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -1,4 +1,4 @@
-package sagepulley.resp;
+package sagepulley.codec.resp;
 
 /**
  * The most that is taken: bytes of a line, of a bulk string and of all that an array holds, and
--- a/src/main/java/sagepulley/site/Site.java
+++ b/src/main/java/sagepulley/config/Site.java
@@ -1,4 +1,4 @@
-package sagepulley.site;
+package sagepulley.config;
 
 import java.io.StringReader;
 import java.nio.file.InvalidPathException;
--- a/src/main/java/sagepulley/site/SiteError.java
+++ b/src/main/java/sagepulley/config/SiteError.java
@@ -1,4 +1,4 @@
-package sagepulley.site;
+package sagepulley.config;
 
 /** A site file that cannot be used: names file, section, key and what is allowed. */
 public final class SiteError extends Exception {
--- a/src/main/java/sagepulley/site/VolumeLine.java
+++ b/src/main/java/sagepulley/config/VolumeLine.java
@@ -1,4 +1,4 @@
-package sagepulley.site;
+package sagepulley.config;
 
 /**
  * A volume's section of the site file. Sizes are bytes; bands and plan are places in the
--- a/src/main/java/sagepulley/directory/DirectoryLink.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryLink.java
@@ -1,4 +1,4 @@
-package sagepulley.directory;
+package sagepulley.discovery.directory;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
-import sagepulley.wire.FrameDecoder;
-import sagepulley.wire.FrameEncoder;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameDecoder;
+import sagepulley.codec.frame.FrameEncoder;
 
 /**
  * A gateway's link to the directory: a connection that is opened when a call needs it. Calls fail
--- a/src/main/java/sagepulley/directory/DirectoryWire.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryWire.java
@@ -1,12 +1,12 @@
-package sagepulley.directory;
+package sagepulley.discovery.directory;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
 
 /** The messages to and from the directory, as frames (docs/protocols.md, Directory protocol). */
 public final class DirectoryWire {
--- a/src/main/java/sagepulley/host/Clock.java
+++ b/src/main/java/sagepulley/engine/Clock.java
@@ -1,4 +1,4 @@
-package sagepulley.host;
+package sagepulley.engine;
 
 /**
  * The one clock of a gateway: milliseconds with fractions that only move forward, tied to the wall
--- a/src/main/java/sagepulley/host/Exit.java
+++ b/src/main/java/sagepulley/engine/Exit.java
@@ -1,4 +1,4 @@
-package sagepulley.host;
+package sagepulley.engine;
 
 import sagepulley.model.Attempt;
 import sagepulley.model.Node;
--- a/src/main/java/sagepulley/host/FirstMessage.java
+++ b/src/main/java/sagepulley/engine/FirstMessage.java
@@ -1,4 +1,4 @@
-package sagepulley.host;
+package sagepulley.engine;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/sagepulley/host/Host.java
+++ b/src/main/java/sagepulley/engine/Host.java
@@ -1,4 +1,4 @@
-package sagepulley.host;
+package sagepulley.engine;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,9 +12,6 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.Set;
-import sagepulley.control.BandView;
-import sagepulley.control.Control;
-import sagepulley.control.WaitView;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
@@ -25,6 +22,9 @@
 import sagepulley.model.Reason;
 import sagepulley.model.Sequel;
 import sagepulley.model.Volume;
+import sagepulley.scheduler.BandView;
+import sagepulley.scheduler.Control;
+import sagepulley.scheduler.WaitView;
 
 /**
  * One gateway round the module that decides for it: its operations in hand, its nodes and volumes,
--- a/src/main/java/sagepulley/host/MissingFigure.java
+++ b/src/main/java/sagepulley/engine/MissingFigure.java
@@ -1,4 +1,4 @@
-package sagepulley.host;
+package sagepulley.engine;
 
 /** The first message lacks a figure that the decisions depend on, or it cannot be read. */
 public final class MissingFigure extends RuntimeException {
--- a/src/main/java/sagepulley/faults/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/sagepulley/faults/Endpoint.java
+++ b/src/main/java/sagepulley/faultinjection/Endpoint.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 /** One storage endpoint as the test's discovery lists it. */
 record Endpoint(String id, int port, int cell, State state, long startedAtWallMs) {
--- a/src/main/java/sagepulley/faults/Ports.java
+++ b/src/main/java/sagepulley/faultinjection/Ports.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import java.io.IOException;
 import java.net.BindException;
--- a/src/main/java/sagepulley/faults/Request.java
+++ b/src/main/java/sagepulley/faultinjection/Request.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 /**
  * One client's request and how it ended, as seen at the client's socket. Times are System.nanoTime.
--- a/src/main/java/sagepulley/faults/RespPeer.java
+++ b/src/main/java/sagepulley/faultinjection/RespPeer.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import java.io.BufferedInputStream;
 import java.io.EOFException;
--- a/src/main/java/sagepulley/faults/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/sagepulley/gateway/Disk.java
+++ b/src/main/java/sagepulley/frontend/nbd/Disk.java
@@ -1,10 +1,10 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import java.util.HashMap;
 import java.util.Map;
+import sagepulley.codec.nbd.Export;
+import sagepulley.config.VolumeLine;
 import sagepulley.model.Volume;
-import sagepulley.nbd.Export;
-import sagepulley.site.VolumeLine;
 
 /**
  * A volume in service: its figures, its export, and the cells whose nodes may hold writes not yet
--- a/src/main/java/sagepulley/gateway/Gateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/Gateway.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -22,21 +22,21 @@
 import org.slf4j.LoggerFactory;
 import sagepulley.accounts.Report;
 import sagepulley.accounts.Totals;
-import sagepulley.books.BookFile;
-import sagepulley.books.GatewayBook;
-import sagepulley.control.Control;
-import sagepulley.host.Clock;
-import sagepulley.keep.Periodic;
-import sagepulley.lists.HoldersFile;
-import sagepulley.lists.ListFile;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.Export;
+import sagepulley.codec.nbd.Exports;
+import sagepulley.codec.nbd.NbdServer;
+import sagepulley.config.Site;
+import sagepulley.engine.Clock;
 import sagepulley.membership.KeptList;
 import sagepulley.membership.Membership;
-import sagepulley.nbd.Export;
-import sagepulley.nbd.Exports;
-import sagepulley.nbd.NbdServer;
-import sagepulley.site.Site;
-import sagepulley.traces.Tracer;
-import sagepulley.wire.Loops;
+import sagepulley.persistence.BookFile;
+import sagepulley.persistence.GatewayBook;
+import sagepulley.persistence.HoldersFile;
+import sagepulley.persistence.ListFile;
+import sagepulley.persistence.Periodic;
+import sagepulley.scheduler.Control;
+import sagepulley.tracing.Tracer;
 
 /** One gateway in service: listens for NBD clients, and serves them by what Control decides. */
 public final class Gateway {
--- a/src/main/java/sagepulley/gateway/Part.java
+++ b/src/main/java/sagepulley/frontend/nbd/Part.java
@@ -1,10 +1,10 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.util.concurrent.ScheduledFuture;
 import sagepulley.accounts.Meter;
 import sagepulley.model.Operation;
-import sagepulley.store.StoreWire;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * The part of a request that lies in one extent: one operation, from its taking to its one final
--- a/src/main/java/sagepulley/gateway/Request.java
+++ b/src/main/java/sagepulley/frontend/nbd/Request.java
@@ -1,10 +1,10 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdRequest;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdRequest;
 
 /**
  * An NBD request in hand. Its one reply is written when all its parts have ended; what several
--- a/src/main/java/sagepulley/gateway/Room.java
+++ b/src/main/java/sagepulley/frontend/nbd/Room.java
@@ -1,7 +1,7 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import java.util.ArrayDeque;
-import sagepulley.nbd.Gate;
+import sagepulley.codec.nbd.Gate;
 
 /**
  * How many bytes of requests may be in hand, in all and for each client. What does not fit waits in
--- a/src/main/java/sagepulley/gateway/Session.java
+++ b/src/main/java/sagepulley/frontend/nbd/Session.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.CompositeByteBuf;
@@ -12,11 +12,11 @@
 import java.util.Comparator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.nbd.Attached;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdRequest;
-import sagepulley.nbd.Replies;
-import sagepulley.wire.BadBytes;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.nbd.Attached;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdRequest;
+import sagepulley.codec.nbd.Replies;
 
 /**
  * One client's connection: requests to the house, and each one's reply back. Lives on the client's
--- a/src/main/java/sagepulley/gateway/Splitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/Splitter.java
@@ -1,15 +1,15 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import sagepulley.extents.Holders;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.config.Site;
+import sagepulley.config.VolumeLine;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
 import sagepulley.model.Operation;
-import sagepulley.nbd.Nbd;
-import sagepulley.site.Site;
-import sagepulley.site.VolumeLine;
-import sagepulley.store.StoreWire;
+import sagepulley.placement.Holders;
+import sagepulley.upstream.frame.StoreWire;
 
 /** Checks requests as the protocol text asks, and splits them at extent edges into operations. */
 final class Splitter {
--- a/src/main/java/sagepulley/gateway/Tally.java
+++ b/src/main/java/sagepulley/frontend/nbd/Tally.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import java.util.concurrent.atomic.LongAdder;
 
--- a/src/main/java/sagepulley/watch/Watch.java
+++ b/src/main/java/sagepulley/monitoring/Watch.java
@@ -1,4 +1,4 @@
-package sagepulley.watch;
+package sagepulley.monitoring;
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.sun.net.httpserver.HttpExchange;
@@ -30,10 +30,10 @@
 import sagepulley.accounts.Report;
 import sagepulley.accounts.Spent;
 import sagepulley.accounts.Totals;
-import sagepulley.books.GatewayBook;
-import sagepulley.gateway.Gateway;
-import sagepulley.site.Site;
-import sagepulley.site.VolumeLine;
+import sagepulley.config.Site;
+import sagepulley.config.VolumeLine;
+import sagepulley.frontend.nbd.Gateway;
+import sagepulley.persistence.GatewayBook;
 
 /**
  * A gateway's figures over HTTP, for Prometheus (/metrics, text) for 'top' (/accounts, JSON) and
--- a/src/main/java/sagepulley/books/BookFile.java
+++ b/src/main/java/sagepulley/persistence/BookFile.java
@@ -1,4 +1,4 @@
-package sagepulley.books;
+package sagepulley.persistence;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectReader;
@@ -9,7 +9,6 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sagepulley.accounts.Book;
-import sagepulley.keep.Generations;
 
 /**
  * The file in which a gateway's latency accounts survive its restarts, with one earlier generation.
--- a/src/main/java/sagepulley/books/GatewayBook.java
+++ b/src/main/java/sagepulley/persistence/GatewayBook.java
@@ -1,4 +1,4 @@
-package sagepulley.books;
+package sagepulley.persistence;
 
 import java.util.Map;
 import sagepulley.accounts.Kept;
--- a/src/main/java/sagepulley/lists/HoldersFile.java
+++ b/src/main/java/sagepulley/persistence/HoldersFile.java
@@ -1,4 +1,4 @@
-package sagepulley.lists;
+package sagepulley.persistence;
 
 import com.github.luben.zstd.Zstd;
 import com.github.luben.zstd.ZstdException;
@@ -9,7 +9,6 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.keep.Generations;
 
 /**
  * Which cell holds which extent, on disk: for each volume the cells of its extents in a row (-1:
--- a/src/main/java/sagepulley/lists/ListFile.java
+++ b/src/main/java/sagepulley/persistence/ListFile.java
@@ -1,4 +1,4 @@
-package sagepulley.lists;
+package sagepulley.persistence;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -8,7 +8,6 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.keep.Generations;
 import sagepulley.membership.KeptList;
 
 /** The list of nodes on disk, with two earlier generations, of one site. */
--- a/src/main/java/sagepulley/keep/Periodic.java
+++ b/src/main/java/sagepulley/persistence/Periodic.java
@@ -1,4 +1,4 @@
-package sagepulley.keep;
+package sagepulley.persistence;
 
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/sagepulley/extents/Holders.java
+++ b/src/main/java/sagepulley/placement/Holders.java
@@ -1,4 +1,4 @@
-package sagepulley.extents;
+package sagepulley.placement;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/sagepulley/platform/Answer.java
+++ b/src/main/java/sagepulley/platform/Answer.java
@@ -1,8 +1,8 @@
 package sagepulley.platform;
 
 import java.util.List;
+import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
-import sagepulley.resp.Resp;
 
 /** What a node's answer holds beside its value: figures on use, and a report of its load. */
 final class Answer {
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/platform/BlockCommand.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import sagepulley.codec.resp.Resp;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
 import sagepulley.model.Plan;
-import sagepulley.resp.Resp;
 
 /**
  * A client's read or write of a piece of data, checked field by field, and the words that go to a
--- a/src/main/java/sagepulley/platform/ClientConnection.java
+++ b/src/main/java/sagepulley/platform/ClientConnection.java
@@ -10,9 +10,9 @@
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.List;
-import sagepulley.resp.Resp;
-import sagepulley.resp.RespBytes;
-import sagepulley.resp.RespDecoder;
+import sagepulley.codec.resp.Resp;
+import sagepulley.codec.resp.RespBytes;
+import sagepulley.codec.resp.RespDecoder;
 
 /**
  * One client's connection: its commands in, its answers out in the order of the commands. However
--- a/src/main/java/sagepulley/platform/Config.java
+++ b/src/main/java/sagepulley/platform/Config.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import sagepulley.host.FirstMessage;
+import sagepulley.engine.FirstMessage;
 import sagepulley.model.Deployment;
 
 /**
--- a/src/main/java/sagepulley/platform/DiscoveryLink.java
+++ b/src/main/java/sagepulley/platform/DiscoveryLink.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
-import sagepulley.control.ListCallPolicy;
 import sagepulley.platform.ListCall.Patience;
 import sagepulley.platform.ListCall.Role;
+import sagepulley.scheduler.ListCallPolicy;
 
 /**
  * The calls to discovery: one watch, and now and then the whole list. It asks nothing again by
--- a/src/main/java/sagepulley/platform/Front.java
+++ b/src/main/java/sagepulley/platform/Front.java
@@ -13,8 +13,8 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import sagepulley.resp.RespDecoder;
-import sagepulley.resp.RespLimits;
+import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespLimits;
 
 /**
  * Where clients connect: takes connections up to a number, and ends those that nobody uses. On the
--- a/src/main/java/sagepulley/platform/NodeBook.java
+++ b/src/main/java/sagepulley/platform/NodeBook.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import sagepulley.host.Clock;
-import sagepulley.host.ListEntry;
+import sagepulley.engine.Clock;
+import sagepulley.engine.ListEntry;
 import sagepulley.model.Node;
 
 /**
--- a/src/main/java/sagepulley/platform/NodeLinks.java
+++ b/src/main/java/sagepulley/platform/NodeLinks.java
@@ -23,12 +23,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.DoubleSupplier;
+import sagepulley.codec.resp.Resp;
+import sagepulley.codec.resp.RespBytes;
+import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespLimits;
 import sagepulley.model.Attempt;
 import sagepulley.model.Outcome;
-import sagepulley.resp.Resp;
-import sagepulley.resp.RespBytes;
-import sagepulley.resp.RespDecoder;
-import sagepulley.resp.RespLimits;
 
 /**
  * The connections to the nodes: one call at a time on each, and those that are free used again.
--- a/src/main/java/sagepulley/platform/PlatformGateway.java
+++ b/src/main/java/sagepulley/platform/PlatformGateway.java
@@ -10,10 +10,12 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.control.NodeView;
-import sagepulley.host.Clock;
-import sagepulley.host.Exit;
-import sagepulley.host.Host;
+import sagepulley.codec.frame.Alarm;
+import sagepulley.codec.resp.Resp;
+import sagepulley.codec.resp.RespBytes;
+import sagepulley.engine.Clock;
+import sagepulley.engine.Exit;
+import sagepulley.engine.Host;
 import sagepulley.model.Attempt;
 import sagepulley.model.Band;
 import sagepulley.model.Node;
@@ -21,9 +23,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Placement;
 import sagepulley.model.Volume;
-import sagepulley.resp.Resp;
-import sagepulley.resp.RespBytes;
-import sagepulley.wire.Alarm;
+import sagepulley.scheduler.NodeView;
 
 /**
  * One gateway on the platform: clients, nodes and discovery on one event loop, round the host of
--- a/src/main/java/sagepulley/platform/Rehearsal.java
+++ b/src/main/java/sagepulley/platform/Rehearsal.java
@@ -24,10 +24,10 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import sagepulley.resp.Resp;
-import sagepulley.resp.RespBytes;
-import sagepulley.resp.RespDecoder;
-import sagepulley.resp.RespLimits;
+import sagepulley.codec.resp.Resp;
+import sagepulley.codec.resp.RespBytes;
+import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespLimits;
 
 /**
  * A short run of a whole gateway with a node, a discovery and clients of its own. The build does it
--- a/src/main/java/sagepulley/platform/Transport.java
+++ b/src/main/java/sagepulley/platform/Transport.java
@@ -14,7 +14,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.function.Consumer;
-import sagepulley.wire.Loops;
+import sagepulley.codec.frame.Loops;
 
 /** One loop, and the channels that a gateway opens on it: sockets, or pipes inside the program. */
 record Transport(
--- a/src/main/java/sagepulley/drill/DayError.java
+++ b/src/main/java/sagepulley/scenario/DayError.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 /** A script that cannot be used: names file, line and column, and what is wrong there. */
 public final class DayError extends Exception {
--- a/src/main/java/sagepulley/drill/DayReader.java
+++ b/src/main/java/sagepulley/scenario/DayReader.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -14,9 +14,9 @@
 import org.antlr.v4.runtime.RecognitionException;
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
-import sagepulley.drill.grammar.DayBaseVisitor;
-import sagepulley.drill.grammar.DayLexer;
-import sagepulley.drill.grammar.DayParser;
+import sagepulley.scenario.grammar.ScenarioBaseVisitor;
+import sagepulley.scenario.grammar.ScenarioLexer;
+import sagepulley.scenario.grammar.ScenarioParser;
 
 /** Reads scripts of days; every mistake is told with line and column. */
 public final class DayReader {
@@ -51,13 +51,13 @@
                         mistakes.add(name + ":" + line + ":" + (column + 1) + ": " + message);
                     }
                 };
-        Lexer lexer = new DayLexer(CharStreams.fromString(text, name));
-        DayParser parser = new DayParser(new CommonTokenStream(lexer));
+        Lexer lexer = new ScenarioLexer(CharStreams.fromString(text, name));
+        ScenarioParser parser = new ScenarioParser(new CommonTokenStream(lexer));
         lexer.removeErrorListeners();
         lexer.addErrorListener(listener);
         parser.removeErrorListeners();
         parser.addErrorListener(listener);
-        DayParser.DayContext tree = parser.day();
+        ScenarioParser.DayContext tree = parser.day();
         if (mistakes.isEmpty()) {
             Builder builder = new Builder(name, mistakes);
             builder.visit(tree);
@@ -69,7 +69,7 @@
         throw new DayError(String.join("\n", mistakes));
     }
 
-    private static final class Builder extends DayBaseVisitor<Void> {
+    private static final class Builder extends ScenarioBaseVisitor<Void> {
         private final String file;
         private final List<String> mistakes;
         private String name = "a day";
@@ -163,7 +163,7 @@
             return value;
         }
 
-        private double time(DayParser.DurationContext duration) {
+        private double time(ScenarioParser.DurationContext duration) {
             String unit = duration.getChild(1).getText();
             double factor = unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000;
             return Math.min(
@@ -182,19 +182,19 @@
         }
 
         @Override
-        public Void visitNamed(DayParser.NamedContext it) {
+        public Void visitNamed(ScenarioParser.NamedContext it) {
             name = it.TEXT().getText().replace("\"", "");
             return null;
         }
 
         @Override
-        public Void visitSeed(DayParser.SeedContext it) {
+        public Void visitSeed(ScenarioParser.SeedContext it) {
             seed = (long) number(it.NUMBER().getSymbol(), 0, 1e15, "the seed");
             return null;
         }
 
         @Override
-        public Void visitGateways(DayParser.GatewaysContext it) {
+        public Void visitGateways(ScenarioParser.GatewaysContext it) {
             gateways =
                     (int)
                             number(
@@ -206,57 +206,57 @@
         }
 
         @Override
-        public Void visitNodes(DayParser.NodesContext it) {
+        public Void visitNodes(ScenarioParser.NodesContext it) {
             nodes = (int) number(it.NUMBER().getSymbol(), 1, MOST_NODES, "the number of nodes");
             return visitChildren(it);
         }
 
         @Override
-        public Void visitSlots(DayParser.SlotsContext it) {
+        public Void visitSlots(ScenarioParser.SlotsContext it) {
             slots = (int) number(it.NUMBER().getSymbol(), 1, 1024, "slots");
             return null;
         }
 
         @Override
-        public Void visitQueue(DayParser.QueueContext it) {
+        public Void visitQueue(ScenarioParser.QueueContext it) {
             queue = (int) number(it.NUMBER().getSymbol(), 1, 100_000, "the queue");
             return null;
         }
 
         @Override
-        public Void visitReadCost(DayParser.ReadCostContext it) {
+        public Void visitReadCost(ScenarioParser.ReadCostContext it) {
             readCost = time(it.duration());
             return null;
         }
 
         @Override
-        public Void visitWriteCost(DayParser.WriteCostContext it) {
+        public Void visitWriteCost(ScenarioParser.WriteCostContext it) {
             writeCost = time(it.duration());
             return null;
         }
 
         @Override
-        public Void visitHalls(DayParser.HallsContext it) {
+        public Void visitHalls(ScenarioParser.HallsContext it) {
             halls = (int) number(it.NUMBER().getSymbol(), 1, 16, "the number of halls");
             return null;
         }
 
         @Override
-        public Void visitDefer(DayParser.DeferContext it) {
+        public Void visitDefer(ScenarioParser.DeferContext it) {
             deferredShare = number(it.NUMBER().getSymbol(), 0, 100, "the share") / 100;
             deferEvery = Math.max(1, time(it.duration()));
             return null;
         }
 
         @Override
-        public Void visitSite(DayParser.SiteContext it) {
+        public Void visitSite(ScenarioParser.SiteContext it) {
             String text = it.BLOCK().getText();
             site = text.substring(2, text.length() - 2);
             return null;
         }
 
         @Override
-        public Void visitSiteNamed(DayParser.SiteNamedContext it) {
+        public Void visitSiteNamed(ScenarioParser.SiteNamedContext it) {
             try {
                 site = Drill.comesWith(it.TEXT().getText().replace("\"", "") + ".site");
             } catch (DayError e) {
@@ -266,7 +266,7 @@
         }
 
         @Override
-        public Void visitLoad(DayParser.LoadContext it) {
+        public Void visitLoad(ScenarioParser.LoadContext it) {
             from = 0;
             to = Double.NaN;
             reads = 0.7;
@@ -291,13 +291,13 @@
         }
 
         @Override
-        public Void visitReads(DayParser.ReadsContext it) {
+        public Void visitReads(ScenarioParser.ReadsContext it) {
             reads = number(it.NUMBER().getSymbol(), 0, 100, "the share of reads") / 100;
             return null;
         }
 
         @Override
-        public Void visitSize(DayParser.SizeContext it) {
+        public Void visitSize(ScenarioParser.SizeContext it) {
             double factor = it.UNIT().getText().equals("KiB") ? 1 << 10 : 1 << 20;
             bytes = (int) (number(it.NUMBER().getSymbol(), 0, 32 << 10, "the size") * factor);
             if (bytes < 4096 || bytes > 32 << 20 || bytes % 4096 != 0) {
@@ -312,38 +312,38 @@
         }
 
         @Override
-        public Void visitFrom(DayParser.FromContext it) {
+        public Void visitFrom(ScenarioParser.FromContext it) {
             from = time(it.duration());
             return null;
         }
 
         @Override
-        public Void visitTo(DayParser.ToContext it) {
+        public Void visitTo(ScenarioParser.ToContext it) {
             to = time(it.duration());
             return null;
         }
 
         @Override
-        public Void visitExtents(DayParser.ExtentsContext it) {
+        public Void visitExtents(ScenarioParser.ExtentsContext it) {
             extents = (int) number(it.NUMBER().getSymbol(), 1, 1e9, "the number of extents");
             return null;
         }
 
         @Override
-        public Void visitConnections(DayParser.ConnectionsContext it) {
+        public Void visitConnections(ScenarioParser.ConnectionsContext it) {
             connections =
                     (int) number(it.NUMBER().getSymbol(), 1, 256, "the number of connections");
             return null;
         }
 
         @Override
-        public Void visitThrough(DayParser.ThroughContext it) {
+        public Void visitThrough(ScenarioParser.ThroughContext it) {
             through = (int) number(it.NUMBER().getSymbol(), 1, gateways, "the gateway");
             return null;
         }
 
         @Override
-        public Void visitCause(DayParser.CauseContext it) {
+        public Void visitCause(ScenarioParser.CauseContext it) {
             causes.add(
                     new Day.Known(
                             it.WORD().getText(),
@@ -352,23 +352,23 @@
         }
 
         @Override
-        public Void visitAt(DayParser.AtContext it) {
+        public Void visitAt(ScenarioParser.AtContext it) {
             double at = time(it.duration(0));
             double until = it.duration().size() > 1 ? at + time(it.duration(1)) : Double.NaN;
-            DayParser.EventContext what = it.event();
-            if (what instanceof DayParser.NodeEventContext node) {
+            ScenarioParser.EventContext what = it.event();
+            if (what instanceof ScenarioParser.NodeEventContext node) {
                 events.add(nodeEvent(node, at, until));
-            } else if (what instanceof DayParser.DirectoryEventContext directory) {
-                DayParser.DirectoryFaultContext fault = directory.directoryFault();
+            } else if (what instanceof ScenarioParser.DirectoryEventContext directory) {
+                ScenarioParser.DirectoryFaultContext fault = directory.directoryFault();
                 Day.Fault kind =
                         Day.Fault.valueOf("DIRECTORY_" + fault.getChild(0).getText().toUpperCase());
                 double much = fault.duration() == null ? 0 : time(fault.duration());
                 events.add(new Day.Event(at, kind, List.of(), much, "", until));
-            } else if (what instanceof DayParser.GatewayKilledContext killed) {
+            } else if (what instanceof ScenarioParser.GatewayKilledContext killed) {
                 int which = (int) number(killed.NUMBER().getSymbol(), 1, gateways, "the gateway");
                 events.add(
                         new Day.Event(at, Day.Fault.GATEWAY_KILLED, List.of(which), 0, "", until));
-            } else if (what instanceof DayParser.SurgeContext surge) {
+            } else if (what instanceof ScenarioParser.SurgeContext surge) {
                 String load = surge.WORD().getText();
                 if (loads.stream().noneMatch(known -> known.name().equals(load))) {
                     mistake(surge, "no load is called " + load);
@@ -385,7 +385,7 @@
             return null;
         }
 
-        private Day.Event nodeEvent(DayParser.NodeEventContext it, double at, double until) {
+        private Day.Event nodeEvent(ScenarioParser.NodeEventContext it, double at, double until) {
             String word = it.fault().getChild(0).getText();
             Day.Fault fault =
                     switch (word) {
@@ -403,13 +403,13 @@
             return new Day.Event(at, fault, whom(it.target()), much, "", until);
         }
 
-        private List<Integer> whom(DayParser.TargetContext target) {
-            if (target instanceof DayParser.NodeNumbersContext numbers) {
+        private List<Integer> whom(ScenarioParser.TargetContext target) {
+            if (target instanceof ScenarioParser.NodeNumbersContext numbers) {
                 return numbers.NUMBER().stream()
                         .map(one -> (int) number(one.getSymbol(), 1, nodes, "the node"))
                         .toList();
             }
-            if (target instanceof DayParser.HallContext hall) {
+            if (target instanceof ScenarioParser.HallContext hall) {
                 int which = (int) number(hall.NUMBER().getSymbol(), 1, halls, "the hall");
                 return IntStream.rangeClosed(1, nodes)
                         .filter(node -> (node - 1) % halls == which - 1)
@@ -420,13 +420,13 @@
         }
 
         @Override
-        public Void visitEnd(DayParser.EndContext it) {
+        public Void visitEnd(ScenarioParser.EndContext it) {
             end = Math.max(100, time(it.duration()));
             return null;
         }
 
         @Override
-        public Void visitExpect(DayParser.ExpectContext it) {
+        public Void visitExpect(ScenarioParser.ExpectContext it) {
             expectations.add(
                     new Day.Expectation(
                             it.WORD().getText(),
--- a/src/main/java/sagepulley/drill/Drill.java
+++ b/src/main/java/sagepulley/scenario/Drill.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,12 +16,12 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.books.GatewayBook;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.gateway.Gateway;
-import sagepulley.site.Site;
-import sagepulley.site.SiteError;
-import sagepulley.site.VolumeLine;
+import sagepulley.config.Site;
+import sagepulley.config.SiteError;
+import sagepulley.config.VolumeLine;
+import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.frontend.nbd.Gateway;
+import sagepulley.persistence.GatewayBook;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.StandInNode;
 
--- a/src/main/java/sagepulley/drill/Judge.java
+++ b/src/main/java/sagepulley/scenario/Judge.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sagepulley.directory.DirectoryWire;
+import sagepulley.config.Site;
+import sagepulley.config.VolumeLine;
+import sagepulley.discovery.directory.DirectoryWire;
 import sagepulley.model.Band;
 import sagepulley.model.Plan;
 import sagepulley.model.Rulebook;
-import sagepulley.site.Site;
-import sagepulley.site.VolumeLine;
 import sagepulley.standin.NodeTraits;
-import sagepulley.store.StoreWire;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * Works out how the seven rules were kept (WIRE 9) from what was noted at the sockets alone. Where
--- a/src/main/java/sagepulley/drill/Ledger.java
+++ b/src/main/java/sagepulley/scenario/Ledger.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/src/main/java/sagepulley/drill/Loader.java
+++ b/src/main/java/sagepulley/scenario/Loader.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -10,12 +10,12 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.site.Site;
-import sagepulley.site.VolumeLine;
-import sagepulley.store.StoreWire;
-import sagepulley.wire.Loops;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.config.Site;
+import sagepulley.config.VolumeLine;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * One load of a day: requests at times of their own, over connections that come back after a cut.
--- a/src/main/java/sagepulley/drill/Metronome.java
+++ b/src/main/java/sagepulley/scenario/Metronome.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.util.concurrent.EventExecutor;
--- a/src/main/java/sagepulley/drill/Notebook.java
+++ b/src/main/java/sagepulley/scenario/Notebook.java
@@ -1,10 +1,10 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.directory.DirectoryWire;
+import sagepulley.discovery.directory.DirectoryWire;
 import sagepulley.standin.Witness;
-import sagepulley.store.StoreWire;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * What was noted at the sockets of nodes, directory and clients; the gateways' own word is not
--- a/src/main/java/sagepulley/drill/SideBySide.java
+++ b/src/main/java/sagepulley/scenario/SideBySide.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -14,16 +14,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import sagepulley.gateway.Gateway;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.site.SiteError;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.config.SiteError;
+import sagepulley.frontend.nbd.Gateway;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.Witness;
-import sagepulley.store.NodeLink;
-import sagepulley.store.StoreWire;
-import sagepulley.wire.Loops;
+import sagepulley.upstream.frame.NodeLink;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * Measures the way through the gateway against the way from client to node directly, by turns in
--- a/src/main/java/sagepulley/drill/Starts.java
+++ b/src/main/java/sagepulley/scenario/Starts.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
@@ -12,21 +12,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import sagepulley.gateway.Gateway;
-import sagepulley.lists.ListFile;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.config.Site;
+import sagepulley.config.SiteError;
+import sagepulley.frontend.nbd.Gateway;
 import sagepulley.membership.KeptList;
 import sagepulley.membership.Membership;
 import sagepulley.membership.Returning;
 import sagepulley.membership.Trust;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.site.Site;
-import sagepulley.site.SiteError;
+import sagepulley.persistence.ListFile;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.Witness;
-import sagepulley.store.StoreWire;
-import sagepulley.wire.Loops;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * Starts gateways with discovery down and lists of several ages, of which some nodes have changed
--- a/src/main/java/sagepulley/drill/Town.java
+++ b/src/main/java/sagepulley/scenario/Town.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.gateway.Gateway;
-import sagepulley.site.Site;
-import sagepulley.site.SiteError;
+import sagepulley.codec.frame.Loops;
+import sagepulley.config.Site;
+import sagepulley.config.SiteError;
+import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.frontend.nbd.Gateway;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.StandInDirectory;
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Loops;
 
 /** A directory, some nodes and some gateways in one program, on loopback. */
 public final class Town implements AutoCloseable {
--- a/src/main/java/sagepulley/drill/Truth.java
+++ b/src/main/java/sagepulley/scenario/Truth.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,8 +8,8 @@
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.Fleet;
 import sagepulley.accounts.Report;
-import sagepulley.books.GatewayBook;
-import sagepulley.site.SiteError;
+import sagepulley.config.SiteError;
+import sagepulley.persistence.GatewayBook;
 
 /**
  * Plays days whose troubles are known, and holds what the accounts name as main causes against
--- a/src/main/java/sagepulley/drill/Verdict.java
+++ b/src/main/java/sagepulley/scenario/Verdict.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import java.util.List;
 
--- a/src/main/java/sagepulley/control/Account.java
+++ b/src/main/java/sagepulley/scheduler/Account.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import sagepulley.model.Ring;
 
--- a/src/main/java/sagepulley/control/BandView.java
+++ b/src/main/java/sagepulley/scheduler/BandView.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/sagepulley/control/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/scheduler/DiscoverySchedule.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import java.util.random.RandomGenerator;
 import sagepulley.model.Deployment;
--- a/src/main/java/sagepulley/control/EndpointLease.java
+++ b/src/main/java/sagepulley/scheduler/EndpointLease.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 /**
  * How long the endpoint list may be relied on. A change of the list counts as notified a fixed span
--- a/src/main/java/sagepulley/control/KeyLine.java
+++ b/src/main/java/sagepulley/scheduler/KeyLine.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/sagepulley/control/Waits.java
+++ b/src/main/java/sagepulley/scheduler/Waits.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/sagepulley/simhost/Gateway.java
+++ b/src/main/java/sagepulley/simulator/Gateway.java
@@ -1,7 +1,7 @@
-package sagepulley.simhost;
+package sagepulley.simulator;
 
-import sagepulley.host.Exit;
-import sagepulley.host.Host;
+import sagepulley.engine.Exit;
+import sagepulley.engine.Host;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
--- a/src/main/java/sagepulley/simhost/MalformedFrame.java
+++ b/src/main/java/sagepulley/simulator/MalformedFrame.java
@@ -1,4 +1,4 @@
-package sagepulley.simhost;
+package sagepulley.simulator;
 
 import java.io.IOException;
 
--- a/src/main/java/sagepulley/simhost/Reply.java
+++ b/src/main/java/sagepulley/simulator/Reply.java
@@ -1,4 +1,4 @@
-package sagepulley.simhost;
+package sagepulley.simulator;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/sagepulley/simhost/SimHost.java
+++ b/src/main/java/sagepulley/simulator/SimHost.java
@@ -1,4 +1,4 @@
-package sagepulley.simhost;
+package sagepulley.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
@@ -10,9 +10,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagepulley.host.FirstMessage;
-import sagepulley.host.ListEntry;
-import sagepulley.host.MissingFigure;
+import sagepulley.engine.FirstMessage;
+import sagepulley.engine.ListEntry;
+import sagepulley.engine.MissingFigure;
 import sagepulley.model.Attempt;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
--- a/src/main/java/sagepulley/standin/Registration.java
+++ b/src/main/java/sagepulley/standin/Registration.java
@@ -10,10 +10,10 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.wire.FrameDecoder;
-import sagepulley.wire.FrameEncoder;
-import sagepulley.wire.Loops;
+import sagepulley.codec.frame.FrameDecoder;
+import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.Loops;
+import sagepulley.discovery.directory.DirectoryWire;
 
 /**
  * Keeps a stand-in node registered at a directory: connects, says its line, connects anew when cut
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -18,13 +18,13 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
-import sagepulley.wire.FrameDecoder;
-import sagepulley.wire.FrameEncoder;
-import sagepulley.wire.Loops;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameDecoder;
+import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.Loops;
+import sagepulley.discovery.directory.DirectoryWire;
 
 /**
  * A small directory: the list of nodes, told late on purpose, and the holder of each extent,
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -25,15 +25,15 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameDecoder;
+import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.Loops;
 import sagepulley.model.Band;
 import sagepulley.model.Ring;
-import sagepulley.store.StoreWire;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
-import sagepulley.wire.FrameDecoder;
-import sagepulley.wire.FrameEncoder;
-import sagepulley.wire.Loops;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * A small storage node: slots, a queue, a cold ramp on which it can be pushed over, writes of which
--- a/src/main/java/sagepulley/standin/Witness.java
+++ b/src/main/java/sagepulley/standin/Witness.java
@@ -1,8 +1,8 @@
 package sagepulley.standin;
 
 import java.util.List;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.store.StoreWire;
+import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * Notes what passes on the stand-ins' sockets. Called on their loops; times are nanoseconds of one
--- a/src/main/java/sagepulley/traces/SpanFile.java
+++ b/src/main/java/sagepulley/tracing/SpanFile.java
@@ -1,4 +1,4 @@
-package sagepulley.traces;
+package sagepulley.tracing;
 
 import ch.qos.logback.classic.Logger;
 import ch.qos.logback.classic.LoggerContext;
--- a/src/main/java/sagepulley/traces/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -1,4 +1,4 @@
-package sagepulley.traces;
+package sagepulley.tracing;
 
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
--- a/src/main/java/sagepulley/traces/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -1,4 +1,4 @@
-package sagepulley.traces;
+package sagepulley.tracing;
 
 import io.opentelemetry.api.common.AttributeKey;
 import io.opentelemetry.api.common.Attributes;
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import sagepulley.accounts.Accounts;
-import sagepulley.site.TracesLine;
+import sagepulley.config.TracesLine;
 
 /**
  * Makes traces of stories that were found worth keeping, on a thread of its own, and sends them to
--- a/src/main/java/sagepulley/store/NodeLink.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeLink.java
@@ -1,4 +1,4 @@
-package sagepulley.store;
+package sagepulley.upstream.frame;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -17,11 +17,11 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
-import sagepulley.wire.FrameDecoder;
-import sagepulley.wire.FrameEncoder;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameDecoder;
+import sagepulley.codec.frame.FrameEncoder;
 
 /**
  * The link of a gateway to one node: a connection that is opened when an attempt needs it. It
--- a/src/main/java/sagepulley/store/StoreWire.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreWire.java
@@ -1,10 +1,10 @@
-package sagepulley.store;
+package sagepulley.upstream.frame;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
 
 /** The messages between a gateway and a node, as frames (docs/protocols.md, Store protocol). */
 public final class StoreWire {
--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -22,8 +22,8 @@
             noClasses()
                     .that()
                     .resideInAnyPackage(
-                            "sagepulley.control..",
-                            "sagepulley.extents..",
+                            "sagepulley.scheduler..",
+                            "sagepulley.placement..",
                             "sagepulley.model..",
                             "sagepulley.accounts..",
                             "sagepulley.membership..")
@@ -50,68 +50,68 @@
             noClasses()
                     .that()
                     .resideInAnyPackage(
-                            "sagepulley.wire..",
-                            "sagepulley.nbd..",
-                            "sagepulley.store..",
-                            "sagepulley.directory..")
+                            "sagepulley.codec.frame..",
+                            "sagepulley.codec.nbd..",
+                            "sagepulley.upstream.frame..",
+                            "sagepulley.discovery.directory..")
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
-                            "sagepulley.control..",
-                            "sagepulley.gateway..",
+                            "sagepulley.scheduler..",
+                            "sagepulley.frontend.nbd..",
                             "sagepulley.standin..",
-                            "sagepulley.site..",
+                            "sagepulley.config..",
                             "sagepulley.cli..",
-                            "sagepulley.drill..");
+                            "sagepulley.scenario..");
 
     @ArchTest
     static final ArchRule THE_GATEWAY_KNOWS_NO_STAND_IN =
             noClasses()
                     .that()
-                    .resideInAPackage("sagepulley.gateway..")
+                    .resideInAPackage("sagepulley.frontend.nbd..")
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
                             "sagepulley.standin..",
-                            "sagepulley.drill..",
+                            "sagepulley.scenario..",
                             "sagepulley.cli..",
-                            "sagepulley.simhost..");
+                            "sagepulley.simulator..");
 
     @ArchTest
     static final ArchRule SIMHOST_STAYS_LIGHT =
             noClasses()
                     .that()
-                    .resideInAPackage("sagepulley.simhost..")
+                    .resideInAPackage("sagepulley.simulator..")
                     .should()
                     .dependOnClassesThat()
                     .resideOutsideOfPackages(
                             "java..",
-                            "sagepulley.simhost..",
-                            "sagepulley.host..",
-                            "sagepulley.control..",
+                            "sagepulley.simulator..",
+                            "sagepulley.engine..",
+                            "sagepulley.scheduler..",
                             "sagepulley.model..");
 
     @ArchTest
     static final ArchRule THE_HOST_KNOWS_NO_WIRE =
             noClasses()
                     .that()
-                    .resideInAPackage("sagepulley.host..")
+                    .resideInAPackage("sagepulley.engine..")
                     .should()
                     .dependOnClassesThat()
                     .resideOutsideOfPackages(
                             "java..",
-                            "sagepulley.host..",
-                            "sagepulley.control..",
+                            "sagepulley.engine..",
+                            "sagepulley.scheduler..",
                             "sagepulley.model..");
 
     @ArchTest
     static final ArchRule RESP_KNOWS_NETTY_ONLY =
             noClasses()
                     .that()
-                    .resideInAPackage("sagepulley.resp..")
+                    .resideInAPackage("sagepulley.codec.resp..")
                     .should()
                     .dependOnClassesThat()
-                    .resideOutsideOfPackages("java..", "io.netty..", "sagepulley.resp..");
+                    .resideOutsideOfPackages("java..", "io.netty..", "sagepulley.codec.resp..");
 
     @ArchTest
     static final ArchRule THE_PLATFORM_IS_ONE_MORE_ENTRY =
@@ -121,12 +121,12 @@
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
-                            "sagepulley.simhost..",
-                            "sagepulley.gateway..",
+                            "sagepulley.simulator..",
+                            "sagepulley.frontend.nbd..",
                             "sagepulley.cli..",
                             "sagepulley.standin..",
-                            "sagepulley.drill..",
-                            "sagepulley.nbd..",
-                            "sagepulley.store..",
-                            "sagepulley.directory..");
+                            "sagepulley.scenario..",
+                            "sagepulley.codec.nbd..",
+                            "sagepulley.upstream.frame..",
+                            "sagepulley.discovery.directory..");
 }
--- a/src/test/java/sagepulley/wire/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -1,4 +1,4 @@
-package sagepulley.wire;
+package sagepulley.codec.frame;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
--- a/src/test/java/sagepulley/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -1,4 +1,4 @@
-package sagepulley.nbd;
+package sagepulley.codec.nbd;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import sagepulley.wire.BadBytes;
+import sagepulley.codec.frame.BadBytes;
 
 /** The NBD handshake and commands, however their bytes are split. */
 class NbdCodecTest {
--- a/src/test/java/sagepulley/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -1,4 +1,4 @@
-package sagepulley.resp;
+package sagepulley.codec.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/sagepulley/site/SiteTest.java
+++ b/src/test/java/sagepulley/config/SiteTest.java
@@ -1,4 +1,4 @@
-package sagepulley.site;
+package sagepulley.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagepulley.drill.Town;
+import sagepulley.scenario.Town;
 
 /** Site files: what is read, and the error of each that is wrong. */
 class SiteTest {
--- a/src/test/java/sagepulley/host/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -1,4 +1,4 @@
-package sagepulley.host;
+package sagepulley.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sagepulley/faults/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sagepulley/faults/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import java.nio.file.Path;
 import java.util.stream.Stream;
--- a/src/test/java/sagepulley/faults/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -1,4 +1,4 @@
-package sagepulley.faults;
+package sagepulley.faultinjection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sagepulley/gateway/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,12 +12,12 @@
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.Report;
 import sagepulley.accounts.Spent;
-import sagepulley.drill.Town;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.scenario.Town;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Loops;
 
 /**
  * A volume that floods is named as the main cause of another's waits; a slow node is named where it
--- a/src/test/java/sagepulley/gateway/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.nbd.NbdReply;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdReply;
 import sagepulley.standin.Witness;
 
 /** What a client sends can end its own connection, nothing more. */
--- a/src/test/java/sagepulley/gateway/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagepulley.drill.Metronome;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.nbd.NbdReply;
-import sagepulley.site.Site;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdReply;
+import sagepulley.config.Site;
+import sagepulley.scenario.Metronome;
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.Witness;
 
--- a/src/test/java/sagepulley/gateway/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.nbd.NbdReply;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdReply;
 
 /** From an NBD client through the gateway to stand-in nodes and back. */
 class FullPathTest {
--- a/src/test/java/sagepulley/gateway/Rig.java
+++ b/src/test/java/sagepulley/frontend/nbd/Rig.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
-import sagepulley.drill.Town;
-import sagepulley.nbd.NbdClient;
-import sagepulley.nbd.NbdReply;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdReply;
+import sagepulley.scenario.Town;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Loops;
 
 /** A small town with a gateway, and clients of it. */
 final class Rig implements AutoCloseable {
--- a/src/test/java/sagepulley/gateway/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -1,4 +1,4 @@
-package sagepulley.gateway;
+package sagepulley.frontend.nbd;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -12,15 +12,15 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagepulley.lists.HoldersFile;
-import sagepulley.lists.ListFile;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdReply;
+import sagepulley.config.Site;
 import sagepulley.membership.KeptList;
 import sagepulley.membership.NodeLine;
 import sagepulley.membership.Trust;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdClient;
-import sagepulley.nbd.NbdReply;
-import sagepulley.site.Site;
+import sagepulley.persistence.HoldersFile;
+import sagepulley.persistence.ListFile;
 
 /** Gateways that start, run and go on while the directory is down. */
 class WithoutDiscoveryTest {
--- a/src/test/java/sagepulley/watch/WatchTest.java
+++ b/src/test/java/sagepulley/monitoring/WatchTest.java
@@ -1,4 +1,4 @@
-package sagepulley.watch;
+package sagepulley.monitoring;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -26,14 +26,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import sagepulley.accounts.Report;
 import sagepulley.cli.Commands;
-import sagepulley.drill.Town;
-import sagepulley.gateway.Gateway;
-import sagepulley.nbd.NbdClient;
-import sagepulley.nbd.NbdReply;
-import sagepulley.site.Site;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdReply;
+import sagepulley.config.Site;
+import sagepulley.frontend.nbd.Gateway;
+import sagepulley.scenario.Town;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Loops;
 
 /**
  * What a running gateway tells about itself: accounts over a restart, traces, figures over HTTP.
--- a/src/test/java/sagepulley/books/BookFileTest.java
+++ b/src/test/java/sagepulley/persistence/BookFileTest.java
@@ -1,4 +1,4 @@
-package sagepulley.books;
+package sagepulley.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -18,7 +18,6 @@
 import sagepulley.accounts.Kept;
 import sagepulley.accounts.Meter;
 import sagepulley.accounts.Spent;
-import sagepulley.keep.Generations;
 import sagepulley.model.Band;
 import sagepulley.model.Owed;
 import sagepulley.model.Reason;
--- a/src/test/java/sagepulley/keep/GenerationsTest.java
+++ b/src/test/java/sagepulley/persistence/GenerationsTest.java
@@ -1,4 +1,4 @@
-package sagepulley.keep;
+package sagepulley.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/sagepulley/platform/DiscoveryTest.java
+++ b/src/test/java/sagepulley/platform/DiscoveryTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagepulley.host.Clock;
+import sagepulley.engine.Clock;
 
 /** Calls to discovery: what is told, and that each failure is told once. */
 @Timeout(60)
--- a/src/test/java/sagepulley/platform/FrontTest.java
+++ b/src/test/java/sagepulley/platform/FrontTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagepulley.resp.RespBytes;
+import sagepulley.codec.resp.RespBytes;
 
 /**
  * Clients' connections on real sockets while they end. The loop is held by hand, so that what a
--- a/src/test/java/sagepulley/platform/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/platform/NodeCrossingsTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sagepulley.host.Clock;
+import sagepulley.codec.resp.Resp;
+import sagepulley.engine.Clock;
 import sagepulley.model.Attempt;
 import sagepulley.model.Outcome;
-import sagepulley.resp.Resp;
 
 /**
  * Calls to a node whose connection ends, comes up late or brings what nobody asked for; the loop is
--- a/src/test/java/sagepulley/platform/NodeLinksTest.java
+++ b/src/test/java/sagepulley/platform/NodeLinksTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import sagepulley.host.Clock;
+import sagepulley.engine.Clock;
 import sagepulley.model.Outcome;
 
 /** How a call to a node ends, by what its connection does. */
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
@@ -16,7 +17,6 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 import sagepulley.model.Reason;
-import sagepulley.resp.Resp;
 
 /** Words of 'serve' on its wire and in its log, and how the program is started. */
 class ServeNamesTest {
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -10,18 +10,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagepulley.host.FirstMessage;
+import sagepulley.config.BooksLine;
+import sagepulley.config.HostPort;
+import sagepulley.config.MembersLine;
+import sagepulley.config.Site;
+import sagepulley.config.TracesLine;
+import sagepulley.config.VolumeLine;
+import sagepulley.engine.FirstMessage;
 import sagepulley.model.Band;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.Plan;
 import sagepulley.model.Rulebook;
-import sagepulley.site.BooksLine;
-import sagepulley.site.HostPort;
-import sagepulley.site.MembersLine;
-import sagepulley.site.Site;
-import sagepulley.site.TracesLine;
-import sagepulley.site.VolumeLine;
 
 /**
  * Keys of settings: each key of the committed files has a value that is not its default, and what
--- a/src/test/java/sagepulley/drill/JudgeTest.java
+++ b/src/test/java/sagepulley/scenario/JudgeTest.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sagepulley/drill/Rogue.java
+++ b/src/test/java/sagepulley/scenario/Rogue.java
@@ -1,4 +1,4 @@
-package sagepulley.drill;
+package sagepulley.scenario;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -18,21 +18,21 @@
 import java.util.concurrent.TimeUnit;
 import sagepulley.accounts.Book;
 import sagepulley.accounts.Kept;
-import sagepulley.books.GatewayBook;
-import sagepulley.directory.DirectoryLink;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.nbd.Export;
-import sagepulley.nbd.Exports;
-import sagepulley.nbd.Gate;
-import sagepulley.nbd.Nbd;
-import sagepulley.nbd.NbdRequest;
-import sagepulley.nbd.NbdServer;
-import sagepulley.nbd.Replies;
-import sagepulley.site.Site;
-import sagepulley.site.VolumeLine;
-import sagepulley.store.NodeLink;
-import sagepulley.store.StoreWire;
-import sagepulley.wire.Loops;
+import sagepulley.codec.frame.Loops;
+import sagepulley.codec.nbd.Export;
+import sagepulley.codec.nbd.Exports;
+import sagepulley.codec.nbd.Gate;
+import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdRequest;
+import sagepulley.codec.nbd.NbdServer;
+import sagepulley.codec.nbd.Replies;
+import sagepulley.config.Site;
+import sagepulley.config.VolumeLine;
+import sagepulley.discovery.directory.DirectoryLink;
+import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.persistence.GatewayBook;
+import sagepulley.upstream.frame.NodeLink;
+import sagepulley.upstream.frame.StoreWire;
 
 /**
  * A gateway that heeds no rule: it sends everything on at once. The judge must see what it does.
@@ -207,7 +207,7 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            if (event instanceof sagepulley.nbd.Attached attached) {
+            if (event instanceof sagepulley.codec.nbd.Attached attached) {
                 volume =
                         of.site.volumes().stream()
                                 .filter(line -> line.name().equals(attached.export().name()))
--- a/src/test/java/sagepulley/control/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/sagepulley/control/ListCallPolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ListCallPolicyTest.java
@@ -1,4 +1,4 @@
-package sagepulley.control;
+package sagepulley.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sagepulley/simhost/WireTest.java
+++ b/src/test/java/sagepulley/simulator/WireTest.java
@@ -1,4 +1,4 @@
-package sagepulley.simhost;
+package sagepulley.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -24,13 +24,13 @@
 import sagepulley.accounts.PlanPart;
 import sagepulley.accounts.Report;
 import sagepulley.accounts.Spent;
-import sagepulley.books.BookFile;
-import sagepulley.books.GatewayBook;
-import sagepulley.lists.HoldersFile;
-import sagepulley.lists.ListFile;
 import sagepulley.membership.KeptList;
 import sagepulley.membership.NodeLine;
 import sagepulley.membership.Source;
+import sagepulley.persistence.BookFile;
+import sagepulley.persistence.GatewayBook;
+import sagepulley.persistence.HoldersFile;
+import sagepulley.persistence.ListFile;
 
 /**
  * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
--- a/src/test/java/sagepulley/traces/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -1,4 +1,4 @@
-package sagepulley.traces;
+package sagepulley.tracing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sagepulley/store/MessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/MessagesTest.java
@@ -1,4 +1,4 @@
-package sagepulley.store;
+package sagepulley.upstream.frame;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.fail;
@@ -10,10 +10,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import sagepulley.directory.DirectoryWire;
-import sagepulley.wire.BadBytes;
-import sagepulley.wire.Fields;
-import sagepulley.wire.Frame;
+import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.Frame;
+import sagepulley.discovery.directory.DirectoryWire;
 
 /**
  * Messages to nodes and directory: what is written is read, and random fields are refused, never
--- a/src/test/java/sagepulley/store/NodeLinkTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeLinkTest.java
@@ -1,4 +1,4 @@
-package sagepulley.store;
+package sagepulley.upstream.frame;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import sagepulley.drill.Town;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.Loops;
+import sagepulley.scenario.Town;
 import sagepulley.standin.NodeTraits;
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.Witness;
-import sagepulley.wire.Frame;
-import sagepulley.wire.FrameEncoder;
-import sagepulley.wire.Loops;
 
 /** Late attempts of older writes: the node refuses them, whichever way they come late. */
 class NodeLinkTest {
