--- a/src/jmh/java/sagepulley/accounts/AccountsBench.java
+++ b/src/jmh/java/sagepulley/accounts/AccountsBench.java
@@ -12,8 +12,8 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import sagepulley.model.Band;
-import sagepulley.model.Owed;
+import sagepulley.model.TrafficClass;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
 import sagepulley.tracing.TailSampler;
 
@@ -25,7 +25,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class AccountsBench {
-    private static final Band BAND = new Band(0, "read", Band.Repeat.IDEMPOTENT, Band.Group.CELL, 0, false, false,
+    private static final TrafficClass BAND = new TrafficClass(0, "read", TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.CELL, 0, false, false,
             200, 0, 1000, 3, 0.2);
     private static final int OUT = 32;
 
@@ -36,7 +36,7 @@
 
     private final Accounts accounts = new Accounts(Accounts.Bounds.USUAL, 0);
     private final TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(1));
-    private final Meter[] out = new Meter[OUT];
+    private final OperationTimer[] out = new OperationTimer[OUT];
     private final SplittableRandom random = new SplittableRandom(2);
     private double now;
     private int at;
@@ -60,14 +60,14 @@
     /** One comes while others are out; the oldest out is answered. */
     private Object one(boolean waits) {
         now += 0.03;
-        Meter meter = accounts.begin(1 + random.nextInt(volumes), BAND, false, 1, now);
+        OperationTimer meter = accounts.begin(1 + random.nextInt(volumes), BAND, false, 1, now);
         int node = 1 + random.nextInt(nodes);
         if (waits) {
-            accounts.waits(meter, Spent.SHARE_FULL, node, now);
-            accounts.waits(meter, Spent.SHARE_FULL, node, now + 0.01);
+            accounts.waits(meter, LatencyComponent.SHARE_FULL, node, now);
+            accounts.waits(meter, LatencyComponent.SHARE_FULL, node, now + 0.01);
         }
-        accounts.sent(meter, node, Owed.SHARE, now + 0.02);
-        Meter oldest = out[at];
+        accounts.sent(meter, node, QuotaTier.SHARE, now + 0.02);
+        OperationTimer oldest = out[at];
         out[at] = meter;
         at = (at + 1) % OUT;
         if (oldest != null) {
--- a/src/jmh/java/sagepulley/bench/ControlBench.java
+++ b/src/jmh/java/sagepulley/bench/ControlBench.java
@@ -18,18 +18,18 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import sagepulley.scheduler.Control;
-import sagepulley.model.Band;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.model.TrafficClass;
 import sagepulley.model.Deployment;
 import sagepulley.model.Attempt;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Pause;
-import sagepulley.model.Placement;
-import sagepulley.model.Plan;
-import sagepulley.model.Rulebook;
-import sagepulley.model.Sequel;
+import sagepulley.model.SchedulerTurn;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.FollowUp;
 import sagepulley.model.Volume;
 
 /**
@@ -54,9 +54,9 @@
     @Param({"0", "2000", "12000"})
     int held;
 
-    private Control control;
+    private Scheduler control;
     private List<Volume> volumes;
-    private final List<Band> bands = new ArrayList<>();
+    private final List<TrafficClass> bands = new ArrayList<>();
     private final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
     private final List<Attempt> out = new ArrayList<>();
     private Random random;
@@ -74,15 +74,15 @@
         // With a long target time nothing is given up, and what waits stays.
         double target = held == 0 ? 500 : 1e7;
         for (int i = 0; i < 3; i++) {
-            bands.add(new Band(i, "band " + i, Band.Repeat.IDEMPOTENT, Band.Group.ALL, 0, false, i == 1, target, 0,
+            bands.add(new TrafficClass(i, "band " + i, TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.ALL, 0, false, i == 1, target, 0,
                     target * 4, 3 - i, 0.2));
         }
-        List<Plan> plans = List.of(new Plan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
-                new Plan(1, "reserved", 60, 30, 3, 1, 0, 0, 0));
-        Rulebook rules = new Rulebook(8, 1000, 0.25, 10_000, 2, 2000, 6, 200, Double.NaN, 0, Double.NaN, 3, false);
+        List<TenantPlan> plans = List.of(new TenantPlan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
+                new TenantPlan(1, "reserved", 60, 30, 3, 1, 0, 0, 0));
+        ServicePolicy rules = new ServicePolicy(8, 1000, 0.25, 10_000, 2, 2000, 6, 200, Double.NaN, 0, Double.NaN, 3, false);
         Deployment site = new Deployment(0, 1, 0, bands, plans, rules, 2, nodeCount, 2, 6, 0.35, 0.05, 1000, true,
                 false, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, false, true, true, 1000, 0, 0, 0.05, false, List.of());
-        control = new Control(site, 7);
+        control = new Scheduler(site, 7);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < nodeCount; i++) {
             Node node = new Node(i);
@@ -143,19 +143,19 @@
         attempt.outcome = Outcome.SATISFIED;
         attempt.took = now - attempt.sentAt;
         attempt.operation.over = true;
-        if (control.after(attempt, now) == Sequel.PLACE_AGAIN) {
+        if (control.after(attempt, now) == FollowUp.PLACE_AGAIN) {
             answer(attempt.operation, control.place(attempt.operation, now));
         }
         settle();
     }
 
     private void settle() {
-        Pause pause = control.pause(now);
+        SchedulerTurn pause = control.pause(now);
         while (!pause.due().isEmpty()) {
             boolean moved = false;
             for (Operation operation : pause.due()) {
-                Placement placement = control.place(operation, now);
-                moved |= placement.kind() != Placement.Kind.WAIT;
+                RoutingDecision placement = control.place(operation, now);
+                moved |= placement.kind() != RoutingDecision.Kind.WAIT;
                 answer(operation, placement);
             }
             if (!moved) {
@@ -166,8 +166,8 @@
         wake = now + Math.max(0.01, pause.length());
     }
 
-    private void answer(Operation operation, Placement placement) {
-        if (placement.kind() == Placement.Kind.SEND) {
+    private void answer(Operation operation, RoutingDecision placement) {
+        if (placement.kind() == RoutingDecision.Kind.SEND) {
             out.add(operation.attempts.get(operation.attempts.size() - 1));
             ends.add(new double[] {now + SERVICE * (0.5 + random.nextDouble()), out.size() - 1});
         }
--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -5,11 +5,11 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import sagepulley.cli.Commands;
-import sagepulley.platform.ConfigError;
-import sagepulley.platform.Rehearsal;
-import sagepulley.platform.Serve;
-import sagepulley.simulator.MalformedFrame;
-import sagepulley.simulator.SimHost;
+import sagepulley.platform.ConfigException;
+import sagepulley.platform.GatewayServer;
+import sagepulley.platform.WarmUpRun;
+import sagepulley.simulator.MalformedFrameException;
+import sagepulley.simulator.SimulatorAdapter;
 
 /** Picks the command; simhost and serve start without anything of the others. */
 public final class Main {
@@ -18,14 +18,14 @@
     public static void main(String[] words) {
         switch (words.length == 1 ? words[0] : "") {
             case "simhost" -> simhost();
-            case "serve" -> serve(() -> Serve.run(System.getenv()));
-            case "rehearse" -> serve(Rehearsal::onLoopback);
+            case "serve" -> serve(() -> GatewayServer.run(System.getenv()));
+            case "rehearse" -> serve(WarmUpRun::onLoopback);
             default -> System.exit(Commands.run(words));
         }
     }
 
     private interface Service {
-        void run() throws ConfigError, IOException;
+        void run() throws ConfigException, IOException;
     }
 
     /**
@@ -36,7 +36,7 @@
         try {
             service.run();
             System.exit(0);
-        } catch (ConfigError | IOException e) {
+        } catch (ConfigException | IOException e) {
             System.err.println("sagepulley: " + e.getMessage());
             System.exit(1);
         }
@@ -44,11 +44,11 @@
 
     private static void simhost() {
         try {
-            new SimHost(
+            new SimulatorAdapter(
                             new FileInputStream(FileDescriptor.in),
                             new FileOutputStream(FileDescriptor.out))
                     .run();
-        } catch (MalformedFrame e) {
+        } catch (MalformedFrameException e) {
             System.err.println("sagepulley: malformed frame: " + e.getMessage());
             System.exit(1);
         } catch (IOException e) {
--- a/src/main/java/sagepulley/accounts/Window.java
+++ b/src/main/java/sagepulley/accounts/AccountWindow.java
@@ -3,17 +3,17 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /** Sums of one volume over one stretch of time. */
-final class Window implements Span<Window> {
+final class AccountWindow implements Mergeable<AccountWindow> {
     static final int MOST_CAUSES = 40;
 
     /** Of ten microseconds each; kept to one digit, which is 6 percent. */
     static final double TICKS = 100;
 
     static final long LONGEST_TICK = 100L * 3_600_000;
-    static final int PARTS = PlanPart.values().length;
+    static final int PARTS = PlanTier.values().length;
 
-    final double[] parts = new double[Spent.values().length];
-    final Charges causes = new Charges(MOST_CAUSES);
+    final double[] parts = new double[LatencyComponent.values().length];
+    final CauseCharges causes = new CauseCharges(MOST_CAUSES);
     long declined;
     long scrapped;
     long left;
@@ -27,7 +27,7 @@
     final IntCountsHistogram[] times = new IntCountsHistogram[PARTS];
 
     /** Counts an operation that took so long. */
-    void time(PlanPart part, double took) {
+    void time(PlanTier part, double took) {
         times(part.ordinal())
                 .recordValue(Math.min(LONGEST_TICK, Math.max(0, (long) (took * TICKS))));
     }
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void add(Window other) {
+    public void add(AccountWindow other) {
         for (int i = 0; i < parts.length; i++) {
             parts[i] += other.parts[i];
         }
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sagepulley.model.Band;
 import sagepulley.model.Outcome;
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
+import sagepulley.model.TrafficClass;
 
 /**
  * Accounts of latency by volume: where each operation's time went, without remainder, and who it
@@ -55,18 +55,18 @@
     private final double wallAtZero;
 
     /** Whoever was used longest ago comes first. */
-    private final LinkedHashMap<Long, Timeline<Window>> volumes =
+    private final LinkedHashMap<Long, Timeline<AccountWindow>> volumes =
             new LinkedHashMap<>(16, 0.75f, true);
 
-    private final Map<Integer, NodeLog> nodes = new LinkedHashMap<>();
-    private final ArrayDeque<Ahead> spare = new ArrayDeque<>();
+    private final Map<Integer, NodeActivity> nodes = new LinkedHashMap<>();
+    private final ArrayDeque<OutstandingWork> spare = new ArrayDeque<>();
     private final Totals totals;
 
     /**
      * Units of attempts out at any node, and of operations that hold a slot while they wait for a
      * claim.
      */
-    private final Ahead anywhere = new Ahead();
+    private final OutstandingWork anywhere = new OutstandingWork();
 
     private double claiming;
 
@@ -95,7 +95,7 @@
 
     /** A node that may be sent to; until a time on the clock handed in it counts as cold. */
     public void node(int id, int zone, double coldUntil) {
-        NodeLog node = log(id);
+        NodeActivity node = log(id);
         if (node != null) {
             node.zone = zone;
             node.coldUntil = coldUntil;
@@ -105,47 +105,48 @@
     /**
      * An operation came. Its meter is null where no accounts are kept, and all else takes it so.
      */
-    public Meter begin(long volume, Band band, boolean writes, double units, double now) {
-        return bounds.volumes() == 0 ? null : new Meter(volume, band, writes, units, now);
+    public OperationTimer begin(
+            long volume, TrafficClass band, boolean writes, double units, double now) {
+        return bounds.volumes() == 0 ? null : new OperationTimer(volume, band, writes, units, now);
     }
 
     /** From now on it waits at this gateway, for a node (0: none). */
-    public void waits(Meter meter, Spent part, int node, double now) {
+    public void waits(OperationTimer meter, LatencyComponent part, int node, double now) {
         if (meter == null) {
             return;
         }
         close(meter, now);
         start(meter, part, node);
-        meter.limited |= part == Spent.LIMIT;
+        meter.limited |= part == LatencyComponent.LIMIT;
         meter.owed =
                 switch (part) {
-                    case RESERVE_FULL -> Owed.RESERVE;
-                    case BEYOND_SHARE -> Owed.EXCESS;
-                    default -> Owed.SHARE;
+                    case RESERVE_FULL -> QuotaTier.RESERVE;
+                    case BEYOND_SHARE -> QuotaTier.EXCESS;
+                    default -> QuotaTier.SHARE;
                 };
     }
 
     /**
      * It has a slot at a node and waits for the claim of its extent: the slot is taken meanwhile.
      */
-    public void claims(Meter meter, int node, double now) {
+    public void claims(OperationTimer meter, int node, double now) {
         if (meter == null) {
             return;
         }
         close(meter, now);
-        start(meter, Spent.DIRECTORY, 0);
+        start(meter, LatencyComponent.DIRECTORY, 0);
         meter.claimsAt = node;
         claiming += meter.units;
-        NodeLog log = log(node);
+        NodeActivity log = log(node);
         if (log != null) {
             log.claiming += meter.units;
         }
     }
 
-    private void claimed(Meter meter) {
+    private void claimed(OperationTimer meter) {
         if (meter.claimsAt != 0) {
             claiming = Math.max(0, claiming - meter.units);
-            NodeLog log = nodes.get(meter.claimsAt);
+            NodeActivity log = nodes.get(meter.claimsAt);
             if (log != null) {
                 log.claiming = Math.max(0, log.claiming - meter.units);
             }
@@ -154,22 +155,23 @@
     }
 
     /** An attempt of it goes to a node, in this part of its plan. */
-    public void sent(Meter meter, int node, Owed owed, double now) {
+    public void sent(OperationTimer meter, int node, QuotaTier owed, double now) {
         if (meter == null) {
             return;
         }
         close(meter, now);
         claimed(meter);
-        start(meter, Spent.ON_THE_WAY, node);
+        start(meter, LatencyComponent.ON_THE_WAY, node);
         meter.owed = owed;
         meter.wasSent = true;
-        NodeLog log = log(node);
+        NodeActivity log = log(node);
         meter.out = log;
         if (log != null) {
             meter.othersLeast = log.othersLeast();
             meter.othersMost = log.othersMost();
-            meter.outKey = log.out.add(Ahead.key(meter.volume, owed), meter.units);
-            meter.outKeyAnywhere = anywhere.add(Ahead.key(meter.volume, owed), meter.units);
+            meter.outKey = log.out.add(OutstandingWork.key(meter.volume, owed), meter.units);
+            meter.outKeyAnywhere =
+                    anywhere.add(OutstandingWork.key(meter.volume, owed), meter.units);
             log.sent(now);
             if (meter.writes) {
                 log.written.add(meter.volume, meter.units, now);
@@ -181,26 +183,27 @@
      * Its attempt was answered well: the node told how long it stood in the queue and was worked
      * on, and how many attempts of everybody's were in its queue then (NaN: not told).
      */
-    public void answered(Meter meter, double waited, double worked, double queue, double now) {
+    public void answered(
+            OperationTimer meter, double waited, double worked, double queue, double now) {
         if (meter == null) {
             return;
         }
         double length = Math.max(0, now - meter.since);
         double stood = Math.min(length, Math.max(0, waited));
         double work = Math.min(length - stood, Math.max(0, worked));
-        NodeLog log = meter.out;
+        NodeActivity log = meter.out;
         meter.since = now;
         if (!meter.ended) {
             double way = length - stood - work;
-            meter.step(Spent.ON_THE_WAY, meter.node, way);
-            meter.step(Spent.NODE_QUEUE, meter.node, stood);
+            meter.step(LatencyComponent.ON_THE_WAY, meter.node, way);
+            meter.step(LatencyComponent.NODE_QUEUE, meter.node, stood);
             if (stood < LEAST_QUEUE) {
                 charge(meter, Cause.Kind.NETWORK, meter.node, way + stood, false);
             } else {
                 charge(meter, Cause.Kind.NETWORK, meter.node, way, false);
                 queued(meter, log, stood, length, now);
             }
-            meter.step(Spent.NODE_WORK, meter.node, work);
+            meter.step(LatencyComponent.NODE_WORK, meter.node, work);
             worked(meter, log, work);
         }
         if (log != null) {
@@ -209,7 +212,7 @@
             log.flows.at(wallAtZero + now).worked(meter.volume, meter.writes, meter.units);
         }
         letGo(meter);
-        start(meter, Spent.RANKS_LATER, 0);
+        start(meter, LatencyComponent.RANKS_LATER, 0);
     }
 
     /**
@@ -217,38 +220,38 @@
      * not gone.
      */
     public void late(int node, double waited, double worked) {
-        NodeLog log = nodes.get(node);
+        NodeActivity log = nodes.get(node);
         if (log != null && waited + worked > 0) {
             log.late();
         }
     }
 
     /** Its attempt ended for nothing, in this way. */
-    public void failed(Meter meter, Outcome how, double now) {
+    public void failed(OperationTimer meter, Outcome how, double now) {
         if (meter == null) {
             return;
         }
         double length = Math.max(0, now - meter.since);
-        NodeLog log = meter.out;
+        NodeActivity log = meter.out;
         if (meter.claimsAt != 0) {
             // It never went out: the claim was lost, or nobody could say.
             close(meter, now);
             claimed(meter);
-            start(meter, Spent.RANKS_LATER, 0);
+            start(meter, LatencyComponent.RANKS_LATER, 0);
             return;
         }
         if (length > 0 && !meter.ended) {
-            meter.step(Spent.FUTILE, meter.node, length);
+            meter.step(LatencyComponent.FUTILE, meter.node, length);
             switch (how) {
                 case TIMED_OUT, CALLED_OFF -> unanswered(meter, log, length, now);
-                case FULL -> held(meter, Spent.HELD_BACK, length, now);
+                case FULL -> held(meter, LatencyComponent.HELD_BACK, length, now);
                 case MOOT -> charge(meter, Cause.Kind.DIRECTORY, 0, length, false);
                 default -> charge(meter, Cause.Kind.FAULT, meter.node, length, false);
             }
         }
         meter.since = now;
         letGo(meter);
-        start(meter, Spent.RANKS_LATER, 0);
+        start(meter, LatencyComponent.RANKS_LATER, 0);
     }
 
     /**
@@ -256,10 +259,10 @@
      * take is its queue's doing or its slowness; only what goes beyond that is the node's fault, as
      * all of it is of a quiet node.
      */
-    private void unanswered(Meter meter, NodeLog log, double length, double now) {
+    private void unanswered(OperationTimer meter, NodeActivity log, double length, double now) {
         double queue = log == null ? 0 : Math.min(length, log.usualSince(now - length));
         if (queue > 0) {
-            held(meter, Spent.HELD_BACK, queue, now - length + queue);
+            held(meter, LatencyComponent.HELD_BACK, queue, now - length + queue);
         }
         quiet(meter, length - queue, now, false);
     }
@@ -268,8 +271,8 @@
      * Found silent for attempts without an answer; but one that is slow and answered lately is
      * that, not silent.
      */
-    private void silent(Meter meter, double length, double now) {
-        NodeLog log = meter.log;
+    private void silent(OperationTimer meter, double length, double now) {
+        NodeActivity log = meter.log;
         double slow =
                 log == null || now - log.heardAt > HEARD_LATELY
                         ? 0
@@ -282,8 +285,8 @@
      * A node that said nothing: a fault, or one of its pauses if that is what its silences lately
      * proved to be.
      */
-    private void quiet(Meter meter, double length, double now, boolean estimate) {
-        NodeLog log = meter.log;
+    private void quiet(OperationTimer meter, double length, double now, boolean estimate) {
+        NodeActivity log = meter.log;
         double paused = log == null ? 0 : length * log.pauses();
         if (paused > 0) {
             pause(meter, log, paused, now);
@@ -295,7 +298,7 @@
      * Its final answer is out, or its client left; what it was given up for, and at which node (0:
      * none).
      */
-    public void end(Meter meter, End how, Reason reason, int node, double now) {
+    public void end(OperationTimer meter, End how, Reason reason, int node, double now) {
         if (meter == null || meter.ended) {
             return;
         }
@@ -312,11 +315,11 @@
         if (lost > 0 && meter.charges.size() == 0) {
             blameUnwaited(meter, reason, node, now);
         }
-        Window window = window(meter.volume, now);
-        PlanPart part =
+        AccountWindow window = window(meter.volume, now);
+        PlanTier part =
                 meter.limited || reason == Reason.LIMIT
-                        ? PlanPart.LIMIT
-                        : !meter.wasSent ? PlanPart.NONE : PlanPart.of(meter.owed);
+                        ? PlanTier.LIMIT
+                        : !meter.wasSent ? PlanTier.NONE : PlanTier.of(meter.owed);
         int at = part.ordinal();
         window.units[at] += meter.units;
         window.lost[at] += lost;
@@ -339,7 +342,7 @@
         }
     }
 
-    private void count(Meter meter, End how, PlanPart part, boolean met, double lost) {
+    private void count(OperationTimer meter, End how, PlanTier part, boolean met, double lost) {
         Totals.OfVolume sum = totals.of(meter.volume);
         sum.met += met ? 1 : 0;
         sum.missed += met ? 0 : 1;
@@ -356,10 +359,10 @@
     }
 
     /** Milliseconds that were no node's work. */
-    private static double waited(Meter meter) {
+    private static double waited(OperationTimer meter) {
         double waited = 0;
         for (int i = 0; i < meter.steps(); i++) {
-            waited += meter.step(i) == Spent.NODE_WORK ? 0 : meter.stepLength(i);
+            waited += meter.step(i) == LatencyComponent.NODE_WORK ? 0 : meter.stepLength(i);
         }
         return waited;
     }
@@ -370,12 +373,12 @@
     }
 
     /** A lost utility is shared among the causes by what each made it wait. */
-    private void book(Window window, Meter meter, double lost) {
+    private void book(AccountWindow window, OperationTimer meter, double lost) {
         for (int i = 0; i < meter.steps(); i++) {
             window.parts[meter.step(i).ordinal()] += meter.stepLength(i);
             totals.spent(meter.step(i), meter.stepLength(i));
         }
-        Charges mine = meter.charges;
+        CauseCharges mine = meter.charges;
         double all = 0;
         for (int i = 0; i < mine.size() && lost > 0; i++) {
             all += mine.waited(i);
@@ -392,20 +395,20 @@
      * Given up at once: nothing waited, but what it would have waited for is the cause all the
      * same.
      */
-    private void blameUnwaited(Meter meter, Reason reason, int node, double now) {
-        Spent part =
+    private void blameUnwaited(OperationTimer meter, Reason reason, int node, double now) {
+        LatencyComponent part =
                 switch (reason) {
-                    case LATE, PATIENCE -> Spent.SHARE_FULL;
-                    default -> Spent.of(reason);
+                    case LATE, PATIENCE -> LatencyComponent.SHARE_FULL;
+                    default -> LatencyComponent.of(reason);
                 };
         start(meter, part, node);
         charge(meter, part, 1e-9, now);
-        meter.spends = Spent.RANKS_LATER;
+        meter.spends = LatencyComponent.RANKS_LATER;
     }
 
     // ---- whose doing it was ----
 
-    private void close(Meter meter, double now) {
+    private void close(OperationTimer meter, double now) {
         double length = Math.max(0, now - meter.since);
         if (length > 0 && !meter.ended) {
             meter.step(meter.spends, meter.node, length);
@@ -414,38 +417,38 @@
         meter.since = now;
     }
 
-    private void start(Meter meter, Spent part, int node) {
+    private void start(OperationTimer meter, LatencyComponent part, int node) {
         meter.spends = part;
         if (meter.node != node || meter.log == null) {
             meter.node = node;
             meter.log = node == 0 ? null : nodes.get(node);
         }
-        NodeLog log = meter.log;
+        NodeActivity log = meter.log;
         boolean matters =
                 node == 0
-                        ? part == Spent.RESERVE_FULL
-                                || part == Spent.SHARE_FULL
-                                || part == Spent.BEYOND_SHARE
+                        ? part == LatencyComponent.RESERVE_FULL
+                                || part == LatencyComponent.SHARE_FULL
+                                || part == LatencyComponent.BEYOND_SHARE
                         : log != null;
         if (!matters) {
             giveBack(meter);
             return;
         }
         if (meter.ahead == null) {
-            meter.ahead = spare.isEmpty() ? new Ahead() : spare.pop();
+            meter.ahead = spare.isEmpty() ? new OutstandingWork() : spare.pop();
         }
         meter.ahead.copy(node == 0 ? anywhere : log.out);
     }
 
-    private void giveBack(Meter meter) {
+    private void giveBack(OperationTimer meter) {
         if (meter.ahead != null && spare.size() < MOST_AHEADS_KEPT) {
             spare.push(meter.ahead);
         }
         meter.ahead = null;
     }
 
-    private void letGo(Meter meter) {
-        NodeLog log = meter.out;
+    private void letGo(OperationTimer meter) {
+        NodeActivity log = meter.out;
         if (log != null) {
             log.out.add(meter.outKey, -meter.units);
             anywhere.add(meter.outKeyAnywhere, -meter.units);
@@ -458,20 +461,20 @@
     }
 
     private static void charge(
-            Meter meter, Cause.Kind kind, int node, double length, boolean estimate) {
+            OperationTimer meter, Cause.Kind kind, int node, double length, boolean estimate) {
         if (length > 0) {
             meter.charges.add(
                     Cause.key(kind, 0, node, estimate), length, estimate ? 0 : length, length, 0);
         }
     }
 
-    private static void own(Meter meter, Cause.Kind kind, double length) {
+    private static void own(OperationTimer meter, Cause.Kind kind, double length) {
         if (length > 0) {
             meter.charges.add(Cause.key(kind, meter.volume, meter.node, false), length);
         }
     }
 
-    private void charge(Meter meter, Spent part, double length, double now) {
+    private void charge(OperationTimer meter, LatencyComponent part, double length, double now) {
         switch (part) {
             case RESERVE_FULL, SHARE_FULL, BEYOND_SHARE, RANKS_LATER, HELD_BACK ->
                     held(meter, part, length, now);
@@ -493,8 +496,8 @@
      * its attempts end. What the node's silence, its coldness, pauses or other gateways' work add
      * is not the doing of those who have the slots; the rest is charged to them.
      */
-    private void held(Meter meter, Spent part, double all, double now) {
-        NodeLog log = meter.log;
+    private void held(OperationTimer meter, LatencyComponent part, double all, double now) {
+        NodeActivity log = meter.log;
         if (meter.ahead == null) {
             charge(meter, Cause.Kind.CAUTION, meter.node, all, false);
             return;
@@ -529,7 +532,7 @@
         charge(meter, Cause.Kind.ELSEWHERE, log.id, elsewhere, true);
         rest -= paused + elsewhere;
         // The queue that holds it back is known by an answer only: who stands in it is reckoned.
-        boolean seen = part != Spent.HELD_BACK;
+        boolean seen = part != LatencyComponent.HELD_BACK;
         double sum = meter.ahead.sum();
         if (sum <= 0) {
             charge(meter, seen ? Cause.Kind.CAUTION : Cause.Kind.ELSEWHERE, log.id, rest, !seen);
@@ -546,7 +549,8 @@
     }
 
     /** Waited in the node's queue, as the node told. */
-    private void queued(Meter meter, NodeLog log, double length, double attempt, double now) {
+    private void queued(
+            OperationTimer meter, NodeActivity log, double length, double attempt, double now) {
         if (log == null) {
             charge(meter, Cause.Kind.CAUTION, meter.node, length, true);
             return;
@@ -589,7 +593,7 @@
      * What neither the units ahead nor a queue seen explain: the node paused, perhaps for writes
      * put off.
      */
-    private static void pause(Meter meter, NodeLog log, double length, double now) {
+    private static void pause(OperationTimer meter, NodeActivity log, double length, double now) {
         if (length <= 0) {
             return;
         }
@@ -616,7 +620,12 @@
      * that part, that waits.
      */
     private void behind(
-            Meter meter, NodeLog log, double length, double least, double most, boolean seen) {
+            OperationTimer meter,
+            NodeActivity log,
+            double length,
+            double least,
+            double most,
+            boolean seen) {
         double slow = log == null ? 0 : slowPart(log, meter.writes);
         int at = log == null ? 0 : log.id;
         charge(meter, Cause.Kind.SLOW_NODE, at, length * slow, true);
@@ -635,7 +644,7 @@
     }
 
     /** Worked on: beyond what other nodes take for it, the node's slowness. */
-    private void worked(Meter meter, NodeLog log, double length) {
+    private void worked(OperationTimer meter, NodeActivity log, double length) {
         double slow = log == null ? 0 : length * slowPart(log, meter.writes);
         if (slow > 0) {
             charge(meter, Cause.Kind.SLOW_NODE, log.id, slow, false);
@@ -644,7 +653,7 @@
     }
 
     /** The part of a node's time that a node at the others' pace would not have taken. */
-    private double slowPart(NodeLog log, boolean writes) {
+    private double slowPart(NodeActivity log, boolean writes) {
         int kind = writes ? 1 : 0;
         double pace = log.pace(writes);
         if (Double.isNaN(pace) || paced[kind] < 2 || !log.paced(kind)) {
@@ -663,7 +672,7 @@
         for (int kind = 0; kind < 2; kind++) {
             paces[kind] = 0;
             paced[kind] = 0;
-            for (NodeLog log : nodes.values()) {
+            for (NodeActivity log : nodes.values()) {
                 if (log.noted(kind)) {
                     paces[kind] += log.paceThen(kind);
                     paced[kind]++;
@@ -672,13 +681,13 @@
         }
     }
 
-    private NodeLog log(int id) {
+    private NodeActivity log(int id) {
         if (id == 0) {
             return null;
         }
-        NodeLog log = nodes.get(id);
+        NodeActivity log = nodes.get(id);
         if (log == null && nodes.size() < bounds.nodes()) {
-            log = new NodeLog(id);
+            log = new NodeActivity(id);
             nodes.put(id, log);
         }
         return log;
@@ -686,10 +695,10 @@
 
     // ---- windows ----
 
-    private Window window(long volume, double now) {
-        Timeline<Window> line = line(volume);
+    private AccountWindow window(long volume, double now) {
+        Timeline<AccountWindow> line = line(volume);
         int before = line.size();
-        Window window = line.at(wallAtZero + now);
+        AccountWindow window = line.at(wallAtZero + now);
         windows += line.size() - before;
         while (windows > bounds.windows() && giveUpDetail(line)) {
             // once for each window too many
@@ -697,11 +706,11 @@
         return window;
     }
 
-    private Timeline<Window> line(long volume) {
-        Timeline<Window> line = volumes.get(volume);
+    private Timeline<AccountWindow> line(long volume) {
+        Timeline<AccountWindow> line = volumes.get(volume);
         if (line == null) {
             long key = volumes.size() < bounds.volumes() ? volume : 0;
-            line = volumes.computeIfAbsent(key, any -> new Timeline<>(Window::new));
+            line = volumes.computeIfAbsent(key, any -> new Timeline<>(AccountWindow::new));
         }
         return line;
     }
@@ -710,19 +719,19 @@
      * Whoever was idle longest gives up detail; who has none left goes into the account that the
      * rest share.
      */
-    private boolean giveUpDetail(Timeline<Window> spared) {
-        for (Map.Entry<Long, Timeline<Window>> entry : volumes.entrySet()) {
-            Timeline<Window> line = entry.getValue();
+    private boolean giveUpDetail(Timeline<AccountWindow> spared) {
+        for (Map.Entry<Long, Timeline<AccountWindow>> entry : volumes.entrySet()) {
+            Timeline<AccountWindow> line = entry.getValue();
             int before = line.size();
             if (line != spared && line.squeeze()) {
                 windows += line.size() - before;
                 return true;
             }
         }
-        for (Map.Entry<Long, Timeline<Window>> entry : volumes.entrySet()) {
+        for (Map.Entry<Long, Timeline<AccountWindow>> entry : volumes.entrySet()) {
             if (entry.getKey() != 0 && entry.getValue() != spared) {
-                Timeline<Window> gone = volumes.remove(entry.getKey());
-                Timeline<Window> rest = line(0);
+                Timeline<AccountWindow> gone = volumes.remove(entry.getKey());
+                Timeline<AccountWindow> rest = line(0);
                 int before = rest.size();
                 rest.merge(gone, 0);
                 windows += rest.size() - before - gone.size();
@@ -738,7 +747,7 @@
      * A volume's account from a time to another on the clock handed in, as fine as it is still
      * kept.
      */
-    public Report report(long volume, double from, double to) {
+    public LatencyReport report(long volume, double from, double to) {
         return book().report(volume, wallAtZero + from, wallAtZero + to);
     }
 
@@ -746,16 +755,16 @@
      * Begins a copy of all that is kept now, taken piece by piece; on the thread that owns these
      * accounts.
      */
-    public BookCopy copy() {
-        return new BookCopy(book());
+    public IncrementalCopy copy() {
+        return new IncrementalCopy(book());
     }
 
     /**
      * All of it, as it stands; shares its parts with these accounts, so that it is for the same
      * thread.
      */
-    public Book book() {
-        Book book = new Book();
+    public LatencyAccount book() {
+        LatencyAccount book = new LatencyAccount();
         volumes.forEach(book.volumes::put);
         nodes.forEach(
                 (id, log) -> {
@@ -769,18 +778,18 @@
      * Goes on with what an earlier life kept, at most as much as fits; later than now nothing can
      * have been.
      */
-    public void goOn(Book book, double now) {
+    public void goOn(LatencyAccount book, double now) {
         book.noLaterThan(wallAtZero + now);
         book.volumes.forEach(
                 (volume, line) -> {
-                    Timeline<Window> mine = line(volume);
+                    Timeline<AccountWindow> mine = line(volume);
                     int before = mine.size();
                     mine.merge(line, 0);
                     windows += mine.size() - before;
                 });
         book.flows.forEach(
                 (id, line) -> {
-                    NodeLog log = log(id);
+                    NodeActivity log = log(id);
                     if (log != null) {
                         log.flows.merge(line, 0);
                     }
--- a/src/main/java/sagepulley/accounts/Charges.java
+++ b/src/main/java/sagepulley/accounts/CauseCharges.java
@@ -8,7 +8,7 @@
  * is folded together when it is full, first over nodes and then over volumes. Of a wait that is
  * reckoned, the least and the most that it can have been are kept.
  */
-final class Charges {
+final class CauseCharges {
     private static final int FIRST = 6;
 
     /** One in so many causes stays whole when others are folded. */
@@ -23,7 +23,7 @@
     private int size;
     private boolean folded;
 
-    Charges(int most) {
+    CauseCharges(int most) {
         this.most = most;
     }
 
@@ -85,7 +85,7 @@
         sums[4 * at + 3] += lost;
     }
 
-    void addAll(Charges other) {
+    void addAll(CauseCharges other) {
         for (int i = 0; i < other.size; i++) {
             add(other.keys[i], other.waited(i), other.least(i), other.most(i), other.lost(i));
         }
--- a/src/main/java/sagepulley/accounts/Lately.java
+++ b/src/main/java/sagepulley/accounts/DecayingUsage.java
@@ -5,7 +5,7 @@
 /**
  * Units of the last seconds by volume, fading, in a table of bounded size; who has least gives way.
  */
-final class Lately {
+final class DecayingUsage {
     private static final int MOST = 16;
     private static final double FADES = 1_500;
     private final long[] volumes = new long[MOST];
--- a/src/main/java/sagepulley/accounts/Fleet.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -12,12 +12,12 @@
  * same version show by how much. And what one gateway knows only as other gateways' work at a node,
  * the others' own books name.
  */
-public final class Fleet {
+public final class FleetMerger {
     /**
      * A gateway's book, and when, by its own clock, it was told of which versions of the list of
      * nodes.
      */
-    public record Member(String gateway, Book book, Map<Long, Double> told) {}
+    public record Member(String gateway, LatencyAccount book, Map<Long, Double> told) {}
 
     /**
      * By how much a gateway's clock is ahead of the first's, in milliseconds; NaN where nothing
@@ -26,22 +26,22 @@
     public record Clock(String gateway, double ahead) {}
 
     /** One book for all, and how the clocks were set. */
-    public record Merged(Book book, List<Clock> clocks) {}
+    public record Merged(LatencyAccount book, List<Clock> clocks) {}
 
     /** Flows further than this from the time of a wait do not explain it. */
     private static final double NEAR = 10_000;
 
-    private Fleet() {}
+    private FleetMerger() {}
 
     /** Puts all together by the clock of the first; names who worked elsewhere, as an estimate. */
     public static Merged merge(List<Member> members) {
         List<Clock> clocks = new ArrayList<>();
-        Book all = new Book();
-        List<Book> aligned = new ArrayList<>();
+        LatencyAccount all = new LatencyAccount();
+        List<LatencyAccount> aligned = new ArrayList<>();
         for (Member member : members) {
             double ahead = member == members.get(0) ? 0 : ahead(members, member);
             clocks.add(new Clock(member.gateway, ahead));
-            Book book = new Book();
+            LatencyAccount book = new LatencyAccount();
             book.merge(member.book, Double.isNaN(ahead) ? 0 : ahead);
             aligned.add(book);
         }
@@ -84,12 +84,12 @@
     }
 
     /** Puts names in place of others' work, where the other gateways' books tell whose it was. */
-    private static void name(Book book, List<Book> all, int mine) {
+    private static void name(LatencyAccount book, List<LatencyAccount> all, int mine) {
         book.volumes.forEach(
                 (volume, line) -> {
                     for (int level = 0; level < Timeline.LEVELS; level++) {
                         double length = Timeline.LENGTH[level];
-                        for (Map.Entry<Long, Window> entry : line.level(level).entrySet()) {
+                        for (Map.Entry<Long, AccountWindow> entry : line.level(level).entrySet()) {
                             name(
                                     entry.getValue(),
                                     volume,
@@ -103,8 +103,13 @@
     }
 
     private static void name(
-            Window window, long volume, double from, double to, List<Book> all, int mine) {
-        Charges before = new Charges(Window.MOST_CAUSES);
+            AccountWindow window,
+            long volume,
+            double from,
+            double to,
+            List<LatencyAccount> all,
+            int mine) {
+        CauseCharges before = new CauseCharges(AccountWindow.MOST_CAUSES);
         before.addAll(window.causes);
         window.causes.clear();
         for (int i = 0; i < before.size(); i++) {
@@ -144,14 +149,14 @@
      * they have.
      */
     private static Map<Long, Double> elsewhere(
-            int node, double from, double to, List<Book> all, int mine) {
+            int node, double from, double to, List<LatencyAccount> all, int mine) {
         Map<Long, Double> units = new TreeMap<>();
         for (int i = 0; i < all.size(); i++) {
-            Timeline<Flow> line = all.get(i).flows.get(node);
+            Timeline<NodeFlow> line = all.get(i).flows.get(node);
             if (i == mine || line == null) {
                 continue;
             }
-            Flow sum = new Flow();
+            NodeFlow sum = new NodeFlow();
             line.sum(sum, from - NEAR, to + NEAR - 1);
             for (int at = 0; at < sum.units.size(); at++) {
                 units.merge(
@@ -165,7 +170,7 @@
      * The nodes of one zone that share a fault, when it is more than one and at least half of the
      * zone's.
      */
-    public static List<Integer> zoneAtFault(Book book, int zone, List<Integer> atFault) {
+    public static List<Integer> zoneAtFault(LatencyAccount book, int zone, List<Integer> atFault) {
         int[] there =
                 book.zones.entrySet().stream()
                         .filter(entry -> entry.getValue() == zone)
--- a/src/main/java/sagepulley/accounts/Book.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -11,7 +11,7 @@
  * Accounts as they stood at a moment: of one gateway, or of several together. Times are those of
  * the clock on the wall, in milliseconds.
  */
-public final class Book {
+public final class LatencyAccount {
     /** A cause is named with confidence from so many operations on. */
     private static final long ENOUGH = 20;
 
@@ -20,8 +20,8 @@
     private static final double ONE_OF_FEW = 0.3;
     private static final double NEARLY_ALL_SEEN = 0.7;
 
-    final Map<Long, Timeline<Window>> volumes = new TreeMap<>();
-    final Map<Integer, Timeline<Flow>> flows = new TreeMap<>();
+    final Map<Long, Timeline<AccountWindow>> volumes = new TreeMap<>();
+    final Map<Integer, Timeline<NodeFlow>> flows = new TreeMap<>();
     final Map<Integer, Integer> zones = new TreeMap<>();
 
     /** The volumes that have an account, in order. */
@@ -39,7 +39,7 @@
         Map<Integer, Map<Long, double[]>> all = new LinkedHashMap<>();
         flows.forEach(
                 (node, line) -> {
-                    Flow sum = new Flow();
+                    NodeFlow sum = new NodeFlow();
                     line.sum(sum, from, to);
                     Map<Long, double[]> units = new TreeMap<>();
                     for (int i = 0; i < sum.units.size(); i++) {
@@ -58,7 +58,7 @@
     /** When it was last booked into; minus infinity if never. */
     public double newest() {
         double newest = Double.NEGATIVE_INFINITY;
-        for (Timeline<Window> line : volumes.values()) {
+        for (Timeline<AccountWindow> line : volumes.values()) {
             for (int level = 0; level < Timeline.LEVELS; level++) {
                 for (long number : line.level(level).keySet()) {
                     newest = Math.max(newest, (number + 1) * Timeline.LENGTH[level]);
@@ -78,14 +78,14 @@
     }
 
     /** Adds another's, whose clock was ahead by so many milliseconds. */
-    void merge(Book other, double ahead) {
+    void merge(LatencyAccount other, double ahead) {
         other.volumes.forEach(
                 (volume, line) ->
-                        volumes.computeIfAbsent(volume, any -> new Timeline<>(Window::new))
+                        volumes.computeIfAbsent(volume, any -> new Timeline<>(AccountWindow::new))
                                 .merge(line, -ahead));
         other.flows.forEach(
                 (node, line) ->
-                        flows.computeIfAbsent(node, any -> new Timeline<>(Flow::new))
+                        flows.computeIfAbsent(node, any -> new Timeline<>(NodeFlow::new))
                                 .merge(line, -ahead));
         other.zones.forEach(zones::putIfAbsent);
     }
@@ -97,7 +97,7 @@
     /** A volume's course from a time to another, oldest first, as fine as it is kept. */
     public List<Point> course(long volume, double from, double to) {
         List<Point> points = new ArrayList<>();
-        Timeline<Window> line = volumes.get(volume);
+        Timeline<AccountWindow> line = volumes.get(volume);
         if (line == null) {
             return points;
         }
@@ -108,7 +108,8 @@
                             (number, window) -> {
                                 double middle = (number + 0.5) * length;
                                 if (middle + length / 2 >= from && middle - length / 2 <= to) {
-                                    double work = window.parts[Spent.NODE_WORK.ordinal()];
+                                    double work =
+                                            window.parts[LatencyComponent.NODE_WORK.ordinal()];
                                     double all = 0;
                                     for (double part : window.parts) {
                                         all += part;
@@ -133,43 +134,43 @@
     }
 
     /** A volume's account from a time to another, as fine as it is still kept. */
-    public Report report(long volume, double from, double to) {
-        Window sum = new Window();
-        Timeline<Window> line = volumes.get(volume);
+    public LatencyReport report(long volume, double from, double to) {
+        AccountWindow sum = new AccountWindow();
+        Timeline<AccountWindow> line = volumes.get(volume);
         if (line != null) {
             line.sum(sum, from, to);
         }
-        Map<Spent, Double> parts = new LinkedHashMap<>();
-        for (Spent part : Spent.values()) {
+        Map<LatencyComponent, Double> parts = new LinkedHashMap<>();
+        for (LatencyComponent part : LatencyComponent.values()) {
             if (sum.parts[part.ordinal()] > 0) {
                 parts.put(part, sum.parts[part.ordinal()]);
             }
         }
-        List<Report.PlanLine> plan = new ArrayList<>();
+        List<LatencyReport.PlanLine> plan = new ArrayList<>();
         double units = 0;
         double lost = 0;
         long met = 0;
         long missed = 0;
-        for (PlanPart part : PlanPart.values()) {
+        for (PlanTier part : PlanTier.values()) {
             int at = part.ordinal();
             if (sum.times[at] != null) {
                 plan.add(
-                        new Report.PlanLine(
+                        new LatencyReport.PlanLine(
                                 part,
                                 sum.met[at],
                                 sum.missed[at],
                                 sum.units[at],
                                 sum.lost[at],
-                                sum.times[at].getValueAtPercentile(50) / Window.TICKS,
-                                sum.times[at].getValueAtPercentile(99) / Window.TICKS,
-                                sum.times[at].getMaxValue() / Window.TICKS));
+                                sum.times[at].getValueAtPercentile(50) / AccountWindow.TICKS,
+                                sum.times[at].getValueAtPercentile(99) / AccountWindow.TICKS,
+                                sum.times[at].getMaxValue() / AccountWindow.TICKS));
             }
             units += sum.units[at];
             lost += sum.lost[at];
             met += sum.met[at];
             missed += sum.missed[at];
         }
-        return new Report(
+        return new LatencyReport(
                 volume,
                 from,
                 to,
@@ -208,7 +209,8 @@
         }
     }
 
-    private List<Report.Charged> causes(Window sum, Timeline<Window> line, double from, double to) {
+    private List<LatencyReport.Charged> causes(
+            AccountWindow sum, Timeline<AccountWindow> line, double from, double to) {
         Map<Who, Sum> sums = new LinkedHashMap<>();
         double all = 0;
         for (int i = 0; i < sum.causes.size(); i++) {
@@ -226,7 +228,7 @@
         ranked.sort(
                 Comparator.comparingDouble((Map.Entry<Who, Sum> entry) -> -entry.getValue().waited)
                         .thenComparing(entry -> entry.getKey().toString()));
-        List<Report.Charged> causes = new ArrayList<>();
+        List<LatencyReport.Charged> causes = new ArrayList<>();
         double whole = Math.max(1e-9, all);
         for (Map.Entry<Who, Sum> entry : ranked) {
             Who who = entry.getKey();
@@ -242,7 +244,7 @@
             }
             double[] worst = worst(line, who, from, to);
             causes.add(
-                    new Report.Charged(
+                    new LatencyReport.Charged(
                             who.kind(),
                             who.volume(),
                             node.getKey(),
@@ -265,30 +267,30 @@
         return causes;
     }
 
-    private static Report.Confidence confidence(
+    private static LatencyReport.Confidence confidence(
             double share, double next, double seen, double least, long operations) {
         if (operations < ENOUGH || share < ONE_OF_FEW) {
-            return Report.Confidence.LOW;
+            return LatencyReport.Confidence.LOW;
         }
         if (share >= MOST_OF_IT && seen >= NEARLY_ALL_SEEN && next <= FAR_BEHIND * share) {
-            return Report.Confidence.HIGH;
+            return LatencyReport.Confidence.HIGH;
         }
         return share >= MOST_OF_IT || least >= ONE_OF_FEW
-                ? Report.Confidence.MIDDLE
-                : Report.Confidence.LOW;
+                ? LatencyReport.Confidence.MIDDLE
+                : LatencyReport.Confidence.LOW;
     }
 
     /** From when to when the stretch ran in which a cause charged most for its length. */
-    private static double[] worst(Timeline<Window> line, Who who, double from, double to) {
+    private static double[] worst(Timeline<AccountWindow> line, Who who, double from, double to) {
         double most = 0;
         double[] worst = {from, to};
         for (int level = 0; level < Timeline.LEVELS; level++) {
             double length = Timeline.LENGTH[level];
-            for (Map.Entry<Long, Window> entry : line.level(level).entrySet()) {
+            for (Map.Entry<Long, AccountWindow> entry : line.level(level).entrySet()) {
                 if ((entry.getKey() + 1) * length < from || entry.getKey() * length > to) {
                     continue;
                 }
-                Charges charges = entry.getValue().causes;
+                CauseCharges charges = entry.getValue().causes;
                 double here = 0;
                 for (int i = 0; i < charges.size(); i++) {
                     here += Who.of(Cause.of(charges.key(i))).equals(who) ? charges.waited(i) : 0;
--- a/src/main/java/sagepulley/accounts/Spent.java
+++ b/src/main/java/sagepulley/accounts/LatencyComponent.java
@@ -3,7 +3,7 @@
 import sagepulley.model.Reason;
 
 /** Where an operation's time went. The parts of an operation have no gaps and do not overlap. */
-public enum Spent {
+public enum LatencyComponent {
     /** Held by this gateway. */
     RESERVE_FULL,
     SHARE_FULL,
@@ -26,7 +26,7 @@
     FUTILE;
 
     /** The part that a reason to wait stands for. */
-    public static Spent of(Reason reason) {
+    public static LatencyComponent of(Reason reason) {
         return switch (reason) {
             case RESERVE_FULL -> RESERVE_FULL;
             case SHARE_FULL -> SHARE_FULL;
--- a/src/main/java/sagepulley/accounts/Report.java
+++ b/src/main/java/sagepulley/accounts/LatencyReport.java
@@ -7,7 +7,7 @@
  * What a volume got over a stretch of time. Times are milliseconds, those of the clock on the wall.
  * Causes come with the largest first.
  */
-public record Report(
+public record LatencyReport(
         long volume,
         double from,
         double to,
@@ -19,7 +19,7 @@
         long left,
         double units,
         double utilityLost,
-        Map<Spent, Double> parts,
+        Map<LatencyComponent, Double> parts,
         List<PlanLine> plan,
         List<Charged> causes) {
     /**
@@ -34,7 +34,7 @@
 
     /** What was served, or held, by one part of the plan; times to the final answer. */
     public record PlanLine(
-            PlanPart part,
+            PlanTier part,
             long met,
             long missed,
             double units,
--- a/src/main/java/sagepulley/accounts/Span.java
+++ b/src/main/java/sagepulley/accounts/Mergeable.java
@@ -1,7 +1,7 @@
 package sagepulley.accounts;
 
 /** Sums over one stretch of time that can be added to those of a longer one. */
-interface Span<T> {
+interface Mergeable<T> {
     void add(T other);
 
     boolean empty();
--- a/src/main/java/sagepulley/accounts/NodeLog.java
+++ b/src/main/java/sagepulley/accounts/NodeActivity.java
@@ -3,7 +3,7 @@
 /**
  * What this gateway saw of a node: its pace, its queue, its pauses, and whose units are out there.
  */
-final class NodeLog {
+final class NodeActivity {
     private static final double STEP = 0.1;
 
     /**
@@ -28,11 +28,11 @@
     final int id;
     int zone;
     double coldUntil = Double.NEGATIVE_INFINITY;
-    final Ahead out = new Ahead();
-    final Timeline<Flow> flows = new Timeline<>(Flow::new);
+    final OutstandingWork out = new OutstandingWork();
+    final Timeline<NodeFlow> flows = new Timeline<>(NodeFlow::new);
 
     /** Units written lately, by volume: what a deferred write makes others wait for. */
-    final Lately written = new Lately();
+    final DecayingUsage written = new DecayingUsage();
 
     int attemptsOut;
     double claiming;
@@ -67,7 +67,7 @@
     double paused;
     private double pauses;
 
-    NodeLog(int id) {
+    NodeActivity(int id) {
         this.id = id;
     }
 
--- a/src/main/java/sagepulley/accounts/Meter.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -1,39 +1,39 @@
 package sagepulley.accounts;
 
 import java.util.Arrays;
-import sagepulley.model.Band;
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
+import sagepulley.model.TrafficClass;
 
 /**
  * One operation's time as it is spent, from its arrival to its final answer: its steps, and their
  * causes.
  */
-public final class Meter {
+public final class OperationTimer {
     private static final int MOST_STEPS = 24;
     private static final int FIRST_STEPS = 6;
 
     /** All kinds, seen and reckoned, must fit. */
     private static final int MOST_CAUSES = 32;
 
-    private static final Spent[] SPENT = Spent.values();
+    private static final LatencyComponent[] SPENT = LatencyComponent.values();
 
     final long volume;
-    final Band band;
+    final TrafficClass band;
     final boolean writes;
     final double units;
     final double arrivedAt;
-    final Charges charges = new Charges(MOST_CAUSES);
+    final CauseCharges charges = new CauseCharges(MOST_CAUSES);
 
     /**
      * What runs now, since when, at which node (0: none), in which part of the plan, and behind
      * whom.
      */
-    Spent spends = Spent.RANKS_LATER;
+    LatencyComponent spends = LatencyComponent.RANKS_LATER;
 
     double since;
     int node;
-    Owed owed = Owed.SHARE;
-    Ahead ahead;
+    QuotaTier owed = QuotaTier.SHARE;
+    OutstandingWork ahead;
 
     /**
      * Units ahead that are not this gateway's, by what the node told before: the least and the
@@ -47,9 +47,9 @@
      * What is known of the node it is at or waits for, and of that where an attempt is out; null
      * for none.
      */
-    NodeLog log;
+    NodeActivity log;
 
-    NodeLog out;
+    NodeActivity out;
     long outKey;
     long outKeyAnywhere;
 
@@ -64,7 +64,7 @@
     private double[] lengths = new double[FIRST_STEPS];
     private int count;
 
-    Meter(long volume, Band band, boolean writes, double units, double arrivedAt) {
+    OperationTimer(long volume, TrafficClass band, boolean writes, double units, double arrivedAt) {
         this.volume = volume;
         this.band = band;
         this.writes = writes;
@@ -77,7 +77,7 @@
      * A step of so many milliseconds; one like the last goes on with it, and past the bound with
      * any like it.
      */
-    void step(Spent part, int where, double length) {
+    void step(LatencyComponent part, int where, double length) {
         int like = count - 1;
         if (count == MOST_STEPS) {
             like = 0;
@@ -114,7 +114,7 @@
         return count;
     }
 
-    public Spent step(int at) {
+    public LatencyComponent step(int at) {
         return SPENT[steps[at]];
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** Milliseconds spent in a part so far. */
-    public double spent(Spent part) {
+    public double spent(LatencyComponent part) {
         double sum = 0;
         for (int i = 0; i < count; i++) {
             sum += steps[i] == part.ordinal() ? lengths[i] : 0;
@@ -136,7 +136,7 @@
     }
 
     /** What runs now. */
-    public Spent spends() {
+    public LatencyComponent spends() {
         return spends;
     }
 
--- a/src/main/java/sagepulley/accounts/Ahead.java
+++ b/src/main/java/sagepulley/accounts/OutstandingWork.java
@@ -1,20 +1,20 @@
 package sagepulley.accounts;
 
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
 
 /**
  * The units of attempts that are out at a node, by volume and by part of the plan: what others wait
  * behind.
  */
-final class Ahead {
-    private static final Owed[] OWED = Owed.values();
+final class OutstandingWork {
+    private static final QuotaTier[] OWED = QuotaTier.values();
     static final int MOST = 48;
 
     private final long[] keys = new long[MOST];
     private final double[] units = new double[MOST];
     private int size;
 
-    static long key(long volume, Owed owed) {
+    static long key(long volume, QuotaTier owed) {
         return volume << 2 | owed.ordinal();
     }
 
@@ -26,7 +26,7 @@
         return keys[at] >> 2;
     }
 
-    Owed owed(int at) {
+    QuotaTier owed(int at) {
         return OWED[(int) (keys[at] & 3)];
     }
 
@@ -75,7 +75,7 @@
         return key;
     }
 
-    void copy(Ahead other) {
+    void copy(OutstandingWork other) {
         size = other.size;
         System.arraycopy(other.keys, 0, keys, 0, size);
         System.arraycopy(other.units, 0, units, 0, size);
--- a/src/main/java/sagepulley/accounts/PlanPart.java
+++ b/src/main/java/sagepulley/accounts/PlanTier.java
@@ -1,12 +1,12 @@
 package sagepulley.accounts;
 
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
 
 /**
  * By which part of its plan an operation was served, or held: the plan's limit goes before the
  * others.
  */
-public enum PlanPart {
+public enum PlanTier {
     RESERVE,
     SHARE,
     EXCESS,
@@ -14,7 +14,7 @@
     /** Never sent anywhere. */
     NONE;
 
-    static PlanPart of(Owed owed) {
+    static PlanTier of(QuotaTier owed) {
         return switch (owed) {
             case RESERVE -> RESERVE;
             case SHARE -> SHARE;
--- a/src/main/java/sagepulley/accounts/Kept.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -6,15 +6,15 @@
 import org.HdrHistogram.HistogramIterationValue;
 
 /** A book's figures as plain values, to be written down and read again. */
-public record Kept(List<KeptVolume> volumes, List<KeptNode> nodes) {
+public record StoredAccounts(List<StoredVolume> volumes, List<StoredNode> nodes) {
     /** A volume's stretches. */
-    public record KeptVolume(long volume, List<KeptWindow> windows) {}
+    public record StoredVolume(long volume, List<StoredWindow> windows) {}
 
     /**
      * A stretch: which, time by part, causes (keys, and four sums each), counts, and times by part
      * of the plan.
      */
-    public record KeptWindow(
+    public record StoredWindow(
             int level,
             long number,
             double[] parts,
@@ -28,45 +28,46 @@
             long[][] times) {}
 
     /** A node's stretches of units worked on. */
-    public record KeptNode(int node, int zone, List<KeptFlow> flows) {}
+    public record StoredNode(int node, int zone, List<StoredFlow> flows) {}
 
     /** One of them. */
-    public record KeptFlow(int level, long number, long[] keys, double[] sums) {}
+    public record StoredFlow(int level, long number, long[] keys, double[] sums) {}
 
     private static final int MOST_STRETCHES = 10_000;
 
     /** A book's plain values. */
-    public static Kept of(Book book) {
-        List<KeptVolume> volumes = new ArrayList<>();
+    public static StoredAccounts of(LatencyAccount book) {
+        List<StoredVolume> volumes = new ArrayList<>();
         book.volumes.forEach(
                 (volume, line) -> {
-                    List<KeptWindow> windows = new ArrayList<>();
+                    List<StoredWindow> windows = new ArrayList<>();
                     for (int level = 0; level < Timeline.LEVELS; level++) {
-                        for (Map.Entry<Long, Window> entry : line.level(level).entrySet()) {
+                        for (Map.Entry<Long, AccountWindow> entry : line.level(level).entrySet()) {
                             windows.add(window(level, entry.getKey(), entry.getValue()));
                         }
                     }
-                    volumes.add(new KeptVolume(volume, windows));
+                    volumes.add(new StoredVolume(volume, windows));
                 });
-        List<KeptNode> nodes = new ArrayList<>();
+        List<StoredNode> nodes = new ArrayList<>();
         book.flows.forEach(
                 (node, line) -> {
-                    List<KeptFlow> flows = new ArrayList<>();
+                    List<StoredFlow> flows = new ArrayList<>();
                     for (int level = 0; level < Timeline.LEVELS; level++) {
-                        for (Map.Entry<Long, Flow> entry : line.level(level).entrySet()) {
-                            Charges units = entry.getValue().units;
+                        for (Map.Entry<Long, NodeFlow> entry : line.level(level).entrySet()) {
+                            CauseCharges units = entry.getValue().units;
                             flows.add(
-                                    new KeptFlow(level, entry.getKey(), keys(units), sums(units)));
+                                    new StoredFlow(
+                                            level, entry.getKey(), keys(units), sums(units)));
                         }
                     }
-                    nodes.add(new KeptNode(node, book.zones.getOrDefault(node, 0), flows));
+                    nodes.add(new StoredNode(node, book.zones.getOrDefault(node, 0), flows));
                 });
-        return new Kept(volumes, nodes);
+        return new StoredAccounts(volumes, nodes);
     }
 
-    private static KeptWindow window(int level, long number, Window window) {
-        long[][] times = new long[Window.PARTS][0];
-        for (int part = 0; part < Window.PARTS; part++) {
+    private static StoredWindow window(int level, long number, AccountWindow window) {
+        long[][] times = new long[AccountWindow.PARTS][0];
+        for (int part = 0; part < AccountWindow.PARTS; part++) {
             if (window.times[part] != null) {
                 List<Long> pairs = new ArrayList<>();
                 for (HistogramIterationValue value : window.times[part].recordedValues()) {
@@ -76,7 +77,7 @@
                 times[part] = pairs.stream().mapToLong(Long::longValue).toArray();
             }
         }
-        return new KeptWindow(
+        return new StoredWindow(
                 level,
                 number,
                 window.parts,
@@ -90,7 +91,7 @@
                 times);
     }
 
-    private static long[] keys(Charges charges) {
+    private static long[] keys(CauseCharges charges) {
         long[] keys = new long[charges.size()];
         for (int i = 0; i < keys.length; i++) {
             keys[i] = charges.key(i);
@@ -98,7 +99,7 @@
         return keys;
     }
 
-    private static double[] sums(Charges charges) {
+    private static double[] sums(CauseCharges charges) {
         double[] sums = new double[4 * charges.size()];
         for (int i = 0; i < charges.size(); i++) {
             sums[4 * i] = charges.waited(i);
@@ -114,11 +115,11 @@
      *
      * @throws IllegalArgumentException if a figure can be no account's
      */
-    public Book book() {
-        Book book = new Book();
-        for (KeptVolume volume : all(volumes)) {
-            Timeline<Window> line = new Timeline<>(Window::new);
-            for (KeptWindow kept : all(volume.windows)) {
+    public LatencyAccount book() {
+        LatencyAccount book = new LatencyAccount();
+        for (StoredVolume volume : all(volumes)) {
+            Timeline<AccountWindow> line = new Timeline<>(AccountWindow::new);
+            for (StoredWindow kept : all(volume.windows)) {
                 read(kept, line.put(level(kept.level), kept.number));
             }
             if (volume.volume < 0 || book.volumes.put(volume.volume, line) != null) {
@@ -126,14 +127,14 @@
                         "volume " + volume.volume + " is no volume, or there twice");
             }
         }
-        for (KeptNode node : all(nodes)) {
-            Timeline<Flow> line = new Timeline<>(Flow::new);
-            for (KeptFlow flow : all(node.flows)) {
+        for (StoredNode node : all(nodes)) {
+            Timeline<NodeFlow> line = new Timeline<>(NodeFlow::new);
+            for (StoredFlow flow : all(node.flows)) {
                 charges(
                         line.put(level(flow.level), flow.number).units,
                         flow.keys,
                         flow.sums,
-                        Flow.MOST_VOLUMES);
+                        NodeFlow.MOST_VOLUMES);
             }
             book.flows.put(node.node, line);
             book.zones.put(node.node, node.zone);
@@ -155,9 +156,9 @@
         return level;
     }
 
-    private static void read(KeptWindow from, Window to) {
+    private static void read(StoredWindow from, AccountWindow to) {
         copy(from.parts, to.parts);
-        charges(to.causes, from.keys, from.sums, Window.MOST_CAUSES);
+        charges(to.causes, from.keys, from.sums, AccountWindow.MOST_CAUSES);
         long[] ends = new long[3];
         copy(from.ends, ends);
         to.declined = ends[0];
@@ -167,17 +168,17 @@
         copy(from.missed, to.missed);
         copy(from.units, to.units);
         copy(from.lost, to.lost);
-        if (from.times == null || from.times.length != Window.PARTS) {
+        if (from.times == null || from.times.length != AccountWindow.PARTS) {
             throw new IllegalArgumentException("times by part of the plan are missing");
         }
-        for (int part = 0; part < Window.PARTS; part++) {
+        for (int part = 0; part < AccountWindow.PARTS; part++) {
             long[] pairs = from.times[part];
             if (pairs == null || pairs.length % 2 != 0 || pairs.length > 2 * MOST_STRETCHES) {
                 throw new IllegalArgumentException("times are no pairs of value and count");
             }
             for (int i = 0; i < pairs.length; i += 2) {
                 if (pairs[i] < 0
-                        || pairs[i] > Window.LONGEST_TICK * 2
+                        || pairs[i] > AccountWindow.LONGEST_TICK * 2
                         || pairs[i + 1] < 0
                         || pairs[i + 1] > Integer.MAX_VALUE) {
                     throw new IllegalArgumentException("a time of " + pairs[i] + " can be none");
@@ -215,7 +216,7 @@
         return value;
     }
 
-    private static void charges(Charges to, long[] keys, double[] sums, int most) {
+    private static void charges(CauseCharges to, long[] keys, double[] sums, int most) {
         if (keys == null || sums == null || keys.length > most || sums.length != 4 * keys.length) {
             throw new IllegalArgumentException("causes and their sums do not go together");
         }
--- a/src/main/java/sagepulley/accounts/Timeline.java
+++ b/src/main/java/sagepulley/accounts/Timeline.java
@@ -9,7 +9,7 @@
  * hours, an hour for three days. Only stretches in which something happened take room. Times are
  * wall-clock milliseconds.
  */
-final class Timeline<T extends Span<T>> {
+final class Timeline<T extends Mergeable<T>> {
     /** Milliseconds of a stretch, by level, and how many of them are kept. */
     static final double[] LENGTH = {10_000, 300_000, 3_600_000};
 
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -25,10 +25,10 @@
     }
 
     private final Map<Long, OfVolume> volumes = new LinkedHashMap<>();
-    private final double[] parts = new double[Spent.values().length];
+    private final double[] parts = new double[LatencyComponent.values().length];
     private final double[] waited = new double[Cause.Kind.values().length];
     private final double[] lost = new double[Cause.Kind.values().length];
-    private final double[] units = new double[PlanPart.values().length];
+    private final double[] units = new double[PlanTier.values().length];
 
     /** With sums of their own for these volumes; all others share number 0. */
     public Totals(Set<Long> own) {
@@ -48,7 +48,7 @@
     }
 
     /** Milliseconds that went to a part. */
-    public double part(Spent part) {
+    public double part(LatencyComponent part) {
         return parts[part.ordinal()];
     }
 
@@ -62,11 +62,11 @@
     }
 
     /** Units of operations that ended, by part of the plan. */
-    public double units(PlanPart part) {
+    public double units(PlanTier part) {
         return units[part.ordinal()];
     }
 
-    void spent(Spent part, double length) {
+    void spent(LatencyComponent part, double length) {
         parts[part.ordinal()] += length;
     }
 
@@ -75,7 +75,7 @@
         lost[kind.ordinal()] += utility;
     }
 
-    void ended(PlanPart part, double amount) {
+    void ended(PlanTier part, double amount) {
         units[part.ordinal()] += amount;
     }
 
--- a/src/main/java/sagepulley/cli/Words.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -3,18 +3,18 @@
 import java.util.Locale;
 import java.util.Map;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.Report;
-import sagepulley.accounts.Spent;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
 
 /** Accounts in words: parts of time, causes, and what an operator can do about them. */
-final class Words {
-    private Words() {}
+final class AccountFormatter {
+    private AccountFormatter() {}
 
     static String of(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    static String part(Spent part) {
+    static String part(LatencyComponent part) {
         return switch (part) {
             case RESERVE_FULL -> "held here: node's bound full, in its reserve";
             case SHARE_FULL -> "held here: node's bound full, in its share";
@@ -60,12 +60,12 @@
         };
     }
 
-    static String cause(Report.Charged charged, Map<Long, String> names) {
+    static String cause(LatencyReport.Charged charged, Map<Long, String> names) {
         return cause(charged.kind(), charged.volume(), charged.node(), names);
     }
 
     /** What an operator can do. */
-    static String advice(Report.Charged charged, Map<Long, String> names) {
+    static String advice(LatencyReport.Charged charged, Map<Long, String> names) {
         return switch (charged.kind()) {
             case OWN_LOAD ->
                     "It asks for more than its plan owes it: a larger share or reserve, or less at once.";
--- a/src/main/java/sagepulley/cli/CheckSiteCommand.java
+++ b/src/main/java/sagepulley/cli/CheckSiteCommand.java
@@ -8,8 +8,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.config.Site;
-import sagepulley.config.SiteError;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.SiteConfigException;
 
 /** Checks a site file without starting anything. */
 @Command(
@@ -27,10 +27,10 @@
     @Override
     public Integer call() throws Exception {
         List<String> mistakes = List.of();
-        Site site = null;
+        SiteConfig site = null;
         try {
-            site = Site.read(file);
-        } catch (SiteError error) {
+            site = SiteConfig.read(file);
+        } catch (SiteConfigException error) {
             mistakes = List.of(error.getMessage().split("\n"));
         }
         if (json) {
--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -4,8 +4,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
-import sagepulley.config.SiteError;
-import sagepulley.scenario.DayError;
+import sagepulley.config.SiteConfigException;
+import sagepulley.scenario.ScenarioException;
 
 /**
  * The command line. Exit codes: 0 all went well, 1 it failed, 2 the words were wrong, 3 a site file
@@ -87,7 +87,8 @@
                 .setExecutionExceptionHandler(
                         (failure, line, parsed) -> {
                             line.getErr().println("sagepulley: " + failure.getMessage());
-                            return failure instanceof SiteError || failure instanceof DayError
+                            return failure instanceof SiteConfigException
+                                            || failure instanceof ScenarioException
                                     ? UNUSABLE_FILE
                                     : FAILED;
                         })
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.scenario.Town;
-import sagepulley.standin.NodeTraits;
-import sagepulley.standin.Witness;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.NodeProfile;
+import sagepulley.standin.TrafficRecorder;
 
 /** Runs the whole on loopback, with nothing to set up. */
 @Command(
@@ -43,14 +43,14 @@
 
     @Override
     public Integer call() throws Exception {
-        List<NodeTraits> traits = new ArrayList<>();
+        List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            traits.add(NodeTraits.quick(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
+            traits.add(NodeProfile.quick(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
         }
-        Town town = Town.start(traits, Witness.NOBODY, 2);
-        Gateway gateway =
+        LocalCluster town = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
+        NbdGateway gateway =
                 town.open(
-                        Town.demoSite("demo", 0, 1, port, town.directory().address()),
+                        LocalCluster.demoSite("demo", 0, 1, port, town.directory().address()),
                         new SecureRandom().nextLong());
         System.out.println(
                 "ready: nbd://127.0.0.1:"
@@ -58,6 +58,6 @@
                         + "/demo (64 MiB) over "
                         + nodes
                         + " stand-in nodes");
-        return Running.untilSignal(town::close);
+        return SignalWait.untilSignal(town::close);
     }
 }
--- a/src/main/java/sagepulley/cli/DirectoryCommand.java
+++ b/src/main/java/sagepulley/cli/DirectoryCommand.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.codec.frame.Loops;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.config.HostPort;
-import sagepulley.scenario.Town;
+import sagepulley.scenario.LocalCluster;
 import sagepulley.standin.StandInDirectory;
-import sagepulley.standin.Witness;
+import sagepulley.standin.TrafficRecorder;
 
 /** Runs a stand-in directory. */
 @Command(
@@ -34,11 +34,11 @@
     @Override
     public Integer call() {
         StandInDirectory directory =
-                new StandInDirectory(Loops.group(1, "directory"), Witness.NOBODY);
+                new StandInDirectory(EventLoops.group(1, "directory"), TrafficRecorder.NOBODY);
         directory.lag(lag);
-        Town.await(directory.start(listen.socket()));
+        LocalCluster.await(directory.start(listen.socket()));
         System.out.println(
                 "ready: directory on " + listen.host() + ":" + directory.address().getPort());
-        return Running.untilSignal(() -> Town.await(directory.stop()));
+        return SignalWait.untilSignal(() -> LocalCluster.await(directory.stop()));
     }
 }
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -7,12 +7,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.persistence.BookFile;
-import sagepulley.persistence.GatewayBook;
-import sagepulley.scenario.Day;
-import sagepulley.scenario.DayReader;
-import sagepulley.scenario.Drill;
-import sagepulley.scenario.Verdict;
+import sagepulley.persistence.AccountFile;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.scenario.RuleVerdict;
+import sagepulley.scenario.Scenario;
+import sagepulley.scenario.ScenarioReader;
+import sagepulley.scenario.ScenarioRunner;
 
 /** Plays a scripted day. */
 @Command(
@@ -41,15 +41,15 @@
 
     @Override
     public Integer call() throws Exception {
-        Day day =
+        Scenario day =
                 Files.exists(Path.of(file))
-                        ? DayReader.read(Path.of(file))
-                        : DayReader.read(file, Drill.builtIn(file));
-        Drill drill = new Drill(day);
-        Drill.Result result = drill.run();
+                        ? ScenarioReader.read(Path.of(file))
+                        : ScenarioReader.read(file, ScenarioRunner.builtIn(file));
+        ScenarioRunner drill = new ScenarioRunner(day);
+        ScenarioRunner.Result result = drill.run();
         if (accounts != null) {
-            for (GatewayBook book : drill.books()) {
-                new BookFile(accounts.resolve(book.gateway()), book.gateway()).write(book);
+            for (GatewayAccounts book : drill.books()) {
+                new AccountFile(accounts.resolve(book.gateway()), book.gateway()).write(book);
             }
         }
         if (json) {
@@ -63,7 +63,7 @@
                         + " requests, "
                         + result.attempts()
                         + " hops");
-        for (Verdict verdict : result.verdicts()) {
+        for (RuleVerdict verdict : result.verdicts()) {
             System.out.printf(
                     "%-6s %-42s %s (bound: %s)%n",
                     verdict.kept() ? "kept" : "BROKEN",
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.Spent;
+import sagepulley.accounts.LatencyComponent;
 
 /** Tells one operation's story from a traces file. */
 @Command(
@@ -232,9 +232,9 @@
     }
 
     private static String part(String word) {
-        for (Spent part : Spent.values()) {
+        for (LatencyComponent part : LatencyComponent.values()) {
             if (part.name().equalsIgnoreCase(word)) {
-                return Words.part(part);
+                return AccountFormatter.part(part);
             }
         }
         return word;
--- a/src/main/java/sagepulley/cli/GatewayCommand.java
+++ b/src/main/java/sagepulley/cli/GatewayCommand.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CompletionException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import sagepulley.config.Site;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.monitoring.Watch;
+import sagepulley.config.SiteConfig;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.monitoring.MonitoringServer;
 
 /** Runs one gateway by its site file. */
 @Command(
@@ -25,8 +25,8 @@
 
     @Override
     public Integer call() throws Exception {
-        Site site = Site.read(file);
-        Gateway gateway = new Gateway(site, new SecureRandom().nextLong());
+        SiteConfig site = SiteConfig.read(file);
+        NbdGateway gateway = new NbdGateway(site, new SecureRandom().nextLong());
         gateway.start()
                 .whenComplete(
                         (ready, failure) -> {
@@ -47,7 +47,7 @@
                                             + ":"
                                             + ready.address().getPort());
                         });
-        return Running.untilSignal(
+        return SignalWait.untilSignal(
                 () -> {
                     try {
                         gateway.stop().join();
@@ -61,10 +61,10 @@
      * Figures over HTTP, where the site asks for them; a gateway that cannot tell them serves all
      * the same.
      */
-    private static void watch(Site site, Gateway gateway) {
+    private static void watch(SiteConfig site, NbdGateway gateway) {
         if (site.watch() != null) {
             try {
-                new Watch(site, gateway, site.watch().socket());
+                new MonitoringServer(site, gateway, site.watch().socket());
             } catch (IOException e) {
                 System.err.println(
                         "sagepulley: no figures over HTTP on "
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -16,11 +16,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sagepulley.config.HostPort;
-import sagepulley.membership.KeptList;
-import sagepulley.membership.NodeLine;
-import sagepulley.membership.Source;
-import sagepulley.persistence.Generations;
-import sagepulley.persistence.ListFile;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.RecordSource;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.persistence.EndpointListFile;
+import sagepulley.persistence.SnapshotFile;
 
 /** Looks after the file in which a gateway keeps its list of nodes. */
 @Command(
@@ -44,8 +44,8 @@
                 spec.commandLine(), "a command is missing");
     }
 
-    private static KeptList believed(Path file) throws IOException {
-        ListFile.Look look = new ListFile(file, "").look();
+    private static StoredEndpointList believed(Path file) throws IOException {
+        EndpointListFile.Look look = new EndpointListFile(file, "").look();
         if (look.list() == null) {
             throw new IOException(
                     look.refused().isEmpty()
@@ -78,7 +78,7 @@
 
         @Override
         public Integer call() throws Exception {
-            KeptList list = believed(file);
+            StoredEndpointList list = believed(file);
             if (json) {
                 System.out.println(new JsonMapper().writeValueAsString(list));
                 return Commands.OK;
@@ -86,18 +86,18 @@
             System.out.printf(
                     "site %s, version %d of history %d, last confirmed %s%n",
                     list.site(), list.version(), list.history(), when(list.confirmedAt()));
-            for (KeptList.KeptLine kept : list.lines()) {
-                NodeLine line = kept.line();
+            for (StoredEndpointList.StoredEndpoint kept : list.lines()) {
+                EndpointRecord line = kept.line();
                 System.out.printf(
                         "node %d cell %d zone %d %s %s:%d started %s, from %s%s%n",
                         line.node(),
                         line.cell(),
                         line.zone(),
-                        Words.of(line.standing()),
+                        AccountFormatter.of(line.standing()),
                         line.host(),
                         line.port(),
                         when(line.startedAt()),
-                        Words.of(kept.source()),
+                        AccountFormatter.of(kept.source()),
                         kept.selfDraining() ? ", says that it drains" : "");
             }
             return Commands.OK;
@@ -123,8 +123,8 @@
 
         @Override
         public Integer call() {
-            ListFile.Look look = new ListFile(file, site).look();
-            for (Generations.Refused refused : look.refused()) {
+            EndpointListFile.Look look = new EndpointListFile(file, site).look();
+            for (SnapshotFile.Refused refused : look.refused()) {
                 System.out.println(refused.file() + ": " + refused.why());
             }
             if (look.list() == null) {
@@ -153,8 +153,8 @@
         @Override
         public Integer call() throws Exception {
             System.out.println("node,cell,zone,kind,standing,host,port");
-            for (KeptList.KeptLine kept : believed(file).lines()) {
-                NodeLine line = kept.line();
+            for (StoredEndpointList.StoredEndpoint kept : believed(file).lines()) {
+                EndpointRecord line = kept.line();
                 System.out.println(
                         String.join(
                                 ",",
@@ -199,12 +199,12 @@
 
         @Override
         public Integer call() throws Exception {
-            List<KeptList.KeptLine> lines = new ArrayList<>();
+            List<StoredEndpointList.StoredEndpoint> lines = new ArrayList<>();
             Set<Integer> seen = new HashSet<>();
             List<String> text = Files.readAllLines(csv);
             for (int i = 0; i < text.size(); i++) {
                 if (!text.get(i).isBlank() && !text.get(i).startsWith("node,")) {
-                    NodeLine line = line(i + 1, text.get(i));
+                    EndpointRecord line = line(i + 1, text.get(i));
                     if (!seen.add(line.node())) {
                         throw new IOException(
                                 csv
@@ -214,18 +214,20 @@
                                         + line.node()
                                         + " stands there twice");
                     }
-                    lines.add(new KeptList.KeptLine(line, Source.IMPORT, false));
+                    lines.add(
+                            new StoredEndpointList.StoredEndpoint(
+                                    line, RecordSource.IMPORT, false));
                 }
             }
-            new ListFile(file, site)
+            new EndpointListFile(file, site)
                     .write(
-                            new KeptList(site, 0, 0, 0, lines).checked(),
+                            new StoredEndpointList(site, 0, 0, 0, lines).checked(),
                             System.currentTimeMillis());
             System.out.println(file + ": " + lines.size() + " nodes");
             return Commands.OK;
         }
 
-        private NodeLine line(int number, String text) throws IOException {
+        private EndpointRecord line(int number, String text) throws IOException {
             String[] words = text.split(",", -1);
             try {
                 if (words.length != 7
@@ -233,12 +235,12 @@
                     throw new IllegalArgumentException(
                             "allowed is node,cell,zone,kind,standing,host,port");
                 }
-                return new NodeLine(
+                return new EndpointRecord(
                         Integer.parseInt(words[0].trim()),
                         Integer.parseInt(words[1].trim()),
                         Integer.parseInt(words[2].trim()),
                         Integer.parseInt(words[3].trim()),
-                        NodeLine.Standing.valueOf(words[4].trim().toUpperCase(Locale.ROOT)),
+                        EndpointRecord.Phase.valueOf(words[4].trim().toUpperCase(Locale.ROOT)),
                         0,
                         1,
                         words[5].trim(),
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.scenario.SideBySide;
+import sagepulley.scenario.ThroughputComparison;
 
 /** Measures the gateway against the direct way. */
 @Command(
@@ -54,14 +54,15 @@
             defaultValue = "BOTH",
             paramLabel = "NEITHER|ACCOUNTS|BOTH",
             description = "with --accounts: what is kept (default: ${DEFAULT-VALUE})")
-    private SideBySide.Kept kept;
+    private ThroughputComparison.Kept kept;
 
     @Override
     public Integer call() throws Exception {
-        List<SideBySide.Row> rows =
+        List<ThroughputComparison.Row> rows =
                 accounts == null
-                        ? new SideBySide(seconds, 4).run(6, sizes, depths)
-                        : new SideBySide(seconds, 8).accounts(6, sizes, depths, kept, accounts);
+                        ? new ThroughputComparison(seconds, 4).run(6, sizes, depths)
+                        : new ThroughputComparison(seconds, 8)
+                                .accounts(6, sizes, depths, kept, accounts);
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(rows));
             return Commands.OK;
@@ -75,7 +76,7 @@
                         + "| p99 ratio | failed | heap bytes/op | gateway CPU us/op |");
         System.out.println(
                 "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (SideBySide.Row row : rows) {
+        for (ThroughputComparison.Row row : rows) {
             System.out.printf(
                     "| %s %d KiB | %d | %.0f | %.0f | %.2f | %.0f us | %.0f us | %.2f | %.2f | %d | %.0f "
                             + "| %.1f |%n",
@@ -96,13 +97,13 @@
         return Commands.OK;
     }
 
-    private static void print(List<SideBySide.Row> rows) {
+    private static void print(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | without/s | with/s | ratio | p99 without | p99 with | ratio "
                         + "| heap bytes/op without | with | CPU us/op without | with |");
         System.out.println(
                 "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (SideBySide.Row row : rows) {
+        for (ThroughputComparison.Row row : rows) {
             System.out.printf(
                     "| %s %d KiB | %d | %.0f | %.0f | %.3f | %.0f us | %.0f us | %.2f | %.0f | %.0f | %.1f "
                             + "| %.1f |%n",
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.codec.frame.Loops;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.config.HostPort;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.scenario.Town;
-import sagepulley.standin.NodeTraits;
-import sagepulley.standin.Registration;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.DirectoryRegistration;
+import sagepulley.standin.NodeProfile;
 import sagepulley.standin.StandInNode;
-import sagepulley.standin.Witness;
+import sagepulley.standin.TrafficRecorder;
 
 /** Runs a stand-in node. */
 @Command(
@@ -83,9 +83,9 @@
 
     @Override
     public Integer call() {
-        EventLoopGroup loops = Loops.group(1, "node-" + id);
-        NodeTraits traits =
-                new NodeTraits(
+        EventLoopGroup loops = EventLoops.group(1, "node-" + id);
+        NodeProfile traits =
+                new NodeProfile(
                         id,
                         cell == null ? id : cell,
                         zone,
@@ -104,29 +104,30 @@
                         1_000,
                         data);
         StandInNode node =
-                Town.await(
-                        new StandInNode(traits, loops, Witness.NOBODY, id).start(listen.socket()));
-        Registration registration =
-                new Registration(
+                LocalCluster.await(
+                        new StandInNode(traits, loops, TrafficRecorder.NOBODY, id)
+                                .start(listen.socket()));
+        DirectoryRegistration registration =
+                new DirectoryRegistration(
                         loops.next(),
                         directory.socket(),
                         () ->
-                                new DirectoryWire.Line(
+                                new DirectoryMessages.EndpointLine(
                                         id,
                                         traits.cell(),
                                         zone,
                                         0,
-                                        DirectoryWire.Standing.READY,
+                                        DirectoryMessages.Phase.READY,
                                         node.startedAt(),
                                         1,
                                         listen.host(),
                                         node.address().getPort()));
         System.out.println(
                 "ready: node " + id + " on " + listen.host() + ":" + node.address().getPort());
-        return Running.untilSignal(
+        return SignalWait.untilSignal(
                 () -> {
                     registration.close();
-                    Town.await(node.stop());
+                    LocalCluster.await(node.stop());
                 });
     }
 }
--- a/src/main/java/sagepulley/cli/Plots.java
+++ b/src/main/java/sagepulley/cli/Plots.java
@@ -11,14 +11,14 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.Styler;
-import sagepulley.accounts.Book;
+import sagepulley.accounts.LatencyAccount;
 
 /** Plots for pages, as images that stand in the page itself. */
 final class Plots {
     private Plots() {}
 
     /** A volume's waiting and work over time, as seconds in each second. */
-    static String course(List<Book.Point> points) throws IOException {
+    static String course(List<LatencyAccount.Point> points) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart =
                 new XYChartBuilder().width(760).height(260).yAxisTitle("seconds a second").build();
@@ -29,7 +29,7 @@
         List<Date> times = new ArrayList<>();
         List<Double> waited = new ArrayList<>();
         List<Double> worked = new ArrayList<>();
-        for (Book.Point point : points) {
+        for (LatencyAccount.Point point : points) {
             times.add(new Date((long) point.wall()));
             waited.add(point.waited() / point.length());
             worked.add(point.work() / point.length());
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -21,11 +21,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.Book;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.Fleet;
-import sagepulley.accounts.Report;
-import sagepulley.persistence.BookFile;
+import sagepulley.accounts.FleetMerger;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.persistence.AccountFile;
 
 /** Tells from gateways' accounts who waited behind whom. */
 @Command(
@@ -79,18 +79,19 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Fleet.Member> members = new ArrayList<>();
+        List<FleetMerger.Member> members = new ArrayList<>();
         for (Path file : files) {
-            BookFile.Read read = BookFile.report(file);
-            members.add(new Fleet.Member(read.head().gateway(), read.book(), read.head().told()));
+            AccountFile.Read read = AccountFile.report(file);
+            members.add(
+                    new FleetMerger.Member(read.head().gateway(), read.book(), read.head().told()));
             names.putAll(read.head().names());
         }
-        Fleet.Merged merged = Fleet.merge(members);
-        Book book = merged.book();
+        FleetMerger.Merged merged = FleetMerger.merge(members);
+        LatencyAccount book = merged.book();
         double newest = book.newest();
         double to = until == null ? newest : time(until, newest);
         double from = time(since, to);
-        List<Report> reports = new ArrayList<>();
+        List<LatencyReport> reports = new ArrayList<>();
         for (long volume : book.volumes()) {
             if (only == null || only.equals(names.get(volume))) {
                 reports.add(book.report(volume, from, to));
@@ -114,9 +115,9 @@
             return Commands.OK;
         }
         Map<String, Object> page = page(merged, reports, from, to);
-        System.out.print(Pages.fill("report.txt.ftl", page));
+        System.out.print(TemplateRenderer.fill("report.txt.ftl", page));
         if (html != null) {
-            Files.writeString(html, Pages.fill("report.ftlh", page));
+            Files.writeString(html, TemplateRenderer.fill("report.ftlh", page));
         }
         return Commands.OK;
     }
@@ -144,12 +145,13 @@
     }
 
     private Map<String, Object> page(
-            Fleet.Merged merged, List<Report> reports, double from, double to) throws IOException {
+            FleetMerger.Merged merged, List<LatencyReport> reports, double from, double to)
+            throws IOException {
         Map<String, Object> page = new HashMap<>();
         page.put("from", clock(from));
         page.put("to", clock(to));
         List<Map<String, Object>> clocks = new ArrayList<>();
-        for (Fleet.Clock clock : merged.clocks()) {
+        for (FleetMerger.Clock clock : merged.clocks()) {
             clocks.add(
                     Map.of(
                             "gateway",
@@ -161,15 +163,15 @@
         }
         page.put("clocks", clocks);
         List<Map<String, Object>> volumes = new ArrayList<>();
-        for (Report report : reports) {
+        for (LatencyReport report : reports) {
             volumes.add(volume(merged.book(), report, from, to));
         }
         page.put("volumes", volumes);
         return page;
     }
 
-    private Map<String, Object> volume(Book book, Report report, double from, double to)
-            throws IOException {
+    private Map<String, Object> volume(
+            LatencyAccount book, LatencyReport report, double from, double to) throws IOException {
         Map<String, Object> volume = new HashMap<>();
         volume.put(
                 "name",
@@ -188,7 +190,7 @@
                                 parts.add(
                                         Map.of(
                                                 "text",
-                                                Words.part(part),
+                                                AccountFormatter.part(part),
                                                 "seconds",
                                                 time / 1000,
                                                 "share",
@@ -198,16 +200,16 @@
                         Double.compare((Double) other.get("seconds"), (Double) one.get("seconds")));
         volume.put("parts", parts);
         List<Map<String, Object>> plan = new ArrayList<>();
-        for (Report.PlanLine line : report.plan()) {
-            plan.add(Map.of("name", Words.of(line.part()), "line", line));
+        for (LatencyReport.PlanLine line : report.plan()) {
+            plan.add(Map.of("name", AccountFormatter.of(line.part()), "line", line));
         }
         volume.put("plan", plan);
         List<Map<String, Object>> causes = new ArrayList<>();
-        for (Report.Charged charged : report.causes().stream().limit(MOST_CAUSES).toList()) {
+        for (LatencyReport.Charged charged : report.causes().stream().limit(MOST_CAUSES).toList()) {
             causes.add(
                     Map.of(
                             "text",
-                            Words.cause(charged, names),
+                            AccountFormatter.cause(charged, names),
                             "charged",
                             charged,
                             "seconds",
@@ -218,15 +220,15 @@
                             charged.kind() == Cause.Kind.OWN_WORK));
         }
         volume.put("causes", causes);
-        Report.Charged main = report.main();
+        LatencyReport.Charged main = report.main();
         if (main != null) {
-            volume.put("main", Words.cause(main, names));
-            volume.put("confidence", Words.of(main.confidence()));
+            volume.put("main", AccountFormatter.cause(main, names));
+            volume.put("confidence", AccountFormatter.of(main.confidence()));
             volume.put("share", main.share());
             volume.put("least", main.least() / 1000);
             volume.put("most", main.most() / 1000);
             volume.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
-            volume.put("advice", Words.advice(main, names));
+            volume.put("advice", AccountFormatter.advice(main, names));
             List<Integer> zone = zone(book, report, main);
             if (!zone.isEmpty()) {
                 volume.put("zone", zone);
@@ -239,15 +241,16 @@
     }
 
     /** The nodes of the main fault's zone, where most of them share the fault. */
-    private static List<Integer> zone(Book book, Report report, Report.Charged main) {
+    private static List<Integer> zone(
+            LatencyAccount book, LatencyReport report, LatencyReport.Charged main) {
         if (main.kind() != Cause.Kind.FAULT) {
             return List.of();
         }
         List<Integer> faulty =
                 report.causes().stream()
                         .filter(charged -> charged.kind() == Cause.Kind.FAULT)
-                        .map(Report.Charged::node)
+                        .map(LatencyReport.Charged::node)
                         .toList();
-        return Fleet.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
+        return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
     }
 }
--- a/src/main/java/sagepulley/cli/Running.java
+++ b/src/main/java/sagepulley/cli/SignalWait.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /** Keeps a command running until a signal, then ends it well. */
-final class Running {
-    private Running() {}
+final class SignalWait {
+    private SignalWait() {}
 
     /**
      * Blocks for good; at SIGTERM or SIGINT runs the end and exits with 0, or with 1 if it fails.
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.scenario.Starts;
+import sagepulley.scenario.ColdStartExperiment;
 
 /** Measures starts without discovery. */
 @Command(
@@ -31,29 +31,36 @@
 
     @Override
     public Integer call() throws Exception {
-        Starts starts = new Starts(folder);
+        ColdStartExperiment starts = new ColdStartExperiment(folder);
         System.out.println(
                 "| way | age | changed since | hops to drained or replaced | pushed over | first satisfied "
                         + "| service of what is left | of all |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (Starts.Since since : Starts.Since.values()) {
-            int changed = since == Starts.Since.NOTHING ? 0 : HALF;
+        for (ColdStartExperiment.Since since : ColdStartExperiment.Since.values()) {
+            int changed = since == ColdStartExperiment.Since.NOTHING ? 0 : HALF;
             for (double age : AGES) {
-                row(starts.run(Starts.Way.BY_AGE, age, since, changed, seed));
+                row(starts.run(ColdStartExperiment.Way.BY_AGE, age, since, changed, seed));
             }
-            if (since != Starts.Since.NOTHING) {
-                row(starts.run(Starts.Way.BY_AGE, AGES[3], since, 2, seed));
+            if (since != ColdStartExperiment.Since.NOTHING) {
+                row(starts.run(ColdStartExperiment.Way.BY_AGE, AGES[3], since, 2, seed));
             }
-            row(starts.run(Starts.Way.BLINDLY, AGES[3], since, changed, seed));
+            row(starts.run(ColdStartExperiment.Way.BLINDLY, AGES[3], since, changed, seed));
         }
-        row(starts.run(Starts.Way.WAITING, AGES[3], Starts.Since.NOTHING, 0, seed));
+        row(
+                starts.run(
+                        ColdStartExperiment.Way.WAITING,
+                        AGES[3],
+                        ColdStartExperiment.Since.NOTHING,
+                        0,
+                        seed));
         System.out.println();
         System.out.println(
                 "| gateways | pauses | most calls in 100 ms | calls | all hold a list after |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int gateways : new int[] {16, 64, 1000}) {
             for (boolean spread : new boolean[] {false, true}) {
-                Starts.Storm storm = Starts.storm(gateways, spread, 20_000, 50, 20, seed);
+                ColdStartExperiment.Storm storm =
+                        ColdStartExperiment.storm(gateways, spread, 20_000, 50, 20, seed);
                 System.out.printf(
                         "| %d | %s | %d | %d | %.0f ms |%n",
                         gateways,
@@ -66,7 +73,7 @@
         return Commands.OK;
     }
 
-    private static void row(Starts.Row row) {
+    private static void row(ColdStartExperiment.Row row) {
         String age =
                 row.ageHours() < 1
                         ? Math.round(row.ageHours() * 60) + " min"
@@ -75,11 +82,11 @@
                                 : Math.round(row.ageHours() / 24) + " d";
         System.out.printf(
                 "| %s | %s | %s | %d | %d | %s | %.0f %% | %.0f %% |%n",
-                Words.of(row.way()),
+                AccountFormatter.of(row.way()),
                 age,
-                row.since() == Starts.Since.NOTHING
+                row.since() == ColdStartExperiment.Since.NOTHING
                         ? "nothing"
-                        : row.changed() + " of 8 " + Words.of(row.since()),
+                        : row.changed() + " of 8 " + AccountFormatter.of(row.since()),
                 row.wrongAttempts(),
                 row.pushedOver(),
                 Double.isNaN(row.firstMs())
--- a/src/main/java/sagepulley/cli/Pages.java
+++ b/src/main/java/sagepulley/cli/TemplateRenderer.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /** Pages and texts by the templates in the program. */
-final class Pages {
-    private Pages() {}
+final class TemplateRenderer {
+    private TemplateRenderer() {}
 
     static String fill(String template, Map<String, Object> values) throws IOException {
         Configuration templates = new Configuration(Configuration.VERSION_2_3_34);
-        templates.setClassLoaderForTemplateLoading(Pages.class.getClassLoader(), "templates");
+        templates.setClassLoaderForTemplateLoading(
+                TemplateRenderer.class.getClassLoader(), "templates");
         templates.setDefaultEncoding("UTF-8");
         templates.setLocale(Locale.ROOT);
         StringWriter page = new StringWriter();
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -11,9 +11,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.Report;
+import sagepulley.accounts.LatencyReport;
 import sagepulley.config.HostPort;
-import sagepulley.monitoring.Watch;
+import sagepulley.monitoring.MonitoringServer;
 
 /** Shows a gateway's volumes and nodes live. */
 @Command(
@@ -60,11 +60,11 @@
                 System.out.println(answer);
                 return Commands.OK;
             }
-            Watch.View view =
+            MonitoringServer.View view =
                     JsonMapper.builder()
                             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                             .build()
-                            .readValue(answer, Watch.View.class);
+                            .readValue(answer, MonitoringServer.View.class);
             System.out.print((once ? "" : CLEAR) + text(view));
             if (once) {
                 return Commands.OK;
@@ -73,7 +73,7 @@
         }
     }
 
-    private String text(Watch.View view) {
+    private String text(MonitoringServer.View view) {
         StringBuilder text = new StringBuilder();
         text.append(
                 String.format(
@@ -88,19 +88,20 @@
                         "p99 ms",
                         "lost",
                         "waits mainly for"));
-        List<Report> volumes = new ArrayList<>(view.volumes());
+        List<LatencyReport> volumes = new ArrayList<>(view.volumes());
         volumes.sort(
-                Comparator.comparingDouble(Report::utilityLost)
-                        .thenComparingDouble(Report::units)
+                Comparator.comparingDouble(LatencyReport::utilityLost)
+                        .thenComparingDouble(LatencyReport::units)
                         .reversed());
-        for (Report report : volumes.stream().limit(rows).toList()) {
-            double p99 = report.plan().stream().mapToDouble(Report.PlanLine::p99).max().orElse(0);
-            Report.Charged main = report.main();
+        for (LatencyReport report : volumes.stream().limit(rows).toList()) {
+            double p99 =
+                    report.plan().stream().mapToDouble(LatencyReport.PlanLine::p99).max().orElse(0);
+            LatencyReport.Charged main = report.main();
             text.append(
                     String.format(
                             Locale.ROOT,
                             "%-20s %9.0f %9d %9d %9d %9.1f %9.1f  %s%n",
-                            Words.volume(report.volume(), view.names())
+                            AccountFormatter.volume(report.volume(), view.names())
                                     .replaceFirst("^volume ", ""),
                             report.units(),
                             report.met(),
@@ -110,11 +111,11 @@
                             report.utilityLost(),
                             main == null
                                     ? "-"
-                                    : Words.cause(main, view.names())
+                                    : AccountFormatter.cause(main, view.names())
                                             + ", "
                                             + Math.round(100 * main.share())
                                             + " %, confidence "
-                                            + Words.of(main.confidence())));
+                                            + AccountFormatter.of(main.confidence())));
         }
         text.append(
                 String.format(
@@ -149,7 +150,7 @@
                                             entry.getKey(),
                                             sum,
                                             100 * writes / Math.max(1e-9, sum),
-                                            Words.volume(most.getKey(), view.names()),
+                                            AccountFormatter.volume(most.getKey(), view.names()),
                                             100 * most.getValue()[0] / Math.max(1e-9, sum)));
                         });
         return text.toString();
--- a/src/main/java/sagepulley/cli/TruthCommand.java
+++ b/src/main/java/sagepulley/cli/TruthCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sagepulley.scenario.Truth;
+import sagepulley.scenario.AttributionExperiment;
 
 /** Holds the accounts against days whose causes are known. */
 @Command(
@@ -22,7 +22,7 @@
             split = ",",
             paramLabel = "KIND",
             description = "which days (default: all)")
-    private List<String> kinds = Truth.KINDS;
+    private List<String> kinds = AttributionExperiment.KINDS;
 
     @Option(
             names = "--seeds",
@@ -36,7 +36,7 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Truth.Row> rows = new ArrayList<>();
+        List<AttributionExperiment.Row> rows = new ArrayList<>();
         if (!json) {
             System.out.println(
                     "| day | seed | volume | right | named first | share | confidence | second | hit | false blame | rules |");
@@ -45,7 +45,7 @@
         }
         for (String kind : kinds) {
             for (int seed = 1; seed <= seeds; seed++) {
-                for (Truth.Row row : Truth.play(kind, seed)) {
+                for (AttributionExperiment.Row row : AttributionExperiment.play(kind, seed)) {
                     rows.add(row);
                     if (!json) {
                         System.out.printf(
@@ -56,7 +56,9 @@
                                 String.join(" or ", row.right()),
                                 row.named(),
                                 100 * row.share(),
-                                row.confidence() == null ? "-" : Words.of(row.confidence()),
+                                row.confidence() == null
+                                        ? "-"
+                                        : AccountFormatter.of(row.confidence()),
                                 row.second(),
                                 row.hit() ? "yes" : "NO",
                                 row.falseBlame() ? "YES" : "no",
@@ -70,18 +72,20 @@
         } else {
             System.out.printf(
                     "%d of %d hit, %d of them with high confidence, false blame %d%n",
-                    rows.stream().filter(Truth.Row::hit).count(),
+                    rows.stream().filter(AttributionExperiment.Row::hit).count(),
                     rows.size(),
                     rows.stream()
                             .filter(
                                     row ->
                                             row.hit()
                                                     && row.confidence()
-                                                            == sagepulley.accounts.Report.Confidence
-                                                                    .HIGH)
+                                                            == sagepulley.accounts.LatencyReport
+                                                                    .Confidence.HIGH)
                             .count(),
-                    rows.stream().filter(Truth.Row::falseBlame).count());
+                    rows.stream().filter(AttributionExperiment.Row::falseBlame).count());
         }
-        return rows.stream().anyMatch(Truth.Row::falseBlame) ? Commands.FAILED : Commands.OK;
+        return rows.stream().anyMatch(AttributionExperiment.Row::falseBlame)
+                ? Commands.FAILED
+                : Commands.OK;
     }
 }
--- a/src/main/java/sagepulley/codec/frame/Crc.java
+++ b/src/main/java/sagepulley/codec/frame/Crc32c.java
@@ -5,15 +5,15 @@
 import java.util.zip.CRC32C;
 
 /** CRC32C (RFC 3720, appendix B.4) over buffers, without copying them. */
-final class Crc {
+final class Crc32c {
     private final CRC32C sum = new CRC32C();
 
-    Crc start() {
+    Crc32c start() {
         sum.reset();
         return this;
     }
 
-    Crc add(ByteBuf bytes, int at, int length) {
+    Crc32c add(ByteBuf bytes, int at, int length) {
         if (length == 0) {
             return this;
         }
--- a/src/main/java/sagepulley/codec/frame/Alarm.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -9,7 +9,7 @@
  * Runs one task at the earliest of the times that were asked for; then it must be asked anew. On
  * the loop.
  */
-public final class Alarm {
+public final class EventLoopTimer {
     private static final double NS = 1e6;
     private static final long SHORTEST_NS = 1000;
 
@@ -20,7 +20,7 @@
     private double dueAt;
 
     /** The clock tells milliseconds. */
-    public Alarm(EventLoop loop, DoubleSupplier clock, Runnable task) {
+    public EventLoopTimer(EventLoop loop, DoubleSupplier clock, Runnable task) {
         this.loop = loop;
         this.clock = clock;
         this.task = task;
--- a/src/main/java/sagepulley/codec/frame/Loops.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoops.java
@@ -14,10 +14,10 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 
 /** Event loops and channels of the best kind that this machine has: epoll, else NIO. */
-public final class Loops {
+public final class EventLoops {
     private static final boolean EPOLL = Epoll.isAvailable();
 
-    private Loops() {}
+    private EventLoops() {}
 
     /** Loops whose threads bear the name and do not keep the program running. */
     public static EventLoopGroup group(int loops, String name) {
--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -4,9 +4,9 @@
 import io.netty.channel.ChannelHandlerContext;
 
 /** Reads frames; a frame that is malformed, too long or fails its checksum ends the connection. */
-public final class FrameDecoder extends PieceDecoder {
+public final class FrameDecoder extends SegmentDecoder {
     private final int longestPayload;
-    private final Crc crc = new Crc();
+    private final Crc32c crc = new Crc32c();
     private boolean inBody;
     private int type;
     private long id;
@@ -20,7 +20,8 @@
     }
 
     @Override
-    protected void piece(ChannelHandlerContext ctx, ByteBuf piece) throws BadBytes {
+    protected void piece(ChannelHandlerContext ctx, ByteBuf piece)
+            throws MalformedMessageException {
         if (inBody) {
             inBody = false;
             expect(Frame.PREFIX);
@@ -34,32 +35,33 @@
         }
     }
 
-    private void prefix(ByteBuf piece) throws BadBytes {
+    private void prefix(ByteBuf piece) throws MalformedMessageException {
         int magic = piece.getUnsignedShort(0);
         if (magic != Frame.MAGIC) {
-            throw new BadBytes("frame starts with 0x" + Integer.toHexString(magic));
+            throw new MalformedMessageException(
+                    "frame starts with 0x" + Integer.toHexString(magic));
         }
         if (piece.getByte(2) != Frame.VERSION) {
-            throw new BadBytes(
+            throw new MalformedMessageException(
                     "frame of version " + piece.getUnsignedByte(2) + ", known is " + Frame.VERSION);
         }
         if (crc.start().add(piece, piece.readerIndex(), Frame.PREFIX - 4).value()
                 != piece.getInt(20)) {
-            throw new BadBytes("frame prefix fails its checksum");
+            throw new MalformedMessageException("frame prefix fails its checksum");
         }
         type = piece.getUnsignedByte(3);
         headLength = piece.getInt(4);
         payloadLength = piece.getInt(8);
         id = piece.getLong(12);
         if (headLength < 0 || headLength > Frame.LONGEST_HEAD) {
-            throw new BadBytes(
+            throw new MalformedMessageException(
                     "frame head of "
                             + Integer.toUnsignedString(headLength)
                             + " bytes, at most "
                             + Frame.LONGEST_HEAD);
         }
         if (payloadLength < 0 || payloadLength > longestPayload) {
-            throw new BadBytes(
+            throw new MalformedMessageException(
                     "frame payload of "
                             + Integer.toUnsignedString(payloadLength)
                             + " bytes, at most "
@@ -69,12 +71,12 @@
         expect(headLength + payloadLength + Frame.SUFFIX);
     }
 
-    private void body(ChannelHandlerContext ctx, ByteBuf piece) throws BadBytes {
+    private void body(ChannelHandlerContext ctx, ByteBuf piece) throws MalformedMessageException {
         int length = headLength + payloadLength;
         int start = piece.readerIndex();
         if (crc.start().add(piece, start, length).value() != piece.getInt(start + length)) {
             piece.release();
-            throw new BadBytes("frame fails its checksum");
+            throw new MalformedMessageException("frame fails its checksum");
         }
         ByteBuf head = piece.readRetainedSlice(headLength);
         ByteBuf payload = piece.readRetainedSlice(payloadLength);
--- a/src/main/java/sagepulley/codec/frame/FrameEncoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameEncoder.java
@@ -7,7 +7,7 @@
 
 /** Writes frames; the payload goes out as it is. */
 public final class FrameEncoder extends ChannelOutboundHandlerAdapter {
-    private final Crc crc = new Crc();
+    private final Crc32c crc = new Crc32c();
 
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
--- a/src/main/java/sagepulley/codec/frame/Fields.java
+++ b/src/main/java/sagepulley/codec/frame/FrameFields.java
@@ -4,15 +4,15 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads and writes the fields of a frame's head that several protocols share. */
-public final class Fields {
+public final class FrameFields {
     private static final int LONGEST_NAME = 255;
 
-    private Fields() {}
+    private FrameFields() {}
 
     /** The frame's head, of which at least so many bytes must be there. */
-    public static ByteBuf need(Frame frame, int bytes) throws BadBytes {
+    public static ByteBuf need(Frame frame, int bytes) throws MalformedMessageException {
         if (frame.head().readableBytes() < bytes) {
-            throw new BadBytes(
+            throw new MalformedMessageException(
                     "message "
                             + frame.type()
                             + " has "
@@ -32,10 +32,10 @@
         return to.writeByte(length).writeBytes(bytes, 0, length);
     }
 
-    public static String string(ByteBuf from) throws BadBytes {
+    public static String string(ByteBuf from) throws MalformedMessageException {
         int length = from.isReadable() ? from.readUnsignedByte() : -1;
         if (length < 0 || from.readableBytes() < length) {
-            throw new BadBytes("a name is cut off");
+            throw new MalformedMessageException("a name is cut off");
         }
         return from.readCharSequence(length, StandardCharsets.UTF_8).toString();
     }
--- a/src/main/java/sagepulley/codec/frame/PieceDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -12,7 +12,7 @@
  * without copying: a piece is a slice of what the socket delivered, or several in a row. Nothing is
  * kept that was not asked for, but for what one read of the socket delivered beyond it.
  */
-public abstract class PieceDecoder extends ChannelInboundHandlerAdapter {
+public abstract class SegmentDecoder extends ChannelInboundHandlerAdapter {
     private final ArrayDeque<ByteBuf> unread = new ArrayDeque<>(2);
     private ByteBuf gathered;
     private long need = -1;
@@ -26,7 +26,8 @@
      * The piece that was expected; empty after a skip. The subclass owns it and must say what comes
      * next.
      */
-    protected abstract void piece(ChannelHandlerContext ctx, ByteBuf piece) throws BadBytes;
+    protected abstract void piece(ChannelHandlerContext ctx, ByteBuf piece)
+            throws MalformedMessageException;
 
     /** The next piece has so many bytes, which are kept until all are there. */
     protected final void expect(int bytes) {
@@ -112,7 +113,7 @@
                     unread.poll().release();
                 }
             }
-        } catch (BadBytes bad) {
+        } catch (MalformedMessageException bad) {
             end();
             ctx.fireExceptionCaught(bad);
         } finally {
@@ -120,7 +121,7 @@
         }
     }
 
-    private void deliver(ChannelHandlerContext ctx) throws BadBytes {
+    private void deliver(ChannelHandlerContext ctx) throws MalformedMessageException {
         ByteBuf piece = gathered == null ? Unpooled.EMPTY_BUFFER : gathered;
         gathered = null;
         need = -1;
--- a/src/main/java/sagepulley/codec/nbd/Gate.java
+++ b/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
@@ -1,7 +1,7 @@
 package sagepulley.codec.nbd;
 
 /** Says whether a connection may take another request into its hands. */
-public interface Gate {
+public interface AdmissionGate {
     /**
      * Counts so many bytes (payload to come, or data asked for) and tells true; or tells false and
      * calls later, on any thread, once it is worth asking again.
--- a/src/main/java/sagepulley/codec/nbd/Attached.java
+++ b/src/main/java/sagepulley/codec/nbd/AttachedExport.java
@@ -1,4 +1,4 @@
 package sagepulley.codec.nbd;
 
 /** The handshake ended well: from here on the client reads and writes this export. */
-public record Attached(Export export, boolean structured, boolean baseAllocation) {}
+public record AttachedExport(Export export, boolean structured, boolean baseAllocation) {}
--- a/src/main/java/sagepulley/codec/nbd/Export.java
+++ b/src/main/java/sagepulley/codec/nbd/Export.java
@@ -17,11 +17,14 @@
 
     /** The transmission flags, 'Transmission flags'. */
     public int flags(boolean structured) {
-        int flags = Nbd.HAS_FLAGS | Nbd.SEND_FLUSH | Nbd.SEND_FUA;
-        flags |= readOnly ? Nbd.READ_ONLY : Nbd.SEND_TRIM | Nbd.SEND_WRITE_ZEROES;
+        int flags = NbdConstants.HAS_FLAGS | NbdConstants.SEND_FLUSH | NbdConstants.SEND_FUA;
+        flags |=
+                readOnly
+                        ? NbdConstants.READ_ONLY
+                        : NbdConstants.SEND_TRIM | NbdConstants.SEND_WRITE_ZEROES;
         if (structured) {
-            flags |= Nbd.SEND_DF;
+            flags |= NbdConstants.SEND_DF;
         }
-        return multiConn ? flags | Nbd.CAN_MULTI_CONN : flags;
+        return multiConn ? flags | NbdConstants.CAN_MULTI_CONN : flags;
     }
 }
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /** The server's side of fixed newstyle negotiation ('Negotiation' of the protocol text). */
 final class Handshake extends ChannelInboundHandlerAdapter {
@@ -40,9 +40,10 @@
         ctx.writeAndFlush(
                 ctx.alloc()
                         .ioBuffer(18)
-                        .writeLong(Nbd.NBDMAGIC)
-                        .writeLong(Nbd.IHAVEOPT)
-                        .writeShort(Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES));
+                        .writeLong(NbdConstants.NBDMAGIC)
+                        .writeLong(NbdConstants.IHAVEOPT)
+                        .writeShort(
+                                NbdConstants.FLAG_FIXED_NEWSTYLE | NbdConstants.FLAG_NO_ZEROES));
         ctx.fireChannelActive();
     }
 
@@ -53,9 +54,10 @@
         } else if (message instanceof Integer flags) {
             clientFlags = flags;
             // 'Client flags': an unknown flag ends the session.
-            if ((flags & ~(Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES)) != 0) {
+            if ((flags & ~(NbdConstants.FLAG_FIXED_NEWSTYLE | NbdConstants.FLAG_NO_ZEROES)) != 0) {
                 ctx.fireExceptionCaught(
-                        new BadBytes("client flags 0x" + Integer.toHexString(flags)));
+                        new MalformedMessageException(
+                                "client flags 0x" + Integer.toHexString(flags)));
             }
         } else {
             NbdOption option = (NbdOption) message;
@@ -72,37 +74,38 @@
     private void answer(ChannelHandlerContext ctx, NbdOption option) {
         int code = option.code();
         if (++options > MOST_OPTIONS) {
-            ctx.fireExceptionCaught(new BadBytes("more than " + MOST_OPTIONS + " options"));
+            ctx.fireExceptionCaught(
+                    new MalformedMessageException("more than " + MOST_OPTIONS + " options"));
             return;
         }
         if (option.data() == null) {
-            refuse(ctx, code, Nbd.REP_ERR_TOO_BIG, "the option's data is too long");
+            refuse(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "the option's data is too long");
             return;
         }
         switch (code) {
-            case Nbd.OPT_EXPORT_NAME -> exportName(ctx, option.data());
-            case Nbd.OPT_ABORT -> {
+            case NbdConstants.OPT_EXPORT_NAME -> exportName(ctx, option.data());
+            case NbdConstants.OPT_ABORT -> {
                 over = true;
-                reply(ctx, code, Nbd.REP_ACK, Unpooled.EMPTY_BUFFER)
+                reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER)
                         .addListener(ChannelFutureListener.CLOSE);
             }
-            case Nbd.OPT_LIST -> list(ctx, option.data());
-            case Nbd.OPT_INFO, Nbd.OPT_GO -> info(ctx, code, option.data());
-            case Nbd.OPT_STRUCTURED_REPLY -> {
+            case NbdConstants.OPT_LIST -> list(ctx, option.data());
+            case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> info(ctx, code, option.data());
+            case NbdConstants.OPT_STRUCTURED_REPLY -> {
                 if (option.data().isReadable()) {
-                    refuse(ctx, code, Nbd.REP_ERR_INVALID, "this option has no data");
+                    refuse(ctx, code, NbdConstants.REP_ERR_INVALID, "this option has no data");
                 } else {
                     structured = true;
-                    reply(ctx, code, Nbd.REP_ACK, Unpooled.EMPTY_BUFFER);
+                    reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
                 }
             }
-            case Nbd.OPT_LIST_META_CONTEXT, Nbd.OPT_SET_META_CONTEXT ->
+            case NbdConstants.OPT_LIST_META_CONTEXT, NbdConstants.OPT_SET_META_CONTEXT ->
                     meta(ctx, code, option.data());
             default ->
                     refuse(
                             ctx,
                             code,
-                            Nbd.REP_ERR_UNSUP,
+                            NbdConstants.REP_ERR_UNSUP,
                             "option " + Integer.toUnsignedString(code) + " is not known here");
         }
     }
@@ -111,7 +114,7 @@
     private void exportName(ChannelHandlerContext ctx, ByteBuf data) {
         Export export = exports.named(data.toString(StandardCharsets.UTF_8));
         if (export == null) {
-            ctx.fireExceptionCaught(new BadBytes("no such export"));
+            ctx.fireExceptionCaught(new MalformedMessageException("no such export"));
             return;
         }
         ByteBuf reply =
@@ -119,7 +122,7 @@
                         .ioBuffer(10 + ZEROES)
                         .writeLong(export.size())
                         .writeShort(export.flags(structured));
-        if ((clientFlags & Nbd.FLAG_NO_ZEROES) == 0) {
+        if ((clientFlags & NbdConstants.FLAG_NO_ZEROES) == 0) {
             reply.writeZero(ZEROES);
         }
         ctx.writeAndFlush(reply);
@@ -128,7 +131,11 @@
 
     private void list(ChannelHandlerContext ctx, ByteBuf data) {
         if (data.isReadable()) {
-            refuse(ctx, Nbd.OPT_LIST, Nbd.REP_ERR_INVALID, "this option has no data");
+            refuse(
+                    ctx,
+                    NbdConstants.OPT_LIST,
+                    NbdConstants.REP_ERR_INVALID,
+                    "this option has no data");
             return;
         }
         for (Export export : exports.all()) {
@@ -136,64 +143,76 @@
             byte[] text = export.description().getBytes(StandardCharsets.UTF_8);
             reply(
                     ctx,
-                    Nbd.OPT_LIST,
-                    Nbd.REP_SERVER,
+                    NbdConstants.OPT_LIST,
+                    NbdConstants.REP_SERVER,
                     ctx.alloc().ioBuffer().writeInt(name.length).writeBytes(name).writeBytes(text));
         }
-        reply(ctx, Nbd.OPT_LIST, Nbd.REP_ACK, Unpooled.EMPTY_BUFFER);
+        reply(ctx, NbdConstants.OPT_LIST, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
     private void info(ChannelHandlerContext ctx, int code, ByteBuf data) {
         String name = string(data);
         if (name == null || data.readableBytes() < 2) {
-            refuse(ctx, code, Nbd.REP_ERR_INVALID, "the option's data is cut off");
+            refuse(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
             return;
         }
         int wanted = data.readUnsignedShort();
         if (data.readableBytes() != 2 * wanted) {
-            refuse(ctx, code, Nbd.REP_ERR_INVALID, "the number of information requests is wrong");
+            refuse(
+                    ctx,
+                    code,
+                    NbdConstants.REP_ERR_INVALID,
+                    "the number of information requests is wrong");
             return;
         }
         Export export = exports.named(name);
         if (export == null) {
-            refuse(ctx, code, Nbd.REP_ERR_UNKNOWN, "no such export");
+            refuse(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
         boolean wantsName = false;
         boolean wantsText = false;
         while (data.isReadable()) {
             int kind = data.readUnsignedShort();
-            wantsName |= kind == Nbd.INFO_NAME;
-            wantsText |= kind == Nbd.INFO_DESCRIPTION;
+            wantsName |= kind == NbdConstants.INFO_NAME;
+            wantsText |= kind == NbdConstants.INFO_DESCRIPTION;
         }
         reply(
                 ctx,
                 code,
-                Nbd.REP_INFO,
+                NbdConstants.REP_INFO,
                 ctx.alloc()
                         .ioBuffer()
-                        .writeShort(Nbd.INFO_EXPORT)
+                        .writeShort(NbdConstants.INFO_EXPORT)
                         .writeLong(export.size())
                         .writeShort(export.flags(structured)));
         // A server with limits should tell them even when not asked; it then serves any client.
         reply(
                 ctx,
                 code,
-                Nbd.REP_INFO,
+                NbdConstants.REP_INFO,
                 ctx.alloc()
                         .ioBuffer()
-                        .writeShort(Nbd.INFO_BLOCK_SIZE)
+                        .writeShort(NbdConstants.INFO_BLOCK_SIZE)
                         .writeInt(export.leastBlock())
                         .writeInt(export.preferredBlock())
                         .writeInt(export.mostBlock()));
         if (wantsName) {
-            reply(ctx, code, Nbd.REP_INFO, text(ctx, Nbd.INFO_NAME, export.name()));
+            reply(
+                    ctx,
+                    code,
+                    NbdConstants.REP_INFO,
+                    text(ctx, NbdConstants.INFO_NAME, export.name()));
         }
         if (wantsText) {
-            reply(ctx, code, Nbd.REP_INFO, text(ctx, Nbd.INFO_DESCRIPTION, export.description()));
+            reply(
+                    ctx,
+                    code,
+                    NbdConstants.REP_INFO,
+                    text(ctx, NbdConstants.INFO_DESCRIPTION, export.description()));
         }
-        reply(ctx, code, Nbd.REP_ACK, Unpooled.EMPTY_BUFFER);
-        if (code == Nbd.OPT_GO) {
+        reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
+        if (code == NbdConstants.OPT_GO) {
             attach(ctx, export);
         }
     }
@@ -205,7 +224,7 @@
     }
 
     private void meta(ChannelHandlerContext ctx, int code, ByteBuf data) {
-        boolean set = code == Nbd.OPT_SET_META_CONTEXT;
+        boolean set = code == NbdConstants.OPT_SET_META_CONTEXT;
         if (set) {
             metaExport = null; // whatever the answer, an earlier choice is gone
         }
@@ -222,37 +241,46 @@
             whole &= !data.isReadable();
         }
         if (!whole) {
-            refuse(ctx, code, Nbd.REP_ERR_INVALID, "the option's data is cut off or too long");
+            refuse(
+                    ctx,
+                    code,
+                    NbdConstants.REP_ERR_INVALID,
+                    "the option's data is cut off or too long");
             return;
         }
         if (!structured) {
-            refuse(ctx, code, Nbd.REP_ERR_INVALID, "structured replies must be chosen first");
+            refuse(
+                    ctx,
+                    code,
+                    NbdConstants.REP_ERR_INVALID,
+                    "structured replies must be chosen first");
             return;
         }
         Export export = exports.named(name);
         if (export == null) {
-            refuse(ctx, code, Nbd.REP_ERR_UNKNOWN, "no such export");
+            refuse(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
         boolean chosen =
-                queries.contains(Nbd.BASE_ALLOCATION)
+                queries.contains(NbdConstants.BASE_ALLOCATION)
                         || !set && (queries.isEmpty() || queries.contains("base:"));
         if (chosen) {
-            ByteBuf reply = ctx.alloc().ioBuffer().writeInt(set ? Nbd.BASE_ALLOCATION_ID : 0);
-            ByteBufUtil.writeUtf8(reply, Nbd.BASE_ALLOCATION);
-            reply(ctx, code, Nbd.REP_META_CONTEXT, reply);
+            ByteBuf reply =
+                    ctx.alloc().ioBuffer().writeInt(set ? NbdConstants.BASE_ALLOCATION_ID : 0);
+            ByteBufUtil.writeUtf8(reply, NbdConstants.BASE_ALLOCATION);
+            reply(ctx, code, NbdConstants.REP_META_CONTEXT, reply);
             if (set) {
                 metaExport = export.name();
             }
         }
-        reply(ctx, code, Nbd.REP_ACK, Unpooled.EMPTY_BUFFER);
+        reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
     private void attach(ChannelHandlerContext ctx, Export export) {
         over = true;
         decoder.startTransmission(export.mostBlock());
         ctx.fireUserEventTriggered(
-                new Attached(export, structured, export.name().equals(metaExport)));
+                new AttachedExport(export, structured, export.name().equals(metaExport)));
     }
 
     /**
@@ -263,7 +291,7 @@
             return null;
         }
         long length = data.readUnsignedInt();
-        if (length > Nbd.LONGEST_STRING || length > data.readableBytes()) {
+        if (length > NbdConstants.LONGEST_STRING || length > data.readableBytes()) {
             return null;
         }
         return data.readCharSequence((int) length, StandardCharsets.UTF_8).toString();
@@ -278,7 +306,7 @@
         ctx.write(
                 ctx.alloc()
                         .ioBuffer(20)
-                        .writeLong(Nbd.OPTION_REPLY_MAGIC)
+                        .writeLong(NbdConstants.OPTION_REPLY_MAGIC)
                         .writeInt(option)
                         .writeInt(type)
                         .writeInt(data.readableBytes()));
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
-import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /**
  * A client's connection to one export: fixed newstyle, structured replies and base:allocation where
@@ -150,11 +150,11 @@
     }
 
     public CompletableFuture<NbdReply> read(long offset, int length) {
-        return ask(Nbd.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
+        return ask(NbdConstants.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
     }
 
     public CompletableFuture<NbdReply> write(long offset, byte[] data) {
-        return ask(Nbd.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
+        return ask(NbdConstants.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
     }
 
     /** Says goodbye (NBD_CMD_DISC) and closes; what is still out gets no reply. */
@@ -162,7 +162,7 @@
         channel.eventLoop()
                 .execute(
                         () -> {
-                            channel.writeAndFlush(request(Nbd.CMD_DISC, 0, 0, 0, 0))
+                            channel.writeAndFlush(request(NbdConstants.CMD_DISC, 0, 0, 0, 0))
                                     .addListener(done -> channel.close());
                         });
         return closed;
@@ -176,7 +176,9 @@
             return;
         }
         long cookie = ++lastCookie;
-        asked.put(cookie, new Asked(command == Nbd.CMD_READ ? length : 0, new NbdReply(), ended));
+        asked.put(
+                cookie,
+                new Asked(command == NbdConstants.CMD_READ ? length : 0, new NbdReply(), ended));
         channel.write(request(command, commandFlags, cookie, offset, length));
         channel.writeAndFlush(payload);
     }
@@ -184,7 +186,7 @@
     private ByteBuf request(int command, int commandFlags, long cookie, long offset, int length) {
         return channel.alloc()
                 .ioBuffer(28)
-                .writeInt(Nbd.REQUEST_MAGIC)
+                .writeInt(NbdConstants.REQUEST_MAGIC)
                 .writeShort(commandFlags)
                 .writeShort(command)
                 .writeLong(cookie)
@@ -227,7 +229,7 @@
                     request.reply()
                             .pieces
                             .add(
-                                    new NbdReply.Piece(
+                                    new NbdReply.Chunk(
                                             0, simple.data().readableBytes(), simple.data()));
                 } else {
                     simple.data().release();
@@ -245,81 +247,90 @@
                                 .ioBuffer(4)
                                 .writeInt(
                                         (Integer) message
-                                                & (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES)));
+                                                & (NbdConstants.FLAG_FIXED_NEWSTYLE
+                                                        | NbdConstants.FLAG_NO_ZEROES)));
                 if (style == Style.EXPORT_NAME) {
-                    decoder.expectExport(((Integer) message & Nbd.FLAG_NO_ZEROES) == 0);
-                    option(ctx, Nbd.OPT_EXPORT_NAME, ByteBufUtil.writeUtf8(ctx.alloc(), export));
+                    decoder.expectExport(((Integer) message & NbdConstants.FLAG_NO_ZEROES) == 0);
+                    option(
+                            ctx,
+                            NbdConstants.OPT_EXPORT_NAME,
+                            ByteBufUtil.writeUtf8(ctx.alloc(), export));
                 } else if (style == Style.GO_SIMPLE) {
                     go(ctx);
                 } else {
-                    option(ctx, Nbd.OPT_STRUCTURED_REPLY, Unpooled.EMPTY_BUFFER);
+                    option(ctx, NbdConstants.OPT_STRUCTURED_REPLY, Unpooled.EMPTY_BUFFER);
                 }
             }
         }
 
         private void optionReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
-                throws BadBytes {
+                throws MalformedMessageException {
             boolean failed = reply.type() < 0;
             switch (reply.option()) {
-                case Nbd.OPT_EXPORT_NAME -> {
+                case NbdConstants.OPT_EXPORT_NAME -> {
                     size = reply.data().readLong();
                     flags = reply.data().readUnsignedShort();
                     opened.complete(NbdClient.this);
                 }
-                case Nbd.OPT_STRUCTURED_REPLY -> {
+                case NbdConstants.OPT_STRUCTURED_REPLY -> {
                     structured = !failed;
                     if (structured) {
                         ByteBuf data = ctx.alloc().ioBuffer();
                         string(data, export);
-                        string(data.writeInt(1), Nbd.BASE_ALLOCATION);
-                        option(ctx, Nbd.OPT_SET_META_CONTEXT, data);
+                        string(data.writeInt(1), NbdConstants.BASE_ALLOCATION);
+                        option(ctx, NbdConstants.OPT_SET_META_CONTEXT, data);
                     } else {
                         go(ctx);
                     }
                 }
-                case Nbd.OPT_SET_META_CONTEXT -> {
-                    if (reply.type() == Nbd.REP_META_CONTEXT) {
+                case NbdConstants.OPT_SET_META_CONTEXT -> {
+                    if (reply.type() == NbdConstants.REP_META_CONTEXT) {
                         baseAllocation = true;
                     } else {
                         go(ctx);
                     }
                 }
-                case Nbd.OPT_GO -> {
+                case NbdConstants.OPT_GO -> {
                     if (failed) {
                         opened.completeExceptionally(
                                 new IOException(
                                         "the server refuses: "
                                                 + reply.data().toString(StandardCharsets.UTF_8)));
                         ctx.close();
-                    } else if (reply.type() == Nbd.REP_INFO) {
+                    } else if (reply.type() == NbdConstants.REP_INFO) {
                         info(reply.data());
                     } else {
                         decoder.startTransmission();
                         opened.complete(NbdClient.this);
                     }
                 }
-                default -> throw new BadBytes("reply to option " + reply.option());
+                default -> throw new MalformedMessageException("reply to option " + reply.option());
             }
         }
 
-        private void info(ByteBuf data) throws BadBytes {
+        private void info(ByteBuf data) throws MalformedMessageException {
             int kind = data.readableBytes() < 2 ? -1 : data.readUnsignedShort();
-            if (kind == Nbd.INFO_EXPORT && data.readableBytes() == 10) {
+            if (kind == NbdConstants.INFO_EXPORT && data.readableBytes() == 10) {
                 size = data.readLong();
                 flags = data.readUnsignedShort();
-            } else if (kind == Nbd.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
+            } else if (kind == NbdConstants.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
                 leastBlock = data.readInt();
                 data.readInt();
                 mostBlock = data.readInt();
-            } else if (kind == -1 || kind == Nbd.INFO_EXPORT || kind == Nbd.INFO_BLOCK_SIZE) {
-                throw new BadBytes("malformed information");
+            } else if (kind == -1
+                    || kind == NbdConstants.INFO_EXPORT
+                    || kind == NbdConstants.INFO_BLOCK_SIZE) {
+                throw new MalformedMessageException("malformed information");
             }
         }
 
         private void go(ChannelHandlerContext ctx) {
             ByteBuf data = ctx.alloc().ioBuffer();
             string(data, export);
-            option(ctx, Nbd.OPT_GO, data.writeShort(1).writeShort(Nbd.INFO_BLOCK_SIZE));
+            option(
+                    ctx,
+                    NbdConstants.OPT_GO,
+                    data.writeShort(1).writeShort(NbdConstants.INFO_BLOCK_SIZE));
         }
 
         private void string(ByteBuf to, String text) {
@@ -331,7 +342,7 @@
             ctx.write(
                     ctx.alloc()
                             .ioBuffer(16)
-                            .writeLong(Nbd.IHAVEOPT)
+                            .writeLong(NbdConstants.IHAVEOPT)
                             .writeInt(code)
                             .writeInt(data.readableBytes()));
             ctx.writeAndFlush(data);
@@ -341,18 +352,18 @@
             Asked request = asked.get(chunk.cookie());
             NbdReply reply = request.reply();
             switch (chunk.type()) {
-                case Nbd.CHUNK_OFFSET_DATA ->
+                case NbdConstants.CHUNK_OFFSET_DATA ->
                         reply.pieces.add(
-                                new NbdReply.Piece(
+                                new NbdReply.Chunk(
                                         chunk.offset(),
                                         chunk.data().readableBytes(),
                                         chunk.data()));
-                case Nbd.CHUNK_OFFSET_HOLE -> {
+                case NbdConstants.CHUNK_OFFSET_HOLE -> {
                     reply.pieces.add(
-                            new NbdReply.Piece(chunk.offset(), chunk.data().readInt(), null));
+                            new NbdReply.Chunk(chunk.offset(), chunk.data().readInt(), null));
                     chunk.data().release();
                 }
-                case Nbd.CHUNK_BLOCK_STATUS -> {
+                case NbdConstants.CHUNK_BLOCK_STATUS -> {
                     chunk.data().readInt();
                     List<Integer> blocks = new ArrayList<>();
                     while (chunk.data().readableBytes() >= 4) {
@@ -361,7 +372,7 @@
                     reply.blocks = blocks.stream().mapToInt(Integer::intValue).toArray();
                     chunk.data().release();
                 }
-                case Nbd.CHUNK_NONE -> chunk.data().release();
+                case NbdConstants.CHUNK_NONE -> chunk.data().release();
                 default -> {
                     if (reply.error == 0) {
                         reply.error = chunk.error();
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -3,13 +3,13 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import java.nio.charset.StandardCharsets;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.PieceDecoder;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.codec.frame.SegmentDecoder;
 
 /**
  * What a server sends, cut into its messages; the client says of each cookie how long its data is.
  */
-final class NbdClientDecoder extends PieceDecoder {
+final class NbdClientDecoder extends SegmentDecoder {
     private static final int LONGEST_OPTION_REPLY = 64 << 10;
     private static final int LONGEST_CHUNK = (64 << 20) + 64;
 
@@ -75,26 +75,28 @@
     }
 
     @Override
-    protected void piece(ChannelHandlerContext ctx, ByteBuf piece) throws BadBytes {
+    protected void piece(ChannelHandlerContext ctx, ByteBuf piece)
+            throws MalformedMessageException {
         switch (phase) {
             case GREETING -> {
                 boolean known =
-                        piece.readLong() == Nbd.NBDMAGIC && piece.readLong() == Nbd.IHAVEOPT;
+                        piece.readLong() == NbdConstants.NBDMAGIC
+                                && piece.readLong() == NbdConstants.IHAVEOPT;
                 int flags = piece.readUnsignedShort();
                 piece.release();
-                if (!known || (flags & Nbd.FLAG_FIXED_NEWSTYLE) == 0) {
-                    throw new BadBytes("not a server of fixed newstyle");
+                if (!known || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
+                    throw new MalformedMessageException("not a server of fixed newstyle");
                 }
                 next(Phase.OPTION, 20);
                 ctx.fireChannelRead(flags);
             }
             case OPTION -> {
-                boolean known = piece.readLong() == Nbd.OPTION_REPLY_MAGIC;
+                boolean known = piece.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
                 option = new OptionReply(piece.readInt(), piece.readInt(), null);
                 int length = piece.readInt();
                 piece.release();
                 if (!known || length < 0 || length > LONGEST_OPTION_REPLY) {
-                    throw new BadBytes("malformed option reply");
+                    throw new MalformedMessageException("malformed option reply");
                 }
                 next(Phase.OPTION_DATA, length);
             }
@@ -104,17 +106,19 @@
             }
             case EXPORT -> {
                 startTransmission();
-                ctx.fireChannelRead(new OptionReply(Nbd.OPT_EXPORT_NAME, Nbd.REP_ACK, piece));
+                ctx.fireChannelRead(
+                        new OptionReply(NbdConstants.OPT_EXPORT_NAME, NbdConstants.REP_ACK, piece));
             }
             case MAGIC -> {
                 int magic = piece.readInt();
                 piece.release();
-                if (magic == Nbd.SIMPLE_REPLY_MAGIC) {
+                if (magic == NbdConstants.SIMPLE_REPLY_MAGIC) {
                     next(Phase.SIMPLE, 12);
-                } else if (magic == Nbd.STRUCTURED_REPLY_MAGIC) {
+                } else if (magic == NbdConstants.STRUCTURED_REPLY_MAGIC) {
                     next(Phase.CHUNK, 16);
                 } else {
-                    throw new BadBytes("reply starts with 0x" + Integer.toHexString(magic));
+                    throw new MalformedMessageException(
+                            "reply starts with 0x" + Integer.toHexString(magic));
                 }
             }
             case SIMPLE -> {
@@ -123,7 +127,7 @@
                 piece.release();
                 int length = expected.dataLength(cookie);
                 if (length < 0) {
-                    throw new BadBytes("reply to unknown cookie " + cookie);
+                    throw new MalformedMessageException("reply to unknown cookie " + cookie);
                 }
                 simple = new Simple(cookie, error, null);
                 next(Phase.SIMPLE_DATA, error == 0 ? length : 0);
@@ -139,13 +143,21 @@
                 int length = piece.readInt();
                 piece.release();
                 if (length < 0 || length > LONGEST_CHUNK || expected.dataLength(cookie) < 0) {
-                    throw new BadBytes(
+                    throw new MalformedMessageException(
                             "chunk of "
                                     + Integer.toUnsignedString(length)
                                     + " bytes for cookie "
                                     + cookie);
                 }
-                chunk = new Chunk((flags & Nbd.CHUNK_DONE) != 0, type, cookie, -1, 0, "", null);
+                chunk =
+                        new Chunk(
+                                (flags & NbdConstants.CHUNK_DONE) != 0,
+                                type,
+                                cookie,
+                                -1,
+                                0,
+                                "",
+                                null);
                 next(Phase.CHUNK_DATA, length);
             }
             case CHUNK_DATA -> {
@@ -155,15 +167,15 @@
         }
     }
 
-    private Chunk whole(ByteBuf piece) throws BadBytes {
+    private Chunk whole(ByteBuf piece) throws MalformedMessageException {
         int type = chunk.type();
         int least =
                 switch (type) {
-                    case Nbd.CHUNK_NONE -> 0;
-                    case Nbd.CHUNK_OFFSET_DATA -> 9;
-                    case Nbd.CHUNK_OFFSET_HOLE, Nbd.CHUNK_BLOCK_STATUS -> 12;
-                    case Nbd.CHUNK_ERROR -> 6;
-                    case Nbd.CHUNK_ERROR_OFFSET -> 14;
+                    case NbdConstants.CHUNK_NONE -> 0;
+                    case NbdConstants.CHUNK_OFFSET_DATA -> 9;
+                    case NbdConstants.CHUNK_OFFSET_HOLE, NbdConstants.CHUNK_BLOCK_STATUS -> 12;
+                    case NbdConstants.CHUNK_ERROR -> 6;
+                    case NbdConstants.CHUNK_ERROR_OFFSET -> 14;
                     default -> -1;
                 };
         boolean error = (type & 0x8000) != 0;
@@ -172,26 +184,28 @@
                 least >= 0
                         && size >= least
                         && (error
-                                || type == Nbd.CHUNK_OFFSET_DATA
-                                || type == Nbd.CHUNK_BLOCK_STATUS
+                                || type == NbdConstants.CHUNK_OFFSET_DATA
+                                || type == NbdConstants.CHUNK_BLOCK_STATUS
                                 || size == least);
         if (fits && error) {
             fits = size == least + piece.getUnsignedShort(piece.readerIndex() + 4);
         }
         if (!fits) {
             piece.release();
-            throw new BadBytes("chunk of type " + type + " with " + size + " bytes");
+            throw new MalformedMessageException(
+                    "chunk of type " + type + " with " + size + " bytes");
         }
         if (error) {
             int number = piece.readInt();
             String message =
                     piece.readCharSequence(piece.readUnsignedShort(), StandardCharsets.UTF_8)
                             .toString();
-            long offset = type == Nbd.CHUNK_ERROR_OFFSET ? piece.readLong() : -1;
+            long offset = type == NbdConstants.CHUNK_ERROR_OFFSET ? piece.readLong() : -1;
             piece.release();
             return new Chunk(chunk.done(), type, chunk.cookie(), offset, number, message, null);
         }
-        boolean placed = type == Nbd.CHUNK_OFFSET_DATA || type == Nbd.CHUNK_OFFSET_HOLE;
+        boolean placed =
+                type == NbdConstants.CHUNK_OFFSET_DATA || type == NbdConstants.CHUNK_OFFSET_HOLE;
         return new Chunk(
                 chunk.done(), type, chunk.cookie(), placed ? piece.readLong() : -1, 0, "", piece);
     }
--- a/src/main/java/sagepulley/codec/nbd/Nbd.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdConstants.java
@@ -1,7 +1,7 @@
 package sagepulley.codec.nbd;
 
 /** Numbers of the NBD protocol text, by its names ('Values'). */
-public final class Nbd {
+public final class NbdConstants {
     public static final long NBDMAGIC = 0x4e42444d41474943L;
     public static final long IHAVEOPT = 0x49484156454f5054L;
     public static final long OPTION_REPLY_MAGIC = 0x3e889045565a9L;
@@ -89,5 +89,5 @@
     /** The longest name or message that the text allows in bytes. */
     public static final int LONGEST_STRING = 4096;
 
-    private Nbd() {}
+    private NbdConstants() {}
 }
--- a/src/main/java/sagepulley/codec/nbd/Replies.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReplies.java
@@ -9,15 +9,15 @@
  * Writes replies of the transmission phase ('Simple reply message', 'Structured reply chunk
  * message') to a channel. Nothing is flushed here. Payloads change hands.
  */
-public final class Replies {
-    private Replies() {}
+public final class NbdReplies {
+    private NbdReplies() {}
 
     /** A simple reply; the data is empty but for a read that went well. */
     public static ChannelFuture simple(Channel channel, long cookie, int error, ByteBuf data) {
         ByteBuf head =
                 channel.alloc()
                         .ioBuffer(16)
-                        .writeInt(Nbd.SIMPLE_REPLY_MAGIC)
+                        .writeInt(NbdConstants.SIMPLE_REPLY_MAGIC)
                         .writeInt(error)
                         .writeLong(cookie);
         return withData(channel, head, data);
@@ -25,7 +25,8 @@
 
     /** The last chunk of a request that went well. */
     public static ChannelFuture done(Channel channel, long cookie) {
-        return channel.write(chunk(channel, Nbd.CHUNK_DONE, Nbd.CHUNK_NONE, cookie, 0));
+        return channel.write(
+                chunk(channel, NbdConstants.CHUNK_DONE, NbdConstants.CHUNK_NONE, cookie, 0));
     }
 
     /** Data at an offset of the export. */
@@ -34,8 +35,8 @@
         ByteBuf head =
                 chunk(
                                 channel,
-                                last ? Nbd.CHUNK_DONE : 0,
-                                Nbd.CHUNK_OFFSET_DATA,
+                                last ? NbdConstants.CHUNK_DONE : 0,
+                                NbdConstants.CHUNK_OFFSET_DATA,
                                 cookie,
                                 8 + data.readableBytes())
                         .writeLong(offset);
@@ -46,7 +47,12 @@
     public static ChannelFuture hole(
             Channel channel, long cookie, long offset, int length, boolean last) {
         return channel.write(
-                chunk(channel, last ? Nbd.CHUNK_DONE : 0, Nbd.CHUNK_OFFSET_HOLE, cookie, 12)
+                chunk(
+                                channel,
+                                last ? NbdConstants.CHUNK_DONE : 0,
+                                NbdConstants.CHUNK_OFFSET_HOLE,
+                                cookie,
+                                12)
                         .writeLong(offset)
                         .writeInt(length));
     }
@@ -55,8 +61,13 @@
     public static ChannelFuture blockStatus(
             Channel channel, long cookie, int[] lengthsAndFlags, int count) {
         ByteBuf head =
-                chunk(channel, Nbd.CHUNK_DONE, Nbd.CHUNK_BLOCK_STATUS, cookie, 4 + 4 * count)
-                        .writeInt(Nbd.BASE_ALLOCATION_ID);
+                chunk(
+                                channel,
+                                NbdConstants.CHUNK_DONE,
+                                NbdConstants.CHUNK_BLOCK_STATUS,
+                                cookie,
+                                4 + 4 * count)
+                        .writeInt(NbdConstants.BASE_ALLOCATION_ID);
         for (int i = 0; i < count; i++) {
             head.writeInt(lengthsAndFlags[i]);
         }
@@ -67,13 +78,13 @@
     public static ChannelFuture error(
             Channel channel, long cookie, int error, String why, long offset, boolean last) {
         byte[] text = why.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(text.length, Nbd.LONGEST_STRING);
+        int length = Math.min(text.length, NbdConstants.LONGEST_STRING);
         boolean placed = offset >= 0;
         ByteBuf head =
                 chunk(
                                 channel,
-                                last ? Nbd.CHUNK_DONE : 0,
-                                placed ? Nbd.CHUNK_ERROR_OFFSET : Nbd.CHUNK_ERROR,
+                                last ? NbdConstants.CHUNK_DONE : 0,
+                                placed ? NbdConstants.CHUNK_ERROR_OFFSET : NbdConstants.CHUNK_ERROR,
                                 cookie,
                                 6 + length + (placed ? 8 : 0))
                         .writeInt(error)
@@ -85,7 +96,7 @@
     private static ByteBuf chunk(Channel channel, int flags, int type, long cookie, int length) {
         return channel.alloc()
                 .ioBuffer(32)
-                .writeInt(Nbd.STRUCTURED_REPLY_MAGIC)
+                .writeInt(NbdConstants.STRUCTURED_REPLY_MAGIC)
                 .writeShort(flags)
                 .writeShort(type)
                 .writeLong(cookie)
--- a/src/main/java/sagepulley/codec/nbd/NbdReply.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReply.java
@@ -13,7 +13,7 @@
  */
 public final class NbdReply {
     /** One piece of a read: data, or a hole of so many bytes where the data is null. */
-    public record Piece(long offset, int length, ByteBuf data) {}
+    public record Chunk(long offset, int length, ByteBuf data) {}
 
     public int error;
     public String message = "";
@@ -22,19 +22,19 @@
     /** Where each error of a structured reply was said to lie. */
     public final List<Long> errorOffsets = new ArrayList<>(0);
 
-    public final List<Piece> pieces = new ArrayList<>(1);
+    public final List<Chunk> pieces = new ArrayList<>(1);
 
     /** Lengths and flags of base:allocation by turns. */
     public int[] blocks = {};
 
     /** The read's data in order, holes as zeroes; the pieces are used up. */
     public ByteBuf data() {
-        pieces.sort(Comparator.comparingLong(Piece::offset));
+        pieces.sort(Comparator.comparingLong(Chunk::offset));
         if (pieces.size() == 1 && pieces.get(0).data() != null) {
             return pieces.remove(0).data();
         }
         CompositeByteBuf all = Unpooled.compositeBuffer(Integer.MAX_VALUE);
-        for (Piece piece : pieces) {
+        for (Chunk piece : pieces) {
             all.addComponent(
                     true,
                     piece.data() != null
@@ -46,7 +46,7 @@
     }
 
     public void release() {
-        for (Piece piece : pieces) {
+        for (Chunk piece : pieces) {
             if (piece.data() != null) {
                 piece.data().release();
             }
--- a/src/main/java/sagepulley/codec/nbd/NbdServer.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServer.java
@@ -12,7 +12,7 @@
      * then gets each {@link NbdRequest}; what is wrong with the bytes comes to it as an exception.
      */
     public static void onto(
-            ChannelPipeline pipeline, Exports exports, Gate gate, ChannelHandler session) {
+            ChannelPipeline pipeline, Exports exports, AdmissionGate gate, ChannelHandler session) {
         NbdServerDecoder decoder = new NbdServerDecoder(gate);
         pipeline.addLast(decoder, new Handshake(exports, decoder), session);
     }
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -3,14 +3,14 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.PieceDecoder;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.codec.frame.SegmentDecoder;
 
 /**
  * What a client sends: its flags, options, then requests. Reads no payload before the gate admits
  * it, and stops reading from the socket until then.
  */
-final class NbdServerDecoder extends PieceDecoder {
+final class NbdServerDecoder extends SegmentDecoder {
     /** What a request weighs besides its bytes: it bounds how many may be in hand. */
     static final int REQUEST_WEIGHT = 1024;
 
@@ -32,14 +32,14 @@
         UNWANTED
     }
 
-    private final Gate gate;
+    private final AdmissionGate gate;
     private Phase phase = Phase.FLAGS;
     private int mostBlock;
     private int option;
     private long admitted;
     private NbdRequest request;
 
-    NbdServerDecoder(Gate gate) {
+    NbdServerDecoder(AdmissionGate gate) {
         this.gate = gate;
         expect(4);
     }
@@ -57,7 +57,8 @@
     }
 
     @Override
-    protected void piece(ChannelHandlerContext ctx, ByteBuf piece) throws BadBytes {
+    protected void piece(ChannelHandlerContext ctx, ByteBuf piece)
+            throws MalformedMessageException {
         switch (phase) {
             case FLAGS -> {
                 int flags = piece.readInt();
@@ -106,16 +107,17 @@
         expect(REQUEST_HEAD);
     }
 
-    private void option(ByteBuf piece) throws BadBytes {
+    private void option(ByteBuf piece) throws MalformedMessageException {
         long magic = piece.readLong();
         option = piece.readInt();
         long length = piece.readUnsignedInt();
         piece.release();
-        if (magic != Nbd.IHAVEOPT) {
-            throw new BadBytes("option starts with 0x" + Long.toHexString(magic));
+        if (magic != NbdConstants.IHAVEOPT) {
+            throw new MalformedMessageException("option starts with 0x" + Long.toHexString(magic));
         }
         if (length > LONGEST_SKIPPED_OPTION) {
-            throw new BadBytes("option of " + length + " bytes, at most " + LONGEST_SKIPPED_OPTION);
+            throw new MalformedMessageException(
+                    "option of " + length + " bytes, at most " + LONGEST_SKIPPED_OPTION);
         }
         if (length > LONGEST_OPTION) {
             phase = Phase.TOO_BIG;
@@ -126,7 +128,8 @@
         }
     }
 
-    private void request(ChannelHandlerContext ctx, ByteBuf piece) throws BadBytes {
+    private void request(ChannelHandlerContext ctx, ByteBuf piece)
+            throws MalformedMessageException {
         int magic = piece.readInt();
         int flags = piece.readUnsignedShort();
         int command = piece.readUnsignedShort();
@@ -134,24 +137,28 @@
         long offset = piece.readLong();
         int length = piece.readInt();
         piece.release();
-        if (magic != Nbd.REQUEST_MAGIC) {
-            throw new BadBytes("request starts with 0x" + Integer.toHexString(magic));
+        if (magic != NbdConstants.REQUEST_MAGIC) {
+            throw new MalformedMessageException(
+                    "request starts with 0x" + Integer.toHexString(magic));
         }
         long bytes = Integer.toUnsignedLong(length);
         request = new NbdRequest(flags, command, cookie, offset, length, Unpooled.EMPTY_BUFFER, 0);
-        if (command == Nbd.CMD_WRITE && bytes > mostBlock) {
+        if (command == NbdConstants.CMD_WRITE && bytes > mostBlock) {
             // The text lets the server end the connection, or read it all and answer EINVAL: the
             // second, while it is not out of all proportion.
             if (bytes > 4L * mostBlock) {
-                throw new BadBytes("write of " + bytes + " bytes, at most " + mostBlock);
+                throw new MalformedMessageException(
+                        "write of " + bytes + " bytes, at most " + mostBlock);
             }
             phase = Phase.UNWANTED;
             skip(bytes);
             return;
         }
-        boolean moves = command == Nbd.CMD_WRITE || command == Nbd.CMD_READ && bytes <= mostBlock;
+        boolean moves =
+                command == NbdConstants.CMD_WRITE
+                        || command == NbdConstants.CMD_READ && bytes <= mostBlock;
         phase = Phase.PAYLOAD;
-        expect(command == Nbd.CMD_WRITE ? length : 0);
+        expect(command == NbdConstants.CMD_WRITE ? length : 0);
         admit(ctx, (moves ? bytes : 0) + REQUEST_WEIGHT);
     }
 
--- a/src/main/java/sagepulley/config/Ini.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -18,40 +18,40 @@
  * An INI file's sections, with values read by their kind; every mistake is noted, and told all
  * together.
  */
-final class Ini {
+final class IniReader {
     private static final int LONGEST = 1 << 20;
     private final String file;
     private final Map<String, Map<String, String>> sections = new LinkedHashMap<>();
     private final Set<String> read = new HashSet<>();
     private final List<String> mistakes = new ArrayList<>();
 
-    Ini(Path path) throws SiteError {
+    IniReader(Path path) throws SiteConfigException {
         file = path.toString();
         try {
             if (Files.size(path) > LONGEST) {
-                throw new SiteError(file + ": is longer than 1 MiB");
+                throw new SiteConfigException(file + ": is longer than 1 MiB");
             }
         } catch (IOException e) {
-            throw new SiteError(file + ": cannot be read: " + e);
+            throw new SiteConfigException(file + ": cannot be read: " + e);
         }
         try (Reader reader = Files.newBufferedReader(path)) {
             load(reader);
         } catch (IOException e) {
-            throw new SiteError(file + ": cannot be read: " + e);
+            throw new SiteConfigException(file + ": cannot be read: " + e);
         }
     }
 
-    Ini(String name, Reader reader) throws SiteError {
+    IniReader(String name, Reader reader) throws SiteConfigException {
         file = name;
         load(reader);
     }
 
-    private void load(Reader reader) throws SiteError {
+    private void load(Reader reader) throws SiteConfigException {
         INIConfiguration ini = new INIConfiguration();
         try {
             ini.read(reader);
         } catch (ConfigurationException | IOException | RuntimeException e) {
-            throw new SiteError(file + ": is no INI file: " + e.getMessage());
+            throw new SiteConfigException(file + ": is no INI file: " + e.getMessage());
         }
         for (String name : ini.getSections()) {
             Map<String, String> values = new LinkedHashMap<>();
@@ -249,7 +249,7 @@
     }
 
     /** Tells all mistakes, and every section or key that nobody asked for. */
-    void finish(Set<String> words) throws SiteError {
+    void finish(Set<String> words) throws SiteConfigException {
         sections.forEach(
                 (section, values) -> {
                     String word = section.split(" ")[0];
@@ -271,7 +271,7 @@
                                     });
                 });
         if (!mistakes.isEmpty()) {
-            throw new SiteError(String.join("\n", mistakes));
+            throw new SiteConfigException(String.join("\n", mistakes));
         }
     }
 
--- a/src/main/java/sagepulley/config/MembersLine.java
+++ b/src/main/java/sagepulley/config/MembershipSettings.java
@@ -8,7 +8,7 @@
  * list is fresh and how long it is merely aged, in milliseconds; how many nodes are asked who they
  * are at a time; and the nodes that the site file itself names.
  */
-public record MembersLine(
+public record MembershipSettings(
         Path list,
         Path holders,
         double fresh,
--- a/src/main/java/sagepulley/config/Site.java
+++ b/src/main/java/sagepulley/config/SiteConfig.java
@@ -7,16 +7,16 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
-import sagepulley.model.Plan;
-import sagepulley.model.Rulebook;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.TrafficClass;
 
 /**
  * A gateway's site file, checked (docs/operate/site-file.md has it key by key). Sizes are bytes,
  * times are milliseconds.
  */
-public record Site(
+public record SiteConfig(
         String name,
         List<String> zones,
         HostPort nbd,
@@ -30,11 +30,11 @@
         int unitBytes,
         int mostRequest,
         Deployment deployment,
-        List<VolumeLine> volumes,
-        BooksLine books,
-        TracesLine traces,
+        List<VolumeSettings> volumes,
+        AccountsSettings books,
+        TracingSettings traces,
         HostPort watch,
-        MembersLine members,
+        MembershipSettings members,
         String siteName) {
     private static final double DAY = 86_400_000;
     private static final double MANY = 1e9;
@@ -53,25 +53,25 @@
                     "node");
 
     /** Reads and checks a file; the error tells every mistake, a line each. */
-    public static Site read(Path path) throws SiteError {
-        return new Reading(new Ini(path)).site();
+    public static SiteConfig read(Path path) throws SiteConfigException {
+        return new Reading(new IniReader(path)).site();
     }
 
     /** The same from text, whose name stands in errors. */
-    public static Site read(String name, String text) throws SiteError {
-        return new Reading(new Ini(name, new StringReader(text))).site();
+    public static SiteConfig read(String name, String text) throws SiteConfigException {
+        return new Reading(new IniReader(name, new StringReader(text))).site();
     }
 
     private static final class Reading {
-        private final Ini ini;
-        private final List<Band> bands = new ArrayList<>();
-        private final List<Plan> plans = new ArrayList<>();
+        private final IniReader ini;
+        private final List<TrafficClass> bands = new ArrayList<>();
+        private final List<TenantPlan> plans = new ArrayList<>();
 
-        Reading(Ini ini) {
+        Reading(IniReader ini) {
             this.ini = ini;
         }
 
-        Site site() throws SiteError {
+        SiteConfig site() throws SiteConfigException {
             List<String> zones = List.of(ini.text("site", "zones", "zone-0").split("\\s*,\\s*"));
             int extentBytes = (int) ini.bytes("site", "extent", "1 MiB", 4096, 16 << 20);
             int unitBytes = (int) ini.bytes("site", "unit", "128 KiB", 512, 16 << 20);
@@ -93,10 +93,10 @@
             if (plans.isEmpty()) {
                 ini.mistake("plan NAME", "", "at least one such section is needed");
             }
-            List<VolumeLine> volumes = new ArrayList<>();
+            List<VolumeSettings> volumes = new ArrayList<>();
             Set<Integer> ids = new HashSet<>();
             for (String name : ini.named("volume")) {
-                VolumeLine volume = volume(name);
+                VolumeSettings volume = volume(name);
                 volumes.add(volume);
                 if (!ids.add(volume.id())) {
                     ini.mistake(
@@ -117,8 +117,8 @@
             if (allBytes < clientBytes) {
                 ini.mistake("gateway", "all-bytes", "is less than client-bytes");
             }
-            Site site =
-                    new Site(
+            SiteConfig site =
+                    new SiteConfig(
                             ini.text("gateway", "name", null),
                             zones,
                             address("gateway", "nbd-listen", "127.0.0.1:10809"),
@@ -142,13 +142,13 @@
             return site;
         }
 
-        private MembersLine members(List<String> zones) {
+        private MembershipSettings members(List<String> zones) {
             double fresh = ini.time("membership", "fresh", "5 min", 0, DAY);
             double aged = ini.time("membership", "aged", "24 h", 0, 365 * DAY);
             if (aged < fresh) {
                 ini.mistake("membership", "aged", "is shorter than fresh");
             }
-            List<MembersLine.FixedNode> nodes = new ArrayList<>();
+            List<MembershipSettings.FixedNode> nodes = new ArrayList<>();
             for (String name : ini.named("node")) {
                 String section = "node " + name;
                 if (!name.matches("[1-9][0-9]{0,8}")) {
@@ -159,13 +159,13 @@
                     continue;
                 }
                 nodes.add(
-                        new MembersLine.FixedNode(
+                        new MembershipSettings.FixedNode(
                                 Integer.parseInt(name),
                                 ini.whole(section, "cell", null, 0, 1 << 20),
                                 ini.choice(section, "zone", zones.get(0), zones),
                                 address(section, "address", null)));
             }
-            return new MembersLine(
+            return new MembershipSettings(
                     path("membership", "list"),
                     path("membership", "holders"),
                     fresh,
@@ -174,14 +174,14 @@
                     nodes);
         }
 
-        private BooksLine books() {
-            return new BooksLine(
+        private AccountsSettings books() {
+            return new AccountsSettings(
                     ini.truth("accounts", "keep", true),
                     path("accounts", "file"),
                     ini.time("accounts", "every", "10 s", 100, DAY));
         }
 
-        private TracesLine traces() {
+        private TracingSettings traces() {
             String otlp = ini.text("traces", "otlp", "");
             if (!otlp.isEmpty() && !otlp.matches("https?://[^\\s]+")) {
                 ini.mistake(
@@ -189,7 +189,7 @@
                         "otlp",
                         "is '" + otlp + "', allowed is http://host:port/v1/traces");
             }
-            return new TracesLine(
+            return new TracingSettings(
                     path("traces", "file"),
                     ini.bytes("traces", "file-bytes", "16 MiB", 4096, 1L << 32),
                     ini.whole("traces", "files", 4, 1, 100),
@@ -248,9 +248,9 @@
                     List.of("queue"));
         }
 
-        private Rulebook rules() {
+        private ServicePolicy rules() {
             boolean budget = ini.has("rules", "budget-window");
-            return new Rulebook(
+            return new ServicePolicy(
                     ini.time("rules", "answer-grace", "10 ms", 0, DAY),
                     ini.time("rules", "drain-grace", "1 s", 0, DAY),
                     ini.number("rules", "cold-share", 0.25, 0.001, 1),
@@ -266,24 +266,24 @@
                     false);
         }
 
-        private Band band(String name) {
+        private TrafficClass band(String name) {
             String section = "band " + name;
-            Band.Repeat repeat =
-                    Band.Repeat.values()[
+            TrafficClass.Idempotency repeat =
+                    TrafficClass.Idempotency.values()[
                             ini.choice(
                                     section,
                                     "repeats",
                                     "idempotent",
                                     List.of("idempotent", "deduplicated", "unrepeatable"))];
-            Band.Group group =
-                    Band.Group.values()[
+            TrafficClass.DeduplicationScope group =
+                    TrafficClass.DeduplicationScope.values()[
                             ini.choice(section, "group", "cell", List.of("all", "zone", "cell"))];
             double target = ini.time(section, "target", null, 1, DAY);
             double patience = ini.time(section, "patience", null, 1, DAY);
             if (patience < target) {
                 ini.mistake(section, "patience", "is shorter than the target time");
             }
-            return new Band(
+            return new TrafficClass(
                     bands.size(),
                     name,
                     repeat,
@@ -298,10 +298,10 @@
                     ini.number(section, "late-share", 0.2, 0, 1));
         }
 
-        private Plan plan(String name) {
+        private TenantPlan plan(String name) {
             String section = "plan " + name;
             double limit = ini.number(section, "limit", 0.0, 0, MANY);
-            return new Plan(
+            return new TenantPlan(
                     plans.size(),
                     name,
                     ini.number(section, "rate", null, 0, MANY),
@@ -313,10 +313,10 @@
                     limit > 0 ? ini.number(section, "limit-slack", null, 0, MANY) : 0);
         }
 
-        private VolumeLine volume(String name) {
+        private VolumeSettings volume(String name) {
             String section = "volume " + name;
-            List<String> bandNames = bands.stream().map(Band::name).toList();
-            List<String> planNames = plans.stream().map(Plan::name).toList();
+            List<String> bandNames = bands.stream().map(TrafficClass::name).toList();
+            List<String> planNames = plans.stream().map(TenantPlan::name).toList();
             long size = ini.bytes(section, "size", null, 512, 1L << 50);
             if (size % 512 != 0) {
                 ini.mistake(section, "size", "is " + size + " bytes, allowed is a multiple of 512");
@@ -329,7 +329,7 @@
                 ini.mistake(section, "write-band", "is a band without 'writes = yes'");
             }
             String bulk = ini.text(section, "read-band", "");
-            return new VolumeLine(
+            return new VolumeSettings(
                     ini.whole(section, "id", null, 1, 1 << 23),
                     name,
                     ini.text(section, "description", ""),
--- a/src/main/java/sagepulley/config/TracesLine.java
+++ b/src/main/java/sagepulley/config/TracingSettings.java
@@ -7,7 +7,7 @@
  * address (empty: none). At most so many operations a second are kept; an ordinary one by this
  * chance.
  */
-public record TracesLine(
+public record TracingSettings(
         Path file, long fileBytes, int files, String otlp, double perSecond, double chance) {
     /** Whether any trace goes anywhere. */
     public boolean wanted() {
--- a/src/main/java/sagepulley/discovery/directory/DirectoryLink.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -19,34 +19,34 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
 import sagepulley.codec.frame.Frame;
 import sagepulley.codec.frame.FrameDecoder;
 import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /**
  * A gateway's link to the directory: a connection that is opened when a call needs it. Calls fail
  * when the connection ends or does not come, or no answer in two seconds; nothing is asked again
  * here. All on one loop.
  */
-public final class DirectoryLink {
+public final class DirectoryClient {
     private static final int CONNECT_MS = 2_000;
     private static final int MOST_CALLS = 100_000;
     private static final long ANSWER_MS = 2_000;
-    private static final Logger LOG = LoggerFactory.getLogger(DirectoryLink.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DirectoryClient.class);
 
     /** Told what the directory says, on the loop. */
-    public interface Owner {
+    public interface Listener {
         /** A list, pushed or asked for. */
-        void listed(DirectoryWire.Listing listing);
+        void listed(DirectoryMessages.EndpointList listing);
 
         /** A subscription dropped with its connection, or a call for the list failed. */
         void listFailed(String why);
     }
 
     /** Told the end of a call, once. */
-    public interface Ended<T> {
+    public interface ResultHandler<T> {
         void accept(T answer, String failure);
     }
 
@@ -55,8 +55,8 @@
     private final SocketAddress address;
     private final long gateway;
     private final String name;
-    private final Owner owner;
-    private final Map<Long, Ended<Frame>> calls = new HashMap<>();
+    private final Listener owner;
+    private final Map<Long, ResultHandler<Frame>> calls = new HashMap<>();
     private final List<Frame> unsent = new ArrayList<>();
 
     /** Calls that were given up, whose answers may still come; the latest ones. */
@@ -76,13 +76,13 @@
     private boolean subscribed;
     private long ids;
 
-    public DirectoryLink(
+    public DirectoryClient(
             EventLoop loop,
             Class<? extends Channel> kind,
             SocketAddress address,
             long gateway,
             String name,
-            Owner owner) {
+            Listener owner) {
         this.loop = loop;
         this.kind = kind;
         this.address = address;
@@ -92,27 +92,27 @@
     }
 
     public void subscribe() {
-        askList(DirectoryWire.SUBSCRIBE);
+        askList(DirectoryMessages.SUBSCRIBE);
     }
 
     public void fetch() {
-        askList(DirectoryWire.FETCH);
+        askList(DirectoryMessages.FETCH);
     }
 
     /** Which cells hold the extents in a row; -1 for none. */
-    public void lookup(int volume, long first, int count, Ended<int[]> ended) {
+    public void lookup(int volume, long first, int count, ResultHandler<int[]> ended) {
         long id = ++ids;
         call(
                 id,
-                DirectoryWire.lookup(id, volume, first, count),
+                DirectoryMessages.lookup(id, volume, first, count),
                 (frame, failure) -> {
                     if (frame == null) {
                         ended.accept(null, failure);
                         return;
                     }
-                    int[] cells = DirectoryWire.holders(frame);
+                    int[] cells = DirectoryMessages.holders(frame);
                     if (cells.length != count) {
-                        throw new BadBytes(
+                        throw new MalformedMessageException(
                                 "holders of " + cells.length + " extents, asked " + count);
                     }
                     ended.accept(cells, null);
@@ -122,14 +122,16 @@
     /**
      * Claims an extent for a cell; the answer is the cell that holds it now, whoever claimed first.
      */
-    public void claim(int volume, long extent, int cell, Ended<Integer> ended) {
+    public void claim(int volume, long extent, int cell, ResultHandler<Integer> ended) {
         long id = ++ids;
         call(
                 id,
-                DirectoryWire.claim(id, volume, extent, cell),
+                DirectoryMessages.claim(id, volume, extent, cell),
                 (frame, failure) ->
                         ended.accept(
-                                frame == null ? null : (Integer) Fields.need(frame, 4).readInt(),
+                                frame == null
+                                        ? null
+                                        : (Integer) FrameFields.need(frame, 4).readInt(),
                                 failure));
     }
 
@@ -154,7 +156,7 @@
 
     /** Reads an answer, which may turn out malformed. */
     private interface Reading {
-        void accept(Frame frame, String failure) throws BadBytes;
+        void accept(Frame frame, String failure) throws MalformedMessageException;
     }
 
     private void askList(int type) {
@@ -166,8 +168,8 @@
                     if (frame == null) {
                         owner.listFailed(failure);
                     } else {
-                        subscribed |= type == DirectoryWire.SUBSCRIBE;
-                        owner.listed(DirectoryWire.list(frame));
+                        subscribed |= type == DirectoryMessages.SUBSCRIBE;
+                        owner.listed(DirectoryMessages.list(frame));
                     }
                 });
     }
@@ -182,7 +184,7 @@
         Future<?> timer =
                 loop.schedule(
                         () -> {
-                            Ended<Frame> late = calls.remove(id);
+                            ResultHandler<Frame> late = calls.remove(id);
                             if (late != null) {
                                 abandoned.add(id);
                                 late.accept(null, "no answer in " + ANSWER_MS + " ms");
@@ -196,7 +198,7 @@
                     timer.cancel(false);
                     try {
                         reading.accept(answer, failure);
-                    } catch (BadBytes bad) {
+                    } catch (MalformedMessageException bad) {
                         fail((any, why) -> reading.accept(null, why), bad.getMessage());
                         broken(bad.getMessage());
                     }
@@ -214,7 +216,7 @@
     private static void fail(Reading reading, String why) {
         try {
             reading.accept(null, why);
-        } catch (BadBytes never) {
+        } catch (MalformedMessageException never) {
             throw new IllegalStateException(never);
         }
     }
@@ -265,13 +267,13 @@
         unsent.forEach(Frame::release);
         unsent.clear();
         abandoned.clear();
-        List<Ended<Frame>> ended = new ArrayList<>(calls.values());
+        List<ResultHandler<Frame>> ended = new ArrayList<>(calls.values());
         calls.clear();
         if (subscribed) {
             subscribed = false;
             owner.listFailed(why);
         }
-        for (Ended<Frame> call : ended) {
+        for (ResultHandler<Frame> call : ended) {
             call.accept(null, why);
         }
     }
@@ -280,14 +282,15 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             open = true;
-            ctx.write(DirectoryWire.hello(gateway, name));
+            ctx.write(DirectoryMessages.hello(gateway, name));
             unsent.forEach(ctx::write);
             unsent.clear();
             ctx.flush();
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) throws BadBytes {
+        public void channelRead(ChannelHandlerContext ctx, Object message)
+                throws MalformedMessageException {
             Frame frame = (Frame) message;
             try {
                 if (ctx.channel() == channel) {
@@ -298,23 +301,27 @@
             }
         }
 
-        private void told(Frame frame) throws BadBytes {
-            if (frame.type() == DirectoryWire.LIST && frame.id() == 0) {
-                owner.listed(DirectoryWire.list(frame));
+        private void told(Frame frame) throws MalformedMessageException {
+            if (frame.type() == DirectoryMessages.LIST && frame.id() == 0) {
+                owner.listed(DirectoryMessages.list(frame));
                 return;
             }
-            Ended<Frame> call = calls.remove(frame.id());
+            ResultHandler<Frame> call = calls.remove(frame.id());
             if (call == null && abandoned.remove(frame.id())) {
                 return;
             }
             if (call == null) {
-                throw new BadBytes("an answer to call " + frame.id() + ", which is not out");
+                throw new MalformedMessageException(
+                        "an answer to call " + frame.id() + ", which is not out");
             }
             switch (frame.type()) {
-                case DirectoryWire.FAILED -> call.accept(null, Fields.string(frame.head()));
-                case DirectoryWire.LIST, DirectoryWire.HOLDERS, DirectoryWire.HOLDER ->
+                case DirectoryMessages.FAILED ->
+                        call.accept(null, FrameFields.string(frame.head()));
+                case DirectoryMessages.LIST, DirectoryMessages.HOLDERS, DirectoryMessages.HOLDER ->
                         call.accept(frame, null);
-                default -> throw new BadBytes("message " + frame.type() + " from the directory");
+                default ->
+                        throw new MalformedMessageException(
+                                "message " + frame.type() + " from the directory");
             }
         }
 
