--- a/src/main/java/sagepulley/discovery/directory/DirectoryWire.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
@@ -4,12 +4,12 @@
 import io.netty.buffer.Unpooled;
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
 import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /** The messages to and from the directory, as frames (docs/protocols.md, Directory protocol). */
-public final class DirectoryWire {
+public final class DirectoryMessages {
     /** From a gateway or node. */
     public static final int HELLO = 1;
 
@@ -32,19 +32,19 @@
     private static final int MOST_LINES = 1 << 14;
 
     /** What the list says of a node. */
-    public enum Standing {
+    public enum Phase {
         GONE,
         READY,
         DRAINING
     }
 
     /** A line of the list. The start is wall-clock milliseconds, 0 for long ago. */
-    public record Line(
+    public record EndpointLine(
             int node,
             int cell,
             int zone,
             int kind,
-            Standing standing,
+            Phase standing,
             long startedAt,
             float weight,
             String host,
@@ -54,57 +54,64 @@
      * The list, whole or what changed; it answers a call or is pushed (call 0). The directory says
      * of which site it is (empty: it does not), and which history of its own the version counts in.
      */
-    public record Listing(
-            long call, long version, boolean whole, List<Line> lines, long history, String site) {}
+    public record EndpointList(
+            long call,
+            long version,
+            boolean whole,
+            List<EndpointLine> lines,
+            long history,
+            String site) {}
 
-    private DirectoryWire() {}
+    private DirectoryMessages() {}
 
     public static Frame hello(long gateway, String name) {
         ByteBuf head = Unpooled.buffer(64).writeShort(1).writeLong(gateway);
-        Fields.string(head, name);
+        FrameFields.string(head, name);
         return new Frame(HELLO, 0, head);
     }
 
-    public static Frame list(Listing it) {
+    public static Frame list(EndpointList it) {
         ByteBuf head =
                 Unpooled.buffer(64)
                         .writeLong(it.version())
                         .writeBoolean(it.whole())
                         .writeInt(it.lines().size());
-        for (Line line : it.lines()) {
+        for (EndpointLine line : it.lines()) {
             line(head, line);
         }
-        Fields.string(head.writeLong(it.history()), it.site());
+        FrameFields.string(head.writeLong(it.history()), it.site());
         return new Frame(LIST, it.call(), head);
     }
 
-    public static Listing list(Frame frame) throws BadBytes {
-        ByteBuf head = Fields.need(frame, 13);
+    public static EndpointList list(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.need(frame, 13);
         long version = head.readLong();
         boolean whole = head.readBoolean();
         int count = head.readInt();
         if (count < 0 || count > MOST_LINES) {
-            throw new BadBytes("a list of " + Integer.toUnsignedString(count) + " lines");
+            throw new MalformedMessageException(
+                    "a list of " + Integer.toUnsignedString(count) + " lines");
         }
-        List<Line> lines = new ArrayList<>();
+        List<EndpointLine> lines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             lines.add(line(head));
         }
         if (head.readableBytes() < 8) {
-            throw new BadBytes("a list is cut off");
+            throw new MalformedMessageException("a list is cut off");
         }
-        return new Listing(frame.id(), version, whole, lines, head.readLong(), Fields.string(head));
+        return new EndpointList(
+                frame.id(), version, whole, lines, head.readLong(), FrameFields.string(head));
     }
 
-    public static Frame register(Line line) {
+    public static Frame register(EndpointLine line) {
         ByteBuf head = Unpooled.buffer(64);
         line(head, line);
         return new Frame(REGISTER, 0, head);
     }
 
-    public static Line line(ByteBuf from) throws BadBytes {
+    public static EndpointLine line(ByteBuf from) throws MalformedMessageException {
         if (from.readableBytes() < 27) {
-            throw new BadBytes("a line is cut off");
+            throw new MalformedMessageException("a line is cut off");
         }
         int node = from.readInt();
         int cell = from.readInt();
@@ -114,22 +121,22 @@
         long startedAt = from.readLong();
         float weight = from.readFloat();
         int port = from.readUnsignedShort();
-        if (standing >= Standing.values().length || cell < 0) {
-            throw new BadBytes("a line that cannot be read");
+        if (standing >= Phase.values().length || cell < 0) {
+            throw new MalformedMessageException("a line that cannot be read");
         }
-        return new Line(
+        return new EndpointLine(
                 node,
                 cell,
                 zone,
                 kind,
-                Standing.values()[standing],
+                Phase.values()[standing],
                 startedAt,
                 weight,
-                Fields.string(from),
+                FrameFields.string(from),
                 port);
     }
 
-    private static void line(ByteBuf to, Line line) {
+    private static void line(ByteBuf to, EndpointLine line) {
         to.writeInt(line.node())
                 .writeInt(line.cell())
                 .writeShort(line.zone())
@@ -138,7 +145,7 @@
                 .writeLong(line.startedAt())
                 .writeFloat(line.weight())
                 .writeShort(line.port());
-        Fields.string(to, line.host());
+        FrameFields.string(to, line.host());
     }
 
     public static Frame lookup(long call, int volume, long first, int count) {
@@ -157,11 +164,12 @@
         return new Frame(HOLDERS, call, head);
     }
 
-    public static int[] holders(Frame frame) throws BadBytes {
-        ByteBuf head = Fields.need(frame, 4);
+    public static int[] holders(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.need(frame, 4);
         int count = head.readInt();
         if (count < 0 || count > MOST_LOOKED_UP || head.readableBytes() < 4L * count) {
-            throw new BadBytes("holders of " + Integer.toUnsignedString(count) + " extents");
+            throw new MalformedMessageException(
+                    "holders of " + Integer.toUnsignedString(count) + " extents");
         }
         int[] cells = new int[count];
         for (int i = 0; i < count; i++) {
@@ -181,7 +189,7 @@
 
     public static Frame failed(long call, String why) {
         ByteBuf head = Unpooled.buffer(32);
-        Fields.string(head, why);
+        FrameFields.string(head, why);
         return new Frame(FAILED, call, head);
     }
 }
--- a/src/main/java/sagepulley/engine/ListEntry.java
+++ b/src/main/java/sagepulley/engine/EndpointEntry.java
@@ -3,11 +3,11 @@
 import sagepulley.model.Node;
 
 /** One line of a list of nodes. */
-public record ListEntry(
+public record EndpointEntry(
         int zone,
         int cell,
         int store,
-        Node.Standing standing,
+        Node.Phase standing,
         double startedAt,
         int kind,
         double weight) {
--- a/src/main/java/sagepulley/engine/Host.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -14,29 +14,29 @@
 import java.util.Set;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
+import sagepulley.model.FollowUp;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Pause;
-import sagepulley.model.Placement;
 import sagepulley.model.Reason;
-import sagepulley.model.Sequel;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.SchedulerTurn;
 import sagepulley.model.Volume;
-import sagepulley.scheduler.BandView;
-import sagepulley.scheduler.Control;
-import sagepulley.scheduler.WaitView;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.scheduler.TrafficClassView;
+import sagepulley.scheduler.WaitExplainer;
 
 /**
  * One gateway round the module that decides for it: its operations in hand, its nodes and volumes,
  * and the settle loop. Told what happens by whoever owns the wire; what is decided goes out by the
  * exit. One thread.
  */
-public final class Host {
+public final class GatewayEngine {
     private static final double GONE_FOR_GOOD = 30_000;
 
     private final Deployment deployment;
-    private final Exit exit;
-    private final Control control;
+    private final DecisionSink exit;
+    private final Scheduler control;
     private final Map<Long, Operation> operations = new HashMap<>();
     private final Map<Long, Volume> volumes = new HashMap<>();
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
@@ -45,10 +45,10 @@
     /** Taken, and not yet placed: all that came at one moment is known before anything is sent. */
     private final Queue<Operation> arrivals = new ArrayDeque<>();
 
-    public Host(Deployment deployment, long seed, Exit exit) {
+    public GatewayEngine(Deployment deployment, long seed, DecisionSink exit) {
         this.deployment = deployment;
         this.exit = exit;
-        this.control = new Control(deployment, seed);
+        this.control = new Scheduler(deployment, seed);
     }
 
     public Deployment deployment() {
@@ -59,13 +59,13 @@
      * The list as it stands after a message of the given entries; a whole list drops what it lacks.
      * Gives the nodes that were gone for long and are forgotten now.
      */
-    public List<Node> listed(List<ListEntry> entries, boolean whole, double now) {
+    public List<Node> listed(List<EndpointEntry> entries, boolean whole, double now) {
         if (whole) {
             for (Node node : nodes.values()) {
-                node.standing = Node.Standing.GONE;
+                node.standing = Node.Phase.GONE;
             }
         }
-        for (ListEntry entry : entries) {
+        for (EndpointEntry entry : entries) {
             entry.copyTo(nodes.computeIfAbsent(entry.store(), Node::new));
         }
         List<Node> forgotten = longGone(now);
@@ -88,7 +88,7 @@
         }
         List<Node> forgotten = new ArrayList<>(0);
         for (Node node : nodes.values()) {
-            if (node.standing != Node.Standing.GONE) {
+            if (node.standing != Node.Phase.GONE) {
                 goneSince.remove(node.id);
             } else if (now - goneSince.computeIfAbsent(node.id, any -> now) > GONE_FOR_GOOD
                     && !busy.contains(node)) {
@@ -162,8 +162,8 @@
     }
 
     /** What Control has learned by band, in the order of the bands. */
-    public List<BandView> bands() {
-        return BandView.of(control);
+    public List<TrafficClassView> bands() {
+        return TrafficClassView.of(control);
     }
 
     /** Why each operation that waits is not sent now, by reason. */
@@ -171,7 +171,7 @@
         Map<Reason, Integer> waiting = new EnumMap<>(Reason.class);
         for (Operation operation : operations.values()) {
             if (!operation.over && !operation.isOut() && !arrivals.contains(operation)) {
-                waiting.merge(WaitView.why(control, operation, now), 1, Integer::sum);
+                waiting.merge(WaitExplainer.why(control, operation, now), 1, Integer::sum);
             }
         }
         return waiting;
@@ -187,7 +187,7 @@
     public void ended(Attempt attempt, boolean settled, double now) {
         Operation operation = attempt.operation;
         operation.over |= settled;
-        if (control.after(attempt, now) == Sequel.PLACE_AGAIN) {
+        if (control.after(attempt, now) == FollowUp.PLACE_AGAIN) {
             answer(operation, control.place(operation, now));
         }
         forget(operation);
@@ -224,7 +224,7 @@
         for (Operation fresh = arrivals.poll(); fresh != null; fresh = arrivals.poll()) {
             answer(fresh, control.place(fresh, now));
         }
-        Pause pause = control.pause(now);
+        SchedulerTurn pause = control.pause(now);
         while (true) {
             pause.callOff().forEach(exit::callOff);
             pause.probes().forEach(exit::probe);
@@ -235,8 +235,8 @@
             }
             boolean moved = false;
             for (Operation operation : pause.due()) {
-                Placement placement = control.place(operation, now);
-                moved |= placement.kind() != Placement.Kind.WAIT;
+                RoutingDecision placement = control.place(operation, now);
+                moved |= placement.kind() != RoutingDecision.Kind.WAIT;
                 answer(operation, placement);
             }
             if (!moved) {
@@ -247,7 +247,7 @@
         exit.wakeIn(pause.length(), now);
     }
 
-    private void answer(Operation operation, Placement placement) {
+    private void answer(Operation operation, RoutingDecision placement) {
         switch (placement.kind()) {
             case SEND ->
                     exit.send(
--- a/src/main/java/sagepulley/engine/MissingFigure.java
+++ b/src/main/java/sagepulley/engine/MissingSettingException.java
@@ -1,10 +1,10 @@
 package sagepulley.engine;
 
 /** The first message lacks a figure that the decisions depend on, or it cannot be read. */
-public final class MissingFigure extends RuntimeException {
+public final class MissingSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public MissingFigure(String what) {
+    public MissingSettingException(String what) {
         super(what, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/engine/FirstMessage.java
+++ b/src/main/java/sagepulley/engine/SettingsReader.java
@@ -4,26 +4,26 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
-import sagepulley.model.Plan;
-import sagepulley.model.Rulebook;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.TrafficClass;
 
 /**
  * The settings that a gateway is told first, as path=value pairs, read into a deployment. Unknown
  * keys are skipped.
  */
-public final class FirstMessage {
+public final class SettingsReader {
     private static final double NS = 1e6;
 
     private final Map<String, String> pairs;
 
-    public FirstMessage(Map<String, String> pairs) {
+    public SettingsReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
     /** Reads pairs that stand one to a line. */
-    public static FirstMessage ofLines(String text) {
+    public static SettingsReader ofLines(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
             int sign = line.indexOf('=');
@@ -31,19 +31,19 @@
                 pairs.put(line.substring(0, sign).trim(), line.substring(sign + 1).trim());
             }
         }
-        return new FirstMessage(pairs);
+        return new SettingsReader(pairs);
     }
 
     public Deployment deployment() {
-        List<Band> bands = new ArrayList<>();
+        List<TrafficClass> bands = new ArrayList<>();
         String[] writes = optional("domain.changesData", "").split(",");
         boolean ordered = false;
         for (int i = 0; i < whole("classes.count"); i++) {
-            Band band = band(i, i < writes.length && writes[i].equals("true"));
+            TrafficClass band = band(i, i < writes.length && writes[i].equals("true"));
             ordered |= band.inOrder();
             bands.add(band);
         }
-        List<Plan> plans = new ArrayList<>();
+        List<TenantPlan> plans = new ArrayList<>();
         for (int i = 0; i < whole("plans.count"); i++) {
             plans.add(plan(i));
         }
@@ -52,7 +52,7 @@
         double gateways = whole("balancers");
         double me = whole("me");
         if (me < 0 || me >= gateways) {
-            throw new MissingFigure(
+            throw new MissingSettingException(
                     "me=" + (int) me + " does not lie below balancers=" + (int) gateways);
         }
         boolean mustAsk = optional("discovery", "automatic").equals("subscribe");
@@ -85,12 +85,12 @@
                 how.equals("silent") || fields.isEmpty() ? List.of() : List.of(fields.split(",")));
     }
 
-    private Rulebook rules(boolean ordered) {
+    private ServicePolicy rules(boolean ordered) {
         boolean rationed =
                 pairs.containsKey("contract.extraWindowNs")
                         || pairs.containsKey("contract.extraFloor")
                         || pairs.containsKey("contract.extraRatio");
-        return new Rulebook(
+        return new ServicePolicy(
                 time("contract.graceToAnswerNs", 0),
                 number("contract.drainGraceNs") / NS,
                 number("contract.coldFrom"),
@@ -106,28 +106,28 @@
                 truth("limits.mayDuplicate"));
     }
 
-    private Band band(int index, boolean writes) {
+    private TrafficClass band(int index, boolean writes) {
         String path = "classes." + index + ".";
-        Band.Repeat repeat =
+        TrafficClass.Idempotency repeat =
                 switch (text(path + "effect")) {
-                    case "retryable" -> Band.Repeat.IDEMPOTENT;
-                    case "dedup" -> Band.Repeat.DEDUPLICATED;
-                    case "fragile" -> Band.Repeat.UNREPEATABLE;
+                    case "retryable" -> TrafficClass.Idempotency.IDEMPOTENT;
+                    case "dedup" -> TrafficClass.Idempotency.DEDUPLICATED;
+                    case "fragile" -> TrafficClass.Idempotency.UNREPEATABLE;
                     default -> throw unreadable(path + "effect");
                 };
-        Band.Group group = Band.Group.ALL;
+        TrafficClass.DeduplicationScope group = TrafficClass.DeduplicationScope.ALL;
         double memory = 0;
-        if (repeat == Band.Repeat.DEDUPLICATED) {
+        if (repeat == TrafficClass.Idempotency.DEDUPLICATED) {
             group =
                     switch (text(path + "dedupScope")) {
-                        case "all" -> Band.Group.ALL;
-                        case "zone" -> Band.Group.ZONE;
-                        case "cell" -> Band.Group.CELL;
+                        case "all" -> TrafficClass.DeduplicationScope.ALL;
+                        case "zone" -> TrafficClass.DeduplicationScope.ZONE;
+                        case "cell" -> TrafficClass.DeduplicationScope.CELL;
                         default -> throw unreadable(path + "dedupScope");
                     };
             memory = number(path + "keyTtlNs") / NS;
         }
-        return new Band(
+        return new TrafficClass(
                 index,
                 optional(path + "name", "band " + index),
                 repeat,
@@ -142,10 +142,10 @@
                 optionalNumber(path + "lateShare", 0));
     }
 
-    private Plan plan(int index) {
+    private TenantPlan plan(int index) {
         String path = "plans." + index + ".";
         double limit = optionalNumber(path + "cap", 0);
-        return new Plan(
+        return new TenantPlan(
                 index,
                 optional(path + "name", "plan " + index),
                 optionalNumber(path + "rate", 0),
@@ -164,7 +164,7 @@
     private String text(String path) {
         String value = pairs.get(path);
         if (value == null) {
-            throw new MissingFigure(path + " is missing");
+            throw new MissingSettingException(path + " is missing");
         }
         return value;
     }
@@ -210,7 +210,7 @@
         };
     }
 
-    private MissingFigure unreadable(String path) {
-        return new MissingFigure(path + "=" + pairs.get(path) + " cannot be read");
+    private MissingSettingException unreadable(String path) {
+        return new MissingSettingException(path + "=" + pairs.get(path) + " cannot be read");
     }
 }
--- a/src/main/java/sagepulley/faultinjection/ClientLoad.java
+++ b/src/main/java/sagepulley/faultinjection/ClientLoad.java
@@ -20,8 +20,8 @@
      * What they do: pause between requests, the longest deadline, and the share that leaves before
      * its answer.
      */
-    record Habits(long pauseMs, long deadlineMs, double leavingShare) {
-        static final Habits STEADY = new Habits(40, 1_500, 0);
+    record ClientBehaviour(long pauseMs, long deadlineMs, double leavingShare) {
+        static final ClientBehaviour STEADY = new ClientBehaviour(40, 1_500, 0);
     }
 
     private static final long ANSWER_SLACK_MS = 1_500;
@@ -33,7 +33,7 @@
     private final int gateway;
     private final InetSocketAddress address;
     private final int shards;
-    private final Habits habits;
+    private final ClientBehaviour habits;
     private volatile boolean stopped;
 
     /** Clients that have no connection make none while this is set. */
@@ -44,7 +44,7 @@
             InetSocketAddress address,
             int shards,
             int clients,
-            Habits habits,
+            ClientBehaviour habits,
             long seed) {
         this.gateway = gateway;
         this.address = address;
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -54,7 +54,7 @@
     private final int gateways;
     private final Random random;
     private final TestFleet fleet;
-    private final Shim shim;
+    private final SystemCallShim shim;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     (a, b) ->
@@ -76,7 +76,7 @@
         this.random = new Random(seed);
         this.gateways = 2 + random.nextInt(3);
         this.fleet = new TestFleet(folder, gateways, SHARDS, random.nextInt(4) == 0);
-        this.shim = random.nextInt(2) == 0 ? Shim.in(folder) : null;
+        this.shim = random.nextInt(2) == 0 ? SystemCallShim.in(folder) : null;
         if (shim != null) {
             int failures = random.nextInt(2) == 0 ? 0 : 5 + random.nextInt(40);
             shim.environment(seed, failures).forEach(fleet::environment);
@@ -106,7 +106,7 @@
             fleet.load(
                     i,
                     CLIENTS,
-                    new ClientLoad.Habits(45, TestFleet.LONGEST_DEADLINE_MS, 0.08),
+                    new ClientLoad.ClientBehaviour(45, TestFleet.LONGEST_DEADLINE_MS, 0.08),
                     seed * 10 + i);
         }
         plan();
--- a/src/main/java/sagepulley/faultinjection/Shim.java
+++ b/src/main/java/sagepulley/faultinjection/SystemCallShim.java
@@ -14,24 +14,24 @@
  * The library of shim.c: failing system calls and a wall clock that steps, for the processes that
  * load it.
  */
-final class Shim {
+final class SystemCallShim {
     private static Path library;
 
     private final Path clock;
     private final Path built;
 
-    private Shim(Path built, Path clock) throws IOException {
+    private SystemCallShim(Path built, Path clock) throws IOException {
         this.built = built;
         this.clock = clock;
         step(0);
     }
 
     /** Compiled once; null on a machine without a C compiler. */
-    static synchronized Shim in(Path folder) throws IOException, InterruptedException {
+    static synchronized SystemCallShim in(Path folder) throws IOException, InterruptedException {
         if (library == null) {
             Path source = Files.createTempFile("shim", ".c");
             Path target = Files.createTempFile("shim", ".so");
-            try (InputStream text = Shim.class.getResourceAsStream("/faults/shim.c")) {
+            try (InputStream text = SystemCallShim.class.getResourceAsStream("/faults/shim.c")) {
                 Files.write(source, text.readAllBytes());
             }
             try {
@@ -56,7 +56,7 @@
                 target.toFile().deleteOnExit();
             }
         }
-        return library == null ? null : new Shim(library, folder.resolve("wall-clock"));
+        return library == null ? null : new SystemCallShim(library, folder.resolve("wall-clock"));
     }
 
     /** Moves the wall clock of all processes that load it, in milliseconds against the true one. */
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -95,7 +95,7 @@
         return gateways;
     }
 
-    ClientLoad load(int gateway, int clients, ClientLoad.Habits habits, long seed) {
+    ClientLoad load(int gateway, int clients, ClientLoad.ClientBehaviour habits, long seed) {
         ClientLoad load =
                 new ClientLoad(
                         gateway,
--- a/src/main/java/sagepulley/frontend/nbd/Room.java
+++ b/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
@@ -1,19 +1,19 @@
 package sagepulley.frontend.nbd;
 
 import java.util.ArrayDeque;
-import sagepulley.codec.nbd.Gate;
+import sagepulley.codec.nbd.AdmissionGate;
 
 /**
  * How many bytes of requests may be in hand, in all and for each client. What does not fit waits in
  * order, and its socket is not read meanwhile. Used from every client's loop.
  */
-public final class Room {
+public final class BufferBudget {
     private final long most;
     private long used;
     private long highest;
     private final ArrayDeque<Client> queue = new ArrayDeque<>();
 
-    public Room(long most) {
+    public BufferBudget(long most) {
         this.most = most;
     }
 
@@ -27,7 +27,7 @@
     }
 
     /** One client's part. */
-    public final class Client implements Gate {
+    public final class Client implements AdmissionGate {
         private final long clientMost;
         private long clientUsed;
 
@@ -43,7 +43,7 @@
 
         @Override
         public boolean admit(long bytes, Runnable again) {
-            synchronized (Room.this) {
+            synchronized (BufferBudget.this) {
                 if (granted) {
                     granted = false;
                     wanted = 0;
@@ -69,7 +69,7 @@
 
         /** Gives back what was admitted. */
         public void give(long bytes) {
-            synchronized (Room.this) {
+            synchronized (BufferBudget.this) {
                 clientUsed -= bytes;
                 used -= bytes;
                 if (wanted > 0
@@ -84,7 +84,7 @@
 
         /** The connection ended: what it waited for is not wanted any more. */
         public void close() {
-            synchronized (Room.this) {
+            synchronized (BufferBudget.this) {
                 queue.remove(this);
                 if (granted) {
                     granted = false;
--- a/src/main/java/sagepulley/frontend/nbd/Tally.java
+++ b/src/main/java/sagepulley/frontend/nbd/Counters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts of one gateway since its start. Read from any thread. */
-public final class Tally {
+public final class Counters {
     public final LongAdder taken = new LongAdder();
     public final LongAdder satisfied = new LongAdder();
     public final LongAdder declined = new LongAdder();
--- a/src/main/java/sagepulley/frontend/nbd/Disk.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExportedVolume.java
@@ -3,28 +3,28 @@
 import java.util.HashMap;
 import java.util.Map;
 import sagepulley.codec.nbd.Export;
-import sagepulley.config.VolumeLine;
+import sagepulley.config.VolumeSettings;
 import sagepulley.model.Volume;
 
 /**
  * A volume in service: its figures, its export, and the cells whose nodes may hold writes not yet
  * durable.
  */
-final class Disk {
+final class ExportedVolume {
     /** Writes that were acknowledged since the last flush, and the start of the node that did. */
     static final class Unflushed {
         long since;
         long writes;
     }
 
-    final VolumeLine line;
+    final VolumeSettings line;
     final Volume volume;
     final Export export;
 
     /** By cell. */
     final Map<Integer, Unflushed> unflushed = new HashMap<>();
 
-    Disk(VolumeLine line, Volume volume, Export export) {
+    ExportedVolume(VolumeSettings line, Volume volume, Export export) {
         this.line = line;
         this.volume = volume;
         this.export = export;
--- a/src/main/java/sagepulley/frontend/nbd/House.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -23,54 +23,54 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sagepulley.accounts.Accounts;
-import sagepulley.accounts.Book;
-import sagepulley.accounts.BookCopy;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.Kept;
-import sagepulley.accounts.Report;
-import sagepulley.accounts.Spent;
+import sagepulley.accounts.IncrementalCopy;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.accounts.StoredAccounts;
 import sagepulley.accounts.Totals;
-import sagepulley.codec.frame.Alarm;
+import sagepulley.codec.frame.EventLoopTimer;
 import sagepulley.codec.nbd.Export;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdRequest;
 import sagepulley.codec.nbd.NbdServer;
-import sagepulley.config.Site;
-import sagepulley.config.VolumeLine;
-import sagepulley.discovery.directory.DirectoryLink;
-import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.discovery.directory.DirectoryClient;
+import sagepulley.discovery.directory.DirectoryMessages;
 import sagepulley.engine.Clock;
-import sagepulley.membership.KeptList;
+import sagepulley.membership.EndpointListUpdate;
+import sagepulley.membership.EndpointRecord;
 import sagepulley.membership.Membership;
-import sagepulley.membership.NodeLine;
-import sagepulley.membership.Returning;
-import sagepulley.membership.Told;
+import sagepulley.membership.ReconnectBackoff;
+import sagepulley.membership.StoredEndpointList;
 import sagepulley.model.Attempt;
+import sagepulley.model.FollowUp;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Pause;
-import sagepulley.model.Placement;
 import sagepulley.model.Reason;
-import sagepulley.model.Sequel;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.SchedulerTurn;
 import sagepulley.model.Volume;
-import sagepulley.persistence.GatewayBook;
-import sagepulley.persistence.HoldersFile;
-import sagepulley.placement.Holders;
-import sagepulley.scheduler.Control;
-import sagepulley.scheduler.WaitView;
-import sagepulley.tracing.Story;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.persistence.HolderFile;
+import sagepulley.placement.ExtentHolders;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.scheduler.WaitExplainer;
+import sagepulley.tracing.OperationTrace;
 import sagepulley.tracing.TailSampler;
 import sagepulley.tracing.Tracer;
-import sagepulley.upstream.frame.NodeLink;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.upstream.frame.NodeConnection;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * Hosts Control in service: tells it what happens and carries out what it answers. Everything here
  * but the methods said otherwise runs on one loop, which also owns the links to nodes and
  * directory.
  */
-final class House implements DirectoryLink.Owner {
+final class NbdEngine implements DirectoryClient.Listener {
     /** A shard that no node has: Control keeps such an operation until its holder is found. */
     private static final int NOT_FOUND_YET = Integer.MAX_VALUE;
 
@@ -96,32 +96,32 @@
     private static final int ACCOUNTED_AT_ONCE = 256;
     private static final long ACCOUNT_BEAT_MS = 20;
     private static final double NS = 1e6;
-    private static final Logger LOG = LoggerFactory.getLogger(House.class);
+    private static final Logger LOG = LoggerFactory.getLogger(NbdEngine.class);
 
-    private final Site site;
+    private final SiteConfig site;
     private final EventLoop loop;
     private final Class<? extends Channel> kind;
     private final Clock clock;
-    private final Control control;
-    private final Splitter splitter;
-    private final StoreWire.Hello hello;
-    private final DirectoryLink directory;
-    private final Tally tally = new Tally();
-    private final Map<String, Disk> disks = new LinkedHashMap<>();
+    private final Scheduler control;
+    private final RequestSplitter splitter;
+    private final StoreMessages.Hello hello;
+    private final DirectoryClient directory;
+    private final Counters tally = new Counters();
+    private final Map<String, ExportedVolume> disks = new LinkedHashMap<>();
     private final Map<Integer, Place> places = new LinkedHashMap<>();
 
     /** The ready node of each cell. */
     private final Map<Integer, Node> byCell = new HashMap<>();
 
-    private final Holders<Part> holders = new Holders<>();
+    private final ExtentHolders<RequestPart> holders = new ExtentHolders<>();
 
     /** Parts whose attempt is out, by the attempt's number on the wire. */
-    private final Map<Long, Part> out = new HashMap<>();
+    private final Map<Long, RequestPart> out = new HashMap<>();
 
-    private final Map<Session, Set<Request>> requests = new HashMap<>();
+    private final Map<NbdSession, Set<PendingRequest>> requests = new HashMap<>();
 
     /** Parts in hand whose holder is not known, by extent. */
-    private final Map<Long, Set<Part>> seeking = new HashMap<>();
+    private final Map<Long, Set<RequestPart>> seeking = new HashMap<>();
 
     private final Accounts accounts;
 
@@ -131,7 +131,7 @@
     private final TailSampler sampler;
 
     /** Parts that wait at Control, in the order in which they are asked why. */
-    private final Set<Part> waiting = new LinkedHashSet<>();
+    private final Set<RequestPart> waiting = new LinkedHashSet<>();
 
     /**
      * When the latest versions of the list came, by the wall's clock: by these, gateways' books are
@@ -140,7 +140,7 @@
     private final Map<Long, Double> told = new LinkedHashMap<>();
 
     private final Membership membership;
-    private final Returning returning;
+    private final ReconnectBackoff returning;
 
     /**
      * Extents whose holder is known from disk only: the first node that is asked says whether it is
@@ -150,7 +150,7 @@
 
     private long attemptIds;
     private boolean settleDue;
-    private final Alarm alarm;
+    private final EventLoopTimer alarm;
     private ScheduledFuture<?> beat;
     private ScheduledFuture<?> membersBeat;
     private boolean listed;
@@ -167,9 +167,9 @@
     private Runnable whenEmpty;
 
     /** A node of the list with its link, which is opened when an attempt needs it. */
-    private final class Place implements NodeLink.Owner {
+    private final class Place implements NodeConnection.Listener {
         final Node node;
-        NodeLink link;
+        NodeConnection link;
         long startedAt;
 
         Place(int id) {
@@ -177,20 +177,24 @@
         }
 
         @Override
-        public void answered(long attempt, StoreWire.Answer answer, ByteBuf payload) {
-            House.this.answered(attempt, answer, payload);
+        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
+            NbdEngine.this.answered(attempt, answer, payload);
         }
 
         @Override
-        public void broken(long attempt, NodeLink.Broken how) {
-            Part part = out.remove(attempt);
+        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
+            RequestPart part = out.remove(attempt);
             if (part != null) {
-                ended(part, how == NodeLink.Broken.RESET ? Outcome.RESET : Outcome.NO_CONNECTION);
+                ended(
+                        part,
+                        how == NodeConnection.ConnectionFailure.RESET
+                                ? Outcome.RESET
+                                : Outcome.NO_CONNECTION);
             }
         }
 
         @Override
-        public void late(StoreWire.Answer answer) {
+        public void late(StoreMessages.Answer answer) {
             accounts.late(node.id, answer.waited(), answer.worked());
         }
 
@@ -201,9 +205,9 @@
         }
 
         @Override
-        public boolean welcomed(StoreWire.Welcome welcome) {
+        public boolean welcomed(StoreMessages.Welcome welcome) {
             startedAt = welcome.startedAt();
-            Membership.Welcome meaning =
+            Membership.HandshakeVerdict meaning =
                     membership.welcomed(
                             node.id,
                             welcome.node(),
@@ -216,12 +220,12 @@
                     .addKeyValue("started", startedAt)
                     .addKeyValue("meaning", meaning)
                     .log("node connected");
-            if (meaning != Membership.Welcome.GO
+            if (meaning != Membership.HandshakeVerdict.GO
                     || !node.takesNew
-                    || node.standing != Node.Standing.READY) {
+                    || node.standing != Node.Phase.READY) {
                 adopt();
             }
-            return meaning == Membership.Welcome.GO && node.standing == Node.Standing.READY;
+            return meaning == Membership.HandshakeVerdict.GO && node.standing == Node.Phase.READY;
         }
 
         @Override
@@ -237,18 +241,18 @@
         }
     }
 
-    House(
-            Site site,
+    NbdEngine(
+            SiteConfig site,
             EventLoop loop,
             Class<? extends Channel> kind,
             Clock clock,
             long seed,
-            Control control,
+            Scheduler control,
             Membership membership,
             Tracer tracer) {
         this.site = site;
         this.loop = loop;
-        this.alarm = new Alarm(loop, clock::now, this::settleNow);
+        this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
         this.kind = kind;
         this.clock = clock;
         this.control = control;
@@ -257,27 +261,27 @@
                         site.books().keep() ? Accounts.Bounds.USUAL : Accounts.Bounds.NONE,
                         clock.wall(0),
                         site.volumes().stream()
-                                .limit(Gateway.SUMMED_VOLUMES)
+                                .limit(NbdGateway.SUMMED_VOLUMES)
                                 .map(line -> (long) line.id())
                                 .collect(Collectors.toSet()));
         this.tracer = tracer;
         SplittableRandom chance = new SplittableRandom(seed);
         this.membership = membership;
-        this.returning = new Returning(START_AGAIN, START_AGAIN_LONGEST, chance.split());
+        this.returning = new ReconnectBackoff(START_AGAIN, START_AGAIN_LONGEST, chance.split());
         this.sampler =
                 new TailSampler(site.traces().perSecond(), site.traces().chance(), chance.split());
-        this.splitter = new Splitter(site);
-        this.hello = new StoreWire.Hello(seed, site.name());
+        this.splitter = new RequestSplitter(site);
+        this.hello = new StoreMessages.Hello(seed, site.name());
         this.directory =
-                new DirectoryLink(loop, kind, site.directory().socket(), seed, site.name(), this);
-        for (VolumeLine line : site.volumes()) {
+                new DirectoryClient(loop, kind, site.directory().socket(), seed, site.name(), this);
+        for (VolumeSettings line : site.volumes()) {
             Volume volume = new Volume(line.id(), site.deployment().plans().get(line.plan()));
             volume.gateways = line.gateways();
             // A flush reaches every write acknowledged by this gateway, whatever connection it came
             // by.
             disks.put(
                     line.name(),
-                    new Disk(
+                    new ExportedVolume(
                             line,
                             volume,
                             new Export(
@@ -299,12 +303,12 @@
                 site.members().nodes().stream()
                         .map(
                                 node ->
-                                        new NodeLine(
+                                        new EndpointRecord(
                                                 node.node(),
                                                 node.cell(),
                                                 node.zone(),
                                                 0,
-                                                NodeLine.Standing.READY,
+                                                EndpointRecord.Phase.READY,
                                                 0,
                                                 1,
                                                 node.address().host(),
@@ -339,15 +343,15 @@
      * What an earlier life kept: the list (or null), and the cells of volumes' extents. On the
      * loop, before the start.
      */
-    void restore(KeptList list, Map<Integer, int[]> cells) {
+    void restore(StoredEndpointList list, Map<Integer, int[]> cells) {
         if (list != null) {
             membership.kept(list, wall());
         }
-        for (Disk disk : disks.values()) {
+        for (ExportedVolume disk : disks.values()) {
             int[] row = cells.getOrDefault(disk.line.id(), new int[0]);
             for (int i = 0; i < Math.min(row.length, extents(disk)); i++) {
                 if (row[i] >= 0) {
-                    long key = Holders.key(disk.line.id(), i);
+                    long key = ExtentHolders.key(disk.line.id(), i);
                     holders.learned(key, row[i]);
                     unverified.add(key);
                 }
@@ -355,7 +359,7 @@
         }
     }
 
-    private long extents(Disk disk) {
+    private long extents(ExportedVolume disk) {
         return (disk.line.size() - 1) / site.extentBytes() + 1;
     }
 
@@ -364,8 +368,8 @@
     }
 
     /** The list as it goes to disk; null if nothing is new. From any thread. */
-    CompletableFuture<KeptList> keptList() {
-        CompletableFuture<KeptList> told = new CompletableFuture<>();
+    CompletableFuture<StoredEndpointList> keptList() {
+        CompletableFuture<StoredEndpointList> told = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     boolean due = listed && (listChanged || wall() - listKeptAt >= LIST_KEPT_EVERY);
@@ -395,7 +399,7 @@
                             new LinkedHashMap<>(),
                             new ArrayList<>(disks.values()),
                             0,
-                            HoldersFile.MOST_EXTENTS,
+                            HolderFile.MOST_EXTENTS,
                             told);
                 });
         return told;
@@ -403,7 +407,7 @@
 
     private void gather(
             Map<Integer, int[]> rows,
-            List<Disk> left,
+            List<ExportedVolume> left,
             int from,
             long room,
             CompletableFuture<Map<Integer, int[]>> told) {
@@ -416,7 +420,7 @@
         int[] row = rows.computeIfAbsent(id, any -> new int[length]);
         int end = Math.min(length, from + HOLDERS_AT_ONCE);
         for (int i = from; i < end; i++) {
-            row[i] = holders.cell(Holders.key(id, i));
+            row[i] = holders.cell(ExtentHolders.key(id, i));
         }
         boolean more = end < length;
         loop.execute(
@@ -446,13 +450,13 @@
     }
 
     /** Each volume's account of the last so many milliseconds, by name. From any thread. */
-    CompletableFuture<Map<String, Report>> accounts(double lately) {
-        CompletableFuture<Map<String, Report>> told = new CompletableFuture<>();
+    CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
+        CompletableFuture<Map<String, LatencyReport>> told = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     double now = clock.now();
-                    Book book = accounts.book();
-                    Map<String, Report> reports = new LinkedHashMap<>();
+                    LatencyAccount book = accounts.book();
+                    Map<String, LatencyReport> reports = new LinkedHashMap<>();
                     disks.forEach(
                             (name, disk) ->
                                     reports.put(
@@ -477,27 +481,27 @@
      * The accounts as they go to disk: copied piece by piece, and written out off this loop. From
      * any thread.
      */
-    CompletableFuture<GatewayBook> writtenBook() {
+    CompletableFuture<GatewayAccounts> writtenBook() {
         CompletableFuture<BookAt> copied = new CompletableFuture<>();
         loop.execute(() -> copyBook(accounts.copy(), copied));
         return copied.thenApplyAsync(
                 at -> {
                     Map<Long, String> names = new LinkedHashMap<>();
                     disks.forEach((name, disk) -> names.put((long) disk.line.id(), name));
-                    return new GatewayBook(
+                    return new GatewayAccounts(
                             site.name(),
                             (long) clock.wall(clock.now()),
                             names,
                             at.told,
-                            Kept.of(at.book));
+                            StoredAccounts.of(at.book));
                 });
     }
 
     /** A copy of the accounts, and which versions of the list had been told when it was whole. */
-    private record BookAt(Book book, Map<Long, Double> told) {}
+    private record BookAt(LatencyAccount book, Map<Long, Double> told) {}
 
-    private void copyBook(BookCopy copy, CompletableFuture<BookAt> copied) {
-        Book whole = copy.more(COPIED_AT_ONCE);
+    private void copyBook(IncrementalCopy copy, CompletableFuture<BookAt> copied) {
+        LatencyAccount whole = copy.more(COPIED_AT_ONCE);
         if (whole != null) {
             copied.complete(new BookAt(whole, Map.copyOf(told)));
         } else {
@@ -506,21 +510,21 @@
     }
 
     /** Goes on with the accounts of an earlier life. On the loop. */
-    void goOn(Book book) {
+    void goOn(LatencyAccount book) {
         accounts.goOn(book, clock.now());
     }
 
     /** From any thread. */
-    Tally tally() {
+    Counters tally() {
         return tally;
     }
 
     /** From any thread: the volumes do not change in service. */
-    Disk disk(String name) {
+    ExportedVolume disk(String name) {
         return disks.get(name);
     }
 
-    Map<String, Disk> disks() {
+    Map<String, ExportedVolume> disks() {
         return disks;
     }
 
@@ -532,7 +536,7 @@
     // ---- requests ----
 
     /** Takes a request that was found to be well-formed. From the client's loop. */
-    void take(Session session, NbdRequest asked, Disk disk) {
+    void take(NbdSession session, NbdRequest asked, ExportedVolume disk) {
         if (loop.inEventLoop()) {
             taken(session, asked, disk);
         } else {
@@ -540,18 +544,18 @@
         }
     }
 
-    private void taken(Session session, NbdRequest asked, Disk disk) {
-        Request request = new Request(session, asked, disk, clock.now());
+    private void taken(NbdSession session, NbdRequest asked, ExportedVolume disk) {
+        PendingRequest request = new PendingRequest(session, asked, disk, clock.now());
         if (stopping) {
             asked.payload().release();
-            request.fail(-1, Nbd.ESHUTDOWN, "the gateway is stopping; nothing was done");
+            request.fail(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
             session.answer(request);
             return;
         }
         requests.computeIfAbsent(session, any -> new HashSet<>()).add(request);
         switch (asked.command()) {
-            case Nbd.CMD_FLUSH -> flush(request);
-            case Nbd.CMD_BLOCK_STATUS -> {
+            case NbdConstants.CMD_FLUSH -> flush(request);
+            case NbdConstants.CMD_BLOCK_STATUS -> {
                 blockStatus(request);
                 return;
             }
@@ -565,7 +569,7 @@
         if (request.open == 0) {
             close(request);
         }
-        for (Part part : request.parts) {
+        for (RequestPart part : request.parts) {
             part.meter =
                     accounts.begin(
                             request.disk.line.id(),
@@ -574,8 +578,8 @@
                             part.operation.units,
                             request.arrivedAt);
         }
-        for (Part part : List.copyOf(request.parts)) {
-            if (part.kind == StoreWire.Kind.FLUSH) {
+        for (RequestPart part : List.copyOf(request.parts)) {
+            if (part.kind == StoreMessages.Kind.FLUSH) {
                 show(part);
             } else {
                 seek(part);
@@ -584,10 +588,10 @@
         settle();
     }
 
-    private void flush(Request request) {
+    private void flush(PendingRequest request) {
         request.disk.unflushed.forEach(
                 (cell, at) -> {
-                    Part part = splitter.flush(request, cell);
+                    RequestPart part = splitter.flush(request, cell);
                     part.writesBefore = at.writes;
                     part.since = at.since;
                     request.parts.add(part);
@@ -598,7 +602,7 @@
      * Extents without a holder are holes; the directory alone knows, for another gateway may have
      * written.
      */
-    private void blockStatus(Request request) {
+    private void blockStatus(PendingRequest request) {
         long offset = request.asked.offset();
         long end = offset + Integer.toUnsignedLong(request.asked.length());
         long first = offset / site.extentBytes();
@@ -612,13 +616,17 @@
                         return;
                     }
                     if (cells == null) {
-                        request.fail(-1, Nbd.EIO, "the directory did not answer: " + failure);
+                        request.fail(
+                                -1, NbdConstants.EIO, "the directory did not answer: " + failure);
                     } else {
                         List<Integer> blocks = new ArrayList<>();
                         long at = offset;
                         for (int i = 0; i < cells.length; i++) {
                             long until = Math.min(end, (first + i + 1) * site.extentBytes());
-                            int state = cells[i] < 0 ? Nbd.STATE_HOLE | Nbd.STATE_ZERO : 0;
+                            int state =
+                                    cells[i] < 0
+                                            ? NbdConstants.STATE_HOLE | NbdConstants.STATE_ZERO
+                                            : 0;
                             int last = blocks.size() - 1;
                             if (last > 0 && blocks.get(last) == state) {
                                 blocks.set(last - 1, blocks.get(last - 1) + (int) (until - at));
@@ -628,7 +636,7 @@
                             }
                             at = until;
                         }
-                        boolean one = (request.asked.flags() & Nbd.CMD_FLAG_REQ_ONE) != 0;
+                        boolean one = (request.asked.flags() & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
                         request.blocks =
                                 blocks.stream()
                                         .limit(one ? 2 : Long.MAX_VALUE)
@@ -639,19 +647,19 @@
                 });
     }
 
-    private boolean inHand(Request request) {
-        Set<Request> all = requests.get(request.session);
+    private boolean inHand(PendingRequest request) {
+        Set<PendingRequest> all = requests.get(request.session);
         return all != null && all.contains(request);
     }
 
     /** The client's connection has ended: nothing is owed to it. From the client's loop. */
-    void left(Session session) {
+    void left(NbdSession session) {
         loop.execute(
                 () -> {
-                    Set<Request> gone = requests.remove(session);
+                    Set<PendingRequest> gone = requests.remove(session);
                     if (gone != null) {
-                        for (Request request : gone) {
-                            for (Part part : List.copyOf(request.parts)) {
+                        for (PendingRequest request : gone) {
+                            for (RequestPart part : List.copyOf(request.parts)) {
                                 if (!part.operation.over) {
                                     leave(part);
                                 }
@@ -665,7 +673,7 @@
                 });
     }
 
-    private void leave(Part part) {
+    private void leave(RequestPart part) {
         part.operation.over = true;
         tally.left.increment();
         unseek(part);
@@ -679,7 +687,7 @@
 
     // ---- the holder of an extent ----
 
-    private void seek(Part part) {
+    private void seek(RequestPart part) {
         long key = part.operation.extent;
         int cell = holders.cell(key);
         if (cell >= 0) {
@@ -699,23 +707,23 @@
         }
     }
 
-    private void park(long key, Part part) {
+    private void park(long key, RequestPart part) {
         double now = clock.now();
         holders.park(key, part, now);
-        accounts.waits(part.meter, Spent.DIRECTORY, 0, now);
+        accounts.waits(part.meter, LatencyComponent.DIRECTORY, 0, now);
     }
 
     /** Whether the extent must have a holder afterwards. */
-    private static boolean creates(Part part) {
-        return part.kind == StoreWire.Kind.WRITE
-                || part.kind == StoreWire.Kind.ZERO
-                        && (part.request.asked.flags() & Nbd.CMD_FLAG_NO_HOLE) != 0;
+    private static boolean creates(RequestPart part) {
+        return part.kind == StoreMessages.Kind.WRITE
+                || part.kind == StoreMessages.Kind.ZERO
+                        && (part.request.asked.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0;
     }
 
     /**
      * Asked after the operation came: an older answer could not know of a write acknowledged since.
      */
-    private void lookUp(Part part) {
+    private void lookUp(RequestPart part) {
         if (directoryDown) {
             if (holders.unpark(part.operation.extent, part)) {
                 handOn(part);
@@ -743,8 +751,9 @@
                             control.needless(part.operation);
                         }
                         tally.holes.increment();
-                        if (part.kind == StoreWire.Kind.READ) {
-                            part.request.found.add(new Request.Found(part.at, part.length, null));
+                        if (part.kind == StoreMessages.Kind.READ) {
+                            part.request.found.add(
+                                    new PendingRequest.Found(part.at, part.length, null));
                         }
                         satisfied(part);
                     }
@@ -754,18 +763,18 @@
 
     /** A holder became known: whoever waited for it, here or at Control, goes there. */
     private void found(long key, int cell) {
-        Set<Part> all = seeking.remove(key);
-        List<Part> parked = holders.learned(key, cell);
+        Set<RequestPart> all = seeking.remove(key);
+        List<RequestPart> parked = holders.learned(key, cell);
         int holder = holders.cell(key);
         holdersChanged = true;
         if (all != null) {
-            for (Part part : all) {
+            for (RequestPart part : all) {
                 if (part.shown) {
                     control.found(part.operation, holder);
                 }
             }
         }
-        for (Part part : parked) {
+        for (RequestPart part : parked) {
             if (!part.operation.over) {
                 part.operation.shard = holder;
                 show(part);
@@ -774,7 +783,7 @@
     }
 
     /** Who waited long enough for the directory is Control's to decide about. */
-    private void handOn(Part part) {
+    private void handOn(RequestPart part) {
         if (part.operation.over) {
             return;
         }
@@ -798,9 +807,9 @@
         }
         directoryDown = false;
         LOG.atInfo().addKeyValue("extents", seeking.size()).log("the directory answers again");
-        for (Map.Entry<Long, Set<Part>> entry : List.copyOf(seeking.entrySet())) {
+        for (Map.Entry<Long, Set<RequestPart>> entry : List.copyOf(seeking.entrySet())) {
             refile(entry.getKey(), -1);
-            for (Part part : List.copyOf(entry.getValue())) {
+            for (RequestPart part : List.copyOf(entry.getValue())) {
                 if (!creates(part) && part.attempt == 0 && !part.operation.over) {
                     lookUp(part);
                 }
@@ -810,23 +819,23 @@
 
     /** Tells Control anew where the first writes to an extent go that wait with it. */
     private void refile(long key, int shard) {
-        for (Part part : seeking.getOrDefault(key, Set.of())) {
+        for (RequestPart part : seeking.getOrDefault(key, Set.of())) {
             if (part.shown && part.attempt == 0 && part.operation.shard != shard && creates(part)) {
                 control.found(part.operation, shard);
             }
         }
     }
 
-    private void unseek(Part part) {
+    private void unseek(RequestPart part) {
         long key = part.operation.extent;
-        Set<Part> all = seeking.get(key);
+        Set<RequestPart> all = seeking.get(key);
         if (all != null && all.remove(part) && all.isEmpty()) {
             seeking.remove(key);
         }
         holders.unpark(key, part);
     }
 
-    private void claim(Part part, Attempt attempt) {
+    private void claim(RequestPart part, Attempt attempt) {
         long key = part.operation.extent;
         holders.claims(key);
         // Other first writes to the extent wait for this claim, or they would lose theirs against
@@ -847,7 +856,7 @@
                             control.found(part.operation, NOT_FOUND_YET);
                         }
                     }
-                    for (Part waiting : holders.claimed(key)) {
+                    for (RequestPart waiting : holders.claimed(key)) {
                         handOn(waiting);
                     }
                     if (attempt.outcome != null) {
@@ -866,14 +875,14 @@
 
     // ---- Control's answers ----
 
-    private void show(Part part) {
+    private void show(RequestPart part) {
         part.shown = true;
         carryOut(part, control.place(part.operation, clock.now()));
     }
 
-    private void carryOut(Part part, Placement placement) {
+    private void carryOut(RequestPart part, RoutingDecision placement) {
         Operation operation = part.operation;
-        if (placement.kind() == Placement.Kind.WAIT) {
+        if (placement.kind() == RoutingDecision.Kind.WAIT) {
             if (!operation.over) {
                 waiting.add(part);
                 account(part, clock.now());
@@ -910,7 +919,7 @@
                         part,
                         Accounts.End.DECLINED,
                         placement.reason(),
-                        Nbd.ENOMEM,
+                        NbdConstants.ENOMEM,
                         "declined ("
                                 + word(placement.reason())
                                 + "): asking again does no harm"
@@ -922,7 +931,7 @@
                         part,
                         Accounts.End.SCRAPPED,
                         placement.reason(),
-                        Nbd.EIO,
+                        NbdConstants.EIO,
                         "scrapped: it may have taken effect or not");
             }
             case WAIT -> throw new IllegalStateException("seen above");
@@ -934,11 +943,12 @@
     }
 
     /** States anew why an operation waits, and behind whom. */
-    private void account(Part part, double now) {
+    private void account(RequestPart part, double now) {
         if (part.meter == null) {
             return; // no accounts are kept
         }
-        Spent spent = Spent.of(WaitView.why(control, part.operation, now));
+        LatencyComponent spent =
+                LatencyComponent.of(WaitExplainer.why(control, part.operation, now));
         accounts.waits(part.meter, spent, nodeOf(part.operation.shard), now);
     }
 
@@ -948,13 +958,13 @@
      */
     private void accountForWaiting() {
         double now = clock.now();
-        Iterator<Part> each = waiting.iterator();
-        List<Part> asked = new ArrayList<>();
+        Iterator<RequestPart> each = waiting.iterator();
+        List<RequestPart> asked = new ArrayList<>();
         while (each.hasNext() && asked.size() < ACCOUNTED_AT_ONCE) {
             asked.add(each.next());
             each.remove();
         }
-        for (Part part : asked) {
+        for (RequestPart part : asked) {
             account(part, now);
             waiting.add(part);
         }
@@ -966,14 +976,14 @@
         return node == null ? 0 : node.id;
     }
 
-    private void hand(Part part, Attempt attempt) {
+    private void hand(RequestPart part, Attempt attempt) {
         part.handed = true;
         accounts.sent(part.meter, attempt.node.id, attempt.owed, clock.now());
         Place place = places.get(attempt.node.id);
         tally.attempts.increment();
-        boolean durable = (part.request.asked.flags() & Nbd.CMD_FLAG_FUA) != 0;
-        StoreWire.Send send =
-                new StoreWire.Send(
+        boolean durable = (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
+        StoreMessages.Send send =
+                new StoreMessages.Send(
                         part.kind,
                         part.operation.band.index(),
                         durable,
@@ -986,15 +996,15 @@
                         part.length,
                         (float) part.operation.units,
                         part.since,
-                        part.kind != StoreWire.Kind.FLUSH
+                        part.kind != StoreMessages.Kind.FLUSH
                                 && unverified.contains(part.operation.extent));
         place.link.send(part.attempt, send, part.payload.retainedDuplicate());
     }
 
     // ---- ends of attempts ----
 
-    private void answered(long attemptId, StoreWire.Answer answer, ByteBuf payload) {
-        Part part = out.remove(attemptId);
+    private void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
+        RequestPart part = out.remove(attemptId);
         if (part == null) {
             payload.release();
             return;
@@ -1014,11 +1024,12 @@
         attempt.othersUnits = answer.others();
         attempt.report = widened(answer.report());
         boolean denied =
-                answer.code() == StoreWire.Code.MOOT && unverified.remove(part.operation.extent);
+                answer.code() == StoreMessages.Code.MOOT
+                        && unverified.remove(part.operation.extent);
         if (denied) {
             deny(part);
         }
-        if (answer.code() == StoreWire.Code.SATISFIED) {
+        if (answer.code() == StoreMessages.Code.SATISFIED) {
             unverified.remove(part.operation.extent);
             accounts.answered(
                     part.meter,
@@ -1027,12 +1038,12 @@
                     answer.report().length == 0 ? Double.NaN : answer.report()[0],
                     clock.now());
         }
-        int due = part.kind == StoreWire.Kind.READ ? part.length : 0;
+        int due = part.kind == StoreMessages.Kind.READ ? part.length : 0;
         if (outcome == Outcome.SATISFIED && payload.readableBytes() != due) {
             outcome = Outcome.FAULT;
         }
         if (outcome == Outcome.SATISFIED && !part.operation.over && due > 0) {
-            part.request.found.add(new Request.Found(part.at, part.length, payload));
+            part.request.found.add(new PendingRequest.Found(part.at, part.length, payload));
         } else {
             payload.release();
         }
@@ -1046,7 +1057,7 @@
      * The holder that the disk named does not hold the extent: nobody is believed to, until it is
      * found.
      */
-    private void deny(Part part) {
+    private void deny(RequestPart part) {
         long key = part.operation.extent;
         LOG.atInfo()
                 .addKeyValue("volume", part.request.disk.line.name())
@@ -1061,7 +1072,7 @@
     }
 
     private void timedOut(long attemptId) {
-        Part part = out.remove(attemptId);
+        RequestPart part = out.remove(attemptId);
         if (part == null) {
             return;
         }
@@ -1073,11 +1084,11 @@
         ended(part, went ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
     }
 
-    private static Attempt lastAttempt(Part part) {
+    private static Attempt lastAttempt(RequestPart part) {
         return part.operation.attempts.get(part.operation.attempts.size() - 1);
     }
 
-    private void ended(Part part, Outcome outcome) {
+    private void ended(RequestPart part, Outcome outcome) {
         double now = clock.now();
         Operation operation = part.operation;
         Attempt attempt = lastAttempt(part);
@@ -1097,34 +1108,35 @@
         if (outcome == Outcome.MOOT) {
             tally.moot.increment();
         }
-        Sequel sequel = control.after(attempt, now);
+        FollowUp sequel = control.after(attempt, now);
         if (first) {
             note(part, attempt);
             satisfied(part);
-        } else if (sequel == Sequel.PLACE_AGAIN) {
+        } else if (sequel == FollowUp.PLACE_AGAIN) {
             carryOut(part, control.place(operation, now));
         }
         settle();
     }
 
     /** What an acknowledged write or flush means for the next flush. */
-    private void note(Part part, Attempt attempt) {
-        Disk disk = part.request.disk;
-        if (part.kind == StoreWire.Kind.FLUSH) {
+    private void note(RequestPart part, Attempt attempt) {
+        ExportedVolume disk = part.request.disk;
+        if (part.kind == StoreMessages.Kind.FLUSH) {
             disk.flushed(attempt.node.cell, part.writesBefore);
-        } else if (part.kind.changes() && (part.request.asked.flags() & Nbd.CMD_FLAG_FUA) == 0) {
+        } else if (part.kind.changes()
+                && (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) == 0) {
             disk.wrote(attempt.node.cell, places.get(attempt.node.id).startedAt);
         }
     }
 
-    private void satisfied(Part part) {
+    private void satisfied(RequestPart part) {
         part.operation.over = true;
         tally.satisfied.increment();
         end(part, Accounts.End.SATISFIED, Reason.NONE);
         over(part);
     }
 
-    private void end(Part part, Accounts.End how, Reason reason) {
+    private void end(RequestPart part, Accounts.End how, Reason reason) {
         double now = clock.now();
         accounts.end(part.meter, how, reason, nodeOf(part.operation.shard), now);
         if (tracer == null || part.meter == null) {
@@ -1139,18 +1151,19 @@
         }
     }
 
-    private Story story(Part part, Accounts.End how, Reason reason, double took, double standsFor) {
+    private OperationTrace story(
+            RequestPart part, Accounts.End how, Reason reason, double took, double standsFor) {
         Operation operation = part.operation;
-        List<Story.Step> steps = new ArrayList<>(part.meter.steps());
+        List<OperationTrace.Step> steps = new ArrayList<>(part.meter.steps());
         for (int i = 0; i < part.meter.steps(); i++) {
             steps.add(
-                    new Story.Step(
+                    new OperationTrace.Step(
                             part.meter.step(i), part.meter.stepNode(i), part.meter.stepLength(i)));
         }
-        List<Story.Attempt> attempts = new ArrayList<>(operation.attempts.size());
+        List<OperationTrace.Attempt> attempts = new ArrayList<>(operation.attempts.size());
         for (Attempt attempt : operation.attempts) {
             attempts.add(
-                    new Story.Attempt(
+                    new OperationTrace.Attempt(
                             attempt.number,
                             attempt.node.id,
                             attempt.owed,
@@ -1166,7 +1179,7 @@
                                 + (cause.volume() == 0 ? "" : ", volume " + cause.volume())
                                 + (cause.node() == 0 ? "" : ", node " + cause.node())
                                 + (cause.estimate() ? ", estimate" : "");
-        return new Story(
+        return new OperationTrace(
                 site.name(),
                 operation.id,
                 part.request.asked.cookie(),
@@ -1186,14 +1199,14 @@
                 attempts);
     }
 
-    private void finish(Part part, Accounts.End how, Reason reason, int error, String why) {
+    private void finish(RequestPart part, Accounts.End how, Reason reason, int error, String why) {
         part.operation.over = true;
         end(part, how, reason);
         part.request.fail(part.at, error, why);
         over(part);
     }
 
-    private void over(Part part) {
+    private void over(RequestPart part) {
         waiting.remove(part);
         unseek(part);
         part.payload.release();
@@ -1202,8 +1215,8 @@
         }
     }
 
-    private void close(Request request) {
-        Set<Request> all = requests.get(request.session);
+    private void close(PendingRequest request) {
+        Set<PendingRequest> all = requests.get(request.session);
         if (all != null) {
             all.remove(request);
             if (all.isEmpty()) {
@@ -1227,10 +1240,10 @@
     private void settleNow() {
         settleDue = false;
         double now = clock.now();
-        for (Part part : holders.overdue(now)) {
+        for (RequestPart part : holders.overdue(now)) {
             handOn(part);
         }
-        Pause pause = control.pause(now);
+        SchedulerTurn pause = control.pause(now);
         while (true) {
             for (Attempt attempt : pause.callOff()) {
                 callOff(attempt);
@@ -1245,8 +1258,8 @@
             }
             boolean moved = false;
             for (Operation operation : pause.due()) {
-                Placement placement = control.place(operation, now);
-                moved |= placement.kind() != Placement.Kind.WAIT;
+                RoutingDecision placement = control.place(operation, now);
+                moved |= placement.kind() != RoutingDecision.Kind.WAIT;
                 carryOut(partOf(operation), placement);
             }
             if (!moved) {
@@ -1257,13 +1270,13 @@
         alarm.by(Math.min(now + pause.length(), holders.nextOverdue()));
     }
 
-    private static Part partOf(Operation operation) {
-        return (Part) operation.held;
+    private static RequestPart partOf(Operation operation) {
+        return (RequestPart) operation.held;
     }
 
     /** Work for nobody is given up; whether it ran, nobody will know. */
     private void callOff(Attempt attempt) {
-        Part part = partOf(attempt.operation);
+        RequestPart part = partOf(attempt.operation);
         if (attempt.outcome != null || part.attempt == 0) {
             return;
         }
@@ -1277,16 +1290,16 @@
     // ---- the directory ----
 
     @Override
-    public void listed(DirectoryWire.Listing listing) {
+    public void listed(DirectoryMessages.EndpointList listing) {
         directoryAnswered();
-        Membership.Belief belief =
+        Membership.UpdateResult belief =
                 membership.told(
-                        new Told(
+                        new EndpointListUpdate(
                                 listing.site(),
                                 listing.history(),
                                 listing.version(),
                                 listing.whole(),
-                                listing.lines().stream().map(House::line).toList()),
+                                listing.lines().stream().map(NbdEngine::line).toList()),
                         wall());
         LOG.atInfo()
                 .addKeyValue("version", listing.version())
@@ -1317,16 +1330,16 @@
         settle();
     }
 
-    private static NodeLine line(DirectoryWire.Line line) {
-        return new NodeLine(
+    private static EndpointRecord line(DirectoryMessages.EndpointLine line) {
+        return new EndpointRecord(
                 line.node(),
                 line.cell(),
                 line.zone(),
                 line.kind(),
                 switch (line.standing()) {
-                    case READY -> NodeLine.Standing.READY;
-                    case DRAINING -> NodeLine.Standing.DRAINING;
-                    case GONE -> NodeLine.Standing.GONE;
+                    case READY -> EndpointRecord.Phase.READY;
+                    case DRAINING -> EndpointRecord.Phase.DRAINING;
+                    case GONE -> EndpointRecord.Phase.GONE;
                 },
                 line.startedAt(),
                 line.weight(),
@@ -1338,12 +1351,12 @@
     private void adopt() {
         List<Node> nodes = new ArrayList<>(places.size());
         byCell.clear();
-        for (Membership.Seen seen : membership.seen(wall())) {
+        for (Membership.MemberView seen : membership.seen(wall())) {
             Node node = place(seen);
             nodes.add(node);
             accounts.node(
                     node.id, node.zone, node.startedAt + site.deployment().rules().coldTime());
-            if (node.standing == Node.Standing.READY) {
+            if (node.standing == Node.Phase.READY) {
                 byCell.put(node.cell, node);
             }
         }
@@ -1377,8 +1390,8 @@
         }
     }
 
-    private Node place(Membership.Seen seen) {
-        NodeLine line = seen.line();
+    private Node place(Membership.MemberView seen) {
+        EndpointRecord line = seen.line();
         Place place = places.computeIfAbsent(line.node(), Place::new);
         Node node = place.node;
         node.cell = line.cell();
@@ -1389,9 +1402,9 @@
         node.takesNew = seen.takesNew();
         node.standing =
                 switch (seen.use()) {
-                    case READY -> Node.Standing.READY;
-                    case DRAINING -> Node.Standing.DRAINING;
-                    case GONE -> Node.Standing.GONE;
+                    case READY -> Node.Phase.READY;
+                    case DRAINING -> Node.Phase.DRAINING;
+                    case GONE -> Node.Phase.GONE;
                 };
         SocketAddress address = new InetSocketAddress(line.host(), line.port());
         if (place.link == null || !place.link.address().equals(address)) {
@@ -1399,7 +1412,8 @@
                 place.link.close();
             }
             place.link =
-                    new NodeLink(loop, kind, site.extentBytes(), node.id, address, hello, place);
+                    new NodeConnection(
+                            loop, kind, site.extentBytes(), node.id, address, hello, place);
         }
         return node;
     }
@@ -1424,12 +1438,12 @@
      * Learns the holders of all extents of the volumes; what cannot be learned now is asked when
      * needed.
      */
-    private void preload(List<Disk> left, long first) {
+    private void preload(List<ExportedVolume> left, long first) {
         if (left.isEmpty()) {
             whenReady.run();
             return;
         }
-        Disk disk = left.get(0);
+        ExportedVolume disk = left.get(0);
         long extents = (disk.line.size() - 1) / site.extentBytes() + 1;
         int count = (int) Math.min(HOLDERS_AT_ONCE, extents - first);
         directory.lookup(
@@ -1444,7 +1458,7 @@
                     }
                     for (int i = 0; i < cells.length; i++) {
                         if (cells[i] >= 0) {
-                            found(Holders.key(disk.line.id(), first + i), cells[i]);
+                            found(ExtentHolders.key(disk.line.id(), first + i), cells[i]);
                         }
                     }
                     boolean more = first + count < extents;
--- a/src/main/java/sagepulley/frontend/nbd/Gateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -20,26 +20,26 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.accounts.Report;
+import sagepulley.accounts.LatencyReport;
 import sagepulley.accounts.Totals;
-import sagepulley.codec.frame.Loops;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.Export;
 import sagepulley.codec.nbd.Exports;
 import sagepulley.codec.nbd.NbdServer;
-import sagepulley.config.Site;
+import sagepulley.config.SiteConfig;
 import sagepulley.engine.Clock;
-import sagepulley.membership.KeptList;
 import sagepulley.membership.Membership;
-import sagepulley.persistence.BookFile;
-import sagepulley.persistence.GatewayBook;
-import sagepulley.persistence.HoldersFile;
-import sagepulley.persistence.ListFile;
-import sagepulley.persistence.Periodic;
-import sagepulley.scheduler.Control;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.persistence.AccountFile;
+import sagepulley.persistence.EndpointListFile;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.persistence.HolderFile;
+import sagepulley.persistence.PeriodicWriter;
+import sagepulley.scheduler.Scheduler;
 import sagepulley.tracing.Tracer;
 
 /** One gateway in service: listens for NBD clients, and serves them by what Control decides. */
-public final class Gateway {
+public final class NbdGateway {
     /** So many volumes, the first of the site file, have sums of their own since the start. */
     public static final int SUMMED_VOLUMES = 100;
 
@@ -49,42 +49,43 @@
     /** A client that stops inside a message, or reads no replies, for so long is ended. */
     private static final int STUCK_SECONDS = 30;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
+    private static final Logger LOG = LoggerFactory.getLogger(NbdGateway.class);
 
-    private final Site site;
-    private final EventLoopGroup houseGroup = Loops.group(1, "gateway");
+    private final SiteConfig site;
+    private final EventLoopGroup houseGroup = EventLoops.group(1, "gateway");
     private final EventLoopGroup clientGroup;
-    private final House house;
-    private final Room room;
+    private final NbdEngine house;
+    private final BufferBudget room;
     private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicReference<CompletableFuture<Void>> ending = new AtomicReference<>();
     private Channel listener;
     private final Tracer tracer;
-    private final List<Periodic<?>> keepers = new ArrayList<>();
+    private final List<PeriodicWriter<?>> keepers = new ArrayList<>();
 
     /**
      * The seed starts the module's chance and must differ at each start, for it names this life of
      * the gateway.
      */
-    public Gateway(Site site, long seed) {
-        this(site, seed, new Control(site.deployment(), seed), membership(site, seed));
+    public NbdGateway(SiteConfig site, long seed) {
+        this(site, seed, new Scheduler(site.deployment(), seed), membership(site, seed));
     }
 
     /** With another view of the nodes: baselines are measured so. */
-    public Gateway(Site site, long seed, Membership membership) {
-        this(site, seed, new Control(site.deployment(), seed), membership);
+    public NbdGateway(SiteConfig site, long seed, Membership membership) {
+        this(site, seed, new Scheduler(site.deployment(), seed), membership);
     }
 
-    Gateway(Site site, long seed, Control control, Membership membership) {
+    NbdGateway(SiteConfig site, long seed, Scheduler control, Membership membership) {
         this.site = site;
-        this.clientGroup = site.loops() > 1 ? Loops.group(site.loops() - 1, "client") : houseGroup;
-        this.room = new Room(site.allBytes());
+        this.clientGroup =
+                site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : houseGroup;
+        this.room = new BufferBudget(site.allBytes());
         this.tracer = site.traces().wanted() ? new Tracer(site.traces(), site.name()) : null;
         this.house =
-                new House(
+                new NbdEngine(
                         site,
                         houseGroup.next(),
-                        Loops.socket(),
+                        EventLoops.socket(),
                         new Clock(),
                         seed,
                         control,
@@ -92,7 +93,7 @@
                         tracer);
     }
 
-    static Membership membership(Site site, long seed) {
+    static Membership membership(SiteConfig site, long seed) {
         Membership.Bounds usual = Membership.Bounds.USUAL;
         return new Membership(
                 site.siteName(),
@@ -112,10 +113,10 @@
      * Begins to listen once the list of nodes has come; then it is ready. Fails if it cannot
      * listen.
      */
-    public CompletableFuture<Gateway> start() {
-        CompletableFuture<Gateway> ready = new CompletableFuture<>();
-        BookFile.Read before = accountsBefore();
-        KeptList list = listBefore();
+    public CompletableFuture<NbdGateway> start() {
+        CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
+        AccountFile.Read before = accountsBefore();
+        StoredEndpointList list = listBefore();
         Map<Integer, int[]> cells = holdersBefore();
         houseGroup
                 .next()
@@ -134,13 +135,14 @@
      * What an earlier life kept; null if nothing can be believed. That never keeps a gateway from
      * starting.
      */
-    private BookFile.Read accountsBefore() {
+    private AccountFile.Read accountsBefore() {
         if (!site.books().keep() || site.books().file() == null) {
             return null;
         }
-        BookFile file = new BookFile(site.books().file(), site.name());
+        AccountFile file = new AccountFile(site.books().file(), site.name());
         keepers.add(
-                new Periodic<>("accounts", site.books().every(), house::writtenBook, file::write));
+                new PeriodicWriter<>(
+                        "accounts", site.books().every(), house::writtenBook, file::write));
         try {
             return file.goOn();
         } catch (IOException e) {
@@ -152,13 +154,13 @@
         }
     }
 
-    private KeptList listBefore() {
+    private StoredEndpointList listBefore() {
         if (site.members().list() == null) {
             return null;
         }
-        ListFile file = new ListFile(site.members().list(), site.siteName());
+        EndpointListFile file = new EndpointListFile(site.members().list(), site.siteName());
         keepers.add(
-                new Periodic<>(
+                new PeriodicWriter<>(
                         "list",
                         LIST_LOOK_MS,
                         house::keptList,
@@ -170,9 +172,9 @@
         if (site.members().holders() == null) {
             return Map.of();
         }
-        HoldersFile file = new HoldersFile(site.members().holders(), site.siteName());
+        HolderFile file = new HolderFile(site.members().holders(), site.siteName());
         keepers.add(
-                new Periodic<>(
+                new PeriodicWriter<>(
                         "holders",
                         HOLDERS_LOOK_MS,
                         house::keptHolders,
@@ -180,10 +182,10 @@
         return file.start();
     }
 
-    private void listen(CompletableFuture<Gateway> ready) {
+    private void listen(CompletableFuture<NbdGateway> ready) {
         new ServerBootstrap()
                 .group(clientGroup)
-                .channel(Loops.server())
+                .channel(EventLoops.server())
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -222,9 +224,9 @@
         clients.add(client);
         house.tally().clients.increment();
         client.closeFuture().addListener(done -> house.tally().clientsEnded.increment());
-        Room.Client part = room.client(site.clientBytes());
+        BufferBudget.Client part = room.client(site.clientBytes());
         client.pipeline().addLast(new IdleStateHandler(STUCK_SECONDS, STUCK_SECONDS, 0));
-        NbdServer.onto(client.pipeline(), new Offered(), part, new Session(house, part));
+        NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(house, part));
     }
 
     /** The volumes as exports; the first is the default. */
@@ -239,7 +241,7 @@
             if (name.isEmpty() && !house.disks().isEmpty()) {
                 return all().get(0);
             }
-            Disk disk = house.disk(name);
+            ExportedVolume disk = house.disk(name);
             return disk == null ? null : disk.export;
         }
     }
@@ -249,12 +251,12 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    public Tally tally() {
+    public Counters tally() {
         return house.tally();
     }
 
     /** Each volume's account of latency over the last so many milliseconds, by its name. */
-    public CompletableFuture<Map<String, Report>> accounts(double lately) {
+    public CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
         return house.accounts(lately);
     }
 
@@ -278,7 +280,7 @@
     }
 
     /** A copy of all accounts as they stand, as they go to disk. */
-    public CompletableFuture<GatewayBook> writtenBook() {
+    public CompletableFuture<GatewayAccounts> writtenBook() {
         return house.writtenBook();
     }
 
@@ -338,7 +340,7 @@
         if (listener != null) {
             listener.close();
         }
-        keepers.forEach(Periodic::kill);
+        keepers.forEach(PeriodicWriter::kill);
         clients.close().addListener(closed -> end(stopped));
         return stopped;
     }
@@ -347,7 +349,7 @@
     private void writeAccounts(CompletableFuture<Void> stopped) {
         CompletableFuture.runAsync(
                         () -> {
-                            keepers.forEach(Periodic::close);
+                            keepers.forEach(PeriodicWriter::close);
                             if (tracer != null) {
                                 tracer.close();
                             }
--- a/src/main/java/sagepulley/frontend/nbd/Session.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -12,34 +12,34 @@
 import java.util.Comparator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.nbd.Attached;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.codec.nbd.AttachedExport;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.codec.nbd.NbdReplies;
 import sagepulley.codec.nbd.NbdRequest;
-import sagepulley.codec.nbd.Replies;
 
 /**
  * One client's connection: requests to the house, and each one's reply back. Lives on the client's
  * loop.
  */
-final class Session extends ChannelInboundHandlerAdapter {
-    private static final Logger LOG = LoggerFactory.getLogger(Session.class);
+final class NbdSession extends ChannelInboundHandlerAdapter {
+    private static final Logger LOG = LoggerFactory.getLogger(NbdSession.class);
     private static final int ZEROES_AT_ONCE = 1 << 16;
     private static final ByteBuf ZEROES =
             Unpooled.unreleasableBuffer(
                     Unpooled.directBuffer(ZEROES_AT_ONCE).writeZero(ZEROES_AT_ONCE).asReadOnly());
 
-    private final House house;
-    private final Room.Client room;
+    private final NbdEngine house;
+    private final BufferBudget.Client room;
     private Channel channel;
-    private Disk disk;
+    private ExportedVolume disk;
     private boolean structured;
     private boolean baseAllocation;
     private boolean flushDue;
     private int inHand;
     private boolean leaving;
 
-    Session(House house, Room.Client room) {
+    NbdSession(NbdEngine house, BufferBudget.Client room) {
         this.house = house;
         this.room = room;
     }
@@ -51,7 +51,7 @@
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-        if (event instanceof Attached attached) {
+        if (event instanceof AttachedExport attached) {
             disk = house.disk(attached.export().name());
             structured = attached.structured();
             baseAllocation = attached.baseAllocation();
@@ -89,7 +89,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         NbdRequest asked = (NbdRequest) message;
-        if (asked.command() == Nbd.CMD_DISC) {
+        if (asked.command() == NbdConstants.CMD_DISC) {
             // 'Terminating the transmission phase': what is in hand may be answered first.
             room.give(asked.admitted());
             leaving = true;
@@ -104,8 +104,8 @@
             room.give(asked.admitted());
             return;
         }
-        Request.Failed wrong =
-                Splitter.wrong(
+        PendingRequest.Failed wrong =
+                RequestSplitter.wrong(
                         asked.command(),
                         asked.flags(),
                         asked.offset(),
@@ -115,13 +115,15 @@
                         baseAllocation);
         if (wrong == null && asked.admitted() == 0) {
             wrong =
-                    new Request.Failed(
-                            -1, Nbd.EINVAL, "longer than " + disk.export.mostBlock() + " bytes");
+                    new PendingRequest.Failed(
+                            -1,
+                            NbdConstants.EINVAL,
+                            "longer than " + disk.export.mostBlock() + " bytes");
         }
         inHand++;
         if (wrong != null) {
             asked.payload().release();
-            Request request = new Request(this, asked, disk, 0);
+            PendingRequest request = new PendingRequest(this, asked, disk, 0);
             request.failed.add(wrong);
             reply(request);
             return;
@@ -130,7 +132,7 @@
     }
 
     /** Writes the one reply of a request. From any loop. */
-    void answer(Request request) {
+    void answer(PendingRequest request) {
         if (channel.eventLoop().inEventLoop()) {
             reply(request);
         } else {
@@ -138,7 +140,7 @@
         }
     }
 
-    private void reply(Request request) {
+    private void reply(PendingRequest request) {
         if (!channel.isActive()) {
             request.release();
             gone(request);
@@ -157,51 +159,51 @@
         }
     }
 
-    private void gone(Request request) {
+    private void gone(PendingRequest request) {
         room.give(request.asked.admitted());
         if (--inHand == 0 && leaving) {
             channel.close();
         }
     }
 
-    private ChannelFuture simple(Request request) {
+    private ChannelFuture simple(PendingRequest request) {
         int error = request.error();
         if (error != 0) {
             request.release();
         }
-        return Replies.simple(channel, request.asked.cookie(), error, joined(request));
+        return NbdReplies.simple(channel, request.asked.cookie(), error, joined(request));
     }
 
-    private ChannelFuture structured(Request request) {
+    private ChannelFuture structured(PendingRequest request) {
         long cookie = request.asked.cookie();
-        boolean whole = (request.asked.flags() & Nbd.CMD_FLAG_DF) != 0;
+        boolean whole = (request.asked.flags() & NbdConstants.CMD_FLAG_DF) != 0;
         if (request.blocks != null && request.failed.isEmpty()) {
-            return Replies.blockStatus(channel, cookie, request.blocks, request.blocks.length);
+            return NbdReplies.blockStatus(channel, cookie, request.blocks, request.blocks.length);
         }
         if (whole && !request.failed.isEmpty()) {
             request.release();
         }
         if (whole && request.failed.isEmpty()) {
-            return Replies.data(channel, cookie, request.asked.offset(), joined(request), true);
+            return NbdReplies.data(channel, cookie, request.asked.offset(), joined(request), true);
         }
         int left = request.found.size() + request.failed.size();
         if (left == 0) {
-            return Replies.done(channel, cookie);
+            return NbdReplies.done(channel, cookie);
         }
         ChannelFuture last = null;
-        for (Request.Found found : request.found) {
+        for (PendingRequest.Found found : request.found) {
             boolean end = --left == 0;
             last =
                     found.data() == null
-                            ? Replies.hole(channel, cookie, found.at(), found.length(), end)
-                            : Replies.data(channel, cookie, found.at(), found.data(), end);
+                            ? NbdReplies.hole(channel, cookie, found.at(), found.length(), end)
+                            : NbdReplies.data(channel, cookie, found.at(), found.data(), end);
         }
         request.found.clear();
         // The gravest first: clients take the first error for the request's.
-        request.failed.sort(Comparator.comparing(failed -> failed.error() == Nbd.ENOMEM));
-        for (Request.Failed failed : request.failed) {
+        request.failed.sort(Comparator.comparing(failed -> failed.error() == NbdConstants.ENOMEM));
+        for (PendingRequest.Failed failed : request.failed) {
             last =
-                    Replies.error(
+                    NbdReplies.error(
                             channel,
                             cookie,
                             failed.error(),
@@ -213,16 +215,16 @@
     }
 
     /** All that a read found, in order and in one piece. */
-    private ByteBuf joined(Request request) {
+    private ByteBuf joined(PendingRequest request) {
         if (request.found.size() == 1 && request.found.get(0).data() != null) {
             return request.found.remove(0).data();
         }
         if (request.found.isEmpty()) {
             return Unpooled.EMPTY_BUFFER;
         }
-        request.found.sort(Comparator.comparingLong(Request.Found::at));
+        request.found.sort(Comparator.comparingLong(PendingRequest.Found::at));
         CompositeByteBuf all = channel.alloc().compositeBuffer(Integer.MAX_VALUE);
-        for (Request.Found found : request.found) {
+        for (PendingRequest.Found found : request.found) {
             if (found.data() != null) {
                 all.addComponent(true, found.data());
                 continue;
@@ -243,7 +245,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (cause instanceof BadBytes) {
+        if (cause instanceof MalformedMessageException) {
             house.tally().badClients.increment();
             LOG.atInfo()
                     .addKeyValue("client", channel.remoteAddress())
--- a/src/main/java/sagepulley/frontend/nbd/NodesView.java
+++ b/src/main/java/sagepulley/frontend/nbd/NodesView.java
@@ -1,8 +1,8 @@
 package sagepulley.frontend.nbd;
 
 import java.util.List;
+import sagepulley.membership.ListFreshness;
 import sagepulley.membership.Membership;
-import sagepulley.membership.Trust;
 
 /**
  * What a gateway knows of its nodes: how far and for what age of the list (milliseconds since a
@@ -11,8 +11,8 @@
  */
 public record NodesView(
         String gateway,
-        Trust trust,
+        ListFreshness trust,
         double age,
         boolean directory,
         int unverifiedExtents,
-        List<Membership.Seen> nodes) {}
+        List<Membership.MemberView> nodes) {}
--- a/src/main/java/sagepulley/frontend/nbd/Request.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdRequest;
 
 /**
@@ -11,18 +11,18 @@
  * parts say is folded here: of errors the gravest counts (scrapped over declined), and each tells
  * its own offset.
  */
-final class Request {
+final class PendingRequest {
     /** What a part of a read brought: data, or a hole of so many bytes where the data is null. */
     record Found(long at, int length, ByteBuf data) {}
 
     /** A part that failed. */
     record Failed(long at, int error, String why) {}
 
-    final Session session;
+    final NbdSession session;
     final NbdRequest asked;
-    final Disk disk;
+    final ExportedVolume disk;
     final double arrivedAt;
-    final List<Part> parts = new ArrayList<>(1);
+    final List<RequestPart> parts = new ArrayList<>(1);
     final List<Found> found = new ArrayList<>(1);
     final List<Failed> failed = new ArrayList<>(0);
 
@@ -31,7 +31,7 @@
 
     int open;
 
-    Request(Session session, NbdRequest asked, Disk disk, double arrivedAt) {
+    PendingRequest(NbdSession session, NbdRequest asked, ExportedVolume disk, double arrivedAt) {
         this.session = session;
         this.asked = asked;
         this.disk = disk;
@@ -46,7 +46,7 @@
     int error() {
         int worst = 0;
         for (Failed part : failed) {
-            if (worst == 0 || worst == Nbd.ENOMEM) {
+            if (worst == 0 || worst == NbdConstants.ENOMEM) {
                 worst = part.error();
             }
         }
--- a/src/main/java/sagepulley/frontend/nbd/Part.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -2,18 +2,18 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.util.concurrent.ScheduledFuture;
-import sagepulley.accounts.Meter;
+import sagepulley.accounts.OperationTimer;
 import sagepulley.model.Operation;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * The part of a request that lies in one extent: one operation, from its taking to its one final
  * answer.
  */
-final class Part {
-    final Request request;
+final class RequestPart {
+    final PendingRequest request;
     final Operation operation;
-    final StoreWire.Kind kind;
+    final StoreMessages.Kind kind;
     final long extent;
 
     /** Bytes in the extent, and where it starts in the export. */
@@ -37,7 +37,7 @@
     boolean shown;
 
     /** Its account of time. */
-    Meter meter;
+    OperationTimer meter;
 
     /**
      * For a flush: how many writes stood when it began, and the node's start that must still hold.
@@ -46,10 +46,10 @@
 
     long since;
 
-    Part(
-            Request request,
+    RequestPart(
+            PendingRequest request,
             Operation operation,
-            StoreWire.Kind kind,
+            StoreMessages.Kind kind,
             long extent,
             int offset,
             int length,
--- a/src/main/java/sagepulley/membership/NodeLine.java
+++ b/src/main/java/sagepulley/membership/EndpointRecord.java
@@ -4,32 +4,32 @@
  * What a source says of a node. The start is wall-clock milliseconds, 0 for long ago; an address is
  * host and port.
  */
-public record NodeLine(
+public record EndpointRecord(
         int node,
         int cell,
         int zone,
         int kind,
-        Standing standing,
+        Phase standing,
         long startedAt,
         float weight,
         String host,
         int port) {
     /** Whether it may be sent to. */
-    public enum Standing {
+    public enum Phase {
         GONE,
         READY,
         DRAINING
     }
 
-    boolean sameAddress(NodeLine other) {
+    boolean sameAddress(EndpointRecord other) {
         return port == other.port && host.equals(other.host);
     }
 
-    NodeLine standing(Standing now) {
-        return new NodeLine(node, cell, zone, kind, now, startedAt, weight, host, port);
+    EndpointRecord standing(Phase now) {
+        return new EndpointRecord(node, cell, zone, kind, now, startedAt, weight, host, port);
     }
 
-    NodeLine startedAt(long when) {
-        return new NodeLine(node, cell, zone, kind, standing, when, weight, host, port);
+    EndpointRecord startedAt(long when) {
+        return new EndpointRecord(node, cell, zone, kind, standing, when, weight, host, port);
     }
 }
--- a/src/main/java/sagepulley/membership/Trust.java
+++ b/src/main/java/sagepulley/membership/ListFreshness.java
@@ -1,7 +1,7 @@
 package sagepulley.membership;
 
 /** How far a list is believed, by the time since a directory confirmed it. */
-public enum Trust {
+public enum ListFreshness {
     /** As it is: what has changed since is told soon, as on any day. */
     FRESH,
     /**
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -38,7 +38,7 @@
     }
 
     /** What a node's welcome means for what was about to go to it. */
-    public enum Welcome {
+    public enum HandshakeVerdict {
         /** It is who it should be, as it was believed to be. */
         GO,
         /**
@@ -51,15 +51,15 @@
     }
 
     /** What became of a list that was told. */
-    public record Belief(boolean believed, boolean changed, String why) {}
+    public record UpdateResult(boolean believed, boolean changed, String why) {}
 
     /** A node as it is to be used, and why so. */
-    public record Seen(
-            NodeLine line,
-            NodeLine.Standing use,
+    public record MemberView(
+            EndpointRecord line,
+            EndpointRecord.Phase use,
             boolean takesNew,
             boolean proven,
-            Source source,
+            RecordSource source,
             String reason) {}
 
     private static final int FLIPS_BEFORE_HOLD = 3;
@@ -76,8 +76,8 @@
     private static final double CLOCK_SLACK = 1_000;
 
     private static final class Known {
-        NodeLine line;
-        Source source;
+        EndpointRecord line;
+        RecordSource source;
 
         /** The node said so itself, on the store protocol. */
         boolean selfDraining;
@@ -116,7 +116,7 @@
     private long history;
     private long version;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private Trust trustBefore = Trust.OLD;
+    private ListFreshness trustBefore = ListFreshness.OLD;
     private double lastAskedAt = Double.NEGATIVE_INFINITY;
 
     public Membership(String site, Bounds bounds, RandomGenerator random) {
@@ -128,7 +128,7 @@
     // ---- sources ----
 
     /** Starts with what an earlier life kept, or an operator brought. */
-    public void kept(KeptList list, double now) {
+    public void kept(StoredEndpointList list, double now) {
         history = list.history();
         version = list.version();
         boolean clockSetBack = list.confirmedAt() > now + CLOCK_SLACK;
@@ -136,10 +136,11 @@
                 list.confirmedAt() == 0 || clockSetBack
                         ? Double.NEGATIVE_INFINITY
                         : list.confirmedAt();
-        for (KeptList.KeptLine kept : list.lines()) {
+        for (StoredEndpointList.StoredEndpoint kept : list.lines()) {
             Known known = new Known();
             known.line = kept.line();
-            known.source = kept.source() == Source.DIRECTORY ? Source.DISK : kept.source();
+            known.source =
+                    kept.source() == RecordSource.DIRECTORY ? RecordSource.DISK : kept.source();
             known.selfDraining = kept.selfDraining();
             nodes.put(known.line.node(), known);
         }
@@ -150,36 +151,36 @@
      * Nodes of the site file: each proves itself before it is used, and any other source knows
      * better.
      */
-    public void fixed(List<NodeLine> lines) {
-        for (NodeLine line : lines) {
+    public void fixed(List<EndpointRecord> lines) {
+        for (EndpointRecord line : lines) {
             nodes.computeIfAbsent(
                     line.node(),
                     any -> {
                         Known known = new Known();
                         known.line = line;
-                        known.source = Source.SITE;
+                        known.source = RecordSource.SITE;
                         return known;
                     });
         }
     }
 
     /** A directory told a list, or what changed in it. */
-    public Belief told(Told list, double now) {
+    public UpdateResult told(EndpointListUpdate list, double now) {
         if (!list.site().isEmpty() && !list.site().equals(site)) {
-            return new Belief(false, false, "it is of site '" + list.site() + "'");
+            return new UpdateResult(false, false, "it is of site '" + list.site() + "'");
         }
         if (list.whole() && list.lines().isEmpty() && !nodes.isEmpty()) {
-            return new Belief(false, false, "it is empty, and nodes are known");
+            return new UpdateResult(false, false, "it is empty, and nodes are known");
         }
         boolean older = list.history() == history && list.version() < version;
         boolean other = history != 0 && list.history() != history;
         boolean changed = false;
-        for (NodeLine line : list.lines()) {
+        for (EndpointRecord line : list.lines()) {
             changed |= line(line, older, now);
         }
         if (older) {
             // Only what restricts was taken; what it permits, the nodes themselves must prove.
-            return new Belief(
+            return new UpdateResult(
                     false, changed, "its version " + list.version() + " is older than " + version);
         }
         if (list.whole()) {
@@ -192,13 +193,13 @@
         }
         changed |= trust(now) != trustBefore;
         trustBefore = trust(now);
-        return new Belief(
+        return new UpdateResult(
                 true,
                 changed,
                 other ? "of another history: what it leaves out is doubted for a while" : "");
     }
 
-    private boolean line(NodeLine line, boolean older, double now) {
+    private boolean line(EndpointRecord line, boolean older, double now) {
         Known known = nodes.get(line.node());
         if (known == null) {
             if (older || nodes.size() >= MOST_NODES) {
@@ -206,30 +207,30 @@
             }
             known = new Known();
             known.line = line;
-            known.source = Source.DIRECTORY;
+            known.source = RecordSource.DIRECTORY;
             nodes.put(line.node(), known);
-            known.permitted = line.standing() == NodeLine.Standing.READY;
+            known.permitted = line.standing() == EndpointRecord.Phase.READY;
             return true;
         }
         known.missingSince = Double.NaN;
-        NodeLine before = known.line;
-        boolean permits = line.standing() == NodeLine.Standing.READY;
+        EndpointRecord before = known.line;
+        boolean permits = line.standing() == EndpointRecord.Phase.READY;
         if (older) {
-            if (!permits && before.standing() == NodeLine.Standing.READY) {
+            if (!permits && before.standing() == EndpointRecord.Phase.READY) {
                 known.line = before.standing(line.standing());
                 known.permitted = false;
                 return true;
             }
             return false;
         }
-        if (permits && before.standing() != NodeLine.Standing.READY) {
+        if (permits && before.standing() != EndpointRecord.Phase.READY) {
             flip(known, now);
         }
         // A node that told of a later start itself knows better than a directory that lags.
         long startedAt =
                 Math.max(line.startedAt(), before.sameAddress(line) ? before.startedAt() : 0);
         known.line = line.startedAt(startedAt);
-        known.source = Source.DIRECTORY;
+        known.source = RecordSource.DIRECTORY;
         known.permitted = permits;
         if (!before.sameAddress(line) || before.cell() != line.cell()) {
             known.struck = null;
@@ -265,21 +266,22 @@
      * Who is missing in a whole list is gone; in one of another history, only if it is missing for
      * a while.
      */
-    private boolean omissions(Told list, boolean other, double now) {
+    private boolean omissions(EndpointListUpdate list, boolean other, double now) {
         boolean changed = false;
-        Set<Integer> listed = list.lines().stream().map(NodeLine::node).collect(Collectors.toSet());
+        Set<Integer> listed =
+                list.lines().stream().map(EndpointRecord::node).collect(Collectors.toSet());
         for (Known known : nodes.values()) {
             if (listed.contains(known.line.node())
-                    || known.line.standing() == NodeLine.Standing.GONE) {
+                    || known.line.standing() == EndpointRecord.Phase.GONE) {
                 continue;
             }
-            if (known.source == Source.SITE) {
+            if (known.source == RecordSource.SITE) {
                 continue; // the site file speaks for itself; the node proves it, or not
             }
             if (other && Double.isNaN(known.missingSince)) {
                 known.missingSince = now;
             } else if (!other && Double.isNaN(known.missingSince)) {
-                known.line = known.line.standing(NodeLine.Standing.GONE);
+                known.line = known.line.standing(EndpointRecord.Phase.GONE);
                 changed = true;
             }
         }
@@ -292,11 +294,11 @@
      * A node answered on connecting: who it is, its cell, whether it drains, when it started (0:
      * long ago).
      */
-    public Welcome welcomed(
+    public HandshakeVerdict welcomed(
             int node, int who, int cell, boolean draining, long startedAt, double now) {
         Known known = nodes.get(node);
         if (known == null) {
-            return Welcome.NOT_THIS;
+            return HandshakeVerdict.NOT_THIS;
         }
         known.asking = false;
         if (who != node || cell != known.line.cell()) {
@@ -306,7 +308,7 @@
                             : "it holds cell " + cell + ", not " + known.line.cell();
             known.connected = false;
             again(known, now);
-            return Welcome.NOT_THIS;
+            return HandshakeVerdict.NOT_THIS;
         }
         boolean restarted = startedAt > known.line.startedAt();
         boolean drainedBefore = known.selfDraining;
@@ -318,7 +320,9 @@
         if (restarted) {
             known.line = known.line.startedAt(startedAt);
         }
-        return draining && !drainedBefore || restarted ? Welcome.THINK_AGAIN : Welcome.GO;
+        return draining && !drainedBefore || restarted
+                ? HandshakeVerdict.THINK_AGAIN
+                : HandshakeVerdict.GO;
     }
 
     /** A connected node says that it drains. */
@@ -356,9 +360,11 @@
     // ---- what is to be done ----
 
     /** How far the list is believed now. */
-    public Trust trust(double now) {
+    public ListFreshness trust(double now) {
         double age = now - confirmedAt;
-        return age <= bounds.fresh() ? Trust.FRESH : age <= bounds.aged() ? Trust.AGED : Trust.OLD;
+        return age <= bounds.fresh()
+                ? ListFreshness.FRESH
+                : age <= bounds.aged() ? ListFreshness.AGED : ListFreshness.OLD;
     }
 
     /**
@@ -407,14 +413,14 @@
         if (known.asking || known.connected || now < known.askAgainAt) {
             return false;
         }
-        if (known.line.standing() == NodeLine.Standing.GONE) {
+        if (known.line.standing() == EndpointRecord.Phase.GONE) {
             return false;
         }
         return known.struck != null
                 || !proven(known, now)
-                        && (trust(now) != Trust.FRESH
-                                || known.source == Source.SITE
-                                || known.line.standing() != NodeLine.Standing.READY
+                        && (trust(now) != ListFreshness.FRESH
+                                || known.source == RecordSource.SITE
+                                || known.line.standing() != EndpointRecord.Phase.READY
                                         && known.permitted);
     }
 
@@ -432,7 +438,7 @@
         for (Known known : nodes.values()) {
             if (now - known.missingSince > bounds.doubt()) {
                 known.missingSince = Double.NaN;
-                known.line = known.line.standing(NodeLine.Standing.GONE);
+                known.line = known.line.standing(EndpointRecord.Phase.GONE);
                 changed = true;
             }
             if (known.heldUntil != Double.NEGATIVE_INFINITY && now >= known.heldUntil) {
@@ -444,34 +450,36 @@
     }
 
     /** Every node that is known, and how it is to be used now. */
-    public List<Seen> seen(double now) {
-        Trust trust = trust(now);
-        List<Seen> all = new ArrayList<>(nodes.size());
+    public List<MemberView> seen(double now) {
+        ListFreshness trust = trust(now);
+        List<MemberView> all = new ArrayList<>(nodes.size());
         for (Known known : nodes.values()) {
             boolean proven = proven(known, now);
-            NodeLine.Standing use = known.line.standing();
+            EndpointRecord.Phase use = known.line.standing();
             String reason = "listed as it is";
             if (known.struck != null) {
-                use = NodeLine.Standing.GONE;
+                use = EndpointRecord.Phase.GONE;
                 reason = known.struck;
-            } else if (use == NodeLine.Standing.GONE) {
+            } else if (use == EndpointRecord.Phase.GONE) {
                 reason = "listed as gone, or no longer listed";
-            } else if (use == NodeLine.Standing.DRAINING || known.selfDraining) {
-                use = NodeLine.Standing.DRAINING;
+            } else if (use == EndpointRecord.Phase.DRAINING || known.selfDraining) {
+                use = EndpointRecord.Phase.DRAINING;
                 reason = known.selfDraining ? "it says that it drains" : "listed as draining";
             } else if (now < known.heldUntil) {
-                use = NodeLine.Standing.DRAINING;
+                use = EndpointRecord.Phase.DRAINING;
                 reason = "it flaps: held down until it stays";
-            } else if (!proven && (trust == Trust.OLD || known.source == Source.SITE)) {
-                use = NodeLine.Standing.GONE;
+            } else if (!proven
+                    && (trust == ListFreshness.OLD || known.source == RecordSource.SITE)) {
+                use = EndpointRecord.Phase.GONE;
                 reason = "not believed before it has proven itself";
-            } else if (!proven && trust == Trust.AGED) {
+            } else if (!proven && trust == ListFreshness.AGED) {
                 reason = "aged list: no new objects before it has proven itself";
             } else if (proven) {
                 reason = "proved itself";
             }
-            boolean takesNew = use == NodeLine.Standing.READY && (trust == Trust.FRESH || proven);
-            all.add(new Seen(known.line, use, takesNew, proven, known.source, reason));
+            boolean takesNew =
+                    use == EndpointRecord.Phase.READY && (trust == ListFreshness.FRESH || proven);
+            all.add(new MemberView(known.line, use, takesNew, proven, known.source, reason));
         }
         return all;
     }
@@ -482,14 +490,16 @@
     }
 
     /** What is to go to disk. */
-    public KeptList kept() {
-        List<KeptList.KeptLine> lines = new ArrayList<>(nodes.size());
+    public StoredEndpointList kept() {
+        List<StoredEndpointList.StoredEndpoint> lines = new ArrayList<>(nodes.size());
         for (Known known : nodes.values()) {
-            if (known.source != Source.SITE) {
-                lines.add(new KeptList.KeptLine(known.line, known.source, known.selfDraining));
+            if (known.source != RecordSource.SITE) {
+                lines.add(
+                        new StoredEndpointList.StoredEndpoint(
+                                known.line, known.source, known.selfDraining));
             }
         }
-        return new KeptList(
+        return new StoredEndpointList(
                 site,
                 history,
                 version,
--- a/src/main/java/sagepulley/membership/Returning.java
+++ b/src/main/java/sagepulley/membership/ReconnectBackoff.java
@@ -7,13 +7,13 @@
  * times the one before, up to a longest, so that many gateways that lost it together do not come
  * back together. Milliseconds.
  */
-public final class Returning {
+public final class ReconnectBackoff {
     private final double least;
     private final double longest;
     private final RandomGenerator random;
     private double pause;
 
-    public Returning(double least, double longest, RandomGenerator random) {
+    public ReconnectBackoff(double least, double longest, RandomGenerator random) {
         this.least = least;
         this.longest = longest;
         this.random = random;
--- a/src/main/java/sagepulley/membership/Source.java
+++ b/src/main/java/sagepulley/membership/RecordSource.java
@@ -1,7 +1,7 @@
 package sagepulley.membership;
 
 /** Where a line came from. */
-public enum Source {
+public enum RecordSource {
     DIRECTORY,
     DISK,
     /** Brought by an operator. */
--- a/src/main/java/sagepulley/membership/KeptList.java
+++ b/src/main/java/sagepulley/membership/StoredEndpointList.java
@@ -6,13 +6,13 @@
  * The list as it goes to disk: of which site, the directory's history and version that it stands
  * at, and when a directory last confirmed it (wall-clock milliseconds, 0 for never).
  */
-public record KeptList(
-        String site, long history, long version, long confirmedAt, List<KeptLine> lines) {
+public record StoredEndpointList(
+        String site, long history, long version, long confirmedAt, List<StoredEndpoint> lines) {
     /**
      * A line, where it came from, and whether the node itself or this gateway knows better than the
      * directory.
      */
-    public record KeptLine(NodeLine line, Source source, boolean selfDraining) {}
+    public record StoredEndpoint(EndpointRecord line, RecordSource source, boolean selfDraining) {}
 
     private static final int MOST_LINES = 1 << 14;
 
@@ -21,7 +21,7 @@
      *
      * @throws IllegalArgumentException if it can be no list
      */
-    public KeptList checked() {
+    public StoredEndpointList checked() {
         if (site == null
                 || lines == null
                 || lines.size() > MOST_LINES
@@ -29,8 +29,8 @@
                 || confirmedAt < 0) {
             throw new IllegalArgumentException("no list of nodes");
         }
-        for (KeptLine kept : lines) {
-            NodeLine line = kept == null ? null : kept.line;
+        for (StoredEndpoint kept : lines) {
+            EndpointRecord line = kept == null ? null : kept.line;
             if (line == null
                     || kept.source == null
                     || line.standing() == null
--- a/src/main/java/sagepulley/model/Attempt.java
+++ b/src/main/java/sagepulley/model/Attempt.java
@@ -8,7 +8,7 @@
     public final double sentAt;
 
     /** The part of its plan that the operation was in when it was sent. */
-    public Owed owed;
+    public QuotaTier owed;
 
     /** Null while the attempt is out. */
     public Outcome outcome;
--- a/src/main/java/sagepulley/model/Sequel.java
+++ b/src/main/java/sagepulley/model/FollowUp.java
@@ -1,7 +1,7 @@
 package sagepulley.model;
 
 /** What to do for an operation after one of its attempts has ended. */
-public enum Sequel {
+public enum FollowUp {
     /** Nothing: it is over, or another attempt is still out. */
     NOTHING,
     /** Ask where to send it again. */
--- a/src/main/java/sagepulley/model/Node.java
+++ b/src/main/java/sagepulley/model/Node.java
@@ -3,7 +3,7 @@
 /** A storage node as this gateway's list has it. */
 public final class Node {
     /** What the list says of the node. */
-    public enum Standing {
+    public enum Phase {
         READY,
         DRAINING,
         GONE
@@ -14,7 +14,7 @@
     public int cell;
     public int kind;
     public double weight = 1;
-    public Standing standing = Standing.READY;
+    public Phase standing = Phase.READY;
 
     /** Whether new objects may go there; what it holds is read and written all the same. */
     public boolean takesNew = true;
--- a/src/main/java/sagepulley/model/Operation.java
+++ b/src/main/java/sagepulley/model/Operation.java
@@ -6,7 +6,7 @@
 /** A client's read or write that this gateway has taken and owes one final answer. */
 public final class Operation {
     public final long id;
-    public final Band band;
+    public final TrafficClass band;
     public final Volume volume;
 
     /** The piece of data; 0 for none. */
@@ -39,7 +39,7 @@
 
     public Operation(
             long id,
-            Band band,
+            TrafficClass band,
             Volume volume,
             long extent,
             double units,
--- a/src/main/java/sagepulley/model/Owed.java
+++ b/src/main/java/sagepulley/model/QuotaTier.java
@@ -4,7 +4,7 @@
  * The part of its plan that an operation's units are taken from: reserve, weighted share, or beyond
  * both.
  */
-public enum Owed {
+public enum QuotaTier {
     RESERVE,
     SHARE,
     EXCESS;
--- a/src/main/java/sagepulley/model/Rulebook.java
+++ b/src/main/java/sagepulley/model/ServicePolicy.java
@@ -4,7 +4,7 @@
  * The figures of the seven rules. A rule that the deployment leaves out has an infinite or NaN
  * figure.
  */
-public record Rulebook(
+public record ServicePolicy(
         double answerGrace,
         double drainGrace,
         double coldShare,
--- a/src/main/java/sagepulley/model/Ring.java
+++ b/src/main/java/sagepulley/model/SlidingWindowCounter.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** A sum over the latest stretch of time, kept in fixed buckets that are used again in a ring. */
-public final class Ring {
+public final class SlidingWindowCounter {
     private final double bucket;
     private final double[] sums;
     private long newest = Long.MIN_VALUE;
@@ -12,7 +12,7 @@
      * Covers at least the window: one more bucket than divides it is kept for the part that is
      * running.
      */
-    public Ring(double window, int buckets) {
+    public SlidingWindowCounter(double window, int buckets) {
         this.bucket = window / buckets;
         this.sums = new double[buckets + 1];
     }
--- a/src/main/java/sagepulley/model/Plan.java
+++ b/src/main/java/sagepulley/model/TenantPlan.java
@@ -1,7 +1,7 @@
 package sagepulley.model;
 
 /** What a volume of the plan is owed, across all gateways and nodes; rates are units a second. */
-public record Plan(
+public record TenantPlan(
         int index,
         String name,
         double rate,
--- a/src/main/java/sagepulley/model/Band.java
+++ b/src/main/java/sagepulley/model/TrafficClass.java
@@ -4,11 +4,11 @@
  * A kind of operation: what it is worth, by when, and whether it may run again. Times are
  * milliseconds.
  */
-public record Band(
+public record TrafficClass(
         int index,
         String name,
-        Repeat repeat,
-        Group group,
+        Idempotency repeat,
+        DeduplicationScope group,
         double groupMemory,
         boolean inOrder,
         boolean writes,
@@ -19,14 +19,14 @@
         double lateShare) {
 
     /** Whether an operation of the band may run a second time. */
-    public enum Repeat {
+    public enum Idempotency {
         IDEMPOTENT,
         DEDUPLICATED,
         UNREPEATABLE
     }
 
     /** The nodes that drop each other's repeats of a deduplicated operation. */
-    public enum Group {
+    public enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
--- a/src/main/java/sagepulley/model/Volume.java
+++ b/src/main/java/sagepulley/model/Volume.java
@@ -3,7 +3,7 @@
 /** A volume as this gateway sees it. */
 public final class Volume {
     public final long id;
-    public final Plan plan;
+    public final TenantPlan plan;
 
     /** Through how many gateways its operations come, as the latest operation told. */
     public int gateways = 1;
@@ -11,7 +11,7 @@
     /** Whatever the decision module keeps with the volume; nobody else reads it. */
     public Object kept;
 
-    public Volume(long id, Plan plan) {
+    public Volume(long id, TenantPlan plan) {
         this.id = id;
         this.plan = plan;
     }
--- a/src/main/java/sagepulley/monitoring/Watch.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -24,28 +24,28 @@
 import java.util.function.ToDoubleFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.accounts.Book;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.PlanPart;
-import sagepulley.accounts.Report;
-import sagepulley.accounts.Spent;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.accounts.PlanTier;
 import sagepulley.accounts.Totals;
-import sagepulley.config.Site;
-import sagepulley.config.VolumeLine;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.persistence.GatewayBook;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.persistence.GatewayAccounts;
 
 /**
  * A gateway's figures over HTTP, for Prometheus (/metrics, text) for 'top' (/accounts, JSON) and
  * for 'nodes' (/nodes, JSON). Labels are bounded: volumes with an account of their own in the sums,
  * and fixed words.
  */
-public final class Watch implements AutoCloseable {
+public final class MonitoringServer implements AutoCloseable {
     private static final int THREADS = 2;
     private static final int MOST_WAITING = 32;
     private static final long LONGEST_SECONDS = 5;
     private static final double LATELY = 600_000;
-    private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MonitoringServer.class);
 
     /**
      * What 'top' shows: the volumes' names and reports of the last minutes, and units by node and
@@ -55,10 +55,10 @@
             String gateway,
             long at,
             Map<Long, String> names,
-            List<Report> volumes,
+            List<LatencyReport> volumes,
             Map<Integer, Map<Long, double[]>> nodes) {}
 
-    private final Gateway gateway;
+    private final NbdGateway gateway;
     private final HttpServer server;
     private final ThreadPoolExecutor threads;
     private final PrometheusMeterRegistry registry =
@@ -66,7 +66,8 @@
     private volatile Totals totals = new Totals(Set.of());
 
     /** Listens from now on. */
-    public Watch(Site site, Gateway gateway, InetSocketAddress address) throws IOException {
+    public MonitoringServer(SiteConfig site, NbdGateway gateway, InetSocketAddress address)
+            throws IOException {
         this.gateway = gateway;
         register(site);
         // Whoever is slow to ask or to read is ended.
@@ -135,10 +136,10 @@
 
     private String view()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        GatewayBook written = gateway.writtenBook().get(LONGEST_SECONDS, TimeUnit.SECONDS);
-        Book book = written.kept().book();
+        GatewayAccounts written = gateway.writtenBook().get(LONGEST_SECONDS, TimeUnit.SECONDS);
+        LatencyAccount book = written.kept().book();
         double now = written.writtenAt();
-        List<Report> reports =
+        List<LatencyReport> reports =
                 book.volumes().stream()
                         .map(volume -> book.report(volume, now - LATELY, now))
                         .toList();
@@ -160,9 +161,10 @@
 
     // ---- figures ----
 
-    private void register(Site site) {
+    private void register(SiteConfig site) {
         Map<Long, String> names = new LinkedHashMap<>();
-        for (VolumeLine line : site.volumes().stream().limit(Gateway.SUMMED_VOLUMES).toList()) {
+        for (VolumeSettings line :
+                site.volumes().stream().limit(NbdGateway.SUMMED_VOLUMES).toList()) {
             names.put((long) line.id(), line.name());
         }
         names.put(0L, "others");
@@ -196,7 +198,7 @@
                             name,
                             sum -> sum.utilityLost);
                 });
-        for (Spent part : Spent.values()) {
+        for (LatencyComponent part : LatencyComponent.values()) {
             sum(
                     "sagepulley.spent.seconds",
                     "where operations' time went",
@@ -218,7 +220,7 @@
                     kind,
                     now -> now.lost(kind));
         }
-        for (PlanPart part : PlanPart.values()) {
+        for (PlanTier part : PlanTier.values()) {
             sum(
                     "sagepulley.plan.units",
                     "units of operations ended, by part of the plan",
@@ -239,15 +241,18 @@
                 "sagepulley.clients.bad",
                 "connections ended for what they sent",
                 gate -> gate.tally().badClients.sum());
-        counter("sagepulley.traces.made", "operations whose trace was kept", Gateway::tracesMade);
+        counter(
+                "sagepulley.traces.made",
+                "operations whose trace was kept",
+                NbdGateway::tracesMade);
         counter(
                 "sagepulley.traces.dropped",
                 "traces dropped because exports were slow",
-                Gateway::tracesDropped);
+                NbdGateway::tracesDropped);
         Gauge.builder("sagepulley.operations.open", gateway, gate -> gate.tally().open())
                 .description("operations without a final answer")
                 .register(registry);
-        Gauge.builder("sagepulley.bytes.in.hand", gateway, Gateway::bytesInHand)
+        Gauge.builder("sagepulley.bytes.in.hand", gateway, NbdGateway::bytesInHand)
                 .description("bytes of requests in hand")
                 .register(registry);
     }
@@ -288,7 +293,7 @@
                 .register(registry);
     }
 
-    private void counter(String metric, String what, ToDoubleFunction<Gateway> figure) {
+    private void counter(String metric, String what, ToDoubleFunction<NbdGateway> figure) {
         FunctionCounter.builder(metric, gateway, figure).description(what).register(registry);
     }
 
--- a/src/main/java/sagepulley/persistence/BookFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -8,38 +8,38 @@
 import java.nio.file.Path;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.accounts.Book;
+import sagepulley.accounts.LatencyAccount;
 
 /**
  * The file in which a gateway's latency accounts survive its restarts, with one earlier generation.
  */
-public final class BookFile {
+public final class AccountFile {
     private static final String KIND = "accounts";
     private static final int FORMAT = 1;
     private static final CBORMapper CBOR = new CBORMapper();
-    private static final ObjectWriter WRITER = CBOR.writerFor(GatewayBook.class);
-    private static final ObjectReader READER = CBOR.readerFor(GatewayBook.class);
-    private static final Logger LOG = LoggerFactory.getLogger(BookFile.class);
+    private static final ObjectWriter WRITER = CBOR.writerFor(GatewayAccounts.class);
+    private static final ObjectReader READER = CBOR.readerFor(GatewayAccounts.class);
+    private static final Logger LOG = LoggerFactory.getLogger(AccountFile.class);
 
     /** What a file says, and its figures checked. */
-    public record Read(GatewayBook head, Book book) {}
+    public record Read(GatewayAccounts head, LatencyAccount book) {}
 
-    private final Generations generations;
+    private final SnapshotFile generations;
 
     /** Of this gateway; an empty name reads any gateway's. */
-    public BookFile(Path file, String gateway) {
-        this.generations = new Generations(file, KIND, FORMAT, gateway, 1);
+    public AccountFile(Path file, String gateway) {
+        this.generations = new SnapshotFile(file, KIND, FORMAT, gateway, 1);
     }
 
-    public void write(GatewayBook book) throws IOException {
+    public void write(GatewayAccounts book) throws IOException {
         generations.write(WRITER.writeValueAsBytes(book), book.writtenAt());
     }
 
     /** The newest accounts that can be believed, or null; what can't be is logged and set aside. */
     public Read goOn() throws IOException {
         while (true) {
-            Generations.Reading reading = generations.read();
-            for (Generations.Refused refused : reading.refused()) {
+            SnapshotFile.Reading reading = generations.read();
+            for (SnapshotFile.Refused refused : reading.refused()) {
                 setAside(refused.file(), refused.why());
             }
             if (reading.found() == null) {
@@ -67,7 +67,7 @@
      * @throws IOException if there is none that can be believed
      */
     public static Read report(Path file) throws IOException {
-        Generations.Reading reading = new Generations(file, KIND, FORMAT, "", 1).read();
+        SnapshotFile.Reading reading = new SnapshotFile(file, KIND, FORMAT, "", 1).read();
         if (reading.found() == null) {
             throw new IOException(
                     reading.refused().isEmpty()
@@ -79,9 +79,9 @@
         return read(reading.found());
     }
 
-    private static Read read(Generations.Found found) throws IOException {
+    private static Read read(SnapshotFile.Found found) throws IOException {
         try {
-            GatewayBook head = READER.readValue(found.body());
+            GatewayAccounts head = READER.readValue(found.body());
             if (head == null
                     || head.gateway() == null
                     || head.names() == null
--- a/src/main/java/sagepulley/persistence/ListFile.java
+++ b/src/main/java/sagepulley/persistence/EndpointListFile.java
@@ -8,63 +8,67 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.membership.KeptList;
+import sagepulley.membership.StoredEndpointList;
 
 /** The list of nodes on disk, with two earlier generations, of one site. */
-public final class ListFile {
+public final class EndpointListFile {
     private static final String KIND = "nodes";
     private static final int FORMAT = 1;
     private static final int KEPT = 2;
     private static final JsonMapper JSON = new JsonMapper();
-    private static final Logger LOG = LoggerFactory.getLogger(ListFile.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
 
     /**
      * What a look at the files found: the newest list that can be believed (null: none), and what
      * cannot.
      */
     public record Look(
-            KeptList list, Path from, long writtenAt, List<Generations.Refused> refused) {}
+            StoredEndpointList list,
+            Path from,
+            long writtenAt,
+            List<SnapshotFile.Refused> refused) {}
 
-    private final Generations generations;
+    private final SnapshotFile generations;
     private final Path file;
 
     /** Of this site; an empty name reads any site's. */
-    public ListFile(Path file, String site) {
+    public EndpointListFile(Path file, String site) {
         this.file = file;
-        this.generations = new Generations(file, KIND, FORMAT, site, KEPT);
+        this.generations = new SnapshotFile(file, KIND, FORMAT, site, KEPT);
     }
 
-    public void write(KeptList list, long now) throws IOException {
+    public void write(StoredEndpointList list, long now) throws IOException {
         generations.write(JSON.writeValueAsBytes(list), now);
     }
 
     /** Looks, and changes nothing on the disk. */
     public Look look() {
-        Generations.Reading reading = generations.read();
-        List<Generations.Refused> refused = new ArrayList<>(reading.refused());
+        SnapshotFile.Reading reading = generations.read();
+        List<SnapshotFile.Refused> refused = new ArrayList<>(reading.refused());
         if (reading.found() == null) {
             return new Look(null, file, 0, refused);
         }
         try {
-            KeptList list = JSON.readValue(reading.found().body(), KeptList.class);
+            StoredEndpointList list =
+                    JSON.readValue(reading.found().body(), StoredEndpointList.class);
             if (list == null) {
                 throw new IllegalArgumentException("no list of nodes");
             }
             return new Look(
                     list.checked(), reading.found().file(), reading.found().writtenAt(), refused);
         } catch (JsonProcessingException e) {
-            refused.add(new Generations.Refused(reading.found().file(), e.getOriginalMessage()));
+            refused.add(new SnapshotFile.Refused(reading.found().file(), e.getOriginalMessage()));
         } catch (IOException | IllegalArgumentException e) {
-            refused.add(new Generations.Refused(reading.found().file(), e.getMessage()));
+            refused.add(new SnapshotFile.Refused(reading.found().file(), e.getMessage()));
         }
         return new Look(null, reading.found().file(), 0, refused);
     }
 
     /** The newest list that can be believed, or null; what can't be is logged and set aside. */
-    public KeptList start() {
+    public StoredEndpointList start() {
         while (true) {
             Look look = look();
-            for (Generations.Refused refused : look.refused()) {
+            for (SnapshotFile.Refused refused : look.refused()) {
                 try {
                     LOG.atWarn()
                             .addKeyValue("file", refused.file())
--- a/src/main/java/sagepulley/persistence/GatewayBook.java
+++ b/src/main/java/sagepulley/persistence/GatewayAccounts.java
@@ -1,15 +1,15 @@
 package sagepulley.persistence;
 
 import java.util.Map;
-import sagepulley.accounts.Kept;
+import sagepulley.accounts.StoredAccounts;
 
 /**
  * One gateway's accounts as they go to disk: whose, when (wall-clock milliseconds), the volumes'
  * names by their numbers, when which version of the list of nodes was told, and the figures.
  */
-public record GatewayBook(
+public record GatewayAccounts(
         String gateway,
         long writtenAt,
         Map<Long, String> names,
         Map<Long, Double> told,
-        Kept kept) {}
+        StoredAccounts kept) {}
--- a/src/main/java/sagepulley/persistence/HoldersFile.java
+++ b/src/main/java/sagepulley/persistence/HolderFile.java
@@ -14,18 +14,18 @@
  * Which cell holds which extent, on disk: for each volume the cells of its extents in a row (-1:
  * not known), written as runs and compressed. Of one site; one earlier generation is kept.
  */
-public final class HoldersFile {
+public final class HolderFile {
     /** Extents of all volumes together that are kept at most. */
     public static final int MOST_EXTENTS = 1 << 22;
 
     private static final int MOST_VOLUMES = 1 << 16;
     private static final int LEVEL = 3;
-    private static final Logger LOG = LoggerFactory.getLogger(HoldersFile.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HolderFile.class);
 
-    private final Generations generations;
+    private final SnapshotFile generations;
 
-    public HoldersFile(Path file, String site) {
-        this.generations = new Generations(file, "holders", 1, site, 1);
+    public HolderFile(Path file, String site) {
+        this.generations = new SnapshotFile(file, "holders", 1, site, 1);
     }
 
     public void write(Map<Integer, int[]> cells, long now) throws IOException {
@@ -34,8 +34,8 @@
 
     /** As they were kept; empty if nothing can be believed. */
     public Map<Integer, int[]> start() {
-        Generations.Reading reading = generations.read();
-        for (Generations.Refused refused : reading.refused()) {
+        SnapshotFile.Reading reading = generations.read();
+        for (SnapshotFile.Refused refused : reading.refused()) {
             aside(refused.file(), refused.why());
         }
         if (reading.found() == null) {
--- a/src/main/java/sagepulley/persistence/Periodic.java
+++ b/src/main/java/sagepulley/persistence/PeriodicWriter.java
@@ -17,14 +17,14 @@
  *
  * @param <T> what is written; a source that gives null has nothing new
  */
-public final class Periodic<T> implements AutoCloseable {
+public final class PeriodicWriter<T> implements AutoCloseable {
     /** Puts it on the disk. */
     public interface Sink<T> {
         void write(T what) throws IOException;
     }
 
     private static final long LONGEST_SECONDS = 10;
-    private static final Logger LOG = LoggerFactory.getLogger(Periodic.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeriodicWriter.class);
 
     private final String name;
     private final Supplier<CompletableFuture<T>> source;
@@ -33,7 +33,7 @@
     private boolean failing;
 
     /** Every so many milliseconds, the pauses counted from one end to the next begin. */
-    public Periodic(
+    public PeriodicWriter(
             String name, double every, Supplier<CompletableFuture<T>> source, Sink<T> sink) {
         this.name = name;
         this.source = source;
--- a/src/main/java/sagepulley/persistence/Generations.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -22,7 +22,7 @@
  * what it is, whose, how old and how long, with a CRC32C over all else; what does not agree with
  * its head is not believed.
  */
-public final class Generations {
+public final class SnapshotFile {
     private static final String MAGIC = "sagepulley";
     private static final int MOST_HEAD = 1024;
     private static final long MOST_BODY = 1L << 30;
@@ -65,11 +65,11 @@
      * Of this kind and format, of this owner (a site, or a gateway), with so many earlier
      * generations kept.
      */
-    public Generations(Path file, String kind, int format, String owner, int kept) {
+    public SnapshotFile(Path file, String kind, int format, String owner, int kept) {
         this(file, kind, format, owner, kept, (step, generation) -> {});
     }
 
-    Generations(Path file, String kind, int format, String owner, int kept, Steps steps) {
+    SnapshotFile(Path file, String kind, int format, String owner, int kept, Steps steps) {
         this.file = file.toAbsolutePath();
         this.kind = kind;
         this.format = format;
--- a/src/main/java/sagepulley/placement/Holders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -14,7 +14,7 @@
  *
  * @param <W> who waits
  */
-public final class Holders<W> {
+public final class ExtentHolders<W> {
     /** Who waits so long for the directory is handed on with the holder unknown. */
     public static final double LONGEST_WAIT = 50;
 
--- a/src/main/java/sagepulley/platform/AcceptFailures.java
+++ b/src/main/java/sagepulley/platform/AcceptErrorHandler.java
@@ -10,7 +10,7 @@
  * one only for a moment. Netty's own handling accepts nothing for a second, in which clients that
  * the machine has accepted wait and the listener could close over them.
  */
-final class AcceptFailures extends ChannelInboundHandlerAdapter {
+final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final long PAUSE_MS = 10;
     private static final int LOGGED_EVERY = 100;
     private int failures;
@@ -18,7 +18,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (failures++ % LOGGED_EVERY == 0) {
-            Log.warn(
+            LogWriter.warn(
                     "a connection could not be accepted",
                     "why",
                     cause.getMessage(),
--- a/src/main/java/sagepulley/platform/Addresses.java
+++ b/src/main/java/sagepulley/platform/AddressParser.java
@@ -6,10 +6,10 @@
 import java.net.UnknownHostException;
 
 /** Addresses as HOST:PORT, numeric ones only: there are no names to look up here. */
-final class Addresses {
+final class AddressParser {
     private static final int MOST_PORT = 65_535;
 
-    private Addresses() {}
+    private AddressParser() {}
 
     /** The address that a text names; null if it names none. */
     static InetSocketAddress read(String text) {
--- a/src/main/java/sagepulley/platform/BadCommand.java
+++ b/src/main/java/sagepulley/platform/BadCommandException.java
@@ -1,10 +1,10 @@
 package sagepulley.platform;
 
 /** A command that cannot be taken; the message is what its client is told. */
-final class BadCommand extends Exception {
+final class BadCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadCommand(String what) {
+    BadCommandException(String what) {
         super(what, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/platform/BlockCommand.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import sagepulley.codec.resp.Resp;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
-import sagepulley.model.Plan;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.TrafficClass;
 
 /**
  * A client's read or write of a piece of data, checked field by field, and the words that go to a
@@ -27,8 +27,8 @@
 
     final long id;
     final long extent;
-    final Band band;
-    final Plan plan;
+    final TrafficClass band;
+    final TenantPlan plan;
     final double patience;
     final long volume;
     final double units;
@@ -42,7 +42,7 @@
 
     private final String afterPatience;
 
-    private BlockCommand(List<byte[]> words, Deployment deployment) throws BadCommand {
+    private BlockCommand(List<byte[]> words, Deployment deployment) throws BadCommandException {
         this.words = words;
         this.extent = hex(text(words.get(1)), "the piece");
         this.id = hex(text(words.get(2)), "the id");
@@ -62,14 +62,15 @@
     }
 
     /** Checks a command whose first word is one of the two. */
-    static BlockCommand read(List<byte[]> words, Deployment deployment) throws BadCommand {
+    static BlockCommand read(List<byte[]> words, Deployment deployment) throws BadCommandException {
         boolean writes = text(words.get(0)).equals(WRITE);
         if (words.size() != (writes ? READ_WORDS + 1 : READ_WORDS)) {
-            throw new BadCommand("wrong number of words");
+            throw new BadCommandException("wrong number of words");
         }
         BlockCommand command = new BlockCommand(words, deployment);
         if (command.band.writes() != writes) {
-            throw new BadCommand("c=" + command.band.name() + " does not go with the command");
+            throw new BadCommandException(
+                    "c=" + command.band.name() + " does not go with the command");
         }
         return command;
     }
@@ -102,22 +103,22 @@
         return out;
     }
 
-    private static Map<String, String> fields(String list) throws BadCommand {
+    private static Map<String, String> fields(String list) throws BadCommandException {
         if (list.length() > LONGEST_FIELDS) {
-            throw new BadCommand("fields of over " + LONGEST_FIELDS + " bytes");
+            throw new BadCommandException("fields of over " + LONGEST_FIELDS + " bytes");
         }
         Map<String, String> fields = new HashMap<>();
         String[] parts = list.split(",", -1);
         if (parts.length > MOST_FIELDS) {
-            throw new BadCommand("over " + MOST_FIELDS + " fields");
+            throw new BadCommandException("over " + MOST_FIELDS + " fields");
         }
         for (String part : parts) {
             int sign = part.indexOf('=');
             if (sign <= 0 || !isPlain(part)) {
-                throw new BadCommand("a field that is no name=value");
+                throw new BadCommandException("a field that is no name=value");
             }
             if (fields.put(part.substring(0, sign), part.substring(sign + 1)) != null) {
-                throw new BadCommand("a field that stands twice");
+                throw new BadCommandException("a field that stands twice");
             }
         }
         return fields;
@@ -132,58 +133,59 @@
         return true;
     }
 
-    private static String need(Map<String, String> fields, String name) throws BadCommand {
+    private static String need(Map<String, String> fields, String name) throws BadCommandException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
-            throw new BadCommand(name + " is missing");
+            throw new BadCommandException(name + " is missing");
         }
         return value;
     }
 
-    private static long hex(String text, String what) throws BadCommand {
-        if (!Figures.isId(text)) {
-            throw new BadCommand(what + " has not 16 hex digits");
+    private static long hex(String text, String what) throws BadCommandException {
+        if (!NumberParser.isId(text)) {
+            throw new BadCommandException(what + " has not 16 hex digits");
         }
         return Long.parseUnsignedLong(text, 16);
     }
 
-    private static double number(String text, String name, double most) throws BadCommand {
-        double value = Figures.number(text);
+    private static double number(String text, String name, double most) throws BadCommandException {
+        double value = NumberParser.number(text);
         if (Double.isNaN(value)) {
-            throw new BadCommand(name + " is no number");
+            throw new BadCommandException(name + " is no number");
         }
         if (!(value > 0) || value > most) {
-            throw new BadCommand(name + " is out of range");
+            throw new BadCommandException(name + " is out of range");
         }
         return value;
     }
 
-    private static int shard(String text, int shards) throws BadCommand {
+    private static int shard(String text, int shards) throws BadCommandException {
         if (text.equals("-1")) {
             return -1;
         }
-        int shard = Figures.whole(text);
+        int shard = NumberParser.whole(text);
         if (shard < 0 || shards > 0 && shard >= shards) {
-            throw new BadCommand("there is no such shard");
+            throw new BadCommandException("there is no such shard");
         }
         return shard;
     }
 
-    private static Band band(String name, Deployment deployment) throws BadCommand {
-        for (Band band : deployment.bands()) {
+    private static TrafficClass band(String name, Deployment deployment)
+            throws BadCommandException {
+        for (TrafficClass band : deployment.bands()) {
             if (band.name().equals(name)) {
                 return band;
             }
         }
-        throw new BadCommand("there is no such class");
+        throw new BadCommandException("there is no such class");
     }
 
-    private static Plan plan(String name, Deployment deployment) throws BadCommand {
-        for (Plan plan : deployment.plans()) {
+    private static TenantPlan plan(String name, Deployment deployment) throws BadCommandException {
+        for (TenantPlan plan : deployment.plans()) {
             if (plan.name().equals(name)) {
                 return plan;
             }
         }
-        throw new BadCommand("there is no such plan");
+        throw new BadCommandException("there is no such plan");
     }
 }
--- a/src/main/java/sagepulley/platform/ClientConnection.java
+++ b/src/main/java/sagepulley/platform/ClientConnection.java
@@ -72,7 +72,7 @@
     private final RespDecoder decoder;
     private final ArrayDeque<Slot> unanswered = new ArrayDeque<>();
     private Channel channel;
-    private ClientOutput output;
+    private ClientWriter output;
     private Phase phase = Phase.OPEN;
     private boolean shutting;
 
@@ -118,7 +118,7 @@
     }
 
     /** How long ago the command that is being read came. */
-    double cameAgo(Arrival arrival) {
+    double cameAgo(KernelReceiveTime arrival) {
         return arrival.ago(channel, activeAt - connectedAt);
     }
 
@@ -146,7 +146,7 @@
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        output = new ClientOutput(channel, this::pace);
+        output = new ClientWriter(channel, this::pace);
         connectedAt = owner.now();
         activeAt = connectedAt;
         heardAt = connectedAt;
@@ -275,7 +275,7 @@
             // A reset is how many clients leave; anything else is worth a line.
             endReason = String.valueOf(cause.getMessage());
             if (!(cause instanceof IOException)) {
-                Log.warn(
+                LogWriter.warn(
                         "a client's connection failed",
                         "why",
                         cause,
--- a/src/main/java/sagepulley/platform/Front.java
+++ b/src/main/java/sagepulley/platform/ClientListener.java
@@ -20,7 +20,7 @@
  * Where clients connect: takes connections up to a number, and ends those that nobody uses. On the
  * loop.
  */
-final class Front {
+final class ClientListener {
     /** Bytes of a value, as the protocol allows. */
     static final int LONGEST_VALUE = 65_536;
 
@@ -73,7 +73,7 @@
      * So many connections at most; a command that takes longer than the slowest time to come is of
      * no use.
      */
-    Front(Transport transport, int most, double slowest, ClientConnection.Owner owner) {
+    ClientListener(Transport transport, int most, double slowest, ClientConnection.Owner owner) {
         this.transport = transport;
         this.loop = transport.loops().next();
         this.most = most - MOST_LINGERING;
@@ -95,7 +95,7 @@
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK,
                                 new WriteBufferWaterMark(UNREAD_LOW, UNREAD_HIGH))
-                        .handler(new AcceptFailures())
+                        .handler(new AcceptErrorHandler())
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
--- a/src/main/java/sagepulley/platform/ClientOutput.java
+++ b/src/main/java/sagepulley/platform/ClientWriter.java
@@ -17,7 +17,7 @@
  * asked again a moment later: Netty would close the connection, and the answer would be lost. On
  * the loop.
  */
-final class ClientOutput {
+final class ClientWriter {
     private static final long RETRY_MS = 1;
     private static final int ENOMEM = -12;
     private static final int ENOBUFS = -105;
@@ -29,7 +29,7 @@
     private boolean retries;
 
     /** The task runs when what had to wait has been passed on. */
-    ClientOutput(Channel channel, Runnable resumed) {
+    ClientWriter(Channel channel, Runnable resumed) {
         this.channel = channel;
         this.resumed = resumed;
     }
--- a/src/main/java/sagepulley/platform/Config.java
+++ b/src/main/java/sagepulley/platform/Config.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import sagepulley.engine.FirstMessage;
+import sagepulley.engine.SettingsReader;
 import sagepulley.model.Deployment;
 
 /**
@@ -25,7 +25,7 @@
         long seed,
         int sockets,
         double memoryMb,
-        Listing known,
+        EndpointListUpdate known,
         Deployment deployment,
         List<String> zones,
         List<String> kinds,
@@ -43,32 +43,32 @@
     private static final int LEAST_SOCKETS = 64;
     private static final int LEAST_MEMORY_MB = 16;
 
-    static Config read(Map<String, String> environment) throws ConfigError {
+    static Config read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new ConfigError("GW_CONFIG is not set");
+            throw new ConfigException("GW_CONFIG is not set");
         }
         byte[] bytes = bytes(file);
         try {
-            return of(Json.object(bytes), environment);
-        } catch (ConfigError bad) {
-            throw new ConfigError(file + ": " + bad.getMessage());
+            return of(JsonReader.object(bytes), environment);
+        } catch (ConfigException bad) {
+            throw new ConfigException(file + ": " + bad.getMessage());
         } catch (IOException | RuntimeException bad) {
-            throw new ConfigError(file + ": " + oneLine(bad));
+            throw new ConfigException(file + ": " + oneLine(bad));
         }
     }
 
-    private static byte[] bytes(String file) throws ConfigError {
+    private static byte[] bytes(String file) throws ConfigException {
         try {
             Path path = Path.of(file);
             if (Files.size(path) > LARGEST_FILE) {
-                throw new ConfigError(file + ": over " + LARGEST_FILE + " bytes");
+                throw new ConfigException(file + ": over " + LARGEST_FILE + " bytes");
             }
             return Files.readAllBytes(path);
         } catch (NoSuchFileException | InvalidPathException bad) {
-            throw new ConfigError(file + ": " + oneLine(bad));
+            throw new ConfigException(file + ": " + oneLine(bad));
         } catch (IOException bad) {
-            throw new UnreadableConfig(file + ": " + oneLine(bad));
+            throw new UnreadableConfigException(file + ": " + oneLine(bad));
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     static Config of(Map<String, Object> file, Map<String, String> environment)
-            throws ConfigError, IOException {
+            throws ConfigException, IOException {
         String name = text(file, "name", environment.get("GW_NAME"));
         InetSocketAddress listen = address(file, "listen", environment.get("GW_LISTEN"));
         InetSocketAddress discovery = address(file, "discovery", environment.get("GW_DISCOVERY"));
@@ -109,7 +109,7 @@
         Map<?, ?> settings = section(file, "settings");
         Map<String, String> pairs = new HashMap<>();
         flatten("", settings, pairs);
-        FirstMessage first = new FirstMessage(pairs);
+        SettingsReader first = new SettingsReader(pairs);
         return new Config(
                 name,
                 listen,
@@ -118,8 +118,8 @@
                 (int) atLeast(limits, "sockets", LEAST_SOCKETS),
                 atLeast(limits, "memory_mb", LEAST_MEMORY_MB),
                 file.get("known") instanceof Map<?, ?> known
-                        ? Listing.read(named(known))
-                        : new Listing(0, true, List.of(), List.of()),
+                        ? EndpointListUpdate.read(named(known))
+                        : new EndpointListUpdate(0, true, List.of(), List.of()),
                 first.deployment().onWatch(NOTIFIED_WITHIN_MS),
                 names(settings.get("zones")),
                 names(settings.get("kinds")),
@@ -150,34 +150,35 @@
     }
 
     private static String text(Map<String, Object> file, String key, String without)
-            throws ConfigError {
+            throws ConfigException {
         Object value = file.getOrDefault(key, without);
         if (!(value instanceof String text) || text.isEmpty()) {
-            throw new ConfigError(key + " is missing");
+            throw new ConfigException(key + " is missing");
         }
         return text;
     }
 
     private static InetSocketAddress address(Map<String, Object> file, String key, String without)
-            throws ConfigError {
+            throws ConfigException {
         String text = text(file, key, without);
-        InetSocketAddress address = Addresses.read(text);
+        InetSocketAddress address = AddressParser.read(text);
         if (address == null) {
-            throw new ConfigError(key + "=" + text + " is no numeric HOST:PORT");
+            throw new ConfigException(key + "=" + text + " is no numeric HOST:PORT");
         }
         return address;
     }
 
-    private static Map<?, ?> section(Map<String, Object> file, String key) throws ConfigError {
+    private static Map<?, ?> section(Map<String, Object> file, String key) throws ConfigException {
         if (file.get(key) instanceof Map<?, ?> section) {
             return section;
         }
-        throw new ConfigError(key + " is missing");
+        throw new ConfigException(key + " is missing");
     }
 
-    private static double atLeast(Map<?, ?> limits, String key, double least) throws ConfigError {
+    private static double atLeast(Map<?, ?> limits, String key, double least)
+            throws ConfigException {
         if (!(limits.get(key) instanceof Number number) || !(number.doubleValue() >= least)) {
-            throw new ConfigError(
+            throw new ConfigException(
                     "limits."
                             + key
                             + "="
@@ -189,14 +190,14 @@
         return number.doubleValue();
     }
 
-    private static long seed(Object value) throws ConfigError {
+    private static long seed(Object value) throws ConfigException {
         if (value instanceof String text && text.matches("[0-9a-fA-F]{1,16}")) {
             return Long.parseUnsignedLong(text, 16);
         }
         if (value instanceof Number number) {
             return number.longValue();
         }
-        throw new ConfigError("seed=" + value + " is no hex number of up to 16 digits");
+        throw new ConfigException("seed=" + value + " is no hex number of up to 16 digits");
     }
 
     private static List<String> names(Object value) {
--- a/src/main/java/sagepulley/platform/Reloads.java
+++ b/src/main/java/sagepulley/platform/ConfigReloader.java
@@ -19,13 +19,13 @@
  * looks at its file instead, and a change counts as told. All on one thread, so that the last to
  * read the file is the last to be heard.
  */
-final class Reloads implements Closeable {
+final class ConfigReloader implements Closeable {
     private static final String HANG_UP = "HUP";
     private static final long RETRY_MS = 500;
     private static final long LOOK_MS = 500;
 
     private final Map<String, String> environment;
-    private final PlatformGateway gateway;
+    private final RespGateway gateway;
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("reload", true));
 
@@ -42,18 +42,18 @@
 
     private boolean retries;
 
-    Reloads(Map<String, String> environment, PlatformGateway gateway) {
+    ConfigReloader(Map<String, String> environment, RespGateway gateway) {
         this.environment = environment;
         this.gateway = gateway;
     }
 
     /** From now on new configurations are acted on. */
     void begin() {
-        if (!Signals.isIgnored(HANG_UP)) {
-            Signals.on(HANG_UP, () -> told(gateway.now()));
+        if (!SignalHandlers.isIgnored(HANG_UP)) {
+            SignalHandlers.on(HANG_UP, () -> told(gateway.now()));
             return;
         }
-        Log.warn(
+        LogWriter.warn(
                 "SIGHUP has been ignored since before the start, the configuration file is looked at instead");
         contents = contents();
         lookedAt = gateway.now();
@@ -66,7 +66,7 @@
         try {
             executor.execute(this::read);
         } catch (RejectedExecutionException ended) {
-            Log.info("a new configuration is told to a gateway that has ended");
+            LogWriter.info("a new configuration is told to a gateway that has ended");
         }
     }
 
@@ -96,18 +96,18 @@
         try {
             gateway.reload(Config.read(environment), readAt);
             failure = null;
-        } catch (UnreadableConfig unknown) {
+        } catch (UnreadableConfigException unknown) {
             retryAfter(unknown);
-        } catch (ConfigError bad) {
+        } catch (ConfigException bad) {
             gateway.reloadUnusable(readAt);
             retryAfter(bad);
         }
     }
 
-    private void retryAfter(ConfigError bad) {
+    private void retryAfter(ConfigException bad) {
         if (!bad.getMessage().equals(failure)) {
             failure = bad.getMessage();
-            Log.warn("the new configuration cannot be used", "why", failure);
+            LogWriter.warn("the new configuration cannot be used", "why", failure);
         }
         if (!retries) {
             retries = true;
--- a/src/main/java/sagepulley/platform/DiscoveryLink.java
+++ b/src/main/java/sagepulley/platform/DiscoveryClient.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
-import sagepulley.platform.ListCall.Patience;
-import sagepulley.platform.ListCall.Role;
-import sagepulley.scheduler.ListCallPolicy;
+import sagepulley.platform.DiscoveryRequest.Patience;
+import sagepulley.platform.DiscoveryRequest.Role;
+import sagepulley.scheduler.EndpointPollPolicy;
 
 /**
  * The calls to discovery: one watch, and now and then the whole list. It asks nothing again by
@@ -14,10 +14,10 @@
  * is kept open beside the next one: discovery may be slow, and what it still answers is taken. All
  * on one loop.
  */
-final class DiscoveryLink implements ListCall.Owner {
+final class DiscoveryClient implements DiscoveryRequest.Owner {
     /** Told what discovery says, on the loop. */
     interface Owner {
-        void listed(Listing listing);
+        void listed(EndpointListUpdate listing);
 
         /** What has been listed by now was all that discovery had at this time. */
         void listConfirmed(double asOf);
@@ -35,18 +35,18 @@
     private final Owner owner;
     private final DoubleSupplier clock;
     private final Patience patience;
-    private final Arrival arrival = new Arrival();
+    private final KernelReceiveTime arrival = new KernelReceiveTime();
     private SocketAddress address;
     private long revision;
-    private ListCall watch;
-    private ListCall fetch;
+    private DiscoveryRequest watch;
+    private DiscoveryRequest fetch;
 
     /** Calls that are kept open beside the watch, the oldest first. */
-    private final Deque<ListCall> overdue = new ArrayDeque<>();
+    private final Deque<DiscoveryRequest> overdue = new ArrayDeque<>();
 
     private int calls;
 
-    DiscoveryLink(
+    DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
@@ -56,7 +56,7 @@
     }
 
     /** The same with another patience. */
-    DiscoveryLink(
+    DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
@@ -103,8 +103,8 @@
         fetch.open();
     }
 
-    private ListCall call(boolean watches) {
-        return new ListCall(
+    private DiscoveryRequest call(boolean watches) {
+        return new DiscoveryRequest(
                 transport, address, ++calls, watches, revision, patience, arrival, clock, this);
     }
 
@@ -118,7 +118,7 @@
             return false;
         }
         address = fresh;
-        ListCall former = takeAnswered();
+        DiscoveryRequest former = takeAnswered();
         close();
         if (former != null) {
             former.become(Role.FORMER);
@@ -128,13 +128,14 @@
     }
 
     /** The watch that last told something, taken out of the others; null if none has. */
-    private ListCall takeAnswered() {
+    private DiscoveryRequest takeAnswered() {
         if (isWatching()) {
-            ListCall taken = watch;
+            DiscoveryRequest taken = watch;
             watch = null;
             return taken;
         }
-        ListCall taken = overdue.stream().filter(ListCall::isAnswered).findFirst().orElse(null);
+        DiscoveryRequest taken =
+                overdue.stream().filter(DiscoveryRequest::isAnswered).findFirst().orElse(null);
         overdue.remove(taken);
         return taken;
     }
@@ -154,13 +155,13 @@
 
     // ---- overdue calls ----
 
-    private void keepOpen(ListCall call) {
+    private void keepOpen(DiscoveryRequest call) {
         call.become(Role.OVERDUE);
         overdue.add(call);
-        if (overdue.size() > ListCallPolicy.MOST_OVERDUE) {
-            ListCall oldest = overdue.peekFirst();
-            ListCall dropped =
-                    ListCallPolicy.oldestGivesWay(
+        if (overdue.size() > EndpointPollPolicy.MOST_OVERDUE) {
+            DiscoveryRequest oldest = overdue.peekFirst();
+            DiscoveryRequest dropped =
+                    EndpointPollPolicy.oldestGivesWay(
                                     oldest.role() == Role.FORMER,
                                     oldest.openFor(),
                                     oldest.quietFor())
@@ -172,7 +173,7 @@
     }
 
     /** A call has told a list, or lives on: it is the watch, and all others are needless. */
-    private void relyOn(ListCall call) {
+    private void relyOn(DiscoveryRequest call) {
         if (watch != null && watch != call) {
             watch.drop("another call was answered");
         }
@@ -183,7 +184,7 @@
         watch = call;
     }
 
-    private void remove(ListCall call) {
+    private void remove(DiscoveryRequest call) {
         if (watch == call) {
             watch = null;
         }
@@ -196,12 +197,12 @@
     // ---- what calls tell ----
 
     @Override
-    public void refused(ListCall call) {
+    public void refused(DiscoveryRequest call) {
         owner.discoveryUnreachable(call.beganAt());
     }
 
     @Override
-    public void listed(ListCall call, Listing listing, double asOf) {
+    public void listed(DiscoveryRequest call, EndpointListUpdate listing, double asOf) {
         boolean isFormer = call.role() == Role.FORMER;
         if (call.watches() && !isFormer) {
             relyOn(call);
@@ -220,7 +221,7 @@
     }
 
     @Override
-    public void livesOn(ListCall call, double asOf) {
+    public void livesOn(DiscoveryRequest call, double asOf) {
         if (call.role() == Role.FORMER) {
             return;
         }
@@ -235,14 +236,14 @@
      * list was current.
      */
     @Override
-    public void endsAtRest(ListCall call, double asOf) {
+    public void endsAtRest(DiscoveryRequest call, double asOf) {
         if (call == watch) {
             owner.listConfirmed(asOf);
         }
     }
 
     @Override
-    public void overdue(ListCall call, String why) {
+    public void overdue(DiscoveryRequest call, String why) {
         if (call.role() != Role.CURRENT) {
             return;
         }
@@ -252,7 +253,7 @@
     }
 
     @Override
-    public void failed(ListCall call, String why) {
+    public void failed(DiscoveryRequest call, String why) {
         boolean counts = call.role() == Role.CURRENT;
         remove(call);
         if (counts) {
@@ -261,7 +262,7 @@
     }
 
     @Override
-    public void answered(ListCall call) {
+    public void answered(DiscoveryRequest call) {
         remove(call);
     }
 }
--- a/src/main/java/sagepulley/platform/ListCall.java
+++ b/src/main/java/sagepulley/platform/DiscoveryRequest.java
@@ -31,14 +31,14 @@
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import sagepulley.scheduler.ListCallPolicy;
+import sagepulley.scheduler.EndpointPollPolicy;
 
 /**
  * One call to discovery and its answer: lists as JSON values, in any pieces and with any white
  * space between. It tells its owner what came and how it ended, each once, and knows of no other
  * call. All on one loop; times are milliseconds on the monotonic clock.
  */
-final class ListCall extends SimpleChannelInboundHandler<HttpObject> {
+final class DiscoveryRequest extends SimpleChannelInboundHandler<HttpObject> {
     private static final String PATH = "/v1/endpoints";
 
     /** A list of 3,200 endpoints, indented, takes a little over 1 MB. */
@@ -72,41 +72,41 @@
     /** How long a first list, and a sign of life on a watch, are waited for. */
     record Patience(long firstListMs, long silenceMs) {
         static final Patience USUAL =
-                new Patience(ListCallPolicy.FIRST_LIST_WITHIN, ListCallPolicy.SILENCE);
+                new Patience(EndpointPollPolicy.FIRST_LIST_WITHIN, EndpointPollPolicy.SILENCE);
     }
 
     /** Told what happens to a call. */
     interface Owner {
         /** The connection was refused: no process listens there. */
-        void refused(ListCall call);
+        void refused(DiscoveryRequest call);
 
         /** A list has come, which was all that discovery had at a time. */
-        void listed(ListCall call, Listing listing, double asOf);
+        void listed(DiscoveryRequest call, EndpointListUpdate listing, double asOf);
 
         /** An empty line of a watch: nothing had changed at a time. */
-        void livesOn(ListCall call, double asOf);
+        void livesOn(DiscoveryRequest call, double asOf);
 
         /**
          * The connection ends with no list under way: all that discovery had to tell at a time has
          * come.
          */
-        void endsAtRest(ListCall call, double asOf);
+        void endsAtRest(DiscoveryRequest call, double asOf);
 
         /** Nothing came in time; the call goes on. */
-        void overdue(ListCall call, String why);
+        void overdue(DiscoveryRequest call, String why);
 
         /** The call is over without what it was for. */
-        void failed(ListCall call, String why);
+        void failed(DiscoveryRequest call, String why);
 
         /** The call is over, and was answered in whole. */
-        void answered(ListCall call);
+        void answered(DiscoveryRequest call);
     }
 
     private final Transport transport;
     private final EventLoop loop;
     private final Owner owner;
     private final DoubleSupplier clock;
-    private final Arrival arrival;
+    private final KernelReceiveTime arrival;
     private final Patience patience;
     private final SocketAddress address;
     private final int number;
@@ -136,14 +136,14 @@
      * The first call has number 1; it asks for what changed after a revision if it watches, and
      * else for the whole list.
      */
-    ListCall(
+    DiscoveryRequest(
             Transport transport,
             SocketAddress address,
             int number,
             boolean watches,
             long after,
             Patience patience,
-            Arrival arrival,
+            KernelReceiveTime arrival,
             DoubleSupplier clock,
             Owner owner) {
         this.transport = transport;
@@ -160,7 +160,7 @@
     }
 
     void open() {
-        Log.info(
+        LogWriter.info(
                 "list call begins",
                 "call",
                 number,
@@ -173,7 +173,9 @@
         ChannelFuture connecting =
                 transport
                         .connector()
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ListCallPolicy.CONNECT_WITHIN)
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                EndpointPollPolicy.CONNECT_WITHIN)
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
@@ -181,7 +183,7 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        ListCall.this,
+                                                        DiscoveryRequest.this,
                                                         values,
                                                         new Reader());
                                     }
@@ -202,7 +204,7 @@
 
     /** Ends the call, and nobody is told. */
     void drop(String why) {
-        Log.info(
+        LogWriter.info(
                 "list call ends",
                 "call",
                 number,
@@ -411,9 +413,9 @@
     }
 
     private void valueCame(ByteBuf text) {
-        Listing listing;
+        EndpointListUpdate listing;
         try {
-            listing = Listing.read(Json.object(ByteBufUtil.getBytes(text)));
+            listing = EndpointListUpdate.read(JsonReader.object(ByteBufUtil.getBytes(text)));
         } catch (IOException bad) {
             fail("a list that cannot be read: " + bad.getMessage());
             return;
@@ -421,7 +423,7 @@
         lists++;
         listEndedAt = clock.getAsDouble();
         if (!isAnswered()) {
-            Log.info("discovery answers", "call", number, "after-ms", openMs());
+            LogWriter.info("discovery answers", "call", number, "after-ms", openMs());
             firstListTook = listEndedAt - requestedAt;
             progress = Progress.ANSWERED;
         }
--- a/src/main/java/sagepulley/platform/NodeLinks.java
+++ b/src/main/java/sagepulley/platform/EndpointConnectionPool.java
@@ -35,7 +35,7 @@
  * Carries out and decides nothing: no call is sent twice, and each ends in one outcome. All on one
  * loop.
  */
-final class NodeLinks {
+final class EndpointConnectionPool {
     private static final int LONGEST_LINE = 512;
     private static final int MOST_ITEMS = 3;
     private static final int BESIDE_VALUE = 2048;
@@ -77,14 +77,14 @@
     private final RespLimits limits =
             RespLimits.replies(
                     LONGEST_LINE,
-                    Front.LONGEST_VALUE,
-                    Front.LONGEST_VALUE + BESIDE_VALUE,
+                    ClientListener.LONGEST_VALUE,
+                    ClientListener.LONGEST_VALUE + BESIDE_VALUE,
                     MOST_ITEMS);
 
     /** Free connections, the one used last first. */
     private final Map<SocketAddress, ArrayDeque<Link>> free = new HashMap<>();
 
-    private final Arrival arrival = new Arrival();
+    private final KernelReceiveTime arrival = new KernelReceiveTime();
     private final ByteBuffer oneByte = ByteBuffer.allocateDirect(1);
     private final Map<Attempt, Link> out = new IdentityHashMap<>();
     private final Map<SocketAddress, Integer> openTo = new HashMap<>();
@@ -103,7 +103,7 @@
     final Map<String, Integer> spoilt = new TreeMap<>();
 
     /** An answer that has begun and brings nothing more for the stall time is spoilt. */
-    NodeLinks(
+    EndpointConnectionPool(
             Transport transport,
             int most,
             double connectTimeout,
--- a/src/main/java/sagepulley/platform/Listing.java
+++ b/src/main/java/sagepulley/platform/EndpointListUpdate.java
@@ -10,7 +10,8 @@
 import sagepulley.model.Node;
 
 /** A list of nodes, or changes of it, in discovery's form. */
-record Listing(long revision, boolean whole, List<Member> members, List<String> unreadable) {
+record EndpointListUpdate(
+        long revision, boolean whole, List<Member> members, List<String> unreadable) {
     /** One entry; started is wall-clock milliseconds, 0 for long ago. */
     record Member(
             String id,
@@ -18,13 +19,13 @@
             String locality,
             String flavor,
             int cell,
-            Node.Standing standing,
+            Node.Phase standing,
             double weight,
             long started) {}
 
     /** The same list with all its nodes at one address. */
-    Listing at(SocketAddress address) {
-        return new Listing(
+    EndpointListUpdate at(SocketAddress address) {
+        return new EndpointListUpdate(
                 revision,
                 whole,
                 members.stream()
@@ -44,7 +45,7 @@
     }
 
     /** Reads a list; an entry that cannot be read is left out and named. */
-    static Listing read(Map<String, Object> object) throws IOException {
+    static EndpointListUpdate read(Map<String, Object> object) throws IOException {
         if (!(object.get("revision") instanceof Number revision)
                 || !(object.get("complete") instanceof Boolean whole)
                 || !(object.get("members") instanceof List<?> entries)) {
@@ -60,25 +61,25 @@
                 unreadable.add(String.valueOf(entry));
             }
         }
-        return new Listing(revision.longValue(), whole, members, unreadable);
+        return new EndpointListUpdate(revision.longValue(), whole, members, unreadable);
     }
 
     private static Member member(Map<?, ?> fields) {
-        Node.Standing standing =
+        Node.Phase standing =
                 switch (String.valueOf(fields.get("phase")).toUpperCase(Locale.ROOT)) {
-                    case "SERVING" -> Node.Standing.READY;
-                    case "DRAINING" -> Node.Standing.DRAINING;
-                    case "DELETED" -> Node.Standing.GONE;
+                    case "SERVING" -> Node.Phase.READY;
+                    case "DRAINING" -> Node.Phase.DRAINING;
+                    case "DELETED" -> Node.Phase.GONE;
                     default -> null;
                 };
         InetSocketAddress address =
-                fields.get("host_port") instanceof String text ? Addresses.read(text) : null;
+                fields.get("host_port") instanceof String text ? AddressParser.read(text) : null;
         if (standing == null || !(fields.get("id") instanceof String id) || id.isEmpty()) {
             return null;
         }
         // What has gone needs no address any more.
         boolean placed = address != null && fields.get("cell") instanceof Number;
-        if (!placed && standing != Node.Standing.GONE) {
+        if (!placed && standing != Node.Phase.GONE) {
             return null;
         }
         return new Member(
--- a/src/main/java/sagepulley/platform/NodeBook.java
+++ b/src/main/java/sagepulley/platform/EndpointRegistry.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.function.Function;
 import sagepulley.engine.Clock;
-import sagepulley.engine.ListEntry;
+import sagepulley.engine.EndpointEntry;
 import sagepulley.model.Node;
 
 /**
  * Discovery's names of nodes against the numbers that nodes have inside, and where each listens.
  */
-final class NodeBook {
+final class EndpointRegistry {
     private final List<String> zones;
     private final List<String> kinds;
     private final Clock clock;
@@ -22,27 +22,27 @@
     private final Map<Integer, SocketAddress> addresses = new HashMap<>();
     private int lastNumber;
 
-    NodeBook(List<String> zones, List<String> kinds, Clock clock) {
+    EndpointRegistry(List<String> zones, List<String> kinds, Clock clock) {
         this.zones = zones;
         this.kinds = kinds;
         this.clock = clock;
     }
 
     /** The entries as the host takes them; starts are turned into its clock's time. */
-    List<ListEntry> entries(Listing listing) {
+    List<EndpointEntry> entries(EndpointListUpdate listing) {
         return listing.members().stream()
                 .filter(
                         member ->
-                                member.standing() != Node.Standing.GONE
+                                member.standing() != Node.Phase.GONE
                                         || numbers.containsKey(member.id()))
                 .map(this::entry)
                 .toList();
     }
 
     /** What of a list differs from what is known of these endpoints, for the log. */
-    List<String> changes(Listing listing, Function<Integer, Node> known) {
+    List<String> changes(EndpointListUpdate listing, Function<Integer, Node> known) {
         List<String> changes = new ArrayList<>();
-        for (Listing.Member member : listing.members()) {
+        for (EndpointListUpdate.Member member : listing.members()) {
             Integer number = numbers.get(member.id());
             Node node = number == null ? null : known.apply(number);
             Object before = node == null ? "unknown" : node.standing;
@@ -53,13 +53,13 @@
         return changes;
     }
 
-    private ListEntry entry(Listing.Member member) {
+    private EndpointEntry entry(EndpointListUpdate.Member member) {
         int number = numbers.computeIfAbsent(member.id(), any -> ++lastNumber);
         names.put(number, member.id());
         if (member.address() != null) {
             addresses.put(number, member.address());
         }
-        return new ListEntry(
+        return new EndpointEntry(
                 zones.indexOf(member.locality()),
                 member.cell(),
                 number,
--- a/src/main/java/sagepulley/platform/Answer.java
+++ b/src/main/java/sagepulley/platform/EndpointResponse.java
@@ -5,13 +5,13 @@
 import sagepulley.model.Attempt;
 
 /** What a node's answer holds beside its value: figures on use, and a report of its load. */
-final class Answer {
+final class EndpointResponse {
     private static final int VALUE = 0;
     private static final int USE = 1;
     private static final int REPORT = 2;
     private static final double MOST_FIGURE = 1e9;
 
-    private Answer() {}
+    private EndpointResponse() {}
 
     /** The value of an answer that satisfied. */
     static byte[] value(Resp answer) {
@@ -75,7 +75,7 @@
     private static double figure(String text, String name) {
         for (String part : text.split(",")) {
             if (part.startsWith(name + "=")) {
-                double figure = Figures.number(part.substring(name.length() + 1));
+                double figure = NumberParser.number(part.substring(name.length() + 1));
                 return figure <= MOST_FIGURE ? figure : Double.NaN;
             }
         }
--- a/src/main/java/sagepulley/platform/Counts.java
+++ b/src/main/java/sagepulley/platform/GatewayMetrics.java
@@ -4,14 +4,14 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import sagepulley.model.Band;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 import sagepulley.model.Reason;
+import sagepulley.model.TrafficClass;
 
 /** What has happened since the start, for the log. */
-final class Counts {
+final class GatewayMetrics {
     long taken;
     long badCommands;
     long noRoom;
@@ -43,7 +43,7 @@
         waiting.forEach((reason, count) -> waits.merge(reason, (long) count, Long::sum));
     }
 
-    void gaveUp(Band band, Reason reason) {
+    void gaveUp(TrafficClass band, Reason reason) {
         givenUp.merge(band.name() + "/" + reason, 1L, Long::sum);
     }
 
--- a/src/main/java/sagepulley/platform/Serve.java
+++ b/src/main/java/sagepulley/platform/GatewayServer.java
@@ -5,40 +5,40 @@
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
-import sagepulley.model.Band;
+import sagepulley.model.TrafficClass;
 
 /** Runs one gateway on the platform in the foreground, until SIGTERM. */
-public final class Serve {
+public final class GatewayServer {
     private static final long LAST_LINES_MS = 200;
     private static final int REHEARSED = 60;
     private static final long REHEARSAL_MS = 1_200;
 
-    private Serve() {}
+    private GatewayServer() {}
 
     /** Returns once the gateway has stopped. */
-    public static void run(Map<String, String> environment) throws ConfigError {
+    public static void run(Map<String, String> environment) throws ConfigException {
         run(environment, gateway -> {});
     }
 
     /** The same; the task is given the gateway once it is ready. */
-    static void run(Map<String, String> environment, Consumer<PlatformGateway> whenReady)
-            throws ConfigError {
+    static void run(Map<String, String> environment, Consumer<RespGateway> whenReady)
+            throws ConfigException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         Config config = Config.read(environment);
-        PlatformGateway gateway = new PlatformGateway(config, Transport.sockets());
-        Signals.on("TERM", gateway::stop);
-        Signals.on("INT", gateway::stop);
-        Reloads reloads = new Reloads(environment, gateway);
+        RespGateway gateway = new RespGateway(config, Transport.sockets());
+        SignalHandlers.on("TERM", gateway::stop);
+        SignalHandlers.on("INT", gateway::stop);
+        ConfigReloader reloads = new ConfigReloader(environment, gateway);
         gateway.begin();
         reloads.begin();
-        Rehearsal.inside(REHEARSED, REHEARSAL_MS);
+        WarmUpRun.inside(REHEARSED, REHEARSAL_MS);
         try {
             gateway.start().join();
         } catch (CompletionException e) {
-            throw new ConfigError(
+            throw new ConfigException(
                     "cannot listen on " + config.listen() + ": " + e.getCause().getMessage());
         }
-        Log.info(
+        LogWriter.info(
                 "ready",
                 "name",
                 config.name(),
@@ -53,13 +53,13 @@
         whenReady.accept(gateway);
         gateway.ended().join();
         reloads.close();
-        Log.flush(LAST_LINES_MS);
+        LogWriter.flush(LAST_LINES_MS);
     }
 
     /** Each with its target time and patience. */
     private static String bands(Config config) {
         StringBuilder all = new StringBuilder();
-        for (Band band : config.deployment().bands()) {
+        for (TrafficClass band : config.deployment().bands()) {
             all.append(all.isEmpty() ? "" : ",")
                     .append(band.name())
                     .append(':')
--- a/src/main/java/sagepulley/platform/Json.java
+++ b/src/main/java/sagepulley/platform/JsonReader.java
@@ -14,7 +14,7 @@
  * One JSON value as maps, lists, strings, numbers and booleans. Only Jackson's parser is loaded for
  * it.
  */
-final class Json {
+final class JsonReader {
     private static final int DEPTH = 50;
     private static final int TEXT = 100_000;
     private static final JsonFactory FACTORY =
@@ -26,7 +26,7 @@
                                     .build())
                     .build();
 
-    private Json() {}
+    private JsonReader() {}
 
     /** Reads the one object that the bytes hold. */
     static Map<String, Object> object(byte[] bytes) throws IOException {
--- a/src/main/java/sagepulley/platform/Arrival.java
+++ b/src/main/java/sagepulley/platform/KernelReceiveTime.java
@@ -9,7 +9,7 @@
  * How long ago the bytes read last came to this machine, by the kernel's book: a loop that had no
  * CPU reads them late, and that is no node's queue and no client's haste. One for each loop.
  */
-final class Arrival {
+final class KernelReceiveTime {
     /**
      * The kernel counts in ticks of 4 ms mostly and tells a figure that is half of one too long on
      * average.
--- a/src/main/java/sagepulley/platform/Log.java
+++ b/src/main/java/sagepulley/platform/LogWriter.java
@@ -11,7 +11,7 @@
  * waits, and what does not fit is counted. Logback is not used here: 510 of the 2,941 classes of a
  * start were its own.
  */
-final class Log {
+final class LogWriter {
     private static final int MOST_WAITING = 1000;
     private static final int LONGEST_VALUE = 4000;
     private static final BlockingQueue<String> LINES = new ArrayBlockingQueue<>(MOST_WAITING);
@@ -24,7 +24,7 @@
         writer.start();
     }
 
-    private Log() {}
+    private LogWriter() {}
 
     static void info(String what, Object... namesAndValues) {
         if (!isRehearsal()) {
--- a/src/main/java/sagepulley/platform/Figures.java
+++ b/src/main/java/sagepulley/platform/NumberParser.java
@@ -4,11 +4,11 @@
  * Numbers in commands and answers, read strictly and without a pattern: each operation has a dozen
  * of them.
  */
-final class Figures {
+final class NumberParser {
     private static final int HEX_DIGITS = 16;
     private static final int MOST_DIGITS = 12;
 
-    private Figures() {}
+    private NumberParser() {}
 
     /** Whether the text is 16 hex digits in lower case, as all ids are. */
     static boolean isId(String text) {
--- a/src/main/java/sagepulley/platform/EventLog.java
+++ b/src/main/java/sagepulley/platform/RateLimitedLog.java
@@ -7,7 +7,7 @@
  * so that an overload does not log itself to death. What is left out is counted, and told with the
  * next second's first line.
  */
-final class EventLog {
+final class RateLimitedLog {
     private static final int MOST_A_SECOND = 100;
     private static final double SECOND = 1_000;
 
@@ -16,7 +16,7 @@
     private int written;
     private long suppressed;
 
-    EventLog(DoubleSupplier clock) {
+    RateLimitedLog(DoubleSupplier clock) {
         this.clock = clock;
     }
 
@@ -26,7 +26,7 @@
             secondBegan = now;
             written = 0;
             if (suppressed > 0) {
-                Log.info("event lines suppressed", "count", suppressed);
+                LogWriter.info("event lines suppressed", "count", suppressed);
                 suppressed = 0;
             }
         }
@@ -35,6 +35,6 @@
             return;
         }
         written++;
-        Log.info(what, namesAndValues);
+        LogWriter.info(what, namesAndValues);
     }
 }
