--- a/src/main/java/sagepulley/platform/PlatformGateway.java
+++ b/src/main/java/sagepulley/platform/RespGateway.java
@@ -10,26 +10,26 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.codec.frame.Alarm;
+import sagepulley.codec.frame.EventLoopTimer;
 import sagepulley.codec.resp.Resp;
 import sagepulley.codec.resp.RespBytes;
 import sagepulley.engine.Clock;
-import sagepulley.engine.Exit;
-import sagepulley.engine.Host;
+import sagepulley.engine.DecisionSink;
+import sagepulley.engine.GatewayEngine;
 import sagepulley.model.Attempt;
-import sagepulley.model.Band;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Placement;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
-import sagepulley.scheduler.NodeView;
+import sagepulley.scheduler.EndpointView;
 
 /**
  * One gateway on the platform: clients, nodes and discovery on one event loop, round the host of
  * Control. It tells the host what happens and carries out what comes back.
  */
-final class PlatformGateway implements Exit, ClientConnection.Owner, DiscoveryLink.Owner {
+final class RespGateway implements DecisionSink, ClientConnection.Owner, DiscoveryClient.Owner {
     private static final long SWEEP_MS = 200;
     private static final long REPORT_MS = 5_000;
 
@@ -79,16 +79,16 @@
     private final Config config;
     private final Clock clock = new Clock();
     private final EventLoop loop;
-    private final Alarm alarm;
-    private final Host host;
-    private final NodeBook book;
-    private final Front front;
-    private final NodeLinks nodes;
-    private final DiscoveryLink discovery;
+    private final EventLoopTimer alarm;
+    private final GatewayEngine host;
+    private final EndpointRegistry book;
+    private final ClientListener front;
+    private final EndpointConnectionPool nodes;
+    private final DiscoveryClient discovery;
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final Counts counts = new Counts();
-    private final Arrival arrival = new Arrival();
-    private final EventLog events = new EventLog(clock::now);
+    private final GatewayMetrics counts = new GatewayMetrics();
+    private final KernelReceiveTime arrival = new KernelReceiveTime();
+    private final RateLimitedLog events = new RateLimitedLog(clock::now);
     private final long mostBytes;
     private long bytesInHand;
     private boolean settleDue;
@@ -109,17 +109,17 @@
     /** What is kept of an operation in hand: its command, and where its answer goes. */
     private record Held(BlockCommand command, ClientConnection.Slot slot) {}
 
-    PlatformGateway(Config config, Transport transport) {
+    RespGateway(Config config, Transport transport) {
         this.loop = transport.loops().next();
-        this.alarm = new Alarm(loop, clock::now, this::settleNow);
+        this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
         this.config = config;
-        this.host = new Host(config.deployment(), config.seed(), this);
-        this.book = new NodeBook(config.zones(), config.kinds(), clock);
+        this.host = new GatewayEngine(config.deployment(), config.seed(), this);
+        this.book = new EndpointRegistry(config.zones(), config.kinds(), clock);
         int sockets = config.sockets() - OWN_SOCKETS;
         int clients = (int) (sockets * CLIENT_PART);
-        this.front = new Front(transport, clients, longestPatience(config), this);
+        this.front = new ClientListener(transport, clients, longestPatience(config), this);
         this.nodes =
-                new NodeLinks(
+                new EndpointConnectionPool(
                         transport,
                         sockets - clients,
                         config.connectTimeout(),
@@ -130,17 +130,23 @@
                 (address, why) ->
                         events.line("endpoint connection closed", "address", address, "why", why));
         this.discovery =
-                new DiscoveryLink(
+                new DiscoveryClient(
                         transport, config.discovery(), config.known().revision(), this, clock::now);
         this.mostBytes = (long) (config.memoryMb() * (1 << 20) * BYTES_PART);
     }
 
     private static double shortestTarget(Config config) {
-        return config.deployment().bands().stream().mapToDouble(Band::targetTime).min().orElse(0);
+        return config.deployment().bands().stream()
+                .mapToDouble(TrafficClass::targetTime)
+                .min()
+                .orElse(0);
     }
 
     private static double longestPatience(Config config) {
-        return config.deployment().bands().stream().mapToDouble(Band::patience).max().orElse(0);
+        return config.deployment().bands().stream()
+                .mapToDouble(TrafficClass::patience)
+                .max()
+                .orElse(0);
     }
 
     /** Asks for the list, and nothing else yet. */
@@ -205,23 +211,23 @@
         try {
             command = BlockCommand.read(words, config.deployment());
             if (host.operation(command.id) != null) {
-                throw new BadCommand("an operation with this id is in hand");
+                throw new BadCommandException("an operation with this id is in hand");
             }
-        } catch (BadCommand bad) {
+        } catch (BadCommandException bad) {
             counts.badCommands++;
             slot.answer(RespBytes.error("ERR " + bad.getMessage()));
             return;
         }
         connection.asked = true;
         if (connection.isEnding() || front.isEnding()) {
-            events.line("request refused", "id", Figures.id(command.id), "why", "STOPPING");
+            events.line("request refused", "id", NumberParser.id(command.id), "why", "STOPPING");
             slot.answer(RespBytes.error("BUSY"));
             return;
         }
         if (bytesInHand + command.bytes() > mostBytes
                 || host.inHand().size() >= config.mostOpen()) {
             counts.noRoom++;
-            events.line("request refused", "id", Figures.id(command.id), "why", "NO_ROOM");
+            events.line("request refused", "id", NumberParser.id(command.id), "why", "NO_ROOM");
             slot.answer(RespBytes.error("BUSY"));
             return;
         }
@@ -276,12 +282,12 @@
     }
 
     @Override
-    public void giveUp(Operation operation, Placement placement) {
-        boolean declined = placement.kind() == Placement.Kind.DECLINE;
+    public void giveUp(Operation operation, RoutingDecision placement) {
+        boolean declined = placement.kind() == RoutingDecision.Kind.DECLINE;
         events.line(
                 declined ? "request refused" : "request failed",
                 "id",
-                Figures.id(operation.id),
+                NumberParser.id(operation.id),
                 "band",
                 operation.band.name(),
                 "why",
@@ -334,7 +340,7 @@
             events.line(
                     "request retried",
                     "id",
-                    Figures.id(attempt.operation.id),
+                    NumberParser.id(attempt.operation.id),
                     "attempts",
                     attempts(attempt.operation));
         }
@@ -353,13 +359,13 @@
         attempt.outcome = outcome;
         attempt.took = at - attempt.sentAt;
         counts.ended(outcome, attempt.node);
-        Answer.tell(attempt, answer, config.deployment().reportFields());
+        EndpointResponse.tell(attempt, answer, config.deployment().reportFields());
         boolean settled = attempt.operation.over;
         if (outcome == Outcome.SATISFIED && !settled) {
             settled = true;
             counts.satisfied(attempt.operation, now);
             attempt.operation.over = true;
-            answer(attempt.operation, RespBytes.bulk(Answer.value(answer)));
+            answer(attempt.operation, RespBytes.bulk(EndpointResponse.value(answer)));
         }
         host.ended(attempt, settled, now);
         settle();
@@ -387,7 +393,8 @@
                                     || answer instanceof Resp.Line line && !line.isError();
                     double[] report =
                             answer instanceof Resp.Bulk bulk
-                                    ? Answer.report(bulk, config.deployment().reportFields())
+                                    ? EndpointResponse.report(
+                                            bulk, config.deployment().reportFields())
                                     : null;
                     host.probed(
                             node.id,
@@ -412,8 +419,8 @@
     }
 
     @Override
-    public void listed(Listing listing) {
-        Log.info(
+    public void listed(EndpointListUpdate listing) {
+        LogWriter.info(
                 "list of nodes",
                 "revision",
                 listing.revision(),
@@ -423,10 +430,10 @@
                 listing.members().size());
         List<String> changes = book.changes(listing, host::node);
         if (!changes.isEmpty()) {
-            Log.info("endpoint states", "revision", listing.revision(), "changes", changes);
+            LogWriter.info("endpoint states", "revision", listing.revision(), "changes", changes);
         }
         for (String entry : listing.unreadable()) {
-            Log.warn("an entry of the list cannot be read", "entry", entry);
+            LogWriter.warn("an entry of the list cannot be read", "entry", entry);
         }
         host.listed(book.entries(listing), listing.whole(), clock.now()).forEach(book::forget);
         settle();
@@ -446,7 +453,7 @@
 
     @Override
     public void listFailed(String why) {
-        Log.warn("the list of nodes failed", "why", why);
+        LogWriter.warn("the list of nodes failed", "why", why);
         host.listFailed(clock.now());
         settle();
     }
@@ -487,7 +494,7 @@
 
     private void report() {
         Runtime runtime = Runtime.getRuntime();
-        Log.info(
+        LogWriter.info(
                 "state",
                 "in-hand",
                 host.inHand().size(),
@@ -526,8 +533,8 @@
         worstLag = 0;
         for (Node node : host.nodes()) {
             Map<Outcome, Integer> ended = counts.lately(node);
-            if (node.standing != Node.Standing.GONE || !ended.isEmpty()) {
-                Log.info(
+            if (node.standing != Node.Phase.GONE || !ended.isEmpty()) {
+                LogWriter.info(
                         "node",
                         "id",
                         book.name(node),
@@ -536,7 +543,7 @@
                         "cell",
                         node.cell,
                         "view",
-                        NodeView.of(node),
+                        EndpointView.of(node),
                         "ended",
                         ended,
                         "connections",
@@ -563,7 +570,7 @@
     void reloadTold(double toldAt) {
         loop.execute(
                 () -> {
-                    Log.info(
+                    LogWriter.info(
                             "a new configuration is told",
                             "ago-ms",
                             Math.round(clock.now() - toldAt));
@@ -578,7 +585,7 @@
     void reload(Config fresh, double readAt) {
         loop.execute(
                 () -> {
-                    Log.info(
+                    LogWriter.info(
                             "configuration read anew",
                             "discovery",
                             fresh.discovery(),
@@ -619,7 +626,7 @@
                     stopAt = toldAt + left;
                     double now = clock.now();
                     front.keepUnused();
-                    Log.info("stopping", "in-hand", host.inHand().size());
+                    LogWriter.info("stopping", "in-hand", host.inHand().size());
                     loop.schedule(
                             () -> {
                                 front.end();
@@ -638,7 +645,7 @@
                 events.line(
                         "request failed",
                         "id",
-                        Figures.id(operation.id),
+                        NumberParser.id(operation.id),
                         "why",
                         "STOPPING",
                         "attempts",
@@ -660,7 +667,7 @@
     void finish() {
         loop.execute(
                 () -> {
-                    Log.info("stopped", "in-hand", host.inHand().size(), "counts", counts);
+                    LogWriter.info("stopped", "in-hand", host.inHand().size(), "counts", counts);
                     front.end();
                     discovery.close();
                     nodes.close();
--- a/src/main/java/sagepulley/platform/Signals.java
+++ b/src/main/java/sagepulley/platform/SignalHandlers.java
@@ -9,11 +9,11 @@
  * Signals of the operating system. The JDK's class for them is reached by name: it has no public
  * one.
  */
-final class Signals {
+final class SignalHandlers {
     private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
     private static final String IGNORED_SIGNALS = "SigIgn:";
 
-    private Signals() {}
+    private SignalHandlers() {}
 
     /**
      * Whether the process was started with this signal ignored: the JVM leaves it so, whoever asks
@@ -50,7 +50,7 @@
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object run =
                     Proxy.newProxyInstance(
-                            Signals.class.getClassLoader(),
+                            SignalHandlers.class.getClassLoader(),
                             new Class<?>[] {handler},
                             (proxy, method, arguments) -> {
                                 if (method.getName().equals("handle")) {
--- a/src/main/java/sagepulley/platform/Transport.java
+++ b/src/main/java/sagepulley/platform/Transport.java
@@ -14,7 +14,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.function.Consumer;
-import sagepulley.codec.frame.Loops;
+import sagepulley.codec.frame.EventLoops;
 
 /** One loop, and the channels that a gateway opens on it: sockets, or pipes inside the program. */
 record Transport(
@@ -25,7 +25,8 @@
     static final String REHEARSAL_THREADS = "rehearsal";
 
     static Transport sockets() {
-        return new Transport(Loops.group(1, "gateway"), Loops.socket(), Loops.server());
+        return new Transport(
+                EventLoops.group(1, "gateway"), EventLoops.socket(), EventLoops.server());
     }
 
     /** For connections out of the program or inside it. */
--- a/src/main/java/sagepulley/platform/UnreadableConfig.java
+++ b/src/main/java/sagepulley/platform/UnreadableConfigException.java
@@ -1,10 +1,10 @@
 package sagepulley.platform;
 
 /** The system did not let the configuration file be read: nobody knows what it says. */
-final class UnreadableConfig extends ConfigError {
+final class UnreadableConfigException extends ConfigException {
     private static final long serialVersionUID = 1L;
 
-    UnreadableConfig(String what) {
+    UnreadableConfigException(String what) {
         super(what);
     }
 }
--- a/src/main/java/sagepulley/platform/Rehearsal.java
+++ b/src/main/java/sagepulley/platform/WarmUpRun.java
@@ -34,7 +34,7 @@
  * once on loopback, so that the JVM can write down which classes a start needs; a gateway does it
  * inside the program before it listens, so that its code is compiled when clients come.
  */
-public final class Rehearsal {
+public final class WarmUpRun {
     private static final int CLIENTS = 4;
     private static final int OPERATIONS = 300;
     private static final long QUIET_MS = 100;
@@ -51,14 +51,14 @@
     private final CountDownLatch left;
     private long asked;
 
-    private Rehearsal(Transport transport, SocketAddress listen, int operations) {
+    private WarmUpRun(Transport transport, SocketAddress listen, int operations) {
         this.transport = transport;
         this.listen = listen;
         this.left = new CountDownLatch(operations);
     }
 
     /** On loopback, for the build, and inside the program as at each start. */
-    public static void onLoopback() throws IOException, ConfigError {
+    public static void onLoopback() throws IOException, ConfigException {
         inside(OPERATIONS, 10_000);
         run(
                 Transport.sockets(),
@@ -72,11 +72,11 @@
     }
 
     /** One start as in service, from a file, at a port that was free just now. */
-    private static void aStart() throws IOException, ConfigError {
+    private static void aStart() throws IOException, ConfigException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try {
             Files.writeString(file, listeningAt(freePort()));
-            Serve.run(Map.of("GW_CONFIG", file.toString()), PlatformGateway::finish);
+            GatewayServer.run(Map.of("GW_CONFIG", file.toString()), RespGateway::finish);
         } finally {
             Files.delete(file);
         }
@@ -84,7 +84,7 @@
 
     /** The text of the configuration that is rehearsed. */
     static String text() throws IOException {
-        try (InputStream in = Rehearsal.class.getResourceAsStream("/rehearsal.json")) {
+        try (InputStream in = WarmUpRun.class.getResourceAsStream("/rehearsal.json")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -112,8 +112,8 @@
                     new LocalAddress("rehearsal-discovery"),
                     operations,
                     most);
-        } catch (IOException | ConfigError e) {
-            Log.warn("the rehearsal failed", "why", e.getMessage());
+        } catch (IOException | ConfigException e) {
+            LogWriter.warn("the rehearsal failed", "why", e.getMessage());
         }
     }
 
@@ -130,13 +130,13 @@
             SocketAddress discovery,
             int operations,
             long most)
-            throws IOException, ConfigError {
+            throws IOException, ConfigException {
         try {
-            SocketAddress nodeAt = server(others, node, Rehearsal::node);
-            SocketAddress discoveryAt = server(others, discovery, Rehearsal::discovery);
-            PlatformGateway gateway = new PlatformGateway(config(listen, discoveryAt, nodeAt), own);
+            SocketAddress nodeAt = server(others, node, WarmUpRun::node);
+            SocketAddress discoveryAt = server(others, discovery, WarmUpRun::discovery);
+            RespGateway gateway = new RespGateway(config(listen, discoveryAt, nodeAt), own);
             gateway.begin();
-            Rehearsal rehearsal = new Rehearsal(others, gateway.start().join(), operations);
+            WarmUpRun rehearsal = new WarmUpRun(others, gateway.start().join(), operations);
             for (int i = 0; i < CLIENTS; i++) {
                 rehearsal.client();
             }
@@ -154,8 +154,8 @@
 
     /** The configuration that is rehearsed, at these addresses. */
     static Config config(SocketAddress listen, SocketAddress discovery, SocketAddress node)
-            throws IOException, ConfigError {
-        return Config.of(Json.object(text().getBytes(StandardCharsets.UTF_8)), Map.of())
+            throws IOException, ConfigException {
+        return Config.of(JsonReader.object(text().getBytes(StandardCharsets.UTF_8)), Map.of())
                 .at(listen, discovery, node);
     }
 
@@ -252,7 +252,7 @@
                 "c="
                         + (number % 20 == 0 ? "none" : writes ? "put" : "get")
                         + ",t=any,d=900,volume="
-                        + Figures.id(number % 7)
+                        + NumberParser.id(number % 7)
                         + ",units=1,shard="
                         + (writes ? -1 : 0)
                         + ",hosts=1";
@@ -262,8 +262,8 @@
                         ? List.of("PING")
                         : List.of(
                                 writes ? BlockCommand.WRITE : BlockCommand.READ,
-                                Figures.id(number % 30),
-                                Figures.id(number),
+                                NumberParser.id(number % 30),
+                                NumberParser.id(number),
                                 fields,
                                 "value")) {
             words.add(word.getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/sagepulley/scenario/Truth.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -6,16 +6,16 @@
 import java.util.Locale;
 import java.util.Map;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.Fleet;
-import sagepulley.accounts.Report;
-import sagepulley.config.SiteError;
-import sagepulley.persistence.GatewayBook;
+import sagepulley.accounts.FleetMerger;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.config.SiteConfigException;
+import sagepulley.persistence.GatewayAccounts;
 
 /**
  * Plays days whose troubles are known, and holds what the accounts name as main causes against
  * them.
  */
-public final class Truth {
+public final class AttributionExperiment {
     /** The days that come with the program, one for each kind of cause. */
     public static final List<String> KINDS =
             List.of(
@@ -43,48 +43,53 @@
             List<String> right,
             String named,
             double share,
-            Report.Confidence confidence,
+            LatencyReport.Confidence confidence,
             String second,
             boolean hit,
             boolean falseBlame,
             boolean rulesKept) {}
 
-    private Truth() {}
+    private AttributionExperiment() {}
 
     /** Plays one day with a seed of its own. */
-    public static List<Row> play(String kind, long seed) throws DayError, SiteError {
-        Day day =
-                DayReader.read(
+    public static List<Row> play(String kind, long seed)
+            throws ScenarioException, SiteConfigException {
+        Scenario day =
+                ScenarioReader.read(
                         kind,
-                        Drill.builtIn("causes/" + kind).replace("seed 1\n", "seed " + seed + "\n"));
-        Drill drill = new Drill(day);
-        Drill.Result result = drill.run();
+                        ScenarioRunner.builtIn("causes/" + kind)
+                                .replace("seed 1\n", "seed " + seed + "\n"));
+        ScenarioRunner drill = new ScenarioRunner(day);
+        ScenarioRunner.Result result = drill.run();
         Map<Long, String> names = new HashMap<>();
-        List<Fleet.Member> members = new ArrayList<>();
-        for (GatewayBook book : drill.books()) {
+        List<FleetMerger.Member> members = new ArrayList<>();
+        for (GatewayAccounts book : drill.books()) {
             names.putAll(book.names());
-            members.add(new Fleet.Member(book.gateway(), book.kept().book(), book.told()));
+            members.add(new FleetMerger.Member(book.gateway(), book.kept().book(), book.told()));
         }
-        Fleet.Merged merged = Fleet.merge(members);
+        FleetMerger.Merged merged = FleetMerger.merge(members);
         List<Row> rows = new ArrayList<>();
-        for (Day.Known known : day.causes()) {
+        for (Scenario.Known known : day.causes()) {
             long volume =
                     names.entrySet().stream()
                             .filter(entry -> entry.getValue().equals(known.volume()))
                             .findFirst()
                             .orElseThrow(
-                                    () -> new SiteError("no volume is called " + known.volume()))
+                                    () ->
+                                            new SiteConfigException(
+                                                    "no volume is called " + known.volume()))
                             .getKey();
-            Report report = merged.book().report(volume, 0, Double.MAX_VALUE / 2);
-            List<Report.Charged> waits =
+            LatencyReport report = merged.book().report(volume, 0, Double.MAX_VALUE / 2);
+            List<LatencyReport.Charged> waits =
                     report.causes().stream()
                             .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
                             .toList();
-            Report.Charged main = report.main();
+            LatencyReport.Charged main = report.main();
             boolean hit = main != null && isOf(known, main, names);
             boolean wrong = wrongly(known, main, names);
-            for (Fleet.Member member : members) {
-                Report.Charged alone = member.book().report(volume, 0, Double.MAX_VALUE / 2).main();
+            for (FleetMerger.Member member : members) {
+                LatencyReport.Charged alone =
+                        member.book().report(volume, 0, Double.MAX_VALUE / 2).main();
                 wrong |= wrongly(known, alone, names);
             }
             rows.add(
@@ -99,25 +104,27 @@
                             waits.size() < 2 ? "" : name(waits.get(1), names),
                             hit,
                             wrong,
-                            result.verdicts().stream().allMatch(Verdict::kept)));
+                            result.verdicts().stream().allMatch(RuleVerdict::kept)));
         }
         return rows;
     }
 
-    private static boolean wrongly(Day.Known known, Report.Charged main, Map<Long, String> names) {
+    private static boolean wrongly(
+            Scenario.Known known, LatencyReport.Charged main, Map<Long, String> names) {
         return main != null
-                && main.confidence() == Report.Confidence.HIGH
+                && main.confidence() == LatencyReport.Confidence.HIGH
                 && !isOf(known, main, names);
     }
 
-    private static boolean isOf(Day.Known known, Report.Charged main, Map<Long, String> names) {
+    private static boolean isOf(
+            Scenario.Known known, LatencyReport.Charged main, Map<Long, String> names) {
         String name = name(main, names);
         return known.causes().stream()
                 .anyMatch(right -> name.equals(right) || name.startsWith(right + ":"));
     }
 
     /** As scripts write causes: the kind, and a volume's name or a node where it has one. */
-    private static String name(Report.Charged charged, Map<Long, String> names) {
+    private static String name(LatencyReport.Charged charged, Map<Long, String> names) {
         if (charged == null) {
             return "nothing";
         }
--- a/src/main/java/sagepulley/scenario/Ledger.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -12,7 +12,7 @@
  * show a write only if no later one was acknowledged between that write's end and the read's begin.
  * Used on any thread.
  */
-public final class Ledger {
+public final class BlockHistory {
     static final int BLOCK = 4096;
 
     /** One write: its time from asking to its end, and whether it was acknowledged. */
--- a/src/main/java/sagepulley/scenario/Starts.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -12,27 +12,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import sagepulley.codec.frame.Loops;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
-import sagepulley.config.Site;
-import sagepulley.config.SiteError;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.membership.KeptList;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.SiteConfigException;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.membership.ListFreshness;
 import sagepulley.membership.Membership;
-import sagepulley.membership.Returning;
-import sagepulley.membership.Trust;
-import sagepulley.persistence.ListFile;
-import sagepulley.standin.NodeTraits;
+import sagepulley.membership.ReconnectBackoff;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.persistence.EndpointListFile;
+import sagepulley.standin.NodeProfile;
 import sagepulley.standin.StandInNode;
-import sagepulley.standin.Witness;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.standin.TrafficRecorder;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * Starts gateways with discovery down and lists of several ages, of which some nodes have changed
  * since, and tells what went to those, and how soon and how well the gateways serve.
  */
-public final class Starts {
+public final class ColdStartExperiment {
     private static final int EXTENT = 256 << 10;
     private static final int EXTENTS = 64;
     private static final int NODES = 8;
@@ -80,14 +80,14 @@
         }
 
         @Override
-        public Trust trust(double now) {
-            return Trust.FRESH;
+        public ListFreshness trust(double now) {
+            return ListFreshness.FRESH;
         }
 
         @Override
-        public Welcome welcomed(
+        public HandshakeVerdict welcomed(
                 int node, int who, int cell, boolean draining, long startedAt, double now) {
-            return Welcome.GO;
+            return HandshakeVerdict.GO;
         }
 
         @Override
@@ -97,13 +97,13 @@
     }
 
     /** Counts what reaches which node. */
-    private static final class Counter implements Witness {
+    private static final class Counter implements TrafficRecorder {
         final Set<Integer> watched = new HashSet<>();
         final AtomicLong wrong = new AtomicLong();
         final AtomicInteger fell = new AtomicInteger();
 
         @Override
-        public void attemptCame(int node, long gateway, StoreWire.Send send, long nanos) {
+        public void attemptCame(int node, long gateway, StoreMessages.Send send, long nanos) {
             synchronized (watched) {
                 if (watched.contains(node)) {
                     wrong.incrementAndGet();
@@ -119,20 +119,20 @@
 
     private final Path folder;
 
-    public Starts(Path folder) {
+    public ColdStartExperiment(Path folder) {
         this.folder = folder;
     }
 
     /** One start, with so many of the nodes changed. */
     public Row run(Way way, double ageHours, Since since, int changed, long seed)
-            throws SiteError, IOException {
+            throws SiteConfigException, IOException {
         Counter counter = new Counter();
-        List<NodeTraits> traits = new ArrayList<>();
+        List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= NODES; i++) {
             traits.add(
-                    NodeTraits.quick(i, EXTENT).withCost(1, 1).withCold(0.25, 3_000, 2, 500, 24));
+                    NodeProfile.quick(i, EXTENT).withCost(1, 1).withCold(0.25, 3_000, 2, 500, 24));
         }
-        try (Town town = Town.start(traits, counter, 3)) {
+        try (LocalCluster town = LocalCluster.start(traits, counter, 3)) {
             List<String> sites = new ArrayList<>();
             Path mine = Files.createDirectories(folder.resolve("start-" + System.nanoTime()));
             for (int i = 0; i < GATEWAYS; i++) {
@@ -142,14 +142,15 @@
             for (int i = 0; i < GATEWAYS; i++) {
                 age(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
             }
-            Town.await(town.directory().stop());
+            LocalCluster.await(town.directory().stop());
             change(town, counter, since, changed);
             return serve(town, way, ageHours, since, changed, sites, counter, seed);
         }
     }
 
-    private static String site(Town town, int number, Path files) {
-        return Town.demoSite("gw-" + number, number, GATEWAYS, 0, town.directory().address())
+    private static String site(LocalCluster town, int number, Path files) {
+        return LocalCluster.demoSite(
+                                "gw-" + number, number, GATEWAYS, 0, town.directory().address())
                         .replace("extent = 1 MiB", "extent = 256 KiB\nask-within = 2 s")
                         .replace("unit = 128 KiB", "unit = 16 KiB")
                         .replace("cold-time = 10 s", "cold-time = 3 s")
@@ -164,36 +165,38 @@
                 + "\n";
     }
 
-    private static void firstLife(Town town, List<String> sites, long seed) throws SiteError {
-        List<Gateway> gateways = new ArrayList<>();
+    private static void firstLife(LocalCluster town, List<String> sites, long seed)
+            throws SiteConfigException {
+        List<NbdGateway> gateways = new ArrayList<>();
         for (String site : sites) {
-            Gateway gateway =
-                    Town.await(new Gateway(Site.read("site", site), ++seed * 100).start());
+            NbdGateway gateway =
+                    LocalCluster.await(
+                            new NbdGateway(SiteConfig.read("site", site), ++seed * 100).start());
             gateways.add(gateway);
             if (gateways.size() == 1) {
                 NbdClient client = open(town.loops(), gateway);
                 for (int i = 0; i < EXTENTS; i++) {
-                    Town.await(client.write(i * (long) EXTENT, new byte[4096])).release();
+                    LocalCluster.await(client.write(i * (long) EXTENT, new byte[4096])).release();
                 }
                 client.channel().close().syncUninterruptibly();
             }
         }
-        for (Gateway gateway : gateways) {
-            Town.await(gateway.stop());
+        for (NbdGateway gateway : gateways) {
+            LocalCluster.await(gateway.stop());
         }
     }
 
-    private static NbdClient open(EventLoopGroup loops, Gateway gateway) {
-        return Town.await(
+    private static NbdClient open(EventLoopGroup loops, NbdGateway gateway) {
+        return LocalCluster.await(
                 NbdClient.open(
-                        loops, Loops.socket(), gateway.address(), "demo", NbdClient.Style.GO));
+                        loops, EventLoops.socket(), gateway.address(), "demo", NbdClient.Style.GO));
     }
 
     private static void age(Path path, double by) throws IOException {
-        ListFile file = new ListFile(path, "sagepulley");
-        KeptList list = file.look().list();
+        EndpointListFile file = new EndpointListFile(path, "sagepulley");
+        StoredEndpointList list = file.look().list();
         file.write(
-                new KeptList(
+                new StoredEndpointList(
                         list.site(),
                         list.history(),
                         list.version(),
@@ -202,21 +205,21 @@
                 System.currentTimeMillis());
     }
 
-    private static void change(Town town, Counter counter, Since since, int changed) {
+    private static void change(LocalCluster town, Counter counter, Since since, int changed) {
         for (StandInNode node : town.nodes().subList(0, changed)) {
             switch (since) {
                 case NOTHING -> {}
                 case DRAINED -> node.drain();
                 case REPLACED -> {
                     var address = node.address();
-                    Town.await(node.stop());
-                    NodeTraits other =
-                            NodeTraits.quick(node.traits().id() + 100, EXTENT).withCost(1, 1);
-                    Town.await(
+                    LocalCluster.await(node.stop());
+                    NodeProfile other =
+                            NodeProfile.quick(node.traits().id() + 100, EXTENT).withCost(1, 1);
+                    LocalCluster.await(
                             new StandInNode(other, town.loops(), counter, other.id())
                                     .start(address));
                 }
-                case COLD -> Town.await(node.restartCold());
+                case COLD -> LocalCluster.await(node.restartCold());
             }
             if (since == Since.DRAINED || since == Since.REPLACED) {
                 synchronized (counter.watched) {
@@ -227,7 +230,7 @@
     }
 
     private static Row serve(
-            Town town,
+            LocalCluster town,
             Way way,
             double ageHours,
             Since since,
@@ -235,26 +238,26 @@
             List<String> sites,
             Counter counter,
             long seed)
-            throws SiteError {
+            throws SiteConfigException {
         long start = System.nanoTime();
         List<NbdClient> clients = new ArrayList<>();
-        List<Gateway> gateways = new ArrayList<>();
+        List<NbdGateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
             String text =
                     way == Way.WAITING
                             ? sites.get(i).substring(0, sites.get(i).indexOf("[membership]"))
                             : sites.get(i);
-            Site site = Site.read("site", text);
-            Gateway gateway =
+            SiteConfig site = SiteConfig.read("site", text);
+            NbdGateway gateway =
                     way == Way.BLINDLY
-                            ? new Gateway(
+                            ? new NbdGateway(
                                     site,
                                     seed * 1000 + i,
                                     new Blind(site.siteName(), Membership.Bounds.USUAL))
-                            : new Gateway(site, seed * 1000 + i);
+                            : new NbdGateway(site, seed * 1000 + i);
             var ready = gateway.start();
             if (way != Way.WAITING) {
-                Town.await(ready);
+                LocalCluster.await(ready);
                 clients.add(open(town.loops(), gateway));
             }
             gateways.add(gateway);
@@ -266,7 +269,8 @@
         AtomicLong open = new AtomicLong();
         SplittableRandom chance = new SplittableRandom(seed);
         double target =
-                Site.read("site", sites.get(0)).deployment().bands().get(0).targetTime() * 1e6;
+                SiteConfig.read("site", sites.get(0)).deployment().bands().get(0).targetTime()
+                        * 1e6;
         Set<Long> lost = new HashSet<>();
         long end = System.nanoTime() + SERVED_MS * 1_000_000;
         for (long next = System.nanoTime();
@@ -286,7 +290,7 @@
             open.incrementAndGet();
             clients.get(chance.nextInt(clients.size()))
                     .ask(
-                            Nbd.CMD_READ,
+                            NbdConstants.CMD_READ,
                             0,
                             extent * EXTENT,
                             4096,
@@ -313,7 +317,7 @@
             pause(System.nanoTime() + 1_000_000);
         }
         clients.forEach(client -> client.channel().close().syncUninterruptibly());
-        gateways.forEach(gateway -> Town.await(gateway.kill()));
+        gateways.forEach(gateway -> LocalCluster.await(gateway.kill()));
         double could =
                 since == Since.DRAINED || since == Since.REPLACED
                         ? 1 - (double) changed / NODES
@@ -361,9 +365,9 @@
         java.util.PriorityQueue<double[]> tries =
                 new java.util.PriorityQueue<>(
                         java.util.Comparator.comparingDouble((double[] one) -> one[0]));
-        Returning[] pauses = new Returning[gateways];
+        ReconnectBackoff[] pauses = new ReconnectBackoff[gateways];
         for (int i = 0; i < gateways; i++) {
-            pauses[i] = new Returning(100, 5_000, random.split());
+            pauses[i] = new ReconnectBackoff(100, 5_000, random.split());
             tries.add(new double[] {random.nextDouble(), i});
         }
         java.util.Map<Long, Integer> tenths = new java.util.HashMap<>();
--- a/src/main/java/sagepulley/scenario/Loader.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -10,17 +10,17 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import sagepulley.codec.frame.Loops;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
-import sagepulley.config.Site;
-import sagepulley.config.VolumeLine;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * One load of a day: requests at times of their own, over connections that come back after a cut.
  */
-final class Loader {
+final class LoadGenerator {
     private static final long AGAIN_MS = 50;
 
     /** A gateway that may be reached, or not just now. */
@@ -39,11 +39,11 @@
         }
     }
 
-    private final Day.Load load;
-    private final Site site;
-    private final VolumeLine volume;
-    private final Notebook notes;
-    private final Ledger ledger;
+    private final Scenario.Load load;
+    private final SiteConfig site;
+    private final VolumeSettings volume;
+    private final SocketEventLog notes;
+    private final BlockHistory ledger;
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final Random chance;
@@ -53,13 +53,13 @@
     private volatile boolean stopped;
     private long nextAt;
 
-    Loader(
-            Day.Load load,
-            Site site,
-            VolumeLine volume,
+    LoadGenerator(
+            Scenario.Load load,
+            SiteConfig site,
+            VolumeSettings volume,
             List<Door> doors,
-            Notebook notes,
-            Ledger ledger,
+            SocketEventLog notes,
+            BlockHistory ledger,
             EventLoopGroup group,
             long seed) {
         this.load = load;
@@ -80,7 +80,7 @@
         }
     }
 
-    Day.Load load() {
+    Scenario.Load load() {
         return load;
     }
 
@@ -128,7 +128,7 @@
             loop.schedule(() -> connect(wire), AGAIN_MS, TimeUnit.MILLISECONDS);
             return;
         }
-        NbdClient.open(group, Loops.socket(), address, volume.name(), NbdClient.Style.GO)
+        NbdClient.open(group, EventLoops.socket(), address, volume.name(), NbdClient.Style.GO)
                 .whenComplete(
                         (client, failure) ->
                                 loop.execute(
@@ -185,22 +185,23 @@
         long places = Math.max(1, extents * site.extentBytes() / load.bytes());
         long offset = chance.nextLong(places) * load.bytes();
         boolean reads = chance.nextDouble() < load.reads();
-        StoreWire.Kind kind = reads ? StoreWire.Kind.READ : StoreWire.Kind.WRITE;
+        StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
         int band =
                 !reads
                         ? volume.writeBand()
                         : load.bytes() >= volume.bulkFrom() ? volume.bulkBand() : volume.readBand();
         long now = System.nanoTime();
-        Notebook.Asked asked =
+        SocketEventLog.Asked asked =
                 notes.asks(wire.gateway, volume.id(), kind, band, offset, load.bytes(), now);
-        Ledger.Write write = reads ? null : ledger.begin(volume.id(), offset, load.bytes(), now);
+        BlockHistory.Write write =
+                reads ? null : ledger.begin(volume.id(), offset, load.bytes(), now);
         ByteBuf payload =
                 reads
                         ? Unpooled.EMPTY_BUFFER
-                        : Ledger.payload(wire.client.channel().alloc(), write, load.bytes());
+                        : BlockHistory.payload(wire.client.channel().alloc(), write, load.bytes());
         open.incrementAndGet();
         wire.client.ask(
-                reads ? Nbd.CMD_READ : Nbd.CMD_WRITE,
+                reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                 0,
                 offset,
                 load.bytes(),
--- a/src/main/java/sagepulley/scenario/Town.java
+++ b/src/main/java/sagepulley/scenario/LocalCluster.java
@@ -11,41 +11,42 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.codec.frame.Loops;
-import sagepulley.config.Site;
-import sagepulley.config.SiteError;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.standin.NodeTraits;
+import sagepulley.codec.frame.EventLoops;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.SiteConfigException;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.standin.NodeProfile;
 import sagepulley.standin.StandInDirectory;
 import sagepulley.standin.StandInNode;
-import sagepulley.standin.Witness;
+import sagepulley.standin.TrafficRecorder;
 
 /** A directory, some nodes and some gateways in one program, on loopback. */
-public final class Town implements AutoCloseable {
+public final class LocalCluster implements AutoCloseable {
     private static final long WAIT_SECONDS = 20;
 
     private final EventLoopGroup loops;
     private final StandInDirectory directory;
     private final List<StandInNode> nodes = new ArrayList<>();
-    private final List<Gateway> gateways = new ArrayList<>();
+    private final List<NbdGateway> gateways = new ArrayList<>();
 
-    private Town(EventLoopGroup loops, StandInDirectory directory) {
+    private LocalCluster(EventLoopGroup loops, StandInDirectory directory) {
         this.loops = loops;
         this.directory = directory;
     }
 
     /** Starts directory and nodes; gateways are opened one by one. */
-    public static Town start(List<NodeTraits> traits, Witness witness, int loopCount) {
-        EventLoopGroup loops = Loops.group(loopCount, "stand-in");
+    public static LocalCluster start(
+            List<NodeProfile> traits, TrafficRecorder witness, int loopCount) {
+        EventLoopGroup loops = EventLoops.group(loopCount, "stand-in");
         StandInDirectory directory = new StandInDirectory(loops, witness);
         await(directory.start(loopback(0)));
-        Town town = new Town(loops, directory);
-        for (NodeTraits one : traits) {
+        LocalCluster town = new LocalCluster(loops, directory);
+        for (NodeProfile one : traits) {
             StandInNode node = new StandInNode(one, loops, witness, one.id());
             await(node.start(loopback(0)));
             town.nodes.add(node);
-            town.list(node, DirectoryWire.Standing.READY);
+            town.list(node, DirectoryMessages.Phase.READY);
         }
         return town;
     }
@@ -54,7 +55,7 @@
     public static String demoSite(
             String name, int number, int gateways, int nbdPort, InetSocketAddress directory) {
         String text;
-        try (InputStream from = Town.class.getResourceAsStream("/demo-site.ini")) {
+        try (InputStream from = LocalCluster.class.getResourceAsStream("/demo-site.ini")) {
             text = new String(from.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException("the demo's site file is not in the program", e);
@@ -78,17 +79,17 @@
     }
 
     /** Opens a gateway by the text of a site file. */
-    public Gateway open(String siteText, long seed) throws SiteError {
-        Gateway gateway = new Gateway(Site.read("site", siteText), seed);
+    public NbdGateway open(String siteText, long seed) throws SiteConfigException {
+        NbdGateway gateway = new NbdGateway(SiteConfig.read("site", siteText), seed);
         await(gateway.start());
         gateways.add(gateway);
         return gateway;
     }
 
     /** Writes a node's line into the directory's list. */
-    public void list(StandInNode node, DirectoryWire.Standing standing) {
+    public void list(StandInNode node, DirectoryMessages.Phase standing) {
         directory.put(
-                new DirectoryWire.Line(
+                new DirectoryMessages.EndpointLine(
                         node.traits().id(),
                         node.traits().cell(),
                         node.traits().zone(),
@@ -103,13 +104,13 @@
     /** A node crashes and comes back cold, and the directory hears of it. */
     public void restartCold(StandInNode node) {
         await(node.restartCold());
-        list(node, DirectoryWire.Standing.READY);
+        list(node, DirectoryMessages.Phase.READY);
     }
 
     /** A node takes nothing new, and the directory hears of it. */
     public void drain(StandInNode node) {
         node.drain();
-        list(node, DirectoryWire.Standing.DRAINING);
+        list(node, DirectoryMessages.Phase.DRAINING);
     }
 
     public StandInDirectory directory() {
@@ -120,7 +121,7 @@
         return nodes;
     }
 
-    public List<Gateway> gateways() {
+    public List<NbdGateway> gateways() {
         return gateways;
     }
 
@@ -130,7 +131,7 @@
 
     @Override
     public void close() {
-        for (Gateway gateway : gateways) {
+        for (NbdGateway gateway : gateways) {
             await(gateway.stop());
         }
         for (StandInNode node : nodes) {
--- a/src/main/java/sagepulley/scenario/Judge.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -9,59 +9,60 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sagepulley.config.Site;
-import sagepulley.config.VolumeLine;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.model.Band;
-import sagepulley.model.Plan;
-import sagepulley.model.Rulebook;
-import sagepulley.standin.NodeTraits;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.TrafficClass;
+import sagepulley.standin.NodeProfile;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * Works out how the seven rules were kept (WIRE 9) from what was noted at the sockets alone. Where
  * a time is judged that was taken at another socket, the way between and what the machine stood
  * still is allowed for.
  */
-public final class Judge {
+public final class RuleChecker {
     private static final double NS = 1e6;
     private static final double WAY_MS = 60;
     private static final int BREACHES = 5;
 
     private record Op(long gateway, long mark) {}
 
-    private final Notebook notes;
-    private final Site site;
-    private final List<NodeTraits> traits;
+    private final SocketEventLog notes;
+    private final SiteConfig site;
+    private final List<NodeProfile> traits;
     private final double allowance;
-    private final Map<Op, List<Notebook.Came>> attempts = new HashMap<>();
-    private final Map<Op, List<Notebook.Answered>> answers = new HashMap<>();
-    private final Map<Op, List<Notebook.CalledOff>> callsOff = new HashMap<>();
+    private final Map<Op, List<SocketEventLog.Came>> attempts = new HashMap<>();
+    private final Map<Op, List<SocketEventLog.Answered>> answers = new HashMap<>();
+    private final Map<Op, List<SocketEventLog.CalledOff>> callsOff = new HashMap<>();
 
     /** Still is how many milliseconds the machine stood still in all. */
-    public Judge(Notebook notes, Site site, List<NodeTraits> traits, double still) {
+    public RuleChecker(
+            SocketEventLog notes, SiteConfig site, List<NodeProfile> traits, double still) {
         this.notes = notes;
         this.site = site;
         this.traits = traits;
         this.allowance = WAY_MS + still;
-        for (Notebook.Came came : notes.came) {
+        for (SocketEventLog.Came came : notes.came) {
             attempts.computeIfAbsent(
                             new Op(came.gateway(), came.send().mark()), any -> new ArrayList<>())
                     .add(came);
         }
-        for (Notebook.Answered answer : notes.answered) {
+        for (SocketEventLog.Answered answer : notes.answered) {
             answers.computeIfAbsent(
                             new Op(answer.gateway(), answer.mark()), any -> new ArrayList<>())
                     .add(answer);
         }
-        for (Notebook.CalledOff off : notes.calledOff) {
+        for (SocketEventLog.CalledOff off : notes.calledOff) {
             callsOff.computeIfAbsent(new Op(off.gateway(), off.mark()), any -> new ArrayList<>())
                     .add(off);
         }
     }
 
     /** All seven, in order. */
-    public List<Verdict> verdicts() {
+    public List<RuleVerdict> verdicts() {
         return List.of(answered(), effects(), drains(), cold(), order(), budget(), limits());
     }
 
@@ -76,19 +77,19 @@
             }
         }
 
-        Verdict verdict(String rule, String figure, String bound) {
-            return new Verdict(rule, count == 0, figure, bound, breaches);
+        RuleVerdict verdict(String rule, String figure, String bound) {
+            return new RuleVerdict(rule, count == 0, figure, bound, breaches);
         }
     }
 
     // ---- 1: one final answer in time, nothing after it ----
 
-    private Verdict answered() {
+    private RuleVerdict answered() {
         Findings findings = new Findings();
         double least = Double.POSITIVE_INFINITY;
         int owed = 0;
-        Map<String, List<Notebook.Asked>> byExtent = new HashMap<>();
-        for (Notebook.Asked asked : notes.asked) {
+        Map<String, List<SocketEventLog.Asked>> byExtent = new HashMap<>();
+        for (SocketEventLog.Asked asked : notes.asked) {
             double patience = site.deployment().bands().get(asked.band).patience();
             for (long extent = asked.offset / site.extentBytes();
                     extent <= (asked.offset + asked.length - 1) / site.extentBytes();
@@ -116,9 +117,9 @@
                 }
             }
         }
-        for (Notebook.Came came : notes.came) {
-            StoreWire.Send send = came.send();
-            if (send.kind() == StoreWire.Kind.FLUSH) {
+        for (SocketEventLog.Came came : notes.came) {
+            StoreMessages.Send send = came.send();
+            if (send.kind() == StoreMessages.Kind.FLUSH) {
                 continue;
             }
             long at = send.extent() * site.extentBytes() + send.offset();
@@ -160,13 +161,13 @@
 
     // ---- 2: no effect twice ----
 
-    private Verdict effects() {
+    private RuleVerdict effects() {
         Findings findings = new Findings();
         Map<Op, Integer> runs = new HashMap<>();
-        for (Notebook.Ran ran : notes.ran) {
+        for (SocketEventLog.Ran ran : notes.ran) {
             Op op = new Op(ran.gateway(), ran.send().mark());
             int count = runs.merge(op, 1, Integer::sum);
-            if (count > 1 && band(ran.send()).repeat() != Band.Repeat.IDEMPOTENT) {
+            if (count > 1 && band(ran.send()).repeat() != TrafficClass.Idempotency.IDEMPOTENT) {
                 findings.breach(
                         "operation "
                                 + op.mark()
@@ -178,8 +179,8 @@
             }
         }
         int further = 0;
-        for (Map.Entry<Op, List<Notebook.Came>> entry : attempts.entrySet()) {
-            List<Notebook.Came> sent = entry.getValue();
+        for (Map.Entry<Op, List<SocketEventLog.Came>> entry : attempts.entrySet()) {
+            List<SocketEventLog.Came> sent = entry.getValue();
             for (int i = 1; i < sent.size(); i++) {
                 further++;
                 again(findings, entry.getKey(), sent.get(i - 1), sent.get(i));
@@ -189,26 +190,27 @@
                 "2 no effect twice", further + " further hops", "each allowed by its band");
     }
 
-    private void again(Findings findings, Op op, Notebook.Came before, Notebook.Came came) {
-        Band band = band(came.send());
-        Notebook.Answered answer = answerTo(op, before.send().number());
+    private void again(
+            Findings findings, Op op, SocketEventLog.Came before, SocketEventLog.Came came) {
+        TrafficClass band = band(came.send());
+        SocketEventLog.Answered answer = answerTo(op, before.send().number());
         boolean neverRan =
                 answer != null
                         && !answer.lost()
                         && answer.at() <= came.at()
-                        && answer.code() != StoreWire.Code.SATISFIED
-                        && answer.code() != StoreWire.Code.FAULT
-                        && answer.code() != StoreWire.Code.CALLED_OFF;
+                        && answer.code() != StoreMessages.Code.SATISFIED
+                        && answer.code() != StoreMessages.Code.FAULT
+                        && answer.code() != StoreMessages.Code.CALLED_OFF;
         if (neverRan) {
             return;
         }
-        if (band.repeat() == Band.Repeat.UNREPEATABLE) {
+        if (band.repeat() == TrafficClass.Idempotency.UNREPEATABLE) {
             findings.breach(
                     "unrepeatable operation "
                             + op.mark()
                             + " was sent again though it may have run");
-        } else if (band.repeat() == Band.Repeat.DEDUPLICATED
-                && band.group() == Band.Group.CELL
+        } else if (band.repeat() == TrafficClass.Idempotency.DEDUPLICATED
+                && band.group() == TrafficClass.DeduplicationScope.CELL
                 && before.node() != came.node()) {
             findings.breach("deduplicated operation " + op.mark() + " was sent to another cell");
         }
@@ -229,8 +231,8 @@
      * Whether the node of an attempt, before a time, started anew; a cut link shows as an attempt
      * never answered.
      */
-    private boolean linkEnded(Notebook.Came attempt, long until) {
-        for (Notebook.Came other : notes.came) {
+    private boolean linkEnded(SocketEventLog.Came attempt, long until) {
+        for (SocketEventLog.Came other : notes.came) {
             if (other.node() == attempt.node()
                     && other.gateway() == attempt.gateway()
                     && other.at() > until) {
@@ -247,8 +249,8 @@
         return true;
     }
 
-    private Notebook.Answered answerTo(Op op, int number) {
-        for (Notebook.Answered answer : answers.getOrDefault(op, List.of())) {
+    private SocketEventLog.Answered answerTo(Op op, int number) {
+        for (SocketEventLog.Answered answer : answers.getOrDefault(op, List.of())) {
             if (answer.number() == number) {
                 return answer;
             }
@@ -256,13 +258,13 @@
         return null;
     }
 
-    private Band band(StoreWire.Send send) {
+    private TrafficClass band(StoreMessages.Send send) {
         return site.deployment().bands().get(send.band());
     }
 
     // ---- 3: drains ----
 
-    private Verdict drains() {
+    private RuleVerdict drains() {
         Findings findings = new Findings();
         Map<Long, Map<Integer, Long>> toldAt = new HashMap<>();
         Map<Long, Set<Integer>> known = new HashMap<>();
@@ -273,15 +275,15 @@
         double latest = Double.NEGATIVE_INFINITY;
         double grace = site.deployment().rules().drainGrace();
         for (Object[] one : all) {
-            if (one[1] instanceof Notebook.Told told) {
+            if (one[1] instanceof SocketEventLog.Told told) {
                 Map<Integer, Long> gone =
                         toldAt.computeIfAbsent(told.gateway(), any -> new HashMap<>());
                 Set<Integer> nodes = known.computeIfAbsent(told.gateway(), any -> new HashSet<>());
                 Set<Integer> listed = new HashSet<>();
-                for (DirectoryWire.Line line : told.lines()) {
+                for (DirectoryMessages.EndpointLine line : told.lines()) {
                     nodes.add(line.node());
                     listed.add(line.node());
-                    if (line.standing() == DirectoryWire.Standing.READY) {
+                    if (line.standing() == DirectoryMessages.Phase.READY) {
                         gone.remove(line.node());
                     } else {
                         gone.putIfAbsent(line.node(), told.at());
@@ -292,7 +294,7 @@
                             .filter(node -> !listed.contains(node))
                             .forEach(node -> gone.putIfAbsent(node, told.at()));
                 }
-            } else if (one[1] instanceof Notebook.Came came) {
+            } else if (one[1] instanceof SocketEventLog.Came came) {
                 Long since = toldAt.getOrDefault(came.gateway(), Map.of()).get(came.node());
                 if (since != null) {
                     double after = (came.at() - since) / NS;
@@ -318,22 +320,22 @@
 
     // ---- 4: cold nodes ----
 
-    private Verdict cold() {
+    private RuleVerdict cold() {
         Findings findings = new Findings();
-        Rulebook rules = site.deployment().rules();
+        ServicePolicy rules = site.deployment().rules();
         double most = 0;
-        for (Notebook.Started start : notes.started) {
+        for (SocketEventLog.Started start : notes.started) {
             if (Double.isNaN(start.unitsPerSecond()) || Double.isInfinite(start.unitsPerSecond())) {
                 continue;
             }
-            NodeTraits node =
+            NodeProfile node =
                     traits.stream()
                             .filter(one -> one.id() == start.node())
                             .findFirst()
                             .orElseThrow();
-            ArrayDeque<Notebook.Came> window = new ArrayDeque<>();
+            ArrayDeque<SocketEventLog.Came> window = new ArrayDeque<>();
             double units = 0;
-            for (Notebook.Came came : notes.came) {
+            for (SocketEventLog.Came came : notes.came) {
                 double age = (came.at() - start.at()) / NS;
                 if (came.node() != start.node() || age < 0 || age > rules.coldTime()) {
                     continue;
@@ -358,7 +360,7 @@
                 most = Math.max(most, units / borne);
             }
         }
-        for (Notebook.Fell fell : notes.fell) {
+        for (SocketEventLog.Fell fell : notes.fell) {
             findings.breach("node " + fell.node() + " was pushed over");
         }
         return findings.verdict(
@@ -369,12 +371,12 @@
 
     // ---- 5: order by key ----
 
-    private Verdict order() {
+    private RuleVerdict order() {
         Findings findings = new Findings();
         Map<String, List<Op>> byKey = new HashMap<>();
         int ordered = 0;
-        for (Map.Entry<Op, List<Notebook.Came>> entry : attempts.entrySet()) {
-            StoreWire.Send send = entry.getValue().get(0).send();
+        for (Map.Entry<Op, List<SocketEventLog.Came>> entry : attempts.entrySet()) {
+            StoreMessages.Send send = entry.getValue().get(0).send();
             if (band(send).inOrder()) {
                 ordered++;
                 byKey.computeIfAbsent(
@@ -386,9 +388,10 @@
         for (List<Op> ops : byKey.values()) {
             ops.sort(Comparator.comparingLong(Op::mark));
             for (int i = 1; i < ops.size(); i++) {
-                Notebook.Came first = attempts.get(ops.get(i)).get(0);
-                for (Notebook.Came earlier : attempts.get(ops.get(i - 1))) {
-                    Notebook.Answered answer = answerTo(ops.get(i - 1), earlier.send().number());
+                SocketEventLog.Came first = attempts.get(ops.get(i)).get(0);
+                for (SocketEventLog.Came earlier : attempts.get(ops.get(i - 1))) {
+                    SocketEventLog.Answered answer =
+                            answerTo(ops.get(i - 1), earlier.send().number());
                     boolean ended =
                             answer != null && answer.at() <= first.at()
                                     || callsOff.getOrDefault(ops.get(i - 1), List.of()).stream()
@@ -412,14 +415,14 @@
 
     // ---- 6: budget of further attempts ----
 
-    private Verdict budget() {
+    private RuleVerdict budget() {
         Findings findings = new Findings();
-        Rulebook rules = site.deployment().rules();
+        ServicePolicy rules = site.deployment().rules();
         double most = 0;
         if (rules.hasBudget()) {
-            for (Notebook.Life life : notes.lives) {
+            for (SocketEventLog.Life life : notes.lives) {
                 List<Long> taken = new ArrayList<>();
-                for (Notebook.Asked asked : notes.asked) {
+                for (SocketEventLog.Asked asked : notes.asked) {
                     if (asked.gateway == life.gateway) {
                         long parts =
                                 (asked.offset + asked.length - 1) / site.extentBytes()
@@ -436,7 +439,7 @@
                                         came ->
                                                 came.gateway() == life.gateway
                                                         && came.send().number() > 0)
-                                .map(Notebook.Came::at)
+                                .map(SocketEventLog.Came::at)
                                 .sorted()
                                 .toList();
                 double window = (rules.budgetWindow() + allowance) * NS;
@@ -472,17 +475,17 @@
 
     // ---- 7: limits ----
 
-    private Verdict limits() {
+    private RuleVerdict limits() {
         Findings findings = new Findings();
         double least = Double.POSITIVE_INFINITY;
-        for (VolumeLine volume : site.volumes()) {
-            Plan plan = site.deployment().plans().get(volume.plan());
+        for (VolumeSettings volume : site.volumes()) {
+            TenantPlan plan = site.deployment().plans().get(volume.plan());
             if (!(plan.limit() > 0)) {
                 continue;
             }
             double level = plan.limitBurst();
             long last = Long.MIN_VALUE;
-            for (Notebook.Came came : notes.came) {
+            for (SocketEventLog.Came came : notes.came) {
                 if (came.send().volume() != volume.id() || came.send().number() > 0 || moot(came)) {
                     continue;
                 }
@@ -514,12 +517,12 @@
                 "-slack");
     }
 
-    private boolean moot(Notebook.Came came) {
-        Notebook.Answered answer =
+    private boolean moot(SocketEventLog.Came came) {
+        SocketEventLog.Answered answer =
                 answerTo(new Op(came.gateway(), came.send().mark()), came.send().number());
         return answer != null
-                && (answer.code() == StoreWire.Code.MOOT
-                        || answer.code() == StoreWire.Code.STALE_PEN);
+                && (answer.code() == StoreMessages.Code.MOOT
+                        || answer.code() == StoreMessages.Code.STALE_PEN);
     }
 
     // ---- service ----
@@ -527,12 +530,12 @@
     /** For each volume, the share of its requests answered well within the target time. */
     public Map<String, Double> service() {
         Map<String, Double> shares = new TreeMap<>();
-        for (VolumeLine volume : site.volumes()) {
+        for (VolumeSettings volume : site.volumes()) {
             double due = 0;
             double got = 0;
-            for (Notebook.Asked asked : notes.asked) {
+            for (SocketEventLog.Asked asked : notes.asked) {
                 if (asked.volume == volume.id()) {
-                    Band band = site.deployment().bands().get(asked.band);
+                    TrafficClass band = site.deployment().bands().get(asked.band);
                     due += band.utility();
                     boolean good = asked.replies == 1 && asked.error == 0;
                     got +=
--- a/src/main/java/sagepulley/scenario/Day.java
+++ b/src/main/java/sagepulley/scenario/Scenario.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A scripted day as plain values. Times are milliseconds from the day's start, shares 0 to 1. */
-public record Day(
+public record Scenario(
         String name,
         long seed,
         int gateways,
--- a/src/main/java/sagepulley/scenario/DayError.java
+++ b/src/main/java/sagepulley/scenario/ScenarioException.java
@@ -1,10 +1,10 @@
 package sagepulley.scenario;
 
 /** A script that cannot be used: names file, line and column, and what is wrong there. */
-public final class DayError extends Exception {
+public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public DayError(String message) {
+    public ScenarioException(String message) {
         super(message);
     }
 }
--- a/src/main/java/sagepulley/scenario/DayReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -19,24 +19,24 @@
 import sagepulley.scenario.grammar.ScenarioParser;
 
 /** Reads scripts of days; every mistake is told with line and column. */
-public final class DayReader {
+public final class ScenarioReader {
     private static final double LONGEST = 3_600_000;
     private static final int MOST_NODES = 64;
     private static final int MOST_GATEWAYS = 64;
     private static final double MOST_PER_SECOND = 100_000;
 
-    private DayReader() {}
+    private ScenarioReader() {}
 
-    public static Day read(Path file) throws DayError {
+    public static Scenario read(Path file) throws ScenarioException {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new DayError(file + ": cannot be read: " + e);
+            throw new ScenarioException(file + ": cannot be read: " + e);
         }
     }
 
     /** Reads a script; the name stands in errors. */
-    public static Day read(String name, String text) throws DayError {
+    public static Scenario read(String name, String text) throws ScenarioException {
         List<String> mistakes = new ArrayList<>();
         BaseErrorListener listener =
                 new BaseErrorListener() {
@@ -61,12 +61,12 @@
         if (mistakes.isEmpty()) {
             Builder builder = new Builder(name, mistakes);
             builder.visit(tree);
-            Day day = builder.day();
+            Scenario day = builder.day();
             if (mistakes.isEmpty()) {
                 return day;
             }
         }
-        throw new DayError(String.join("\n", mistakes));
+        throw new ScenarioException(String.join("\n", mistakes));
     }
 
     private static final class Builder extends ScenarioBaseVisitor<Void> {
@@ -85,10 +85,10 @@
         private double deferEvery = 1000;
         private String site = "";
         private double end = 10_000;
-        private final List<Day.Load> loads = new ArrayList<>();
-        private final List<Day.Event> events = new ArrayList<>();
-        private final List<Day.Expectation> expectations = new ArrayList<>();
-        private final List<Day.Known> causes = new ArrayList<>();
+        private final List<Scenario.Load> loads = new ArrayList<>();
+        private final List<Scenario.Event> events = new ArrayList<>();
+        private final List<Scenario.Expectation> expectations = new ArrayList<>();
+        private final List<Scenario.Known> causes = new ArrayList<>();
         private double from;
         private double to;
         private double reads;
@@ -102,12 +102,12 @@
             this.mistakes = mistakes;
         }
 
-        Day day() {
-            List<Day.Load> ending = new ArrayList<>();
-            for (Day.Load load : loads) {
+        Scenario day() {
+            List<Scenario.Load> ending = new ArrayList<>();
+            for (Scenario.Load load : loads) {
                 ending.add(
                         Double.isNaN(load.to())
-                                ? new Day.Load(
+                                ? new Scenario.Load(
                                         load.name(),
                                         load.volume(),
                                         load.perSecond(),
@@ -120,11 +120,11 @@
                                         load.through())
                                 : load);
             }
-            return new Day(
+            return new Scenario(
                     name,
                     seed,
                     gateways,
-                    new Day.Nodes(
+                    new Scenario.Nodes(
                             nodes,
                             slots,
                             queue,
@@ -258,8 +258,8 @@
         @Override
         public Void visitSiteNamed(ScenarioParser.SiteNamedContext it) {
             try {
-                site = Drill.comesWith(it.TEXT().getText().replace("\"", "") + ".site");
-            } catch (DayError e) {
+                site = ScenarioRunner.comesWith(it.TEXT().getText().replace("\"", "") + ".site");
+            } catch (ScenarioException e) {
                 mistake(it, e.getMessage());
             }
             return null;
@@ -276,7 +276,7 @@
             through = 0;
             visitChildren(it);
             loads.add(
-                    new Day.Load(
+                    new Scenario.Load(
                             it.WORD(0).getText(),
                             it.WORD(1).getText(),
                             number(it.NUMBER().getSymbol(), 0.01, MOST_PER_SECOND, "the rate"),
@@ -345,7 +345,7 @@
         @Override
         public Void visitCause(ScenarioParser.CauseContext it) {
             causes.add(
-                    new Day.Known(
+                    new Scenario.Known(
                             it.WORD().getText(),
                             List.of(it.TEXT().getText().replace("\"", "").split("\\s+or\\s+"))));
             return null;
@@ -360,23 +360,25 @@
                 events.add(nodeEvent(node, at, until));
             } else if (what instanceof ScenarioParser.DirectoryEventContext directory) {
                 ScenarioParser.DirectoryFaultContext fault = directory.directoryFault();
-                Day.Fault kind =
-                        Day.Fault.valueOf("DIRECTORY_" + fault.getChild(0).getText().toUpperCase());
+                Scenario.Fault kind =
+                        Scenario.Fault.valueOf(
+                                "DIRECTORY_" + fault.getChild(0).getText().toUpperCase());
                 double much = fault.duration() == null ? 0 : time(fault.duration());
-                events.add(new Day.Event(at, kind, List.of(), much, "", until));
+                events.add(new Scenario.Event(at, kind, List.of(), much, "", until));
             } else if (what instanceof ScenarioParser.GatewayKilledContext killed) {
                 int which = (int) number(killed.NUMBER().getSymbol(), 1, gateways, "the gateway");
                 events.add(
-                        new Day.Event(at, Day.Fault.GATEWAY_KILLED, List.of(which), 0, "", until));
+                        new Scenario.Event(
+                                at, Scenario.Fault.GATEWAY_KILLED, List.of(which), 0, "", until));
             } else if (what instanceof ScenarioParser.SurgeContext surge) {
                 String load = surge.WORD().getText();
                 if (loads.stream().noneMatch(known -> known.name().equals(load))) {
                     mistake(surge, "no load is called " + load);
                 }
                 events.add(
-                        new Day.Event(
+                        new Scenario.Event(
                                 at,
-                                Day.Fault.SURGE,
+                                Scenario.Fault.SURGE,
                                 List.of(),
                                 number(surge.NUMBER().getSymbol(), 0, 1000, "the factor"),
                                 load,
@@ -385,22 +387,23 @@
             return null;
         }
 
-        private Day.Event nodeEvent(ScenarioParser.NodeEventContext it, double at, double until) {
+        private Scenario.Event nodeEvent(
+                ScenarioParser.NodeEventContext it, double at, double until) {
             String word = it.fault().getChild(0).getText();
-            Day.Fault fault =
+            Scenario.Fault fault =
                     switch (word) {
-                        case "restarts" -> Day.Fault.RESTARTS_COLD;
-                        case "loses" -> Day.Fault.LOSES_POWER;
-                        default -> Day.Fault.valueOf(word.toUpperCase());
+                        case "restarts" -> Scenario.Fault.RESTARTS_COLD;
+                        case "loses" -> Scenario.Fault.LOSES_POWER;
+                        default -> Scenario.Fault.valueOf(word.toUpperCase());
                     };
             double much =
                     it.fault().NUMBER() == null
                             ? 0
                             : number(it.fault().NUMBER().getSymbol(), 0, 10_000, "how much");
-            if (fault == Day.Fault.LOSING || fault == Day.Fault.ERRING) {
+            if (fault == Scenario.Fault.LOSING || fault == Scenario.Fault.ERRING) {
                 much = Math.min(100, much) / 100;
             }
-            return new Day.Event(at, fault, whom(it.target()), much, "", until);
+            return new Scenario.Event(at, fault, whom(it.target()), much, "", until);
         }
 
         private List<Integer> whom(ScenarioParser.TargetContext target) {
@@ -428,7 +431,7 @@
         @Override
         public Void visitExpect(ScenarioParser.ExpectContext it) {
             expectations.add(
-                    new Day.Expectation(
+                    new Scenario.Expectation(
                             it.WORD().getText(),
                             number(it.NUMBER().getSymbol(), 0, 100, "the service") / 100));
             return null;
--- a/src/main/java/sagepulley/scenario/Drill.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -16,27 +16,27 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.config.Site;
-import sagepulley.config.SiteError;
-import sagepulley.config.VolumeLine;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.persistence.GatewayBook;
-import sagepulley.standin.NodeTraits;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.SiteConfigException;
+import sagepulley.config.VolumeSettings;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.standin.NodeProfile;
 import sagepulley.standin.StandInNode;
 
 /**
  * Plays a scripted day through real gateways on loopback and judges it by what passed on the
  * sockets.
  */
-public final class Drill {
-    private static final Logger LOG = LoggerFactory.getLogger(Drill.class);
+public final class ScenarioRunner {
+    private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
     private static final long END_WAIT_MS = 30_000;
 
     /** What a day came to. */
     public record Result(
             String day,
-            List<Verdict> verdicts,
+            List<RuleVerdict> verdicts,
             Map<String, Double> service,
             List<String> unmet,
             long requests,
@@ -44,26 +44,27 @@
             double stoodStill) {
         /** Whether every rule and promise was kept, and every expectation met. */
         public boolean good() {
-            return unmet.isEmpty() && verdicts.stream().allMatch(Verdict::kept);
+            return unmet.isEmpty() && verdicts.stream().allMatch(RuleVerdict::kept);
         }
     }
 
     /** Opens a gateway; tests put a broken one in its place. */
     public interface Opener {
         /** A running gateway: where clients connect, its end as by a kill, and its accounts. */
-        record Opened(InetSocketAddress address, Runnable kill, Supplier<GatewayBook> accounts) {}
+        record Opened(
+                InetSocketAddress address, Runnable kill, Supplier<GatewayAccounts> accounts) {}
 
-        Opened open(Site site, long seed);
+        Opened open(SiteConfig site, long seed);
     }
 
-    private final Day day;
+    private final Scenario day;
     private final Opener opener;
-    private final Notebook notes = new Notebook();
-    private final Ledger ledger = new Ledger();
-    private final List<Loader> loaders = new ArrayList<>();
-    private final List<Loader.Door> doors = new ArrayList<>();
+    private final SocketEventLog notes = new SocketEventLog();
+    private final BlockHistory ledger = new BlockHistory();
+    private final List<LoadGenerator> loaders = new ArrayList<>();
+    private final List<LoadGenerator.Door> doors = new ArrayList<>();
     private final List<Opener.Opened> gateways = new CopyOnWriteArrayList<>();
-    private final List<Notebook.Life> lives = new CopyOnWriteArrayList<>();
+    private final List<SocketEventLog.Life> lives = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService script =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
@@ -71,37 +72,37 @@
                         thread.setDaemon(true);
                         return thread;
                     });
-    private final List<GatewayBook> books = new ArrayList<>();
-    private Town town;
+    private final List<GatewayAccounts> books = new ArrayList<>();
+    private LocalCluster town;
     private final AtomicLong seeds;
 
-    public Drill(Day day) {
+    public ScenarioRunner(Scenario day) {
         this(
                 day,
                 (site, seed) -> {
-                    Gateway gateway = Town.await(new Gateway(site, seed).start());
+                    NbdGateway gateway = LocalCluster.await(new NbdGateway(site, seed).start());
                     return new Opener.Opened(
                             gateway.address(),
-                            () -> Town.await(gateway.kill()),
-                            () -> Town.await(gateway.writtenBook()));
+                            () -> LocalCluster.await(gateway.kill()),
+                            () -> LocalCluster.await(gateway.writtenBook()));
                 });
     }
 
-    public Drill(Day day, Opener opener) {
+    public ScenarioRunner(Scenario day, Opener opener) {
         this.day = day;
         this.opener = opener;
         this.seeds = new AtomicLong(day.seed() * 1000);
     }
 
     /** Plays the day to its end. */
-    public Result run() throws SiteError {
-        List<NodeTraits> traits = new ArrayList<>();
-        Site first = site(0, new InetSocketAddress("127.0.0.1", 1));
+    public Result run() throws SiteConfigException {
+        List<NodeProfile> traits = new ArrayList<>();
+        SiteConfig first = site(0, new InetSocketAddress("127.0.0.1", 1));
         var rules = first.deployment().rules();
-        Day.Nodes nodes = day.nodes();
+        Scenario.Nodes nodes = day.nodes();
         for (int i = 1; i <= nodes.count(); i++) {
             traits.add(
-                    new NodeTraits(
+                    new NodeProfile(
                             i,
                             i,
                             (i - 1) % nodes.halls(),
@@ -120,30 +121,30 @@
                             nodes.deferEvery(),
                             null));
         }
-        try (Metronome machine = new Metronome();
-                Town all = Town.start(traits, notes, 3)) {
+        try (StallDetector machine = new StallDetector();
+                LocalCluster all = LocalCluster.start(traits, notes, 3)) {
             town = all;
             machine.watch(all.loops());
             for (int i = 0; i < day.gateways(); i++) {
-                doors.add(new Loader.Door());
+                doors.add(new LoadGenerator.Door());
                 gateways.add(null);
                 lives.add(null);
                 open(i);
             }
-            for (Day.Load load : day.loads()) {
-                VolumeLine volume =
+            for (Scenario.Load load : day.loads()) {
+                VolumeSettings volume =
                         first.volumes().stream()
                                 .filter(one -> one.name().equals(load.volume()))
                                 .findFirst()
                                 .orElseThrow(
                                         () ->
-                                                new SiteError(
+                                                new SiteConfigException(
                                                         "load "
                                                                 + load.name()
                                                                 + ": no volume is called "
                                                                 + load.volume()));
                 loaders.add(
-                        new Loader(
+                        new LoadGenerator(
                                 load,
                                 first,
                                 volume,
@@ -155,10 +156,10 @@
             }
             play();
             synchronized (notes) {
-                Judge judge = new Judge(notes, first, traits, machine.stoodStill());
-                List<Verdict> verdicts = new ArrayList<>(judge.verdicts());
+                RuleChecker judge = new RuleChecker(notes, first, traits, machine.stoodStill());
+                List<RuleVerdict> verdicts = new ArrayList<>(judge.verdicts());
                 verdicts.add(
-                        new Verdict(
+                        new RuleVerdict(
                                 "reads show the last acknowledged write",
                                 ledger.breaches().isEmpty(),
                                 ledger.checked() + " blocks read",
@@ -166,7 +167,7 @@
                                 ledger.breaches()));
                 Map<String, Double> service = judge.service();
                 List<String> unmet = new ArrayList<>();
-                for (Day.Expectation wanted : day.expectations()) {
+                for (Scenario.Expectation wanted : day.expectations()) {
                     double got = service.getOrDefault(wanted.volume(), 0.0);
                     if (!(got > wanted.over())) {
                         unmet.add(
@@ -195,7 +196,7 @@
 
     private void play() {
         long start = System.nanoTime();
-        for (Day.Event event : day.events()) {
+        for (Scenario.Event event : day.events()) {
             script.schedule(() -> begin(event), (long) event.at(), TimeUnit.MILLISECONDS);
             if (!Double.isNaN(event.until())) {
                 script.schedule(() -> finish(event), (long) event.until(), TimeUnit.MILLISECONDS);
@@ -205,7 +206,7 @@
         CompletableFuture<Void> over = new CompletableFuture<>();
         script.schedule(() -> over.complete(null), (long) day.end(), TimeUnit.MILLISECONDS);
         over.join();
-        loaders.forEach(Loader::stop);
+        loaders.forEach(LoadGenerator::stop);
         long until = System.nanoTime() + END_WAIT_MS * 1_000_000;
         while (loaders.stream().anyMatch(loader -> loader.open() > 0)
                 && System.nanoTime() < until) {
@@ -216,7 +217,7 @@
                 break;
             }
         }
-        loaders.forEach(Loader::close);
+        loaders.forEach(LoadGenerator::close);
         for (Opener.Opened gateway : gateways) {
             if (gateway != null) {
                 books.add(gateway.accounts().get());
@@ -226,13 +227,13 @@
     }
 
     /** The accounts of the gateways that stood at the end of the day, as they would go to disk. */
-    public List<GatewayBook> books() {
+    public List<GatewayAccounts> books() {
         return books;
     }
 
-    private void open(int index) throws SiteError {
+    private void open(int index) throws SiteConfigException {
         long seed = seeds.incrementAndGet();
-        Notebook.Life life = notes.opened(index, seed, System.nanoTime());
+        SocketEventLog.Life life = notes.opened(index, seed, System.nanoTime());
         Opener.Opened opened = opener.open(site(index, town.directory().address()), seed);
         gateways.set(index, opened);
         lives.set(index, life);
@@ -240,18 +241,18 @@
         doors.get(index).address = opened.address();
     }
 
-    private Site site(int index, InetSocketAddress directory) throws SiteError {
-        String text = Town.demoSite("gw-" + index, index, day.gateways(), 0, directory);
+    private SiteConfig site(int index, InetSocketAddress directory) throws SiteConfigException {
+        String text = LocalCluster.demoSite("gw-" + index, index, day.gateways(), 0, directory);
         if (!day.site().isBlank()) {
             // The script's own sections stand in place of the demo's; who the gateway is stays.
             text =
                     text.substring(0, text.indexOf("[site]")).replace("zone = hall-a\n", "")
                             + day.site();
         }
-        return Site.read(day.name(), text);
+        return SiteConfig.read(day.name(), text);
     }
 
-    private void begin(Day.Event event) {
+    private void begin(Scenario.Event event) {
         LOG.atInfo()
                 .addKeyValue("fault", event.fault())
                 .addKeyValue("whom", event.whom())
@@ -262,7 +263,7 @@
                 case DIRECTORY_FAILING -> town.directory().failing(true);
                 case DIRECTORY_LAGGING -> town.directory().lag(event.much());
                 case DIRECTORY_SLOW -> town.directory().slow(event.much());
-                case DIRECTORY_DOWN -> Town.await(town.directory().stop());
+                case DIRECTORY_DOWN -> LocalCluster.await(town.directory().stop());
                 case GATEWAY_KILLED -> kill(event.whom().get(0) - 1);
                 case SURGE -> surge(event, event.much());
                 default -> nodes(event).forEach(node -> begin(event, node));
@@ -272,7 +273,7 @@
         }
     }
 
-    private void finish(Day.Event event) {
+    private void finish(Scenario.Event event) {
         LOG.atInfo()
                 .addKeyValue("fault", event.fault())
                 .addKeyValue("whom", event.whom())
@@ -283,7 +284,7 @@
                 case DIRECTORY_FAILING -> town.directory().failing(false);
                 case DIRECTORY_LAGGING -> town.directory().lag(0);
                 case DIRECTORY_SLOW -> town.directory().slow(0);
-                case DIRECTORY_DOWN -> Town.await(town.directory().restart());
+                case DIRECTORY_DOWN -> LocalCluster.await(town.directory().restart());
                 // It may take until a directory is back: the script goes on meanwhile.
                 case GATEWAY_KILLED ->
                         CompletableFuture.runAsync(() -> reopen(event.whom().get(0) - 1));
@@ -298,16 +299,16 @@
     private void reopen(int index) {
         try {
             open(index);
-        } catch (SiteError | RuntimeException e) {
+        } catch (SiteConfigException | RuntimeException e) {
             LOG.atError().setCause(e).log("gateway did not come back");
         }
     }
 
-    private List<StandInNode> nodes(Day.Event event) {
+    private List<StandInNode> nodes(Scenario.Event event) {
         return event.whom().stream().map(number -> town.nodes().get(number - 1)).toList();
     }
 
-    private void surge(Day.Event event, double times) {
+    private void surge(Scenario.Event event, double times) {
         loaders.stream()
                 .filter(loader -> loader.load().name().equals(event.load()))
                 .forEach(loader -> loader.surge(times));
@@ -322,7 +323,7 @@
         }
     }
 
-    private void begin(Day.Event event, StandInNode node) {
+    private void begin(Scenario.Event event, StandInNode node) {
         switch (event.fault()) {
             case SILENT -> node.faults().silent = true;
             case PAUSED -> node.pause(true);
@@ -339,18 +340,18 @@
             case DRAINS -> town.drain(node);
             case RESTARTS_COLD -> town.restartCold(node);
             case LOSES_POWER -> {
-                Town.await(node.powerFails());
-                town.list(node, DirectoryWire.Standing.READY);
+                LocalCluster.await(node.powerFails());
+                town.list(node, DirectoryMessages.Phase.READY);
             }
             case GONE -> {
-                Town.await(node.stop());
-                town.list(node, DirectoryWire.Standing.GONE);
+                LocalCluster.await(node.stop());
+                town.list(node, DirectoryMessages.Phase.GONE);
             }
             default -> throw new IllegalStateException("not a node's fault: " + event.fault());
         }
     }
 
-    private void finish(Day.Event event, StandInNode node) {
+    private void finish(Scenario.Event event, StandInNode node) {
         switch (event.fault()) {
             case SILENT -> node.faults().silent = false;
             case PAUSED -> node.pause(false);
@@ -365,18 +366,18 @@
     }
 
     /** A day that comes with the program. */
-    public static String builtIn(String name) throws DayError {
+    public static String builtIn(String name) throws ScenarioException {
         return comesWith(name + ".day");
     }
 
-    static String comesWith(String name) throws DayError {
-        try (InputStream from = Drill.class.getResourceAsStream("/days/" + name)) {
+    static String comesWith(String name) throws ScenarioException {
+        try (InputStream from = ScenarioRunner.class.getResourceAsStream("/days/" + name)) {
             if (from == null) {
-                throw new DayError(name + ": no such file comes with the program");
+                throw new ScenarioException(name + ": no such file comes with the program");
             }
             return new String(from.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new DayError(name + ": cannot be read: " + e.getMessage());
+            throw new ScenarioException(name + ": cannot be read: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sagepulley/scenario/Notebook.java
+++ b/src/main/java/sagepulley/scenario/SocketEventLog.java
@@ -2,20 +2,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.standin.Witness;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.standin.TrafficRecorder;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * What was noted at the sockets of nodes, directory and clients; the gateways' own word is not
  * asked.
  */
-public final class Notebook implements Witness {
+public final class SocketEventLog implements TrafficRecorder {
     /** An attempt at a node. */
-    public record Came(int node, long gateway, StoreWire.Send send, long at) {}
+    public record Came(int node, long gateway, StoreMessages.Send send, long at) {}
 
     /** An operation's work began. */
-    public record Ran(int node, long gateway, StoreWire.Send send, long at) {}
+    public record Ran(int node, long gateway, StoreMessages.Send send, long at) {}
 
     /** An attempt's answer, which may have been lost by a fault. */
     public record Answered(
@@ -23,7 +23,7 @@
             long gateway,
             long mark,
             int number,
-            StoreWire.Code code,
+            StoreMessages.Code code,
             boolean lost,
             long at) {}
 
@@ -37,7 +37,8 @@
     public record Fell(int node, long at) {}
 
     /** What a gateway was told of the list. */
-    public record Told(long gateway, boolean whole, List<DirectoryWire.Line> lines, long at) {}
+    public record Told(
+            long gateway, boolean whole, List<DirectoryMessages.EndpointLine> lines, long at) {}
 
     /** A gateway's life, from its opening to its kill. */
     public static final class Life {
@@ -57,7 +58,7 @@
     public static final class Asked {
         public final long gateway;
         public final int volume;
-        public final StoreWire.Kind kind;
+        public final StoreMessages.Kind kind;
         public final int band;
         public final long offset;
         public final int length;
@@ -72,7 +73,7 @@
         Asked(
                 long gateway,
                 int volume,
-                StoreWire.Kind kind,
+                StoreMessages.Kind kind,
                 int band,
                 long offset,
                 int length,
@@ -98,12 +99,13 @@
     final List<Asked> asked = new ArrayList<>();
 
     @Override
-    public synchronized void attemptCame(int node, long gateway, StoreWire.Send send, long nanos) {
+    public synchronized void attemptCame(
+            int node, long gateway, StoreMessages.Send send, long nanos) {
         came.add(new Came(node, gateway, send, nanos));
     }
 
     @Override
-    public synchronized void ran(int node, long gateway, StoreWire.Send send, long nanos) {
+    public synchronized void ran(int node, long gateway, StoreMessages.Send send, long nanos) {
         ran.add(new Ran(node, gateway, send, nanos));
     }
 
@@ -113,7 +115,7 @@
             long gateway,
             long mark,
             int number,
-            StoreWire.Code code,
+            StoreMessages.Code code,
             boolean lost,
             long nanos) {
         answered.add(new Answered(node, gateway, mark, number, code, lost, nanos));
@@ -136,7 +138,7 @@
 
     @Override
     public synchronized void told(
-            long gateway, boolean whole, List<DirectoryWire.Line> lines, long nanos) {
+            long gateway, boolean whole, List<DirectoryMessages.EndpointLine> lines, long nanos) {
         told.add(new Told(gateway, whole, List.copyOf(lines), nanos));
     }
 
@@ -151,7 +153,7 @@
     public synchronized Asked asks(
             long gateway,
             int volume,
-            StoreWire.Kind kind,
+            StoreMessages.Kind kind,
             int band,
             long offset,
             int length,
--- a/src/main/java/sagepulley/scenario/Metronome.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -13,7 +13,7 @@
  * due every few milliseconds are noted where they come late. What is judged by the clock allows for
  * that much, or a loaded machine would be judged instead of a gateway.
  */
-public final class Metronome implements AutoCloseable {
+public final class StallDetector implements AutoCloseable {
     private static final double BEAT = 5;
     private static final double USUAL_LATE = 2;
 
@@ -52,7 +52,7 @@
     private final List<Beat> beats = new CopyOnWriteArrayList<>();
     private volatile boolean closed;
 
-    public Metronome() {
+    public StallDetector() {
         Beat beat = new Beat();
         beats.add(beat);
         Thread thread =
@@ -73,7 +73,7 @@
     }
 
     /** Watches the loops of a group as well. */
-    public Metronome watch(EventLoopGroup loops) {
+    public StallDetector watch(EventLoopGroup loops) {
         for (EventExecutor loop : loops) {
             Beat beat = new Beat();
             beats.add(beat);
--- a/src/main/java/sagepulley/scenario/SideBySide.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -14,22 +14,22 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
-import sagepulley.codec.frame.Loops;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
-import sagepulley.config.SiteError;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.standin.NodeTraits;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.config.SiteConfigException;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.standin.NodeProfile;
 import sagepulley.standin.StandInNode;
-import sagepulley.standin.Witness;
-import sagepulley.upstream.frame.NodeLink;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.standin.TrafficRecorder;
+import sagepulley.upstream.frame.NodeConnection;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * Measures the way through the gateway against the way from client to node directly, by turns in
  * one run, at a fixed number of requests in flight. What counts is the ratio.
  */
-public final class SideBySide {
+public final class ThroughputComparison {
     private static final int EXTENT = 1 << 20;
     private static final int EXTENTS = 48;
 
@@ -59,7 +59,7 @@
     private final int rounds;
 
     /** Each way runs for so many seconds in all, in so many turns. */
-    public SideBySide(double seconds, int rounds) {
+    public ThroughputComparison(double seconds, int rounds) {
         this.seconds = seconds;
         this.rounds = rounds;
     }
@@ -70,22 +70,22 @@
     }
 
     /** Runs all kinds, sizes and depths. */
-    public List<Row> run(int nodes, int[] sizes, int[] depths) throws SiteError {
-        EventLoopGroup clients = Loops.group(1, "client-side");
+    public List<Row> run(int nodes, int[] sizes, int[] depths) throws SiteConfigException {
+        EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
-        try (Town town = Town.start(traits(nodes), Witness.NOBODY, 2)) {
-            Gateway gateway =
-                    town.open(Town.demoSite("gw", 0, 1, 0, town.directory().address()), 1);
+        try (LocalCluster town = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
+            NbdGateway gateway =
+                    town.open(LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address()), 1);
             NbdClient client =
-                    Town.await(
+                    LocalCluster.await(
                             NbdClient.open(
                                     clients,
-                                    Loops.socket(),
+                                    EventLoops.socket(),
                                     gateway.address(),
                                     "demo",
                                     NbdClient.Style.GO));
             for (int i = 0; i < EXTENTS; i++) {
-                Town.await(client.write(i * (long) EXTENT, new byte[EXTENT])).release();
+                LocalCluster.await(client.write(i * (long) EXTENT, new byte[EXTENT])).release();
             }
             Direct direct = new Direct(town.nodes(), clients.next());
             for (boolean reads : new boolean[] {true, false}) {
@@ -127,7 +127,7 @@
             long offset =
                     (number % EXTENTS) * (long) EXTENT + number / EXTENTS % places * (long) bytes;
             client.ask(
-                    reads ? Nbd.CMD_READ : Nbd.CMD_WRITE,
+                    reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                     0,
                     offset,
                     bytes,
@@ -148,11 +148,11 @@
      * differs by itself.
      */
     public List<Row> accounts(int nodes, int[] sizes, int[] depths, Kept kept, Path folder)
-            throws SiteError {
-        EventLoopGroup clients = Loops.group(1, "client-side");
+            throws SiteConfigException {
+        EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
-        try (Town town = Town.start(traits(nodes), Witness.NOBODY, 2)) {
-            String site = Town.demoSite("gw", 0, 2, 0, town.directory().address());
+        try (LocalCluster town = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
+            String site = LocalCluster.demoSite("gw", 0, 2, 0, town.directory().address());
             NbdClient[] sides = new NbdClient[2];
             for (int i = 0; i < 2; i++) {
                 String extra =
@@ -164,20 +164,20 @@
                                                 ? "\n[traces]\nfile = " + folder.resolve("traces")
                                                 : "")
                                         + "\n";
-                Gateway gateway =
+                NbdGateway gateway =
                         town.open(site.replace("name = gw", "name = gw" + i) + extra, i + 1);
                 sides[i] =
-                        Town.await(
+                        LocalCluster.await(
                                 NbdClient.open(
                                         clients,
-                                        Loops.socket(),
+                                        EventLoops.socket(),
                                         gateway.address(),
                                         "demo",
                                         NbdClient.Style.GO));
             }
             for (int i = 0; i < EXTENTS; i++) {
-                Town.await(sides[0].write(i * (long) EXTENT, new byte[EXTENT])).release();
-                Town.await(sides[1].read(i * (long) EXTENT, 4096)).release();
+                LocalCluster.await(sides[0].write(i * (long) EXTENT, new byte[EXTENT])).release();
+                LocalCluster.await(sides[1].read(i * (long) EXTENT, 4096)).release();
             }
             for (boolean reads : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
@@ -204,12 +204,12 @@
         return rows;
     }
 
-    private static List<NodeTraits> traits(int nodes) {
-        List<NodeTraits> traits = new ArrayList<>();
+    private static List<NodeProfile> traits(int nodes) {
+        List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            NodeTraits quick = NodeTraits.quick(i, EXTENT);
+            NodeProfile quick = NodeProfile.quick(i, EXTENT);
             traits.add(
-                    new NodeTraits(
+                    new NodeProfile(
                             i,
                             i,
                             0,
@@ -314,7 +314,7 @@
                                 });
                     }
                 });
-        Town.await(over);
+        LocalCluster.await(over);
     }
 
     /** Heap bytes allocated, and nanoseconds of processor used, by the gateway's threads so far. */
@@ -355,8 +355,8 @@
             // A volume of its own, so that its pens are not the gateway's.
             peer.link.send(
                     attempt,
-                    new StoreWire.Send(
-                            reads ? StoreWire.Kind.READ : StoreWire.Kind.WRITE,
+                    new StoreMessages.Send(
+                            reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE,
                             0,
                             false,
                             0,
@@ -372,30 +372,30 @@
         }
     }
 
-    private static final class Peer implements NodeLink.Owner {
-        final NodeLink link;
+    private static final class Peer implements NodeConnection.Listener {
+        final NodeConnection link;
         final Map<Long, java.util.function.Consumer<Boolean>> waiting = new HashMap<>();
 
         Peer(StandInNode node, EventLoop loop) {
             link =
-                    new NodeLink(
+                    new NodeConnection(
                             loop,
-                            Loops.socket(),
+                            EventLoops.socket(),
                             EXTENT,
                             node.traits().id(),
                             node.address(),
-                            new StoreWire.Hello(99, "direct"),
+                            new StoreMessages.Hello(99, "direct"),
                             this);
         }
 
         @Override
-        public void answered(long attempt, StoreWire.Answer answer, ByteBuf payload) {
+        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             payload.release();
-            waiting.remove(attempt).accept(answer.code() == StoreWire.Code.SATISFIED);
+            waiting.remove(attempt).accept(answer.code() == StoreMessages.Code.SATISFIED);
         }
 
         @Override
-        public void broken(long attempt, NodeLink.Broken how) {
+        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
             waiting.remove(attempt).accept(false);
         }
 
@@ -405,7 +405,7 @@
         }
 
         @Override
-        public boolean welcomed(StoreWire.Welcome welcome) {
+        public boolean welcomed(StoreMessages.Welcome welcome) {
             // nothing hangs on it
             return true;
         }
--- a/src/main/java/sagepulley/scheduler/Waits.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -8,13 +8,13 @@
 import java.util.TreeSet;
 import java.util.function.DoubleConsumer;
 import java.util.function.ToDoubleFunction;
-import sagepulley.model.Band;
 import sagepulley.model.Operation;
+import sagepulley.model.TrafficClass;
 
 /**
  * All that waits, sorted by the times that may end it, so that what is due is found without a walk.
  */
-final class Waits {
+final class DeadlineIndex {
     /**
      * As the queues stand: the seats in their order, new objects, the homeless; in each as they
      * came.
@@ -22,14 +22,14 @@
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
                             (Operation operation) -> {
-                                Ticket ticket = (Ticket) operation.kept;
+                                QueuedRequest ticket = (QueuedRequest) operation.kept;
                                 return ticket.seat != null
                                         ? ticket.seat.index
                                         : operation.shard < 0
                                                 ? Integer.MAX_VALUE - 1
                                                 : Integer.MAX_VALUE;
                             })
-                    .thenComparingLong(operation -> ((Ticket) operation.kept).turn);
+                    .thenComparingLong(operation -> ((QueuedRequest) operation.kept).turn);
 
     private record Key(int band, double units) {
         @Override
@@ -44,31 +44,31 @@
     }
 
     /** Operations of one band and size: whatever moves their ends moves all of them alike. */
-    static final class Kind {
-        final Band band;
+    static final class Group {
+        final TrafficClass band;
         final double units;
-        final TreeSet<Ticket> byTarget = sorted(ticket -> ticket.targetEnds);
-        final TreeSet<Ticket> byArrival = sorted(ticket -> ticket.operation.arrivedAt);
-        final TreeSet<Ticket> byPatience = sorted(ticket -> ticket.operation.deadline);
+        final TreeSet<QueuedRequest> byTarget = sorted(ticket -> ticket.targetEnds);
+        final TreeSet<QueuedRequest> byArrival = sorted(ticket -> ticket.operation.arrivedAt);
+        final TreeSet<QueuedRequest> byPatience = sorted(ticket -> ticket.operation.deadline);
 
-        Kind(Band band, double units) {
+        Group(TrafficClass band, double units) {
             this.band = band;
             this.units = units;
         }
 
-        private static TreeSet<Ticket> sorted(ToDoubleFunction<Ticket> time) {
+        private static TreeSet<QueuedRequest> sorted(ToDoubleFunction<QueuedRequest> time) {
             return new TreeSet<>(
                     Comparator.comparingDouble(time).thenComparingLong(ticket -> ticket.turn));
         }
 
         /** Adds those that have ended by now, and tells when the next one ends. */
         void first(
-                TreeSet<Ticket> order,
-                ToDoubleFunction<Ticket> end,
+                TreeSet<QueuedRequest> order,
+                ToDoubleFunction<QueuedRequest> end,
                 double now,
                 List<Operation> ended,
                 DoubleConsumer next) {
-            for (Ticket ticket : order) {
+            for (QueuedRequest ticket : order) {
                 double at = end.applyAsDouble(ticket);
                 if (at <= now) {
                     if (!ended.contains(ticket.operation)) {
@@ -82,23 +82,23 @@
         }
     }
 
-    private final Map<Key, Kind> kinds = new HashMap<>();
+    private final Map<Key, Group> kinds = new HashMap<>();
     private long turns;
 
-    void add(Ticket ticket) {
+    void add(QueuedRequest ticket) {
         ticket.turn = ++turns;
         Operation operation = ticket.operation;
-        Kind kind =
+        Group kind =
                 kinds.computeIfAbsent(
-                        key(operation), any -> new Kind(operation.band, operation.units));
+                        key(operation), any -> new Group(operation.band, operation.units));
         kind.byTarget.add(ticket);
         kind.byArrival.add(ticket);
         kind.byPatience.add(ticket);
     }
 
-    void remove(Ticket ticket) {
+    void remove(QueuedRequest ticket) {
         Key key = key(ticket.operation);
-        Kind kind = kinds.get(key);
+        Group kind = kinds.get(key);
         kind.byTarget.remove(ticket);
         kind.byArrival.remove(ticket);
         kind.byPatience.remove(ticket);
@@ -107,7 +107,7 @@
         }
     }
 
-    Collection<Kind> kinds() {
+    Collection<Group> kinds() {
         return kinds.values();
     }
 
--- a/src/main/java/sagepulley/scheduler/ListCallPolicy.java
+++ b/src/main/java/sagepulley/scheduler/EndpointPollPolicy.java
@@ -4,7 +4,7 @@
  * How long calls to discovery are waited for, and which of those that are overdue are kept open.
  * Times are milliseconds on the monotonic clock.
  */
-public final class ListCallPolicy {
+public final class EndpointPollPolicy {
     /** A connection to discovery has to come up within this time. */
     public static final int CONNECT_WITHIN = 1_000;
 
@@ -30,7 +30,7 @@
 
     private static final double UNANSWERED_AFTER = 12_000;
 
-    private ListCallPolicy() {}
+    private EndpointPollPolicy() {}
 
     /**
      * Whether the oldest overdue call is dropped for a later one. It stays as a rule, for it is the
--- a/src/main/java/sagepulley/scheduler/Seat.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -5,15 +5,15 @@
 import sagepulley.model.Attempt;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
-import sagepulley.model.Ring;
+import sagepulley.model.SlidingWindowCounter;
 
 /** What is kept of a node. */
-final class Seat {
+final class EndpointState {
     final int index;
     final Node node;
 
     /** Operations whose data lies here, waiting for their turn. */
-    final Queue waiting = new Queue();
+    final WaitQueue waiting = new WaitQueue();
 
     final List<Attempt> out = new ArrayList<>();
 
@@ -39,7 +39,7 @@
     long pickedState;
 
     /** The fair level of the volumes that use the node, and until when it stands. */
-    final List<Use> uses = new ArrayList<>();
+    final List<TenantEndpointUsage> uses = new ArrayList<>();
 
     double fair = Double.POSITIVE_INFINITY;
     double fairUntil = Double.NEGATIVE_INFINITY;
@@ -51,7 +51,7 @@
     double toldStart;
 
     double startedAt;
-    final Ring coldSpent;
+    final SlidingWindowCounter coldSpent;
 
     /**
      * Health: when it last served, when it was last sent to, whether it must prove itself by a
@@ -66,7 +66,7 @@
     double faults;
 
     /** The score's terms; reads at 0, writes at 1. */
-    final Ring placements;
+    final SlidingWindowCounter placements;
 
     final double[] took = new double[2];
     final double[] units = new double[2];
@@ -76,9 +76,15 @@
     double fragment = 1;
 
     /** What lately came for it and was declined. */
-    final Load load;
-
-    Seat(int index, Node node, double bound, Load load, Ring placements, Ring coldSpent) {
+    final ArrivalWindow load;
+
+    EndpointState(
+            int index,
+            Node node,
+            double bound,
+            ArrivalWindow load,
+            SlidingWindowCounter placements,
+            SlidingWindowCounter coldSpent) {
         this.index = index;
         this.node = node;
         this.bound = bound;
--- a/src/main/java/sagepulley/scheduler/NodeView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -4,12 +4,12 @@
 import sagepulley.model.Node;
 
 /** What Control believes of a node, for whoever watches a gateway; nothing is decided by it. */
-public record NodeView(
+public record EndpointView(
         double bound, double crowd, int out, int waiting, boolean distrusted, double faults) {
     /** The view of a node that was listed. */
-    public static NodeView of(Node node) {
-        Seat seat = (Seat) node.kept;
-        return new NodeView(
+    public static EndpointView of(Node node) {
+        EndpointState seat = (EndpointState) node.kept;
+        return new EndpointView(
                 seat.bound,
                 seat.crowd,
                 seat.out.size(),
--- a/src/main/java/sagepulley/scheduler/Ticket.java
+++ b/src/main/java/sagepulley/scheduler/QueuedRequest.java
@@ -3,7 +3,7 @@
 import sagepulley.model.Operation;
 
 /** What is kept of an operation in hand. */
-final class Ticket {
+final class QueuedRequest {
     final Operation operation;
 
     /** Its place among all that ever stood in a queue. */
@@ -19,15 +19,15 @@
     boolean waits;
 
     /** The seat in whose queue it stands; null for a new object or a shard without a node. */
-    Seat seat;
+    EndpointState seat;
 
     /** Where its band asks for order. */
-    KeyLine line;
+    KeyQueue line;
 
     /** Drawn once: a cold node takes the lowest first. */
     final double lot;
 
-    Ticket(Operation operation, double lot) {
+    QueuedRequest(Operation operation, double lot) {
         this.operation = operation;
         this.lot = lot;
     }
--- a/src/main/java/sagepulley/scheduler/Control.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -11,18 +11,18 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import sagepulley.model.Attempt;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
+import sagepulley.model.FollowUp;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Owed;
-import sagepulley.model.Pause;
-import sagepulley.model.Placement;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
-import sagepulley.model.Ring;
-import sagepulley.model.Rulebook;
-import sagepulley.model.Sequel;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.SchedulerTurn;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.SlidingWindowCounter;
+import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
 /**
@@ -43,7 +43,7 @@
  *
  * <p>The caller keeps timers and operations.
  */
-public final class Control {
+public final class Scheduler {
     // The page's figures.
     private static final double PLACEMENTS_WINDOW = 10_000;
     private static final double BUSY_REFRESH = 1_000;
@@ -134,22 +134,22 @@
     private static final int LATE = 1000;
 
     private final Deployment site;
-    private final Rulebook rules;
+    private final ServicePolicy rules;
     private final RandomGenerator chance;
-    final BandRow[] rows;
-    final List<Seat> seats = new ArrayList<>();
+    final TrafficClassStats[] rows;
+    final List<EndpointState> seats = new ArrayList<>();
 
     /**
      * The indexes of the seats at which an operation waits: with thousands of seats most have none.
      */
     private final BitSet waitingSeats = new BitSet();
 
-    private final Map<Integer, List<Seat>> seatsByCell = new HashMap<>();
-    private final Queue fresh = new Queue();
-    private final Queue homeless = new Queue();
-    private final Waits waits = new Waits();
+    private final Map<Integer, List<EndpointState>> seatsByCell = new HashMap<>();
+    private final WaitQueue fresh = new WaitQueue();
+    private final WaitQueue homeless = new WaitQueue();
+    private final DeadlineIndex waits = new DeadlineIndex();
     private final List<Attempt> unwanted = new ArrayList<>();
-    private final Map<Long, KeyLine> lines = new HashMap<>();
+    private final Map<Long, KeyQueue> lines = new HashMap<>();
 
     /** By extent, when the target time of a first try ends that was lately given up or left. */
     private final Map<Long, Double> unserved =
@@ -160,9 +160,9 @@
                 }
             };
 
-    private final Ring taken;
-    private final Ring further;
-    private final Load freshLoad = Load.over(OVERLOAD_WINDOW);
+    private final SlidingWindowCounter taken;
+    private final SlidingWindowCounter further;
+    private final ArrivalWindow freshLoad = ArrivalWindow.over(OVERLOAD_WINDOW);
     private double shortestTarget;
     private final double lastCall;
     final EndpointLease lease;
@@ -188,7 +188,7 @@
     private final DiscoverySchedule discovery;
 
     /** What differs by band. */
-    static final class BandRow {
+    static final class TrafficClassStats {
         double patienceSeen;
         double basePace;
         double meanPace;
@@ -196,20 +196,20 @@
         double leftShare;
     }
 
-    public Control(Deployment site, long seed) {
+    public Scheduler(Deployment site, long seed) {
         this.site = site;
         this.rules = site.rules();
         this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.rows = new BandRow[site.bands().size()];
-        for (Band band : site.bands()) {
-            rows[band.index()] = new BandRow();
+        this.rows = new TrafficClassStats[site.bands().size()];
+        for (TrafficClass band : site.bands()) {
+            rows[band.index()] = new TrafficClassStats();
         }
         this.lastCall = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, chance);
         this.lease = new EndpointLease(site.notifiedWithin(), rules.drainGrace());
         double window = rules.hasBudget() ? rules.budgetWindow() : 1;
-        this.taken = new Ring(window, 50);
-        this.further = new Ring(window, 50);
+        this.taken = new SlidingWindowCounter(window, 50);
+        this.further = new SlidingWindowCounter(window, 50);
     }
 
     // ---- facts ----
@@ -217,19 +217,20 @@
     /** The list as it now stands; a node that left it is GONE. */
     public void listed(List<Node> nodes, double now) {
         for (Node node : nodes) {
-            Seat seat = (Seat) node.kept;
+            EndpointState seat = (EndpointState) node.kept;
             if (seat == null) {
                 // Who is gone for good leaves its place: the seats stay as many as the fleet is
                 // wide.
-                Seat old = seats.stream().filter(Seat::isVacant).findFirst().orElse(null);
+                EndpointState old =
+                        seats.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
                 seat =
-                        new Seat(
+                        new EndpointState(
                                 old == null ? seats.size() : old.index,
                                 node,
                                 FIRST_BOUND,
-                                Load.over(OVERLOAD_WINDOW),
-                                new Ring(PLACEMENTS_WINDOW, 10),
-                                new Ring(rules.fallTime(), 20));
+                                ArrivalWindow.over(OVERLOAD_WINDOW),
+                                new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
+                                new SlidingWindowCounter(rules.fallTime(), 20));
                 node.kept = seat;
                 seat.startedAt = possibleStart(node.startedAt, now);
                 if (old == null) {
@@ -250,7 +251,7 @@
             }
         }
         seatsByCell.clear();
-        for (Seat seat : seats) {
+        for (EndpointState seat : seats) {
             seatsByCell.computeIfAbsent(seat.node.cell, any -> new ArrayList<>(1)).add(seat);
         }
         state++;
@@ -265,8 +266,8 @@
         }
         // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
         queueAnew(homeless);
-        for (Seat seat : seats) {
-            if (seat.node.standing != Node.Standing.READY) {
+        for (EndpointState seat : seats) {
+            if (seat.node.standing != Node.Phase.READY) {
                 queueAnew(seat.waiting);
             }
         }
@@ -287,7 +288,7 @@
         return Math.min(now, Math.max(told, lease.confirmedAt()));
     }
 
-    private void queueAnew(Queue queue) {
+    private void queueAnew(WaitQueue queue) {
         for (Operation operation : queue.inOrder()) {
             dequeue(operation);
             enqueue(operation);
@@ -336,7 +337,7 @@
         forsake(operation);
         // Clients that leave before the target time set a shorter one: for what is late, and for
         // the queues.
-        BandRow row = rows[operation.band.index()];
+        TrafficClassStats row = rows[operation.band.index()];
         double age = now - operation.arrivedAt;
         // Whoever leaves before an answer usually comes has reasons of its own, and tells nothing
         // of waiting.
@@ -356,7 +357,7 @@
      * out.
      */
     public void found(Operation operation, int cell) {
-        boolean waits = ((Ticket) operation.kept).waits;
+        boolean waits = ((QueuedRequest) operation.kept).waits;
         dequeue(operation);
         operation.shard = cell;
         if (waits) {
@@ -372,11 +373,11 @@
     // ---- the three calls ----
 
     /** Where to send this operation, or not yet, or never. */
-    public Placement place(Operation operation, double now) {
-        Ticket ticket = ticket(operation, now);
+    public RoutingDecision place(Operation operation, double now) {
+        QueuedRequest ticket = ticket(operation, now);
         if (operation.over) {
             drop(operation);
-            return Placement.NOT_YET;
+            return RoutingDecision.NOT_YET;
         }
         if (!ticket.waits) {
             enqueue(operation);
@@ -388,24 +389,24 @@
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
-        Seat seat = mayAttempt ? turn(operation, now) : null;
+        EndpointState seat = mayAttempt ? turn(operation, now) : null;
         if (seat != null && lawful(operation, seat, now)) {
             return send(operation, seat, now);
         }
         if (!mayAttempt || now >= operation.deadline - lastCall || lateAt(operation) <= now) {
             return giveUp(operation, now);
         }
-        return Placement.NOT_YET;
+        return RoutingDecision.NOT_YET;
     }
 
     /** What to do for the operation after this outcome. */
-    public Sequel after(Attempt attempt, double now) {
+    public FollowUp after(Attempt attempt, double now) {
         Operation operation = attempt.operation;
-        Seat seat = (Seat) attempt.node.kept;
+        EndpointState seat = (EndpointState) attempt.node.kept;
         seat.out.remove(attempt);
         state++;
         learn(attempt, seat, now);
-        Ticket ticket = (Ticket) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.kept;
         if (ticket.line != null
                 && (attempt.outcome == Outcome.TIMED_OUT
                         || attempt.outcome == Outcome.RESET
@@ -414,13 +415,13 @@
         }
         if (operation.over) {
             drop(operation);
-            return Sequel.NOTHING;
+            return FollowUp.NOTHING;
         }
-        return operation.isOut() ? Sequel.NOTHING : Sequel.PLACE_AGAIN;
+        return operation.isOut() ? FollowUp.NOTHING : FollowUp.PLACE_AGAIN;
     }
 
     /** How long to wait before asking again, and what is due now. */
-    public Pause pause(double now) {
+    public SchedulerTurn pause(double now) {
         nextLook = Double.POSITIVE_INFINITY;
         state++;
         refresh(now);
@@ -429,7 +430,7 @@
         Operation newest = first(fresh, null, now);
         int at = 0;
         for (int i = waitingSeats.nextSetBit(0); i >= 0; i = waitingSeats.nextSetBit(i + 1)) {
-            Seat seat = seats.get(i);
+            EndpointState seat = seats.get(i);
             Operation next = pick(seat, now);
             if (next != null && goesFirst(next, newest, seat, now)) {
                 due.add(next);
@@ -440,12 +441,14 @@
             due.add(newest);
         }
         addLate(late, at, null, due);
-        Pause.ListCall call =
-                discovery.takeDue(now) ? Pause.ListCall.SUBSCRIBE : Pause.ListCall.NONE;
+        SchedulerTurn.EndpointPoll call =
+                discovery.takeDue(now)
+                        ? SchedulerTurn.EndpointPoll.SUBSCRIBE
+                        : SchedulerTurn.EndpointPoll.NONE;
         lookAt(discovery.nextAt());
         List<Attempt> callOff = List.copyOf(unwanted);
         unwanted.clear();
-        return new Pause(Math.max(0, nextLook - now), due, List.of(), callOff, call);
+        return new SchedulerTurn(Math.max(0, nextLook - now), due, List.of(), callOff, call);
     }
 
     /**
@@ -454,7 +457,7 @@
      */
     private List<Operation> overdue(double now) {
         List<Operation> late = new ArrayList<>(0);
-        for (Waits.Kind kind : waits.kinds()) {
+        for (DeadlineIndex.Group kind : waits.kinds()) {
             double early = LATE_FACTOR * (rows[kind.band.index()].meanPace * kind.units);
             double target = target(kind.band);
             // Sorted by each of the three times that may end it: nobody is walked who is not
@@ -473,15 +476,16 @@
                     late,
                     this::lookAt);
         }
-        late.sort(Waits.BY_QUEUE);
+        late.sort(DeadlineIndex.BY_QUEUE);
         return late;
     }
 
     /** Adds those of a seat's queue, or of the queues behind all seats. */
-    private static int addLate(List<Operation> late, int at, Seat seat, List<Operation> due) {
+    private static int addLate(
+            List<Operation> late, int at, EndpointState seat, List<Operation> due) {
         int next = at;
         while (next < late.size()
-                && (seat == null || ((Ticket) late.get(next).kept).seat == seat)) {
+                && (seat == null || ((QueuedRequest) late.get(next).kept).seat == seat)) {
             Operation operation = late.get(next++);
             if (!due.contains(operation)) {
                 due.add(operation);
@@ -496,7 +500,7 @@
 
     // ---- the rules: every send passes here ----
 
-    boolean lawful(Operation operation, Seat seat, double now) {
+    boolean lawful(Operation operation, EndpointState seat, double now) {
         // 1: one final answer, in time, and nothing after it.
         if (operation.over || now >= operation.deadline - lastCall) {
             return false;
@@ -505,7 +509,7 @@
         if (!lease.holds(now)) {
             return false;
         }
-        if (seat.node.standing != Node.Standing.READY) {
+        if (seat.node.standing != Node.Phase.READY) {
             return false;
         }
         if (operation.shard >= 0 && operation.shard != seat.node.cell) {
@@ -546,20 +550,20 @@
         return !it.operation.over
                 && now < it.operation.deadline - lastCall
                 && lease.holds(now)
-                && it.node.standing == Node.Standing.READY
+                && it.node.standing == Node.Phase.READY
                 && mayRepeat(it.operation, it.node, it, now);
     }
 
     private boolean mayRepeat(Operation operation, Node node, Attempt itself, double now) {
-        Band band = operation.band;
-        if (band.repeat() == Band.Repeat.IDEMPOTENT) {
+        TrafficClass band = operation.band;
+        if (band.repeat() == TrafficClass.Idempotency.IDEMPOTENT) {
             return true;
         }
         for (Attempt attempt : operation.attempts) {
             if (attempt == itself || attempt.outcome != null && attempt.outcome.provesNotRun) {
                 continue;
             }
-            if (band.repeat() == Band.Repeat.UNREPEATABLE) {
+            if (band.repeat() == TrafficClass.Idempotency.UNREPEATABLE) {
                 return false;
             }
             boolean same =
@@ -577,9 +581,10 @@
 
     /** A decline promises that asking again does no harm. */
     private boolean mayDecline(Operation operation) {
-        Band band = operation.band;
-        if (band.repeat() == Band.Repeat.IDEMPOTENT
-                || band.repeat() == Band.Repeat.DEDUPLICATED && band.group() == Band.Group.ALL) {
+        TrafficClass band = operation.band;
+        if (band.repeat() == TrafficClass.Idempotency.IDEMPOTENT
+                || band.repeat() == TrafficClass.Idempotency.DEDUPLICATED
+                        && band.group() == TrafficClass.DeduplicationScope.ALL) {
             return true;
         }
         return operation.attempts.stream()
@@ -594,7 +599,7 @@
      * wrong share may add. It needs no count of gateways, of what they sent or of what was sent
      * before our own start.
      */
-    boolean borne(Operation operation, Seat seat, double now) {
+    boolean borne(Operation operation, EndpointState seat, double now) {
         double age = now - seat.startedAt;
         if (!(age < rules.coldTime())) {
             return true;
@@ -605,7 +610,7 @@
                                 * Math.max(0, age - rules.fallTime())
                                 / rules.coldTime();
         double part = Math.min(1, COLD_PART * rules.fallMultiple() * ramp);
-        if (((Ticket) operation.kept).lot > part) {
+        if (((QueuedRequest) operation.kept).lot > part) {
             lookAt(now + COLD_LOOK);
             return false;
         }
@@ -620,7 +625,7 @@
     }
 
     boolean isFirstOfKey(Operation operation, double now) {
-        KeyLine line = ((Ticket) operation.kept).line;
+        KeyQueue line = ((QueuedRequest) operation.kept).line;
         if (line == null) {
             return true;
         }
@@ -639,7 +644,7 @@
         if (!(rate > 0)) {
             return Double.POSITIVE_INFINITY;
         }
-        Account account = account(volume, now);
+        TenantUsage account = account(volume, now);
         double parts = volume.gateways;
         account.limit =
                 Math.min(
@@ -652,7 +657,7 @@
 
     // ---- sending ----
 
-    private Placement send(Operation operation, Seat seat, double now) {
+    private RoutingDecision send(Operation operation, EndpointState seat, double now) {
         boolean first = operation.attempts.isEmpty();
         dequeue(operation);
         Attempt attempt = new Attempt(operation, seat.node, operation.attempts.size(), now);
@@ -669,7 +674,7 @@
         if (operation.shard < 0) {
             seat.placements.add(now, 1);
         }
-        Account account = account(operation.volume, now);
+        TenantUsage account = account(operation.volume, now);
         attempt.owed = owed(operation, seat, now);
         if (first) {
             if (operation.shard < 0) {
@@ -680,7 +685,7 @@
         } else {
             further.add(now, 1);
         }
-        return Placement.send(seat.node, timeout(operation, now));
+        return RoutingDecision.send(seat.node, timeout(operation, now));
     }
 
     /**
@@ -690,8 +695,8 @@
      * ended.
      */
     private double timeout(Operation operation, double now) {
-        Band band = operation.band;
-        double end = ((Ticket) operation.kept).targetEnds;
+        TrafficClass band = operation.band;
+        double end = ((QueuedRequest) operation.kept).targetEnds;
         // What is late already, or worth nearly as much when late, goes on for a while.
         if (end <= now || band.lateShare() >= LATE_WORTH) {
             end = Math.max(end, now) + LATE_GRACE * band.targetTime();
@@ -699,9 +704,9 @@
         return Math.min(end, operation.deadline - lastCall) - now;
     }
 
-    private Placement giveUp(Operation operation, double now) {
+    private RoutingDecision giveUp(Operation operation, double now) {
         if (operation.isOut()) {
-            return Placement.NOT_YET;
+            return RoutingDecision.NOT_YET;
         }
         forsake(operation);
         operation.over = true;
@@ -709,12 +714,12 @@
         rows[operation.band.index()].leftShare *= 1 - LEFT_STEP;
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
-        Seat seat = ((Ticket) operation.kept).seat;
+        EndpointState seat = ((QueuedRequest) operation.kept).seat;
         if (seat == null || sound(seat, now)) {
             load(seat).declines().add(now, 1);
         }
         if (!mayDecline(operation)) {
-            return Placement.SCRAPPED;
+            return RoutingDecision.SCRAPPED;
         }
         Reason reason =
                 !lease.holds(now)
@@ -722,13 +727,13 @@
                         : now >= operation.deadline - lastCall
                                 ? Reason.PATIENCE
                                 : lateAt(operation) <= now ? Reason.LATE : Reason.NO_FURTHER_HOP;
-        return Placement.decline(comeBack(seat, now), reason);
+        return RoutingDecision.decline(comeBack(seat, now), reason);
     }
 
     /**
      * When to ask again: once the queue has drained, or as late as may be told of a failing node.
      */
-    private double comeBack(Seat seat, double now) {
+    private double comeBack(EndpointState seat, double now) {
         if (!site.mayAdvise()) {
             return 0;
         }
@@ -742,31 +747,31 @@
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
         return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, rules.mostAttempts())
-                && !overloaded(((Ticket) operation.kept).seat, now)
+                && !overloaded(((QueuedRequest) operation.kept).seat, now)
                 && !operation.isOut()
                 && lateAt(operation) > now;
     }
 
     /** Overload is a node's matter: a surge at one forbids no further attempt at another. */
-    private boolean overloaded(Seat seat, double now) {
-        Load load = load(seat);
+    private boolean overloaded(EndpointState seat, double now) {
+        ArrivalWindow load = load(seat);
         return (seat == null ? waiting > seats.size() : seat.waiting.size() > (int) seat.bound)
                 || load.declines().sumOver(now) > OVERLOAD_SHARE * load.arrivals().sumOver(now) + 1;
     }
 
-    private Load load(Seat seat) {
+    private ArrivalWindow load(EndpointState seat) {
         return seat == null ? freshLoad : seat.load;
     }
 
     // ---- whose turn it is ----
 
     /** The seat to which this operation may go now, if it is its turn there; null if it waits. */
-    private Seat turn(Operation operation, double now) {
-        Ticket ticket = (Ticket) operation.kept;
+    private EndpointState turn(Operation operation, double now) {
+        QueuedRequest ticket = (QueuedRequest) operation.kept;
         if (operation.shard < 0) {
             return first(fresh, null, now) == operation ? lowestScore(operation, now) : null;
         }
-        Seat seat = ticket.seat;
+        EndpointState seat = ticket.seat;
         if (seat == null || pick(seat, now) != operation) {
             return null;
         }
@@ -774,14 +779,14 @@
     }
 
     /** Whether no new object that would come to the seat ranks before the one picked for it. */
-    private boolean goesFirst(Operation picked, Operation fresh, Seat seat, double now) {
+    private boolean goesFirst(Operation picked, Operation fresh, EndpointState seat, double now) {
         return fresh == null
                 || !outranks(fresh, picked, seat, now)
                 || lowestScore(fresh, now) != seat;
     }
 
-    boolean hasRoom(Seat seat, double now) {
-        if (seat.node.standing != Node.Standing.READY) {
+    boolean hasRoom(EndpointState seat, double now) {
+        if (seat.node.standing != Node.Phase.READY) {
             return false;
         }
         if (silent(seat, now)) {
@@ -798,14 +803,14 @@
     }
 
     /** Whether a node serves as it should: not cold, not silent, and not failing. */
-    private boolean sound(Seat seat, double now) {
-        return seat.node.standing == Node.Standing.READY
+    private boolean sound(EndpointState seat, double now) {
+        return seat.node.standing == Node.Phase.READY
                 && !silent(seat, now)
                 && now - seat.startedAt >= rules.coldTime()
                 && seat.faults <= MOST_FAULTS;
     }
 
-    boolean silent(Seat seat, double now) {
+    boolean silent(EndpointState seat, double now) {
         if (seat.distrusted) {
             return true;
         }
@@ -822,7 +827,7 @@
     }
 
     /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
-    private Operation pick(Seat seat, double now) {
+    private Operation pick(EndpointState seat, double now) {
         if (seat.waiting.isEmpty() || !hasRoom(seat, now)) {
             return null;
         }
@@ -835,7 +840,7 @@
         return seat.picked;
     }
 
-    private Operation pickAnew(Seat seat, double now) {
+    private Operation pickAnew(EndpointState seat, double now) {
         if (seat.runLeft > 0) {
             for (Operation operation : seat.waiting.of(seat.lastExtent)) {
                 if (lawful(operation, seat, now) && !holdsBack(operation, seat, now)) {
@@ -852,12 +857,12 @@
      * only in their deadline and in being late, so that one that is not late stands for the rest; a
      * cold node's lot is each one's own.
      */
-    private Operation first(Queue queue, Seat seat, double now) {
+    private Operation first(WaitQueue queue, EndpointState seat, double now) {
         boolean each = seat != null && now - seat.startedAt < rules.coldTime();
         Operation best = null;
         int bestTier = -1;
-        for (TreeSet<Ticket> alike : queue.alike()) {
-            for (Ticket ticket : alike) {
+        for (TreeSet<QueuedRequest> alike : queue.alike()) {
+            for (QueuedRequest ticket : alike) {
                 Operation operation = ticket.operation;
                 boolean stands =
                         !each && lateAt(operation) > now && now < operation.deadline - lastCall;
@@ -882,13 +887,13 @@
         return best;
     }
 
-    private static boolean earlier(Ticket one, Operation other) {
+    private static boolean earlier(QueuedRequest one, Operation other) {
         double apart = one.operation.deadline - other.deadline;
-        return apart < 0 || apart == 0 && one.turn < ((Ticket) other.kept).turn;
+        return apart < 0 || apart == 0 && one.turn < ((QueuedRequest) other.kept).turn;
     }
 
     /** A queue seen holds back what is late, and past part of the bound what is over its level. */
-    boolean holdsBack(Operation operation, Seat seat, double now) {
+    boolean holdsBack(Operation operation, EndpointState seat, double now) {
         if (seat.crowd <= CROWDED_LEAST) {
             return false;
         }
@@ -898,7 +903,7 @@
         if (seat.out.size() < (int) (seat.bound * BEYOND_PART)) {
             return false;
         }
-        Account account = account(operation.volume, now);
+        TenantUsage account = account(operation.volume, now);
         if (account.reserve >= operation.units) {
             return seat.crowd > ease * CROWDED_RESERVE;
         }
@@ -916,7 +921,7 @@
     }
 
     /** Utility still due goes first; among equals the earliest deadline. */
-    private boolean outranks(Operation one, Operation other, Seat seat, double now) {
+    private boolean outranks(Operation one, Operation other, EndpointState seat, double now) {
         int a = tier(one, seat, now);
         int b = tier(other, seat, now);
         return a != b ? a < b : one.deadline < other.deadline;
@@ -926,19 +931,19 @@
      * Steps that the utility still due, for the node's time that it takes, lies under the best
      * there is.
      */
-    private int tier(Operation operation, Seat seat, double now) {
+    private int tier(Operation operation, EndpointState seat, double now) {
         if (lateAt(operation) <= now) {
             return LATE;
         }
-        Band band = operation.band;
+        TrafficClass band = operation.band;
         double part = due(operation.volume, operation.units, seat, now);
         double pace = rows[band.index()].meanPace + 1e-9;
         double value = part * operation.volume.plan.price() * band.utility() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
 
-    private double due(Volume volume, double units, Seat seat, double now) {
-        Account account = account(volume, now);
+    private double due(Volume volume, double units, EndpointState seat, double now) {
+        TenantUsage account = account(volume, now);
         if (account.reserve >= units) {
             return 1;
         }
@@ -959,15 +964,15 @@
     }
 
     /** The part of its plan that an operation is in, by the level last dealt out. */
-    Owed owed(Operation operation, Seat seat, double now) {
-        Account account = account(operation.volume, now);
+    QuotaTier owed(Operation operation, EndpointState seat, double now) {
+        TenantUsage account = account(operation.volume, now);
         if (account.reserve >= operation.units) {
-            return Owed.RESERVE;
+            return QuotaTier.RESERVE;
         }
         double top = Math.min(HEADROOM * evenLevel(operation.volume), account.weight * seat.fair);
         return use(account, seat).beyond.sumOver(now) <= top - operation.units / 2
-                ? Owed.SHARE
-                : Owed.EXCESS;
+                ? QuotaTier.SHARE
+                : QuotaTier.EXCESS;
     }
 
     /**
@@ -975,7 +980,7 @@
      * beyond the reserves, dealt out by weight among the volumes that asked for more. No volume's
      * demand counts above what it asked.
      */
-    private double fair(Seat seat, double now) {
+    private double fair(EndpointState seat, double now) {
         if (now < seat.fairUntil) {
             return seat.fair;
         }
@@ -983,7 +988,7 @@
         double left = 0;
         double weights = 0;
         int open = 0;
-        for (Use use : seat.uses) {
+        for (TenantEndpointUsage use : seat.uses) {
             use.served = use.beyond.sumOver(now);
             use.wants = Math.max(use.served, use.asked.sumOver(now) - use.reserved.sumOver(now));
             left += use.served;
@@ -996,7 +1001,7 @@
         // Whoever wants less than an even level is content with it; the rest is dealt out anew.
         for (boolean again = true; again && open > 0; ) {
             again = false;
-            for (Use use : seat.uses) {
+            for (TenantEndpointUsage use : seat.uses) {
                 if (use.open && use.wants <= use.weight * left / weights) {
                     use.open = false;
                     open--;
@@ -1010,9 +1015,9 @@
         return seat.fair;
     }
 
-    private void spend(Volume volume, Seat seat, double units, double now) {
-        Account account = account(volume, now);
-        Use use = use(account, seat);
+    private void spend(Volume volume, EndpointState seat, double units, double now) {
+        TenantUsage account = account(volume, now);
+        TenantEndpointUsage use = use(account, seat);
         if (account.reserve >= units) {
             account.reserve -= units;
             use.reserved.add(now, units);
@@ -1027,9 +1032,9 @@
      * not look like a surge: of the reserve it costs what our own reckoning did not lose while
      * full, and of the last second its part.
      */
-    private void hear(Volume volume, Seat seat, double units, double now) {
-        Account account = account(volume, now);
-        Use use = use(account, seat);
+    private void hear(Volume volume, EndpointState seat, double units, double now) {
+        TenantUsage account = account(volume, now);
+        TenantEndpointUsage use = use(account, seat);
         double unspent = Math.min(account.lost, units);
         account.lost -= unspent;
         double reserved = Math.min(Math.max(0, account.reserve), units - unspent);
@@ -1041,19 +1046,19 @@
         use.asked.add(now, units * lately);
     }
 
-    private Use use(Account account, Seat seat) {
+    private TenantEndpointUsage use(TenantUsage account, EndpointState seat) {
         if (seat.index >= account.uses.length) {
             account.uses = Arrays.copyOf(account.uses, seats.size());
         }
-        Use use = account.uses[seat.index];
+        TenantEndpointUsage use = account.uses[seat.index];
         if (use == null || use.seat != seat) {
             use =
-                    new Use(
+                    new TenantEndpointUsage(
                             seat,
                             account.weight,
-                            new Ring(SHARE_WINDOW, 5),
-                            new Ring(SHARE_WINDOW, 5),
-                            new Ring(SHARE_WINDOW, 5));
+                            new SlidingWindowCounter(SHARE_WINDOW, 5),
+                            new SlidingWindowCounter(SHARE_WINDOW, 5),
+                            new SlidingWindowCounter(SHARE_WINDOW, 5));
             account.uses[seat.index] = use;
             seat.uses.add(use);
         }
@@ -1063,20 +1068,20 @@
     // ---- the score ----
 
     /** The open seat with the lowest score for a new object; null if none has room. */
-    private Seat lowestScore(Operation operation, double now) {
+    private EndpointState lowestScore(Operation operation, double now) {
         double mean = 0;
         double weight = 0;
         int ready = 0;
-        for (Seat seat : seats) {
-            if (seat.node.standing == Node.Standing.READY) {
+        for (EndpointState seat : seats) {
+            if (seat.node.standing == Node.Phase.READY) {
                 mean += seat.placements.sumOver(now);
                 weight += seat.node.weight;
                 ready++;
             }
         }
-        Seat best = null;
+        EndpointState best = null;
         double least = Double.POSITIVE_INFINITY;
-        for (Seat seat : seats) {
+        for (EndpointState seat : seats) {
             // A node that fails at once looks idle: without this it draws every new object.
             // A cold node shows no placements and no latency: new objects would pour onto it.
             if (!hasRoom(seat, now)
@@ -1121,7 +1126,7 @@
         refreshAt = now + BUSY_REFRESH;
         shortestTarget = site.bands().stream().mapToDouble(this::target).min().orElse(0);
         double crowds = seats.stream().mapToDouble(seat -> seat.crowd).sum();
-        for (Seat seat : seats) {
+        for (EndpointState seat : seats) {
             // What was seen of one node fades into what is seen of all.
             seat.crowd =
                     CROWD_FADE
@@ -1135,7 +1140,7 @@
         double fragmentSum = 0;
         int busyCount = 0;
         int fragmentCount = 0;
-        for (Seat seat : seats) {
+        for (EndpointState seat : seats) {
             double units = seat.units[0] + seat.units[1];
             if (units > 0) {
                 seat.rawBusy = smooth(seat.rawBusy, (seat.took[0] + seat.took[1]) / units);
@@ -1156,7 +1161,7 @@
                 fragmentCount++;
             }
         }
-        for (Seat seat : seats) {
+        for (EndpointState seat : seats) {
             seat.busy =
                     Double.isNaN(seat.rawBusy) || !(busySum > 0)
                             ? 1
@@ -1174,7 +1179,7 @@
 
     // ---- what is learned from an outcome ----
 
-    private void learn(Attempt attempt, Seat seat, double now) {
+    private void learn(Attempt attempt, EndpointState seat, double now) {
         Operation operation = attempt.operation;
         if (attempt.othersUnits > 0) {
             hear(operation.volume, seat, attempt.othersUnits, now);
@@ -1214,7 +1219,7 @@
         if (attempt.outcome != Outcome.SATISFIED) {
             return;
         }
-        BandRow row = rows[operation.band.index()];
+        TrafficClassStats row = rows[operation.band.index()];
         row.leftShare -= LEFT_STEP * row.leftShare;
         servedUnits += operation.units;
         // How long a queue may be before anyone is held back follows how many answers come late.
@@ -1245,14 +1250,14 @@
     }
 
     /** Few answers must tell as much as many: one counts the more, the longer ago the last came. */
-    private void crowd(Seat seat, double queued, double part, double now) {
+    private void crowd(EndpointState seat, double queued, double part, double now) {
         double step = Math.max(CROWD_STEP, 1 - Math.exp((seat.crowdAt - now) / CROWD_TIME));
         seat.crowdAt = now;
         double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * shortestTarget));
         seat.crowd += part * step * (seen - seat.crowd);
     }
 
-    private void cut(Seat seat, Attempt attempt, double now) {
+    private void cut(EndpointState seat, Attempt attempt, double now) {
         if (attempt.sentAt >= seat.cutAt) {
             seat.bound = Math.max(LEAST_BOUND, seat.bound * BOUND_CUT);
             seat.cutAt = now;
@@ -1264,14 +1269,14 @@
         double usual = rows[operation.band.index()].meanPace * operation.units;
         double ends =
                 Math.min(
-                        ((Ticket) operation.kept).targetEnds,
+                        ((QueuedRequest) operation.kept).targetEnds,
                         operation.arrivedAt + target(operation.band));
         return ends - LATE_FACTOR * usual;
     }
 
     /** The target time, or the age at which clients leave, where many leave before it. */
-    private double target(Band band) {
-        BandRow row = rows[band.index()];
+    private double target(TrafficClass band) {
+        TrafficClassStats row = rows[band.index()];
         return row.leftShare > LEFT_SHARE
                 ? Math.min(row.leftAge, band.targetTime())
                 : band.targetTime();
@@ -1279,14 +1284,14 @@
 
     // ---- books ----
 
-    private Ticket ticket(Operation operation, double now) {
+    private QueuedRequest ticket(Operation operation, double now) {
         if (operation.kept != null) {
-            return (Ticket) operation.kept;
+            return (QueuedRequest) operation.kept;
         }
-        Ticket ticket = new Ticket(operation, chance.nextDouble());
+        QueuedRequest ticket = new QueuedRequest(operation, chance.nextDouble());
         operation.kept = ticket;
         taken.add(now, 1);
-        BandRow row = rows[operation.band.index()];
+        TrafficClassStats row = rows[operation.band.index()];
         // A client's repeat keeps the target time of its first try: it names the same extent and
         // has less patience left than others. Any other with little patience is only hurried, its
         // target time has just begun.
@@ -1300,18 +1305,20 @@
                         ? first
                         : now + operation.band.targetTime() - (operation.clientRepeat ? gone : 0);
         if (operation.band.inOrder() && operation.extent != 0) {
-            ticket.line = lines.computeIfAbsent(operation.extent, any -> new KeyLine());
+            ticket.line = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
             ticket.line.operations.add(operation);
         }
         return ticket;
     }
 
-    private Account account(Volume volume, double now) {
-        Account account = (Account) volume.kept;
+    private TenantUsage account(Volume volume, double now) {
+        TenantUsage account = (TenantUsage) volume.kept;
         double reserve = volume.plan.reserve();
         double full = reserve > 0 ? reserve + site.mostUnits() : 0;
         if (account == null) {
-            account = new Account(volume.plan.weight(), now, new Ring(SHARE_WINDOW, 5));
+            account =
+                    new TenantUsage(
+                            volume.plan.weight(), now, new SlidingWindowCounter(SHARE_WINDOW, 5));
             weights += volume.plan.weight();
             spare += Math.max(volume.plan.rate() / 2, volume.plan.rate() - reserve);
             account.reserve = full;
@@ -1329,7 +1336,7 @@
 
     private void enqueue(Operation operation) {
         state++;
-        Ticket ticket = (Ticket) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.kept;
         ticket.waits = true;
         waiting++;
         ticket.seat = null;
@@ -1338,10 +1345,10 @@
             fresh.add(ticket);
             return;
         }
-        for (Seat seat : seatsByCell.getOrDefault(operation.shard, List.of())) {
+        for (EndpointState seat : seatsByCell.getOrDefault(operation.shard, List.of())) {
             if (ticket.seat == null
-                    || ticket.seat.node.standing != Node.Standing.READY
-                            && seat.node.standing == Node.Standing.READY) {
+                    || ticket.seat.node.standing != Node.Phase.READY
+                            && seat.node.standing == Node.Phase.READY) {
                 ticket.seat = seat;
             }
         }
@@ -1355,7 +1362,7 @@
     }
 
     private void dequeue(Operation operation) {
-        Ticket ticket = (Ticket) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.kept;
         if (!ticket.waits) {
             return;
         }
@@ -1382,7 +1389,7 @@
     private void forsake(Operation operation) {
         drop(operation);
         if (operation.extent != 0) {
-            unserved.put(operation.extent, ((Ticket) operation.kept).targetEnds);
+            unserved.put(operation.extent, ((QueuedRequest) operation.kept).targetEnds);
         }
     }
 
@@ -1391,7 +1398,7 @@
      * out.
      */
     private void drop(Operation operation) {
-        Ticket ticket = (Ticket) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.kept;
         dequeue(operation);
         if (ticket.line != null && !operation.isOut()) {
             ticket.line.operations.remove(operation);
--- a/src/main/java/sagepulley/scheduler/Use.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -1,17 +1,17 @@
 package sagepulley.scheduler;
 
-import sagepulley.model.Ring;
+import sagepulley.model.SlidingWindowCounter;
 
 /**
  * What a volume lately asked of a node and was served there, in units, through all gateways if
  * told.
  */
-final class Use {
-    final Seat seat;
+final class TenantEndpointUsage {
+    final EndpointState seat;
     final double weight;
-    final Ring asked;
-    final Ring reserved;
-    final Ring beyond;
+    final SlidingWindowCounter asked;
+    final SlidingWindowCounter reserved;
+    final SlidingWindowCounter beyond;
 
     /** When the node last answered for the volume. */
     double toldAt = Double.NEGATIVE_INFINITY;
@@ -22,7 +22,12 @@
     double wants;
     boolean open;
 
-    Use(Seat seat, double weight, Ring asked, Ring reserved, Ring beyond) {
+    TenantEndpointUsage(
+            EndpointState seat,
+            double weight,
+            SlidingWindowCounter asked,
+            SlidingWindowCounter reserved,
+            SlidingWindowCounter beyond) {
         this.seat = seat;
         this.weight = weight;
         this.asked = asked;
--- a/src/main/java/sagepulley/scheduler/Account.java
+++ b/src/main/java/sagepulley/scheduler/TenantUsage.java
@@ -1,9 +1,9 @@
 package sagepulley.scheduler;
 
-import sagepulley.model.Ring;
+import sagepulley.model.SlidingWindowCounter;
 
 /** What is kept of a volume. */
-final class Account {
+final class TenantUsage {
     /** Units left of the reserve, and when they were reckoned. */
     double reserve;
 
@@ -19,12 +19,12 @@
     final double weight;
 
     /** Units beyond the reserve, at all nodes, through all gateways if told. */
-    final Ring beyond;
+    final SlidingWindowCounter beyond;
 
     /** By the index of the seat; null where the volume was never met. */
-    Use[] uses = new Use[0];
+    TenantEndpointUsage[] uses = new TenantEndpointUsage[0];
 
-    Account(double weight, double now, Ring beyond) {
+    TenantUsage(double weight, double now, SlidingWindowCounter beyond) {
         this.beyond = beyond;
         this.weight = weight;
         this.reserveAt = now;
--- a/src/main/java/sagepulley/scheduler/BandView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -9,14 +9,14 @@
  * with no queue and usually, the age at which clients leave and the share that do; and how long it
  * lets queues be.
  */
-public record BandView(
+public record TrafficClassView(
         double basePace, double meanPace, double leftAge, double leftShare, double ease) {
     /** The views of all bands, in their order. */
-    public static List<BandView> of(Control control) {
+    public static List<TrafficClassView> of(Scheduler control) {
         return Arrays.stream(control.rows)
                 .map(
                         row ->
-                                new BandView(
+                                new TrafficClassView(
                                         row.basePace,
                                         row.meanPace,
                                         row.leftAge,
--- a/src/main/java/sagepulley/scheduler/WaitView.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -5,19 +5,19 @@
 import sagepulley.model.Reason;
 
 /** Why an operation waits, for whoever accounts for it; nothing is decided by it. */
-public final class WaitView {
-    private WaitView() {}
+public final class WaitExplainer {
+    private WaitExplainer() {}
 
     /** The first of Control's guards that holds it back now. */
-    public static Reason why(Control control, Operation operation, double now) {
+    public static Reason why(Scheduler control, Operation operation, double now) {
         if (!control.lease.holds(now)) {
             return Reason.NO_LEASE;
         }
-        Seat seat = ((Ticket) operation.kept).seat;
+        EndpointState seat = ((QueuedRequest) operation.kept).seat;
         if (seat == null) {
             return operation.shard < 0 ? Reason.SHARE_FULL : Reason.NO_NODE;
         }
-        if (seat.node.standing != Node.Standing.READY) {
+        if (seat.node.standing != Node.Phase.READY) {
             return Reason.NOT_READY;
         }
         if (control.silent(seat, now)) {
--- a/src/main/java/sagepulley/scheduler/Queue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -14,20 +14,20 @@
  * Operations that wait in one place, in the order they came; those alike and those of an extent at
  * hand.
  */
-final class Queue {
-    private static final Comparator<Ticket> BY_PATIENCE =
-            Comparator.comparingDouble((Ticket ticket) -> ticket.operation.deadline)
+final class WaitQueue {
+    private static final Comparator<QueuedRequest> BY_PATIENCE =
+            Comparator.comparingDouble((QueuedRequest ticket) -> ticket.operation.deadline)
                     .thenComparingLong(ticket -> ticket.turn);
 
     /**
      * Whoever had an attempt, or keeps an order, is like nobody else: its turn tells it apart;
      * others have 0.
      */
-    private record Alike(long volume, int band, double units, long turn) {
-        static Alike of(Ticket ticket) {
+    private record GroupKey(long volume, int band, double units, long turn) {
+        static GroupKey of(QueuedRequest ticket) {
             Operation operation = ticket.operation;
             boolean plain = operation.attempts.isEmpty() && ticket.line == null;
-            return new Alike(
+            return new GroupKey(
                     operation.volume.id,
                     operation.band.index(),
                     operation.units,
@@ -44,7 +44,7 @@
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Alike that
+            return other instanceof GroupKey that
                     && volume == that.volume
                     && band == that.band
                     && units == that.units
@@ -53,7 +53,7 @@
     }
 
     private final TreeMap<Long, Operation> all = new TreeMap<>();
-    private final Map<Alike, TreeSet<Ticket>> alike = new LinkedHashMap<>();
+    private final Map<GroupKey, TreeSet<QueuedRequest>> alike = new LinkedHashMap<>();
     private final Map<Long, TreeMap<Long, Operation>> byExtent = new LinkedHashMap<>();
 
     int size() {
@@ -64,22 +64,23 @@
         return all.isEmpty();
     }
 
-    void add(Ticket ticket) {
+    void add(QueuedRequest ticket) {
         all.put(ticket.turn, ticket.operation);
-        ticket.alike = Alike.of(ticket);
-        alike.computeIfAbsent((Alike) ticket.alike, any -> new TreeSet<>(BY_PATIENCE)).add(ticket);
+        ticket.alike = GroupKey.of(ticket);
+        alike.computeIfAbsent((GroupKey) ticket.alike, any -> new TreeSet<>(BY_PATIENCE))
+                .add(ticket);
         if (ticket.operation.extent != 0) {
             byExtent.computeIfAbsent(ticket.operation.extent, any -> new TreeMap<>())
                     .put(ticket.turn, ticket.operation);
         }
     }
 
-    void remove(Ticket ticket) {
+    void remove(QueuedRequest ticket) {
         all.remove(ticket.turn);
-        TreeSet<Ticket> like = alike.get((Alike) ticket.alike);
+        TreeSet<QueuedRequest> like = alike.get((GroupKey) ticket.alike);
         like.remove(ticket);
         if (like.isEmpty()) {
-            alike.remove((Alike) ticket.alike);
+            alike.remove((GroupKey) ticket.alike);
         }
         TreeMap<Long, Operation> same = byExtent.get(ticket.operation.extent);
         if (same != null) {
@@ -91,7 +92,7 @@
     }
 
     /** Groups of those alike, each by deadline. */
-    Collection<TreeSet<Ticket>> alike() {
+    Collection<TreeSet<QueuedRequest>> alike() {
         return alike.values();
     }
 
--- a/src/main/java/sagepulley/simulator/Batch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 
 /** One batch of events, read in place: records of a fixed size and the tail behind them. */
-final class Batch {
+final class EventBatch {
     static final int RECORD = 56;
     static final int ENTRY = 22;
     private static final int HEADER = 12;
@@ -23,7 +23,7 @@
     private int length;
     private long frames;
 
-    Batch(InputStream in) {
+    EventBatch(InputStream in) {
         this.in = in;
     }
 
@@ -74,11 +74,11 @@
         }
     }
 
-    MalformedFrame bad(String what) {
-        return new MalformedFrame("frame " + frames + ": " + what);
+    MalformedFrameException bad(String what) {
+        return new MalformedFrameException("frame " + frames + ": " + what);
     }
 
-    MalformedFrame badRecord(int record, String what) {
+    MalformedFrameException badRecord(int record, String what) {
         return bad("record " + record + ": " + what);
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** Where a tail's piece starts in the body, after checking that it lies inside the tail. */
-    int tail(int record, int at, int each) throws MalformedFrame {
+    int tail(int record, int at, int each) throws MalformedFrameException {
         long offset = Integer.toUnsignedLong(u32(record, at));
         long count = Integer.toUnsignedLong(u32(record, at + 4));
         int start = CLOCK + records * RECORD;
@@ -133,7 +133,7 @@
         return start + (int) offset;
     }
 
-    String text(int record, int at) throws MalformedFrame {
+    String text(int record, int at) throws MalformedFrameException {
         int start = tail(record, at, 1);
         return new String(bytes, start, u32(record, at + 4), StandardCharsets.UTF_8);
     }
--- a/src/main/java/sagepulley/simulator/Reply.java
+++ b/src/main/java/sagepulley/simulator/ReplyWriter.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 
 /** The actions of one instance in one batch, written as the wire has them. */
-final class Reply {
+final class ReplyWriter {
     static final int RECORD = 32;
     private static final int TRY = 65;
     private static final int SHED = 66;
@@ -21,7 +21,7 @@
     private ByteBuffer records = ByteBuffer.allocate(64 * RECORD);
     private String fatal;
 
-    Reply(int who) {
+    ReplyWriter(int who) {
         this.who = who;
     }
 
--- a/src/main/java/sagepulley/simulator/Gateway.java
+++ b/src/main/java/sagepulley/simulator/SimulatedGateway.java
@@ -1,20 +1,20 @@
 package sagepulley.simulator;
 
-import sagepulley.engine.Exit;
-import sagepulley.engine.Host;
+import sagepulley.engine.DecisionSink;
+import sagepulley.engine.GatewayEngine;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
-import sagepulley.model.Placement;
+import sagepulley.model.RoutingDecision;
 
 /** One instance on the wire: what is decided for it goes into its reply. */
-final class Gateway implements Exit {
+final class SimulatedGateway implements DecisionSink {
     private static final double NS = 1e6;
     private static final long LONGEST_WAKE_NS = 70L * 60 * 1_000_000_000;
 
-    final Reply reply;
-    final Host host;
+    final ReplyWriter reply;
+    final GatewayEngine host;
 
     /** Set while the instance has an event in the batch at hand. */
     boolean called;
@@ -23,9 +23,9 @@
     private long cookie;
     private long nowNs;
 
-    Gateway(Reply reply, Deployment deployment, long seed) {
+    SimulatedGateway(ReplyWriter reply, Deployment deployment, long seed) {
         this.reply = reply;
-        this.host = new Host(deployment, seed, this);
+        this.host = new GatewayEngine(deployment, seed, this);
     }
 
     void timer(long token) {
@@ -46,8 +46,8 @@
     }
 
     @Override
-    public void giveUp(Operation operation, Placement placement) {
-        if (placement.kind() == Placement.Kind.DECLINE) {
+    public void giveUp(Operation operation, RoutingDecision placement) {
+        if (placement.kind() == RoutingDecision.Kind.DECLINE) {
             reply.decline(operation.id, (long) (placement.advice() * NS));
         } else {
             reply.scrap(operation.id);
--- a/src/main/java/sagepulley/simulator/SimHost.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -10,42 +10,42 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagepulley.engine.FirstMessage;
-import sagepulley.engine.ListEntry;
-import sagepulley.engine.MissingFigure;
+import sagepulley.engine.EndpointEntry;
+import sagepulley.engine.MissingSettingException;
+import sagepulley.engine.SettingsReader;
 import sagepulley.model.Attempt;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
+import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
 /**
  * Speaks the simulator's wire: hands each event to its instance and writes the actions of each
  * batch.
  */
-public final class SimHost {
+public final class SimulatorAdapter {
     private static final double NS = 1e6;
     private static final int POOLS = 16;
     private static final int BUFFER = 1 << 16;
 
-    private final Batch batch;
+    private final EventBatch batch;
     private final OutputStream out;
-    private final Map<Integer, Gateway> gateways = new HashMap<>();
+    private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
     /** The instances with an event in this batch. */
-    private final List<Gateway> called = new ArrayList<>();
+    private final List<SimulatedGateway> called = new ArrayList<>();
 
-    private final List<List<ListEntry>> pools = new ArrayList<>();
+    private final List<List<EndpointEntry>> pools = new ArrayList<>();
 
     /** The replies of the instances with an event in this batch, in the order of their first. */
-    private final List<Reply> replies = new ArrayList<>();
+    private final List<ReplyWriter> replies = new ArrayList<>();
 
-    private final Map<Integer, Reply> replyOf = new HashMap<>();
+    private final Map<Integer, ReplyWriter> replyOf = new HashMap<>();
 
-    public SimHost(InputStream in, OutputStream out) {
-        this.batch = new Batch(new BufferedInputStream(in, BUFFER));
+    public SimulatorAdapter(InputStream in, OutputStream out) {
+        this.batch = new EventBatch(new BufferedInputStream(in, BUFFER));
         this.out = new BufferedOutputStream(out, BUFFER);
         for (int i = 0; i < POOLS; i++) {
             pools.add(null);
@@ -60,7 +60,7 @@
             for (int record = 0; record < batch.records(); record++) {
                 event(record, now);
             }
-            for (Gateway gateway : called) {
+            for (SimulatedGateway gateway : called) {
                 if (gateway.called) {
                     gateway.called = false;
                     gateway.settle(now, nowNs);
@@ -72,14 +72,14 @@
         out.flush();
     }
 
-    private void event(int record, double now) throws MalformedFrame {
+    private void event(int record, double now) throws MalformedFrameException {
         int code = batch.u8(record, 0);
         switch (code) {
             case 5 -> up(record);
             case 8 -> pool(record);
             case 9 -> stop(record);
             case 1, 2, 3, 4, 6, 7, 10, 11 -> {
-                Gateway gateway = gateways.get(batch.u32(record, 1));
+                SimulatedGateway gateway = gateways.get(batch.u32(record, 1));
                 if (gateway != null) {
                     call(gateway);
                     told(gateway, code, record, now);
@@ -89,7 +89,8 @@
         }
     }
 
-    private void told(Gateway gateway, int code, int record, double now) throws MalformedFrame {
+    private void told(SimulatedGateway gateway, int code, int record, double now)
+            throws MalformedFrameException {
         switch (code) {
             case 1 ->
                     gateway.host.probed(
@@ -107,16 +108,17 @@
         }
     }
 
-    private void up(int record) throws MalformedFrame {
+    private void up(int record) throws MalformedFrameException {
         int who = batch.u32(record, 1);
-        Reply reply = replyOf.computeIfAbsent(who, Reply::new);
+        ReplyWriter reply = replyOf.computeIfAbsent(who, ReplyWriter::new);
         noteReply(reply);
         try {
-            Deployment deployment = FirstMessage.ofLines(batch.text(record, 13)).deployment();
-            Gateway gateway = new Gateway(reply, deployment, batch.u64(record, 5));
+            Deployment deployment = SettingsReader.ofLines(batch.text(record, 13)).deployment();
+            SimulatedGateway gateway =
+                    new SimulatedGateway(reply, deployment, batch.u64(record, 5));
             gateways.put(who, gateway);
             call(gateway);
-        } catch (MissingFigure missing) {
+        } catch (MissingSettingException missing) {
             gateways.remove(who);
             reply.fatal("first message: " + missing.getMessage());
         }
@@ -124,7 +126,7 @@
 
     /** A stopped instance acts no more, not even by what it answered earlier in this batch. */
     private void stop(int record) {
-        Gateway gateway = gateways.remove(batch.u32(record, 1));
+        SimulatedGateway gateway = gateways.remove(batch.u32(record, 1));
         if (gateway != null) {
             gateway.called = false;
             called.remove(gateway);
@@ -132,7 +134,7 @@
         }
     }
 
-    private void call(Gateway gateway) {
+    private void call(SimulatedGateway gateway) {
         if (!gateway.called) {
             gateway.called = true;
             called.add(gateway);
@@ -140,23 +142,23 @@
         }
     }
 
-    private void noteReply(Reply reply) {
+    private void noteReply(ReplyWriter reply) {
         if (!replies.contains(reply)) {
             replies.add(reply);
         }
     }
 
-    private void pool(int record) throws MalformedFrame {
+    private void pool(int record) throws MalformedFrameException {
         int table = batch.u8(record, 1);
         if (table >= POOLS) {
             throw batch.badRecord(record, "list number " + table + " is out of range");
         }
-        int start = batch.tail(record, 2, Batch.ENTRY);
+        int start = batch.tail(record, 2, EventBatch.ENTRY);
         int count = batch.u32(record, 6);
-        ByteBuffer from = ByteBuffer.wrap(batch.copy(start, count * Batch.ENTRY));
-        List<ListEntry> entries = new ArrayList<>(count);
+        ByteBuffer from = ByteBuffer.wrap(batch.copy(start, count * EventBatch.ENTRY));
+        List<EndpointEntry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            ListEntry entry = entry(from);
+            EndpointEntry entry = entry(from);
             if (entry == null) {
                 throw batch.badRecord(record, "entry " + i + " has an unknown phase");
             }
@@ -166,7 +168,7 @@
     }
 
     /** Reads an entry; null if its phase is unknown. */
-    private static ListEntry entry(ByteBuffer from) {
+    private static EndpointEntry entry(ByteBuffer from) {
         int zone = from.getShort() & 0xffff;
         int cell = from.getShort() & 0xffff;
         int store = from.getInt();
@@ -177,13 +179,13 @@
         if (phase < 0 || phase > 2) {
             return null;
         }
-        Node.Standing standing =
+        Node.Phase standing =
                 switch (phase) {
-                    case 1 -> Node.Standing.READY;
-                    case 2 -> Node.Standing.DRAINING;
-                    default -> Node.Standing.GONE;
+                    case 1 -> Node.Phase.READY;
+                    case 2 -> Node.Phase.DRAINING;
+                    default -> Node.Phase.GONE;
                 };
-        return new ListEntry(
+        return new EndpointEntry(
                 zone,
                 cell,
                 store,
@@ -193,7 +195,8 @@
                 weight);
     }
 
-    private void topology(Gateway gateway, int record, double now) throws MalformedFrame {
+    private void topology(SimulatedGateway gateway, int record, double now)
+            throws MalformedFrameException {
         int scope = batch.u8(record, 5);
         switch (scope) {
             case 0 -> gateway.host.listFailed(now);
@@ -208,9 +211,10 @@
         }
     }
 
-    private Operation operation(Gateway gateway, int record, double now) throws MalformedFrame {
+    private Operation operation(SimulatedGateway gateway, int record, double now)
+            throws MalformedFrameException {
         int grade = batch.u8(record, 13);
-        List<Band> bands = gateway.host.deployment().bands();
+        List<TrafficClass> bands = gateway.host.deployment().bands();
         if (grade >= bands.size()) {
             throw batch.badRecord(
                     record, "class " + grade + " of " + bands.size() + " is out of range");
@@ -239,7 +243,8 @@
                 (batch.u8(record, 54) & 2) != 0);
     }
 
-    private void completed(Gateway gateway, int record, double now) throws MalformedFrame {
+    private void completed(SimulatedGateway gateway, int record, double now)
+            throws MalformedFrameException {
         Outcome outcome = outcome(record, 18);
         Attempt attempt = gateway.host.attempt(batch.u64(record, 5), batch.u8(record, 13));
         if (attempt == null || attempt.outcome != null) {
@@ -254,7 +259,7 @@
         gateway.host.ended(attempt, batch.u8(record, 28) != 0, now);
     }
 
-    private Outcome outcome(int record, int at) throws MalformedFrame {
+    private Outcome outcome(int record, int at) throws MalformedFrameException {
         int code = batch.u16(record, at);
         return switch (code) {
             case 200 -> Outcome.SATISFIED;
@@ -269,7 +274,7 @@
         };
     }
 
-    private double[] report(int record, int at) throws MalformedFrame {
+    private double[] report(int record, int at) throws MalformedFrameException {
         int count = batch.u8(record, at);
         if (count == 0) {
             return null;
@@ -287,23 +292,23 @@
     private void write() throws IOException {
         int records = 0;
         int tail = 0;
-        for (Reply reply : replies) {
-            records += reply.records().position() / Reply.RECORD;
+        for (ReplyWriter reply : replies) {
+            records += reply.records().position() / ReplyWriter.RECORD;
             if (reply.fatalText() != null) {
                 ByteBuffer last = reply.records();
                 byte[] text = reply.fatalBytes();
-                last.putInt(last.position() - Reply.RECORD + 5, tail);
-                last.putInt(last.position() - Reply.RECORD + 9, text.length);
+                last.putInt(last.position() - ReplyWriter.RECORD + 5, tail);
+                last.putInt(last.position() - ReplyWriter.RECORD + 9, text.length);
                 tail += text.length;
             }
         }
         ByteBuffer head = ByteBuffer.allocate(12);
-        head.putInt(batch.number()).putInt(4 + records * Reply.RECORD + tail).putInt(records);
+        head.putInt(batch.number()).putInt(4 + records * ReplyWriter.RECORD + tail).putInt(records);
         out.write(head.array());
-        for (Reply reply : replies) {
+        for (ReplyWriter reply : replies) {
             out.write(reply.records().array(), 0, reply.records().position());
         }
-        for (Reply reply : replies) {
+        for (ReplyWriter reply : replies) {
             if (reply.fatalText() != null) {
                 out.write(reply.fatalBytes());
             }
--- a/src/main/java/sagepulley/standin/Shelf.java
+++ b/src/main/java/sagepulley/standin/BlockStore.java
@@ -18,7 +18,7 @@
  * The data of a stand-in node, an array for each extent, or a file each. What was written but not
  * flushed is lost when the power fails, not when the program ends.
  */
-final class Shelf {
+final class BlockStore {
     private record Key(int volume, long extent) {}
 
     private final int extentBytes;
@@ -31,7 +31,7 @@
     private final Map<Key, FileChannel> files = new HashMap<>();
     private final Set<Key> dirtyFiles = new HashSet<>();
 
-    Shelf(int extentBytes, Path folder) {
+    BlockStore(int extentBytes, Path folder) {
         this.extentBytes = extentBytes;
         this.folder = folder;
     }
--- a/src/main/java/sagepulley/standin/Registration.java
+++ b/src/main/java/sagepulley/standin/DirectoryRegistration.java
@@ -10,26 +10,28 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.frame.FrameDecoder;
 import sagepulley.codec.frame.FrameEncoder;
-import sagepulley.codec.frame.Loops;
-import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
  * Keeps a stand-in node registered at a directory: connects, says its line, connects anew when cut
  * off.
  */
-public final class Registration {
+public final class DirectoryRegistration {
     private static final long AGAIN_MS = 500;
 
     private final EventLoop loop;
     private final InetSocketAddress directory;
-    private final Supplier<DirectoryWire.Line> line;
+    private final Supplier<DirectoryMessages.EndpointLine> line;
     private Channel channel;
     private volatile boolean closed;
 
-    public Registration(
-            EventLoop loop, InetSocketAddress directory, Supplier<DirectoryWire.Line> line) {
+    public DirectoryRegistration(
+            EventLoop loop,
+            InetSocketAddress directory,
+            Supplier<DirectoryMessages.EndpointLine> line) {
         this.loop = loop;
         this.directory = directory;
         this.line = line;
@@ -41,7 +43,7 @@
         loop.execute(
                 () -> {
                     if (channel != null && channel.isActive()) {
-                        channel.writeAndFlush(DirectoryWire.register(line.get()));
+                        channel.writeAndFlush(DirectoryMessages.register(line.get()));
                     }
                 });
     }
@@ -62,7 +64,7 @@
         }
         new Bootstrap()
                 .group(loop)
-                .channel(Loops.socket())
+                .channel(EventLoops.socket())
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -87,12 +89,12 @@
     private final class Talk extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(DirectoryWire.register(line.get()));
+            ctx.writeAndFlush(DirectoryMessages.register(line.get()));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            loop.schedule(Registration.this::connect, AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(DirectoryRegistration.this::connect, AGAIN_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/sagepulley/standin/NodeTraits.java
+++ b/src/main/java/sagepulley/standin/NodeProfile.java
@@ -7,7 +7,7 @@
  * write's deferred share is done in one go each deferEvery milliseconds. The data path is null for
  * memory.
  */
-public record NodeTraits(
+public record NodeProfile(
         int id,
         int cell,
         int zone,
@@ -27,14 +27,14 @@
         Path data) {
 
     /** A quick node in memory: no cost, four slots, a queue of 256. */
-    public static NodeTraits quick(int id, int extentBytes) {
-        return new NodeTraits(
+    public static NodeProfile quick(int id, int extentBytes) {
+        return new NodeProfile(
                 id, id, 0, 0, 4, 0, 0, 256, extentBytes, 0.25, 10_000, 2, 2_000, 8, 0, 1_000, null);
     }
 
     /** The same with costs for each unit. */
-    public NodeTraits withCost(double read, double write) {
-        return new NodeTraits(
+    public NodeProfile withCost(double read, double write) {
+        return new NodeProfile(
                 id,
                 cell,
                 zone,
@@ -54,8 +54,8 @@
                 data);
     }
 
-    public NodeTraits withZone(int where) {
-        return new NodeTraits(
+    public NodeProfile withZone(int where) {
+        return new NodeProfile(
                 id,
                 cell,
                 where,
@@ -75,8 +75,8 @@
                 data);
     }
 
-    public NodeTraits withData(Path folder) {
-        return new NodeTraits(
+    public NodeProfile withData(Path folder) {
+        return new NodeProfile(
                 id,
                 cell,
                 zone,
@@ -96,9 +96,9 @@
                 folder);
     }
 
-    public NodeTraits withCold(
+    public NodeProfile withCold(
             double share, double time, double multiple, double fall, double units) {
-        return new NodeTraits(
+        return new NodeProfile(
                 id,
                 cell,
                 zone,
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -18,13 +18,13 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.frame.Frame;
 import sagepulley.codec.frame.FrameDecoder;
 import sagepulley.codec.frame.FrameEncoder;
-import sagepulley.codec.frame.Loops;
-import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
  * A small directory: the list of nodes, told late on purpose, and the holder of each extent,
@@ -35,12 +35,12 @@
     private record Key(int volume, long extent) {}
 
     private final EventLoop loop;
-    private final Witness witness;
+    private final TrafficRecorder witness;
 
     /** The list as it is, and as it is told. */
-    private final Map<Integer, DirectoryWire.Line> lines = new LinkedHashMap<>();
+    private final Map<Integer, DirectoryMessages.EndpointLine> lines = new LinkedHashMap<>();
 
-    private final Map<Integer, DirectoryWire.Line> toldLines = new LinkedHashMap<>();
+    private final Map<Integer, DirectoryMessages.EndpointLine> toldLines = new LinkedHashMap<>();
     private final Map<Key, Integer> holders = new HashMap<>();
     private final List<Talk> talks = new ArrayList<>();
     private Channel listener;
@@ -58,7 +58,7 @@
     private volatile boolean failing;
     private long claims;
 
-    public StandInDirectory(EventLoopGroup group, Witness witness) {
+    public StandInDirectory(EventLoopGroup group, TrafficRecorder witness) {
         this.loop = group.next();
         this.witness = witness;
     }
@@ -67,7 +67,7 @@
         CompletableFuture<StandInDirectory> ready = new CompletableFuture<>();
         new ServerBootstrap()
                 .group(loop)
-                .channel(Loops.server())
+                .channel(EventLoops.server())
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(
@@ -114,7 +114,10 @@
      * own.
      */
     public CompletableFuture<Void> becomes(
-            String site, long itsHistory, long itsVersion, List<DirectoryWire.Line> itsLines) {
+            String site,
+            long itsHistory,
+            long itsVersion,
+            List<DirectoryMessages.EndpointLine> itsLines) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -123,7 +126,7 @@
                     version = itsVersion;
                     lines.clear();
                     toldLines.clear();
-                    for (DirectoryWire.Line line : itsLines) {
+                    for (DirectoryMessages.EndpointLine line : itsLines) {
                         lines.put(line.node(), line);
                         toldLines.put(line.node(), line);
                     }
@@ -148,7 +151,7 @@
     }
 
     /** A node's line as it now is. */
-    public void put(DirectoryWire.Line line) {
+    public void put(DirectoryMessages.EndpointLine line) {
         loop.execute(() -> changed(line));
     }
 
@@ -180,7 +183,7 @@
         return counts;
     }
 
-    private void changed(DirectoryWire.Line line) {
+    private void changed(DirectoryMessages.EndpointLine line) {
         lines.put(line.node(), line);
         double late = lag;
         if (late <= 0) {
@@ -190,7 +193,7 @@
         }
     }
 
-    private void tell(DirectoryWire.Line line) {
+    private void tell(DirectoryMessages.EndpointLine line) {
         version++;
         toldLines.put(line.node(), line);
         if (!silent) {
@@ -207,18 +210,18 @@
         final Channel channel;
         private long gateway;
         private boolean subscribed;
-        private DirectoryWire.Line registered;
+        private DirectoryMessages.EndpointLine registered;
 
         Talk(Channel channel) {
             this.channel = channel;
         }
 
-        void list(long call, boolean whole, List<DirectoryWire.Line> told) {
+        void list(long call, boolean whole, List<DirectoryMessages.EndpointLine> told) {
             wholeLists += whole ? 1 : 0;
             witness.told(gateway, whole, told, System.nanoTime());
             channel.writeAndFlush(
-                    DirectoryWire.list(
-                            new DirectoryWire.Listing(
+                    DirectoryMessages.list(
+                            new DirectoryMessages.EndpointList(
                                     call, version, whole, told, history, siteName)));
         }
 
@@ -228,7 +231,8 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) throws BadBytes {
+        public void channelRead(ChannelHandlerContext ctx, Object message)
+                throws MalformedMessageException {
             Frame frame = (Frame) message;
             try {
                 told(frame);
@@ -237,17 +241,18 @@
             }
         }
 
-        private void told(Frame frame) throws BadBytes {
+        private void told(Frame frame) throws MalformedMessageException {
             ByteBuf head = frame.head();
-            if (frame.type() == DirectoryWire.HELLO) {
-                gateway = Fields.need(frame, 10).skipBytes(2).readLong();
-            } else if (frame.type() == DirectoryWire.REGISTER) {
-                registered = DirectoryWire.line(head);
+            if (frame.type() == DirectoryMessages.HELLO) {
+                gateway = FrameFields.need(frame, 10).skipBytes(2).readLong();
+            } else if (frame.type() == DirectoryMessages.REGISTER) {
+                registered = DirectoryMessages.line(head);
                 changed(registered);
             } else if (silent) {
                 return;
             } else if (failing) {
-                channel.writeAndFlush(DirectoryWire.failed(frame.id(), "the directory is failing"));
+                channel.writeAndFlush(
+                        DirectoryMessages.failed(frame.id(), "the directory is failing"));
             } else if (slow > 0) {
                 frame.head().retain();
                 frame.payload().retain();
@@ -261,43 +266,45 @@
         private void late(Frame frame) {
             try {
                 call(frame);
-            } catch (BadBytes e) {
+            } catch (MalformedMessageException e) {
                 channel.close();
             } finally {
                 frame.release();
             }
         }
 
-        private void call(Frame frame) throws BadBytes {
+        private void call(Frame frame) throws MalformedMessageException {
             switch (frame.type()) {
-                case DirectoryWire.SUBSCRIBE, DirectoryWire.FETCH -> {
-                    subscribed |= frame.type() == DirectoryWire.SUBSCRIBE;
+                case DirectoryMessages.SUBSCRIBE, DirectoryMessages.FETCH -> {
+                    subscribed |= frame.type() == DirectoryMessages.SUBSCRIBE;
                     list(frame.id(), true, List.copyOf(toldLines.values()));
                 }
-                case DirectoryWire.LOOKUP -> {
-                    ByteBuf head = Fields.need(frame, 16);
+                case DirectoryMessages.LOOKUP -> {
+                    ByteBuf head = FrameFields.need(frame, 16);
                     int volume = head.readInt();
                     long first = head.readLong();
                     int count = head.readInt();
-                    if (count < 1 || count > DirectoryWire.MOST_LOOKED_UP) {
-                        throw new BadBytes("a look-up of " + count + " extents");
+                    if (count < 1 || count > DirectoryMessages.MOST_LOOKED_UP) {
+                        throw new MalformedMessageException("a look-up of " + count + " extents");
                     }
                     int[] cells = new int[count];
                     for (int i = 0; i < count; i++) {
                         cells[i] = holders.getOrDefault(new Key(volume, first + i), -1);
                     }
-                    channel.writeAndFlush(DirectoryWire.holders(frame.id(), cells));
+                    channel.writeAndFlush(DirectoryMessages.holders(frame.id(), cells));
                 }
-                case DirectoryWire.CLAIM -> {
-                    ByteBuf head = Fields.need(frame, 16);
+                case DirectoryMessages.CLAIM -> {
+                    ByteBuf head = FrameFields.need(frame, 16);
                     Key key = new Key(head.readInt(), head.readLong());
                     int cell = head.readInt();
                     Integer holder = holders.putIfAbsent(key, cell);
                     claims++;
                     channel.writeAndFlush(
-                            DirectoryWire.holder(frame.id(), holder == null ? cell : holder));
+                            DirectoryMessages.holder(frame.id(), holder == null ? cell : holder));
                 }
-                default -> throw new BadBytes("message " + frame.type() + " to the directory");
+                default ->
+                        throw new MalformedMessageException(
+                                "message " + frame.type() + " to the directory");
             }
         }
 
@@ -306,12 +313,12 @@
             talks.remove(this);
             if (registered != null && lines.get(registered.node()) == registered) {
                 changed(
-                        new DirectoryWire.Line(
+                        new DirectoryMessages.EndpointLine(
                                 registered.node(),
                                 registered.cell(),
                                 registered.zone(),
                                 registered.kind(),
-                                DirectoryWire.Standing.GONE,
+                                DirectoryMessages.Phase.GONE,
                                 registered.startedAt(),
                                 registered.weight(),
                                 registered.host(),
