--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -25,15 +25,15 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.frame.Frame;
 import sagepulley.codec.frame.FrameDecoder;
 import sagepulley.codec.frame.FrameEncoder;
-import sagepulley.codec.frame.Loops;
-import sagepulley.model.Band;
-import sagepulley.model.Ring;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.model.SlidingWindowCounter;
+import sagepulley.model.TrafficClass;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * A small storage node: slots, a queue, a cold ramp on which it can be pushed over, writes of which
@@ -68,7 +68,7 @@
     private static final class Work {
         final Link link;
         final long attempt;
-        final StoreWire.Send send;
+        final StoreMessages.Send send;
         final ByteBuf payload;
         final long came = System.nanoTime();
 
@@ -77,7 +77,7 @@
 
         boolean calledOff;
 
-        Work(Link link, long attempt, StoreWire.Send send, ByteBuf payload) {
+        Work(Link link, long attempt, StoreMessages.Send send, ByteBuf payload) {
             this.link = link;
             this.attempt = attempt;
             this.send = send;
@@ -85,11 +85,11 @@
         }
     }
 
-    private final NodeTraits traits;
-    private final Witness witness;
+    private final NodeProfile traits;
+    private final TrafficRecorder witness;
     private final EventLoop loop;
     private final Random chance;
-    private final Shelf shelf;
+    private final BlockStore shelf;
     private final Faults faults = new Faults();
     private final List<Link> links = new ArrayList<>();
     private final ArrayDeque<Work> queue = new ArrayDeque<>();
@@ -118,19 +118,20 @@
     private boolean lostData;
     private long startedWall;
     private long startedNanos;
-    private Ring pressure;
+    private SlidingWindowCounter pressure;
     private int life;
 
     /** A node on a loop of the group; chance (for shares of faults) comes from the seed. */
-    public StandInNode(NodeTraits traits, EventLoopGroup group, Witness witness, long seed) {
+    public StandInNode(
+            NodeProfile traits, EventLoopGroup group, TrafficRecorder witness, long seed) {
         this.traits = traits;
         this.witness = witness;
         this.loop = group.next();
         this.chance = new Random(seed);
-        this.shelf = new Shelf(traits.extentBytes(), traits.data());
+        this.shelf = new BlockStore(traits.extentBytes(), traits.data());
     }
 
-    public NodeTraits traits() {
+    public NodeProfile traits() {
         return traits;
     }
 
@@ -170,10 +171,10 @@
                     startedWall = warm ? 0 : System.currentTimeMillis();
                     startedNanos =
                             System.nanoTime() - (warm ? (long) (traits.coldTime() * 2e6) : 0);
-                    pressure = new Ring(traits.fallTime(), RING_PARTS);
+                    pressure = new SlidingWindowCounter(traits.fallTime(), RING_PARTS);
                     new ServerBootstrap()
                             .group(loop)
-                            .channel(Loops.server())
+                            .channel(EventLoops.server())
                             .option(ChannelOption.SO_REUSEADDR, true)
                             .childOption(ChannelOption.TCP_NODELAY, true)
                             .childHandler(
@@ -262,7 +263,9 @@
                     draining = true;
                     if (!faults.silent) {
                         links.forEach(
-                                link -> link.channel.writeAndFlush(new Frame(StoreWire.DRAINS, 0)));
+                                link ->
+                                        link.channel.writeAndFlush(
+                                                new Frame(StoreMessages.DRAINS, 0)));
                     }
                 });
     }
@@ -296,15 +299,15 @@
             goDown();
             return;
         }
-        StoreWire.Code refusal = null;
+        StoreMessages.Code refusal = null;
         if (draining) {
-            refusal = StoreWire.Code.DRAINING;
+            refusal = StoreMessages.Code.DRAINING;
         } else if (faults.refusing || queue.size() >= traits.queue()) {
-            refusal = StoreWire.Code.FULL;
+            refusal = StoreMessages.Code.FULL;
         } else if (work.send.mustBeThere() && !shelf.has(work.send.volume(), work.send.extent())) {
-            refusal = StoreWire.Code.MOOT;
+            refusal = StoreMessages.Code.MOOT;
         } else if (work.send.kind().changes() && !holdsPen(work)) {
-            refusal = StoreWire.Code.STALE_PEN;
+            refusal = StoreMessages.Code.STALE_PEN;
         }
         if (refusal != null) {
             work.payload.release();
@@ -341,14 +344,15 @@
             pen.next.poll();
             if (taken) {
                 pen.holder.channel.writeAndFlush(
-                        StoreWire.pen(StoreWire.PEN_LOST, 0, key.volume(), key.extent()));
+                        StoreMessages.pen(StoreMessages.PEN_LOST, 0, key.volume(), key.extent()));
             }
             pen.holder = call.link();
             pen.since = System.nanoTime();
             call.link()
                     .channel
                     .writeAndFlush(
-                            StoreWire.pen(StoreWire.PEN, call.id(), key.volume(), key.extent()));
+                            StoreMessages.pen(
+                                    StoreMessages.PEN, call.id(), key.volume(), key.extent()));
         }
     }
 
@@ -377,7 +381,7 @@
             Work work = queue.poll();
             if (work.calledOff || !work.link.channel.isActive()) {
                 work.payload.release();
-                answer(work, StoreWire.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
+                answer(work, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
                 continue;
             }
             // Work is begun in the order it came, and has its effect when it begins: no later write
@@ -388,25 +392,25 @@
 
     private void begin(Work work) {
         work.begun = System.nanoTime();
-        StoreWire.Send send = work.send;
-        StoreWire.Code code = StoreWire.Code.SATISFIED;
+        StoreMessages.Send send = work.send;
+        StoreMessages.Code code = StoreMessages.Code.SATISFIED;
         ByteBuf result = Unpooled.EMPTY_BUFFER;
         if (send.kind().changes() && !holdsPen(work)) {
             work.payload.release();
-            answer(work, StoreWire.Code.STALE_PEN, result);
+            answer(work, StoreMessages.Code.STALE_PEN, result);
             return;
         }
         try {
             result = run(work);
         } catch (IOException e) {
-            code = StoreWire.Code.FAULT;
+            code = StoreMessages.Code.FAULT;
         } finally {
             work.payload.release();
         }
         if (faults.erring > 0 && chance.nextDouble() < faults.erring) {
-            code = StoreWire.Code.FAULT;
+            code = StoreMessages.Code.FAULT;
         }
-        if (code == StoreWire.Code.FAULT) {
+        if (code == StoreMessages.Code.FAULT) {
             result.release();
             result = Unpooled.EMPTY_BUFFER;
         } else {
@@ -420,7 +424,7 @@
         }
         busy++;
         int then = life;
-        StoreWire.Code end = code;
+        StoreMessages.Code end = code;
         ByteBuf data = result;
         loop.schedule(
                 () -> {
@@ -436,7 +440,7 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private double cost(StoreWire.Send send) {
+    private double cost(StoreMessages.Send send) {
         boolean writes = send.kind().changes();
         double cost = send.units() * (writes ? traits.writeCost() : traits.readCost());
         if (writes && traits.deferredShare() > 0) {
@@ -453,11 +457,11 @@
     }
 
     private ByteBuf run(Work work) throws IOException {
-        StoreWire.Send send = work.send;
+        StoreMessages.Send send = work.send;
         if (send.offset() + send.length() > traits.extentBytes()) {
             throw new IOException("past the extent's end");
         }
-        if (send.repeat() == Band.Repeat.DEDUPLICATED.ordinal()
+        if (send.repeat() == TrafficClass.Idempotency.DEDUPLICATED.ordinal()
                 && marks.put(new Mark(work.link.gateway, send.mark()), true) != null) {
             return Unpooled.EMPTY_BUFFER;
         }
@@ -492,7 +496,7 @@
         return Unpooled.EMPTY_BUFFER;
     }
 
-    private void answer(Work work, StoreWire.Code code, ByteBuf payload) {
+    private void answer(Work work, StoreMessages.Code code, ByteBuf payload) {
         Link link = work.link;
         boolean lost = faults.silent || faults.losing > 0 && chance.nextDouble() < faults.losing;
         witness.answered(
@@ -513,7 +517,7 @@
         long begun = work.begun == 0 ? now : work.begun;
         link.write(
                 work.attempt,
-                new StoreWire.Answer(
+                new StoreMessages.Answer(
                         code,
                         0,
                         link.others(work.send.volume()),
@@ -535,7 +539,7 @@
         final Map<Integer, Double> told = new HashMap<>();
 
         /** Attempts without an answer, and what came while the node stood still. */
-        private final Map<Long, StoreWire.Send> open = new HashMap<>();
+        private final Map<Long, StoreMessages.Send> open = new HashMap<>();
 
         private final ArrayDeque<Frame> inbox = new ArrayDeque<>();
         private boolean flushDue;
@@ -552,7 +556,7 @@
             return (float) Math.max(0, all - mine - before);
         }
 
-        void write(long attempt, StoreWire.Answer answer, ByteBuf payload) {
+        void write(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             if (faults.garble) {
                 faults.garble = false;
                 payload.release();
@@ -573,13 +577,14 @@
             }
             if (faults.twice) {
                 faults.twice = false;
-                channel.write(StoreWire.answer(attempt, answer, payload.copy()));
+                channel.write(StoreMessages.answer(attempt, answer, payload.copy()));
             }
             if (faults.invent) {
                 faults.invent = false;
-                channel.write(StoreWire.answer(attempt + 1_000_000, answer, Unpooled.EMPTY_BUFFER));
+                channel.write(
+                        StoreMessages.answer(attempt + 1_000_000, answer, Unpooled.EMPTY_BUFFER));
             }
-            channel.write(StoreWire.answer(attempt, answer, payload));
+            channel.write(StoreMessages.answer(attempt, answer, payload));
             if (!flushDue) {
                 flushDue = true;
                 loop.execute(
@@ -591,9 +596,9 @@
         }
 
         /** Half of the frame leaves, then the sending side is closed. */
-        private void halfClose(long attempt, StoreWire.Answer answer, ByteBuf payload) {
+        private void halfClose(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             EmbeddedChannel encoder = new EmbeddedChannel(new FrameEncoder());
-            encoder.writeOutbound(StoreWire.answer(attempt, answer, payload));
+            encoder.writeOutbound(StoreMessages.answer(attempt, answer, payload));
             ByteBuf all = Unpooled.buffer();
             for (ByteBuf part = encoder.readOutbound();
                     part != null;
@@ -613,7 +618,8 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) throws BadBytes {
+        public void channelRead(ChannelHandlerContext ctx, Object message)
+                throws MalformedMessageException {
             Frame frame = (Frame) message;
             if (greeted) {
                 note(frame);
@@ -626,10 +632,10 @@
         }
 
         /** What passed is noted when it came, though the node may stand still. */
-        private void note(Frame frame) throws BadBytes {
-            if (frame.type() == StoreWire.SEND) {
-                StoreWire.Send send =
-                        StoreWire.send(
+        private void note(Frame frame) throws MalformedMessageException {
+            if (frame.type() == StoreMessages.SEND) {
+                StoreMessages.Send send =
+                        StoreMessages.send(
                                 new Frame(
                                         frame.type(),
                                         frame.id(),
@@ -637,8 +643,8 @@
                                         frame.payload()));
                 open.put(frame.id(), send);
                 witness.attemptCame(traits.id(), gateway, send, System.nanoTime());
-            } else if (frame.type() == StoreWire.CALL_OFF) {
-                StoreWire.Send send = open.remove(frame.id());
+            } else if (frame.type() == StoreMessages.CALL_OFF) {
+                StoreMessages.Send send = open.remove(frame.id());
                 if (send != null) {
                     witness.calledOff(
                             traits.id(), gateway, send.mark(), send.number(), System.nanoTime());
@@ -646,7 +652,7 @@
             }
         }
 
-        private void handle(Frame frame) throws BadBytes {
+        private void handle(Frame frame) throws MalformedMessageException {
             try {
                 if (channel.isActive()) {
                     told(frame);
@@ -660,43 +666,46 @@
             for (Frame frame = inbox.poll(); frame != null; frame = inbox.poll()) {
                 try {
                     handle(frame);
-                } catch (BadBytes bad) {
+                } catch (MalformedMessageException bad) {
                     channel.close();
                 }
             }
         }
 
-        private void told(Frame frame) throws BadBytes {
-            if (!greeted && frame.type() != StoreWire.HELLO) {
-                throw new BadBytes("message " + frame.type() + " before the hello");
+        private void told(Frame frame) throws MalformedMessageException {
+            if (!greeted && frame.type() != StoreMessages.HELLO) {
+                throw new MalformedMessageException(
+                        "message " + frame.type() + " before the hello");
             }
             switch (frame.type()) {
-                case StoreWire.HELLO -> hello(StoreWire.hello(frame));
-                case StoreWire.SEND -> {
-                    StoreWire.Send send = StoreWire.send(frame);
+                case StoreMessages.HELLO -> hello(StoreMessages.hello(frame));
+                case StoreMessages.SEND -> {
+                    StoreMessages.Send send = StoreMessages.send(frame);
                     take(new Work(this, frame.id(), send, frame.payload().retain()));
                 }
-                case StoreWire.CALL_OFF -> callOff(frame.id());
-                case StoreWire.PROBE -> {
+                case StoreMessages.CALL_OFF -> callOff(frame.id());
+                case StoreMessages.PROBE -> {
                     if (!faults.silent) {
                         channel.writeAndFlush(
-                                StoreWire.probed(frame.id(), new float[] {queue.size()}));
+                                StoreMessages.probed(frame.id(), new float[] {queue.size()}));
                     }
                 }
-                case StoreWire.TAKE_PEN -> {
-                    ByteBuf head = Fields.need(frame, 12);
+                case StoreMessages.TAKE_PEN -> {
+                    ByteBuf head = FrameFields.need(frame, 12);
                     takePen(
                             new PenKey(head.readInt(), head.readLong()),
                             new PenCall(this, frame.id()));
                 }
-                default -> throw new BadBytes("message " + frame.type() + " from a gateway");
+                default ->
+                        throw new MalformedMessageException(
+                                "message " + frame.type() + " from a gateway");
             }
         }
 
         /**
          * An older link of the same gateway ends first: nothing that it still holds can come late.
          */
-        private void hello(StoreWire.Hello hello) {
+        private void hello(StoreMessages.Hello hello) {
             gateway = hello.gateway();
             greeted = true;
             for (Link older : List.copyOf(links)) {
@@ -705,8 +714,8 @@
                 }
             }
             channel.writeAndFlush(
-                    StoreWire.welcome(
-                            new StoreWire.Welcome(
+                    StoreMessages.welcome(
+                            new StoreMessages.Welcome(
                                     traits.id(),
                                     traits.cell(),
                                     traits.zone(),
@@ -722,7 +731,7 @@
                     at.remove();
                     work.calledOff = true;
                     work.payload.release();
-                    answer(work, StoreWire.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
+                    answer(work, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
                     return;
                 }
             }
--- a/src/main/java/sagepulley/standin/Witness.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -1,22 +1,22 @@
 package sagepulley.standin;
 
 import java.util.List;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * Notes what passes on the stand-ins' sockets. Called on their loops; times are nanoseconds of one
  * clock.
  */
-public interface Witness {
+public interface TrafficRecorder {
     /** Notes nothing. */
-    Witness NOBODY = new Witness() {};
+    TrafficRecorder NOBODY = new TrafficRecorder() {};
 
     /** An attempt was read from a gateway's link. */
-    default void attemptCame(int node, long gateway, StoreWire.Send send, long nanos) {}
+    default void attemptCame(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
     /** An operation's work was begun; its effect is there from now on. */
-    default void ran(int node, long gateway, StoreWire.Send send, long nanos) {}
+    default void ran(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
     /** An answer was handed to the socket, or kept back by a fault. */
     default void answered(
@@ -24,7 +24,7 @@
             long gateway,
             long mark,
             int number,
-            StoreWire.Code code,
+            StoreMessages.Code code,
             boolean lost,
             long nanos) {}
 
@@ -38,5 +38,6 @@
     default void fell(int node, long nanos) {}
 
     /** A gateway was told lines of the list. */
-    default void told(long gateway, boolean whole, List<DirectoryWire.Line> lines, long nanos) {}
+    default void told(
+            long gateway, boolean whole, List<DirectoryMessages.EndpointLine> lines, long nanos) {}
 }
--- a/src/main/java/sagepulley/tracing/Story.java
+++ b/src/main/java/sagepulley/tracing/OperationTrace.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import sagepulley.accounts.Accounts;
-import sagepulley.accounts.Spent;
+import sagepulley.accounts.LatencyComponent;
 import sagepulley.model.Outcome;
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
 
 /**
@@ -12,7 +12,7 @@
  * another from it, and attempts are told from it too. Why it was kept, and how many such it stands
  * for.
  */
-public record Story(
+public record OperationTrace(
         String gateway,
         long operation,
         long cookie,
@@ -26,17 +26,17 @@
         Accounts.End end,
         Reason reason,
         String mainCause,
-        TailSampler.Why kept,
+        TailSampler.SampleReason kept,
         double standsFor,
         List<Step> steps,
         List<Attempt> attempts) {
     /** A stretch of time: what it went to, at which node (0: none), and how long. */
-    public record Step(Spent part, int node, double length) {}
+    public record Step(LatencyComponent part, int node, double length) {}
 
     /**
      * One sending: whereto, in which part of the plan, how long after the arrival, and how it ended
      * (null: out).
      */
     public record Attempt(
-            int number, int node, Owed owed, double after, double took, Outcome outcome) {}
+            int number, int node, QuotaTier owed, double after, double took, Outcome outcome) {}
 }
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -14,7 +14,7 @@
  */
 public final class TailSampler {
     /** Why an operation's trace is kept. */
-    public enum Why {
+    public enum SampleReason {
         SCRAPPED,
         DECLINED,
         MISSED,
@@ -41,7 +41,7 @@
     private double[] slow = new double[0];
 
     private int[] seen = new int[0];
-    private Why why;
+    private SampleReason why;
     private long refused;
 
     /** At most so many a second; an ordinary one with this chance (0 to 1). */
@@ -64,15 +64,17 @@
         boolean slowest = slowest(band, took);
         why =
                 switch (end) {
-                    case SCRAPPED -> Why.SCRAPPED;
-                    case DECLINED -> Why.DECLINED;
+                    case SCRAPPED -> SampleReason.SCRAPPED;
+                    case DECLINED -> SampleReason.DECLINED;
                     case SATISFIED, LEFT ->
-                            missed ? Why.MISSED : slowest ? Why.SLOWEST : Why.CHANCE;
+                            missed
+                                    ? SampleReason.MISSED
+                                    : slowest ? SampleReason.SLOWEST : SampleReason.CHANCE;
                 };
         int kind = why.ordinal();
         counts[kind]++;
         double rate = counts[kind] * 1000 / RATE_WINDOW;
-        double wanted = why == Why.CHANCE ? chance : 1;
+        double wanted = why == SampleReason.CHANCE ? chance : 1;
         double bears = (PARTS[kind] * perSecond + spare) / Math.max(1e-9, rate);
         double part = Math.min(wanted, bears);
         if (part < 1 && random.nextDouble() >= part) {
@@ -90,7 +92,7 @@
     }
 
     /** Why the latest was kept, or would have been. */
-    public Why why() {
+    public SampleReason why() {
         return why;
     }
 
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import sagepulley.accounts.Accounts;
-import sagepulley.config.TracesLine;
+import sagepulley.config.TracingSettings;
 
 /**
  * Makes traces of stories that were found worth keeping, on a thread of its own, and sends them to
@@ -36,13 +36,13 @@
 
     private final SdkTracerProvider provider;
     private final io.opentelemetry.api.trace.Tracer spans;
-    private final BlockingQueue<Story> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final BlockingQueue<OperationTrace> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
     private final Thread maker = new Thread(this::work, "traces");
     private final LongAdder made = new LongAdder();
     private final LongAdder dropped = new LongAdder();
     private volatile boolean ending;
 
-    public Tracer(TracesLine line, String gateway) {
+    public Tracer(TracingSettings line, String gateway) {
         SdkTracerProviderBuilder builder =
                 SdkTracerProvider.builder()
                         .setResource(
@@ -75,7 +75,7 @@
     }
 
     /** Takes a story; drops it if too many wait. From any thread, without waiting. */
-    public void tell(Story story) {
+    public void tell(OperationTrace story) {
         if (!waiting.offer(story)) {
             dropped.increment();
         }
@@ -93,7 +93,7 @@
     private void work() {
         try {
             while (!ending || !waiting.isEmpty()) {
-                Story story = waiting.poll(100, TimeUnit.MILLISECONDS);
+                OperationTrace story = waiting.poll(100, TimeUnit.MILLISECONDS);
                 if (story != null) {
                     make(story);
                     made.increment();
@@ -112,7 +112,7 @@
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    private void make(Story story) {
+    private void make(OperationTrace story) {
         double end = story.arrived() + story.took();
         Span root =
                 spans.spanBuilder("operation")
@@ -133,7 +133,7 @@
                         .setAttribute("stands_for", story.standsFor())
                         .startSpan();
         Context within = Context.root().with(root);
-        for (Story.Attempt attempt : story.attempts()) {
+        for (OperationTrace.Attempt attempt : story.attempts()) {
             SpanBuilder one =
                     spans.spanBuilder("hop")
                             .setParent(within)
@@ -153,7 +153,7 @@
             one.startSpan().end(at(ended), TimeUnit.NANOSECONDS);
         }
         double at = story.arrived();
-        for (Story.Step step : story.steps()) {
+        for (OperationTrace.Step step : story.steps()) {
             spans.spanBuilder("step")
                     .setParent(within)
                     .setStartTimestamp(at(at), TimeUnit.NANOSECONDS)
--- a/src/main/java/sagepulley/upstream/frame/NodeLink.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -17,11 +17,11 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
 import sagepulley.codec.frame.Frame;
 import sagepulley.codec.frame.FrameDecoder;
 import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /**
  * The link of a gateway to one node: a connection that is opened when an attempt needs it. It
@@ -31,7 +31,7 @@
  * <p>Before a write goes out, the link takes the extent's pen at the node (docs/protocols.md,
  * Pens): a write of another link that comes late is then refused there.
  */
-public final class NodeLink {
+public final class NodeConnection {
     /**
      * Attempts that were given up but never answered; with more the connection is taken for dead.
      */
@@ -39,31 +39,31 @@
 
     private static final int MOST_PENS = 1 << 16;
     private static final int CONNECT_MS = 3_000;
-    private static final Logger LOG = LoggerFactory.getLogger(NodeLink.class);
+    private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
 
     /** How an attempt ended that got no answer. */
-    public enum Broken {
+    public enum ConnectionFailure {
         NEVER_SENT,
         RESET
     }
 
     /** Told the ends of attempts, each once, on the loop. */
-    public interface Owner {
+    public interface Listener {
         /** The payload changes hands. */
-        void answered(long attempt, StoreWire.Answer answer, ByteBuf payload);
+        void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload);
 
-        void broken(long attempt, Broken how);
+        void broken(long attempt, ConnectionFailure how);
 
         /**
          * An attempt that was given up was answered after all: all that counts is what the node
          * tells of its time.
          */
-        default void late(StoreWire.Answer answer) {}
+        default void late(StoreMessages.Answer answer) {}
 
         void probed(long id, float[] report);
 
         /** A connection stands; false if what waited for it must not go out as it is. */
-        boolean welcomed(StoreWire.Welcome welcome);
+        boolean welcomed(StoreMessages.Welcome welcome);
 
         /** The node says that it drains. */
         default void drains() {}
@@ -74,7 +74,7 @@
 
     private record PenKey(int volume, long extent) {}
 
-    private record Parcel(long attempt, StoreWire.Send send, ByteBuf payload) {}
+    private record Parcel(long attempt, StoreMessages.Send send, ByteBuf payload) {}
 
     private static final class Pen {
         boolean granted;
@@ -86,8 +86,8 @@
     private final int longestPayload;
     private final int node;
     private final SocketAddress address;
-    private final StoreWire.Hello hello;
-    private final Owner owner;
+    private final StoreMessages.Hello hello;
+    private final Listener owner;
 
     /** Attempts not yet written, in order: for the connection, or for a pen. */
     private final Map<Long, Parcel> unsent = new LinkedHashMap<>();
@@ -102,14 +102,14 @@
     private boolean flushDue;
     private long penIds;
 
-    public NodeLink(
+    public NodeConnection(
             EventLoop loop,
             Class<? extends Channel> kind,
             int longestPayload,
             int node,
             SocketAddress address,
-            StoreWire.Hello hello,
-            Owner owner) {
+            StoreMessages.Hello hello,
+            Listener owner) {
         this.loop = loop;
         this.kind = kind;
         this.longestPayload = longestPayload;
@@ -127,7 +127,7 @@
      * Sends an attempt, once a connection stands; its number must be new. The payload changes
      * hands.
      */
-    public void send(long attempt, StoreWire.Send send, ByteBuf payload) {
+    public void send(long attempt, StoreMessages.Send send, ByteBuf payload) {
         unsent.put(attempt, new Parcel(attempt, send, payload));
         if (channel == null) {
             connect();
@@ -145,7 +145,7 @@
         }
         if (Boolean.TRUE.equals(out.get(attempt))) {
             out.put(attempt, false);
-            write(new Frame(StoreWire.CALL_OFF, attempt));
+            write(new Frame(StoreMessages.CALL_OFF, attempt));
             if (out.size() > MOST_UNANSWERED) {
                 LOG.atWarn()
                         .addKeyValue("node", node)
@@ -158,7 +158,7 @@
 
     public void probe(long id) {
         if (welcomed) {
-            write(new Frame(StoreWire.PROBE, id));
+            write(new Frame(StoreMessages.PROBE, id));
         }
     }
 
@@ -222,7 +222,9 @@
                 pen = new Pen();
                 pens.put(key, pen);
                 pensAsked.put(++penIds, key);
-                write(StoreWire.pen(StoreWire.TAKE_PEN, penIds, key.volume(), key.extent()));
+                write(
+                        StoreMessages.pen(
+                                StoreMessages.TAKE_PEN, penIds, key.volume(), key.extent()));
             }
             if (!pen.granted) {
                 pen.waiting.add(attempt);
@@ -231,7 +233,7 @@
         }
         unsent.remove(attempt);
         out.put(attempt, true);
-        write(StoreWire.send(attempt, parcel.send(), parcel.payload()));
+        write(StoreMessages.send(attempt, parcel.send(), parcel.payload()));
     }
 
     private void write(Frame frame) {
@@ -272,7 +274,7 @@
         out.clear();
         returnUnsent();
         for (long attempt : reset) {
-            owner.broken(attempt, Broken.RESET);
+            owner.broken(attempt, ConnectionFailure.RESET);
         }
         owner.lost();
     }
@@ -282,18 +284,19 @@
         unsent.clear();
         for (Parcel parcel : never) {
             parcel.payload().release();
-            owner.broken(parcel.attempt(), Broken.NEVER_SENT);
+            owner.broken(parcel.attempt(), ConnectionFailure.NEVER_SENT);
         }
     }
 
     private final class Talk extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(StoreWire.hello(hello));
+            ctx.writeAndFlush(StoreMessages.hello(hello));
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) throws BadBytes {
+        public void channelRead(ChannelHandlerContext ctx, Object message)
+                throws MalformedMessageException {
             Frame frame = (Frame) message;
             if (ctx.channel() != channel) {
                 frame.release();
@@ -306,33 +309,36 @@
             }
         }
 
-        private void told(Frame frame) throws BadBytes {
+        private void told(Frame frame) throws MalformedMessageException {
             switch (frame.type()) {
-                case StoreWire.WELCOME -> welcome(StoreWire.welcome(frame));
-                case StoreWire.ANSWER -> answer(frame);
-                case StoreWire.PROBED -> owner.probed(frame.id(), StoreWire.report(frame.head()));
-                case StoreWire.PEN -> pen(frame);
-                case StoreWire.DRAINS -> owner.drains();
-                case StoreWire.PEN_LOST -> {
-                    ByteBuf head = Fields.need(frame, 12);
+                case StoreMessages.WELCOME -> welcome(StoreMessages.welcome(frame));
+                case StoreMessages.ANSWER -> answer(frame);
+                case StoreMessages.PROBED ->
+                        owner.probed(frame.id(), StoreMessages.report(frame.head()));
+                case StoreMessages.PEN -> pen(frame);
+                case StoreMessages.DRAINS -> owner.drains();
+                case StoreMessages.PEN_LOST -> {
+                    ByteBuf head = FrameFields.need(frame, 12);
                     PenKey key = new PenKey(head.readInt(), head.readLong());
                     Pen pen = pens.get(key);
                     if (pen != null && pen.granted) {
                         pens.remove(key);
                     }
                 }
-                default -> throw new BadBytes("message " + frame.type() + " from a node");
+                default ->
+                        throw new MalformedMessageException(
+                                "message " + frame.type() + " from a node");
             }
         }
 
-        private void welcome(StoreWire.Welcome welcome) throws BadBytes {
+        private void welcome(StoreMessages.Welcome welcome) throws MalformedMessageException {
             boolean goesOut = owner.welcomed(welcome);
             if (welcome.node() != node) {
-                throw new BadBytes(
+                throw new MalformedMessageException(
                         "node " + welcome.node() + " answers where " + node + " is listed");
             }
             if (welcomed) {
-                throw new BadBytes("a second welcome");
+                throw new MalformedMessageException("a second welcome");
             }
             welcomed = true;
             if (!goesOut) {
@@ -343,13 +349,14 @@
             }
         }
 
-        private void answer(Frame frame) throws BadBytes {
+        private void answer(Frame frame) throws MalformedMessageException {
             Boolean wanted = out.remove(frame.id());
             if (wanted == null) {
-                throw new BadBytes("an answer to hop " + frame.id() + ", which is not out");
+                throw new MalformedMessageException(
+                        "an answer to hop " + frame.id() + ", which is not out");
             }
-            StoreWire.Answer answer = StoreWire.answer(frame);
-            if (answer.code() == StoreWire.Code.STALE_PEN) {
+            StoreMessages.Answer answer = StoreMessages.answer(frame);
+            if (answer.code() == StoreMessages.Code.STALE_PEN) {
                 pens.values().removeIf(any -> any.granted);
             }
             if (wanted) {
@@ -359,11 +366,11 @@
             }
         }
 
-        private void pen(Frame frame) throws BadBytes {
+        private void pen(Frame frame) throws MalformedMessageException {
             PenKey key = pensAsked.remove(frame.id());
             Pen pen = key == null ? null : pens.get(key);
             if (pen == null) {
-                throw new BadBytes("a pen that was not asked for");
+                throw new MalformedMessageException("a pen that was not asked for");
             }
             pen.granted = true;
             for (Long attempt = pen.waiting.poll(); attempt != null; attempt = pen.waiting.poll()) {
--- a/src/main/java/sagepulley/upstream/frame/StoreWire.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -2,12 +2,12 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
 import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /** The messages between a gateway and a node, as frames (docs/protocols.md, Store protocol). */
-public final class StoreWire {
+public final class StoreMessages {
     /** From the gateway. */
     public static final int HELLO = 1;
 
@@ -111,20 +111,21 @@
         public static final float[] NO_REPORT = {};
     }
 
-    private StoreWire() {}
+    private StoreMessages() {}
 
     public static Frame hello(Hello hello) {
         ByteBuf head = Unpooled.buffer(64).writeShort(VERSION).writeLong(hello.gateway());
-        return new Frame(HELLO, 0, Fields.string(head, hello.name()));
+        return new Frame(HELLO, 0, FrameFields.string(head, hello.name()));
     }
 
-    public static Hello hello(Frame frame) throws BadBytes {
-        ByteBuf head = Fields.need(frame, 11);
+    public static Hello hello(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.need(frame, 11);
         int version = head.readUnsignedShort();
         if (version != VERSION) {
-            throw new BadBytes("store protocol of version " + version + ", known is " + VERSION);
+            throw new MalformedMessageException(
+                    "store protocol of version " + version + ", known is " + VERSION);
         }
-        return new Hello(head.readLong(), Fields.string(head));
+        return new Hello(head.readLong(), FrameFields.string(head));
     }
 
     public static Frame welcome(Welcome it) {
@@ -140,8 +141,8 @@
                         .writeLong(it.startedAt()));
     }
 
-    public static Welcome welcome(Frame frame) throws BadBytes {
-        ByteBuf head = Fields.need(frame, 21);
+    public static Welcome welcome(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.need(frame, 21);
         return new Welcome(
                 head.readInt(),
                 head.readInt(),
@@ -169,16 +170,16 @@
         return new Frame(SEND, attempt, head, payload);
     }
 
-    public static Send send(Frame frame) throws BadBytes {
-        ByteBuf head = Fields.need(frame, 45);
+    public static Send send(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.need(frame, 45);
         int kind = head.readUnsignedByte();
         if (kind >= Kind.values().length) {
-            throw new BadBytes("operation of kind " + kind);
+            throw new MalformedMessageException("operation of kind " + kind);
         }
         int band = head.readUnsignedByte();
         int flags = head.readUnsignedByte();
         if (flags > 3) {
-            throw new BadBytes("operation with unknown flags " + flags);
+            throw new MalformedMessageException("operation with unknown flags " + flags);
         }
         Send send =
                 new Send(
@@ -201,7 +202,7 @@
                 || send.offset() + send.length() < 0
                 || carried != (send.kind() == Kind.WRITE ? send.length() : 0)
                 || !(send.units() >= 0 && send.units() < 1e9)) {
-            throw new BadBytes("operation with figures that do not fit: " + send);
+            throw new MalformedMessageException("operation with figures that do not fit: " + send);
         }
         return send;
     }
@@ -221,8 +222,8 @@
         return new Frame(ANSWER, attempt, head, payload);
     }
 
-    public static Answer answer(Frame frame) throws BadBytes {
-        ByteBuf head = Fields.need(frame, 16);
+    public static Answer answer(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.need(frame, 16);
         int code = head.readUnsignedByte();
         int used = head.readUnsignedShort();
         float others = head.readFloat();
@@ -231,7 +232,8 @@
         if (code >= Code.values().length
                 || !(others >= 0 && others < 1e9)
                 || !(waited >= 0 && worked >= 0)) {
-            throw new BadBytes("answer with code " + code + " and " + others + " units of others");
+            throw new MalformedMessageException(
+                    "answer with code " + code + " and " + others + " units of others");
         }
         return new Answer(Code.values()[code], used, others, waited, worked, report(head));
     }
@@ -250,10 +252,10 @@
     }
 
     /** A report of up to four values, as answers and probes carry it. */
-    public static float[] report(ByteBuf head) throws BadBytes {
+    public static float[] report(ByteBuf head) throws MalformedMessageException {
         int count = head.isReadable() ? head.readUnsignedByte() : -1;
         if (count < 0 || count > MOST_REPORT || head.readableBytes() < 4 * count) {
-            throw new BadBytes("a load report of " + count + " values");
+            throw new MalformedMessageException("a load report of " + count + " values");
         }
         float[] report = count == 0 ? Answer.NO_REPORT : new float[count];
         for (int i = 0; i < count; i++) {
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -13,19 +13,19 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import sagepulley.model.Band;
 import sagepulley.model.Outcome;
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
+import sagepulley.model.TrafficClass;
 
 /** Where the time of operations went, by part. */
 class AccountsTest {
-    private static final Band BAND =
-            new Band(
+    private static final TrafficClass BAND =
+            new TrafficClass(
                     0,
                     "read",
-                    Band.Repeat.IDEMPOTENT,
-                    Band.Group.CELL,
+                    TrafficClass.Idempotency.IDEMPOTENT,
+                    TrafficClass.DeduplicationScope.CELL,
                     0,
                     false,
                     false,
@@ -39,16 +39,16 @@
     private final Accounts accounts = new Accounts(Accounts.Bounds.USUAL, 0);
 
     /** One attempt to a node and back. */
-    private Meter attempt(
+    private OperationTimer attempt(
             Accounts of,
             long volume,
             int node,
-            Owed owed,
+            QuotaTier owed,
             double at,
             double waited,
             double worked,
             double queue) {
-        Meter meter = of.begin(volume, BAND, false, 1, at);
+        OperationTimer meter = of.begin(volume, BAND, false, 1, at);
         of.sent(meter, node, owed, at);
         of.answered(meter, waited, worked, queue, at + waited + worked);
         of.end(meter, Accounts.End.SATISFIED, Reason.NONE, node, at + waited + worked);
@@ -57,8 +57,8 @@
 
     /** Waits at the gateway for a node, and is given up. */
     private void heldUntilDeclined(
-            Accounts of, long volume, Spent why, int node, double from, double to) {
-        Meter meter = of.begin(volume, BAND, false, 1, from);
+            Accounts of, long volume, LatencyComponent why, int node, double from, double to) {
+        OperationTimer meter = of.begin(volume, BAND, false, 1, from);
         of.waits(meter, why, node, from);
         of.end(meter, Accounts.End.DECLINED, Reason.LATE, node, to);
     }
@@ -73,22 +73,22 @@
             @ForAll @DoubleRange(min = 0, max = 1e7) double start,
             @ForAll @Size(min = 1, max = 5) List<@DoubleRange(min = 0, max = 900) Double> lengths) {
         Accounts all = new Accounts(SMALL, 1e12);
-        List<Meter> others = new ArrayList<>();
-        Meter meter = all.begin(7, BAND, steps.size() % 2 == 0, 2, start);
+        List<OperationTimer> others = new ArrayList<>();
+        OperationTimer meter = all.begin(7, BAND, steps.size() % 2 == 0, 2, start);
         double now = start;
         for (int i = 0; i < steps.size(); i++) {
             double length = lengths.get(i % lengths.size());
             int step = steps.get(i);
             if (i % 3 == 0) {
-                Meter other = all.begin(step % 9, BAND, true, 1, now);
-                all.sent(other, step % 4, Owed.values()[step % 3], now);
+                OperationTimer other = all.begin(step % 9, BAND, true, 1, now);
+                all.sent(other, step % 4, QuotaTier.values()[step % 3], now);
                 others.add(other);
             }
             now += length;
             if (step < 16) {
-                all.waits(meter, Spent.values()[step], step % 3, now);
+                all.waits(meter, LatencyComponent.values()[step], step % 3, now);
             } else if (step < 28) {
-                all.sent(meter, step % 4, Owed.values()[step % 3], now);
+                all.sent(meter, step % 4, QuotaTier.values()[step % 3], now);
                 // A node may tell more than the attempt took.
                 all.answered(
                         meter,
@@ -98,31 +98,31 @@
                         now + length);
                 now += length;
             } else {
-                all.sent(meter, step % 4, Owed.values()[step % 3], now);
+                all.sent(meter, step % 4, QuotaTier.values()[step % 3], now);
                 all.failed(
                         meter, Outcome.values()[step % Outcome.values().length], now + length / 2);
                 now += length;
             }
         }
         all.end(meter, Accounts.End.SATISFIED, Reason.NONE, 1, now);
-        all.waits(meter, Spent.FUTILE, 1, now + 500); // after its end nothing is added
-        for (Meter other : others) {
+        all.waits(meter, LatencyComponent.FUTILE, 1, now + 500); // after its end nothing is added
+        for (OperationTimer other : others) {
             all.failed(other, Outcome.TIMED_OUT, now + 1);
         }
         double sum = 0;
-        for (Spent part : Spent.values()) {
+        for (LatencyComponent part : LatencyComponent.values()) {
             assertTrue(meter.spent(part) >= 0);
             sum += meter.spent(part);
         }
         assertEquals(now - start, sum, 1e-6 * Math.max(1, now));
-        Report report = all.report(7, start, now);
-        double causes = report.causes().stream().mapToDouble(Report.Charged::waited).sum();
+        LatencyReport report = all.report(7, start, now);
+        double causes = report.causes().stream().mapToDouble(LatencyReport.Charged::waited).sum();
         assertEquals(sum, causes, 1e-6 * Math.max(1, now));
         assertEquals(
                 sum,
                 report.parts().values().stream().mapToDouble(Double::doubleValue).sum(),
                 1e-6 * now + 1e-6);
-        for (Report.Charged charged : report.causes()) {
+        for (LatencyReport.Charged charged : report.causes()) {
             assertTrue(
                     charged.least() <= charged.waited() + 1e-6
                             && charged.waited() <= charged.most() + 1e-6,
@@ -134,21 +134,23 @@
     void aSlowNodeIsToldFromANeighbour() {
         for (int i = 0; i < 50; i++) {
             for (int node = 1; node <= 4; node++) {
-                attempt(accounts, 1, node, Owed.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
+                attempt(accounts, 1, node, QuotaTier.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
             }
         }
-        Meter flood = accounts.begin(9, BAND, false, 3, 600);
-        accounts.sent(flood, 4, Owed.EXCESS, 600);
-        Meter waits = accounts.begin(2, BAND, false, 1, 600);
-        accounts.waits(waits, Spent.SHARE_FULL, 4, 600);
+        OperationTimer flood = accounts.begin(9, BAND, false, 3, 600);
+        accounts.sent(flood, 4, QuotaTier.EXCESS, 600);
+        OperationTimer waits = accounts.begin(2, BAND, false, 1, 600);
+        accounts.waits(waits, LatencyComponent.SHARE_FULL, 4, 600);
         accounts.end(waits, Accounts.End.DECLINED, Reason.LATE, 4, 900);
-        Report report = accounts.report(2, 0, 2000);
+        LatencyReport report = accounts.report(2, 0, 2000);
         assertEquals(Cause.Kind.SLOW_NODE, report.main().kind());
         assertEquals(4, report.main().node());
         assertEquals(7.0 / 8, report.main().share(), 0.02);
         assertEquals(3, report.utilityLost(), 1e-9);
         assertEquals(
-                3, report.causes().stream().mapToDouble(Report.Charged::utilityLost).sum(), 1e-6);
+                3,
+                report.causes().stream().mapToDouble(LatencyReport.Charged::utilityLost).sum(),
+                1e-6);
         assertTrue(
                 report.causes().stream()
                         .anyMatch(
@@ -161,94 +163,94 @@
     @Test
     void whoIsBeyondItsShareWaitsOnItself() {
         for (int i = 0; i < 8; i++) {
-            accounts.sent(accounts.begin(3, BAND, false, 1, 0), 1, Owed.RESERVE, 0);
+            accounts.sent(accounts.begin(3, BAND, false, 1, 0), 1, QuotaTier.RESERVE, 0);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, Spent.BEYOND_SHARE, 1, 0, 10);
-            heldUntilDeclined(accounts, 4, Spent.RESERVE_FULL, 1, 0, 10);
+            heldUntilDeclined(accounts, 2, LatencyComponent.BEYOND_SHARE, 1, 0, 10);
+            heldUntilDeclined(accounts, 4, LatencyComponent.RESERVE_FULL, 1, 0, 10);
         }
         assertEquals(Cause.Kind.OWN_LOAD, accounts.report(2, 0, 100).main().kind());
         assertTrue(
                 accounts.report(2, 0, 100).causes().stream()
                         .noneMatch(cause -> cause.kind() == Cause.Kind.NEIGHBOUR),
                 "nobody else is named");
-        Report reserved = accounts.report(4, 0, 100);
+        LatencyReport reserved = accounts.report(4, 0, 100);
         assertEquals(Cause.Kind.NEIGHBOUR, reserved.main().kind());
         assertEquals(3, reserved.main().volume());
-        assertEquals(Report.Confidence.HIGH, reserved.main().confidence());
+        assertEquals(LatencyReport.Confidence.HIGH, reserved.main().confidence());
     }
 
     @Test
     void othersWorkAtANodeIsNotLaidUponWhoIsSeen() {
         for (int i = 0; i < 60; i++) {
             double at = 100 * i;
-            Meter small = accounts.begin(5, BAND, false, 1, at);
-            accounts.sent(small, 1, Owed.SHARE, at);
+            OperationTimer small = accounts.begin(5, BAND, false, 1, at);
+            accounts.sent(small, 1, QuotaTier.SHARE, at);
             // The node tells of a queue that is not this gateway's.
-            attempt(accounts, 2, 1, Owed.SHARE, at, 60, 5, 30);
+            attempt(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
             accounts.answered(small, 60, 5, 30, at + 66);
             accounts.end(small, Accounts.End.SATISFIED, Reason.NONE, 1, at + 66);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, Spent.SHARE_FULL, 1, 6000 + i, 6050 + i);
+            heldUntilDeclined(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
         }
-        Report report = accounts.report(2, 0, 9_000);
+        LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.ELSEWHERE, report.main().kind(), report.causes().toString());
-        assertNotEquals(Report.Confidence.HIGH, report.main().confidence());
+        assertNotEquals(LatencyReport.Confidence.HIGH, report.main().confidence());
     }
 
     @Test
     void aPauseIsNotTheReadersDoing() {
         for (int i = 0; i < 100; i++) {
-            Meter writer = accounts.begin(8, BAND, true, 1, 20 * i);
-            accounts.sent(writer, 1, Owed.SHARE, 20 * i);
+            OperationTimer writer = accounts.begin(8, BAND, true, 1, 20 * i);
+            accounts.sent(writer, 1, QuotaTier.SHARE, 20 * i);
             accounts.answered(writer, 0, 5, 0, 20 * i + 5);
             accounts.end(writer, Accounts.End.SATISFIED, Reason.NONE, 1, 20 * i + 5);
-            Meter before = accounts.begin(3, BAND, false, 1, 20 * i + 6);
-            accounts.sent(before, 1, Owed.SHARE, 20 * i + 6);
+            OperationTimer before = accounts.begin(3, BAND, false, 1, 20 * i + 6);
+            accounts.sent(before, 1, QuotaTier.SHARE, 20 * i + 6);
             // Usually a unit ahead is waited for 5 ms; once in a while for 300.
-            attempt(accounts, 2, 1, Owed.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
+            attempt(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
             accounts.answered(before, 0, 5, 0, 20 * i + 11);
             accounts.end(before, Accounts.End.SATISFIED, Reason.NONE, 1, 20 * i + 11);
         }
-        Report report = accounts.report(2, 0, 9_000);
+        LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.PAUSE, report.main().kind(), report.causes().toString());
         assertEquals(8, report.main().volume(), "its writes came before the pauses");
-        assertNotEquals(Report.Confidence.HIGH, report.main().confidence());
+        assertNotEquals(LatencyReport.Confidence.HIGH, report.main().confidence());
     }
 
     @Test
     void aNodeThatFellQuietHoldsUpItsAttemptsItself() {
         for (int i = 0; i < 20; i++) {
-            attempt(accounts, 3, 1, Owed.SHARE, 10 * i, 0, 5, 0);
+            attempt(accounts, 3, 1, QuotaTier.SHARE, 10 * i, 0, 5, 0);
         }
         for (int i = 0; i < 8; i++) {
-            accounts.sent(accounts.begin(3, BAND, false, 1, 200), 1, Owed.SHARE, 200);
+            accounts.sent(accounts.begin(3, BAND, false, 1, 200), 1, QuotaTier.SHARE, 200);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, Spent.SHARE_FULL, 1, 200, 900);
+            heldUntilDeclined(accounts, 2, LatencyComponent.SHARE_FULL, 1, 200, 900);
         }
-        Report report = accounts.report(2, 0, 9_000);
+        LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.FAULT, report.main().kind());
         assertEquals(1, report.main().node());
     }
 
     @Test
     void anAttemptThatTimedOutInALongQueueIsNotTheNodesFault() {
-        Meter flood = accounts.begin(9, BAND, false, 20, 0);
-        accounts.sent(flood, 1, Owed.EXCESS, 0);
+        OperationTimer flood = accounts.begin(9, BAND, false, 20, 0);
+        accounts.sent(flood, 1, QuotaTier.EXCESS, 0);
         for (int i = 0; i < 40; i++) {
-            attempt(accounts, 9, 1, Owed.EXCESS, 100 * i, 90, 10, 0);
+            attempt(accounts, 9, 1, QuotaTier.EXCESS, 100 * i, 90, 10, 0);
         }
         for (int i = 0; i < 30; i++) {
-            Meter late = accounts.begin(2, BAND, false, 1, 3900);
-            accounts.sent(late, 1, Owed.SHARE, 3900);
-            attempt(accounts, 9, 1, Owed.EXCESS, 3900, 90, 10, 0);
+            OperationTimer late = accounts.begin(2, BAND, false, 1, 3900);
+            accounts.sent(late, 1, QuotaTier.SHARE, 3900);
+            attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.failed(late, Outcome.TIMED_OUT, 4100);
             accounts.end(late, Accounts.End.DECLINED, Reason.LATE, 1, 4100);
-            Meter lost = accounts.begin(3, BAND, false, 1, 3900);
-            accounts.sent(lost, 1, Owed.SHARE, 3900);
-            attempt(accounts, 9, 1, Owed.EXCESS, 3900, 90, 10, 0);
+            OperationTimer lost = accounts.begin(3, BAND, false, 1, 3900);
+            accounts.sent(lost, 1, QuotaTier.SHARE, 3900);
+            attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.failed(lost, Outcome.TIMED_OUT, 6900);
             accounts.end(lost, Accounts.End.SCRAPPED, Reason.MAY_HAVE_RUN, 1, 6900);
         }
@@ -264,15 +266,15 @@
         Accounts small = new Accounts(SMALL, 0);
         for (int i = 0; i < 100_000; i++) {
             double at = i * 100.0;
-            Meter meter = small.begin(i + 1, BAND, i % 2 == 0, 1, at);
-            small.sent(meter, 1 + i % 30, Owed.SHARE, at);
+            OperationTimer meter = small.begin(i + 1, BAND, i % 2 == 0, 1, at);
+            small.sent(meter, 1 + i % 30, QuotaTier.SHARE, at);
             small.failed(meter, Outcome.RESET, at + 10);
-            small.waits(meter, Spent.SHARE_FULL, 1 + i % 30, at + 10);
+            small.waits(meter, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
             small.end(meter, Accounts.End.SCRAPPED, Reason.MAY_HAVE_RUN, 1, at + 50);
         }
         assertTrue(small.volumes().size() <= 6, small.volumes().toString());
         assertTrue(small.windows() <= 60, "windows " + small.windows());
-        assertTrue(small.report(0, 0, 10_000_000).causes().size() <= Window.MOST_CAUSES);
+        assertTrue(small.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MOST_CAUSES);
         long operations =
                 small.volumes().stream()
                         .mapToLong(volume -> small.report(volume, 0, 10_000_000).operations())
@@ -283,7 +285,7 @@
     @Test
     void tenThousandVolumesOfOneOperationEach() {
         for (int i = 1; i <= 10_000; i++) {
-            attempt(accounts, i, 1 + i % 40, Owed.SHARE, i, 1, 1, 0);
+            attempt(accounts, i, 1 + i % 40, QuotaTier.SHARE, i, 1, 1, 0);
         }
         assertEquals(10_000, accounts.volumes().size());
         assertEquals(10_000, accounts.windows());
@@ -292,18 +294,18 @@
 
     @Test
     void partsOfThePlanAreToldApart() {
-        attempt(accounts, 2, 1, Owed.RESERVE, 0, 1, 4, 0);
-        attempt(accounts, 2, 1, Owed.EXCESS, 0, 300, 10, 0);
-        Meter limited = accounts.begin(2, BAND, false, 1, 0);
-        accounts.waits(limited, Spent.LIMIT, 0, 0);
-        accounts.sent(limited, 1, Owed.SHARE, 50);
+        attempt(accounts, 2, 1, QuotaTier.RESERVE, 0, 1, 4, 0);
+        attempt(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
+        OperationTimer limited = accounts.begin(2, BAND, false, 1, 0);
+        accounts.waits(limited, LatencyComponent.LIMIT, 0, 0);
+        accounts.sent(limited, 1, QuotaTier.SHARE, 50);
         accounts.answered(limited, 0, 5, 0, 55);
         accounts.end(limited, Accounts.End.SATISFIED, Reason.NONE, 1, 55);
-        Report report = accounts.report(2, 0, 1000);
+        LatencyReport report = accounts.report(2, 0, 1000);
         assertEquals(
-                List.of(PlanPart.RESERVE, PlanPart.EXCESS, PlanPart.LIMIT),
-                report.plan().stream().map(Report.PlanLine::part).toList());
-        Report.PlanLine excess = report.plan().get(1);
+                List.of(PlanTier.RESERVE, PlanTier.EXCESS, PlanTier.LIMIT),
+                report.plan().stream().map(LatencyReport.PlanLine::part).toList());
+        LatencyReport.PlanLine excess = report.plan().get(1);
         assertEquals(1, excess.missed());
         assertEquals(3 * 0.8, excess.utilityLost(), 1e-9);
         assertEquals(310, excess.p50(), 310 * 0.07);
@@ -312,12 +314,12 @@
     @Test
     void accountsGoOnAfterARestartThoughTheClockWasSetBack() {
         Accounts before = new Accounts(Accounts.Bounds.USUAL, 5e9);
-        attempt(before, 2, 1, Owed.SHARE, 1000, 5, 5, 0);
-        Book kept = Kept.of(before.book()).book();
+        attempt(before, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
+        LatencyAccount kept = StoredAccounts.of(before.book()).book();
         Accounts after = new Accounts(Accounts.Bounds.USUAL, 5e9 - 7_200_000);
         after.goOn(kept, 0);
         assertEquals(1, after.report(2, -86_400_000, 0).operations());
-        attempt(after, 2, 1, Owed.SHARE, 10, 5, 5, 0);
+        attempt(after, 2, 1, QuotaTier.SHARE, 10, 5, 5, 0);
         assertEquals(2, after.report(2, -86_400_000, 1000).operations());
     }
 
@@ -326,29 +328,31 @@
         // The second gateway's clock is an hour ahead; both note the list's versions 4 and 5.
         Accounts flooder = new Accounts(Accounts.Bounds.USUAL, 1e12 + 3_600_000);
         for (int i = 0; i < 200; i++) {
-            attempt(flooder, 9, 1, Owed.EXCESS, 30 * i, 20, 10, 0);
+            attempt(flooder, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
         }
         Accounts victims = new Accounts(Accounts.Bounds.USUAL, 1e12);
         for (int i = 0; i < 60; i++) {
-            attempt(victims, 2, 1, Owed.SHARE, 100 * i, 60, 5, 30);
+            attempt(victims, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
         }
         assertEquals(Cause.Kind.ELSEWHERE, victims.report(2, 0, 10_000).main().kind());
-        Fleet.Merged merged =
-                Fleet.merge(
+        FleetMerger.Merged merged =
+                FleetMerger.merge(
                         List.of(
-                                new Fleet.Member(
+                                new FleetMerger.Member(
                                         "one",
                                         victims.book(),
                                         Map.of(4L, 1e12 + 1, 5L, 1e12 + 900)),
-                                new Fleet.Member(
+                                new FleetMerger.Member(
                                         "two",
                                         flooder.book(),
                                         Map.of(4L, 1e12 + 3_600_003, 5L, 1e12 + 3_600_902))));
         assertEquals(3_600_002, merged.clocks().get(1).ahead(), 1);
-        Report report = merged.book().report(2, 1e12, 1e12 + 10_000);
+        LatencyReport report = merged.book().report(2, 1e12, 1e12 + 10_000);
         assertEquals(Cause.Kind.NEIGHBOUR, report.main().kind(), report.causes().toString());
         assertEquals(9, report.main().volume());
         assertNotEquals(
-                Report.Confidence.HIGH, report.main().confidence(), "it is reckoned, not seen");
+                LatencyReport.Confidence.HIGH,
+                report.main().confidence(),
+                "it is reckoned, not seen");
     }
 }
--- a/src/test/java/sagepulley/codec/frame/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -84,7 +84,7 @@
         } catch (Throwable t) {
             thrown = t;
         }
-        assertInstanceOf(BadBytes.class, thrown);
+        assertInstanceOf(MalformedMessageException.class, thrown);
         for (Frame frame = in.readInbound(); frame != null; frame = in.readInbound()) {
             frame.release();
         }
@@ -102,7 +102,7 @@
         } catch (Throwable t) {
             thrown = t;
         }
-        assertInstanceOf(BadBytes.class, thrown);
+        assertInstanceOf(MalformedMessageException.class, thrown);
         fed.forEach(piece -> assertEquals(0, piece.refCnt()));
     }
 }
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import sagepulley.codec.frame.BadBytes;
+import sagepulley.codec.frame.MalformedMessageException;
 
 /** The NBD handshake and commands, however their bytes are split. */
 class NbdCodecTest {
@@ -30,7 +30,7 @@
     /** A server's side without a socket: what reached the session, and what ended it. */
     private static final class Server {
         final List<NbdRequest> requests = new ArrayList<>();
-        Attached attached;
+        AttachedExport attached;
         Throwable ended;
         final EmbeddedChannel channel;
         boolean open = true;
@@ -49,8 +49,8 @@
                             return name.equals("vol") ? EXPORT : null;
                         }
                     };
-            Gate gate =
-                    new Gate() {
+            AdmissionGate gate =
+                    new AdmissionGate() {
                         @Override
                         public boolean admit(long bytes, Runnable again) {
                             later = again;
@@ -73,7 +73,7 @@
 
                         @Override
                         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-                            attached = (Attached) event;
+                            attached = (AttachedExport) event;
                         }
 
                         @Override
@@ -105,7 +105,7 @@
             all.skipBytes(18);
             List<Integer> types = new ArrayList<>();
             while (all.isReadable()) {
-                assertEquals(Nbd.OPTION_REPLY_MAGIC, all.readLong());
+                assertEquals(NbdConstants.OPTION_REPLY_MAGIC, all.readLong());
                 all.readInt();
                 types.add(all.readInt());
                 all.skipBytes(all.readInt());
@@ -115,7 +115,10 @@
     }
 
     private static ByteBuf option(ByteBuf to, int code, byte[] data) {
-        return to.writeLong(Nbd.IHAVEOPT).writeInt(code).writeInt(data.length).writeBytes(data);
+        return to.writeLong(NbdConstants.IHAVEOPT)
+                .writeInt(code)
+                .writeInt(data.length)
+                .writeBytes(data);
     }
 
     private static byte[] named(String name, int... shorts) {
@@ -132,20 +135,20 @@
 
     private static byte[] session(List<byte[]> payloads) {
         ByteBuf all = Unpooled.buffer().writeInt(3);
-        option(all, Nbd.OPT_STRUCTURED_REPLY, new byte[0]);
-        option(all, Nbd.OPT_GO, named("vol", Nbd.INFO_BLOCK_SIZE));
+        option(all, NbdConstants.OPT_STRUCTURED_REPLY, new byte[0]);
+        option(all, NbdConstants.OPT_GO, named("vol", NbdConstants.INFO_BLOCK_SIZE));
         for (int i = 0; i < payloads.size(); i++) {
             byte[] payload = payloads.get(i);
-            all.writeInt(Nbd.REQUEST_MAGIC)
+            all.writeInt(NbdConstants.REQUEST_MAGIC)
                     .writeShort(0)
-                    .writeShort(Nbd.CMD_WRITE)
+                    .writeShort(NbdConstants.CMD_WRITE)
                     .writeLong(i)
                     .writeLong(512L * i)
                     .writeInt(payload.length)
                     .writeBytes(payload);
-            all.writeInt(Nbd.REQUEST_MAGIC)
+            all.writeInt(NbdConstants.REQUEST_MAGIC)
                     .writeShort(0)
-                    .writeShort(Nbd.CMD_READ)
+                    .writeShort(NbdConstants.CMD_READ)
                     .writeLong(1000 + i)
                     .writeLong(0)
                     .writeInt(512);
@@ -182,7 +185,7 @@
         server.feed(ByteBufUtil.getBytes(mixed), List.of(13));
         server.channel.checkException();
         if (server.ended != null) {
-            assertInstanceOf(BadBytes.class, server.ended);
+            assertInstanceOf(MalformedMessageException.class, server.ended);
         }
         server.requests.forEach(request -> request.payload().release());
         server.channel.finishAndReleaseAll();
@@ -197,8 +200,8 @@
         if (greeted) {
             client.writeInbound(
                     Unpooled.buffer()
-                            .writeLong(Nbd.NBDMAGIC)
-                            .writeLong(Nbd.IHAVEOPT)
+                            .writeLong(NbdConstants.NBDMAGIC)
+                            .writeLong(NbdConstants.IHAVEOPT)
                             .writeShort(3));
         }
         Throwable thrown = null;
@@ -208,7 +211,7 @@
         } catch (Throwable t) {
             thrown = t;
         }
-        assertInstanceOf(BadBytes.class, thrown);
+        assertInstanceOf(MalformedMessageException.class, thrown);
         for (Object told = client.readInbound(); told != null; told = client.readInbound()) {
             ByteBuf data =
                     told instanceof NbdClientDecoder.Chunk chunk
@@ -228,34 +231,37 @@
     void optionsAreAnsweredAsTheTextSays() {
         Server server = new Server();
         ByteBuf all = Unpooled.buffer().writeInt(3);
-        option(all, Nbd.OPT_LIST, new byte[0]);
-        option(all, Nbd.OPT_LIST, new byte[] {1});
+        option(all, NbdConstants.OPT_LIST, new byte[0]);
+        option(all, NbdConstants.OPT_LIST, new byte[] {1});
         option(all, 77, new byte[] {1, 2, 3});
-        option(all, Nbd.OPT_INFO, named("other"));
-        option(all, Nbd.OPT_INFO, new byte[] {0, 0, 0, 99});
-        option(all, Nbd.OPT_SET_META_CONTEXT, named("vol"));
-        option(all, Nbd.OPT_STARTTLS, new byte[0]);
-        option(all, Nbd.OPT_INFO, new byte[100_000]);
-        option(all, Nbd.OPT_INFO, named("vol", Nbd.INFO_NAME, Nbd.INFO_DESCRIPTION));
-        option(all, Nbd.OPT_ABORT, new byte[0]);
+        option(all, NbdConstants.OPT_INFO, named("other"));
+        option(all, NbdConstants.OPT_INFO, new byte[] {0, 0, 0, 99});
+        option(all, NbdConstants.OPT_SET_META_CONTEXT, named("vol"));
+        option(all, NbdConstants.OPT_STARTTLS, new byte[0]);
+        option(all, NbdConstants.OPT_INFO, new byte[100_000]);
+        option(
+                all,
+                NbdConstants.OPT_INFO,
+                named("vol", NbdConstants.INFO_NAME, NbdConstants.INFO_DESCRIPTION));
+        option(all, NbdConstants.OPT_ABORT, new byte[0]);
         server.feed(ByteBufUtil.getBytes(all), List.of(50));
         assertEquals(
                 List.of(
-                        Nbd.REP_SERVER,
-                        Nbd.REP_ACK,
-                        Nbd.REP_ERR_INVALID,
-                        Nbd.REP_ERR_UNSUP,
-                        Nbd.REP_ERR_UNKNOWN,
-                        Nbd.REP_ERR_INVALID,
-                        Nbd.REP_ERR_INVALID,
-                        Nbd.REP_ERR_UNSUP,
-                        Nbd.REP_ERR_TOO_BIG,
-                        Nbd.REP_INFO,
-                        Nbd.REP_INFO,
-                        Nbd.REP_INFO,
-                        Nbd.REP_INFO,
-                        Nbd.REP_ACK,
-                        Nbd.REP_ACK),
+                        NbdConstants.REP_SERVER,
+                        NbdConstants.REP_ACK,
+                        NbdConstants.REP_ERR_INVALID,
+                        NbdConstants.REP_ERR_UNSUP,
+                        NbdConstants.REP_ERR_UNKNOWN,
+                        NbdConstants.REP_ERR_INVALID,
+                        NbdConstants.REP_ERR_INVALID,
+                        NbdConstants.REP_ERR_UNSUP,
+                        NbdConstants.REP_ERR_TOO_BIG,
+                        NbdConstants.REP_INFO,
+                        NbdConstants.REP_INFO,
+                        NbdConstants.REP_INFO,
+                        NbdConstants.REP_INFO,
+                        NbdConstants.REP_ACK,
+                        NbdConstants.REP_ACK),
                 server.replies());
         assertFalse(server.channel.isActive());
     }
@@ -267,11 +273,11 @@
                 ByteBufUtil.getBytes(
                         Unpooled.buffer()
                                 .writeInt(3)
-                                .writeLong(Nbd.IHAVEOPT)
-                                .writeInt(Nbd.OPT_INFO)
+                                .writeLong(NbdConstants.IHAVEOPT)
+                                .writeInt(NbdConstants.OPT_INFO)
                                 .writeInt(-1)),
                 List.of(100));
-        assertInstanceOf(BadBytes.class, server.ended);
+        assertInstanceOf(MalformedMessageException.class, server.ended);
         assertFalse(server.channel.isActive());
         server.channel.finishAndReleaseAll();
     }
--- a/src/test/java/sagepulley/config/SiteTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagepulley.scenario.Town;
+import sagepulley.scenario.LocalCluster;
 
 /** Site files: what is read, and the error of each that is wrong. */
-class SiteTest {
+class SiteConfigTest {
     private static final String GOOD =
-            Town.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
+            LocalCluster.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
 
     @Test
-    void theDemosFileIsReadWhole() throws SiteError {
-        Site site = Site.read("demo.ini", GOOD);
+    void theDemosFileIsReadWhole() throws SiteConfigException {
+        SiteConfig site = SiteConfig.read("demo.ini", GOOD);
         assertEquals(3, site.deployment().gateways());
         assertEquals(64L << 20, site.volumes().get(0).size());
         assertEquals(500, site.deployment().bands().get(0).targetTime());
@@ -42,19 +42,20 @@
             })
     void aMistakeNamesFileSectionKeyAndWhatIsAllowed(String piece, String other, String told) {
         assertTrue(GOOD.contains(piece), piece);
-        SiteError error =
+        SiteConfigException error =
                 assertThrows(
-                        SiteError.class, () -> Site.read("demo.ini", GOOD.replace(piece, other)));
+                        SiteConfigException.class,
+                        () -> SiteConfig.read("demo.ini", GOOD.replace(piece, other)));
         assertTrue(error.getMessage().contains(told), error.getMessage());
     }
 
     @Test
     void everyMistakeIsToldAtOnce() {
-        SiteError error =
+        SiteConfigException error =
                 assertThrows(
-                        SiteError.class,
+                        SiteConfigException.class,
                         () ->
-                                Site.read(
+                                SiteConfig.read(
                                         "demo.ini",
                                         GOOD.replace("size = 64 MiB", "size = x")
                                                 .replace("patience = 4 s", "patience = y")));
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -19,7 +19,7 @@
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Placement;
+import sagepulley.model.RoutingDecision;
 
 /**
  * Plays seeded random events to the engine and compares a digest of every decision with the one
@@ -120,12 +120,12 @@
     private record Ending(double at, long order, Attempt attempt, Outcome outcome, boolean ends) {}
 
     /** One gateway under random traffic, endpoints with random faults, and a list that changes. */
-    private static final class Play implements Exit {
+    private static final class Play implements DecisionSink {
         private final Random random;
         private final MessageDigest digest;
         private final boolean leaseIsBounded;
-        private final Host host;
-        private final List<ListEntry> entries = new ArrayList<>();
+        private final GatewayEngine host;
+        private final List<EndpointEntry> entries = new ArrayList<>();
         private final double[] slowness = new double[ENDPOINTS];
         private final boolean[] silent = new boolean[ENDPOINTS];
         private final PriorityQueue<Ending> endings =
@@ -149,15 +149,15 @@
             } catch (NoSuchAlgorithmException e) {
                 throw new AssertionError(e);
             }
-            Deployment deployment = FirstMessage.ofLines(SETTINGS).deployment();
+            Deployment deployment = SettingsReader.ofLines(SETTINGS).deployment();
             this.host =
-                    new Host(
+                    new GatewayEngine(
                             leaseIsBounded ? deployment.onWatch(WATCH_SPAN_MILLIS) : deployment,
                             seed,
                             this);
             for (int i = 0; i < ENDPOINTS; i++) {
                 slowness[i] = 1;
-                entries.add(entry(i, Node.Standing.READY, Double.NEGATIVE_INFINITY));
+                entries.add(entry(i, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
             host.listed(entries, true, now);
             if (leaseIsBounded) {
@@ -255,18 +255,18 @@
 
         private void changeEndpoint(int index) {
             switch (random.nextInt(5)) {
-                case 0 -> entries.set(index, entry(index, Node.Standing.DRAINING, 0));
-                case 1 -> entries.set(index, entry(index, Node.Standing.GONE, 0));
-                case 2 -> entries.set(index, entry(index, Node.Standing.READY, now - 20));
+                case 0 -> entries.set(index, entry(index, Node.Phase.DRAINING, 0));
+                case 1 -> entries.set(index, entry(index, Node.Phase.GONE, 0));
+                case 2 -> entries.set(index, entry(index, Node.Phase.READY, now - 20));
                 default ->
                         entries.set(
-                                index, entry(index, Node.Standing.READY, Double.NEGATIVE_INFINITY));
+                                index, entry(index, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
             host.listed(entries, random.nextBoolean(), now);
         }
 
-        private static ListEntry entry(int index, Node.Standing standing, double startedAt) {
-            return new ListEntry(
+        private static EndpointEntry entry(int index, Node.Phase standing, double startedAt) {
+            return new EndpointEntry(
                     index % 3, index % CELLS, 100 + index, standing, startedAt, 0, 1 + index % 2);
         }
 
@@ -320,8 +320,8 @@
         }
 
         @Override
-        public void giveUp(Operation operation, Placement placement) {
-            if (placement.kind() == Placement.Kind.DECLINE) {
+        public void giveUp(Operation operation, RoutingDecision placement) {
+            if (placement.kind() == RoutingDecision.Kind.DECLINE) {
                 rejected++;
             } else {
                 abandoned++;
--- a/src/test/java/sagepulley/engine/HostTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -9,10 +9,10 @@
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Placement;
+import sagepulley.model.RoutingDecision;
 
 /** What a gateway keeps of nodes that come and go. */
-class HostTest {
+class GatewayEngineTest {
     private static final String SETTINGS =
             """
             me=0
@@ -33,18 +33,18 @@
             limits.mayDuplicate=false
             """;
     private final List<Attempt> sent = new ArrayList<>();
-    private final Host host =
-            new Host(
-                    FirstMessage.ofLines(SETTINGS).deployment(),
+    private final GatewayEngine host =
+            new GatewayEngine(
+                    SettingsReader.ofLines(SETTINGS).deployment(),
                     1,
-                    new Exit() {
+                    new DecisionSink() {
                         @Override
                         public void send(Attempt attempt, double timeout) {
                             sent.add(attempt);
                         }
 
                         @Override
-                        public void giveUp(Operation operation, Placement placement) {
+                        public void giveUp(Operation operation, RoutingDecision placement) {
                             throw new AssertionError("given up: " + placement.reason());
                         }
 
@@ -112,10 +112,10 @@
         host.listed(List.of(entry(1, 0)), true, 20_000);
         assertEquals(List.of(), host.listed(List.of(entry(2, 1)), false, 60_000));
         assertEquals(node, host.nodes().iterator().next());
-        assertEquals(Node.Standing.READY, node.standing);
+        assertEquals(Node.Phase.READY, node.standing);
     }
 
-    private static ListEntry entry(int store, int cell) {
-        return new ListEntry(0, cell, store, Node.Standing.READY, Double.NEGATIVE_INFINITY, 0, 1);
+    private static EndpointEntry entry(int store, int cell) {
+        return new EndpointEntry(0, cell, store, Node.Phase.READY, Double.NEGATIVE_INFINITY, 0, 1);
     }
 }
--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -38,7 +38,7 @@
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.launchThrough("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 11);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 11);
             Thread.sleep(1_000);
             fillWith(idle, gateway);
             fleet.discovery.goDown();
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -33,12 +33,12 @@
 
     @Test
     void eachSignalIsActedOnWhileSystemCallsFailAndTheWallClockSteps() throws Exception {
-        Shim shim = Shim.in(folder);
+        SystemCallShim shim = SystemCallShim.in(folder);
         assumeTrue(shim != null, "there is no C compiler");
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             shim.environment(SHIM_SEED, FAILURES_IN_TEN_THOUSAND).forEach(fleet::environment);
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 7);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 7);
             for (int i = 0; i < SIGNALS; i++) {
                 shim.step((i % 3 - 1) * HOUR_MS);
                 boolean isDown = i % 5 == 2;
@@ -61,7 +61,7 @@
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.launchThrough("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 8);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 8);
             Thread.sleep(1_000);
             fleet.discovery.goDown();
             FleetChecks.drain(fleet, 0);
@@ -82,7 +82,7 @@
     void aConfigurationThatCannotBeReadAtFirstStopsTheLeaseAndIsReadAgain() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 9);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 9);
             Thread.sleep(1_000);
             fleet.discovery.watchesSilent = true;
             FleetChecks.drain(fleet, 0);
@@ -107,7 +107,7 @@
     void aConfigurationThatIsWrongLeavesAllAsItWasUntilItIsMended() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 10);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 10);
             Thread.sleep(1_000);
             Files.writeString(fleet.configFile(0), "{\"name\": \"n0\"}");
             fleet.toldToReload(gateway);
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -44,7 +44,7 @@
             fleet.discovery.behaviour = behaviour;
             FleetChecks.drain(fleet, 0);
             restarted.awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 1);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 1);
             Thread.sleep(WATCHED_MS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
@@ -67,7 +67,7 @@
     void aProcessWhoseWatchFellSilentSendsNothingToWhatHasDrained() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 3);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 3);
             Thread.sleep(1_000);
             fleet.discovery.behaviour = DiscoveryServer.Behaviour.HEALTHY.saysNothing();
             fleet.discovery.watchesSilent = true;
@@ -101,7 +101,7 @@
     void aDiscoveryThatIsDownStopsNoService() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.Habits.STEADY, 5);
+            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 5);
             Thread.sleep(1_000);
             fleet.discovery.goDown();
             Thread.sleep(WATCHED_MS);
@@ -116,7 +116,7 @@
     private static void drainAfterTheWatchIsLost(
             TestFleet fleet, DiscoveryServer.Behaviour behaviour, long seed) throws Exception {
         fleet.start(0).awaitReady();
-        fleet.load(0, 6, ClientLoad.Habits.STEADY, seed);
+        fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, seed);
         Thread.sleep(1_000);
         fleet.discovery.behaviour = behaviour;
         fleet.discovery.resetAll();
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -30,7 +30,7 @@
             throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            ClientLoad load = fleet.load(0, 12, ClientLoad.Habits.STEADY, 6);
+            ClientLoad load = fleet.load(0, 12, ClientLoad.ClientBehaviour.STEADY, 6);
             Thread.sleep(1_500);
             fleet.stores.get(0).hangs = true;
             long toldAt = System.nanoTime();
--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.Report;
-import sagepulley.accounts.Spent;
-import sagepulley.codec.frame.Loops;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
-import sagepulley.scenario.Town;
-import sagepulley.standin.NodeTraits;
-import sagepulley.standin.Witness;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.NodeProfile;
+import sagepulley.standin.TrafficRecorder;
 
 /**
  * A volume that floods is named as the main cause of another's waits; a slow node is named where it
@@ -39,7 +39,7 @@
     /** Keeps so many writes of a client in flight until told to stop. */
     private static void flood(NbdClient client, int number, AtomicBoolean stop) {
         client.ask(
-                Nbd.CMD_WRITE,
+                NbdConstants.CMD_WRITE,
                 0,
                 number % 64 * 131072L,
                 131072,
@@ -51,11 +51,11 @@
                 });
     }
 
-    private static NbdClient open(Town town, Gateway gateway, String volume) {
-        return Town.await(
+    private static NbdClient open(LocalCluster town, NbdGateway gateway, String volume) {
+        return LocalCluster.await(
                 NbdClient.open(
                         town.loops(),
-                        Loops.socket(),
+                        EventLoops.socket(),
                         gateway.address(),
                         volume,
                         NbdClient.Style.GO));
@@ -63,37 +63,56 @@
 
     @Test
     void theFloodIsNamed() throws Exception {
-        List<NodeTraits> traits = new ArrayList<>();
+        List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
             traits.add(
-                    new NodeTraits(
-                            i, i, 0, 0, 1, 8, 8, 256, Rig.MIB, 0.25, 10_000, 2, 2_000, 64, 0, 1_000,
+                    new NodeProfile(
+                            i,
+                            i,
+                            0,
+                            0,
+                            1,
+                            8,
+                            8,
+                            256,
+                            NbdTestFixture.MIB,
+                            0.25,
+                            10_000,
+                            2,
+                            2_000,
+                            64,
+                            0,
+                            1_000,
                             null));
         }
-        try (Town town = Town.start(traits, Witness.NOBODY, 2)) {
-            Gateway gateway =
-                    town.open(Town.demoSite("gw", 0, 1, 0, town.directory().address()) + TWO, 1);
+        try (LocalCluster town = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2)) {
+            NbdGateway gateway =
+                    town.open(
+                            LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address()) + TWO,
+                            1);
             NbdClient victim = open(town, gateway, "demo");
             NbdClient neighbour = open(town, gateway, "flood");
             for (int i = 0; i < 4; i++) {
-                Rig.await(victim.write(i * (long) Rig.MIB, new byte[4096])).release();
+                NbdTestFixture.await(victim.write(i * (long) NbdTestFixture.MIB, new byte[4096]))
+                        .release();
             }
             AtomicBoolean stop = new AtomicBoolean();
             for (int i = 0; i < 40; i++) {
                 flood(neighbour, i, stop);
             }
             for (int i = 0; i < 60; i++) {
-                Rig.await(victim.read(i % 4 * (long) Rig.MIB, 4096)).release();
+                NbdTestFixture.await(victim.read(i % 4 * (long) NbdTestFixture.MIB, 4096))
+                        .release();
             }
             stop.set(true);
-            Map<String, Report> reports = Rig.await(gateway.accounts(60_000));
-            Report report = reports.get("demo");
+            Map<String, LatencyReport> reports = NbdTestFixture.await(gateway.accounts(60_000));
+            LatencyReport report = reports.get("demo");
             assertEquals(64, report.operations());
             assertEquals(Cause.Kind.NEIGHBOUR, report.main().kind(), report.causes().toString());
             assertEquals(9, report.main().volume());
             // The flood itself waited on its own load.
             assertEquals(Cause.Kind.OWN_LOAD, reports.get("flood").main().kind());
-            assertTrue(reports.get("flood").parts().containsKey(Spent.NODE_WORK));
+            assertTrue(reports.get("flood").parts().containsKey(LatencyComponent.NODE_WORK));
             victim.channel().close();
             neighbour.channel().close();
         }
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import sagepulley.codec.nbd.Nbd;
 import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdReply;
-import sagepulley.standin.Witness;
+import sagepulley.standin.TrafficRecorder;
 
 /** What a client sends can end its own connection, nothing more. */
 class BadClientsTest {
@@ -45,12 +45,13 @@
     })
     void aWrongRequestIsAnsweredAndTheRestGoesOn(
             int command, int flags, long offset, int length, int error) throws Exception {
-        try (Rig rig = new Rig(1)) {
+        try (NbdTestFixture rig = new NbdTestFixture(1)) {
             NbdClient client = rig.client();
             assertEquals(
                     error,
-                    Rig.error(client.ask(command, flags, offset, length, Unpooled.EMPTY_BUFFER)));
-            assertEquals(0, Rig.error(client.read(0, 512)));
+                    NbdTestFixture.error(
+                            client.ask(command, flags, offset, length, Unpooled.EMPTY_BUFFER)));
+            assertEquals(0, NbdTestFixture.error(client.read(0, 512)));
             // The reply reaches the client before the gateway is told that it was written.
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
@@ -58,20 +59,30 @@
 
     @Test
     void writesPastTheEndOrTooLongOrToAReadOnlyExportAreRefused() throws Exception {
-        try (Rig rig = new Rig(1, Witness.NOBODY, "most-request", "; most-request")) {
+        try (NbdTestFixture rig =
+                new NbdTestFixture(1, TrafficRecorder.NOBODY, "most-request", "; most-request")) {
             NbdClient client = rig.client();
-            assertEquals(Nbd.ENOSPC, Rig.error(client.write(64L * Rig.MIB, new byte[512])));
-            assertEquals(Nbd.EINVAL, Rig.error(client.write(0, new byte[33 * Rig.MIB])));
-            assertEquals(0, Rig.error(client.write(0, new byte[512])));
+            assertEquals(
+                    NbdConstants.ENOSPC,
+                    NbdTestFixture.error(client.write(64L * NbdTestFixture.MIB, new byte[512])));
+            assertEquals(
+                    NbdConstants.EINVAL,
+                    NbdTestFixture.error(client.write(0, new byte[33 * NbdTestFixture.MIB])));
+            assertEquals(0, NbdTestFixture.error(client.write(0, new byte[512])));
         }
-        try (Rig rig =
-                new Rig(1, Witness.NOBODY, "size = 64 MiB", "size = 64 MiB\nread-only = yes")) {
+        try (NbdTestFixture rig =
+                new NbdTestFixture(
+                        1,
+                        TrafficRecorder.NOBODY,
+                        "size = 64 MiB",
+                        "size = 64 MiB\nread-only = yes")) {
             NbdClient client = rig.client();
-            assertTrue((client.flags() & Nbd.READ_ONLY) != 0);
-            assertEquals(Nbd.EPERM, Rig.error(client.write(0, new byte[512])));
+            assertTrue((client.flags() & NbdConstants.READ_ONLY) != 0);
+            assertEquals(NbdConstants.EPERM, NbdTestFixture.error(client.write(0, new byte[512])));
             assertEquals(
-                    Nbd.EPERM,
-                    Rig.error(client.ask(Nbd.CMD_TRIM, 0, 0, 512, Unpooled.EMPTY_BUFFER)));
+                    NbdConstants.EPERM,
+                    NbdTestFixture.error(
+                            client.ask(NbdConstants.CMD_TRIM, 0, 0, 512, Unpooled.EMPTY_BUFFER)));
         }
     }
 
@@ -79,26 +90,26 @@
     private static byte[] hello() {
         return ByteBuffer.allocate(24)
                 .putInt(3)
-                .putLong(Nbd.IHAVEOPT)
-                .putInt(Nbd.OPT_EXPORT_NAME)
+                .putLong(NbdConstants.IHAVEOPT)
+                .putInt(NbdConstants.OPT_EXPORT_NAME)
                 .putInt(4)
                 .put("demo".getBytes())
                 .array();
     }
 
-    private static Socket connect(Rig rig) throws IOException {
+    private static Socket connect(NbdTestFixture rig) throws IOException {
         return new Socket(rig.gateway.address().getAddress(), rig.gateway.address().getPort());
     }
 
     @Test
     void clientsThatStopAnywhereLeaveNothingBehind() throws Exception {
-        try (Rig rig = new Rig(2)) {
+        try (NbdTestFixture rig = new NbdTestFixture(2)) {
             NbdClient good = rig.client();
             byte[] write =
                     ByteBuffer.allocate(28 + 4096)
-                            .putInt(Nbd.REQUEST_MAGIC)
+                            .putInt(NbdConstants.REQUEST_MAGIC)
                             .putShort((short) 0)
-                            .putShort((short) Nbd.CMD_WRITE)
+                            .putShort((short) NbdConstants.CMD_WRITE)
                             .putLong(1)
                             .putLong(0)
                             .putInt(4096)
@@ -114,13 +125,13 @@
                                     rig.gateway.tally().clients.sum() - 1
                                             == rig.gateway.tally().clientsEnded.sum());
             await().until(() -> rig.gateway.bytesInHand() == 0);
-            assertEquals(0, Rig.error(good.read(0, 4096)));
+            assertEquals(0, NbdTestFixture.error(good.read(0, 4096)));
         }
     }
 
     @Test
     void garbageEndsItsOwnConnection() throws Exception {
-        try (Rig rig = new Rig(1)) {
+        try (NbdTestFixture rig = new NbdTestFixture(1)) {
             NbdClient good = rig.client();
             Random random = new Random(3);
             for (int i = 0; i < 60; i++) {
@@ -139,7 +150,7 @@
                     // so may a reset
                 }
             }
-            assertEquals(0, Rig.error(good.read(0, 512)));
+            assertEquals(0, NbdTestFixture.error(good.read(0, 512)));
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
     }
@@ -147,35 +158,35 @@
     @Test
     void aClientThatReadsNoRepliesIsHeldToItsBytes() throws Exception {
         // 8 MiB for one client, 16 MiB in all.
-        try (Rig rig =
-                new Rig(
+        try (NbdTestFixture rig =
+                new NbdTestFixture(
                         3,
-                        Witness.NOBODY,
+                        TrafficRecorder.NOBODY,
                         "[site]",
                         "client-bytes = 8 MiB\nall-bytes = 16 MiB\nmost-request = 4 MiB\n[site]")) {
             NbdClient good = rig.client();
-            Rig.await(good.write(0, new byte[4 * Rig.MIB]));
+            NbdTestFixture.await(good.write(0, new byte[4 * NbdTestFixture.MIB]));
             try (Socket deaf = connect(rig)) {
                 deaf.getOutputStream().write(hello());
                 DataInputStream in = new DataInputStream(deaf.getInputStream());
                 in.readFully(new byte[28]);
                 byte[] read =
                         ByteBuffer.allocate(28)
-                                .putInt(Nbd.REQUEST_MAGIC)
+                                .putInt(NbdConstants.REQUEST_MAGIC)
                                 .putShort((short) 0)
-                                .putShort((short) Nbd.CMD_READ)
+                                .putShort((short) NbdConstants.CMD_READ)
                                 .putLong(1)
                                 .putLong(0)
-                                .putInt(Rig.MIB)
+                                .putInt(NbdTestFixture.MIB)
                                 .array();
                 for (int i = 0; i < 200; i++) {
                     deaf.getOutputStream().write(read);
                 }
                 for (int i = 0; i < 50; i++) {
-                    assertEquals(0, Rig.error(good.read(0, 65536)));
+                    assertEquals(0, NbdTestFixture.error(good.read(0, 65536)));
                 }
-                assertTrue(rig.gateway.mostBytesInHand() <= 16L * Rig.MIB);
-                assertTrue(rig.gateway.bytesInHand() <= 8L * Rig.MIB + 8192);
+                assertTrue(rig.gateway.mostBytesInHand() <= 16L * NbdTestFixture.MIB);
+                assertTrue(rig.gateway.bytesInHand() <= 8L * NbdTestFixture.MIB + 8192);
             }
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
@@ -183,26 +194,26 @@
 
     @Test
     void writesWithoutEndStayWithinTheBoundAndOthersGoOn() throws Exception {
-        try (Rig rig =
-                new Rig(
+        try (NbdTestFixture rig =
+                new NbdTestFixture(
                         3,
-                        Witness.NOBODY,
+                        TrafficRecorder.NOBODY,
                         "[site]",
                         "client-bytes = 40 MiB\nall-bytes = 64 MiB\n[site]")) {
             NbdClient good = rig.client();
             NbdClient flood = rig.client();
-            byte[] big = new byte[32 * Rig.MIB];
+            byte[] big = new byte[32 * NbdTestFixture.MIB];
             List<java.util.concurrent.CompletableFuture<NbdReply>> writes = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 writes.add(flood.write(0, big));
             }
             for (int i = 0; i < 30; i++) {
-                NbdReply reply = Rig.await(good.read(48L * Rig.MIB, 4096));
+                NbdReply reply = NbdTestFixture.await(good.read(48L * NbdTestFixture.MIB, 4096));
                 assertEquals(0, reply.error);
                 reply.release();
             }
-            writes.forEach(Rig::await);
-            assertTrue(rig.gateway.mostBytesInHand() <= 64L * Rig.MIB);
+            writes.forEach(NbdTestFixture::await);
+            assertTrue(rig.gateway.mostBytesInHand() <= 64L * NbdTestFixture.MIB);
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
     }
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagepulley.codec.nbd.Nbd;
 import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdReply;
-import sagepulley.config.Site;
-import sagepulley.scenario.Metronome;
+import sagepulley.config.SiteConfig;
+import sagepulley.scenario.StallDetector;
 import sagepulley.standin.StandInNode;
-import sagepulley.standin.Witness;
+import sagepulley.standin.TrafficRecorder;
 
 /**
  * Every fault of a node or directory: as many final answers as operations, all before patience
@@ -41,20 +41,20 @@
         GARBLED((rig, node) -> node.faults().garble = true),
         TWICE((rig, node) -> node.faults().twice = true),
         INVENTED((rig, node) -> node.faults().invent = true),
-        GONE((rig, node) -> Rig.await(node.stop())),
+        GONE((rig, node) -> NbdTestFixture.await(node.stop())),
         UNREACHABLE(
                 (rig, node) -> {
                     node.faults().unreachable = true;
                     node.cut();
                 }),
-        DIRECTORY_DOWN((rig, node) -> Rig.await(rig.town.directory().stop())),
+        DIRECTORY_DOWN((rig, node) -> NbdTestFixture.await(rig.town.directory().stop())),
         DIRECTORY_SILENT((rig, node) -> rig.town.directory().silent(true)),
         DIRECTORY_FAILING((rig, node) -> rig.town.directory().failing(true)),
-        DIRECTORY_RESTARTED((rig, node) -> Rig.await(rig.town.directory().restart()));
+        DIRECTORY_RESTARTED((rig, node) -> NbdTestFixture.await(rig.town.directory().restart()));
 
-        final BiConsumer<Rig, StandInNode> begin;
+        final BiConsumer<NbdTestFixture, StandInNode> begin;
 
-        Fault(BiConsumer<Rig, StandInNode> begin) {
+        Fault(BiConsumer<NbdTestFixture, StandInNode> begin) {
             this.begin = begin;
         }
     }
@@ -68,7 +68,7 @@
 
     private static CompletableFuture<Told> ask(NbdClient client, int i) {
         long sent = System.nanoTime();
-        long offset = i * 37L % 128 * (Rig.MIB / 2);
+        long offset = i * 37L % 128 * (NbdTestFixture.MIB / 2);
         CompletableFuture<NbdReply> reply =
                 i % 2 == 0 ? client.read(offset, 16384) : client.write(offset, new byte[16384]);
         return reply.thenApply(
@@ -83,12 +83,14 @@
     @EnumSource(Fault.class)
     void eachOperationGetsOneAnswerInTime(Fault fault) throws Exception {
         // Patience is a second, so that each fault outlasts it.
-        try (Metronome machine = new Metronome();
-                Rig rig = new Rig(3, Witness.NOBODY, "patience = 4 s", "patience = 1 s")) {
+        try (StallDetector machine = new StallDetector();
+                NbdTestFixture rig =
+                        new NbdTestFixture(
+                                3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
             machine.watch(rig.town.loops());
             NbdClient client = rig.client();
             for (int i = 0; i < 32; i++) {
-                Rig.await(client.write(i * 2L * Rig.MIB, new byte[4096]));
+                NbdTestFixture.await(client.write(i * 2L * NbdTestFixture.MIB, new byte[4096]));
             }
             fault.begin.accept(rig, rig.town.nodes().get(0));
             List<CompletableFuture<Told>> asked = new ArrayList<>();
@@ -97,7 +99,7 @@
                 Thread.sleep(2); // a pace, not a bound: nothing below depends on it
             }
             for (CompletableFuture<Told> one : asked) {
-                Rig.await(one);
+                NbdTestFixture.await(one);
             }
             int satisfied = 0;
             for (CompletableFuture<Told> one : asked) {
@@ -108,7 +110,7 @@
                         one.join().took() < 2500 + 100 + machine.stoodStill(),
                         "took " + one.join().took());
             }
-            Tally tally = rig.gateway.tally();
+            Counters tally = rig.gateway.tally();
             assertEquals(0, tally.open());
             assertEquals(0, tally.left.sum());
             assertEquals(200 + 32, tally.taken.sum());
@@ -121,9 +123,9 @@
 
     @Test
     void aClientThatLeavesTakesNothingWithIt() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient other = rig.client();
-            Rig.await(other.write(0, new byte[Rig.MIB]));
+            NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
             rig.town.nodes().forEach(node -> node.faults().silent = true);
             NbdClient leaver = rig.client();
             AtomicInteger ends = new AtomicInteger();
@@ -136,35 +138,41 @@
             await().until(() -> rig.gateway.tally().open() == 0 && ends.get() == 20);
             assertTrue(rig.gateway.tally().left.sum() > 0);
             rig.town.nodes().forEach(node -> node.faults().silent = false);
-            await().until(() -> Rig.error(other.read(0, 512)) == 0);
+            await().until(() -> NbdTestFixture.error(other.read(0, 512)) == 0);
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
     }
 
     @Test
     void onePartThatFailsIsToldWithItsOffset() throws Exception {
-        try (Rig rig = new Rig(3, Witness.NOBODY, "patience = 4 s", "patience = 1 s")) {
+        try (NbdTestFixture rig =
+                new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
-            byte[] old = Rig.noise(5, 4 * Rig.MIB);
-            assertEquals(0, Rig.error(client.write(0, old)));
+            byte[] old = NbdTestFixture.noise(5, 4 * NbdTestFixture.MIB);
+            assertEquals(0, NbdTestFixture.error(client.write(0, old)));
             StandInNode dead = rig.town.nodes().get(1);
-            Rig.await(dead.stop());
-            byte[] fresh = Rig.noise(6, 4 * Rig.MIB);
-            NbdReply reply = Rig.await(client.write(0, fresh));
-            assertTrue(reply.error == Nbd.EIO || reply.error == Nbd.ENOMEM, "error " + reply.error);
+            NbdTestFixture.await(dead.stop());
+            byte[] fresh = NbdTestFixture.noise(6, 4 * NbdTestFixture.MIB);
+            NbdReply reply = NbdTestFixture.await(client.write(0, fresh));
+            assertTrue(
+                    reply.error == NbdConstants.EIO || reply.error == NbdConstants.ENOMEM,
+                    "error " + reply.error);
             assertTrue(
                     reply.message.startsWith("declined") || reply.message.startsWith("scrapped"));
             for (int extent = 0; extent < 4; extent++) {
-                NbdReply read = Rig.await(client.read(extent * (long) Rig.MIB, 4096));
-                boolean failed = reply.errorOffsets.contains(extent * (long) Rig.MIB);
+                NbdReply read =
+                        NbdTestFixture.await(client.read(extent * (long) NbdTestFixture.MIB, 4096));
+                boolean failed = reply.errorOffsets.contains(extent * (long) NbdTestFixture.MIB);
                 // What is told to have failed lies on the dead node; the rest is written.
                 assertEquals(failed, read.error != 0);
                 if (!failed) {
                     assertTrue(
                             java.util.Arrays.equals(
                                     java.util.Arrays.copyOfRange(
-                                            fresh, extent * Rig.MIB, extent * Rig.MIB + 4096),
-                                    Rig.data(read)));
+                                            fresh,
+                                            extent * NbdTestFixture.MIB,
+                                            extent * NbdTestFixture.MIB + 4096),
+                                    NbdTestFixture.data(read)));
                 }
             }
         }
@@ -176,7 +184,8 @@
                 .thenCompose(
                         reply -> {
                             assertTrue(
-                                    reply.error == 0 || reply.error == Nbd.ENOMEM, reply.message);
+                                    reply.error == 0 || reply.error == NbdConstants.ENOMEM,
+                                    reply.message);
                             return reply.error == 0
                                     ? CompletableFuture.<Void>completedFuture(null)
                                     : asked(client, at, data);
@@ -185,14 +194,14 @@
 
     @Test
     void twoFirstWritesAtOnceEndWithOneHolder() throws Exception {
-        try (Rig rig = new Rig(6)) {
-            Gateway second = rig.town.open(rig.site(1, 2), 2);
+        try (NbdTestFixture rig = new NbdTestFixture(6)) {
+            NbdGateway second = rig.town.open(rig.site(1, 2), 2);
             NbdClient a = rig.client();
             NbdClient b = rig.client(second, NbdClient.Style.GO);
             for (int extent = 0; extent < 40; extent++) {
-                long at = extent * (long) Rig.MIB;
-                byte[] one = Rig.noise(extent, 8192);
-                byte[] two = Rig.noise(1000 + extent, 8192);
+                long at = extent * (long) NbdTestFixture.MIB;
+                byte[] one = NbdTestFixture.noise(extent, 8192);
+                byte[] two = NbdTestFixture.noise(1000 + extent, 8192);
                 // The second half of the extent comes through both as well, at the same moment.
                 var all =
                         List.of(
@@ -200,62 +209,73 @@
                                 asked(b, at, two),
                                 asked(a, at + 65536, one),
                                 asked(b, at + 131072, two));
-                all.forEach(Rig::await);
-                byte[] seenA = Rig.data(Rig.await(a.read(at, 8192)));
-                byte[] seenB = Rig.data(Rig.await(b.read(at, 8192)));
+                all.forEach(NbdTestFixture::await);
+                byte[] seenA = NbdTestFixture.data(NbdTestFixture.await(a.read(at, 8192)));
+                byte[] seenB = NbdTestFixture.data(NbdTestFixture.await(b.read(at, 8192)));
                 assertTrue(java.util.Arrays.equals(seenA, seenB));
                 assertTrue(
                         java.util.Arrays.equals(seenA, one) || java.util.Arrays.equals(seenA, two));
                 assertTrue(
                         java.util.Arrays.equals(
-                                one, Rig.data(Rig.await(b.read(at + 65536, 8192)))));
+                                one,
+                                NbdTestFixture.data(
+                                        NbdTestFixture.await(b.read(at + 65536, 8192)))));
                 assertTrue(
                         java.util.Arrays.equals(
-                                two, Rig.data(Rig.await(a.read(at + 131072, 8192)))));
+                                two,
+                                NbdTestFixture.data(
+                                        NbdTestFixture.await(a.read(at + 131072, 8192)))));
             }
-            assertEquals(40, Rig.await(rig.town.directory().counts())[0]);
+            assertEquals(40, NbdTestFixture.await(rig.town.directory().counts())[0]);
         }
     }
 
     @Test
     void withASilentDirectoryFirstWritesAreDeclinedAndTheRestGoesOn() throws Exception {
-        try (Rig rig = new Rig(3, Witness.NOBODY, "patience = 4 s", "patience = 1 s")) {
+        try (NbdTestFixture rig =
+                new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
-            Rig.await(client.write(0, new byte[4096]));
+            NbdTestFixture.await(client.write(0, new byte[4096]));
             rig.town.directory().silent(true);
-            var one = client.write(10L * Rig.MIB, new byte[4096]);
-            var two = client.write(10L * Rig.MIB, new byte[4096]);
-            assertEquals(0, Rig.error(client.read(0, 4096)));
-            assertEquals(Nbd.ENOMEM, Rig.await(one).error);
-            assertEquals(Nbd.ENOMEM, Rig.await(two).error);
+            var one = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
+            var two = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
+            assertEquals(0, NbdTestFixture.error(client.read(0, 4096)));
+            assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(one).error);
+            assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(two).error);
             rig.town.directory().silent(false);
-            await().until(() -> Rig.error(client.write(10L * Rig.MIB, new byte[4096])) == 0);
-            assertEquals(0, Rig.error(client.read(10L * Rig.MIB, 4096)));
+            await().until(
+                            () ->
+                                    NbdTestFixture.error(
+                                                    client.write(
+                                                            10L * NbdTestFixture.MIB,
+                                                            new byte[4096]))
+                                            == 0);
+            assertEquals(0, NbdTestFixture.error(client.read(10L * NbdTestFixture.MIB, 4096)));
         }
     }
 
     @Test
     void aGatewayStartedWhileTheDirectoryIsSilentGetsReadyOnceItSpeaks() throws Exception {
-        try (Rig rig = new Rig(2)) {
+        try (NbdTestFixture rig = new NbdTestFixture(2)) {
             rig.town.directory().silent(true);
-            Gateway second = new Gateway(Site.read("second", rig.site(1, 2)), 5);
-            CompletableFuture<Gateway> ready = second.start();
+            NbdGateway second = new NbdGateway(SiteConfig.read("second", rig.site(1, 2)), 5);
+            CompletableFuture<NbdGateway> ready = second.start();
             Thread.sleep(300); // time for its call to be swallowed; what follows holds either way
             assertTrue(!ready.isDone());
             rig.town.directory().silent(false);
-            Rig.await(ready);
+            NbdTestFixture.await(ready);
             NbdClient client = rig.client(second, NbdClient.Style.GO);
-            assertEquals(0, Rig.error(client.write(0, new byte[4096])));
+            assertEquals(0, NbdTestFixture.error(client.write(0, new byte[4096])));
             client.channel().close().syncUninterruptibly();
-            Rig.await(second.stop());
+            NbdTestFixture.await(second.stop());
         }
     }
 
     @Test
     void stoppingAnswersWhatIsInHand() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client();
-            Rig.await(client.write(0, new byte[4096]));
+            NbdTestFixture.await(client.write(0, new byte[4096]));
             rig.town.nodes().forEach(node -> node.faults().silent = true);
             List<CompletableFuture<NbdReply>> asked = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
@@ -265,25 +285,25 @@
             CompletableFuture<Void> stopped = rig.gateway.stop();
             // Asked on the gateway's loop behind the stop: what comes after this cannot overtake
             // it.
-            Rig.await(rig.gateway.nodes());
-            asked.add(client.ask(Nbd.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
+            NbdTestFixture.await(rig.gateway.nodes());
+            asked.add(client.ask(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
             for (var one : asked) {
-                assertTrue(Rig.await(one).error != 0);
+                assertTrue(NbdTestFixture.await(one).error != 0);
             }
-            assertEquals(Nbd.ESHUTDOWN, asked.get(10).join().error);
-            Rig.await(stopped);
+            assertEquals(NbdConstants.ESHUTDOWN, asked.get(10).join().error);
+            NbdTestFixture.await(stopped);
             assertEquals(0, rig.gateway.tally().open());
         }
     }
 
     @Test
     void aKilledGatewayLosesNothingThatItAcknowledged() throws Exception {
-        try (Rig rig = new Rig(4)) {
+        try (NbdTestFixture rig = new NbdTestFixture(4)) {
             NbdClient client = rig.client();
             List<Integer> acknowledged = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 int number = i;
-                client.write(i * 65536L, Rig.noise(i, 4096))
+                client.write(i * 65536L, NbdTestFixture.noise(i, 4096))
                         .thenAccept(
                                 reply -> {
                                     if (reply.error == 0) {
@@ -299,8 +319,8 @@
                                     return acknowledged.size() > 50;
                                 }
                             });
-            Rig.await(rig.gateway.kill());
-            Gateway again = rig.town.open(rig.site(0, 1), 99);
+            NbdTestFixture.await(rig.gateway.kill());
+            NbdGateway again = rig.town.open(rig.site(0, 1), 99);
             NbdClient back = rig.client(again, NbdClient.Style.GO);
             List<Integer> kept;
             synchronized (acknowledged) {
@@ -309,8 +329,9 @@
             for (int i : kept) {
                 assertTrue(
                         java.util.Arrays.equals(
-                                Rig.noise(i, 4096),
-                                Rig.data(Rig.await(back.read(i * 65536L, 4096)))));
+                                NbdTestFixture.noise(i, 4096),
+                                NbdTestFixture.data(
+                                        NbdTestFixture.await(back.read(i * 65536L, 4096)))));
             }
         }
     }
--- a/src/test/java/sagepulley/frontend/nbd/Rig.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -6,45 +6,49 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
-import sagepulley.codec.frame.Loops;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
 import sagepulley.codec.nbd.NbdReply;
-import sagepulley.scenario.Town;
-import sagepulley.standin.NodeTraits;
-import sagepulley.standin.Witness;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.NodeProfile;
+import sagepulley.standin.TrafficRecorder;
 
 /** A small town with a gateway, and clients of it. */
-final class Rig implements AutoCloseable {
+final class NbdTestFixture implements AutoCloseable {
     static final int MIB = 1 << 20;
-    final Town town;
-    final Gateway gateway;
+    final LocalCluster town;
+    final NbdGateway gateway;
     private final List<NbdClient> clients = new ArrayList<>();
 
-    Rig(int nodes) throws Exception {
-        this(nodes, Witness.NOBODY, "", "");
+    NbdTestFixture(int nodes) throws Exception {
+        this(nodes, TrafficRecorder.NOBODY, "", "");
     }
 
     /** With one piece of the demo's site file put in place of another. */
-    Rig(int nodes, Witness witness, String piece, String other) throws Exception {
-        List<NodeTraits> traits = new ArrayList<>();
+    NbdTestFixture(int nodes, TrafficRecorder witness, String piece, String other)
+            throws Exception {
+        List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            traits.add(NodeTraits.quick(i, MIB));
+            traits.add(NodeProfile.quick(i, MIB));
         }
-        town = Town.start(traits, witness, 2);
+        town = LocalCluster.start(traits, witness, 2);
         gateway = town.open(site(0, 1).replace(piece, other), 1);
     }
 
     String site(int number, int gateways) {
-        return Town.demoSite("gw-" + number, number, gateways, 0, town.directory().address());
+        return LocalCluster.demoSite(
+                "gw-" + number, number, gateways, 0, town.directory().address());
     }
 
     NbdClient client() {
         return client(gateway, NbdClient.Style.GO);
     }
 
-    NbdClient client(Gateway of, NbdClient.Style style) {
+    NbdClient client(NbdGateway of, NbdClient.Style style) {
         NbdClient client =
-                await(NbdClient.open(town.loops(), Loops.socket(), of.address(), "demo", style));
+                await(
+                        NbdClient.open(
+                                town.loops(), EventLoops.socket(), of.address(), "demo", style));
         clients.add(client);
         return client;
     }
@@ -73,7 +77,7 @@
     }
 
     static <T> T await(CompletableFuture<T> future) {
-        return Town.await(future);
+        return LocalCluster.await(future);
     }
 
     @Override
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagepulley.codec.nbd.Nbd;
 import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdReply;
-import sagepulley.config.Site;
-import sagepulley.membership.KeptList;
-import sagepulley.membership.NodeLine;
-import sagepulley.membership.Trust;
-import sagepulley.persistence.HoldersFile;
-import sagepulley.persistence.ListFile;
+import sagepulley.config.SiteConfig;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.ListFreshness;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.persistence.EndpointListFile;
+import sagepulley.persistence.HolderFile;
 
 /** Gateways that start, run and go on while the directory is down. */
 class WithoutDiscoveryTest {
     private static final String SITE = "sagepulley";
     @TempDir private Path folder;
 
-    private String site(Rig rig) {
+    private String site(NbdTestFixture rig) {
         return rig.site(0, 1)
                 + "\n[membership]\nlist = "
                 + folder.resolve("nodes")
@@ -37,23 +37,27 @@
     }
 
     /** A gateway's first life: some extents get holders, and all is kept. */
-    private String firstLife(Rig rig) throws Exception {
+    private String firstLife(NbdTestFixture rig) throws Exception {
         String site = site(rig);
-        Gateway first = Rig.await(new Gateway(Site.read("site", site), 11).start());
+        NbdGateway first =
+                NbdTestFixture.await(new NbdGateway(SiteConfig.read("site", site), 11).start());
         NbdClient client = rig.client(first, NbdClient.Style.GO);
         for (int i = 0; i < 6; i++) {
-            Rig.await(client.write(i * (long) Rig.MIB, Rig.noise(i, 4096))).release();
+            NbdTestFixture.await(
+                            client.write(
+                                    i * (long) NbdTestFixture.MIB, NbdTestFixture.noise(i, 4096)))
+                    .release();
         }
-        Rig.await(first.stop());
+        NbdTestFixture.await(first.stop());
         return site;
     }
 
     /** Makes the kept list as if it had last been confirmed so long ago. */
     private void age(double by) throws Exception {
-        ListFile file = new ListFile(folder.resolve("nodes"), SITE);
-        KeptList list = file.look().list();
+        EndpointListFile file = new EndpointListFile(folder.resolve("nodes"), SITE);
+        StoredEndpointList list = file.look().list();
         file.write(
-                new KeptList(
+                new StoredEndpointList(
                         list.site(),
                         list.history(),
                         list.version(),
@@ -62,105 +66,114 @@
                 System.currentTimeMillis());
     }
 
-    private static Gateway start(String site, long seed) throws Exception {
-        return Rig.await(new Gateway(Site.read("site", site), seed).start());
+    private static NbdGateway start(String site, long seed) throws Exception {
+        return NbdTestFixture.await(new NbdGateway(SiteConfig.read("site", site), seed).start());
     }
 
     private static void reads(NbdClient client) {
         for (int i = 0; i < 6; i++) {
-            NbdReply reply = Rig.await(client.read(i * (long) Rig.MIB, 4096));
+            NbdReply reply = NbdTestFixture.await(client.read(i * (long) NbdTestFixture.MIB, 4096));
             assertEquals(0, reply.error, "extent " + i);
-            assertArrayEquals(Rig.noise(i, 4096), Rig.data(reply));
+            assertArrayEquals(NbdTestFixture.noise(i, 4096), NbdTestFixture.data(reply));
             reply.release();
         }
     }
 
     @Test
     void startsWithListsOfAnyAgeAndReadsWhatItKnows() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            Rig.await(rig.town.directory().stop());
+            NbdTestFixture.await(rig.town.directory().stop());
             double[] ages = {60_000, 3_600_000, 7 * 86_400_000.0};
-            Trust[] trusts = {Trust.FRESH, Trust.AGED, Trust.OLD};
+            ListFreshness[] trusts = {ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD};
             for (int i = 0; i < ages.length; i++) {
                 age(ages[i]);
-                Gateway again = start(site, 20 + i);
-                assertEquals(trusts[i], Rig.await(again.nodes()).trust());
+                NbdGateway again = start(site, 20 + i);
+                assertEquals(trusts[i], NbdTestFixture.await(again.nodes()).trust());
                 reads(rig.client(again, NbdClient.Style.GO));
-                Rig.await(again.kill());
+                NbdTestFixture.await(again.kill());
             }
         }
     }
 
     @Test
     void aDrainedNodeSaysSoAtFirstContactAndGetsNothing() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            Rig.await(rig.town.directory().stop());
+            NbdTestFixture.await(rig.town.directory().stop());
             rig.town.nodes().get(0).drain();
             age(60_000);
-            Gateway again = start(site, 30);
+            NbdGateway again = start(site, 30);
             long before = again.tally().attempts.sum();
             NbdClient client = rig.client(again, NbdClient.Style.GO);
             List<CompletableFuture<NbdReply>> all = new java.util.ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                all.add(client.read(i * (long) Rig.MIB, 4096));
+                all.add(client.read(i * (long) NbdTestFixture.MIB, 4096));
             }
             for (CompletableFuture<NbdReply> one : all) {
-                Rig.await(one).release();
+                NbdTestFixture.await(one).release();
             }
             assertTrue(again.tally().attempts.sum() > before);
-            NodesView view = Rig.await(again.nodes());
+            NodesView view = NbdTestFixture.await(again.nodes());
             assertEquals(
-                    NodeLine.Standing.DRAINING,
+                    EndpointRecord.Phase.DRAINING,
                     view.nodes().get(0).use(),
                     view.nodes().get(0).reason());
-            Rig.await(again.kill());
+            NbdTestFixture.await(again.kill());
         }
     }
 
     @Test
     void firstWritesAreHeldAndDeclinedUntilTheDirectoryIsBack() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            Rig.await(rig.town.directory().stop());
-            Gateway again = start(site, 40);
+            NbdTestFixture.await(rig.town.directory().stop());
+            NbdGateway again = start(site, 40);
             NbdClient client = rig.client(again, NbdClient.Style.GO);
-            assertEquals(Nbd.ENOMEM, Rig.error(client.write(40L * Rig.MIB, Rig.noise(40, 4096))));
+            assertEquals(
+                    NbdConstants.ENOMEM,
+                    NbdTestFixture.error(
+                            client.write(
+                                    40L * NbdTestFixture.MIB, NbdTestFixture.noise(40, 4096))));
             long attempts = again.tally().attempts.sum();
             assertEquals(
-                    0, Rig.error(client.write(0, Rig.noise(0, 4096))), "a known extent is written");
+                    0,
+                    NbdTestFixture.error(client.write(0, NbdTestFixture.noise(0, 4096))),
+                    "a known extent is written");
             assertEquals(attempts + 1, again.tally().attempts.sum());
-            Rig.await(rig.town.directory().restart());
+            NbdTestFixture.await(rig.town.directory().restart());
             await().until(
                             () -> {
                                 NbdReply reply =
-                                        Rig.await(client.write(40L * Rig.MIB, Rig.noise(40, 4096)));
+                                        NbdTestFixture.await(
+                                                client.write(
+                                                        40L * NbdTestFixture.MIB,
+                                                        NbdTestFixture.noise(40, 4096)));
                                 reply.release();
                                 return reply.error == 0;
                             });
-            assertEquals(Trust.FRESH, Rig.await(again.nodes()).trust());
-            Rig.await(again.kill());
+            assertEquals(ListFreshness.FRESH, NbdTestFixture.await(again.nodes()).trust());
+            NbdTestFixture.await(again.kill());
         }
     }
 
     @Test
     void aHolderThatTheDiskNamesWronglyDeniesItAndIsFound() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            HoldersFile file = new HoldersFile(folder.resolve("holders"), SITE);
+            HolderFile file = new HolderFile(folder.resolve("holders"), SITE);
             int[] cells = file.start().get(1);
             int[] wrong = cells.clone();
             for (int i = 0; i < 6; i++) {
                 wrong[i] = 1 + cells[i] % 3;
             }
             file.write(java.util.Map.of(1, wrong), System.currentTimeMillis());
-            Gateway again = start(site, 50);
+            NbdGateway again = start(site, 50);
             reads(rig.client(again, NbdClient.Style.GO));
             assertTrue(
                     again.tally().moot.sum() >= 6,
                     "each was denied once: " + again.tally().moot.sum());
-            Rig.await(again.stop());
+            NbdTestFixture.await(again.stop());
             assertArrayEquals(
                     Arrays.copyOf(cells, 6),
                     Arrays.copyOf(file.start().get(1), 6),
@@ -170,40 +183,40 @@
 
     @Test
     void aTornListGivesWayAndAListOfAnotherSiteIsNotUsed() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             age(0); // writes a second generation
             Path file = folder.resolve("nodes");
             byte[] whole = Files.readAllBytes(file);
             Files.write(file, Arrays.copyOf(whole, whole.length / 3));
-            Rig.await(rig.town.directory().stop());
-            Gateway again = start(site, 60);
+            NbdTestFixture.await(rig.town.directory().stop());
+            NbdGateway again = start(site, 60);
             reads(rig.client(again, NbdClient.Style.GO));
             assertTrue(Files.exists(folder.resolve("nodes.set-aside")));
-            Rig.await(again.kill());
-            Rig.await(rig.town.directory().restart());
+            NbdTestFixture.await(again.kill());
+            NbdTestFixture.await(rig.town.directory().restart());
             String other = site.replace("[site]", "[site]\nname = elsewhere");
-            Gateway elsewhere = start(other, 61);
-            NodesView view = Rig.await(elsewhere.nodes());
+            NbdGateway elsewhere = start(other, 61);
+            NodesView view = NbdTestFixture.await(elsewhere.nodes());
             assertEquals(3, view.nodes().size(), "told by the directory, not by the file");
             assertEquals(0, view.unverifiedExtents());
-            Rig.await(elsewhere.kill());
+            NbdTestFixture.await(elsewhere.kill());
         }
     }
 
     @Test
     void aDirectoryOfAnotherSiteOrAnEmptyOneChangesNothing() throws Exception {
-        try (Rig rig = new Rig(3)) {
+        try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            Gateway again = start(site, 70);
+            NbdGateway again = start(site, 70);
             NbdClient client = rig.client(again, NbdClient.Style.GO);
-            Rig.await(rig.town.directory().stop());
-            Rig.await(rig.town.directory().becomes("another", 9, 1, List.of()));
-            Rig.await(rig.town.directory().restart());
+            NbdTestFixture.await(rig.town.directory().stop());
+            NbdTestFixture.await(rig.town.directory().becomes("another", 9, 1, List.of()));
+            NbdTestFixture.await(rig.town.directory().restart());
             long lists = rig.town.directory().wholeLists();
             await().until(() -> rig.town.directory().wholeLists() > lists);
             reads(client);
-            Rig.await(again.kill());
+            NbdTestFixture.await(again.kill());
         }
     }
 }
--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -25,19 +25,19 @@
         return new Membership("site", Membership.Bounds.USUAL, new SplittableRandom(1));
     }
 
-    private static NodeLine line(int node, NodeLine.Standing standing) {
-        return new NodeLine(node, node, 0, 0, standing, 0, 1, "h" + node, 7000);
+    private static EndpointRecord line(int node, EndpointRecord.Phase standing) {
+        return new EndpointRecord(node, node, 0, 0, standing, 0, 1, "h" + node, 7000);
     }
 
-    private static NodeLine ready(int node) {
-        return line(node, NodeLine.Standing.READY);
+    private static EndpointRecord ready(int node) {
+        return line(node, EndpointRecord.Phase.READY);
     }
 
-    private static Told whole(long version, NodeLine... lines) {
-        return new Told("site", 1, version, true, List.of(lines));
+    private static EndpointListUpdate whole(long version, EndpointRecord... lines) {
+        return new EndpointListUpdate("site", 1, version, true, List.of(lines));
     }
 
-    private static NodeLine.Standing use(Membership of, int node, double now) {
+    private static EndpointRecord.Phase use(Membership of, int node, double now) {
         return of.seen(now).stream()
                 .filter(seen -> seen.line().node() == node)
                 .findFirst()
@@ -45,14 +45,14 @@
                 .use();
     }
 
-    private static Membership.Seen seen(Membership of, int node, double now) {
+    private static Membership.MemberView seen(Membership of, int node, double now) {
         return of.seen(now).stream()
                 .filter(one -> one.line().node() == node)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private Membership startedFrom(double age, NodeLine... lines) {
+    private Membership startedFrom(double age, EndpointRecord... lines) {
         Membership before = fresh();
         before.told(whole(5, lines), START);
         Membership after = fresh();
@@ -62,10 +62,10 @@
 
     @Test
     void aFreshListIsUsedAsItIs() {
-        Membership after = startedFrom(MINUTE, ready(1), line(2, NodeLine.Standing.DRAINING));
-        assertEquals(Trust.FRESH, after.trust(START + MINUTE));
+        Membership after = startedFrom(MINUTE, ready(1), line(2, EndpointRecord.Phase.DRAINING));
+        assertEquals(ListFreshness.FRESH, after.trust(START + MINUTE));
         assertTrue(seen(after, 1, START + MINUTE).takesNew());
-        assertEquals(NodeLine.Standing.DRAINING, use(after, 2, START + MINUTE));
+        assertEquals(EndpointRecord.Phase.DRAINING, use(after, 2, START + MINUTE));
         assertTrue(after.toAsk(START + MINUTE).isEmpty());
     }
 
@@ -73,28 +73,28 @@
     void anAgedListServesReadsAndPlacesNothingNewBeforeProof() {
         double now = START + 60 * MINUTE;
         Membership after = startedFrom(60 * MINUTE, ready(1));
-        assertEquals(NodeLine.Standing.READY, use(after, 1, now));
+        assertEquals(EndpointRecord.Phase.READY, use(after, 1, now));
         assertFalse(seen(after, 1, now).takesNew());
-        assertEquals(Membership.Welcome.GO, after.welcomed(1, 1, 1, false, 0, now));
+        assertEquals(Membership.HandshakeVerdict.GO, after.welcomed(1, 1, 1, false, 0, now));
         assertTrue(seen(after, 1, now).takesNew());
     }
 
     @Test
     void anOldListAsksEachNodeFirstAndFewAtATime() {
         double now = START + 7 * DAY;
-        NodeLine[] many = new NodeLine[20];
+        EndpointRecord[] many = new EndpointRecord[20];
         for (int i = 0; i < many.length; i++) {
             many[i] = ready(i + 1);
         }
         Membership after = startedFrom(7 * DAY, many);
-        assertEquals(NodeLine.Standing.GONE, use(after, 1, now));
+        assertEquals(EndpointRecord.Phase.GONE, use(after, 1, now));
         List<Integer> asked = new ArrayList<>();
         for (double at = now; at < now + 1_000; at += 10) {
             asked.addAll(after.toAsk(at));
         }
         assertEquals(4, asked.size(), "no more until one has answered");
         after.welcomed(asked.get(0), asked.get(0), asked.get(0), false, 0, now + 1_000);
-        assertEquals(NodeLine.Standing.READY, use(after, asked.get(0), now + 1_000));
+        assertEquals(EndpointRecord.Phase.READY, use(after, asked.get(0), now + 1_000));
         assertEquals(1, after.toAsk(now + 1_100).size());
     }
 
@@ -102,24 +102,25 @@
     void whoAnswersAtAnAddressNowUsedByAnotherIsStruckUntilTheDirectoryKnowsBetter() {
         Membership after = startedFrom(MINUTE, ready(1), ready(2), ready(3));
         double now = START + MINUTE;
-        assertEquals(Membership.Welcome.NOT_THIS, after.welcomed(1, 99, 1, false, 0, now));
-        assertEquals(Membership.Welcome.NOT_THIS, after.welcomed(2, 2, 17, false, 0, now));
-        assertEquals(Membership.Welcome.THINK_AGAIN, after.welcomed(3, 3, 3, true, 0, now));
-        assertEquals(NodeLine.Standing.GONE, use(after, 1, now));
-        assertEquals(NodeLine.Standing.GONE, use(after, 2, now));
-        assertEquals(NodeLine.Standing.DRAINING, use(after, 3, now));
+        assertEquals(Membership.HandshakeVerdict.NOT_THIS, after.welcomed(1, 99, 1, false, 0, now));
+        assertEquals(Membership.HandshakeVerdict.NOT_THIS, after.welcomed(2, 2, 17, false, 0, now));
+        assertEquals(
+                Membership.HandshakeVerdict.THINK_AGAIN, after.welcomed(3, 3, 3, true, 0, now));
+        assertEquals(EndpointRecord.Phase.GONE, use(after, 1, now));
+        assertEquals(EndpointRecord.Phase.GONE, use(after, 2, now));
+        assertEquals(EndpointRecord.Phase.DRAINING, use(after, 3, now));
         after.told(
-                new Told(
+                new EndpointListUpdate(
                         "site",
                         1,
                         6,
                         false,
                         List.of(
-                                new NodeLine(
-                                        1, 1, 0, 0, NodeLine.Standing.READY, 0, 1, "h9", 7000))),
+                                new EndpointRecord(
+                                        1, 1, 0, 0, EndpointRecord.Phase.READY, 0, 1, "h9", 7000))),
                 now);
-        assertEquals(NodeLine.Standing.READY, use(after, 1, now));
-        assertEquals(NodeLine.Standing.GONE, use(after, 2, now));
+        assertEquals(EndpointRecord.Phase.READY, use(after, 1, now));
+        assertEquals(EndpointRecord.Phase.GONE, use(after, 2, now));
     }
 
     @Test
@@ -127,7 +128,7 @@
         Membership after = startedFrom(MINUTE, ready(1));
         double now = START + MINUTE;
         assertEquals(
-                Membership.Welcome.THINK_AGAIN,
+                Membership.HandshakeVerdict.THINK_AGAIN,
                 after.welcomed(1, 1, 1, false, (long) now - 500, now));
         assertEquals((long) now - 500, seen(after, 1, now).line().startedAt());
         // A directory that lags does not make it warm again.
@@ -141,29 +142,29 @@
         of.told(whole(5, ready(1)), START);
         assertFalse(
                 of.told(
-                                new Told(
+                                new EndpointListUpdate(
                                         "other",
                                         1,
                                         9,
                                         true,
-                                        List.of(line(1, NodeLine.Standing.GONE))),
+                                        List.of(line(1, EndpointRecord.Phase.GONE))),
                                 START)
                         .believed());
         assertFalse(of.told(whole(9), START).believed());
-        assertEquals(NodeLine.Standing.READY, use(of, 1, START));
+        assertEquals(EndpointRecord.Phase.READY, use(of, 1, START));
     }
 
     @Test
     void anOlderVersionRestrictsAndPermitsNothing() {
         Membership of = fresh();
-        of.told(whole(5, ready(1), line(2, NodeLine.Standing.DRAINING), ready(3)), START);
-        Membership.Belief belief =
-                of.told(whole(4, line(1, NodeLine.Standing.DRAINING), ready(2)), START + 1);
+        of.told(whole(5, ready(1), line(2, EndpointRecord.Phase.DRAINING), ready(3)), START);
+        Membership.UpdateResult belief =
+                of.told(whole(4, line(1, EndpointRecord.Phase.DRAINING), ready(2)), START + 1);
         assertFalse(belief.believed());
-        assertEquals(NodeLine.Standing.DRAINING, use(of, 1, START + 1));
-        assertEquals(NodeLine.Standing.DRAINING, use(of, 2, START + 1));
+        assertEquals(EndpointRecord.Phase.DRAINING, use(of, 1, START + 1));
+        assertEquals(EndpointRecord.Phase.DRAINING, use(of, 2, START + 1));
         assertEquals(
-                NodeLine.Standing.READY,
+                EndpointRecord.Phase.READY,
                 use(of, 3, START + 1),
                 "what an older list leaves out says nothing");
     }
@@ -172,14 +173,14 @@
     void aDirectoryBuiltAnewMayLeaveOutNodesForAWhile() {
         Membership of = fresh();
         of.told(whole(5, ready(1), ready(2)), START);
-        of.told(new Told("site", 2, 1, true, List.of(ready(1))), START + 1);
-        assertEquals(NodeLine.Standing.READY, use(of, 2, START + 1));
-        of.told(new Told("site", 2, 2, false, List.of(ready(2))), START + 5_000);
+        of.told(new EndpointListUpdate("site", 2, 1, true, List.of(ready(1))), START + 1);
+        assertEquals(EndpointRecord.Phase.READY, use(of, 2, START + 1));
+        of.told(new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))), START + 5_000);
         of.pass(START + 40_000);
-        assertEquals(NodeLine.Standing.READY, use(of, 2, START + 40_000), "it registered again");
-        of.told(new Told("site", 3, 1, true, List.of(ready(1))), START + 41_000);
+        assertEquals(EndpointRecord.Phase.READY, use(of, 2, START + 40_000), "it registered again");
+        of.told(new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START + 41_000);
         of.pass(START + 72_000);
-        assertEquals(NodeLine.Standing.GONE, use(of, 2, START + 72_000));
+        assertEquals(EndpointRecord.Phase.GONE, use(of, 2, START + 72_000));
     }
 
     @Test
@@ -190,14 +191,14 @@
         of.told(whole(version, ready(1), ready(2)), now);
         for (int i = 0; i < 3; i++) {
             now += 100;
-            of.told(whole(++version, line(1, NodeLine.Standing.DRAINING), ready(2)), now);
+            of.told(whole(++version, line(1, EndpointRecord.Phase.DRAINING), ready(2)), now);
             now += 100;
             of.told(whole(++version, ready(1), ready(2)), now);
         }
-        assertEquals(NodeLine.Standing.DRAINING, use(of, 1, now));
+        assertEquals(EndpointRecord.Phase.DRAINING, use(of, 1, now));
         assertFalse(of.pass(now + 4_000));
         assertTrue(of.pass(now + 5_100));
-        assertEquals(NodeLine.Standing.READY, use(of, 1, now + 5_100));
+        assertEquals(EndpointRecord.Phase.READY, use(of, 1, now + 5_100));
     }
 
     @Test
@@ -206,8 +207,8 @@
         before.told(whole(5, ready(1)), START);
         Membership after = fresh();
         after.kept(before.kept(), START - DAY);
-        assertEquals(Trust.OLD, after.trust(START - DAY));
-        assertEquals(NodeLine.Standing.GONE, use(after, 1, START - DAY));
+        assertEquals(ListFreshness.OLD, after.trust(START - DAY));
+        assertEquals(EndpointRecord.Phase.GONE, use(after, 1, START - DAY));
     }
 
     @Test
@@ -247,24 +248,24 @@
             int much = step / 50;
             switch (step % 10) {
                 case 0, 1 -> {
-                    List<NodeLine> lines = new ArrayList<>();
+                    List<EndpointRecord> lines = new ArrayList<>();
                     for (int i = 1; i <= 5; i++) {
-                        lines.add(line(i, NodeLine.Standing.values()[1 + (much >> i & 1)]));
+                        lines.add(line(i, EndpointRecord.Phase.values()[1 + (much >> i & 1)]));
                     }
-                    of.told(new Told("site", history, ++version, true, lines), now);
+                    of.told(new EndpointListUpdate("site", history, ++version, true, lines), now);
                     lines.forEach(
                             line ->
                                     listedReady.put(
                                             line.node(),
-                                            line.standing() == NodeLine.Standing.READY));
+                                            line.standing() == EndpointRecord.Phase.READY));
                     confirmed = now;
                     any = true;
                 }
                 case 2 -> {
                     if (any) {
-                        NodeLine.Standing standing = NodeLine.Standing.values()[much % 3];
+                        EndpointRecord.Phase standing = EndpointRecord.Phase.values()[much % 3];
                         of.told(
-                                new Told(
+                                new EndpointListUpdate(
                                         "site",
                                         history,
                                         version - 1,
@@ -272,12 +273,12 @@
                                         List.of(line(node, standing))),
                                 now);
                         listedReady.computeIfPresent(
-                                node, (id, was) -> was && standing == NodeLine.Standing.READY);
+                                node, (id, was) -> was && standing == EndpointRecord.Phase.READY);
                     }
                 }
                 case 3 ->
                         of.told(
-                                new Told(
+                                new EndpointListUpdate(
                                         "elsewhere",
                                         history,
                                         version + 9,
@@ -310,7 +311,7 @@
                 }
                 case 7 -> now += much * much * 100.0;
                 case 8 -> {
-                    KeptList kept = of.kept();
+                    StoredEndpointList kept = of.kept();
                     of = fresh();
                     double jump = much % 4 == 0 ? -3 * DAY : much % 4 * DAY;
                     now += jump;
@@ -339,9 +340,9 @@
             Map<Integer, Boolean> self,
             Map<Integer, Boolean> another,
             Map<Integer, Boolean> provenNow) {
-        for (Membership.Seen seen : of.seen(now)) {
+        for (Membership.MemberView seen : of.seen(now)) {
             int id = seen.line().node();
-            if (seen.use() == NodeLine.Standing.READY) {
+            if (seen.use() == EndpointRecord.Phase.READY) {
                 assertTrue(
                         listedReady.get(id),
                         "node " + id + " is used though the list restricts it");
@@ -355,7 +356,7 @@
                         !old || seen.proven(), "node " + id + " is used by an old list, unproven");
             }
             if (seen.takesNew()) {
-                assertEquals(NodeLine.Standing.READY, seen.use());
+                assertEquals(EndpointRecord.Phase.READY, seen.use());
                 assertTrue(now - confirmed <= Membership.Bounds.USUAL.fresh() || seen.proven());
             }
             if (provenNow.getOrDefault(id, false)) {
--- a/src/test/java/sagepulley/monitoring/WatchTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -24,32 +24,32 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagepulley.accounts.Report;
+import sagepulley.accounts.LatencyReport;
 import sagepulley.cli.Commands;
-import sagepulley.codec.frame.Loops;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
 import sagepulley.codec.nbd.NbdReply;
-import sagepulley.config.Site;
-import sagepulley.frontend.nbd.Gateway;
-import sagepulley.scenario.Town;
-import sagepulley.standin.NodeTraits;
-import sagepulley.standin.Witness;
+import sagepulley.config.SiteConfig;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.NodeProfile;
+import sagepulley.standin.TrafficRecorder;
 
 /**
  * What a running gateway tells about itself: accounts over a restart, traces, figures over HTTP.
  */
-class WatchTest {
+class MonitoringServerTest {
     private static final int MIB = 1 << 20;
     @TempDir private Path folder;
-    private Town town;
+    private LocalCluster town;
 
     @BeforeEach
     void open() {
-        List<NodeTraits> traits = new ArrayList<>();
+        List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            traits.add(NodeTraits.quick(i, MIB).withCost(2, 2));
+            traits.add(NodeProfile.quick(i, MIB).withCost(2, 2));
         }
-        town = Town.start(traits, Witness.NOBODY, 2);
+        town = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
     }
 
     @AfterEach
@@ -58,26 +58,26 @@
     }
 
     private String site(String sections) {
-        return Town.demoSite("gw", 0, 1, 0, town.directory().address()) + sections;
+        return LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address()) + sections;
     }
 
-    private static Gateway start(String site, long seed) throws Exception {
-        return Town.await(new Gateway(Site.read("site", site), seed).start());
+    private static NbdGateway start(String site, long seed) throws Exception {
+        return LocalCluster.await(new NbdGateway(SiteConfig.read("site", site), seed).start());
     }
 
-    private void work(Gateway gateway, int operations) {
+    private void work(NbdGateway gateway, int operations) {
         NbdClient client =
-                Town.await(
+                LocalCluster.await(
                         NbdClient.open(
                                 town.loops(),
-                                Loops.socket(),
+                                EventLoops.socket(),
                                 gateway.address(),
                                 "demo",
                                 NbdClient.Style.GO));
         for (int i = 0; i < operations; i++) {
-            Town.await(client.write(i % 8 * (long) MIB, new byte[4096])).release();
+            LocalCluster.await(client.write(i % 8 * (long) MIB, new byte[4096])).release();
         }
-        NbdReply reply = Town.await(client.read(0, 4096));
+        NbdReply reply = LocalCluster.await(client.read(0, 4096));
         ByteBuf data = reply.data();
         data.release();
         client.channel().close().awaitUninterruptibly();
@@ -99,28 +99,28 @@
     void accountsGoOnOverARestartAndATornFileIsSetAside() throws Exception {
         Path file = folder.resolve("accounts");
         String site = site("\n[accounts]\nfile = " + file + "\nevery = 1 h\n");
-        Gateway first = start(site, 1);
+        NbdGateway first = start(site, 1);
         work(first, 20);
-        Town.await(first.stop());
-        Gateway second = start(site, 2);
+        LocalCluster.await(first.stop());
+        NbdGateway second = start(site, 2);
         work(second, 10);
-        Map<String, Report> reports = Town.await(second.accounts(60_000));
+        Map<String, LatencyReport> reports = LocalCluster.await(second.accounts(60_000));
         assertEquals(32, reports.get("demo").operations());
-        Town.await(second.stop());
+        LocalCluster.await(second.stop());
         // A kill writes nothing more: the file still has what the last orderly end left.
-        Gateway third = start(site, 3);
+        NbdGateway third = start(site, 3);
         work(third, 5);
-        Town.await(third.kill());
+        LocalCluster.await(third.kill());
         assertTrue(printed("report", file.toString()).contains("volume demo: 32 operations"));
         byte[] whole = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(whole, whole.length - 7));
-        Gateway fourth = start(site, 4);
+        NbdGateway fourth = start(site, 4);
         assertTrue(Files.exists(folder.resolve("accounts.set-aside")));
         assertEquals(
                 21,
-                Town.await(fourth.accounts(60_000)).get("demo").operations(),
+                LocalCluster.await(fourth.accounts(60_000)).get("demo").operations(),
                 "the generation before");
-        Town.await(fourth.stop());
+        LocalCluster.await(fourth.stop());
     }
 
     @Test
@@ -137,7 +137,7 @@
                 });
         receiver.start();
         Path file = folder.resolve("traces");
-        Gateway gateway =
+        NbdGateway gateway =
                 start(
                         site(
                                 "\n[traces]\nfile = "
@@ -147,7 +147,7 @@
                                         + "/v1/traces\nbudget = 100\nchance = 1\n"),
                         1);
         work(gateway, 5);
-        Town.await(gateway.stop());
+        LocalCluster.await(gateway.stop());
         receiver.stop(0);
         assertTrue(gateway.tracesMade() > 0);
         String told = printed("explain", file.toString(), "--volume", "demo");
@@ -162,23 +162,23 @@
 
     @Test
     void aReceiverThatIsNotThereHarmsNothing() throws Exception {
-        Gateway gateway =
+        NbdGateway gateway =
                 start(
                         site(
                                 "\n[traces]\notlp = http://127.0.0.1:9/v1/traces\nbudget = 100\nchance = 1\n"),
                         1);
         work(gateway, 20);
         assertEquals(21, gateway.tally().satisfied.sum());
-        Town.await(gateway.stop());
+        LocalCluster.await(gateway.stop());
     }
 
     @Test
     void figuresOverHttp() throws Exception {
-        Site site = Site.read("site", site(""));
-        Gateway gateway = Town.await(new Gateway(site, 1).start());
+        SiteConfig site = SiteConfig.read("site", site(""));
+        NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
         work(gateway, 10);
-        try (Watch watch =
-                new Watch(
+        try (MonitoringServer watch =
+                new MonitoringServer(
                         site,
                         gateway,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
@@ -206,7 +206,7 @@
             String nodes = printed("nodes", "127.0.0.1:" + watch.address().getPort());
             assertTrue(nodes.contains("list fresh") && nodes.contains("directory reached"), nodes);
         }
-        Town.await(gateway.stop());
+        LocalCluster.await(gateway.stop());
     }
 
     @Test
--- a/src/test/java/sagepulley/persistence/BookFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -15,21 +15,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sagepulley.accounts.Accounts;
-import sagepulley.accounts.Kept;
-import sagepulley.accounts.Meter;
-import sagepulley.accounts.Spent;
-import sagepulley.model.Band;
-import sagepulley.model.Owed;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.OperationTimer;
+import sagepulley.accounts.StoredAccounts;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
+import sagepulley.model.TrafficClass;
 
 /** Files of accounts: what is written is read again, and what is damaged is told. */
-class BookFileTest {
-    private static final Band BAND =
-            new Band(
+class AccountFileTest {
+    private static final TrafficClass BAND =
+            new TrafficClass(
                     0,
                     "read",
-                    Band.Repeat.IDEMPOTENT,
-                    Band.Group.CELL,
+                    TrafficClass.Idempotency.IDEMPOTENT,
+                    TrafficClass.DeduplicationScope.CELL,
                     0,
                     false,
                     false,
@@ -46,9 +46,15 @@
         double now = 0;
         for (int i = 0; i < 300; i++) {
             now += random.nextInt(20_000);
-            Meter meter = accounts.begin(1 + random.nextInt(5), BAND, random.nextBoolean(), 1, now);
-            accounts.waits(meter, Spent.values()[random.nextInt(11)], random.nextInt(4), now + 1);
-            accounts.sent(meter, 1 + random.nextInt(4), Owed.values()[random.nextInt(3)], now + 10);
+            OperationTimer meter =
+                    accounts.begin(1 + random.nextInt(5), BAND, random.nextBoolean(), 1, now);
+            accounts.waits(
+                    meter,
+                    LatencyComponent.values()[random.nextInt(11)],
+                    random.nextInt(4),
+                    now + 1);
+            accounts.sent(
+                    meter, 1 + random.nextInt(4), QuotaTier.values()[random.nextInt(3)], now + 10);
             accounts.answered(
                     meter, random.nextInt(50), random.nextInt(50), random.nextInt(9), now + 100);
             accounts.end(
@@ -57,9 +63,13 @@
         return accounts;
     }
 
-    private static GatewayBook book(String gateway, Accounts accounts) {
-        return new GatewayBook(
-                gateway, 5, Map.of(1L, "exams"), Map.of(3L, 7.5), Kept.of(accounts.book()));
+    private static GatewayAccounts book(String gateway, Accounts accounts) {
+        return new GatewayAccounts(
+                gateway,
+                5,
+                Map.of(1L, "exams"),
+                Map.of(3L, 7.5),
+                StoredAccounts.of(accounts.book()));
     }
 
     /** What is written is read again, figure by figure. */
@@ -67,8 +77,8 @@
     void roundTrip(@ForAll long seed) throws IOException {
         Path place = Files.createTempDirectory("books");
         Accounts accounts = filled(seed);
-        new BookFile(place.resolve("a"), "gw").write(book("gw", accounts));
-        BookFile.Read read = BookFile.report(place.resolve("a"));
+        new AccountFile(place.resolve("a"), "gw").write(book("gw", accounts));
+        AccountFile.Read read = AccountFile.report(place.resolve("a"));
         assertEquals(Map.of(1L, "exams"), read.head().names());
         for (long volume : accounts.volumes()) {
             assertEquals(
@@ -84,12 +94,12 @@
     @Test
     void aTornFileIsSetAsideAndTheOneBeforeUsed() throws IOException {
         Path path = folder.resolve("accounts");
-        BookFile file = new BookFile(path, "gw");
+        AccountFile file = new AccountFile(path, "gw");
         file.write(book("gw", filled(1)));
         file.write(book("gw", filled(2)));
         byte[] whole = Files.readAllBytes(path);
         Files.write(path, java.util.Arrays.copyOf(whole, whole.length / 2));
-        BookFile.Read read = new BookFile(path, "gw").goOn();
+        AccountFile.Read read = new AccountFile(path, "gw").goOn();
         assertEquals(
                 filled(1).report(1, 0, 1e8).toString(),
                 read.book().report(1, 1e12, 1e12 + 1e8).toString());
@@ -100,11 +110,11 @@
     void wholeFilesWithImpossibleFiguresAreNotBelieved() throws IOException {
         Path path = folder.resolve("accounts");
         for (String body : new String[] {"", "not CBOR at all", "\u00a0", "\u00f6"}) {
-            new Generations(path, "accounts", 1, "gw", 1)
+            new SnapshotFile(path, "accounts", 1, "gw", 1)
                     .write(body.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), 1);
-            assertThrows(IOException.class, () -> BookFile.report(path), body);
+            assertThrows(IOException.class, () -> AccountFile.report(path), body);
         }
-        assertNull(new BookFile(path, "gw").goOn());
+        assertNull(new AccountFile(path, "gw").goOn());
         assertTrue(Files.notExists(path));
     }
 
@@ -115,12 +125,12 @@
     void damagedBodiesAreReadOrRefused(@ForAll int at, @ForAll byte value) throws IOException {
         Path place = Files.createTempDirectory("books");
         Path path = place.resolve("a");
-        new BookFile(path, "gw").write(book("gw", filled(3)));
-        byte[] body = new Generations(path, "accounts", 1, "gw", 1).read().found().body();
+        new AccountFile(path, "gw").write(book("gw", filled(3)));
+        byte[] body = new SnapshotFile(path, "accounts", 1, "gw", 1).read().found().body();
         body[Math.floorMod(at, body.length)] = value;
-        new Generations(path, "accounts", 1, "gw", 1).write(body, 1);
+        new SnapshotFile(path, "accounts", 1, "gw", 1).write(body, 1);
         try {
-            BookFile.report(path);
+            AccountFile.report(path);
         } catch (IOException e) {
             assertTrue(e.getMessage().length() > 0);
         }
--- a/src/test/java/sagepulley/persistence/GenerationsTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Files in generations: the newest that is whole is read. */
-class GenerationsTest {
+class SnapshotFileTest {
     @TempDir private Path folder;
 
-    private Generations open(String owner) {
-        return new Generations(folder.resolve("list"), "list", 3, owner, 2);
+    private SnapshotFile open(String owner) {
+        return new SnapshotFile(folder.resolve("list"), "list", 3, owner, 2);
     }
 
     private static byte[] body(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String text(Generations.Reading reading) {
+    private static String text(SnapshotFile.Reading reading) {
         assertNotNull(reading.found(), reading.refused().toString());
         return new String(reading.found().body(), StandardCharsets.UTF_8);
     }
@@ -35,13 +35,13 @@
     void aKillAfterAnyStepLeavesTheOldOrTheNew() throws IOException {
         for (int stop = 0; stop < 7; stop++) {
             Path place = Files.createDirectory(folder.resolve("kill" + stop));
-            Generations whole = new Generations(place.resolve("list"), "list", 3, "site", 2);
+            SnapshotFile whole = new SnapshotFile(place.resolve("list"), "list", 3, "site", 2);
             for (String text : new String[] {"one", "two", "three"}) {
                 whole.write(body(text), 1);
             }
             int[] left = {stop};
-            Generations killed =
-                    new Generations(
+            SnapshotFile killed =
+                    new SnapshotFile(
                             place.resolve("list"),
                             "list",
                             3,
@@ -58,15 +58,15 @@
             } catch (IOException e) {
                 done = false;
             }
-            Generations.Reading after =
-                    new Generations(place.resolve("list"), "list", 3, "site", 2).read();
+            SnapshotFile.Reading after =
+                    new SnapshotFile(place.resolve("list"), "list", 3, "site", 2).read();
             String found = text(after);
             assertTrue(
                     found.equals("four") || found.equals("three") && !done,
                     "killed at " + stop + ": " + found);
             assertTrue(after.refused().isEmpty());
             // And the next life writes on.
-            Generations next = new Generations(place.resolve("list"), "list", 3, "site", 2);
+            SnapshotFile next = new SnapshotFile(place.resolve("list"), "list", 3, "site", 2);
             next.write(body("five"), 3);
             assertEquals("five", text(next.read()));
         }
@@ -74,13 +74,13 @@
 
     @Test
     void aFileCutAtAnyByteGivesWayToTheGenerationBefore() throws IOException {
-        Generations file = open("site");
+        SnapshotFile file = open("site");
         file.write(body("the first body"), 1);
         file.write(body("the second body"), 2);
         byte[] whole = Files.readAllBytes(folder.resolve("list"));
         for (int length = 0; length < whole.length; length++) {
             Files.write(folder.resolve("list"), Arrays.copyOf(whole, length));
-            Generations.Reading reading = open("site").read();
+            SnapshotFile.Reading reading = open("site").read();
             assertEquals("the first body", text(reading), "cut to " + length);
             assertEquals(1, reading.refused().size());
         }
@@ -88,14 +88,14 @@
 
     @Test
     void aFlippedBitAnywhereIsSeen() throws IOException {
-        Generations file = open("site");
+        SnapshotFile file = open("site");
         file.write(body("the first body"), 1);
         byte[] whole = Files.readAllBytes(folder.resolve("list"));
         for (int bit = 0; bit < 8 * whole.length; bit++) {
             byte[] flipped = whole.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(folder.resolve("list"), flipped);
-            Generations.Found found = open("site").read().found();
+            SnapshotFile.Found found = open("site").read().found();
             // Leading zeros and letter case of the checksum itself may differ and mean the same.
             assertTrue(
                     found == null
@@ -108,18 +108,18 @@
     @Test
     void foreignFilesAreNamedAndSetAside() throws IOException {
         open("another site").write(body("x"), 1);
-        Generations.Reading reading = open("site").read();
+        SnapshotFile.Reading reading = open("site").read();
         assertNull(reading.found());
         assertTrue(reading.refused().get(0).why().contains("another site"));
         Path aside = open("site").setAside(reading.refused().get(0).file());
         assertTrue(Files.exists(aside));
         assertTrue(open("site").read().refused().isEmpty());
-        new Generations(folder.resolve("list"), "list", 4, "site", 2).write(body("y"), 1);
+        new SnapshotFile(folder.resolve("list"), "list", 4, "site", 2).write(body("y"), 1);
         assertTrue(open("site").read().refused().get(0).why().contains("format 4"));
         assertEquals(
                 "y",
                 new String(
-                        new Generations(folder.resolve("list"), "list", 4, "", 2)
+                        new SnapshotFile(folder.resolve("list"), "list", 4, "", 2)
                                 .read()
                                 .found()
                                 .body(),
@@ -130,7 +130,7 @@
     void aFolderThatCannotBeWrittenFailsAndHarmsNothing() throws IOException {
         Path taken = folder.resolve("file");
         Files.writeString(taken, "in the way");
-        Generations file = new Generations(taken.resolve("list"), "list", 3, "site", 2);
+        SnapshotFile file = new SnapshotFile(taken.resolve("list"), "list", 3, "site", 2);
         try {
             file.write(body("z"), 1);
         } catch (IOException e) {
--- a/src/test/java/sagepulley/platform/FrontTest.java
+++ b/src/test/java/sagepulley/platform/ClientListenerTest.java
@@ -31,7 +31,7 @@
  * front is the test's own.
  */
 @Timeout(60)
-class FrontTest {
+class ClientListenerTest {
     private static final int ROOM = 40;
     private static final int BIG = 60_000;
 
@@ -42,13 +42,13 @@
     private final AtomicInteger left = new AtomicInteger();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile double now;
-    private Front front;
+    private ClientListener front;
     private SocketAddress address;
 
     @BeforeEach
     void listen() throws Exception {
         front =
-                new Front(
+                new ClientListener(
                         transport,
                         ROOM,
                         5_000,
--- a/src/test/java/sagepulley/platform/ConfigTest.java
+++ b/src/test/java/sagepulley/platform/ConfigTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void nestedSettingsAreReadAsTheFirstMessageIs() throws Exception {
-        Config config = Config.read(write(Rehearsal.text()));
+        Config config = Config.read(write(WarmUpRun.text()));
         assertEquals("put", config.deployment().bands().get(1).name());
         assertTrue(config.deployment().bands().get(1).writes());
         assertFalse(config.deployment().bands().get(0).writes());
@@ -44,10 +44,11 @@
             })
     void anUnusableFileIsNamedWithWhatIsWrongInOneLine(String good, String bad, String what)
             throws Exception {
-        String text = Rehearsal.text();
+        String text = WarmUpRun.text();
         assertTrue(text.contains(good));
-        ConfigError error =
-                assertThrows(ConfigError.class, () -> Config.read(write(text.replace(good, bad))));
+        ConfigException error =
+                assertThrows(
+                        ConfigException.class, () -> Config.read(write(text.replace(good, bad))));
         assertTrue(error.getMessage().contains(what), error.getMessage());
         assertTrue(error.getMessage().contains("config.json"), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
@@ -57,10 +58,10 @@
     void aMissingFileOrVariableIsNamed() {
         assertEquals(
                 "GW_CONFIG is not set",
-                assertThrows(ConfigError.class, () -> Config.read(Map.of())).getMessage());
-        ConfigError error =
+                assertThrows(ConfigException.class, () -> Config.read(Map.of())).getMessage());
+        ConfigException error =
                 assertThrows(
-                        ConfigError.class,
+                        ConfigException.class,
                         () ->
                                 Config.read(
                                         Map.of(
--- a/src/test/java/sagepulley/platform/DiscoveryTest.java
+++ b/src/test/java/sagepulley/platform/DiscoveryTest.java
@@ -29,7 +29,7 @@
 class DiscoveryTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
     private static final long NEVER = 600_000;
-    private final List<Listing> told = new CopyOnWriteArrayList<>();
+    private final List<EndpointListUpdate> told = new CopyOnWriteArrayList<>();
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private final List<Double> confirmations = new CopyOnWriteArrayList<>();
     private final List<Double> refusals = new CopyOnWriteArrayList<>();
@@ -39,21 +39,21 @@
     /** Where the link asks; the gateway of the peers has a discovery of its own. */
     private SocketAddress discovery;
 
-    private DiscoveryLink link(Peers peers) throws Exception {
+    private DiscoveryClient link(Peers peers) throws Exception {
         return link(peers, NEVER, NEVER);
     }
 
-    private DiscoveryLink link(Peers peers, long answerMs, long silenceMs) throws Exception {
+    private DiscoveryClient link(Peers peers, long answerMs, long silenceMs) throws Exception {
         Transport transport = Transport.sockets();
         discovery = peers.discovery();
-        DiscoveryLink link =
-                new DiscoveryLink(
+        DiscoveryClient link =
+                new DiscoveryClient(
                         transport,
                         discovery,
                         41,
-                        new DiscoveryLink.Owner() {
+                        new DiscoveryClient.Owner() {
                             @Override
-                            public void listed(Listing listing) {
+                            public void listed(EndpointListUpdate listing) {
                                 told.add(listing);
                             }
 
@@ -73,7 +73,7 @@
                             }
                         },
                         clock::now,
-                        new ListCall.Patience(answerMs, silenceMs));
+                        new DiscoveryRequest.Patience(answerMs, silenceMs));
         loop = transport.loops().next();
         loop.submit(link::subscribe).get(10, TimeUnit.SECONDS);
         return link;
@@ -137,7 +137,7 @@
     @Test
     void aNewAddressIsAskedFromThenOnAndTheOldWatchsEndIsNoFailure() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryLink link = link(peers);
+            DiscoveryClient link = link(peers);
             await().until(() -> told.size() == 1);
             var second = peers.discovery();
             loop.submit(
@@ -159,7 +159,7 @@
     @Test
     void aSlowAnswerIsTakenThoughASilentWatchStands() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryLink link = link(peers, 300, 200);
+            DiscoveryClient link = link(peers, 300, 200);
             await().until(() -> failures.size() == 1);
             peers.listing = null;
             Thread.sleep(2_600);
@@ -201,7 +201,7 @@
     @Test
     void theOldAddressIsHeardAndConfirmsNothingUntilTheNewOneHasToldAList() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryLink link = link(peers);
+            DiscoveryClient link = link(peers);
             await().until(() -> told.size() == 1);
             Peers.Talk former = lastWatch(peers);
             peers.listing = null;
@@ -395,13 +395,15 @@
     @Test
     void whatIsOlderThanWhatIsHeldIsNotToldAndADiscoveryThatStartsAnewIs() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryLink link = link(peers);
+            DiscoveryClient link = link(peers);
             await().until(() -> told.size() == 1);
             Peers.tell(lastWatch(peers), CHANGE.formatted(60, ""));
             Peers.tell(lastWatch(peers), CHANGE.formatted(59, ""));
             Peers.tell(lastWatch(peers), CHANGE.formatted(61, ""));
             await().until(() -> told.size() >= 3);
-            assertEquals(List.of(2L, 60L, 61L), told.stream().map(Listing::revision).toList());
+            assertEquals(
+                    List.of(2L, 60L, 61L),
+                    told.stream().map(EndpointListUpdate::revision).toList());
             peers.listing = "{\"revision\":5,\"complete\":true,\"members\":[]}";
             loop.submit(link::subscribe).get(10, TimeUnit.SECONDS);
             await().until(() -> told.size() == 4);
@@ -415,7 +417,7 @@
     @Test
     void aWholeListThatSomethingNewerHasOvertakenIsNotTold() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryLink link = link(peers);
+            DiscoveryClient link = link(peers);
             await().until(() -> told.size() == 1);
             Peers.Talk watch = lastWatch(peers);
             peers.listing = null;
@@ -437,7 +439,7 @@
     @Test
     void anAnswerWithoutLengthThatIsResetInsideIsNoList() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryLink link = link(peers);
+            DiscoveryClient link = link(peers);
             await().until(() -> told.size() == 1);
             peers.listing = null;
             loop.submit(link::fetch).get(10, TimeUnit.SECONDS);
@@ -462,8 +464,8 @@
         try (ServerSocket late = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Config config =
                     Config.of(
-                                    Json.object(
-                                            Rehearsal.text()
+                                    JsonReader.object(
+                                            WarmUpRun.text()
                                                     .replace("\"subscribe\"", "\"" + how + "\"")
                                                     .getBytes(StandardCharsets.UTF_8)),
                                     Map.of())
@@ -471,7 +473,7 @@
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     late.getLocalSocketAddress(),
                                     late.getLocalSocketAddress());
-            PlatformGateway gateway = new PlatformGateway(config, transport);
+            RespGateway gateway = new RespGateway(config, transport);
             gateway.begin();
             CompletableFuture<SocketAddress> ready = gateway.start();
             Peers.Talk call = new Peers.Talk(late.accept());
--- a/src/test/java/sagepulley/platform/NodeLinksTest.java
+++ b/src/test/java/sagepulley/platform/EndpointConnectionPoolTest.java
@@ -22,7 +22,7 @@
 import sagepulley.model.Outcome;
 
 /** How a call to a node ends, by what its connection does. */
-class NodeLinksTest {
+class EndpointConnectionPoolTest {
     private static final long NEVER = 600_000;
     private static final long HELD_UP = 300;
 
@@ -53,11 +53,12 @@
         return node.getLocalSocketAddress();
     }
 
-    private NodeLinks links(double stallTime) {
-        return new NodeLinks(transport, 100, 5_000, NEVER, stallTime, new Clock()::now);
+    private EndpointConnectionPool links(double stallTime) {
+        return new EndpointConnectionPool(
+                transport, 100, 5_000, NEVER, stallTime, new Clock()::now);
     }
 
-    private Outcome call(NodeLinks links, SocketAddress address, double timeout) {
+    private Outcome call(EndpointConnectionPool links, SocketAddress address, double timeout) {
         CompletableFuture<Outcome> ended = new CompletableFuture<>();
         transport
                 .loops()
@@ -75,7 +76,7 @@
     @Test
     void whoeverHasBegunToAnswerByTheTimeOutIsAtFaultAndNotSilent() throws IOException {
         SocketAddress address = node("*3\r\n$5\r\nva");
-        NodeLinks links = links(NEVER);
+        EndpointConnectionPool links = links(NEVER);
         // The first bytes may come after a time-out, on a slow machine; not after every one.
         await().until(() -> call(links, address, 50) == Outcome.FAULT);
     }
@@ -83,7 +84,7 @@
     @Test
     void whoeverSaysNothingTimesOut() throws IOException {
         SocketAddress address = node("");
-        NodeLinks links = links(1);
+        EndpointConnectionPool links = links(1);
         await().until(() -> call(links, address, 50) == Outcome.TIMED_OUT);
     }
 
@@ -101,7 +102,7 @@
         assumeTrue(
                 transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
         SocketAddress address = node("+PONG\r\n");
-        NodeLinks links = links(NEVER);
+        EndpointConnectionPool links = links(NEVER);
         Clock clock = new Clock();
         CompletableFuture<Double> late = new CompletableFuture<>();
         transport
--- a/src/test/java/sagepulley/platform/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/platform/NodeCrossingsTest.java
@@ -42,8 +42,8 @@
     private final Transport transport = Transport.sockets();
     private final EventLoop loop = transport.loops().next();
     private final BlockingQueue<Peers.Talk> taken = new LinkedBlockingQueue<>();
-    private final NodeLinks links =
-            new NodeLinks(transport, 100, 5_000, LONG, LONG, new Clock()::now);
+    private final EndpointConnectionPool links =
+            new EndpointConnectionPool(transport, 100, 5_000, LONG, LONG, new Clock()::now);
     private ServerSocket node;
     private SocketAddress address;
 
--- a/src/test/java/sagepulley/platform/Peers.java
+++ b/src/test/java/sagepulley/platform/Peers.java
@@ -104,7 +104,7 @@
     /** Calls to discovery that were not answered. */
     final List<Talk> silent = new CopyOnWriteArrayList<>();
 
-    final PlatformGateway gateway;
+    final RespGateway gateway;
     final Transport transport = Transport.sockets();
 
     /** What discovery answers a call with; null: it says nothing. */
@@ -133,11 +133,11 @@
         SocketAddress discovery = discovery();
         config =
                 Config.of(
-                        Json.object(
-                                change.apply(Rehearsal.text()).getBytes(StandardCharsets.UTF_8)),
+                        JsonReader.object(
+                                change.apply(WarmUpRun.text()).getBytes(StandardCharsets.UTF_8)),
                         Map.of());
         gateway =
-                new PlatformGateway(
+                new RespGateway(
                         config.at(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 discovery,
@@ -199,7 +199,9 @@
 
     /** Words of a read with this id. */
     static String[] read(long id) {
-        return new String[] {"BLK.READ", Figures.id(7), Figures.id(id), fields("get", 9000, 0)};
+        return new String[] {
+            "BLK.READ", NumberParser.id(7), NumberParser.id(id), fields("get", 9000, 0)
+        };
     }
 
     static String fields(String band, int patience, int shard) {
@@ -208,7 +210,7 @@
                 + ",t=any,d="
                 + patience
                 + ",volume="
-                + Figures.id(3)
+                + NumberParser.id(3)
                 + ",units=2,shard="
                 + shard
                 + ",hosts=1";
--- a/src/test/java/sagepulley/platform/PlatformPathTest.java
+++ b/src/test/java/sagepulley/platform/PlatformPathTest.java
@@ -36,8 +36,8 @@
             assertEquals("$5 value", client.answer());
             client.ask(
                     "BLK.WRITE",
-                    Figures.id(7),
-                    Figures.id(2),
+                    NumberParser.id(7),
+                    NumberParser.id(2),
                     Peers.fields("put", 9000, -1) + ",k=9",
                     "bytes");
             assertEquals("$5 value", client.answer());
@@ -58,11 +58,11 @@
         try (Peers peers =
                 new Peers(
                         (words, talk) -> {
-                            if (words.get(2).equals(Figures.id(1))) {
+                            if (words.get(2).equals(NumberParser.id(1))) {
                                 awaitQuietly(later);
                             }
                             talk.say("*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n");
-                            if (words.get(2).equals(Figures.id(2))) {
+                            if (words.get(2).equals(NumberParser.id(2))) {
                                 later.countDown();
                             }
                         })) {
@@ -71,8 +71,8 @@
                     Peers.command(Peers.read(1))
                             + Peers.command(Peers.read(2))
                             + Peers.command("PING"));
-            assertEquals("$16 " + Figures.id(1), client.answer());
-            assertEquals("$16 " + Figures.id(2), client.answer());
+            assertEquals("$16 " + NumberParser.id(1), client.answer());
+            assertEquals("$16 " + NumberParser.id(2), client.answer());
             assertEquals("+PONG", client.answer());
         }
     }
@@ -96,11 +96,11 @@
     void aCommandWithWrongFieldsGetsAnErrorAndNothingGoesToANode(String fields) throws Exception {
         try (Peers peers = new Peers(SERVES)) {
             Peers.Talk client = peers.client();
-            client.ask("BLK.READ", Figures.id(7), Figures.id(1), fields);
+            client.ask("BLK.READ", NumberParser.id(7), NumberParser.id(1), fields);
             assertTrue(client.answer().startsWith("-ERR"));
-            client.ask("BLK.READ", Figures.id(7), "no id", Peers.fields("get", 900, 0));
+            client.ask("BLK.READ", NumberParser.id(7), "no id", Peers.fields("get", 900, 0));
             assertTrue(client.answer().startsWith("-ERR"));
-            client.ask("BLK.READ", Figures.id(7), Figures.id(1));
+            client.ask("BLK.READ", NumberParser.id(7), NumberParser.id(1));
             assertTrue(client.answer().startsWith("-ERR"));
             client.ask("FLUSHALL");
             assertTrue(client.answer().startsWith("-ERR"));
@@ -222,7 +222,7 @@
             Peers.Talk client = peers.client();
             for (long id = 1; id <= 20; id++) {
                 client.ask(Peers.read(id));
-                assertEquals("$16 " + Figures.id(id), client.answer());
+                assertEquals("$16 " + NumberParser.id(id), client.answer());
             }
         }
     }
@@ -293,7 +293,7 @@
             good.ask(Peers.read(2));
             assertEquals("$5 value", good.answer());
             assertEquals(
-                    List.of(Figures.id(1), Figures.id(2)),
+                    List.of(NumberParser.id(1), NumberParser.id(2)),
                     peers.commands.stream().map(words -> words.get(2)).toList());
         }
     }
@@ -302,11 +302,11 @@
     void aGatewayThatIsToldToEndBeforeItIsReadyNeverListens() throws Exception {
         Transport transport = Transport.sockets();
         try {
-            int port = Rehearsal.freePort();
+            int port = WarmUpRun.freePort();
             InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
             InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            PlatformGateway gateway =
-                    new PlatformGateway(Rehearsal.config(front, nobody, nobody), transport);
+            RespGateway gateway =
+                    new RespGateway(WarmUpRun.config(front, nobody, nobody), transport);
             gateway.stop();
             gateway.begin();
             gateway.start().join();
@@ -412,9 +412,9 @@
             try {
                 bad.say(
                         "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n"
-                                + Figures.id(7)
+                                + NumberParser.id(7)
                                 + "\r\n$16\r\n"
-                                + Figures.id(1)
+                                + NumberParser.id(1)
                                 + "\r\n$1\r\nx\r\n$62914560\r\n");
                 for (int i = 0; i < 60; i++) {
                     bad.socket.getOutputStream().write(chunk);
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 import sagepulley.model.Reason;
+import sagepulley.model.TrafficClass;
 
 /** Words of 'serve' on its wire and in its log, and how the program is started. */
 class ServeNamesTest {
@@ -25,7 +25,7 @@
 
     private static BlockCommand command(String word, String fields, String... more)
             throws Exception {
-        Deployment deployment = Rehearsal.config(null, null, null).deployment();
+        Deployment deployment = WarmUpRun.config(null, null, null).deployment();
         List<byte[]> words = new ArrayList<>();
         for (String each : List.of(word, "000000000000000a", "000000000000000b", fields)) {
             words.add(each.getBytes(StandardCharsets.US_ASCII));
@@ -57,10 +57,11 @@
 
     @Test
     void figuresOfANodesAnswer() throws Exception {
-        Band band = Rehearsal.config(null, null, null).deployment().bands().get(0);
+        TrafficClass band = WarmUpRun.config(null, null, null).deployment().bands().get(0);
         Operation operation = new Operation(1, band, null, 0, 1, 0, 0, 900, false);
         Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
-        Answer.tell(attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
+        EndpointResponse.tell(
+                attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
         assertEquals(5, attempt.usedPercent);
         assertEquals(6, attempt.othersUnits);
         assertEquals(7, attempt.report[0]);
@@ -68,8 +69,8 @@
 
     @Test
     void countsInTheLog() throws Exception {
-        Counts counts = new Counts();
-        Band band = Rehearsal.config(null, null, null).deployment().bands().get(0);
+        GatewayMetrics counts = new GatewayMetrics();
+        TrafficClass band = WarmUpRun.config(null, null, null).deployment().bands().get(0);
         for (Outcome outcome : Outcome.values()) {
             counts.ended(outcome, new Node(1));
         }
--- a/src/test/java/sagepulley/platform/ServeTest.java
+++ b/src/test/java/sagepulley/platform/ServeTest.java
@@ -26,12 +26,12 @@
     @Test
     void theFileOfTheLastHangUpHoldsThoughAnEarlierOneIsReadSlowly() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            int port = Rehearsal.freePort();
+            int port = WarmUpRun.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
-            CompletableFuture<PlatformGateway> ready = new CompletableFuture<>();
+            CompletableFuture<RespGateway> ready = new CompletableFuture<>();
             CompletableFuture<Void> ended = serve(Map.of("GW_CONFIG", file.toString()), ready);
-            PlatformGateway gateway = ready.get();
+            RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
             SocketAddress early = peers.discovery();
@@ -59,12 +59,12 @@
 
     /** Runs one on a thread of its own; completes when it has ended. */
     private static CompletableFuture<Void> serve(
-            Map<String, String> environment, CompletableFuture<PlatformGateway> ready) {
+            Map<String, String> environment, CompletableFuture<RespGateway> ready) {
         return CompletableFuture.runAsync(
                 () -> {
                     try {
-                        Serve.run(environment, ready::complete);
-                    } catch (ConfigError bad) {
+                        GatewayServer.run(environment, ready::complete);
+                    } catch (ConfigException bad) {
                         throw new IllegalStateException(bad);
                     }
                 });
@@ -78,13 +78,13 @@
     @Test
     void atHangUpDiscoveryMovesAndABadFileLeavesAllAsItWas() throws Exception {
         try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            int port = Rehearsal.freePort();
+            int port = WarmUpRun.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
-            CompletableFuture<PlatformGateway> ready = new CompletableFuture<>();
+            CompletableFuture<RespGateway> ready = new CompletableFuture<>();
             CompletableFuture<Void> ended = serve(environment, ready);
-            PlatformGateway gateway = ready.get();
+            RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
             Files.writeString(file, config(port, peers.discovery()));
@@ -92,7 +92,7 @@
             await().until(() -> peers.watches.size() == 3);
 
             Files.writeString(file, "{\"listen\":");
-            try (Reloads reloads = new Reloads(environment, gateway)) {
+            try (ConfigReloader reloads = new ConfigReloader(environment, gateway)) {
                 reloads.read();
             }
             Peers.Talk client = new Peers.Talk(new Socket(InetAddress.getLoopbackAddress(), port));
@@ -106,7 +106,7 @@
     }
 
     private static String config(int port, SocketAddress discovery) throws Exception {
-        return Rehearsal.listeningAt(port)
+        return WarmUpRun.listeningAt(port)
                 .replace(
                         "\"discovery\": \"127.0.0.1:1\"",
                         "\"discovery\": \"127.0.0.1:"
