--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -10,18 +10,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sagepulley.config.BooksLine;
+import sagepulley.config.AccountsSettings;
 import sagepulley.config.HostPort;
-import sagepulley.config.MembersLine;
-import sagepulley.config.Site;
-import sagepulley.config.TracesLine;
-import sagepulley.config.VolumeLine;
-import sagepulley.engine.FirstMessage;
-import sagepulley.model.Band;
+import sagepulley.config.MembershipSettings;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.TracingSettings;
+import sagepulley.config.VolumeSettings;
+import sagepulley.engine.SettingsReader;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
-import sagepulley.model.Plan;
-import sagepulley.model.Rulebook;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.TrafficClass;
 
 /**
  * Keys of settings: each key of the committed files has a value that is not its default, and what
@@ -38,11 +38,11 @@
                 5,
                 1,
                 List.of(
-                        new Band(
+                        new TrafficClass(
                                 0,
                                 "get",
-                                Band.Repeat.IDEMPOTENT,
-                                Band.Group.ALL,
+                                TrafficClass.Idempotency.IDEMPOTENT,
+                                TrafficClass.DeduplicationScope.ALL,
                                 0,
                                 false,
                                 false,
@@ -51,11 +51,11 @@
                                 12,
                                 13,
                                 0.25),
-                        new Band(
+                        new TrafficClass(
                                 1,
                                 "put",
-                                Band.Repeat.DEDUPLICATED,
-                                Band.Group.ZONE,
+                                TrafficClass.Idempotency.DEDUPLICATED,
+                                TrafficClass.DeduplicationScope.ZONE,
                                 14,
                                 true,
                                 true,
@@ -64,11 +64,11 @@
                                 16,
                                 1,
                                 0),
-                        new Band(
+                        new TrafficClass(
                                 2,
                                 "add",
-                                Band.Repeat.UNREPEATABLE,
-                                Band.Group.ALL,
+                                TrafficClass.Idempotency.UNREPEATABLE,
+                                TrafficClass.DeduplicationScope.ALL,
                                 0,
                                 false,
                                 true,
@@ -77,11 +77,11 @@
                                 18,
                                 1,
                                 0),
-                        new Band(
+                        new TrafficClass(
                                 3,
                                 "all",
-                                Band.Repeat.DEDUPLICATED,
-                                Band.Group.ALL,
+                                TrafficClass.Idempotency.DEDUPLICATED,
+                                TrafficClass.DeduplicationScope.ALL,
                                 19,
                                 false,
                                 true,
@@ -90,11 +90,11 @@
                                 21,
                                 1,
                                 0),
-                        new Band(
+                        new TrafficClass(
                                 4,
                                 "cell",
-                                Band.Repeat.DEDUPLICATED,
-                                Band.Group.CELL,
+                                TrafficClass.Idempotency.DEDUPLICATED,
+                                TrafficClass.DeduplicationScope.CELL,
                                 22,
                                 false,
                                 true,
@@ -103,8 +103,8 @@
                                 24,
                                 1,
                                 0)),
-                List.of(new Plan(0, "gold", 31, 32, 33, 34, 35, 36, 37)),
-                new Rulebook(41, 42, 0.43, 44, 45, 46, 47, 48, 49, 0.5, 51, 52, true),
+                List.of(new TenantPlan(0, "gold", 31, 32, 33, 34, 35, 36, 37)),
+                new ServicePolicy(41, 42, 0.43, 44, 45, 46, 47, 48, 49, 0.5, 51, 52, true),
                 61,
                 62,
                 63,
@@ -130,24 +130,24 @@
     @Test
     void pathsOfTheFirstMessage() throws IOException {
         String text = Files.readString(FOLDER.resolve("first-message.txt"));
-        assertEquals(told(), FirstMessage.ofLines(text).deployment());
+        assertEquals(told(), SettingsReader.ofLines(text).deployment());
     }
 
     private static Config config(String name, String listen, int discoveryPort) {
         return new Config(
                 name,
-                Addresses.read(listen),
+                AddressParser.read(listen),
                 new InetSocketAddress("127.0.0.1", discoveryPort),
                 0xabc,
                 300,
                 128,
-                new Listing(
+                new EndpointListUpdate(
                         9,
                         true,
                         List.of(
-                                member("one", Node.Standing.READY, 81),
-                                member("two", Node.Standing.DRAINING, 82),
-                                member("three", Node.Standing.GONE, 83)),
+                                member("one", Node.Phase.READY, 81),
+                                member("two", Node.Phase.DRAINING, 82),
+                                member("three", Node.Phase.GONE, 83)),
                         List.of()),
                 told().onWatch(6_000),
                 List.of("here", "there"),
@@ -157,8 +157,8 @@
                 93);
     }
 
-    private static Listing.Member member(String id, Node.Standing standing, int port) {
-        return new Listing.Member(
+    private static EndpointListUpdate.Member member(String id, Node.Phase standing, int port) {
+        return new EndpointListUpdate.Member(
                 id,
                 new InetSocketAddress("127.0.0.1", port),
                 "here",
@@ -204,11 +204,11 @@
                         5,
                         1,
                         List.of(
-                                new Band(
+                                new TrafficClass(
                                         0,
                                         "read",
-                                        Band.Repeat.DEDUPLICATED,
-                                        Band.Group.ZONE,
+                                        TrafficClass.Idempotency.DEDUPLICATED,
+                                        TrafficClass.DeduplicationScope.ZONE,
                                         11,
                                         true,
                                         false,
@@ -217,11 +217,11 @@
                                         13,
                                         14,
                                         0.5),
-                                new Band(
+                                new TrafficClass(
                                         1,
                                         "write",
-                                        Band.Repeat.UNREPEATABLE,
-                                        Band.Group.ALL,
+                                        TrafficClass.Idempotency.UNREPEATABLE,
+                                        TrafficClass.DeduplicationScope.ALL,
                                         60_000,
                                         false,
                                         true,
@@ -230,11 +230,11 @@
                                         16,
                                         1,
                                         0.2),
-                                new Band(
+                                new TrafficClass(
                                         2,
                                         "bulk",
-                                        Band.Repeat.IDEMPOTENT,
-                                        Band.Group.CELL,
+                                        TrafficClass.Idempotency.IDEMPOTENT,
+                                        TrafficClass.DeduplicationScope.CELL,
                                         60_000,
                                         false,
                                         false,
@@ -244,9 +244,9 @@
                                         1,
                                         0.2)),
                         List.of(
-                                new Plan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
-                                new Plan(1, "gold", 31, 32, 33, 34, 35, 36, 37)),
-                        new Rulebook(41, 42, 0.43, 44, 45, 46, 47, 48, 49, 50, 51, 12, false),
+                                new TenantPlan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
+                                new TenantPlan(1, "gold", 31, 32, 33, 34, 35, 36, 37)),
+                        new ServicePolicy(41, 42, 0.43, 44, 45, 46, 47, 48, 49, 50, 51, 12, false),
                         61,
                         62,
                         63,
@@ -267,8 +267,8 @@
                         0,
                         true,
                         List.of("queue"));
-        Site expected =
-                new Site(
+        SiteConfig expected =
+                new SiteConfig(
                         "gw-1",
                         List.of("hall-a", "hall-b"),
                         new HostPort("127.0.0.1", 101),
@@ -283,21 +283,21 @@
                         4096,
                         deployment,
                         List.of(
-                                new VolumeLine(
+                                new VolumeSettings(
                                         7, "exams", "papers", 1024, 1, 8, true, 0, 1, 2, 2048)),
-                        new BooksLine(false, Path.of("a"), 106),
-                        new TracesLine(Path.of("t"), 8192, 5, "http://h:1/v1/traces", 6, 0.7),
+                        new AccountsSettings(false, Path.of("a"), 106),
+                        new TracingSettings(Path.of("t"), 8192, 5, "http://h:1/v1/traces", 6, 0.7),
                         new HostPort("127.0.0.1", 103),
-                        new MembersLine(
+                        new MembershipSettings(
                                 Path.of("l"),
                                 Path.of("h"),
                                 107,
                                 108,
                                 9,
                                 List.of(
-                                        new MembersLine.FixedNode(
+                                        new MembershipSettings.FixedNode(
                                                 12, 13, 1, new HostPort("127.0.0.1", 104)))),
                         "hall-1");
-        assertEquals(expected, Site.read(FOLDER.resolve("site.ini")));
+        assertEquals(expected, SiteConfig.read(FOLDER.resolve("site.ini")));
     }
 }
--- a/src/test/java/sagepulley/scenario/Rogue.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -16,28 +16,28 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.accounts.Book;
-import sagepulley.accounts.Kept;
-import sagepulley.codec.frame.Loops;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.StoredAccounts;
+import sagepulley.codec.frame.EventLoops;
+import sagepulley.codec.nbd.AdmissionGate;
 import sagepulley.codec.nbd.Export;
 import sagepulley.codec.nbd.Exports;
-import sagepulley.codec.nbd.Gate;
-import sagepulley.codec.nbd.Nbd;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.codec.nbd.NbdReplies;
 import sagepulley.codec.nbd.NbdRequest;
 import sagepulley.codec.nbd.NbdServer;
-import sagepulley.codec.nbd.Replies;
-import sagepulley.config.Site;
-import sagepulley.config.VolumeLine;
-import sagepulley.discovery.directory.DirectoryLink;
-import sagepulley.discovery.directory.DirectoryWire;
-import sagepulley.persistence.GatewayBook;
-import sagepulley.upstream.frame.NodeLink;
-import sagepulley.upstream.frame.StoreWire;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.discovery.directory.DirectoryClient;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.upstream.frame.NodeConnection;
+import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * A gateway that heeds no rule: it sends everything on at once. The judge must see what it does.
  */
-final class Rogue implements Drill.Opener {
+final class MisbehavingClient implements ScenarioRunner.Opener {
     /** What it does besides. */
     enum Way {
         PLAIN,
@@ -50,47 +50,53 @@
 
     private final Way way;
 
-    Rogue(Way way) {
+    MisbehavingClient(Way way) {
         this.way = way;
     }
 
     @Override
-    public Opened open(Site site, long seed) {
+    public Opened open(SiteConfig site, long seed) {
         Running running = new Running(site, seed);
         return new Opened(
                 running.address,
                 running::kill,
-                () -> new GatewayBook("rogue", 0, Map.of(), Map.of(), Kept.of(new Book())));
+                () ->
+                        new GatewayAccounts(
+                                "rogue",
+                                0,
+                                Map.of(),
+                                Map.of(),
+                                StoredAccounts.of(new LatencyAccount())));
     }
 
-    private final class Running implements DirectoryLink.Owner, Exports, Gate {
-        final Site site;
-        final EventLoopGroup group = Loops.group(1, "rogue");
+    private final class Running implements DirectoryClient.Listener, Exports, AdmissionGate {
+        final SiteConfig site;
+        final EventLoopGroup group = EventLoops.group(1, "rogue");
         final long seed;
         final Map<Integer, Peer> peers = new TreeMap<>();
         final CompletableFuture<Void> listed = new CompletableFuture<>();
-        final DirectoryLink directory;
+        final DirectoryClient directory;
         final Channel listener;
         final InetSocketAddress address;
         long ids;
 
-        Running(Site site, long seed) {
+        Running(SiteConfig site, long seed) {
             this.site = site;
             this.seed = seed;
             directory =
-                    new DirectoryLink(
+                    new DirectoryClient(
                             group.next(),
-                            Loops.socket(),
+                            EventLoops.socket(),
                             site.directory().socket(),
                             seed,
                             "rogue",
                             this);
             group.next().execute(directory::subscribe);
-            Town.await(listed);
+            LocalCluster.await(listed);
             listener =
                     new ServerBootstrap()
                             .group(group)
-                            .channel(Loops.server())
+                            .channel(EventLoops.server())
                             .childHandler(
                                     new ChannelInitializer<Channel>() {
                                         @Override
@@ -114,8 +120,8 @@
         }
 
         @Override
-        public void listed(DirectoryWire.Listing listing) {
-            for (DirectoryWire.Line line : listing.lines()) {
+        public void listed(DirectoryMessages.EndpointList listing) {
+            for (DirectoryMessages.EndpointLine line : listing.lines()) {
                 peers.computeIfAbsent(
                         line.node(),
                         node ->
@@ -158,25 +164,25 @@
     }
 
     /** A node's link; ends are told to whoever sent. */
-    private static final class Peer implements NodeLink.Owner {
-        final NodeLink link;
+    private static final class Peer implements NodeConnection.Listener {
+        final NodeConnection link;
         final Map<Long, java.util.function.Consumer<ByteBuf>> waiting = new HashMap<>();
 
         Peer(Running of, int node, InetSocketAddress address) {
             link =
-                    new NodeLink(
+                    new NodeConnection(
                             of.group.next(),
-                            Loops.socket(),
+                            EventLoops.socket(),
                             1 << 20,
                             node,
                             address,
-                            new StoreWire.Hello(of.seed, "rogue"),
+                            new StoreMessages.Hello(of.seed, "rogue"),
                             this);
         }
 
         @Override
-        public void answered(long attempt, StoreWire.Answer answer, ByteBuf payload) {
-            boolean good = answer.code() == StoreWire.Code.SATISFIED;
+        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
+            boolean good = answer.code() == StoreMessages.Code.SATISFIED;
             if (!good) {
                 payload.release();
             }
@@ -184,7 +190,7 @@
         }
 
         @Override
-        public void broken(long attempt, NodeLink.Broken how) {
+        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
             waiting.remove(attempt).accept(null);
         }
 
@@ -192,14 +198,14 @@
         public void probed(long id, float[] report) {}
 
         @Override
-        public boolean welcomed(StoreWire.Welcome welcome) {
+        public boolean welcomed(StoreMessages.Welcome welcome) {
             return true;
         }
     }
 
     private final class Client extends ChannelInboundHandlerAdapter {
         private final Running of;
-        private VolumeLine volume;
+        private VolumeSettings volume;
 
         Client(Running of) {
             this.of = of;
@@ -207,7 +213,7 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            if (event instanceof sagepulley.codec.nbd.Attached attached) {
+            if (event instanceof sagepulley.codec.nbd.AttachedExport attached) {
                 volume =
                         of.site.volumes().stream()
                                 .filter(line -> line.name().equals(attached.export().name()))
@@ -219,13 +225,13 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             NbdRequest asked = (NbdRequest) message;
-            boolean reads = asked.command() == Nbd.CMD_READ;
+            boolean reads = asked.command() == NbdConstants.CMD_READ;
             int extentBytes = of.site.extentBytes();
             long extent = asked.offset() / extentBytes;
             List<Peer> all = List.copyOf(of.peers.values());
             Peer peer = all.get((int) (extent % all.size()));
             long mark = ++of.ids;
-            StoreWire.Kind kind = reads ? StoreWire.Kind.READ : StoreWire.Kind.WRITE;
+            StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
             int band = reads ? volume.readBand() : volume.writeBand();
             int repeat = of.site.deployment().bands().get(band).repeat().ordinal();
             ByteBuf payload = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(asked.payload()));
@@ -284,8 +290,8 @@
             }
         }
 
-        private StoreWire.Send make(
-                StoreWire.Kind kind,
+        private StoreMessages.Send make(
+                StoreMessages.Kind kind,
                 int band,
                 int repeat,
                 long mark,
@@ -293,7 +299,7 @@
                 long extent,
                 NbdRequest asked,
                 int extentBytes) {
-            return new StoreWire.Send(
+            return new StoreMessages.Send(
                     kind,
                     band,
                     false,
@@ -313,7 +319,7 @@
                 int number,
                 Peer peer,
                 long mark,
-                StoreWire.Kind kind,
+                StoreMessages.Kind kind,
                 int band,
                 int repeat,
                 long extent,
@@ -353,12 +359,13 @@
 
         private void reply(ChannelHandlerContext ctx, NbdRequest asked, ByteBuf data) {
             if (data == null) {
-                Replies.error(ctx.channel(), asked.cookie(), Nbd.EIO, "failed", -1, true);
-            } else if (asked.command() == Nbd.CMD_READ) {
-                Replies.data(ctx.channel(), asked.cookie(), asked.offset(), data, true);
+                NbdReplies.error(
+                        ctx.channel(), asked.cookie(), NbdConstants.EIO, "failed", -1, true);
+            } else if (asked.command() == NbdConstants.CMD_READ) {
+                NbdReplies.data(ctx.channel(), asked.cookie(), asked.offset(), data, true);
             } else {
                 data.release();
-                Replies.done(ctx.channel(), asked.cookie());
+                NbdReplies.done(ctx.channel(), asked.cookie());
             }
             ctx.flush();
         }
--- a/src/test/java/sagepulley/scenario/JudgeTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -14,7 +14,7 @@
 /** The judge sees each rule broken, by a gateway made for it, and the real gateway keep them. */
 @Isolated(
         "it allows for how late this machine runs, which other tests would make so late that no breach shows")
-class JudgeTest {
+class RuleCheckerTest {
     /** A small day of 1.5 s with one load and whatever else is said. */
     private static String day(String band, String plan, String rest) {
         return """
@@ -75,31 +75,32 @@
         "7, UNWRITTEN,     '',                        '',           ''",
     })
     void aGatewayThatBreaksARuleIsCaught(
-            int rule, Rogue.Way way, String band, String plan, String rest) throws Exception {
-        Day day = DayReader.read("small", day(band, plan.replace('|', '\n'), rest));
-        Drill.Result result = new Drill(day, new Rogue(way)).run();
+            int rule, MisbehavingClient.Way way, String band, String plan, String rest)
+            throws Exception {
+        Scenario day = ScenarioReader.read("small", day(band, plan.replace('|', '\n'), rest));
+        ScenarioRunner.Result result = new ScenarioRunner(day, new MisbehavingClient(way)).run();
         assertFalse(result.verdicts().get(rule).kept(), result.verdicts().get(rule).toString());
         assertFalse(result.good());
         // The real one keeps the same rule on the same day.
-        Drill.Result real = new Drill(day).run();
+        ScenarioRunner.Result real = new ScenarioRunner(day).run();
         real.verdicts().forEach(verdict -> assertTrue(verdict.kept(), verdict.toString()));
         assertTrue(real.requests() > 50);
     }
 
     @Test
     void theShortBadDayIsKept() throws Exception {
-        Day day = DayReader.read("bad-evening", Drill.builtIn("bad-evening"));
-        Drill.Result result = new Drill(day).run();
+        Scenario day = ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
+        ScenarioRunner.Result result = new ScenarioRunner(day).run();
         result.verdicts().forEach(verdict -> assertTrue(verdict.kept(), verdict.toString()));
         assertEquals(java.util.List.of(), result.unmet());
     }
 
     @Test
     void theLedgerKnowsWhatAReadMayShow() {
-        Ledger ledger = new Ledger();
-        Ledger.Write first = ledger.begin(1, 0, 4096, 10);
-        Ledger.Write second = ledger.begin(1, 0, 4096, 30);
-        ByteBuf old = Ledger.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
+        BlockHistory ledger = new BlockHistory();
+        BlockHistory.Write first = ledger.begin(1, 0, 4096, 10);
+        BlockHistory.Write second = ledger.begin(1, 0, 4096, 30);
+        ByteBuf old = BlockHistory.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
         first.ends(20, false);
         ledger.check(1, 0, old, 35, 36); // the second is not acknowledged yet
         second.ends(40, true);
@@ -124,9 +125,9 @@
                 "day 'single'|x:1:5: ",
             })
     void aMistakeInAScriptIsToldWithLineAndColumn(String text, String told) {
-        DayError error =
+        ScenarioException error =
                 org.junit.jupiter.api.Assertions.assertThrows(
-                        DayError.class, () -> DayReader.read("x", text));
+                        ScenarioException.class, () -> ScenarioReader.read("x", text));
         assertTrue(error.getMessage().startsWith(told), error.getMessage());
     }
 }
--- a/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
+++ b/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import sagepulley.model.Pause;
+import sagepulley.model.SchedulerTurn;
 
 /**
  * Many processes that start anew together and a discovery that serves their calls in turn. It works
@@ -26,9 +26,9 @@
     @ParameterizedTest
     @ValueSource(ints = {20, 66, 100})
     void everyProcessHasAListInTheEnd(int gateways) {
-        List<FakeHost> hosts = new ArrayList<>();
+        List<SchedulerHarness> hosts = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            hosts.add(new FakeHost(1, i, gateways, true, Double.NaN, 6_000));
+            hosts.add(new SchedulerHarness(1, i, gateways, true, Double.NaN, 6_000));
         }
         boolean[] listed = new boolean[gateways];
         Deque<Call> queue = new ArrayDeque<>();
@@ -38,7 +38,8 @@
         for (double end = now + LENGTH_MS; now < end; now += STEP_MS) {
             for (int i = 0; i < gateways; i++) {
                 if (!listed[i]
-                        && hosts.get(i).control.pause(now).call() == Pause.ListCall.SUBSCRIBE) {
+                        && hosts.get(i).control.pause(now).call()
+                                == SchedulerTurn.EndpointPoll.SUBSCRIBE) {
                     Call call = new Call(i, now);
                     queue.add(call);
                     waiting.add(call);
@@ -55,7 +56,7 @@
                     idleAt = Math.max(idleAt, queue.poll().at()) + SERVICE_MS) {
                 Call served = queue.peek();
                 if (waiting.remove(served)) {
-                    FakeHost host = hosts.get(served.gateway());
+                    SchedulerHarness host = hosts.get(served.gateway());
                     host.control.listed(host.nodes, now);
                     host.control.listConfirmed(now);
                     listed[served.gateway()] = true;
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -89,17 +89,17 @@
 
     @Test
     void withoutALeaseNothingIsSentAndTheClientIsToldThatItMayComeAgain() {
-        FakeHost host = new FakeHost(1, 0, 1, true, Double.NaN, SPAN);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         host.control.listConfirmed(host.now);
-        assertEquals(1, host.take(FakeHost.READ, 0).attempts.size());
+        assertEquals(1, host.take(SchedulerHarness.READ, 0).attempts.size());
         host.satisfyAllOut();
         host.passTime(SPAN + GRACE);
-        Operation waiting = host.take(FakeHost.READ, 0);
+        Operation waiting = host.take(SchedulerHarness.READ, 0);
         assertEquals(0, waiting.attempts.size());
-        assertEquals(Reason.NO_LEASE, WaitView.why(host.control, waiting, host.now));
+        assertEquals(Reason.NO_LEASE, WaitExplainer.why(host.control, waiting, host.now));
         host.passTime(260);
         assertTrue(host.declined.contains(waiting));
-        Operation next = host.take(FakeHost.READ, 0);
+        Operation next = host.take(SchedulerHarness.READ, 0);
         host.control.listConfirmed(host.now);
         host.passTime(2);
         assertEquals(1, next.attempts.size(), "with the next confirmation it goes");
@@ -108,9 +108,9 @@
     /** Its connection comes up only when the lease has ended. */
     @Test
     void anAttemptThatIsHeldUpBeyondTheLeaseDoesNotBegin() {
-        FakeHost host = new FakeHost(1, 0, 1, true, Double.NaN, SPAN);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         host.control.listConfirmed(host.now - SPAN);
-        Operation read = host.take(FakeHost.BULK, 0);
+        Operation read = host.take(SchedulerHarness.BULK, 0);
         assertEquals(1, read.attempts.size());
         assertTrue(host.control.mayBegin(host.lastAttempt(read), host.now));
         assertFalse(host.control.mayBegin(host.lastAttempt(read), host.now + GRACE));
--- a/src/test/java/sagepulley/scheduler/HealthTest.java
+++ b/src/test/java/sagepulley/scheduler/HealthTest.java
@@ -15,12 +15,12 @@
 class HealthTest {
     @Test
     void aSilentNodeGetsOneTrialAtATimeAndNoNewObjects() {
-        FakeHost host = new FakeHost(2);
-        host.take(FakeHost.BULK, 0);
+        SchedulerHarness host = new SchedulerHarness(2);
+        host.take(SchedulerHarness.BULK, 0);
         host.passTime(200);
         for (int i = 0; i < 6; i++) {
-            host.take(FakeHost.BULK, 0);
-            host.take(FakeHost.WRITE, -1);
+            host.take(SchedulerHarness.BULK, 0);
+            host.take(SchedulerHarness.WRITE, -1);
             host.end(host.lastAttempt(host.held.get(host.held.size() - 1)), Outcome.SATISFIED);
         }
         assertEquals(2, sentTo(host, 0), "the hop that found it silent, and one trial");
@@ -35,49 +35,49 @@
         }
         host.passTime(6000);
         long before = sentTo(host, 0);
-        host.take(FakeHost.READ, 0);
-        host.take(FakeHost.READ, 0);
+        host.take(SchedulerHarness.READ, 0);
+        host.take(SchedulerHarness.READ, 0);
         assertEquals(before + 2, sentTo(host, 0), "an answer restores trust");
     }
 
     @Test
     void aFullAnswerRestoresNoTrust() {
-        FakeHost host = new FakeHost(2);
-        Operation lost = host.take(FakeHost.BULK, 0);
+        SchedulerHarness host = new SchedulerHarness(2);
+        Operation lost = host.take(SchedulerHarness.BULK, 0);
         host.passTime(500);
         host.end(host.lastAttempt(lost), Outcome.TIMED_OUT);
         assertEquals(2, sentTo(host, 0), "it is the trial itself");
         host.end(host.lastAttempt(lost), Outcome.FULL);
-        host.take(FakeHost.BULK, 0);
+        host.take(SchedulerHarness.BULK, 0);
         assertEquals(2, sentTo(host, 0), "the next trial waits for its time");
     }
 
     @Test
     void aFullAnswerMakesNoNodeSilent() {
-        FakeHost host = new FakeHost(2);
-        Operation refused = host.take(FakeHost.BULK, 0);
+        SchedulerHarness host = new SchedulerHarness(2);
+        Operation refused = host.take(SchedulerHarness.BULK, 0);
         host.end(host.lastAttempt(refused), Outcome.FULL);
-        host.take(FakeHost.BULK, 0);
+        host.take(SchedulerHarness.BULK, 0);
         assertEquals(
                 3, sentTo(host, 0), "the hop refused, the one after it, and the next operation's");
     }
 
     @Test
     void anAttemptThatHadLittleTimeLeftMakesNoNodeSilent() {
-        FakeHost host = new FakeHost(2);
-        Operation hurried = host.takeHurried(FakeHost.BULK, 1, 0, 60);
+        SchedulerHarness host = new SchedulerHarness(2);
+        Operation hurried = host.takeHurried(SchedulerHarness.BULK, 1, 0, 60);
         host.passTime(60);
         host.end(host.lastAttempt(hurried), Outcome.TIMED_OUT);
-        host.take(FakeHost.BULK, 0);
-        host.take(FakeHost.BULK, 0);
+        host.take(SchedulerHarness.BULK, 0);
+        host.take(SchedulerHarness.BULK, 0);
         assertEquals(3, sentTo(host, 0), "none of them is a trial");
     }
 
     @Test
     void clientsThatLeaveEarlySetAShorterTargetAndTheirWorkIsCalledOff() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 8; i++) {
-            Operation operation = host.take(FakeHost.BULK, 0);
+            Operation operation = host.take(SchedulerHarness.BULK, 0);
             host.passTime(60);
             host.leave(operation);
             host.end(host.lastAttempt(operation), Outcome.CALLED_OFF);
@@ -85,36 +85,36 @@
         assertEquals(8, host.calledOff.size());
         host.passTime(2000);
         host.declined.clear();
-        host.nodes.get(0).standing = Node.Standing.DRAINING;
+        host.nodes.get(0).standing = Node.Phase.DRAINING;
         host.relist();
-        host.take(FakeHost.BULK, 0);
+        host.take(SchedulerHarness.BULK, 0);
         host.passTime(70);
         assertEquals(1, host.declined.size(), "long before its target time of 1.5 s");
     }
 
     @Test
     void clientsThatLeaveBeforeAnyAnswerCouldComeTellNothing() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         serve(host, 30, 20);
         for (int i = 0; i < 10; i++) {
-            Operation operation = host.take(FakeHost.READ, 0);
+            Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(4);
             host.leave(operation);
             host.end(host.lastAttempt(operation), Outcome.CALLED_OFF);
         }
-        host.nodes.get(0).standing = Node.Standing.DRAINING;
+        host.nodes.get(0).standing = Node.Phase.DRAINING;
         host.relist();
-        host.take(FakeHost.READ, 0);
+        host.take(SchedulerHarness.READ, 0);
         host.passTime(100);
         assertEquals(0, host.declined.size(), "the target time is still 250 ms");
     }
 
     @Test
     void clientsThatLeftOnceDoNotForbidAllAttemptsForGood() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         serve(host, 30, 20);
         for (int i = 0; i < 10; i++) {
-            Operation operation = host.take(FakeHost.READ, 0);
+            Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(22);
             if (operation.over) {
                 continue;
@@ -127,7 +127,7 @@
         }
         int before = host.sent.size();
         for (int i = 0; i < 200; i++) {
-            Operation operation = host.take(FakeHost.READ, 0);
+            Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(10);
             if (!operation.over) {
                 host.end(host.lastAttempt(operation), Outcome.SATISFIED);
@@ -137,9 +137,9 @@
     }
 
     /** So many reads, one after the other, each answered after a time. */
-    private static void serve(FakeHost host, int count, double time) {
+    private static void serve(SchedulerHarness host, int count, double time) {
         for (int i = 0; i < count; i++) {
-            Operation operation = host.take(FakeHost.READ, 0);
+            Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(time);
             if (!operation.over) {
                 host.end(host.lastAttempt(operation), Outcome.SATISFIED);
@@ -149,14 +149,14 @@
 
     @Test
     void aSurgeAtOneNodeForbidsNoFurtherAttemptAtAnother() {
-        FakeHost host = new FakeHost(2);
+        SchedulerHarness host = new SchedulerHarness(2);
         Volume surging = host.volume(0);
         for (int i = 0; i < 40; i++) {
-            host.take(FakeHost.READ, surging, 100 + i, 2, 0);
+            host.take(SchedulerHarness.READ, surging, 100 + i, 2, 0);
         }
         host.passTime(260);
         assertTrue(host.declined.size() > 20, "declined at the one " + host.declined.size());
-        Operation read = host.take(FakeHost.READ, 1);
+        Operation read = host.take(SchedulerHarness.READ, 1);
         host.passTime(10);
         host.end(host.lastAttempt(read), Outcome.FAULT);
         assertEquals(2, read.attempts.size(), "the other is idle");
@@ -164,14 +164,14 @@
 
     @Test
     void aNodeThatIsForgottenLeavesItsPlaceToAnother() {
-        FakeHost host = new FakeHost(2);
+        SchedulerHarness host = new SchedulerHarness(2);
         Volume volume = host.volume(1);
         for (int i = 0; i < 50; i++) {
             Node old = host.nodes.get(0);
-            Operation read = host.take(FakeHost.READ, volume, 7 + i, 2, 0);
+            Operation read = host.take(SchedulerHarness.READ, volume, 7 + i, 2, 0);
             host.passTime(20);
             host.end(host.lastAttempt(read), Outcome.SATISFIED);
-            old.standing = Node.Standing.GONE;
+            old.standing = Node.Phase.GONE;
             host.relist();
             old.forgotten = true;
             Node fresh = new Node(1000 + i);
@@ -182,15 +182,15 @@
             host.passTime(10_000);
         }
         assertEquals(2, host.control.seats.size());
-        Operation read = host.take(FakeHost.READ, volume, 3, 2, 0);
+        Operation read = host.take(SchedulerHarness.READ, volume, 3, 2, 0);
         assertEquals(host.nodes.get(0), host.lastAttempt(read).node);
     }
 
     @Test
     void aNodeThatFailsAtOnceDrawsNoNewObjects() {
-        FakeHost host = new FakeHost(2);
+        SchedulerHarness host = new SchedulerHarness(2);
         for (int i = 0; i < 40; i++) {
-            Operation write = host.take(FakeHost.WRITE, -1);
+            Operation write = host.take(SchedulerHarness.WRITE, -1);
             host.passTime(6);
             Attempt attempt = host.lastAttempt(write);
             host.end(
@@ -204,39 +204,39 @@
 
     @Test
     void aSlowNodeGetsFewerOperationsAtATime() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 40; i++) {
-            Operation read = host.take(FakeHost.READ, 0);
+            Operation read = host.take(SchedulerHarness.READ, 0);
             host.passTime(10);
             host.end(host.lastAttempt(read), Outcome.SATISFIED);
         }
         for (int i = 0; i < 10; i++) {
-            Operation read = host.take(FakeHost.READ, 0);
+            Operation read = host.take(SchedulerHarness.READ, 0);
             host.passTime(110);
             host.end(host.lastAttempt(read), Outcome.SATISFIED);
         }
         host.sent.clear();
         for (int i = 0; i < 8; i++) {
-            host.take(FakeHost.BULK, 0);
+            host.take(SchedulerHarness.BULK, 0);
         }
         assertTrue(host.sent.size() <= 2, "sent " + host.sent.size());
     }
 
     @Test
     void noFurtherAttemptUnderOverloadButInAnOutage() {
-        FakeHost outage = new FakeHost(3);
-        outage.nodes.get(0).standing = Node.Standing.DRAINING;
+        SchedulerHarness outage = new SchedulerHarness(3);
+        outage.nodes.get(0).standing = Node.Phase.DRAINING;
         outage.relist();
-        FakeHost overload = new FakeHost(3);
-        for (FakeHost host : new FakeHost[] {outage, overload}) {
+        SchedulerHarness overload = new SchedulerHarness(3);
+        for (SchedulerHarness host : new SchedulerHarness[] {outage, overload}) {
             for (int i = 0; i < 8; i++) {
-                host.take(FakeHost.READ, 0);
+                host.take(SchedulerHarness.READ, 0);
             }
             if (host == outage) {
                 host.passTime(252);
                 assertEquals(8, host.declined.size());
             }
-            Operation write = host.take(FakeHost.WRITE, -1);
+            Operation write = host.take(SchedulerHarness.WRITE, -1);
             host.end(host.lastAttempt(write), Outcome.FAULT);
             assertEquals(host == outage ? 2 : 1, write.attempts.size());
         }
@@ -244,7 +244,7 @@
 
     @Test
     void theListIsAskedForAtTheStartAndAnewAfterAFailureWithoutFlooding() {
-        FakeHost host = new FakeHost(1, 1, 3, true, Double.NaN);
+        SchedulerHarness host = new SchedulerHarness(1, 1, 3, true, Double.NaN);
         assertEquals(0, host.listCalls, "staggered by the gateway's number");
         host.passTime(300);
         assertEquals(1, host.listCalls);
@@ -265,7 +265,7 @@
      */
     @Test
     void howeverLongTheListCannotBeHadItIsAskedForSoonAgain() {
-        FakeHost host = new FakeHost(1, 0, 100, true, Double.NaN);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         double lastCall = host.now;
         double longest = 0;
         for (int seen = 0; host.now < 160_000; host.passTime(2)) {
@@ -282,7 +282,7 @@
 
     @Test
     void aListThatMovedIsAskedForAtOnceWhateverFailedBefore() {
-        FakeHost host = new FakeHost(1, 0, 100, true, Double.NaN);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         host.passTime(10);
         for (int i = 0; i < 10; i++) {
             host.control.listFailed(host.now);
@@ -296,7 +296,7 @@
     /** The old address may still tell changes before the new one has been called. */
     @Test
     void aListFromTheFormerAddressDoesNotPutOffTheCallAtTheNewOne() {
-        FakeHost host = new FakeHost(1, 0, 100, true, Double.NaN, 6_000);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
         host.passTime(10);
         host.control.listConfirmed(host.now);
         int calls = host.listCalls;
@@ -312,7 +312,7 @@
      */
     @Test
     void theLastOfManyGatewaysHasAskedForTheListBeforeItCountsAsTold() {
-        FakeHost host = new FakeHost(1, 199, 200, true, Double.NaN);
+        SchedulerHarness host = new SchedulerHarness(1, 199, 200, true, Double.NaN);
         host.passTime(2_500);
         assertEquals(1, host.listCalls);
         host.relist();
@@ -322,27 +322,27 @@
 
     @Test
     void whatIsOverItsLevelWaitsForAShorterQueueThanTheReserve() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 10; i++) {
-            Operation read = host.take(FakeHost.READ, 0);
+            Operation read = host.take(SchedulerHarness.READ, 0);
             host.passTime(i < 4 ? 10 : 90);
             host.end(host.lastAttempt(read), Outcome.SATISFIED);
         }
         Volume surging = host.volume(0);
         for (int i = 0; i < 8; i++) {
-            host.take(FakeHost.READ, surging, 1000 + i, 6, 0);
+            host.take(SchedulerHarness.READ, surging, 1000 + i, 6, 0);
         }
         host.passTime(90);
         host.satisfyAllOut();
-        Operation over = host.take(FakeHost.READ, surging, 2000, 6, 0);
-        Operation reserved = host.take(FakeHost.READ, 0);
+        Operation over = host.take(SchedulerHarness.READ, surging, 2000, 6, 0);
+        Operation reserved = host.take(SchedulerHarness.READ, 0);
         assertTrue(over.attempts.isEmpty());
         assertEquals(1, reserved.attempts.size());
         host.end(host.lastAttempt(reserved), Outcome.SATISFIED);
         host.passTime(60_000);
         surging = host.volume(0);
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.READ, surging, 3000 + i, 6, 0);
+            host.take(SchedulerHarness.READ, surging, 3000 + i, 6, 0);
         }
         assertEquals(
                 4,
@@ -352,16 +352,16 @@
 
     @Test
     void anAttemptEndsWithTheTargetTimeWhereLateAnswersAreWorthLittle() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         host.passTime(40);
-        Operation read = host.take(FakeHost.READ, 0);
+        Operation read = host.take(SchedulerHarness.READ, 0);
         assertEquals(250, host.timeoutOf(read), 1e-6);
     }
 
     @Test
     void whatIsLateGetsNoFurtherAttempt() {
-        FakeHost host = new FakeHost(1);
-        Operation read = host.take(FakeHost.READ, 0);
+        SchedulerHarness host = new SchedulerHarness(1);
+        Operation read = host.take(SchedulerHarness.READ, 0);
         host.passTime(250);
         host.end(host.lastAttempt(read), Outcome.FAULT);
         assertEquals(1, read.attempts.size());
@@ -370,43 +370,43 @@
 
     @Test
     void hurriedClientsAreNotTakenForRepeatsOfLateOperations() {
-        FakeHost host = new FakeHost(1);
-        Operation first = host.take(FakeHost.READ, 0);
+        SchedulerHarness host = new SchedulerHarness(1);
+        Operation first = host.take(SchedulerHarness.READ, 0);
         host.passTime(250);
         host.end(host.lastAttempt(first), Outcome.TIMED_OUT);
         host.passTime(15_000);
-        Operation hurried = host.takeHurried(FakeHost.READ, first.extent + 1_000, 0, 100);
+        Operation hurried = host.takeHurried(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
         assertEquals(98, host.timeoutOf(hurried), 2, "all the patience it has");
         host.end(host.lastAttempt(hurried), Outcome.SATISFIED);
-        host.nodes.get(0).standing = Node.Standing.DRAINING;
+        host.nodes.get(0).standing = Node.Phase.DRAINING;
         host.relist();
-        Operation repeat = host.takeHurried(FakeHost.READ, first.extent, 0, 1700);
+        Operation repeat = host.takeHurried(SchedulerHarness.READ, first.extent, 0, 1700);
         assertTrue(host.declined.contains(repeat), "its first try's target time is over");
     }
 
     @Test
     void aDeclineTellsAShortWaitForAQueueAndTheLongestWhereTheNodeDoesNotServe() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.BULK, 0);
+            host.take(SchedulerHarness.BULK, 0);
         }
         host.passTime(100);
         host.satisfyAllOut();
         for (int i = 0; i < 40; i++) {
-            host.take(FakeHost.READ, host.volume(0), 5000 + i, 6, 0);
+            host.take(SchedulerHarness.READ, host.volume(0), 5000 + i, 6, 0);
         }
         host.passTime(120);
         host.satisfyAllOut();
         host.passTime(140);
         assertTrue(host.advice > 0 && host.advice < 500, "told " + host.advice);
-        host.nodes.get(0).standing = Node.Standing.DRAINING;
+        host.nodes.get(0).standing = Node.Phase.DRAINING;
         host.relist();
-        host.take(FakeHost.READ, 0);
+        host.take(SchedulerHarness.READ, 0);
         host.passTime(252);
         assertEquals(host.site.longestAdvice(), host.advice);
     }
 
-    private static long sentTo(FakeHost host, int node) {
+    private static long sentTo(SchedulerHarness host, int node) {
         return host.sent.stream().filter(attempt -> attempt.node == host.nodes.get(node)).count();
     }
 }
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -14,15 +14,15 @@
 class PlacementTest {
     @Test
     void theBoundStartsAtFourAndARunGoesTogetherBeforeTheEarliestDeadline() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.READ, 0);
+            host.take(SchedulerHarness.READ, 0);
         }
         Volume volume = host.volume(1);
-        Operation early = host.take(FakeHost.READ, 0);
+        Operation early = host.take(SchedulerHarness.READ, 0);
         host.passTime(4);
-        Operation run1 = host.take(FakeHost.READ, volume, 5, 1, 0);
-        Operation run2 = host.take(FakeHost.READ, volume, 5, 1, 0);
+        Operation run1 = host.take(SchedulerHarness.READ, volume, 5, 1, 0);
+        Operation run2 = host.take(SchedulerHarness.READ, volume, 5, 1, 0);
         assertEquals(4, host.sent.size());
         host.end(host.sent.get(0), Outcome.SATISFIED);
         assertEquals(1, early.attempts.size(), "the earliest deadline");
@@ -34,9 +34,9 @@
 
     @Test
     void newObjectsLeaveABusyNode() {
-        FakeHost host = new FakeHost(2);
+        SchedulerHarness host = new SchedulerHarness(2);
         for (int i = 0; i < 60; i++) {
-            Operation read = host.take(FakeHost.READ, i % 2);
+            Operation read = host.take(SchedulerHarness.READ, i % 2);
             host.passTime(10);
             Attempt slow = i % 2 == 0 ? host.lastAttempt(read) : null;
             if (slow == null) {
@@ -48,7 +48,7 @@
         }
         host.sent.clear();
         for (int i = 0; i < 10; i++) {
-            Operation write = host.take(FakeHost.WRITE, -1);
+            Operation write = host.take(SchedulerHarness.WRITE, -1);
             host.passTime(10);
             host.end(host.lastAttempt(write), Outcome.SATISFIED);
         }
@@ -58,12 +58,12 @@
 
     @Test
     void newObjectsDoNotPourOntoANodeThatTurnsUp() {
-        FakeHost host = new FakeHost(2);
+        SchedulerHarness host = new SchedulerHarness(2);
         host.passTime(3000);
         host.nodes.add(host.node(2));
         host.relist();
         for (int i = 0; i < 8; i++) {
-            host.take(FakeHost.WRITE, -1);
+            host.take(SchedulerHarness.WRITE, -1);
         }
         assertEquals(8, host.sent.size());
         assertTrue(host.sent.stream().noneMatch(attempt -> attempt.node == host.nodes.get(2)));
@@ -71,13 +71,13 @@
 
     @Test
     void utilityStillDueGoesBeforeAnEarlierDeadline() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         Volume surging = host.volume(0);
         for (int i = 0; i < 8; i++) {
-            host.take(FakeHost.READ, surging, 1000 + i, 2, 0);
+            host.take(SchedulerHarness.READ, surging, 1000 + i, 2, 0);
         }
         host.passTime(10);
-        Operation reserved = host.take(FakeHost.READ, 0);
+        Operation reserved = host.take(SchedulerHarness.READ, 0);
         assertTrue(reserved.attempts.isEmpty());
         host.end(host.sent.get(0), Outcome.SATISFIED);
         assertEquals(1, reserved.attempts.size());
@@ -85,17 +85,17 @@
 
     @Test
     void whatOthersUsedDrawsOnTheReserve() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         Volume heavyElsewhere = host.volume(1);
-        Operation told = host.take(FakeHost.READ, heavyElsewhere, 1, 1, 0);
+        Operation told = host.take(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
         host.lastAttempt(told).othersUnits = 40;
         host.end(host.lastAttempt(told), Outcome.SATISFIED);
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.READ, 0);
+            host.take(SchedulerHarness.READ, 0);
         }
-        Operation spent = host.take(FakeHost.READ, heavyElsewhere, 2, 2, 0);
+        Operation spent = host.take(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
         host.passTime(4);
-        Operation due = host.take(FakeHost.READ, 0);
+        Operation due = host.take(SchedulerHarness.READ, 0);
         host.end(host.sent.get(1), Outcome.SATISFIED);
         assertTrue(spent.attempts.isEmpty());
         assertEquals(1, due.attempts.size());
@@ -103,15 +103,15 @@
 
     @Test
     void aLateOperationIsDeclinedAtOnceWhenOthersTakeTheSlots() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.BULK, 0);
+            host.take(SchedulerHarness.BULK, 0);
         }
-        Operation read = host.take(FakeHost.READ, host.volume(0), 1, 2, 0);
+        Operation read = host.take(SchedulerHarness.READ, host.volume(0), 1, 2, 0);
         // The node goes on answering: it is no trial that the read waits for.
         for (int i = 0; i < 4; i++) {
             host.passTime(50);
-            host.take(FakeHost.READ, 0);
+            host.take(SchedulerHarness.READ, 0);
             host.end(host.sent.get(i), Outcome.SATISFIED);
         }
         assertTrue(read.attempts.isEmpty() && !read.over);
--- a/src/test/java/sagepulley/scheduler/FakeHost.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import java.util.Map;
 import sagepulley.model.Attempt;
-import sagepulley.model.Band;
 import sagepulley.model.Deployment;
+import sagepulley.model.FollowUp;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.Pause;
-import sagepulley.model.Placement;
-import sagepulley.model.Plan;
-import sagepulley.model.Rulebook;
-import sagepulley.model.Sequel;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.SchedulerTurn;
+import sagepulley.model.ServicePolicy;
+import sagepulley.model.TenantPlan;
+import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
 /**
  * The smallest host of one gateway: a clock moved by hand, idle nodes, and a log of what was sent.
  */
-final class FakeHost {
+final class SchedulerHarness {
     /**
      * Bands by place: read, write, bulk read, deduplicated within a cell, unrepeatable, in order.
      */
@@ -39,7 +39,7 @@
     final List<Operation> scrapped = new ArrayList<>();
     final List<Attempt> calledOff = new ArrayList<>();
     final List<Operation> held = new ArrayList<>();
-    final Control control;
+    final Scheduler control;
     final Deployment site;
 
     /** When the client declined last should come back. */
@@ -53,37 +53,49 @@
     /** Of an operation, as the settings say the usual one has. */
     static final double UNITS = 2;
 
-    FakeHost(int nodeCount) {
+    SchedulerHarness(int nodeCount) {
         this(nodeCount, 0, 1, false, Double.NaN);
     }
 
-    FakeHost(int nodeCount, int me, int gateways, boolean mustAsk, double budgetFree) {
+    SchedulerHarness(int nodeCount, int me, int gateways, boolean mustAsk, double budgetFree) {
         this(nodeCount, me, gateways, mustAsk, budgetFree, Double.POSITIVE_INFINITY);
     }
 
     /** The same where a change of the list counts as notified within a span. */
-    FakeHost(
+    SchedulerHarness(
             int nodeCount,
             int me,
             int gateways,
             boolean mustAsk,
             double budgetFree,
             double notifiedWithin) {
-        List<Band> bands =
+        List<TrafficClass> bands =
                 List.of(
-                        band(READ, Band.Repeat.IDEMPOTENT, false, 250, 2000, 3),
-                        band(WRITE, Band.Repeat.IDEMPOTENT, false, 300, 2000, 3),
-                        band(BULK, Band.Repeat.IDEMPOTENT, false, 1500, 5000, 1),
-                        band(DEDUPLICATED, Band.Repeat.DEDUPLICATED, false, 300, 2000, 3),
-                        band(UNREPEATABLE, Band.Repeat.UNREPEATABLE, false, 300, 2000, 3),
-                        band(ORDERED, Band.Repeat.IDEMPOTENT, true, 300, 2000, 3));
-        List<Plan> plans =
+                        band(READ, TrafficClass.Idempotency.IDEMPOTENT, false, 250, 2000, 3),
+                        band(WRITE, TrafficClass.Idempotency.IDEMPOTENT, false, 300, 2000, 3),
+                        band(BULK, TrafficClass.Idempotency.IDEMPOTENT, false, 1500, 5000, 1),
+                        band(
+                                DEDUPLICATED,
+                                TrafficClass.Idempotency.DEDUPLICATED,
+                                false,
+                                300,
+                                2000,
+                                3),
+                        band(
+                                UNREPEATABLE,
+                                TrafficClass.Idempotency.UNREPEATABLE,
+                                false,
+                                300,
+                                2000,
+                                3),
+                        band(ORDERED, TrafficClass.Idempotency.IDEMPOTENT, true, 300, 2000, 3));
+        List<TenantPlan> plans =
                 List.of(
-                        new Plan(0, "plain", 10, 0, 1, 1, 0, 0, 0),
-                        new Plan(1, "reserved", 10, 10, 3, 1, 0, 0, 0),
-                        new Plan(2, "limited", 10, 0, 1, 1, 10, 24, 2));
-        Rulebook rules =
-                new Rulebook(
+                        new TenantPlan(0, "plain", 10, 0, 1, 1, 0, 0, 0),
+                        new TenantPlan(1, "reserved", 10, 10, 3, 1, 0, 0, 0),
+                        new TenantPlan(2, "limited", 10, 0, 1, 1, 10, 24, 2));
+        ServicePolicy rules =
+                new ServicePolicy(
                         8,
                         1000,
                         0.25,
@@ -125,7 +137,7 @@
                         0.05,
                         false,
                         List.of());
-        control = new Control(site, 7 + me);
+        control = new Scheduler(site, 7 + me);
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(node(i));
         }
@@ -133,18 +145,18 @@
         settle();
     }
 
-    private static Band band(
+    private static TrafficClass band(
             int index,
-            Band.Repeat repeat,
+            TrafficClass.Idempotency repeat,
             boolean inOrder,
             double target,
             double patience,
             double utility) {
-        return new Band(
+        return new TrafficClass(
                 index,
                 "band " + index,
                 repeat,
-                Band.Group.CELL,
+                TrafficClass.DeduplicationScope.CELL,
                 1000,
                 inOrder,
                 index == WRITE,
@@ -205,7 +217,7 @@
         attempt.outcome = outcome;
         attempt.took = now - attempt.sentAt;
         attempt.operation.over |= outcome == Outcome.SATISFIED;
-        if (control.after(attempt, now) == Sequel.PLACE_AGAIN) {
+        if (control.after(attempt, now) == FollowUp.PLACE_AGAIN) {
             answer(attempt.operation, control.place(attempt.operation, now));
         }
         settle();
@@ -241,10 +253,10 @@
 
     void settle() {
         for (int round = 0; round < 1000; round++) {
-            Pause pause = control.pause(now);
+            SchedulerTurn pause = control.pause(now);
             probes += pause.probes().size();
             calledOff.addAll(pause.callOff());
-            if (pause.call() != Pause.ListCall.NONE) {
+            if (pause.call() != SchedulerTurn.EndpointPoll.NONE) {
                 listCalls++;
             }
             if (pause.due().isEmpty()) {
@@ -265,7 +277,7 @@
         return operation.attempts.get(operation.attempts.size() - 1);
     }
 
-    private void answer(Operation operation, Placement placement) {
+    private void answer(Operation operation, RoutingDecision placement) {
         switch (placement.kind()) {
             case SEND -> {
                 sent.add(lastAttempt(operation));
--- a/src/test/java/sagepulley/scheduler/RulesTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -19,11 +19,11 @@
 import sagepulley.model.Volume;
 
 /** A story for each of the seven rules. */
-class RulesTest {
+class ServicePolicyTest {
     @ParameterizedTest
     @CsvSource({"0", "1", "2", "3", "4", "5"})
     void everyOperationIsAnsweredBeforeItsPatienceEnds(int band) {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         Operation sent = host.take(band, 0);
         Operation homeless = host.take(band, 7);
         host.passTime(sent.band.patience() - 2);
@@ -36,8 +36,8 @@
     @ParameterizedTest
     @EnumSource(Outcome.class)
     void anUnrepeatableOperationRunsAgainOnlyAfterProof(Outcome outcome) {
-        FakeHost host = new FakeHost(2);
-        Operation operation = host.take(FakeHost.UNREPEATABLE, -1);
+        SchedulerHarness host = new SchedulerHarness(2);
+        Operation operation = host.take(SchedulerHarness.UNREPEATABLE, -1);
         host.end(host.lastAttempt(operation), outcome);
         host.passTime(100);
         if (!outcome.provesNotRun) {
@@ -51,11 +51,11 @@
     /** Between the decision and the first byte a connection has to come up. */
     @Test
     void anAttemptThatIsHeldUpBeginsOnlyWhileTheRulesStillAllowIt() {
-        FakeHost host = new FakeHost(2);
-        Operation drained = host.take(FakeHost.READ, 0);
-        Operation left = host.take(FakeHost.READ, 1);
-        Operation repeated = host.take(FakeHost.DEDUPLICATED, 1);
-        Operation once = host.take(FakeHost.UNREPEATABLE, 0);
+        SchedulerHarness host = new SchedulerHarness(2);
+        Operation drained = host.take(SchedulerHarness.READ, 0);
+        Operation left = host.take(SchedulerHarness.READ, 1);
+        Operation repeated = host.take(SchedulerHarness.DEDUPLICATED, 1);
+        Operation once = host.take(SchedulerHarness.UNREPEATABLE, 0);
         host.passTime(10);
         for (Operation operation : List.of(drained, left, repeated, once)) {
             assertTrue(host.control.mayBegin(host.lastAttempt(operation), host.now));
@@ -74,7 +74,7 @@
         assertEquals(2, once.attempts.size());
         once.attempts.get(0).outcome = Outcome.RESET;
         assertFalse(host.control.mayBegin(host.lastAttempt(once), host.now), "or else it may not");
-        host.nodes.get(0).standing = Node.Standing.DRAINING;
+        host.nodes.get(0).standing = Node.Phase.DRAINING;
         host.relist();
         assertFalse(host.control.mayBegin(host.lastAttempt(drained), host.now));
         host.leave(left);
@@ -83,12 +83,12 @@
 
     @Test
     void aDrainingNodeGetsNothingNew() {
-        FakeHost host = new FakeHost(2);
-        host.nodes.get(0).standing = Node.Standing.DRAINING;
+        SchedulerHarness host = new SchedulerHarness(2);
+        host.nodes.get(0).standing = Node.Phase.DRAINING;
         host.relist();
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.WRITE, -1);
-            host.take(FakeHost.READ, 0);
+            host.take(SchedulerHarness.WRITE, -1);
+            host.take(SchedulerHarness.READ, 0);
         }
         assertEquals(4, host.sent.size());
         assertTrue(host.sent.stream().allMatch(attempt -> attempt.node == host.nodes.get(1)));
@@ -98,19 +98,19 @@
     @ParameterizedTest
     @CsvSource({"1", "3", "40"})
     void allGatewaysTogetherNeverSendAColdNodeMoreThanItBears(int gateways) {
-        List<FakeHost> hosts = new ArrayList<>();
+        List<SchedulerHarness> hosts = new ArrayList<>();
         for (int me = 0; me < gateways; me++) {
-            hosts.add(new FakeHost(1, me, gateways, false, Double.NaN));
+            hosts.add(new SchedulerHarness(1, me, gateways, false, Double.NaN));
         }
         double[] sent = new double[200];
         for (int turn = 0; turn < 1800; turn++) {
-            FakeHost host = hosts.get(turn % gateways);
+            SchedulerHarness host = hosts.get(turn % gateways);
             host.passTime(10.0 * gateways);
             if (turn / gateways == 400 / gateways) {
                 host.nodes.get(0).startedAt = host.now;
                 host.relist();
             }
-            host.take(FakeHost.READ, 0);
+            host.take(SchedulerHarness.READ, 0);
             for (Attempt attempt : List.copyOf(host.sent)) {
                 sent[(int) ((host.now - 100_000) / 500)] += attempt.operation.units;
                 host.sent.remove(attempt);
@@ -142,11 +142,11 @@
         double warm = 100;
         double step = 10;
         RandomGenerator chance = new SplittableRandom(5 * gateways);
-        FakeHost[] hosts = new FakeHost[gateways];
+        SchedulerHarness[] hosts = new SchedulerHarness[gateways];
         double[] weight = new double[gateways];
         double weights = 0;
         for (int me = 0; me < gateways; me++) {
-            hosts[me] = new FakeHost(2, me, gateways, false, Double.NaN);
+            hosts[me] = new SchedulerHarness(2, me, gateways, false, Double.NaN);
             weight[me] = 1.0 / (me + 1);
             weights += weight[me];
         }
@@ -154,12 +154,12 @@
         List<Double> sentAt = new ArrayList<>();
         for (double now = 100_000; now < 122_000; now += step) {
             for (int me = 0; me < gateways; me++) {
-                FakeHost host = hosts[me];
+                SchedulerHarness host = hosts[me];
                 if (now == startedAt) {
                     host.nodes.get(0).startedAt = startedAt;
                     host.relist();
                 } else if (now == startedAt + 100 * (me + 1) && me % 2 == 0) {
-                    host = new FakeHost(2, me, gateways, false, Double.NaN);
+                    host = new SchedulerHarness(2, me, gateways, false, Double.NaN);
                     host.passTime(now - host.now);
                     host.nodes.get(0).startedAt = startedAt;
                     host.relist();
@@ -167,16 +167,16 @@
                 }
                 host.passTime(step);
             }
-            double rate = warm / FakeHost.UNITS * (now >= startedAt ? burst : 1);
+            double rate = warm / SchedulerHarness.UNITS * (now >= startedAt ? burst : 1);
             for (double due = rate * step / 1000; chance.nextDouble() < due; due--) {
                 double pick = chance.nextDouble() * weights;
                 int me = 0;
                 for (; me < gateways - 1 && pick >= weight[me]; me++) {
                     pick -= weight[me];
                 }
-                hosts[me].take(FakeHost.READ, 0);
+                hosts[me].take(SchedulerHarness.READ, 0);
             }
-            for (FakeHost host : hosts) {
+            for (SchedulerHarness host : hosts) {
                 for (Attempt attempt : List.copyOf(host.sent)) {
                     if (now >= startedAt && attempt.node == host.nodes.get(0)) {
                         sentAt.add(now);
@@ -190,7 +190,7 @@
             double start = from;
             long sent = sentAt.stream().filter(at -> at >= start && at < start + 2_000).count();
             double ramp = 0.25 + 0.75 * (start - startedAt) / 10_000;
-            double allowed = 2 * ramp * warm / FakeHost.UNITS * 2;
+            double allowed = 2 * ramp * warm / SchedulerHarness.UNITS * 2;
             assertTrue(
                     sent <= allowed + 2 * Math.sqrt(allowed) + 2,
                     sent + " sent from " + start + ", N " + allowed);
@@ -200,12 +200,12 @@
 
     @Test
     void aSurgeAtAColdNodeIsCappedAndWhatIsBeyondItsShareGoesToNone() {
-        FakeHost host = new FakeHost(2);
+        SchedulerHarness host = new SchedulerHarness(2);
         host.nodes.get(0).startedAt = host.now;
         host.relist();
         double units = 0;
         for (int i = 0; i < 60; i++) {
-            Operation read = host.take(FakeHost.READ, 0);
+            Operation read = host.take(SchedulerHarness.READ, 0);
             if (!read.attempts.isEmpty()) {
                 units += read.units;
                 host.end(host.lastAttempt(read), Outcome.SATISFIED);
@@ -216,7 +216,7 @@
         Volume surging = host.volume(0);
         int sent = 0;
         for (int i = 0; i < 60; i++) {
-            Operation read = host.take(FakeHost.READ, surging, 2000 + i, 1, 0);
+            Operation read = host.take(SchedulerHarness.READ, surging, 2000 + i, 1, 0);
             sent += read.attempts.size();
             if (!read.attempts.isEmpty()) {
                 host.end(host.lastAttempt(read), Outcome.SATISFIED);
@@ -227,8 +227,8 @@
 
     @Test
     void whatMayHaveRunAndMustNotTwiceIsScrappedNotDeclined() {
-        FakeHost host = new FakeHost(1);
-        Operation operation = host.take(FakeHost.UNREPEATABLE, 0);
+        SchedulerHarness host = new SchedulerHarness(1);
+        Operation operation = host.take(SchedulerHarness.UNREPEATABLE, 0);
         host.passTime(100);
         host.end(host.lastAttempt(operation), Outcome.RESET);
         host.passTime(400);
@@ -238,11 +238,11 @@
 
     @Test
     void orderedOperationsOfAKeyRunOneByOneAndRestAfterATimeOut() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         Volume volume = host.volume(0);
-        Operation first = host.take(FakeHost.ORDERED, volume, 77, 2, 0);
-        Operation second = host.take(FakeHost.ORDERED, volume, 77, 2, 0);
-        Operation other = host.take(FakeHost.READ, 0);
+        Operation first = host.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
+        Operation second = host.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
+        Operation other = host.take(SchedulerHarness.READ, 0);
         assertEquals(2, host.sent.size());
         first.over = true;
         host.control.left(first, host.now);
@@ -256,12 +256,12 @@
 
     @Test
     void aVolumeKeepsToItsPartOfTheLimit() {
-        FakeHost host = new FakeHost(4);
+        SchedulerHarness host = new SchedulerHarness(4);
         Volume volume = host.volume(2);
         volume.gateways = 2;
         double units = 0;
         for (int i = 0; i < 100; i++) {
-            host.take(FakeHost.WRITE, volume, 1000 + i, 2, -1);
+            host.take(SchedulerHarness.WRITE, volume, 1000 + i, 2, -1);
             host.passTime(20);
             while (!host.sent.isEmpty()) {
                 units += host.sent.get(0).operation.units;
@@ -273,10 +273,10 @@
 
     @Test
     void furtherAttemptsKeepToTheBudgetOfTheWindow() {
-        FakeHost host = new FakeHost(1, 0, 1, false, 1);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 1, false, 1);
         List<Operation> taken = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            taken.add(host.take(FakeHost.BULK, 0));
+            taken.add(host.take(SchedulerHarness.BULK, 0));
         }
         for (Operation operation : taken) {
             host.end(host.lastAttempt(operation), Outcome.NO_CONNECTION);
@@ -292,8 +292,8 @@
 
     @Test
     void aDeduplicatedOperationThatMayHaveRunStaysInItsGroupAndMemory() {
-        FakeHost host = new FakeHost(2);
-        Operation kept = host.take(FakeHost.DEDUPLICATED, -1);
+        SchedulerHarness host = new SchedulerHarness(2);
+        Operation kept = host.take(SchedulerHarness.DEDUPLICATED, -1);
         Node first = host.lastAttempt(kept).node;
         host.end(host.lastAttempt(kept), Outcome.FAULT);
         host.passTime(100);
@@ -302,7 +302,7 @@
                 host.declined.isEmpty(), "a decline would promise that asking again is harmless");
         host.passTime(2000);
         assertTrue(kept.over || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
-        Operation old = host.take(FakeHost.DEDUPLICATED, 0);
+        Operation old = host.take(SchedulerHarness.DEDUPLICATED, 0);
         host.passTime(1100);
         int attempts = old.attempts.size();
         host.end(host.lastAttempt(old), Outcome.TIMED_OUT);
@@ -312,8 +312,8 @@
 
     @Test
     void noSecondCopyWhereNoneIsAllowedAndNoThirdFurtherAttempt() {
-        FakeHost host = new FakeHost(1);
-        Operation operation = host.take(FakeHost.BULK, 0);
+        SchedulerHarness host = new SchedulerHarness(1);
+        Operation operation = host.take(SchedulerHarness.BULK, 0);
         for (int i = 0; i < 5 && !operation.over; i++) {
             host.settle();
             assertTrue(
@@ -328,11 +328,11 @@
 
     @Test
     void nothingIsSentForAnOperationThatIsOver() {
-        FakeHost host = new FakeHost(1);
+        SchedulerHarness host = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(FakeHost.READ, 0);
+            host.take(SchedulerHarness.READ, 0);
         }
-        Operation waiting = host.take(FakeHost.READ, 0);
+        Operation waiting = host.take(SchedulerHarness.READ, 0);
         host.leave(waiting);
         host.end(host.sent.get(0), Outcome.SATISFIED);
         host.passTime(100);
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -20,7 +20,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR, -30_000, -11_000, 0, 5_000, HOUR})
     void aRestartCountsFromWhenItIsFirstSeen(double clockError) {
-        FakeHost host = new FakeHost(2, 0, 1, true, Double.NaN, SPAN);
+        SchedulerHarness host = new SchedulerHarness(2, 0, 1, true, Double.NaN, SPAN);
         host.control.listConfirmed(host.now);
         host.passTime(2_000);
         host.control.listConfirmed(host.now);
@@ -28,31 +28,31 @@
         Node node = host.nodes.get(0);
         node.startedAt = host.now - 100 + clockError;
         host.relist();
-        double age = host.now - ((Seat) node.kept).startedAt;
+        double age = host.now - ((EndpointState) node.kept).startedAt;
         assertTrue(age >= 0 && age <= 500, "counts as started " + age + " ms ago");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR, HOUR})
     void whatTheFirstListTellsIsNeitherInTheFutureNorLongAgo(double clockError) {
-        FakeHost host = new FakeHost(1, 0, 1, true, Double.NaN, SPAN);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         Node fresh = new Node(77);
         fresh.startedAt = host.now + clockError;
         host.nodes.add(fresh);
         host.relist();
-        assertEquals(host.now, ((Seat) fresh.kept).startedAt);
+        assertEquals(host.now, ((EndpointState) fresh.kept).startedAt);
     }
 
     @Test
     void aStartThatIsToldAgainIsNoRestart() {
-        FakeHost host = new FakeHost(1, 0, 1, true, Double.NaN, SPAN);
+        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         host.control.listConfirmed(host.now);
         Node node = host.nodes.get(0);
         node.startedAt = host.now + HOUR;
         host.relist();
-        double startedAt = ((Seat) node.kept).startedAt;
+        double startedAt = ((EndpointState) node.kept).startedAt;
         host.passTime(3_000);
         host.relist();
-        assertEquals(startedAt, ((Seat) node.kept).startedAt);
+        assertEquals(startedAt, ((EndpointState) node.kept).startedAt);
     }
 }
--- a/src/test/java/sagepulley/simulator/WireTest.java
+++ b/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What the adapter says to frames, good and bad. */
-class WireTest {
+class SimulatorAdapterTest {
     @Test
     void anEmptyBatchIsAnsweredAndTheEndOfInputIsClean() throws IOException {
         assertEquals("000000010000000400000000", hex(answer(frame(1, 0, new byte[0]))));
@@ -30,7 +30,8 @@
         "00000001000000000000000800, the input ends after 1 of 8 bytes"
     })
     void aMalformedFrameIsNamed(String bytes, String what) {
-        MalformedFrame bad = assertThrows(MalformedFrame.class, () -> answer(unhex(bytes)));
+        MalformedFrameException bad =
+                assertThrows(MalformedFrameException.class, () -> answer(unhex(bytes)));
         assertEquals("frame 1: " + what, bad.getMessage());
     }
 
@@ -44,7 +45,8 @@
         byte[] bytes = new byte[56];
         byte[] start = unhex(record.replace(" ", ""));
         System.arraycopy(start, 0, bytes, 0, start.length);
-        MalformedFrame bad = assertThrows(MalformedFrame.class, () -> answer(frame(1, 1, bytes)));
+        MalformedFrameException bad =
+                assertThrows(MalformedFrameException.class, () -> answer(frame(1, 1, bytes)));
         assertTrue(
                 bad.getMessage().startsWith("frame 1: record 0: ")
                         && bad.getMessage().contains(what),
@@ -75,7 +77,7 @@
 
     private static byte[] answer(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimHost(new ByteArrayInputStream(input), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input), out).run();
         return out.toByteArray();
     }
 
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -30,32 +30,32 @@
 import org.junit.jupiter.api.parallel.Isolated;
 import picocli.CommandLine;
 import sagepulley.accounts.Accounts;
-import sagepulley.accounts.Book;
-import sagepulley.accounts.Report;
-import sagepulley.accounts.Spent;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
 import sagepulley.cli.Commands;
-import sagepulley.config.Site;
-import sagepulley.config.TracesLine;
-import sagepulley.frontend.nbd.Gateway;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.TracingSettings;
+import sagepulley.frontend.nbd.NbdGateway;
 import sagepulley.frontend.nbd.NodesView;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.ListFreshness;
 import sagepulley.membership.Membership;
-import sagepulley.membership.NodeLine;
-import sagepulley.membership.Source;
-import sagepulley.membership.Trust;
+import sagepulley.membership.RecordSource;
 import sagepulley.model.Outcome;
-import sagepulley.model.Owed;
+import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
-import sagepulley.monitoring.Watch;
-import sagepulley.persistence.BookFile;
-import sagepulley.scenario.DayReader;
-import sagepulley.scenario.Drill;
-import sagepulley.scenario.SideBySide;
-import sagepulley.scenario.Town;
-import sagepulley.scenario.Truth;
-import sagepulley.scenario.Verdict;
-import sagepulley.standin.NodeTraits;
-import sagepulley.standin.Witness;
-import sagepulley.tracing.Story;
+import sagepulley.monitoring.MonitoringServer;
+import sagepulley.persistence.AccountFile;
+import sagepulley.scenario.AttributionExperiment;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.scenario.RuleVerdict;
+import sagepulley.scenario.ScenarioReader;
+import sagepulley.scenario.ScenarioRunner;
+import sagepulley.scenario.ThroughputComparison;
+import sagepulley.standin.NodeProfile;
+import sagepulley.standin.TrafficRecorder;
+import sagepulley.tracing.OperationTrace;
 import sagepulley.tracing.TailSampler;
 import sagepulley.tracing.Tracer;
 
@@ -149,7 +149,7 @@
     void checkedSite() throws IOException {
         Path file = folder.resolve("site.ini");
         Files.writeString(
-                file, Town.demoSite("gw", 0, 1, 0, new InetSocketAddress("127.0.0.1", 9)));
+                file, LocalCluster.demoSite("gw", 0, 1, 0, new InetSocketAddress("127.0.0.1", 9)));
         assertEquals(
                 JSON.readTree("{\"usable\":true,\"mistakes\":[],\"file\":\"%s\"}".formatted(file)),
                 JSON.readTree(printed("check-site", file, "--json")));
@@ -158,24 +158,24 @@
     /** What drill, truth and measure print with --json, which run too long for here. */
     @Test
     void rowsOfLongRuns() throws IOException {
-        Truth.Row truth =
-                new Truth.Row(
+        AttributionExperiment.Row truth =
+                new AttributionExperiment.Row(
                         "day",
                         1,
                         "v",
                         List.of("a"),
                         "a",
                         0.5,
-                        Report.Confidence.HIGH,
+                        LatencyReport.Confidence.HIGH,
                         "b",
                         true,
                         true,
                         true);
-        SideBySide.Way way = new SideBySide.Way(1, 2, 3, 4);
-        Drill.Result drill =
-                new Drill.Result(
+        ThroughputComparison.Way way = new ThroughputComparison.Way(1, 2, 3, 4);
+        ScenarioRunner.Result drill =
+                new ScenarioRunner.Result(
                         "day",
-                        List.of(new Verdict("rule", true, "1", "2", List.of("breach"))),
+                        List.of(new RuleVerdict("rule", true, "1", "2", List.of("breach"))),
                         Map.of("v", 1.0),
                         List.of("unmet"),
                         1,
@@ -188,37 +188,37 @@
                                 "truth",
                                 truth,
                                 "measure",
-                                new SideBySide.Row("read", 1, 2, way, way, 3, 4, 5, 6),
+                                new ThroughputComparison.Row("read", 1, 2, way, way, 3, 4, 5, 6),
                                 "drill",
                                 drill,
                                 "confidence",
-                                Report.Confidence.values())));
+                                LatencyReport.Confidence.values())));
     }
 
     /** Words of scripted days that become constants of an enum. */
     @Test
     void faultsOfScriptedDays() throws Exception {
-        String day = Drill.builtIn("bad-evening");
+        String day = ScenarioRunner.builtIn("bad-evening");
         String nodes =
                 "silent|paused|refusing|unreachable|cut|drains|garbles|restarts cold|loses"
                         + " power|gone|slow 3 times|losing 10 %|erring 10 %";
         String directory = "silent|down|failing|lagging 1 s|slow 1 s";
         for (String fault : nodes.split("\\|")) {
             assertEquals(
-                    DayReader.read("day", day).events().size() + 1,
-                    DayReader.read("day", day + "\nat 1 s node 1 " + fault + " for 1 s\n")
+                    ScenarioReader.read("day", day).events().size() + 1,
+                    ScenarioReader.read("day", day + "\nat 1 s node 1 " + fault + " for 1 s\n")
                             .events()
                             .size(),
                     fault);
         }
         for (String fault : directory.split("\\|")) {
-            DayReader.read("day", day + "\nat 1 s directory " + fault + " for 1 s\n");
+            ScenarioReader.read("day", day + "\nat 1 s directory " + fault + " for 1 s\n");
         }
     }
 
     // ---- figures over HTTP ----
 
-    private static String get(Watch watch, String path) throws Exception {
+    private static String get(MonitoringServer watch, String path) throws Exception {
         URI address = URI.create("http://127.0.0.1:" + watch.address().getPort() + path);
         return HttpClient.newHttpClient()
                 .send(HttpRequest.newBuilder(address).build(), HttpResponse.BodyHandlers.ofString())
@@ -227,12 +227,14 @@
 
     @Test
     void metricsAndViewsOfARunningGateway() throws Exception {
-        try (Town town = Town.start(List.of(NodeTraits.quick(1, 1 << 20)), Witness.NOBODY, 1)) {
-            String text = Town.demoSite("gw", 0, 1, 0, town.directory().address());
-            Site site = Site.read("site", text);
-            Gateway gateway = Town.await(new Gateway(site, 1).start());
+        try (LocalCluster town =
+                LocalCluster.start(
+                        List.of(NodeProfile.quick(1, 1 << 20)), TrafficRecorder.NOBODY, 1)) {
+            String text = LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address());
+            SiteConfig site = SiteConfig.read("site", text);
+            NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            try (Watch watch = new Watch(site, gateway, any)) {
+            try (MonitoringServer watch = new MonitoringServer(site, gateway, any)) {
                 Expected.text(
                         "metrics.txt",
                         get(watch, "/metrics")
@@ -271,7 +273,7 @@
                         """,
                         KeyPaths.of(JSON.readTree(get(watch, "/nodes"))));
             } finally {
-                Town.await(gateway.stop());
+                LocalCluster.await(gateway.stop());
             }
         }
     }
@@ -282,9 +284,9 @@
      */
     @Test
     void accountsOverHttp() throws IOException {
-        Book book = BookFile.report(STORED.resolve("accounts")).book();
-        Watch.View view =
-                new Watch.View(
+        LatencyAccount book = AccountFile.report(STORED.resolve("accounts")).book();
+        MonitoringServer.View view =
+                new MonitoringServer.View(
                         "gw",
                         5,
                         Map.of(1L, "exams"),
@@ -292,7 +294,7 @@
                         book.flows(0, 1e13));
         Expected.json("accounts.json", JSON.writeValueAsString(view));
         Path earlier = Path.of("src/test/resources/external/accounts.json");
-        Watch.View read = JSON.readValue(earlier.toFile(), Watch.View.class);
+        MonitoringServer.View read = JSON.readValue(earlier.toFile(), MonitoringServer.View.class);
         Expected.json("accounts.json", JSON.writeValueAsString(read));
     }
 
@@ -300,12 +302,13 @@
     @Test
     void nodesOverHttp() throws IOException {
         List<JsonNode> views = new ArrayList<>();
-        for (Trust trust : List.of(Trust.FRESH, Trust.AGED, Trust.OLD)) {
-            List<Membership.Seen> nodes = new ArrayList<>();
-            for (Source source : Source.values()) {
-                NodeLine.Standing standing = NodeLine.Standing.values()[source.ordinal() % 3];
-                NodeLine line = new NodeLine(1, 2, 3, 4, standing, 5, 6, "h", 7);
-                nodes.add(new Membership.Seen(line, standing, true, true, source, "why"));
+        for (ListFreshness trust :
+                List.of(ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD)) {
+            List<Membership.MemberView> nodes = new ArrayList<>();
+            for (RecordSource source : RecordSource.values()) {
+                EndpointRecord.Phase standing = EndpointRecord.Phase.values()[source.ordinal() % 3];
+                EndpointRecord line = new EndpointRecord(1, 2, 3, 4, standing, 5, 6, "h", 7);
+                nodes.add(new Membership.MemberView(line, standing, true, true, source, "why"));
             }
             views.add(JSON.valueToTree(new NodesView("gw", trust, 1, true, 2, nodes)));
         }
@@ -314,11 +317,11 @@
 
     // ---- spans ----
 
-    private static Story story(int number) {
+    private static OperationTrace story(int number) {
         Reason reason = Reason.values()[number];
-        Owed owed = Owed.values()[number % 3];
+        QuotaTier owed = QuotaTier.values()[number % 3];
         Outcome outcome = number == 8 ? null : Outcome.values()[number % 8];
-        return new Story(
+        return new OperationTrace(
                 "gw",
                 number,
                 40 + number,
@@ -332,12 +335,14 @@
                 Accounts.End.values()[number % 4],
                 reason,
                 "its own load",
-                TailSampler.Why.values()[number % 5],
+                TailSampler.SampleReason.values()[number % 5],
                 2,
                 List.of(
-                        new Story.Step(Spent.values()[number % 16], 0, 4),
-                        new Story.Step(Spent.NODE_WORK, 5, 16)),
-                List.of(new Story.Attempt(0, 5, number == 8 ? null : owed, 4, 15, outcome)));
+                        new OperationTrace.Step(LatencyComponent.values()[number % 16], 0, 4),
+                        new OperationTrace.Step(LatencyComponent.NODE_WORK, 5, 16)),
+                List.of(
+                        new OperationTrace.Attempt(
+                                0, 5, number == 8 ? null : owed, 4, 15, outcome)));
     }
 
     /** Ids differ from run to run. */
@@ -349,7 +354,7 @@
     @Test
     void spansAreWrittenAsBefore() throws IOException {
         Path file = folder.resolve("traces");
-        try (Tracer tracer = new Tracer(new TracesLine(file, 1 << 24, 2, "", 20, 1), "gw")) {
+        try (Tracer tracer = new Tracer(new TracingSettings(file, 1 << 24, 2, "", 20, 1), "gw")) {
             for (int i = 0; i < Reason.values().length; i++) {
                 tracer.tell(story(i));
             }
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import sagepulley.accounts.Cause;
-import sagepulley.accounts.Kept;
-import sagepulley.accounts.PlanPart;
-import sagepulley.accounts.Report;
-import sagepulley.accounts.Spent;
-import sagepulley.membership.KeptList;
-import sagepulley.membership.NodeLine;
-import sagepulley.membership.Source;
-import sagepulley.persistence.BookFile;
-import sagepulley.persistence.GatewayBook;
-import sagepulley.persistence.HoldersFile;
-import sagepulley.persistence.ListFile;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.accounts.PlanTier;
+import sagepulley.accounts.StoredAccounts;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.RecordSource;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.persistence.AccountFile;
+import sagepulley.persistence.EndpointListFile;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.persistence.HolderFile;
 
 /**
  * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
@@ -43,23 +43,23 @@
 
     // ---- the contents of the files ----
 
-    private static KeptList nodes() {
-        return new KeptList(
+    private static StoredEndpointList nodes() {
+        return new StoredEndpointList(
                 "hall-1",
                 77,
                 12,
                 1_764_699_999_000L,
                 List.of(
-                        kept(1, NodeLine.Standing.GONE, Source.DIRECTORY, false),
-                        kept(2, NodeLine.Standing.READY, Source.DISK, true),
-                        kept(3, NodeLine.Standing.DRAINING, Source.IMPORT, false),
-                        kept(4, NodeLine.Standing.READY, Source.SITE, true)));
+                        kept(1, EndpointRecord.Phase.GONE, RecordSource.DIRECTORY, false),
+                        kept(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
+                        kept(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
+                        kept(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
     }
 
-    private static KeptList.KeptLine kept(
-            int node, NodeLine.Standing standing, Source source, boolean draining) {
-        return new KeptList.KeptLine(
-                new NodeLine(
+    private static StoredEndpointList.StoredEndpoint kept(
+            int node, EndpointRecord.Phase standing, RecordSource source, boolean draining) {
+        return new StoredEndpointList.StoredEndpoint(
+                new EndpointRecord(
                         node,
                         10 + node,
                         20 + node,
@@ -92,12 +92,12 @@
         return sums;
     }
 
-    private static Kept.KeptWindow window(int level, long number) {
+    private static StoredAccounts.StoredWindow window(int level, long number) {
         long[] keys = new long[12];
         Arrays.setAll(keys, kind -> key(kind, kind % 2, 1 + kind, 100 + kind));
         double[] parts = new double[16];
         Arrays.setAll(parts, part -> 1000.5 + part);
-        return new Kept.KeptWindow(
+        return new StoredAccounts.StoredWindow(
                 level,
                 number,
                 parts,
@@ -111,40 +111,41 @@
                 new long[][] {{3, 2, 1023, 1}, {4, 1}, {5, 1}, {6, 1}, {7, 9}});
     }
 
-    private static GatewayBook accounts() {
+    private static GatewayAccounts accounts() {
         Map<Long, String> names = new LinkedHashMap<>();
         names.put(1L, "exams");
         names.put(2L, "archive");
         Map<Long, Double> told = new LinkedHashMap<>();
         told.put(3L, 7.5);
         told.put(4L, 1_764_699_990_000.25);
-        return new GatewayBook(
+        return new GatewayAccounts(
                 "gw-1",
                 WRITTEN_AT,
                 names,
                 told,
-                new Kept(
+                new StoredAccounts(
                         List.of(
-                                new Kept.KeptVolume(
+                                new StoredAccounts.StoredVolume(
                                         1,
                                         List.of(
                                                 window(0, 176_470_000),
                                                 window(1, 5_882_000),
                                                 window(2, 490_000))),
-                                new Kept.KeptVolume(2, List.of(window(0, 176_470_001)))),
+                                new StoredAccounts.StoredVolume(
+                                        2, List.of(window(0, 176_470_001)))),
                         List.of(
-                                new Kept.KeptNode(
+                                new StoredAccounts.StoredNode(
                                         5,
                                         2,
                                         List.of(
-                                                new Kept.KeptFlow(
+                                                new StoredAccounts.StoredFlow(
                                                         0,
                                                         176_470_000,
                                                         new long[] {
                                                             key(3, 0, 0, 1), key(3, 1, 0, 2)
                                                         },
                                                         sums(2, 60)))),
-                                new Kept.KeptNode(6, 1, List.of()))));
+                                new StoredAccounts.StoredNode(6, 1, List.of()))));
     }
 
     // ---- helpers ----
@@ -168,7 +169,7 @@
 
     @Test
     void theListOfNodesIsRead() throws IOException {
-        ListFile.Look look = new ListFile(stored("nodes"), "hall-1").look();
+        EndpointListFile.Look look = new EndpointListFile(stored("nodes"), "hall-1").look();
         assertEquals(List.of(), look.refused());
         assertEquals(WRITTEN_AT, look.writtenAt());
         assertEquals(nodes(), look.list());
@@ -176,17 +177,17 @@
         assertEquals(77, look.list().history());
         assertEquals(12, look.list().version());
         assertEquals(1_764_699_999_000L, look.list().confirmedAt());
-        NodeLine third = look.list().lines().get(2).line();
+        EndpointRecord third = look.list().lines().get(2).line();
         assertEquals(3, third.node());
         assertEquals(13, third.cell());
         assertEquals(23, third.zone());
         assertEquals(33, third.kind());
-        assertEquals(NodeLine.Standing.DRAINING, third.standing());
+        assertEquals(EndpointRecord.Phase.DRAINING, third.standing());
         assertEquals(1_764_000_000_003L, third.startedAt());
         assertEquals(1.5f, third.weight());
         assertEquals("10.0.0.3", third.host());
         assertEquals(7003, third.port());
-        assertEquals(Source.IMPORT, look.list().lines().get(2).source());
+        assertEquals(RecordSource.IMPORT, look.list().lines().get(2).source());
         assertTrue(look.list().lines().get(1).selfDraining());
     }
 
@@ -209,7 +210,7 @@
     @Test
     void theListOfNodesIsWrittenAsBefore() throws IOException {
         Path file = folder.resolve("nodes");
-        new ListFile(file, "hall-1").write(nodes(), WRITTEN_AT);
+        new EndpointListFile(file, "hall-1").write(nodes(), WRITTEN_AT);
         String expected =
                 "{\"site\":\"hall-1\",\"history\":77,\"version\":12,\"confirmedAt\":1764699999000,\"lines\":["
                         + String.join(
@@ -228,14 +229,14 @@
 
     @Test
     void theHoldersAreReadAndWrittenAsBefore() throws IOException {
-        Map<Integer, int[]> read = new HoldersFile(stored("holders"), "hall-1").start();
+        Map<Integer, int[]> read = new HolderFile(stored("holders"), "hall-1").start();
         assertEquals(List.of(7, 8, 9), List.copyOf(read.keySet()));
         assertArrayEquals(new int[] {3, 3, -1, 4}, read.get(7));
         assertArrayEquals(new int[] {}, read.get(8));
         assertArrayEquals(new int[] {5, 5, 5, 5, 5}, read.get(9));
 
         Path file = folder.resolve("holders");
-        new HoldersFile(file, "hall-1").write(holders(), WRITTEN_AT);
+        new HolderFile(file, "hall-1").write(holders(), WRITTEN_AT);
         assertTrue(
                 head(file).startsWith("sagepulley holders 1 hall-1 1764700000123 1 "), head(file));
         ByteBuffer expected = ByteBuffer.allocate(4 * 18);
@@ -249,7 +250,7 @@
 
     @Test
     void theAccountsAreRead() throws IOException {
-        BookFile.Read read = new BookFile(stored("accounts"), "gw-1").goOn();
+        AccountFile.Read read = new AccountFile(stored("accounts"), "gw-1").goOn();
         assertEquals("gw-1", read.head().gateway());
         assertEquals(WRITTEN_AT, read.head().writtenAt());
         assertEquals(Map.of(1L, "exams", 2L, "archive"), read.head().names());
@@ -259,7 +260,7 @@
         CBORMapper cbor = new CBORMapper();
         assertEquals(
                 cbor.<JsonNode>valueToTree(accounts().kept()),
-                cbor.<JsonNode>valueToTree(Kept.of(read.book())),
+                cbor.<JsonNode>valueToTree(StoredAccounts.of(read.book())),
                 "the figures, after they went through the book");
         double[] flow = read.book().flows(0, 1e13).get(5).get(2L);
         assertArrayEquals(new double[] {64, 64}, flow, "units and writes at node 5");
@@ -268,39 +269,39 @@
     /** Parts, parts of the plan and kinds of causes are stored by their order. */
     @Test
     void theOrderOfStoredFiguresStandsForTheSameNames() throws IOException {
-        Report report = BookFile.report(stored("accounts")).book().report(2, 0, 1e13);
+        LatencyReport report = AccountFile.report(stored("accounts")).book().report(2, 0, 1e13);
         assertEquals(2, report.declined());
         assertEquals(3, report.scrapped());
         assertEquals(4, report.left());
-        List<Spent> parts =
+        List<LatencyComponent> parts =
                 List.of(
-                        Spent.RESERVE_FULL,
-                        Spent.SHARE_FULL,
-                        Spent.BEYOND_SHARE,
-                        Spent.HELD_BACK,
-                        Spent.COLD,
-                        Spent.SILENT,
-                        Spent.NOT_READY,
-                        Spent.LIMIT,
-                        Spent.BUDGET,
-                        Spent.ORDER,
-                        Spent.RANKS_LATER,
-                        Spent.DIRECTORY,
-                        Spent.ON_THE_WAY,
-                        Spent.NODE_QUEUE,
-                        Spent.NODE_WORK,
-                        Spent.FUTILE);
+                        LatencyComponent.RESERVE_FULL,
+                        LatencyComponent.SHARE_FULL,
+                        LatencyComponent.BEYOND_SHARE,
+                        LatencyComponent.HELD_BACK,
+                        LatencyComponent.COLD,
+                        LatencyComponent.SILENT,
+                        LatencyComponent.NOT_READY,
+                        LatencyComponent.LIMIT,
+                        LatencyComponent.BUDGET,
+                        LatencyComponent.ORDER,
+                        LatencyComponent.RANKS_LATER,
+                        LatencyComponent.DIRECTORY,
+                        LatencyComponent.ON_THE_WAY,
+                        LatencyComponent.NODE_QUEUE,
+                        LatencyComponent.NODE_WORK,
+                        LatencyComponent.FUTILE);
         for (int i = 0; i < 16; i++) {
             assertEquals(1000.5 + i, report.parts().get(parts.get(i)), parts.get(i).toString());
         }
-        List<PlanPart> plan =
+        List<PlanTier> plan =
                 List.of(
-                        PlanPart.RESERVE,
-                        PlanPart.SHARE,
-                        PlanPart.EXCESS,
-                        PlanPart.LIMIT,
-                        PlanPart.NONE);
-        for (Report.PlanLine line : report.plan()) {
+                        PlanTier.RESERVE,
+                        PlanTier.SHARE,
+                        PlanTier.EXCESS,
+                        PlanTier.LIMIT,
+                        PlanTier.NONE);
+        for (LatencyReport.PlanLine line : report.plan()) {
             int at = plan.indexOf(line.part());
             assertEquals(11 + at, line.met(), line.toString());
             assertEquals(21 + at, line.missed(), line.toString());
@@ -323,7 +324,7 @@
                         Cause.Kind.DIRECTORY,
                         Cause.Kind.NETWORK);
         assertEquals(12, report.causes().size(), report.causes().toString());
-        for (Report.Charged charged : report.causes()) {
+        for (LatencyReport.Charged charged : report.causes()) {
             int at = kinds.indexOf(charged.kind());
             assertEquals(500 + 4 * at, charged.waited(), charged.toString());
             assertEquals(0.25 + 4 * at + 3, charged.utilityLost(), charged.toString());
@@ -334,7 +335,7 @@
     @Test
     void theAccountsAreWrittenAsBefore() throws IOException {
         Path file = folder.resolve("accounts");
-        new BookFile(file, "gw-1").write(accounts());
+        new AccountFile(file, "gw-1").write(accounts());
         assertTrue(
                 head(file).startsWith("sagepulley accounts 1 gw-1 1764700000123 1 "), head(file));
         assertEquals(
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -50,7 +50,7 @@
         for (int i = 0; i < 100_000; i++) {
             if (i % 10_000 == 5_000) {
                 kept += sampler.keeps(End.SCRAPPED, true, 0, 900, i * 0.5) > 0 ? 1 : 0;
-                assertEquals(TailSampler.Why.SCRAPPED, sampler.why());
+                assertEquals(TailSampler.SampleReason.SCRAPPED, sampler.why());
             } else {
                 sampler.keeps(End.DECLINED, true, 0, 10, i * 0.5);
             }
--- a/src/test/java/sagepulley/upstream/frame/NodeLinkTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -19,46 +19,46 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.frame.Frame;
 import sagepulley.codec.frame.FrameEncoder;
-import sagepulley.codec.frame.Loops;
-import sagepulley.scenario.Town;
-import sagepulley.standin.NodeTraits;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.NodeProfile;
 import sagepulley.standin.StandInNode;
-import sagepulley.standin.Witness;
+import sagepulley.standin.TrafficRecorder;
 
 /** Late attempts of older writes: the node refuses them, whichever way they come late. */
-class NodeLinkTest {
-    private final EventLoopGroup loops = Loops.group(2, "test");
+class NodeConnectionTest {
+    private final EventLoopGroup loops = EventLoops.group(2, "test");
     private StandInNode node;
 
     /** One gateway's link, and how its attempts ended. */
-    private final class Peer implements NodeLink.Owner {
+    private final class Peer implements NodeConnection.Listener {
         final Map<Long, String> ends = new ConcurrentHashMap<>();
-        final NodeLink link;
+        final NodeConnection link;
         volatile byte[] data;
 
         Peer(long gateway, int expected) {
             link =
-                    new NodeLink(
+                    new NodeConnection(
                             one,
-                            Loops.socket(),
+                            EventLoops.socket(),
                             1 << 20,
                             expected,
                             node.address(),
-                            new StoreWire.Hello(gateway, "peer"),
+                            new StoreMessages.Hello(gateway, "peer"),
                             this);
         }
 
         void write(long attempt, int fill) {
             byte[] block = new byte[512];
             Arrays.fill(block, (byte) fill);
-            send(attempt, StoreWire.Kind.WRITE, Unpooled.wrappedBuffer(block));
+            send(attempt, StoreMessages.Kind.WRITE, Unpooled.wrappedBuffer(block));
         }
 
-        void send(long attempt, StoreWire.Kind kind, ByteBuf payload) {
-            StoreWire.Send send =
-                    new StoreWire.Send(kind, 0, false, 0, attempt, 0, 1, 7, 0, 512, 1, 0);
+        void send(long attempt, StoreMessages.Kind kind, ByteBuf payload) {
+            StoreMessages.Send send =
+                    new StoreMessages.Send(kind, 0, false, 0, attempt, 0, 1, 7, 0, 512, 1, 0);
             run(() -> link.send(attempt, send, payload));
         }
 
@@ -68,20 +68,20 @@
         }
 
         int read(long attempt) {
-            send(attempt, StoreWire.Kind.READ, Unpooled.EMPTY_BUFFER);
+            send(attempt, StoreMessages.Kind.READ, Unpooled.EMPTY_BUFFER);
             assertEquals("SATISFIED", end(attempt));
             return data[0];
         }
 
         @Override
-        public void answered(long attempt, StoreWire.Answer answer, ByteBuf payload) {
+        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             data = ByteBufUtil.getBytes(payload);
             payload.release();
             ends.put(attempt, answer.code().name());
         }
 
         @Override
-        public void broken(long attempt, NodeLink.Broken how) {
+        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
             ends.put(attempt, how.name());
         }
 
@@ -89,7 +89,7 @@
         public void probed(long id, float[] report) {}
 
         @Override
-        public boolean welcomed(StoreWire.Welcome welcome) {
+        public boolean welcomed(StoreMessages.Welcome welcome) {
             return true;
         }
     }
@@ -103,14 +103,18 @@
     @BeforeEach
     void start() {
         node =
-                Town.await(
-                        new StandInNode(NodeTraits.quick(3, 1 << 20), loops, Witness.NOBODY, 1)
+                LocalCluster.await(
+                        new StandInNode(
+                                        NodeProfile.quick(3, 1 << 20),
+                                        loops,
+                                        TrafficRecorder.NOBODY,
+                                        1)
                                 .start(new InetSocketAddress("127.0.0.1", 0)));
     }
 
     @AfterEach
     void stop() {
-        Town.await(node.stop());
+        LocalCluster.await(node.stop());
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -135,23 +139,28 @@
     @Test
     void aWriteThatComesAfterAnotherGatewayTookThePenNeverRuns() throws Exception {
         try (Socket late = new Socket(node.address().getAddress(), node.address().getPort())) {
-            late.getOutputStream().write(bytes(StoreWire.hello(new StoreWire.Hello(1, "late"))));
-            late.getOutputStream().write(bytes(StoreWire.pen(StoreWire.TAKE_PEN, 5, 1, 7)));
+            late.getOutputStream()
+                    .write(bytes(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
+            late.getOutputStream().write(bytes(StoreMessages.pen(StoreMessages.TAKE_PEN, 5, 1, 7)));
             // Its welcome (49 bytes) and its pen (40 bytes).
             DataInputStream in = new DataInputStream(late.getInputStream());
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
             Peer b = peer(2, 3);
             b.write(1, 2);
             assertEquals("SATISFIED", b.end(1));
-            StoreWire.Send send =
-                    new StoreWire.Send(StoreWire.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
+            StoreMessages.Send send =
+                    new StoreMessages.Send(
+                            StoreMessages.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
             late.getOutputStream()
-                    .write(bytes(StoreWire.send(8, send, Unpooled.wrappedBuffer(new byte[512]))));
+                    .write(
+                            bytes(
+                                    StoreMessages.send(
+                                            8, send, Unpooled.wrappedBuffer(new byte[512]))));
             in.readFully(new byte[24 + 12 + 4]); // that the pen is lost
             byte[] answer = new byte[25];
             in.readFully(answer);
-            assertEquals(StoreWire.ANSWER, answer[3]);
-            assertEquals(StoreWire.Code.STALE_PEN.ordinal(), answer[24]);
+            assertEquals(StoreMessages.ANSWER, answer[3]);
+            assertEquals(StoreMessages.Code.STALE_PEN.ordinal(), answer[24]);
             assertEquals(2, b.read(9));
         }
     }
@@ -197,8 +206,8 @@
                 () -> {
                     peer.link.send(
                             1,
-                            new StoreWire.Send(
-                                    StoreWire.Kind.READ, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0),
+                            new StoreMessages.Send(
+                                    StoreMessages.Kind.READ, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0),
                             Unpooled.EMPTY_BUFFER);
                     went[0] = peer.link.giveUp(1);
                 });
--- a/src/test/java/sagepulley/upstream/frame/MessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
@@ -10,31 +10,31 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import sagepulley.codec.frame.BadBytes;
-import sagepulley.codec.frame.Fields;
 import sagepulley.codec.frame.Frame;
-import sagepulley.discovery.directory.DirectoryWire;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
  * Messages to nodes and directory: what is written is read, and random fields are refused, never
  * worse.
  */
-class MessagesTest {
+class StoreMessagesTest {
     private interface Reading {
-        Object read(Frame frame) throws BadBytes;
+        Object read(Frame frame) throws MalformedMessageException;
     }
 
     private static final List<Reading> READINGS =
             List.of(
-                    StoreWire::hello,
-                    StoreWire::welcome,
-                    StoreWire::send,
-                    StoreWire::answer,
-                    frame -> StoreWire.report(frame.head()),
-                    DirectoryWire::list,
-                    DirectoryWire::holders,
-                    frame -> DirectoryWire.line(frame.head()),
-                    frame -> Fields.string(frame.head()));
+                    StoreMessages::hello,
+                    StoreMessages::welcome,
+                    StoreMessages::send,
+                    StoreMessages::answer,
+                    frame -> StoreMessages.report(frame.head()),
+                    DirectoryMessages::list,
+                    DirectoryMessages::holders,
+                    frame -> DirectoryMessages.line(frame.head()),
+                    frame -> FrameFields.string(frame.head()));
 
     @Property(tries = 2000, seed = "41")
     void randomFieldsAreReadOrRefused(
@@ -48,7 +48,7 @@
         }
         try {
             READINGS.get(which).read(new Frame(1, 1, Unpooled.wrappedBuffer(head)));
-        } catch (BadBytes refused) {
+        } catch (MalformedMessageException refused) {
             // as it should be
         } catch (RuntimeException worse) {
             fail(worse);
@@ -62,11 +62,11 @@
             @ForAll @Size(max = 64) byte[] data,
             @ForAll @IntRange(min = 0, max = 65535) int used,
             @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 65535) Integer> ports)
-            throws BadBytes {
+            throws MalformedMessageException {
         ByteBuf payload = Unpooled.wrappedBuffer(data);
-        StoreWire.Send send =
-                new StoreWire.Send(
-                        StoreWire.Kind.WRITE,
+        StoreMessages.Send send =
+                new StoreMessages.Send(
+                        StoreMessages.Kind.WRITE,
                         3,
                         true,
                         1,
@@ -78,28 +78,30 @@
                         data.length,
                         1.5f,
                         77);
-        assertEquals(send, StoreWire.send(StoreWire.send(4, send, payload)));
-        StoreWire.Answer answer =
-                new StoreWire.Answer(
-                        StoreWire.Code.FULL, used, 2, 3, 4, StoreWire.Answer.NO_REPORT);
-        assertEquals(answer, StoreWire.answer(StoreWire.answer(4, answer, Unpooled.EMPTY_BUFFER)));
-        List<DirectoryWire.Line> lines =
+        assertEquals(send, StoreMessages.send(StoreMessages.send(4, send, payload)));
+        StoreMessages.Answer answer =
+                new StoreMessages.Answer(
+                        StoreMessages.Code.FULL, used, 2, 3, 4, StoreMessages.Answer.NO_REPORT);
+        assertEquals(
+                answer,
+                StoreMessages.answer(StoreMessages.answer(4, answer, Unpooled.EMPTY_BUFFER)));
+        List<DirectoryMessages.EndpointLine> lines =
                 ports.stream()
                         .map(
                                 port ->
-                                        new DirectoryWire.Line(
+                                        new DirectoryMessages.EndpointLine(
                                                 port,
                                                 port,
                                                 1,
                                                 2,
-                                                DirectoryWire.Standing.DRAINING,
+                                                DirectoryMessages.Phase.DRAINING,
                                                 mark,
                                                 0.5f,
                                                 "host-" + port,
                                                 port))
                         .toList();
-        DirectoryWire.Listing listing =
-                new DirectoryWire.Listing(8, mark, true, lines, mark * 3, "site");
-        assertEquals(listing, DirectoryWire.list(DirectoryWire.list(listing)));
+        DirectoryMessages.EndpointList listing =
+                new DirectoryMessages.EndpointList(8, mark, true, lines, mark * 3, "site");
+        assertEquals(listing, DirectoryMessages.list(DirectoryMessages.list(listing)));
     }
 }
