--- a/src/jmh/java/sagepulley/bench/ControlBench.java
+++ b/src/jmh/java/sagepulley/bench/ControlBench.java
@@ -33,7 +33,7 @@
 import sagepulley.model.Volume;
 
 /**
- * What Control costs for one operation, from arrival to end, on a bare host with modelled nodes: at a load
+ * What Scheduler costs for one operation, from arrival to end, on a bare host with modelled nodes: at a load
  * under what the nodes do, and while so many operations wait all the time.
  */
 @State(Scope.Thread)
@@ -89,7 +89,7 @@
             node.cell = i;
             nodes.add(node);
         }
-        control.listed(nodes, now);
+        control.onEndpointList(nodes, now);
         volumes = new ArrayList<>();
         for (int i = 0; i < nodeCount * 6; i++) {
             volumes.add(new Volume(i, plans.get(i % 2)));
@@ -134,36 +134,36 @@
         int volume = random.nextInt(volumes.size());
         Operation operation = new Operation(++ids, bands.get(random.nextInt(3)), volumes.get(volume), ids,
                 1 + random.nextInt(4), (volume + random.nextInt(2)) % nodeCount, now,
-                now + bands.get(0).patience(), false);
-        answer(operation, control.place(operation, now));
+                now + bands.get(0).deadline(), false);
+        answer(operation, control.route(operation, now));
         settle();
     }
 
     private void finish(Attempt attempt) {
-        attempt.outcome = Outcome.SATISFIED;
-        attempt.took = now - attempt.sentAt;
-        attempt.operation.over = true;
-        if (control.after(attempt, now) == FollowUp.PLACE_AGAIN) {
-            answer(attempt.operation, control.place(attempt.operation, now));
+        attempt.outcome = Outcome.SERVED;
+        attempt.duration = now - attempt.sentAt;
+        attempt.operation.ended = true;
+        if (control.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
+            answer(attempt.operation, control.route(attempt.operation, now));
         }
         settle();
     }
 
     private void settle() {
-        SchedulerTurn pause = control.pause(now);
+        SchedulerTurn pause = control.nextTurn(now);
         while (!pause.due().isEmpty()) {
             boolean moved = false;
             for (Operation operation : pause.due()) {
-                RoutingDecision placement = control.place(operation, now);
+                RoutingDecision placement = control.route(operation, now);
                 moved |= placement.kind() != RoutingDecision.Kind.WAIT;
                 answer(operation, placement);
             }
             if (!moved) {
                 break;
             }
-            pause = control.pause(now);
+            pause = control.nextTurn(now);
         }
-        wake = now + Math.max(0.01, pause.length());
+        wake = now + Math.max(0.01, pause.delay());
     }
 
     private void answer(Operation operation, RoutingDecision placement) {
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -120,7 +120,7 @@
         meter.limited |= part == LatencyComponent.LIMIT;
         meter.owed =
                 switch (part) {
-                    case RESERVE_FULL -> QuotaTier.RESERVE;
+                    case RESERVE_FULL -> QuotaTier.RESERVATION;
                     case BEYOND_SHARE -> QuotaTier.EXCESS;
                     default -> QuotaTier.SHARE;
                 };
@@ -243,9 +243,9 @@
         if (length > 0 && !meter.ended) {
             meter.step(LatencyComponent.FUTILE, meter.node, length);
             switch (how) {
-                case TIMED_OUT, CALLED_OFF -> unanswered(meter, log, length, now);
-                case FULL -> held(meter, LatencyComponent.HELD_BACK, length, now);
-                case MOOT -> charge(meter, Cause.Kind.DIRECTORY, 0, length, false);
+                case TIMED_OUT, CANCELLED -> unanswered(meter, log, length, now);
+                case REJECTED -> held(meter, LatencyComponent.HELD_BACK, length, now);
+                case NOT_EXECUTED -> charge(meter, Cause.Kind.DIRECTORY, 0, length, false);
                 default -> charge(meter, Cause.Kind.FAULT, meter.node, length, false);
             }
         }
@@ -306,12 +306,12 @@
         claimed(meter);
         meter.ended = true;
         double took = now - meter.arrivedAt;
-        boolean met = how == End.SATISFIED && took <= meter.band.targetTime();
+        boolean met = how == End.SATISFIED && took <= meter.band.latencyObjective();
         double lost =
                 met
                         ? 0
-                        : meter.band.utility()
-                                * (how == End.SATISFIED ? 1 - meter.band.lateShare() : 1);
+                        : meter.band.priorityWeight()
+                                * (how == End.SATISFIED ? 1 - meter.band.lateWeightFraction() : 1);
         if (lost > 0 && meter.charges.size() == 0) {
             blameUnwaited(meter, reason, node, now);
         }
@@ -398,7 +398,7 @@
     private void blameUnwaited(OperationTimer meter, Reason reason, int node, double now) {
         LatencyComponent part =
                 switch (reason) {
-                    case LATE, PATIENCE -> LatencyComponent.SHARE_FULL;
+                    case OBJECTIVE_MISSED, DEADLINE -> LatencyComponent.SHARE_FULL;
                     default -> LatencyComponent.of(reason);
                 };
         start(meter, part, node);
--- a/src/main/java/sagepulley/accounts/LatencyComponent.java
+++ b/src/main/java/sagepulley/accounts/LatencyComponent.java
@@ -28,16 +28,16 @@
     /** The part that a reason to wait stands for. */
     public static LatencyComponent of(Reason reason) {
         return switch (reason) {
-            case RESERVE_FULL -> RESERVE_FULL;
+            case RESERVATION_FULL -> RESERVE_FULL;
             case SHARE_FULL -> SHARE_FULL;
-            case BEYOND_SHARE -> BEYOND_SHARE;
-            case HELD_BACK -> HELD_BACK;
-            case COLD -> COLD;
-            case SILENT -> SILENT;
+            case EXCESS_FULL -> BEYOND_SHARE;
+            case QUEUE_AT_NODE -> HELD_BACK;
+            case WARMING_UP -> COLD;
+            case UNRESPONSIVE -> SILENT;
             case NOT_READY, NO_NODE -> NOT_READY;
             case LIMIT -> LIMIT;
-            case BUDGET, NO_FURTHER_HOP, MAY_HAVE_RUN -> BUDGET;
-            case ORDER -> ORDER;
+            case RETRY_BUDGET, NO_RETRY, MAY_HAVE_EXECUTED -> BUDGET;
+            case KEY_ORDER -> ORDER;
             default -> RANKS_LATER;
         };
     }
--- a/src/main/java/sagepulley/accounts/PlanTier.java
+++ b/src/main/java/sagepulley/accounts/PlanTier.java
@@ -16,7 +16,7 @@
 
     static PlanTier of(QuotaTier owed) {
         return switch (owed) {
-            case RESERVE -> RESERVE;
+            case RESERVATION -> RESERVE;
             case SHARE -> SHARE;
             case EXCESS -> EXCESS;
         };
--- a/src/main/java/sagepulley/cli/AccountFormatter.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -1,17 +1,17 @@
 package sagepulley.cli;
 
-import java.util.Locale;
 import java.util.Map;
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.LatencyComponent;
 import sagepulley.accounts.LatencyReport;
+import sagepulley.model.ExternalName;
 
 /** Accounts in words: parts of time, causes, and what an operator can do about them. */
 final class AccountFormatter {
     private AccountFormatter() {}
 
     static String of(Enum<?> constant) {
-        return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        return ExternalName.of(constant).replace('_', ' ');
     }
 
     static String part(LatencyComponent part) {
--- a/src/main/java/sagepulley/cli/CheckSiteCommand.java
+++ b/src/main/java/sagepulley/cli/CheckSiteCommand.java
@@ -50,7 +50,7 @@
                             + ": can be used: "
                             + site.volumes().size()
                             + " volumes, "
-                            + site.deployment().bands().size()
+                            + site.deployment().trafficClasses().size()
                             + " bands, "
                             + site.deployment().plans().size()
                             + " plans");
--- a/src/main/java/sagepulley/engine/DecisionSink.java
+++ b/src/main/java/sagepulley/engine/DecisionSink.java
@@ -5,23 +5,23 @@
 import sagepulley.model.Operation;
 import sagepulley.model.RoutingDecision;
 
-/** Where what Control decides goes out: the simulator's wire, or sockets. */
+/** Where what Scheduler decides goes out: the simulator's wire, or sockets. */
 public interface DecisionSink {
     /** Sends the operation's last attempt, which ends after so many milliseconds at the latest. */
     void send(Attempt attempt, double timeout);
 
     /** The final answer to an operation that is given up: declined, or scrapped. */
-    void giveUp(Operation operation, RoutingDecision placement);
+    void endUnserved(Operation operation, RoutingDecision placement);
 
     /** Nobody waits for this attempt any longer. */
-    void callOff(Attempt attempt);
+    void cancel(Attempt attempt);
 
-    void probe(Node node);
+    void checkHealth(Node node);
 
-    void subscribe();
+    void openWatch();
 
-    void fetch();
+    void pollEndpointList();
 
     /** Asks to be woken in so many milliseconds; infinite: whenever something comes. */
-    void wakeIn(double pause, double now);
+    void scheduleWakeUp(double pause, double now);
 }
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -59,17 +59,17 @@
      * The list as it stands after a message of the given entries; a whole list drops what it lacks.
      * Gives the nodes that were gone for long and are forgotten now.
      */
-    public List<Node> listed(List<EndpointEntry> entries, boolean whole, double now) {
+    public List<Node> onEndpointList(List<EndpointEntry> entries, boolean whole, double now) {
         if (whole) {
             for (Node node : nodes.values()) {
-                node.standing = Node.Phase.GONE;
+                node.phase = Node.Phase.REMOVED;
             }
         }
         for (EndpointEntry entry : entries) {
-            entry.copyTo(nodes.computeIfAbsent(entry.store(), Node::new));
+            entry.copyTo(nodes.computeIfAbsent(entry.node(), Node::new));
         }
         List<Node> forgotten = longGone(now);
-        control.listed(new ArrayList<>(nodes.values()), now);
+        control.onEndpointList(new ArrayList<>(nodes.values()), now);
         return forgotten;
     }
 
@@ -88,7 +88,7 @@
         }
         List<Node> forgotten = new ArrayList<>(0);
         for (Node node : nodes.values()) {
-            if (node.standing != Node.Phase.GONE) {
+            if (node.phase != Node.Phase.REMOVED) {
                 goneSince.remove(node.id);
             } else if (now - goneSince.computeIfAbsent(node.id, any -> now) > GONE_FOR_GOOD
                     && !busy.contains(node)) {
@@ -104,37 +104,37 @@
     }
 
     /** The list held is known to have been current at a time. */
-    public void listConfirmed(double asOf) {
-        control.listConfirmed(asOf);
+    public void onListConfirmed(double asOf) {
+        control.onListConfirmed(asOf);
     }
 
     /** Nobody could reach discovery at a time. */
-    public void discoveryUnreachable(double at) {
-        control.discoveryUnreachable(at);
+    public void onDiscoveryUnreachable(double at) {
+        control.onDiscoveryUnreachable(at);
     }
 
-    public void listFailed(double now) {
-        control.listFailed(now);
+    public void onPollFailed(double now) {
+        control.onPollFailed(now);
     }
 
     /** A new configuration was told at a time, which may move discovery. */
-    public void reloadTold(double toldAt) {
-        control.reloadTold(toldAt);
+    public void onReloadNotified(double toldAt) {
+        control.onReloadNotified(toldAt);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
-    public void reloadRead(double readAt) {
-        control.reloadRead(readAt);
+    public void onConfigurationRead(double readAt) {
+        control.onConfigurationRead(readAt);
     }
 
-    public void listMoved(double now) {
-        control.listMoved(now);
+    public void onDiscoveryMoved(double now) {
+        control.onDiscoveryMoved(now);
     }
 
     /**
      * Takes an operation; it is placed when things are settled, if its client has not left by then.
      */
-    public void arrived(Operation operation) {
+    public void onArrival(Operation operation) {
         operations.put(operation.id, operation);
         arrivals.add(operation);
     }
@@ -148,7 +148,7 @@
         return operations.get(id);
     }
 
-    public Collection<Operation> inHand() {
+    public Collection<Operation> inFlight() {
         return Collections.unmodifiableCollection(operations.values());
     }
 
@@ -161,16 +161,16 @@
         return Collections.unmodifiableCollection(nodes.values());
     }
 
-    /** What Control has learned by band, in the order of the bands. */
-    public List<TrafficClassView> bands() {
+    /** What Scheduler has learned by band, in the order of the bands. */
+    public List<TrafficClassView> trafficClassViews() {
         return TrafficClassView.of(control);
     }
 
     /** Why each operation that waits is not sent now, by reason. */
-    public Map<Reason, Integer> waiting(double now) {
+    public Map<Reason, Integer> waitingByReason(double now) {
         Map<Reason, Integer> waiting = new EnumMap<>(Reason.class);
         for (Operation operation : operations.values()) {
-            if (!operation.over && !operation.isOut() && !arrivals.contains(operation)) {
+            if (!operation.ended && !operation.isInFlight() && !arrivals.contains(operation)) {
                 waiting.merge(WaitExplainer.why(control, operation, now), 1, Integer::sum);
             }
         }
@@ -184,35 +184,35 @@
     }
 
     /** An attempt's outcome is set; settled tells whether its operation is over with it. */
-    public void ended(Attempt attempt, boolean settled, double now) {
+    public void onAttemptEnded(Attempt attempt, boolean settled, double now) {
         Operation operation = attempt.operation;
-        operation.over |= settled;
-        if (control.after(attempt, now) == FollowUp.PLACE_AGAIN) {
-            answer(operation, control.place(operation, now));
+        operation.ended |= settled;
+        if (control.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
+            answer(operation, control.route(operation, now));
         }
         forget(operation);
     }
 
     /** Whether an attempt that was held up before its first byte may still go out. */
-    public boolean mayBegin(Attempt attempt, double now) {
-        return control.mayBegin(attempt, now);
+    public boolean mayStart(Attempt attempt, double now) {
+        return control.mayStart(attempt, now);
     }
 
-    public void left(long id, double now) {
+    public void onClientCancelled(long id, double now) {
         Operation operation = operations.get(id);
-        if (operation != null && !operation.over) {
-            operation.over = true;
+        if (operation != null && !operation.ended) {
+            operation.ended = true;
             if (!arrivals.remove(operation)) {
-                control.left(operation, now);
+                control.onClientCancelled(operation, now);
             }
             forget(operation);
         }
     }
 
-    public void probed(int id, Outcome outcome, double took, double[] report, double now) {
+    public void onHealthCheck(int id, Outcome outcome, double took, double[] report, double now) {
         Node node = nodes.get(id);
         if (node != null) {
-            control.probed(node, outcome, took, report, now);
+            control.onHealthCheck(node, outcome, took, report, now);
         }
     }
 
@@ -220,31 +220,31 @@
      * After all that happened at this moment: whatever is due now, and when to be woken for what is
      * later.
      */
-    public void settle(double now) {
+    public void runDueWork(double now) {
         for (Operation fresh = arrivals.poll(); fresh != null; fresh = arrivals.poll()) {
-            answer(fresh, control.place(fresh, now));
+            answer(fresh, control.route(fresh, now));
         }
-        SchedulerTurn pause = control.pause(now);
+        SchedulerTurn pause = control.nextTurn(now);
         while (true) {
-            pause.callOff().forEach(exit::callOff);
-            pause.probes().forEach(exit::probe);
-            switch (pause.call()) {
-                case SUBSCRIBE -> exit.subscribe();
-                case FETCH -> exit.fetch();
+            pause.cancellations().forEach(exit::cancel);
+            pause.healthChecks().forEach(exit::checkHealth);
+            switch (pause.poll()) {
+                case SUBSCRIBE -> exit.openWatch();
+                case FETCH -> exit.pollEndpointList();
                 case NONE -> {}
             }
             boolean moved = false;
             for (Operation operation : pause.due()) {
-                RoutingDecision placement = control.place(operation, now);
+                RoutingDecision placement = control.route(operation, now);
                 moved |= placement.kind() != RoutingDecision.Kind.WAIT;
                 answer(operation, placement);
             }
             if (!moved) {
                 break; // asking again at the same moment would change nothing
             }
-            pause = control.pause(now);
+            pause = control.nextTurn(now);
         }
-        exit.wakeIn(pause.length(), now);
+        exit.scheduleWakeUp(pause.delay(), now);
     }
 
     private void answer(Operation operation, RoutingDecision placement) {
@@ -253,14 +253,14 @@
                     exit.send(
                             operation.attempts.get(operation.attempts.size() - 1),
                             placement.timeout());
-            case DECLINE, SCRAP -> exit.giveUp(operation, placement);
+            case REJECT, ABANDON -> exit.endUnserved(operation, placement);
             case WAIT -> {}
         }
         forget(operation);
     }
 
     private void forget(Operation operation) {
-        if (operation.over && !operation.isOut()) {
+        if (operation.ended && !operation.isInFlight()) {
             operations.remove(operation.id);
         }
     }
--- a/src/main/java/sagepulley/engine/SettingsReader.java
+++ b/src/main/java/sagepulley/engine/SettingsReader.java
@@ -40,7 +40,7 @@
         boolean ordered = false;
         for (int i = 0; i < whole("classes.count"); i++) {
             TrafficClass band = band(i, i < writes.length && writes[i].equals("true"));
-            ordered |= band.inOrder();
+            ordered |= band.ordered();
             bands.add(band);
         }
         List<TenantPlan> plans = new ArrayList<>();
@@ -112,7 +112,7 @@
                 switch (text(path + "effect")) {
                     case "retryable" -> TrafficClass.Idempotency.IDEMPOTENT;
                     case "dedup" -> TrafficClass.Idempotency.DEDUPLICATED;
-                    case "fragile" -> TrafficClass.Idempotency.UNREPEATABLE;
+                    case "fragile" -> TrafficClass.Idempotency.NON_IDEMPOTENT;
                     default -> throw unreadable(path + "effect");
                 };
         TrafficClass.DeduplicationScope group = TrafficClass.DeduplicationScope.ALL;
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -13,7 +13,6 @@
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -46,6 +45,7 @@
 import sagepulley.membership.ReconnectBackoff;
 import sagepulley.membership.StoredEndpointList;
 import sagepulley.model.Attempt;
+import sagepulley.model.ExternalName;
 import sagepulley.model.FollowUp;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
@@ -66,12 +66,12 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Hosts Control in service: tells it what happens and carries out what it answers. Everything here
- * but the methods said otherwise runs on one loop, which also owns the links to nodes and
+ * Hosts Scheduler in service: tells it what happens and carries out what it answers. Everything
+ * here but the methods said otherwise runs on one loop, which also owns the links to nodes and
  * directory.
  */
 final class NbdEngine implements DirectoryClient.Listener {
-    /** A shard that no node has: Control keeps such an operation until its holder is found. */
+    /** A shard that no node has: Scheduler keeps such an operation until its holder is found. */
     private static final int NOT_FOUND_YET = Integer.MAX_VALUE;
 
     private static final int LEAST_BLOCK = 512;
@@ -130,7 +130,7 @@
 
     private final TailSampler sampler;
 
-    /** Parts that wait at Control, in the order in which they are asked why. */
+    /** Parts that wait at Scheduler, in the order in which they are asked why. */
     private final Set<RequestPart> waiting = new LinkedHashSet<>();
 
     /**
@@ -155,7 +155,7 @@
     private ScheduledFuture<?> membersBeat;
     private boolean listed;
 
-    /** The directory cannot be reached: nobody but Control's asking for the list tries it. */
+    /** The directory cannot be reached: nobody but Scheduler's asking for the list tries it. */
     private boolean directoryDown;
 
     private double confirmAt = Double.NEGATIVE_INFINITY;
@@ -200,7 +200,7 @@
 
         @Override
         public void probed(long id, float[] report) {
-            control.probed(node, Outcome.SATISFIED, 0, widened(report), clock.now());
+            control.onHealthCheck(node, Outcome.SERVED, 0, widened(report), clock.now());
             settle();
         }
 
@@ -221,11 +221,11 @@
                     .addKeyValue("meaning", meaning)
                     .log("node connected");
             if (meaning != Membership.HandshakeVerdict.GO
-                    || !node.takesNew
-                    || node.standing != Node.Phase.READY) {
+                    || !node.acceptsNewObjects
+                    || node.phase != Node.Phase.READY) {
                 adopt();
             }
-            return meaning == Membership.HandshakeVerdict.GO && node.standing == Node.Phase.READY;
+            return meaning == Membership.HandshakeVerdict.GO && node.phase == Node.Phase.READY;
         }
 
         @Override
@@ -276,7 +276,7 @@
                 new DirectoryClient(loop, kind, site.directory().socket(), seed, site.name(), this);
         for (VolumeSettings line : site.volumes()) {
             Volume volume = new Volume(line.id(), site.deployment().plans().get(line.plan()));
-            volume.gateways = line.gateways();
+            volume.gatewayCount = line.gateways();
             // A flush reaches every write acknowledged by this gateway, whatever connection it came
             // by.
             disks.put(
@@ -320,7 +320,7 @@
         if (membership.empty()) {
             directory.fetch();
         } else {
-            // Control asks for the list from here on; what is known serves meanwhile.
+            // Scheduler asks for the list from here on; what is known serves meanwhile.
             LOG.atInfo()
                     .addKeyValue("trust", membership.trust(wall()))
                     .addKeyValue("age", membership.age(wall()))
@@ -573,7 +573,7 @@
             part.meter =
                     accounts.begin(
                             request.disk.line.id(),
-                            part.operation.band,
+                            part.operation.trafficClass,
                             part.kind.changes(),
                             part.operation.units,
                             request.arrivedAt);
@@ -660,7 +660,7 @@
                     if (gone != null) {
                         for (PendingRequest request : gone) {
                             for (RequestPart part : List.copyOf(request.parts)) {
-                                if (!part.operation.over) {
+                                if (!part.operation.ended) {
                                     leave(part);
                                 }
                             }
@@ -674,11 +674,11 @@
     }
 
     private void leave(RequestPart part) {
-        part.operation.over = true;
+        part.operation.ended = true;
         tally.left.increment();
         unseek(part);
         if (part.shown) {
-            control.left(part.operation, clock.now());
+            control.onClientCancelled(part.operation, clock.now());
         }
         end(part, Accounts.End.LEFT, Reason.NONE);
         waiting.remove(part);
@@ -735,7 +735,7 @@
                 part.extent,
                 1,
                 (cells, failure) -> {
-                    if (part.operation.over) {
+                    if (part.operation.ended) {
                         return;
                     }
                     if (cells == null) {
@@ -747,8 +747,8 @@
                         found(part.operation.extent, cells[0]);
                     } else {
                         if (part.shown) {
-                            part.operation.over = true;
-                            control.needless(part.operation);
+                            part.operation.ended = true;
+                            control.onEndedWithoutNode(part.operation);
                         }
                         tally.holes.increment();
                         if (part.kind == StoreMessages.Kind.READ) {
@@ -761,7 +761,7 @@
                 });
     }
 
-    /** A holder became known: whoever waited for it, here or at Control, goes there. */
+    /** A holder became known: whoever waited for it, here or at Scheduler, goes there. */
     private void found(long key, int cell) {
         Set<RequestPart> all = seeking.remove(key);
         List<RequestPart> parked = holders.learned(key, cell);
@@ -770,21 +770,21 @@
         if (all != null) {
             for (RequestPart part : all) {
                 if (part.shown) {
-                    control.found(part.operation, holder);
+                    control.onExtentLocated(part.operation, holder);
                 }
             }
         }
         for (RequestPart part : parked) {
-            if (!part.operation.over) {
+            if (!part.operation.ended) {
                 part.operation.shard = holder;
                 show(part);
             }
         }
     }
 
-    /** Who waited long enough for the directory is Control's to decide about. */
+    /** Who waited long enough for the directory is Scheduler's to decide about. */
     private void handOn(RequestPart part) {
-        if (part.operation.over) {
+        if (part.operation.ended) {
             return;
         }
         part.operation.shard = creates(part) ? newShard() : NOT_FOUND_YET;
@@ -810,18 +810,18 @@
         for (Map.Entry<Long, Set<RequestPart>> entry : List.copyOf(seeking.entrySet())) {
             refile(entry.getKey(), -1);
             for (RequestPart part : List.copyOf(entry.getValue())) {
-                if (!creates(part) && part.attempt == 0 && !part.operation.over) {
+                if (!creates(part) && part.attempt == 0 && !part.operation.ended) {
                     lookUp(part);
                 }
             }
         }
     }
 
-    /** Tells Control anew where the first writes to an extent go that wait with it. */
+    /** Tells Scheduler anew where the first writes to an extent go that wait with it. */
     private void refile(long key, int shard) {
         for (RequestPart part : seeking.getOrDefault(key, Set.of())) {
             if (part.shown && part.attempt == 0 && part.operation.shard != shard && creates(part)) {
-                control.found(part.operation, shard);
+                control.onExtentLocated(part.operation, shard);
             }
         }
     }
@@ -852,8 +852,8 @@
                     if (cell == null) {
                         directoryFailed();
                         refile(key, newShard());
-                        if (directoryDown && !part.operation.over) {
-                            control.found(part.operation, NOT_FOUND_YET);
+                        if (directoryDown && !part.operation.ended) {
+                            control.onExtentLocated(part.operation, NOT_FOUND_YET);
                         }
                     }
                     for (RequestPart waiting : holders.claimed(key)) {
@@ -868,22 +868,22 @@
                     } else {
                         // Another node holds it, or nobody can say: the attempt never went out.
                         out.remove(part.attempt);
-                        ended(part, Outcome.MOOT);
+                        ended(part, Outcome.NOT_EXECUTED);
                     }
                 });
     }
 
-    // ---- Control's answers ----
+    // ---- Scheduler's answers ----
 
     private void show(RequestPart part) {
         part.shown = true;
-        carryOut(part, control.place(part.operation, clock.now()));
+        carryOut(part, control.route(part.operation, clock.now()));
     }
 
     private void carryOut(RequestPart part, RoutingDecision placement) {
         Operation operation = part.operation;
         if (placement.kind() == RoutingDecision.Kind.WAIT) {
-            if (!operation.over) {
+            if (!operation.ended) {
                 waiting.add(part);
                 account(part, clock.now());
             }
@@ -909,11 +909,13 @@
                     hand(part, attempt);
                 }
             }
-            case DECLINE -> {
+            case REJECT -> {
                 tally.declined.increment();
                 String when =
-                        placement.advice() > 0
-                                ? "; come back in " + (long) Math.ceil(placement.advice()) + " ms"
+                        placement.retryAfter() > 0
+                                ? "; come back in "
+                                        + (long) Math.ceil(placement.retryAfter())
+                                        + " ms"
                                 : "";
                 finish(
                         part,
@@ -925,7 +927,7 @@
                                 + "): asking again does no harm"
                                 + when);
             }
-            case SCRAP -> {
+            case ABANDON -> {
                 tally.scrapped.increment();
                 finish(
                         part,
@@ -939,7 +941,7 @@
     }
 
     private static String word(Enum<?> constant) {
-        return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        return ExternalName.of(constant).replace('_', ' ');
     }
 
     /** States anew why an operation waits, and behind whom. */
@@ -978,16 +980,16 @@
 
     private void hand(RequestPart part, Attempt attempt) {
         part.handed = true;
-        accounts.sent(part.meter, attempt.node.id, attempt.owed, clock.now());
+        accounts.sent(part.meter, attempt.node.id, attempt.quotaTier, clock.now());
         Place place = places.get(attempt.node.id);
         tally.attempts.increment();
         boolean durable = (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
         StoreMessages.Send send =
                 new StoreMessages.Send(
                         part.kind,
-                        part.operation.band.index(),
+                        part.operation.trafficClass.index(),
                         durable,
-                        part.operation.band.repeat().ordinal(),
+                        part.operation.trafficClass.idempotency().ordinal(),
                         part.operation.id,
                         attempt.number,
                         part.request.disk.line.id(),
@@ -1011,17 +1013,17 @@
         }
         Outcome outcome =
                 switch (answer.code()) {
-                    case SATISFIED -> Outcome.SATISFIED;
-                    case FAULT -> Outcome.FAULT;
-                    case FULL, DRAINING -> Outcome.FULL;
+                    case SATISFIED -> Outcome.SERVED;
+                    case FAULT -> Outcome.FAILED;
+                    case FULL, DRAINING -> Outcome.REJECTED;
                     // Whose pen was taken by another gateway never ran, and the node is not to
                     // blame.
-                    case MOOT, STALE_PEN -> Outcome.MOOT;
-                    case CALLED_OFF -> Outcome.CALLED_OFF;
+                    case MOOT, STALE_PEN -> Outcome.NOT_EXECUTED;
+                    case CALLED_OFF -> Outcome.CANCELLED;
                 };
         Attempt attempt = lastAttempt(part);
-        attempt.usedPercent = answer.used() == 0 ? Double.NaN : answer.used() - 1;
-        attempt.othersUnits = answer.others();
+        attempt.planUsagePercent = answer.used() == 0 ? Double.NaN : answer.used() - 1;
+        attempt.otherGatewaysUnits = answer.others();
         attempt.report = widened(answer.report());
         boolean denied =
                 answer.code() == StoreMessages.Code.MOOT
@@ -1039,16 +1041,16 @@
                     clock.now());
         }
         int due = part.kind == StoreMessages.Kind.READ ? part.length : 0;
-        if (outcome == Outcome.SATISFIED && payload.readableBytes() != due) {
-            outcome = Outcome.FAULT;
+        if (outcome == Outcome.SERVED && payload.readableBytes() != due) {
+            outcome = Outcome.FAILED;
         }
-        if (outcome == Outcome.SATISFIED && !part.operation.over && due > 0) {
+        if (outcome == Outcome.SERVED && !part.operation.ended && due > 0) {
             part.request.found.add(new PendingRequest.Found(part.at, part.length, payload));
         } else {
             payload.release();
         }
         ended(part, outcome);
-        if (denied && !part.operation.over && !creates(part)) {
+        if (denied && !part.operation.ended && !creates(part)) {
             lookUp(part);
         }
     }
@@ -1066,8 +1068,8 @@
         holders.forget(key);
         holdersChanged = true;
         seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
-        if (!part.operation.over) {
-            control.found(part.operation, creates(part) ? newShard() : NOT_FOUND_YET);
+        if (!part.operation.ended) {
+            control.onExtentLocated(part.operation, creates(part) ? newShard() : NOT_FOUND_YET);
         }
     }
 
@@ -1077,7 +1079,7 @@
             return;
         }
         if (!part.handed) {
-            ended(part, Outcome.MOOT);
+            ended(part, Outcome.NOT_EXECUTED);
             return;
         }
         boolean went = places.get(lastAttempt(part).node.id).link.giveUp(attemptId);
@@ -1093,27 +1095,27 @@
         Operation operation = part.operation;
         Attempt attempt = lastAttempt(part);
         attempt.outcome = outcome;
-        attempt.took = now - attempt.sentAt;
+        attempt.duration = now - attempt.sentAt;
         part.attempt = 0;
         if (part.timer != null) {
             part.timer.cancel(false);
             part.timer = null;
         }
         part.handed = false;
-        if (outcome != Outcome.SATISFIED) {
+        if (outcome != Outcome.SERVED) {
             accounts.failed(part.meter, outcome, now);
         }
-        boolean first = !operation.over && outcome == Outcome.SATISFIED;
-        operation.over |= first;
-        if (outcome == Outcome.MOOT) {
+        boolean first = !operation.ended && outcome == Outcome.SERVED;
+        operation.ended |= first;
+        if (outcome == Outcome.NOT_EXECUTED) {
             tally.moot.increment();
         }
-        FollowUp sequel = control.after(attempt, now);
+        FollowUp sequel = control.onAttemptEnded(attempt, now);
         if (first) {
             note(part, attempt);
             satisfied(part);
-        } else if (sequel == FollowUp.PLACE_AGAIN) {
-            carryOut(part, control.place(operation, now));
+        } else if (sequel == FollowUp.ROUTE_AGAIN) {
+            carryOut(part, control.route(operation, now));
         }
         settle();
     }
@@ -1130,7 +1132,7 @@
     }
 
     private void satisfied(RequestPart part) {
-        part.operation.over = true;
+        part.operation.ended = true;
         tally.satisfied.increment();
         end(part, Accounts.End.SATISFIED, Reason.NONE);
         over(part);
@@ -1144,8 +1146,9 @@
         }
         Operation operation = part.operation;
         double took = now - operation.arrivedAt;
-        boolean missed = how != Accounts.End.SATISFIED || took > operation.band.targetTime();
-        double standsFor = sampler.keeps(how, missed, operation.band.index(), took, now);
+        boolean missed =
+                how != Accounts.End.SATISFIED || took > operation.trafficClass.latencyObjective();
+        double standsFor = sampler.keeps(how, missed, operation.trafficClass.index(), took, now);
         if (standsFor > 0) {
             tracer.tell(story(part, how, reason, took, standsFor));
         }
@@ -1166,9 +1169,9 @@
                     new OperationTrace.Attempt(
                             attempt.number,
                             attempt.node.id,
-                            attempt.owed,
+                            attempt.quotaTier,
                             attempt.sentAt - operation.arrivedAt,
-                            attempt.took,
+                            attempt.duration,
                             attempt.outcome));
         }
         Cause cause = part.meter.mainCause();
@@ -1184,7 +1187,7 @@
                 operation.id,
                 part.request.asked.cookie(),
                 part.request.disk.line.name(),
-                operation.band.name(),
+                operation.trafficClass.name(),
                 word(part.kind),
                 part.extent,
                 operation.units,
@@ -1200,7 +1203,7 @@
     }
 
     private void finish(RequestPart part, Accounts.End how, Reason reason, int error, String why) {
-        part.operation.over = true;
+        part.operation.ended = true;
         end(part, how, reason);
         part.request.fail(part.at, error, why);
         over(part);
@@ -1229,7 +1232,7 @@
 
     // ---- what is due ----
 
-    /** Asks Control what is due, once for all that one turn of the loop brought. */
+    /** Asks Scheduler what is due, once for all that one turn of the loop brought. */
     private void settle() {
         if (!settleDue) {
             settleDue = true;
@@ -1243,35 +1246,35 @@
         for (RequestPart part : holders.overdue(now)) {
             handOn(part);
         }
-        SchedulerTurn pause = control.pause(now);
+        SchedulerTurn pause = control.nextTurn(now);
         while (true) {
-            for (Attempt attempt : pause.callOff()) {
+            for (Attempt attempt : pause.cancellations()) {
                 callOff(attempt);
             }
-            for (Node node : pause.probes()) {
+            for (Node node : pause.healthChecks()) {
                 places.get(node.id).link.probe(++attemptIds);
             }
-            switch (pause.call()) {
+            switch (pause.poll()) {
                 case SUBSCRIBE -> directory.subscribe();
                 case FETCH -> directory.fetch();
                 case NONE -> {}
             }
             boolean moved = false;
             for (Operation operation : pause.due()) {
-                RoutingDecision placement = control.place(operation, now);
+                RoutingDecision placement = control.route(operation, now);
                 moved |= placement.kind() != RoutingDecision.Kind.WAIT;
                 carryOut(partOf(operation), placement);
             }
             if (!moved) {
                 break; // asking again at the same moment would change nothing
             }
-            pause = control.pause(now);
+            pause = control.nextTurn(now);
         }
-        alarm.by(Math.min(now + pause.length(), holders.nextOverdue()));
+        alarm.by(Math.min(now + pause.delay(), holders.nextOverdue()));
     }
 
     private static RequestPart partOf(Operation operation) {
-        return (RequestPart) operation.held;
+        return (RequestPart) operation.engineState;
     }
 
     /** Work for nobody is given up; whether it ran, nobody will know. */
@@ -1284,7 +1287,7 @@
         if (part.handed) {
             places.get(attempt.node.id).link.giveUp(part.attempt);
         }
-        ended(part, Outcome.CALLED_OFF);
+        ended(part, Outcome.CANCELLED);
     }
 
     // ---- the directory ----
@@ -1355,13 +1358,15 @@
             Node node = place(seen);
             nodes.add(node);
             accounts.node(
-                    node.id, node.zone, node.startedAt + site.deployment().rules().coldTime());
-            if (node.standing == Node.Phase.READY) {
+                    node.id,
+                    node.zone,
+                    node.startedAt + site.deployment().policy().slowStartTime());
+            if (node.phase == Node.Phase.READY) {
                 byCell.put(node.cell, node);
             }
         }
         listChanged = true;
-        control.listed(nodes, clock.now());
+        control.onEndpointList(nodes, clock.now());
         settle();
     }
 
@@ -1399,12 +1404,12 @@
         node.kind = line.kind();
         node.weight = line.weight();
         node.startedAt = clock.atWall(line.startedAt());
-        node.takesNew = seen.takesNew();
-        node.standing =
+        node.acceptsNewObjects = seen.takesNew();
+        node.phase =
                 switch (seen.use()) {
                     case READY -> Node.Phase.READY;
                     case DRAINING -> Node.Phase.DRAINING;
-                    case GONE -> Node.Phase.GONE;
+                    case GONE -> Node.Phase.REMOVED;
                 };
         SocketAddress address = new InetSocketAddress(line.host(), line.port());
         if (place.link == null || !place.link.address().equals(address)) {
@@ -1427,7 +1432,7 @@
 
     private void askAgain() {
         if (listed) {
-            control.listFailed(clock.now());
+            control.onPollFailed(clock.now());
             settle();
         } else if (!stopping) {
             loop.schedule(directory::fetch, (long) returning.next(), TimeUnit.MILLISECONDS);
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -38,7 +38,7 @@
 import sagepulley.scheduler.Scheduler;
 import sagepulley.tracing.Tracer;
 
-/** One gateway in service: listens for NBD clients, and serves them by what Control decides. */
+/** One gateway in service: listens for NBD clients, and serves them by what Scheduler decides. */
 public final class NbdGateway {
     /** So many volumes, the first of the site file, have sums of their own since the start. */
     public static final int SUMMED_VOLUMES = 100;
--- a/src/main/java/sagepulley/frontend/nbd/RequestPart.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -33,7 +33,7 @@
     /** Whether the attempt has been handed to a link, and not merely waits for a claim. */
     boolean handed;
 
-    /** Whether it was shown to Control, or still waits for the directory. */
+    /** Whether it was shown to Scheduler, or still waits for the directory. */
     boolean shown;
 
     /** Its account of time. */
@@ -63,6 +63,6 @@
         this.length = length;
         this.at = at;
         this.payload = payload;
-        operation.held = this;
+        operation.engineState = this;
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -163,7 +163,7 @@
             int length,
             long at,
             ByteBuf payload) {
-        TrafficClass band = deployment.bands().get(bandIndex);
+        TrafficClass band = deployment.trafficClasses().get(bandIndex);
         // What moves no data still costs the node a look.
         double units =
                 kind == StoreMessages.Kind.READ || kind == StoreMessages.Kind.WRITE
@@ -182,7 +182,7 @@
                         units,
                         -1,
                         request.arrivedAt,
-                        request.arrivedAt + band.patience(),
+                        request.arrivedAt + band.deadline(),
                         false);
         return new RequestPart(request, operation, kind, extent, inside, length, at, payload);
     }
--- a/src/main/java/sagepulley/model/Attempt.java
+++ b/src/main/java/sagepulley/model/Attempt.java
@@ -8,25 +8,25 @@
     public final double sentAt;
 
     /** The part of its plan that the operation was in when it was sent. */
-    public QuotaTier owed;
+    public QuotaTier quotaTier;
 
     /** Null while the attempt is out. */
     public Outcome outcome;
 
     /** How long it took, once it has an outcome. */
-    public double took;
+    public double duration;
 
     /**
      * Percent of its plan's rate that the volume got everywhere in a finished period; NaN if not
      * told.
      */
-    public double usedPercent = Double.NaN;
+    public double planUsagePercent = Double.NaN;
 
     /**
      * Units that the node served the volume through other gateways since its last answer to this
      * one.
      */
-    public double othersUnits;
+    public double otherGatewaysUnits;
 
     /**
      * The node's load report, in the order of the deployment's report fields; null if none came.
@@ -34,7 +34,7 @@
     public double[] report;
 
     /** Whatever the decision module keeps with the attempt; nobody else reads it. */
-    public Object kept;
+    public Object schedulerState;
 
     public Attempt(Operation operation, Node node, int number, double sentAt) {
         this.operation = operation;
--- a/src/main/java/sagepulley/model/Node.java
+++ b/src/main/java/sagepulley/model/Node.java
@@ -6,7 +6,7 @@
     public enum Phase {
         READY,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     public final int id;
@@ -14,10 +14,10 @@
     public int cell;
     public int kind;
     public double weight = 1;
-    public Phase standing = Phase.READY;
+    public Phase phase = Phase.READY;
 
     /** Whether new objects may go there; what it holds is read and written all the same. */
-    public boolean takesNew = true;
+    public boolean acceptsNewObjects = true;
 
     /** When it last started, on the common clock; negative infinity for long ago. */
     public double startedAt = Double.NEGATIVE_INFINITY;
@@ -29,7 +29,7 @@
     public boolean forgotten;
 
     /** Whatever the decision module keeps with the node; nobody else reads it. */
-    public Object kept;
+    public Object schedulerState;
 
     public Node(int id) {
         this.id = id;
--- a/src/main/java/sagepulley/model/Operation.java
+++ b/src/main/java/sagepulley/model/Operation.java
@@ -6,7 +6,7 @@
 /** A client's read or write that this gateway has taken and owes one final answer. */
 public final class Operation {
     public final long id;
-    public final TrafficClass band;
+    public final TrafficClass trafficClass;
     public final Volume volume;
 
     /** The piece of data; 0 for none. */
@@ -16,7 +16,7 @@
 
     /**
      * The cell whose node holds the data, or -1 for a new object; what waits is told by
-     * Control.found.
+     * Scheduler.found.
      */
     public int shard;
 
@@ -25,17 +25,17 @@
     /** When the client gives up on this try. */
     public final double deadline;
 
-    public final boolean clientRepeat;
+    public final boolean clientRetry;
     public final List<Attempt> attempts = new ArrayList<>(2);
 
     /** Set once its one final answer is out, or the client has left. */
-    public boolean over;
+    public boolean ended;
 
     /** Whatever the decision module keeps with the operation; nobody else reads it. */
-    public Object kept;
+    public Object schedulerState;
 
     /** Whatever the host keeps with the operation; the decision module does not read it. */
-    public Object held;
+    public Object engineState;
 
     public Operation(
             long id,
@@ -48,18 +48,18 @@
             double deadline,
             boolean clientRepeat) {
         this.id = id;
-        this.band = band;
+        this.trafficClass = band;
         this.volume = volume;
         this.extent = extent;
         this.units = units;
         this.shard = shard;
         this.arrivedAt = arrivedAt;
         this.deadline = deadline;
-        this.clientRepeat = clientRepeat;
+        this.clientRetry = clientRepeat;
     }
 
     /** Whether an attempt of it has no outcome yet. */
-    public boolean isOut() {
+    public boolean isInFlight() {
         for (Attempt attempt : attempts) {
             if (attempt.outcome == null) {
                 return true;
--- a/src/main/java/sagepulley/model/QuotaTier.java
+++ b/src/main/java/sagepulley/model/QuotaTier.java
@@ -1,20 +1,31 @@
 package sagepulley.model;
 
 /**
- * The part of its plan that an operation's units are taken from: reserve, weighted share, or beyond
- * both.
+ * The tier of a tenant's quota that an operation's units are taken from: reservation, weighted
+ * share, or in excess of both.
  */
-public enum QuotaTier {
-    RESERVE,
-    SHARE,
-    EXCESS;
+public enum QuotaTier implements ExternalName {
+    RESERVATION("reserve"),
+    SHARE("share"),
+    EXCESS("excess");
 
-    /** Why an operation in this part waits where a node's bound is full. */
+    private final String externalName;
+
+    QuotaTier(String externalName) {
+        this.externalName = externalName;
+    }
+
+    @Override
+    public String externalName() {
+        return externalName;
+    }
+
+    /** Why an operation of this tier waits at a node whose concurrency limit is reached. */
     public Reason full() {
         return switch (this) {
-            case RESERVE -> Reason.RESERVE_FULL;
+            case RESERVATION -> Reason.RESERVATION_FULL;
             case SHARE -> Reason.SHARE_FULL;
-            case EXCESS -> Reason.BEYOND_SHARE;
+            case EXCESS -> Reason.EXCESS_FULL;
         };
     }
 }
--- a/src/main/java/sagepulley/model/Reason.java
+++ b/src/main/java/sagepulley/model/Reason.java
@@ -1,37 +1,52 @@
 package sagepulley.model;
 
-/** Why an operation waits, or was given up. */
-public enum Reason {
+/** Why an operation waits, or ended without being served. */
+public enum Reason implements ExternalName {
     /** It does not wait. */
-    NONE,
-    /**
-     * Its node's bound is full, and its units are in the volume's reserve, in its share, or beyond
-     * it.
-     */
-    RESERVE_FULL,
-    SHARE_FULL,
-    BEYOND_SHARE,
-    /** The queue that answers showed at the node holds it back. */
-    HELD_BACK,
-    /** Its node started lately, gives no answers, drains or is gone, or no node holds its cell. */
-    COLD,
-    SILENT,
-    NOT_READY,
-    NO_NODE,
+    NONE("none"),
+    /** The concurrency limit of its node is reached; its units are inside the reservation. */
+    RESERVATION_FULL("reserve_full"),
+    /** The concurrency limit of its node is reached; its units are inside the share. */
+    SHARE_FULL("share_full"),
+    /** The concurrency limit of its node is reached; its units are in excess of the share. */
+    EXCESS_FULL("beyond_share"),
+    /** The queue estimate of its node is too high for it. */
+    QUEUE_AT_NODE("held_back"),
+    /** Its node started lately and is in slow start. */
+    WARMING_UP("cold"),
+    /** Its node gives no answers. */
+    UNRESPONSIVE("silent"),
+    /** Its node is draining or removed. */
+    NOT_READY("not_ready"),
+    /** No listed node holds its cell. */
+    NO_NODE("no_node"),
     /** The endpoint list is too old to be relied on. */
-    NO_LEASE,
-    /** The volume's limit, the budget of further attempts, or the order of its key. */
-    LIMIT,
-    BUDGET,
-    ORDER,
-    /** There is room, and somebody who ranks before it takes it. */
-    RANKS_LATER,
-    /**
-     * Given up: it would miss its target time, its patience ends, or no further attempt is allowed.
-     */
-    LATE,
-    PATIENCE,
-    NO_FURTHER_HOP,
-    /** Given up without a promise: it may have run, and must not run again. */
-    MAY_HAVE_RUN
+    NO_LEASE("no_lease"),
+    /** The volume's rate limit. */
+    LIMIT("limit"),
+    /** The retry budget is spent. */
+    RETRY_BUDGET("budget"),
+    /** An earlier operation of the same key has not ended. */
+    KEY_ORDER("order"),
+    /** There is capacity, and an operation of higher priority takes it. */
+    LOWER_PRIORITY("ranks_later"),
+    /** Rejected: it would miss its latency objective. */
+    OBJECTIVE_MISSED("late"),
+    /** Rejected: its deadline is reached. */
+    DEADLINE("patience"),
+    /** Rejected: no retry is allowed. */
+    NO_RETRY("no_further_hop"),
+    /** Abandoned: it may have been executed, and must not be executed again. */
+    MAY_HAVE_EXECUTED("may_have_run");
+
+    private final String externalName;
+
+    Reason(String externalName) {
+        this.externalName = externalName;
+    }
+
+    @Override
+    public String externalName() {
+        return externalName;
+    }
 }
--- a/src/main/java/sagepulley/model/RoutingDecision.java
+++ b/src/main/java/sagepulley/model/RoutingDecision.java
@@ -5,25 +5,26 @@
  * milliseconds, an advice how long the client should stay away (0 for none). A reason says why it
  * was given up.
  */
-public record RoutingDecision(Kind kind, Node node, double timeout, double advice, Reason reason) {
+public record RoutingDecision(
+        Kind kind, Node node, double timeout, double retryAfter, Reason reason) {
     /** What the answer says. */
     public enum Kind {
         SEND,
         WAIT,
-        DECLINE,
-        SCRAP
+        REJECT,
+        ABANDON
     }
 
     public static final RoutingDecision NOT_YET =
             new RoutingDecision(Kind.WAIT, null, 0, 0, Reason.NONE);
-    public static final RoutingDecision SCRAPPED =
-            new RoutingDecision(Kind.SCRAP, null, 0, 0, Reason.MAY_HAVE_RUN);
+    public static final RoutingDecision ABANDONED =
+            new RoutingDecision(Kind.ABANDON, null, 0, 0, Reason.MAY_HAVE_EXECUTED);
 
     public static RoutingDecision send(Node node, double timeout) {
         return new RoutingDecision(Kind.SEND, node, timeout, 0, Reason.NONE);
     }
 
-    public static RoutingDecision decline(double advice, Reason reason) {
-        return new RoutingDecision(Kind.DECLINE, null, 0, advice, reason);
+    public static RoutingDecision reject(double advice, Reason reason) {
+        return new RoutingDecision(Kind.REJECT, null, 0, advice, reason);
     }
 }
--- a/src/main/java/sagepulley/model/SchedulerTurn.java
+++ b/src/main/java/sagepulley/model/SchedulerTurn.java
@@ -7,11 +7,11 @@
  * probed, attempts to be called off, and a call to the list of nodes.
  */
 public record SchedulerTurn(
-        double length,
+        double delay,
         List<Operation> due,
-        List<Node> probes,
-        List<Attempt> callOff,
-        EndpointPoll call) {
+        List<Node> healthChecks,
+        List<Attempt> cancellations,
+        EndpointPoll poll) {
     /** A call to the service that keeps the list of nodes. */
     public enum EndpointPoll {
         NONE,
--- a/src/main/java/sagepulley/model/ServicePolicy.java
+++ b/src/main/java/sagepulley/model/ServicePolicy.java
@@ -7,20 +7,20 @@
 public record ServicePolicy(
         double answerGrace,
         double drainGrace,
-        double coldShare,
-        double coldTime,
-        double fallMultiple,
-        double fallTime,
-        double coldUnits,
-        double keyRest,
-        double budgetFree,
-        double budgetShare,
-        double budgetWindow,
-        int mostAttempts,
-        boolean secondCopies) {
+        double slowStartShare,
+        double slowStartTime,
+        double overloadMultiple,
+        double overloadWindow,
+        double slowStartUnits,
+        double keyIdleTime,
+        double retryBudgetFloor,
+        double retryBudgetRatio,
+        double retryBudgetWindow,
+        int maxAttempts,
+        boolean hedgingAllowed) {
 
     /** Whether further attempts are rationed here. */
-    public boolean hasBudget() {
-        return !Double.isNaN(budgetWindow);
+    public boolean hasRetryBudget() {
+        return !Double.isNaN(retryBudgetWindow);
     }
 }
--- a/src/main/java/sagepulley/model/SlidingWindowCounter.java
+++ b/src/main/java/sagepulley/model/SlidingWindowCounter.java
@@ -23,7 +23,7 @@
     }
 
     /** Everything of the window and up to one bucket more. */
-    public double sumOver(double now) {
+    public double sumOverestimate(double now) {
         turn(now);
         double sum = 0;
         for (double part : sums) {
@@ -33,8 +33,8 @@
     }
 
     /** Nothing older than the window, and up to one bucket less than it. */
-    public double sumWithin(double now) {
-        return sumOver(now) - sums[slot(newest + 1)];
+    public double sumUnderestimate(double now) {
+        return sumOverestimate(now) - sums[slot(newest + 1)];
     }
 
     private void turn(double now) {
--- a/src/main/java/sagepulley/model/TenantPlan.java
+++ b/src/main/java/sagepulley/model/TenantPlan.java
@@ -5,7 +5,7 @@
         int index,
         String name,
         double rate,
-        double reserve,
+        double reservation,
         double weight,
         double price,
         double limit,
--- a/src/main/java/sagepulley/model/TrafficClass.java
+++ b/src/main/java/sagepulley/model/TrafficClass.java
@@ -7,22 +7,22 @@
 public record TrafficClass(
         int index,
         String name,
-        Idempotency repeat,
-        DeduplicationScope group,
-        double groupMemory,
-        boolean inOrder,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        double deduplicationWindow,
+        boolean ordered,
         boolean writes,
-        double targetTime,
-        double targetStretch,
-        double patience,
-        double utility,
-        double lateShare) {
+        double latencyObjective,
+        double objectiveStretch,
+        double deadline,
+        double priorityWeight,
+        double lateWeightFraction) {
 
     /** Whether an operation of the band may run a second time. */
     public enum Idempotency {
         IDEMPOTENT,
         DEDUPLICATED,
-        UNREPEATABLE
+        NON_IDEMPOTENT
     }
 
     /** The nodes that drop each other's repeats of a deduplicated operation. */
--- a/src/main/java/sagepulley/model/Volume.java
+++ b/src/main/java/sagepulley/model/Volume.java
@@ -6,10 +6,10 @@
     public final TenantPlan plan;
 
     /** Through how many gateways its operations come, as the latest operation told. */
-    public int gateways = 1;
+    public int gatewayCount = 1;
 
     /** Whatever the decision module keeps with the volume; nobody else reads it. */
-    public Object kept;
+    public Object schedulerState;
 
     public Volume(long id, TenantPlan plan) {
         this.id = id;
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -13,7 +13,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ArrayBlockingQueue;
@@ -33,6 +32,7 @@
 import sagepulley.config.SiteConfig;
 import sagepulley.config.VolumeSettings;
 import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.model.ExternalName;
 import sagepulley.persistence.GatewayAccounts;
 
 /**
@@ -289,7 +289,7 @@
             ToDoubleFunction<Totals> figure) {
         FunctionCounter.builder(metric, this, watch -> figure.applyAsDouble(watch.totals))
                 .description(what)
-                .tags(Tags.of(label, word.name().toLowerCase(Locale.ROOT)))
+                .tags(Tags.of(label, ExternalName.of(word)))
                 .register(registry);
     }
 
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/platform/BlockCommand.java
@@ -52,7 +52,7 @@
         this.plan = plan(need(fields, "t"), deployment);
         this.patience = number(need(fields, "d"), "d", LONGEST_PATIENCE);
         this.volume = hex(need(fields, "volume"), "volume");
-        this.units = number(need(fields, "units"), "units", deployment.mostUnits());
+        this.units = number(need(fields, "units"), "units", deployment.maxUnits());
         this.shard = shard(need(fields, "shard"), deployment.shards());
         this.gateways = (int) number(need(fields, "hosts"), "hosts", 1e6);
         this.repeat = "1".equals(fields.get("r"));
@@ -172,7 +172,7 @@
 
     private static TrafficClass band(String name, Deployment deployment)
             throws BadCommandException {
-        for (TrafficClass band : deployment.bands()) {
+        for (TrafficClass band : deployment.trafficClasses()) {
             if (band.name().equals(name)) {
                 return band;
             }
--- a/src/main/java/sagepulley/platform/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/platform/EndpointConnectionPool.java
@@ -166,7 +166,7 @@
     void callOff(Attempt attempt) {
         Link link = out.get(attempt);
         if (link != null) {
-            link.end(Outcome.CALLED_OFF);
+            link.end(Outcome.CANCELLED);
         }
     }
 
@@ -174,7 +174,7 @@
     void callOffUnwritten(Attempt attempt) {
         Link link = out.get(attempt);
         if (link != null && !link.written) {
-            link.end(Outcome.CALLED_OFF);
+            link.end(Outcome.CANCELLED);
         }
     }
 
@@ -308,7 +308,7 @@
             double left = until - clock.getAsDouble();
             List<byte[]> words = left < LEAST_LEFT ? null : command.words(left);
             if (words == null) {
-                end(left < LEAST_LEFT ? Outcome.NO_CONNECTION : Outcome.MOOT);
+                end(left < LEAST_LEFT ? Outcome.NO_CONNECTION : Outcome.NOT_EXECUTED);
                 return;
             }
             channel.writeAndFlush(RespBytes.command(words))
@@ -385,7 +385,7 @@
 
         private void stoppedInside() {
             spoilt("stopped inside");
-            end(Outcome.FAULT);
+            end(Outcome.FAILED);
         }
 
         /** Whoever has begun to answer is not silent. */
@@ -408,13 +408,13 @@
                     && array.items().size() == MOST_ITEMS
                     && array.items().get(0) instanceof Resp.Bulk value
                     && !value.isNull()) {
-                return Outcome.SATISFIED;
+                return Outcome.SERVED;
             }
             if (answer instanceof Resp.Line line && line.isError()) {
-                return line.text().startsWith("BUSY") ? Outcome.FULL : Outcome.FAULT;
+                return line.text().startsWith("BUSY") ? Outcome.REJECTED : Outcome.FAILED;
             }
             spoilt("is no answer");
-            return Outcome.FAULT;
+            return Outcome.FAILED;
         }
 
         /** Counted by kind, of which there are only as many as the codec has sentences. */
@@ -431,7 +431,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof DecoderException) {
                 spoilt("cannot be read: " + cause.getMessage());
-                end(Outcome.FAULT);
+                end(Outcome.FAILED);
             } else {
                 broken();
             }
--- a/src/main/java/sagepulley/platform/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/platform/EndpointListUpdate.java
@@ -69,7 +69,7 @@
                 switch (String.valueOf(fields.get("phase")).toUpperCase(Locale.ROOT)) {
                     case "SERVING" -> Node.Phase.READY;
                     case "DRAINING" -> Node.Phase.DRAINING;
-                    case "DELETED" -> Node.Phase.GONE;
+                    case "DELETED" -> Node.Phase.REMOVED;
                     default -> null;
                 };
         InetSocketAddress address =
@@ -79,7 +79,7 @@
         }
         // What has gone needs no address any more.
         boolean placed = address != null && fields.get("cell") instanceof Number;
-        if (!placed && standing != Node.Phase.GONE) {
+        if (!placed && standing != Node.Phase.REMOVED) {
             return null;
         }
         return new Member(
--- a/src/main/java/sagepulley/platform/EndpointRegistry.java
+++ b/src/main/java/sagepulley/platform/EndpointRegistry.java
@@ -33,7 +33,7 @@
         return listing.members().stream()
                 .filter(
                         member ->
-                                member.standing() != Node.Phase.GONE
+                                member.standing() != Node.Phase.REMOVED
                                         || numbers.containsKey(member.id()))
                 .map(this::entry)
                 .toList();
@@ -45,7 +45,7 @@
         for (EndpointListUpdate.Member member : listing.members()) {
             Integer number = numbers.get(member.id());
             Node node = number == null ? null : known.apply(number);
-            Object before = node == null ? "unknown" : node.standing;
+            Object before = node == null ? "unknown" : node.phase;
             if (before != member.standing()) {
                 changes.add(member.id() + ":" + before + "->" + member.standing());
             }
--- a/src/main/java/sagepulley/platform/EndpointResponse.java
+++ b/src/main/java/sagepulley/platform/EndpointResponse.java
@@ -37,11 +37,11 @@
     private static void use(Attempt attempt, String text) {
         double used = figure(text, "used");
         if (used >= 0) {
-            attempt.usedPercent = used;
+            attempt.planUsagePercent = used;
         }
         double cost = figure(text, "cost");
         if (cost >= 0) {
-            attempt.othersUnits = cost;
+            attempt.otherGatewaysUnits = cost;
         }
     }
 
--- a/src/main/java/sagepulley/platform/GatewayMetrics.java
+++ b/src/main/java/sagepulley/platform/GatewayMetrics.java
@@ -31,7 +31,7 @@
     }
 
     void satisfied(Operation operation, double now) {
-        if (now - operation.arrivedAt <= operation.band.targetTime()) {
+        if (now - operation.arrivedAt <= operation.trafficClass.latencyObjective()) {
             onTime++;
         } else {
             late++;
--- a/src/main/java/sagepulley/platform/GatewayServer.java
+++ b/src/main/java/sagepulley/platform/GatewayServer.java
@@ -59,13 +59,13 @@
     /** Each with its target time and patience. */
     private static String bands(Config config) {
         StringBuilder all = new StringBuilder();
-        for (TrafficClass band : config.deployment().bands()) {
+        for (TrafficClass band : config.deployment().trafficClasses()) {
             all.append(all.isEmpty() ? "" : ",")
                     .append(band.name())
                     .append(':')
-                    .append(band.targetTime())
+                    .append(band.latencyObjective())
                     .append('/')
-                    .append(band.patience());
+                    .append(band.deadline());
         }
         return all.toString();
     }
--- a/src/main/java/sagepulley/platform/RespGateway.java
+++ b/src/main/java/sagepulley/platform/RespGateway.java
@@ -27,7 +27,7 @@
 
 /**
  * One gateway on the platform: clients, nodes and discovery on one event loop, round the host of
- * Control. It tells the host what happens and carries out what comes back.
+ * Scheduler. It tells the host what happens and carries out what comes back.
  */
 final class RespGateway implements DecisionSink, ClientConnection.Owner, DiscoveryClient.Owner {
     private static final long SWEEP_MS = 200;
@@ -136,15 +136,15 @@
     }
 
     private static double shortestTarget(Config config) {
-        return config.deployment().bands().stream()
-                .mapToDouble(TrafficClass::targetTime)
+        return config.deployment().trafficClasses().stream()
+                .mapToDouble(TrafficClass::latencyObjective)
                 .min()
                 .orElse(0);
     }
 
     private static double longestPatience(Config config) {
-        return config.deployment().bands().stream()
-                .mapToDouble(TrafficClass::patience)
+        return config.deployment().trafficClasses().stream()
+                .mapToDouble(TrafficClass::deadline)
                 .max()
                 .orElse(0);
     }
@@ -225,7 +225,7 @@
             return;
         }
         if (bytesInHand + command.bytes() > mostBytes
-                || host.inHand().size() >= config.mostOpen()) {
+                || host.inFlight().size() >= config.mostOpen()) {
             counts.noRoom++;
             events.line("request refused", "id", NumberParser.id(command.id), "why", "NO_ROOM");
             slot.answer(RespBytes.error("BUSY"));
@@ -234,7 +234,7 @@
         bytesInHand += command.bytes();
         counts.taken++;
         Volume volume = host.volume(command.volume, command.plan.index());
-        volume.gateways = command.gateways;
+        volume.gatewayCount = command.gateways;
         double cameAt = now - connection.cameAgo(arrival);
         double deadline = Math.min(cameAt + command.patience, Math.max(now + 1, stopAt));
         Operation operation =
@@ -248,9 +248,9 @@
                         cameAt,
                         deadline,
                         command.repeat);
-        operation.held = new Held(command, slot);
+        operation.engineState = new Held(command, slot);
         slot.held = operation;
-        host.arrived(operation);
+        host.onArrival(operation);
         settle();
     }
 
@@ -260,7 +260,7 @@
         slot.held = null;
         counts.left++;
         release(operation);
-        host.left(operation.id, clock.now());
+        host.onClientCancelled(operation.id, clock.now());
         operation.attempts.forEach(nodes::callOffUnwritten);
         settle();
     }
@@ -282,25 +282,25 @@
     }
 
     @Override
-    public void giveUp(Operation operation, RoutingDecision placement) {
-        boolean declined = placement.kind() == RoutingDecision.Kind.DECLINE;
+    public void endUnserved(Operation operation, RoutingDecision placement) {
+        boolean declined = placement.kind() == RoutingDecision.Kind.REJECT;
         events.line(
                 declined ? "request refused" : "request failed",
                 "id",
                 NumberParser.id(operation.id),
                 "band",
-                operation.band.name(),
+                operation.trafficClass.name(),
                 "why",
                 placement.reason(),
                 "after-ms",
                 Math.round(clock.now() - operation.arrivedAt),
                 "attempts",
                 attempts(operation));
-        counts.gaveUp(operation.band, placement.reason());
+        counts.gaveUp(operation.trafficClass, placement.reason());
         if (!declined) {
             answer(operation, RespBytes.error("ERR failed"));
-        } else if (placement.advice() > 0) {
-            answer(operation, RespBytes.error("BUSY " + (long) Math.ceil(placement.advice())));
+        } else if (placement.retryAfter() > 0) {
+            answer(operation, RespBytes.error("BUSY " + (long) Math.ceil(placement.retryAfter())));
         } else {
             answer(operation, RespBytes.error("BUSY"));
         }
@@ -325,8 +325,8 @@
     }
 
     private Held release(Operation operation) {
-        Held held = (Held) operation.held;
-        operation.held = null;
+        Held held = (Held) operation.engineState;
+        operation.engineState = null;
         bytesInHand -= held.command().bytes();
         return held;
     }
@@ -345,11 +345,11 @@
                     attempts(attempt.operation));
         }
         SocketAddress address = book.address(attempt.node);
-        BlockCommand command = ((Held) attempt.operation.held).command();
+        BlockCommand command = ((Held) attempt.operation.engineState).command();
         nodes.send(
                 attempt,
                 address,
-                left -> host.mayBegin(attempt, clock.now()) ? command.forNode(left) : null,
+                left -> host.mayStart(attempt, clock.now()) ? command.forNode(left) : null,
                 timeout,
                 (outcome, answer, at) -> attemptEnded(attempt, outcome, answer, at));
     }
@@ -357,27 +357,27 @@
     private void attemptEnded(Attempt attempt, Outcome outcome, Resp answer, double at) {
         double now = clock.now();
         attempt.outcome = outcome;
-        attempt.took = at - attempt.sentAt;
+        attempt.duration = at - attempt.sentAt;
         counts.ended(outcome, attempt.node);
         EndpointResponse.tell(attempt, answer, config.deployment().reportFields());
-        boolean settled = attempt.operation.over;
-        if (outcome == Outcome.SATISFIED && !settled) {
+        boolean settled = attempt.operation.ended;
+        if (outcome == Outcome.SERVED && !settled) {
             settled = true;
             counts.satisfied(attempt.operation, now);
-            attempt.operation.over = true;
+            attempt.operation.ended = true;
             answer(attempt.operation, RespBytes.bulk(EndpointResponse.value(answer)));
         }
-        host.ended(attempt, settled, now);
+        host.onAttemptEnded(attempt, settled, now);
         settle();
     }
 
     @Override
-    public void callOff(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         nodes.callOff(attempt);
     }
 
     @Override
-    public void probe(Node node) {
+    public void checkHealth(Node node) {
         boolean load = !config.deployment().reportFields().isEmpty();
         List<byte[]> words =
                 (load ? List.of("INFO", "load") : List.of("PING"))
@@ -396,9 +396,9 @@
                                     ? EndpointResponse.report(
                                             bulk, config.deployment().reportFields())
                                     : null;
-                    host.probed(
+                    host.onHealthCheck(
                             node.id,
-                            well ? Outcome.SATISFIED : outcome,
+                            well ? Outcome.SERVED : outcome,
                             at - sentAt,
                             report,
                             clock.now());
@@ -409,12 +409,12 @@
     // ---- discovery ----
 
     @Override
-    public void subscribe() {
+    public void openWatch() {
         discovery.subscribe();
     }
 
     @Override
-    public void fetch() {
+    public void pollEndpointList() {
         discovery.fetch();
     }
 
@@ -435,26 +435,27 @@
         for (String entry : listing.unreadable()) {
             LogWriter.warn("an entry of the list cannot be read", "entry", entry);
         }
-        host.listed(book.entries(listing), listing.whole(), clock.now()).forEach(book::forget);
+        host.onEndpointList(book.entries(listing), listing.whole(), clock.now())
+                .forEach(book::forget);
         settle();
     }
 
     @Override
     public void listConfirmed(double asOf) {
-        host.listConfirmed(asOf);
+        host.onListConfirmed(asOf);
         firstList.complete(null);
         settle();
     }
 
     @Override
     public void discoveryUnreachable(double at) {
-        host.discoveryUnreachable(at);
+        host.onDiscoveryUnreachable(at);
     }
 
     @Override
     public void listFailed(String why) {
         LogWriter.warn("the list of nodes failed", "why", why);
-        host.listFailed(clock.now());
+        host.onPollFailed(clock.now());
         settle();
     }
 
@@ -473,11 +474,11 @@
     }
 
     private void settleNow() {
-        host.settle(clock.now());
+        host.runDueWork(clock.now());
     }
 
     @Override
-    public void wakeIn(double pause, double now) {
+    public void scheduleWakeUp(double pause, double now) {
         alarm.by(now + pause);
     }
 
@@ -489,7 +490,7 @@
         nodes.sweep();
         checkEnd();
         double now = clock.now();
-        counts.waits(host.waiting(now));
+        counts.waits(host.waitingByReason(now));
     }
 
     private void report() {
@@ -497,7 +498,7 @@
         LogWriter.info(
                 "state",
                 "in-hand",
-                host.inHand().size(),
+                host.inFlight().size(),
                 "bytes",
                 bytesInHand,
                 "hops-out",
@@ -529,17 +530,17 @@
                 "counts",
                 counts,
                 "bands",
-                host.bands());
+                host.trafficClassViews());
         worstLag = 0;
         for (Node node : host.nodes()) {
             Map<Outcome, Integer> ended = counts.lately(node);
-            if (node.standing != Node.Phase.GONE || !ended.isEmpty()) {
+            if (node.phase != Node.Phase.REMOVED || !ended.isEmpty()) {
                 LogWriter.info(
                         "node",
                         "id",
                         book.name(node),
                         "standing",
-                        node.standing,
+                        node.phase,
                         "cell",
                         node.cell,
                         "view",
@@ -574,7 +575,7 @@
                             "a new configuration is told",
                             "ago-ms",
                             Math.round(clock.now() - toldAt));
-                    host.reloadTold(toldAt);
+                    host.onReloadNotified(toldAt);
                 });
     }
 
@@ -592,9 +593,9 @@
                             "after-ms",
                             Math.round(clock.now() - readAt));
                     boolean moved = discovery.moveTo(fresh.discovery());
-                    host.reloadRead(readAt);
+                    host.onConfigurationRead(readAt);
                     if (moved) {
-                        host.listMoved(clock.now());
+                        host.onDiscoveryMoved(clock.now());
                         settle();
                     }
                     reloads++;
@@ -603,7 +604,7 @@
 
     /** The file was read, beginning at a time, and cannot be used: all stays as it was. */
     void reloadUnusable(double readAt) {
-        loop.execute(() -> host.reloadRead(readAt));
+        loop.execute(() -> host.onConfigurationRead(readAt));
     }
 
     /** Goes on serving while clients still come, then answers what it has and ends. */
@@ -626,7 +627,7 @@
                     stopAt = toldAt + left;
                     double now = clock.now();
                     front.keepUnused();
-                    LogWriter.info("stopping", "in-hand", host.inHand().size());
+                    LogWriter.info("stopping", "in-hand", host.inFlight().size());
                     loop.schedule(
                             () -> {
                                 front.end();
@@ -640,8 +641,8 @@
 
     /** The time is up: whatever is still in hand gets the answer that promises nothing. */
     private void giveUpAll() {
-        for (Operation operation : new ArrayList<>(host.inHand())) {
-            if (operation.held != null) {
+        for (Operation operation : new ArrayList<>(host.inFlight())) {
+            if (operation.engineState != null) {
                 events.line(
                         "request failed",
                         "id",
@@ -651,7 +652,7 @@
                         "attempts",
                         attempts(operation));
                 answer(operation, RespBytes.error("ERR the gateway stops"));
-                host.left(operation.id, clock.now());
+                host.onClientCancelled(operation.id, clock.now());
             }
         }
         loop.schedule(this::finish, SWEEP_MS / 2, TimeUnit.MILLISECONDS);
@@ -667,7 +668,7 @@
     void finish() {
         loop.execute(
                 () -> {
-                    LogWriter.info("stopped", "in-hand", host.inHand().size(), "counts", counts);
+                    LogWriter.info("stopped", "in-hand", host.inFlight().size(), "counts", counts);
                     front.end();
                     discovery.close();
                     nodes.close();
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -269,7 +269,11 @@
         AtomicLong open = new AtomicLong();
         SplittableRandom chance = new SplittableRandom(seed);
         double target =
-                SiteConfig.read("site", sites.get(0)).deployment().bands().get(0).targetTime()
+                SiteConfig.read("site", sites.get(0))
+                                .deployment()
+                                .trafficClasses()
+                                .get(0)
+                                .latencyObjective()
                         * 1e6;
         Set<Long> lost = new HashSet<>();
         long end = System.nanoTime() + SERVED_MS * 1_000_000;
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -90,7 +90,7 @@
         int owed = 0;
         Map<String, List<SocketEventLog.Asked>> byExtent = new HashMap<>();
         for (SocketEventLog.Asked asked : notes.asked) {
-            double patience = site.deployment().bands().get(asked.band).patience();
+            double patience = site.deployment().trafficClasses().get(asked.band).deadline();
             for (long extent = asked.offset / site.extentBytes();
                     extent <= (asked.offset + asked.length - 1) / site.extentBytes();
                     extent++) {
@@ -112,7 +112,7 @@
                                 + asked.offset);
             } else {
                 least = Math.min(least, patience - took);
-                if (took > patience + site.deployment().rules().answerGrace() + allowance) {
+                if (took > patience + site.deployment().policy().answerGrace() + allowance) {
                     findings.breach("answered after " + round(took) + " ms of " + round(patience));
                 }
             }
@@ -167,7 +167,8 @@
         for (SocketEventLog.Ran ran : notes.ran) {
             Op op = new Op(ran.gateway(), ran.send().mark());
             int count = runs.merge(op, 1, Integer::sum);
-            if (count > 1 && band(ran.send()).repeat() != TrafficClass.Idempotency.IDEMPOTENT) {
+            if (count > 1
+                    && band(ran.send()).idempotency() != TrafficClass.Idempotency.IDEMPOTENT) {
                 findings.breach(
                         "operation "
                                 + op.mark()
@@ -204,13 +205,13 @@
         if (neverRan) {
             return;
         }
-        if (band.repeat() == TrafficClass.Idempotency.UNREPEATABLE) {
+        if (band.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
             findings.breach(
                     "unrepeatable operation "
                             + op.mark()
                             + " was sent again though it may have run");
-        } else if (band.repeat() == TrafficClass.Idempotency.DEDUPLICATED
-                && band.group() == TrafficClass.DeduplicationScope.CELL
+        } else if (band.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
+                && band.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
                 && before.node() != came.node()) {
             findings.breach("deduplicated operation " + op.mark() + " was sent to another cell");
         }
@@ -222,7 +223,7 @@
                                                 off.number() == before.send().number()
                                                         && off.at() <= came.at() + allowance * NS)
                         || linkEnded(before, came.at());
-        if (!over && !site.deployment().rules().secondCopies()) {
+        if (!over && !site.deployment().policy().hedgingAllowed()) {
             findings.breach("two hops of operation " + op.mark() + " were out at once");
         }
     }
@@ -259,7 +260,7 @@
     }
 
     private TrafficClass band(StoreMessages.Send send) {
-        return site.deployment().bands().get(send.band());
+        return site.deployment().trafficClasses().get(send.band());
     }
 
     // ---- 3: drains ----
@@ -273,7 +274,7 @@
         notes.came.forEach(came -> all.add(new Object[] {came.at(), came}));
         all.sort(Comparator.comparingLong(one -> (long) one[0]));
         double latest = Double.NEGATIVE_INFINITY;
-        double grace = site.deployment().rules().drainGrace();
+        double grace = site.deployment().policy().drainGrace();
         for (Object[] one : all) {
             if (one[1] instanceof SocketEventLog.Told told) {
                 Map<Integer, Long> gone =
@@ -322,7 +323,7 @@
 
     private RuleVerdict cold() {
         Findings findings = new Findings();
-        ServicePolicy rules = site.deployment().rules();
+        ServicePolicy rules = site.deployment().policy();
         double most = 0;
         for (SocketEventLog.Started start : notes.started) {
             if (Double.isNaN(start.unitsPerSecond()) || Double.isInfinite(start.unitsPerSecond())) {
@@ -337,12 +338,12 @@
             double units = 0;
             for (SocketEventLog.Came came : notes.came) {
                 double age = (came.at() - start.at()) / NS;
-                if (came.node() != start.node() || age < 0 || age > rules.coldTime()) {
+                if (came.node() != start.node() || age < 0 || age > rules.slowStartTime()) {
                     continue;
                 }
                 window.add(came);
                 units += came.send().units();
-                while ((came.at() - window.peek().at()) / NS > rules.fallTime()) {
+                while ((came.at() - window.peek().at()) / NS > rules.overloadWindow()) {
                     units -= window.poll().send().units();
                 }
                 double warm =
@@ -351,11 +352,11 @@
                                 node.coldShare() + (1 - node.coldShare()) * age / node.coldTime());
                 double borne =
                         Math.max(
-                                rules.coldUnits(),
-                                rules.fallMultiple()
+                                rules.slowStartUnits(),
+                                rules.overloadMultiple()
                                         * warm
                                         * start.unitsPerSecond()
-                                        * rules.fallTime()
+                                        * rules.overloadWindow()
                                         / 1000);
                 most = Math.max(most, units / borne);
             }
@@ -377,7 +378,7 @@
         int ordered = 0;
         for (Map.Entry<Op, List<SocketEventLog.Came>> entry : attempts.entrySet()) {
             StoreMessages.Send send = entry.getValue().get(0).send();
-            if (band(send).inOrder()) {
+            if (band(send).ordered()) {
                 ordered++;
                 byKey.computeIfAbsent(
                                 key(entry.getKey().gateway(), send.volume(), send.extent()),
@@ -417,9 +418,9 @@
 
     private RuleVerdict budget() {
         Findings findings = new Findings();
-        ServicePolicy rules = site.deployment().rules();
+        ServicePolicy rules = site.deployment().policy();
         double most = 0;
-        if (rules.hasBudget()) {
+        if (rules.hasRetryBudget()) {
             for (SocketEventLog.Life life : notes.lives) {
                 List<Long> taken = new ArrayList<>();
                 for (SocketEventLog.Asked asked : notes.asked) {
@@ -442,18 +443,22 @@
                                 .map(SocketEventLog.Came::at)
                                 .sorted()
                                 .toList();
-                double window = (rules.budgetWindow() + allowance) * NS;
+                double window = (rules.retryBudgetWindow() + allowance) * NS;
                 for (long at : further) {
                     long attemptsIn =
                             further.stream()
                                     .filter(
                                             one ->
                                                     one <= at
-                                                            && one > at - rules.budgetWindow() * NS)
+                                                            && one
+                                                                    > at
+                                                                            - rules
+                                                                                            .retryBudgetWindow()
+                                                                                    * NS)
                                     .count();
                     long takenIn =
                             taken.stream().filter(one -> one <= at && one > at - window).count();
-                    double allowed = rules.budgetFree() + rules.budgetShare() * takenIn;
+                    double allowed = rules.retryBudgetFloor() + rules.retryBudgetRatio() * takenIn;
                     most = Math.max(most, attemptsIn / Math.max(1e-9, allowed));
                     if (attemptsIn > allowed) {
                         findings.breach(
@@ -469,7 +474,9 @@
         }
         return findings.verdict(
                 "6 budget kept",
-                rules.hasBudget() ? "at most " + round(100 * most) + " % of it" : "none is stated",
+                rules.hasRetryBudget()
+                        ? "at most " + round(100 * most) + " % of it"
+                        : "none is stated",
                 "100 %");
     }
 
@@ -535,15 +542,15 @@
             double got = 0;
             for (SocketEventLog.Asked asked : notes.asked) {
                 if (asked.volume == volume.id()) {
-                    TrafficClass band = site.deployment().bands().get(asked.band);
-                    due += band.utility();
+                    TrafficClass band = site.deployment().trafficClasses().get(asked.band);
+                    due += band.priorityWeight();
                     boolean good = asked.replies == 1 && asked.error == 0;
                     got +=
                             !good
                                     ? 0
-                                    : (asked.ended - asked.sent) / NS <= band.targetTime()
-                                            ? band.utility()
-                                            : band.utility() * band.lateShare();
+                                    : (asked.ended - asked.sent) / NS <= band.latencyObjective()
+                                            ? band.priorityWeight()
+                                            : band.priorityWeight() * band.lateWeightFraction();
                 }
             }
             if (due > 0) {
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -98,7 +98,7 @@
     public Result run() throws SiteConfigException {
         List<NodeProfile> traits = new ArrayList<>();
         SiteConfig first = site(0, new InetSocketAddress("127.0.0.1", 1));
-        var rules = first.deployment().rules();
+        var rules = first.deployment().policy();
         Scenario.Nodes nodes = day.nodes();
         for (int i = 1; i <= nodes.count(); i++) {
             traits.add(
@@ -112,11 +112,11 @@
                             nodes.writeCost(),
                             nodes.queue(),
                             first.extentBytes(),
-                            rules.coldShare(),
-                            rules.coldTime(),
-                            rules.fallMultiple(),
-                            rules.fallTime(),
-                            rules.coldUnits(),
+                            rules.slowStartShare(),
+                            rules.slowStartTime(),
+                            rules.overloadMultiple(),
+                            rules.overloadWindow(),
+                            rules.slowStartUnits(),
                             nodes.deferredShare(),
                             nodes.deferEvery(),
                             null));
--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -22,14 +22,15 @@
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
                             (Operation operation) -> {
-                                QueuedRequest ticket = (QueuedRequest) operation.kept;
+                                QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
                                 return ticket.seat != null
                                         ? ticket.seat.index
                                         : operation.shard < 0
                                                 ? Integer.MAX_VALUE - 1
                                                 : Integer.MAX_VALUE;
                             })
-                    .thenComparingLong(operation -> ((QueuedRequest) operation.kept).turn);
+                    .thenComparingLong(
+                            operation -> ((QueuedRequest) operation.schedulerState).turn);
 
     private record Key(int band, double units) {
         @Override
@@ -90,7 +91,7 @@
         Operation operation = ticket.operation;
         Group kind =
                 kinds.computeIfAbsent(
-                        key(operation), any -> new Group(operation.band, operation.units));
+                        key(operation), any -> new Group(operation.trafficClass, operation.units));
         kind.byTarget.add(ticket);
         kind.byArrival.add(ticket);
         kind.byPatience.add(ticket);
@@ -112,6 +113,6 @@
     }
 
     private static Key key(Operation operation) {
-        return new Key(operation.band.index(), operation.units);
+        return new Key(operation.trafficClass.index(), operation.units);
     }
 }
--- a/src/main/java/sagepulley/scheduler/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/scheduler/DiscoverySchedule.java
@@ -49,9 +49,9 @@
      * as notified.
      */
     void started(double now) {
-        if (site.mustAsk()) {
-            double spread = Math.min(SPREAD_SHARE * site.askWithin(), LONGEST_SPREAD);
-            nextAt = now + site.me() * Math.min(STAGGER, spread / site.gateways());
+        if (site.mustPoll()) {
+            double spread = Math.min(SPREAD_SHARE * site.pollInterval(), LONGEST_SPREAD);
+            nextAt = now + site.gatewayIndex() * Math.min(STAGGER, spread / site.gatewayCount());
         }
     }
 
@@ -65,7 +65,7 @@
 
     /** A call failed, or the watch ended. */
     void failed(double now) {
-        if (site.mustAsk()) {
+        if (site.mustPoll()) {
             nextAt = now + gap * (0.5 + chance.nextDouble());
             gap = Math.min(gap * GAP_GROWTH, LONGEST_GAP);
         }
@@ -83,7 +83,7 @@
             return false;
         }
         asked = true;
-        nextAt = now + Math.max(site.askWithin() / 2, CALL_PATIENCE);
+        nextAt = now + Math.max(site.pollInterval() / 2, CALL_PATIENCE);
         return true;
     }
 
--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -3,12 +3,12 @@
 import java.util.Locale;
 import sagepulley.model.Node;
 
-/** What Control believes of a node, for whoever watches a gateway; nothing is decided by it. */
+/** What Scheduler believes of a node, for whoever watches a gateway; nothing is decided by it. */
 public record EndpointView(
         double bound, double crowd, int out, int waiting, boolean distrusted, double faults) {
     /** The view of a node that was listed. */
     public static EndpointView of(Node node) {
-        EndpointState seat = (EndpointState) node.kept;
+        EndpointState seat = (EndpointState) node.schedulerState;
         return new EndpointView(
                 seat.bound,
                 seat.crowd,
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -136,8 +136,8 @@
     private final Deployment site;
     private final ServicePolicy rules;
     private final RandomGenerator chance;
-    final TrafficClassStats[] rows;
-    final List<EndpointState> seats = new ArrayList<>();
+    final TrafficClassStats[] classStats;
+    final List<EndpointState> endpoints = new ArrayList<>();
 
     /**
      * The indexes of the seats at which an operation waits: with thousands of seats most have none.
@@ -173,7 +173,7 @@
 
     private double bornAt;
     private double servedUnits;
-    double ease = 1;
+    double admissionFactor = 1;
 
     /**
      * Of all volumes met: the weights, and the units a second that they are sized for beyond
@@ -198,16 +198,16 @@
 
     public Scheduler(Deployment site, long seed) {
         this.site = site;
-        this.rules = site.rules();
+        this.rules = site.policy();
         this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.rows = new TrafficClassStats[site.bands().size()];
-        for (TrafficClass band : site.bands()) {
-            rows[band.index()] = new TrafficClassStats();
+        this.classStats = new TrafficClassStats[site.trafficClasses().size()];
+        for (TrafficClass band : site.trafficClasses()) {
+            classStats[band.index()] = new TrafficClassStats();
         }
         this.lastCall = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, chance);
         this.lease = new EndpointLease(site.notifiedWithin(), rules.drainGrace());
-        double window = rules.hasBudget() ? rules.budgetWindow() : 1;
+        double window = rules.hasRetryBudget() ? rules.retryBudgetWindow() : 1;
         this.taken = new SlidingWindowCounter(window, 50);
         this.further = new SlidingWindowCounter(window, 50);
     }
@@ -215,31 +215,31 @@
     // ---- facts ----
 
     /** The list as it now stands; a node that left it is GONE. */
-    public void listed(List<Node> nodes, double now) {
+    public void onEndpointList(List<Node> nodes, double now) {
         for (Node node : nodes) {
-            EndpointState seat = (EndpointState) node.kept;
+            EndpointState seat = (EndpointState) node.schedulerState;
             if (seat == null) {
                 // Who is gone for good leaves its place: the seats stay as many as the fleet is
                 // wide.
                 EndpointState old =
-                        seats.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
+                        endpoints.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
                 seat =
                         new EndpointState(
-                                old == null ? seats.size() : old.index,
+                                old == null ? endpoints.size() : old.index,
                                 node,
                                 FIRST_BOUND,
                                 ArrivalWindow.over(OVERLOAD_WINDOW),
                                 new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
-                                new SlidingWindowCounter(rules.fallTime(), 20));
-                node.kept = seat;
+                                new SlidingWindowCounter(rules.overloadWindow(), 20));
+                node.schedulerState = seat;
                 seat.startedAt = possibleStart(node.startedAt, now);
                 if (old == null) {
-                    seats.add(seat);
+                    endpoints.add(seat);
                 } else {
-                    seats.set(old.index, seat);
+                    endpoints.set(old.index, seat);
                 }
                 // A node that turns up later has just started, whatever its line says of its start.
-                if (knowsList && node.startedAt < now - rules.coldTime()) {
+                if (knowsList && node.startedAt < now - rules.slowStartTime()) {
                     seat.startedAt = now;
                 }
             } else if (lease.isBounded()
@@ -251,7 +251,7 @@
             }
         }
         seatsByCell.clear();
-        for (EndpointState seat : seats) {
+        for (EndpointState seat : endpoints) {
             seatsByCell.computeIfAbsent(seat.node.cell, any -> new ArrayList<>(1)).add(seat);
         }
         state++;
@@ -266,8 +266,8 @@
         }
         // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
         queueAnew(homeless);
-        for (EndpointState seat : seats) {
-            if (seat.node.standing != Node.Phase.READY) {
+        for (EndpointState seat : endpoints) {
+            if (seat.node.phase != Node.Phase.READY) {
                 queueAnew(seat.waiting);
             }
         }
@@ -296,48 +296,49 @@
     }
 
     /** The list held is known to have been current at a time. */
-    public void listConfirmed(double asOf) {
+    public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
         state++;
         discovery.answered();
     }
 
     /** Nobody could reach discovery at a time. */
-    public void discoveryUnreachable(double at) {
+    public void onDiscoveryUnreachable(double at) {
         lease.unreachable(at);
     }
 
     /** A list call failed, or the subscription dropped. */
-    public void listFailed(double now) {
+    public void onPollFailed(double now) {
         discovery.failed(now);
     }
 
     /** A new configuration was told at a time, which may move discovery. */
-    public void reloadTold(double toldAt) {
+    public void onReloadNotified(double toldAt) {
         lease.reloadTold(toldAt);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
-    public void reloadRead(double readAt) {
+    public void onConfigurationRead(double readAt) {
         lease.reloadRead(readAt);
     }
 
     /** The list is kept elsewhere from now on, and nobody has been asked there. */
-    public void listMoved(double now) {
+    public void onDiscoveryMoved(double now) {
         discovery.moved(now);
     }
 
     /** What a probe found. */
-    public void probed(Node node, Outcome outcome, double took, double[] report, double now) {
+    public void onHealthCheck(
+            Node node, Outcome outcome, double took, double[] report, double now) {
         // No probe is asked for yet.
     }
 
     /** The client has left: nothing more is owed or sent, and work for nobody is called off. */
-    public void left(Operation operation, double now) {
+    public void onClientCancelled(Operation operation, double now) {
         forsake(operation);
         // Clients that leave before the target time set a shorter one: for what is late, and for
         // the queues.
-        TrafficClassStats row = rows[operation.band.index()];
+        TrafficClassStats row = classStats[operation.trafficClass.index()];
         double age = now - operation.arrivedAt;
         // Whoever leaves before an answer usually comes has reasons of its own, and tells nothing
         // of waiting.
@@ -346,7 +347,7 @@
             row.leftShare += LEFT_STEP * (1 - row.leftShare);
         }
         for (Attempt attempt : operation.attempts) {
-            if (attempt.outcome == null && site.mayCallOff()) {
+            if (attempt.outcome == null && site.mayCancel()) {
                 unwanted.add(attempt);
             }
         }
@@ -356,8 +357,8 @@
      * The cell of an operation's extent became known (-1: it is a new object) while it waits or is
      * out.
      */
-    public void found(Operation operation, int cell) {
-        boolean waits = ((QueuedRequest) operation.kept).waits;
+    public void onExtentLocated(Operation operation, int cell) {
+        boolean waits = ((QueuedRequest) operation.schedulerState).waits;
         dequeue(operation);
         operation.shard = cell;
         if (waits) {
@@ -366,16 +367,16 @@
     }
 
     /** The operation has ended without a node: there is nothing to read or to do. */
-    public void needless(Operation operation) {
+    public void onEndedWithoutNode(Operation operation) {
         drop(operation);
     }
 
     // ---- the three calls ----
 
     /** Where to send this operation, or not yet, or never. */
-    public RoutingDecision place(Operation operation, double now) {
+    public RoutingDecision route(Operation operation, double now) {
         QueuedRequest ticket = ticket(operation, now);
-        if (operation.over) {
+        if (operation.ended) {
             drop(operation);
             return RoutingDecision.NOT_YET;
         }
@@ -390,7 +391,7 @@
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
         EndpointState seat = mayAttempt ? turn(operation, now) : null;
-        if (seat != null && lawful(operation, seat, now)) {
+        if (seat != null && isAllowed(operation, seat, now)) {
             return send(operation, seat, now);
         }
         if (!mayAttempt || now >= operation.deadline - lastCall || lateAt(operation) <= now) {
@@ -400,28 +401,28 @@
     }
 
     /** What to do for the operation after this outcome. */
-    public FollowUp after(Attempt attempt, double now) {
+    public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
-        EndpointState seat = (EndpointState) attempt.node.kept;
+        EndpointState seat = (EndpointState) attempt.node.schedulerState;
         seat.out.remove(attempt);
         state++;
         learn(attempt, seat, now);
-        QueuedRequest ticket = (QueuedRequest) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
         if (ticket.line != null
                 && (attempt.outcome == Outcome.TIMED_OUT
                         || attempt.outcome == Outcome.RESET
-                        || attempt.outcome == Outcome.CALLED_OFF)) {
-            ticket.line.restsUntil = now + rules.keyRest();
+                        || attempt.outcome == Outcome.CANCELLED)) {
+            ticket.line.restsUntil = now + rules.keyIdleTime();
         }
-        if (operation.over) {
+        if (operation.ended) {
             drop(operation);
-            return FollowUp.NOTHING;
+            return FollowUp.NONE;
         }
-        return operation.isOut() ? FollowUp.NOTHING : FollowUp.PLACE_AGAIN;
+        return operation.isInFlight() ? FollowUp.NONE : FollowUp.ROUTE_AGAIN;
     }
 
     /** How long to wait before asking again, and what is due now. */
-    public SchedulerTurn pause(double now) {
+    public SchedulerTurn nextTurn(double now) {
         nextLook = Double.POSITIVE_INFINITY;
         state++;
         refresh(now);
@@ -430,7 +431,7 @@
         Operation newest = first(fresh, null, now);
         int at = 0;
         for (int i = waitingSeats.nextSetBit(0); i >= 0; i = waitingSeats.nextSetBit(i + 1)) {
-            EndpointState seat = seats.get(i);
+            EndpointState seat = endpoints.get(i);
             Operation next = pick(seat, now);
             if (next != null && goesFirst(next, newest, seat, now)) {
                 due.add(next);
@@ -458,7 +459,7 @@
     private List<Operation> overdue(double now) {
         List<Operation> late = new ArrayList<>(0);
         for (DeadlineIndex.Group kind : waits.kinds()) {
-            double early = LATE_FACTOR * (rows[kind.band.index()].meanPace * kind.units);
+            double early = LATE_FACTOR * (classStats[kind.band.index()].meanPace * kind.units);
             double target = target(kind.band);
             // Sorted by each of the three times that may end it: nobody is walked who is not
             // overdue.
@@ -485,7 +486,7 @@
             List<Operation> late, int at, EndpointState seat, List<Operation> due) {
         int next = at;
         while (next < late.size()
-                && (seat == null || ((QueuedRequest) late.get(next).kept).seat == seat)) {
+                && (seat == null || ((QueuedRequest) late.get(next).schedulerState).seat == seat)) {
             Operation operation = late.get(next++);
             if (!due.contains(operation)) {
                 due.add(operation);
@@ -500,16 +501,16 @@
 
     // ---- the rules: every send passes here ----
 
-    boolean lawful(Operation operation, EndpointState seat, double now) {
+    boolean isAllowed(Operation operation, EndpointState seat, double now) {
         // 1: one final answer, in time, and nothing after it.
-        if (operation.over || now >= operation.deadline - lastCall) {
+        if (operation.ended || now >= operation.deadline - lastCall) {
             return false;
         }
         // 3: nothing new to a node that drains or is gone, or may be without our knowing.
         if (!lease.holds(now)) {
             return false;
         }
-        if (seat.node.standing != Node.Phase.READY) {
+        if (seat.node.phase != Node.Phase.READY) {
             return false;
         }
         if (operation.shard >= 0 && operation.shard != seat.node.cell) {
@@ -519,19 +520,20 @@
         if (attempts > 0) {
             // 2: no effect twice.
             if (!mayRepeat(operation, seat.node, null, now)
-                    || attempts >= rules.mostAttempts()
-                    || !rules.secondCopies() && operation.isOut()) {
+                    || attempts >= rules.maxAttempts()
+                    || !rules.hedgingAllowed() && operation.isInFlight()) {
                 return false;
             }
             // 6: the budget of further attempts, counted against ourselves where a bucket is cut.
-            if (rules.hasBudget()
-                    && further.sumOver(now) + 1
-                            > rules.budgetFree() + rules.budgetShare() * taken.sumWithin(now)) {
+            if (rules.hasRetryBudget()
+                    && further.sumOverestimate(now) + 1
+                            > rules.retryBudgetFloor()
+                                    + rules.retryBudgetRatio() * taken.sumUnderestimate(now)) {
                 return false;
             }
         }
         // 4: a cold node is not pushed over.
-        if (!borne(operation, seat, now)) {
+        if (!fitsSlowStart(operation, seat, now)) {
             return false;
         }
         // 5: order by key.
@@ -539,40 +541,40 @@
             return false;
         }
         // 7: the volume's limit, of which this gateway spends its own part.
-        return attempts > 0 || operation.units <= limitRoom(operation.volume, now);
+        return attempts > 0 || operation.units <= limitRemaining(operation.volume, now);
     }
 
     /**
      * Whether an attempt sent a while ago, of which the node has seen nothing yet, may begin there
      * now.
      */
-    public boolean mayBegin(Attempt it, double now) {
-        return !it.operation.over
+    public boolean mayStart(Attempt it, double now) {
+        return !it.operation.ended
                 && now < it.operation.deadline - lastCall
                 && lease.holds(now)
-                && it.node.standing == Node.Phase.READY
+                && it.node.phase == Node.Phase.READY
                 && mayRepeat(it.operation, it.node, it, now);
     }
 
     private boolean mayRepeat(Operation operation, Node node, Attempt itself, double now) {
-        TrafficClass band = operation.band;
-        if (band.repeat() == TrafficClass.Idempotency.IDEMPOTENT) {
+        TrafficClass band = operation.trafficClass;
+        if (band.idempotency() == TrafficClass.Idempotency.IDEMPOTENT) {
             return true;
         }
         for (Attempt attempt : operation.attempts) {
-            if (attempt == itself || attempt.outcome != null && attempt.outcome.provesNotRun) {
+            if (attempt == itself || attempt.outcome != null && attempt.outcome.provesNotExecuted) {
                 continue;
             }
-            if (band.repeat() == TrafficClass.Idempotency.UNREPEATABLE) {
+            if (band.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
                 return false;
             }
             boolean same =
-                    switch (band.group()) {
+                    switch (band.deduplicationScope()) {
                         case ALL -> true;
                         case ZONE -> attempt.node.zone == node.zone;
                         case CELL -> attempt.node.cell == node.cell;
                     };
-            if (!same || now > attempt.sentAt + band.groupMemory() - lastCall) {
+            if (!same || now > attempt.sentAt + band.deduplicationWindow() - lastCall) {
                 return false;
             }
         }
@@ -581,14 +583,14 @@
 
     /** A decline promises that asking again does no harm. */
     private boolean mayDecline(Operation operation) {
-        TrafficClass band = operation.band;
-        if (band.repeat() == TrafficClass.Idempotency.IDEMPOTENT
-                || band.repeat() == TrafficClass.Idempotency.DEDUPLICATED
-                        && band.group() == TrafficClass.DeduplicationScope.ALL) {
+        TrafficClass band = operation.trafficClass;
+        if (band.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
+                || band.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
+                        && band.deduplicationScope() == TrafficClass.DeduplicationScope.ALL) {
             return true;
         }
         return operation.attempts.stream()
-                .allMatch(it -> it.outcome != null && it.outcome.provesNotRun);
+                .allMatch(it -> it.outcome != null && it.outcome.provesNotExecuted);
     }
 
     /**
@@ -599,33 +601,33 @@
      * wrong share may add. It needs no count of gateways, of what they sent or of what was sent
      * before our own start.
      */
-    boolean borne(Operation operation, EndpointState seat, double now) {
+    boolean fitsSlowStart(Operation operation, EndpointState seat, double now) {
         double age = now - seat.startedAt;
-        if (!(age < rules.coldTime())) {
+        if (!(age < rules.slowStartTime())) {
             return true;
         }
         double ramp =
-                rules.coldShare()
-                        + (1 - rules.coldShare())
-                                * Math.max(0, age - rules.fallTime())
-                                / rules.coldTime();
-        double part = Math.min(1, COLD_PART * rules.fallMultiple() * ramp);
-        if (((QueuedRequest) operation.kept).lot > part) {
+                rules.slowStartShare()
+                        + (1 - rules.slowStartShare())
+                                * Math.max(0, age - rules.overloadWindow())
+                                / rules.slowStartTime();
+        double part = Math.min(1, COLD_PART * rules.overloadMultiple() * ramp);
+        if (((QueuedRequest) operation.schedulerState).lot > part) {
             lookAt(now + COLD_LOOK);
             return false;
         }
         // A surge that looks inside its share, or many at once, must not follow the lot all the
         // way.
-        double windows = Math.max(1, (now - bornAt) / rules.fallTime());
-        double usual = servedUnits / windows / seats.size();
-        double spent = seat.coldSpent.sumOver(now);
+        double windows = Math.max(1, (now - bornAt) / rules.overloadWindow());
+        double usual = servedUnits / windows / endpoints.size();
+        double spent = seat.coldSpent.sumOverestimate(now);
         return operation.attempts.isEmpty()
-                && spent + operation.units <= Math.max(site.mostUnits(), COLD_BURST * part * usual)
-                && due(operation.volume, operation.units, seat, now) >= site.shareWorth();
+                && spent + operation.units <= Math.max(site.maxUnits(), COLD_BURST * part * usual)
+                && due(operation.volume, operation.units, seat, now) >= site.shareWeightFraction();
     }
 
     boolean isFirstOfKey(Operation operation, double now) {
-        KeyQueue line = ((QueuedRequest) operation.kept).line;
+        KeyQueue line = ((QueuedRequest) operation.schedulerState).line;
         if (line == null) {
             return true;
         }
@@ -639,13 +641,13 @@
         return true;
     }
 
-    double limitRoom(Volume volume, double now) {
+    double limitRemaining(Volume volume, double now) {
         double rate = volume.plan.limit();
         if (!(rate > 0)) {
             return Double.POSITIVE_INFINITY;
         }
         TenantUsage account = account(volume, now);
-        double parts = volume.gateways;
+        double parts = volume.gatewayCount;
         account.limit =
                 Math.min(
                         volume.plan.limitBurst() / parts,
@@ -675,7 +677,7 @@
             seat.placements.add(now, 1);
         }
         TenantUsage account = account(operation.volume, now);
-        attempt.owed = owed(operation, seat, now);
+        attempt.quotaTier = quotaTier(operation, seat, now);
         if (first) {
             if (operation.shard < 0) {
                 use(account, seat).asked.add(now, operation.units);
@@ -695,68 +697,71 @@
      * ended.
      */
     private double timeout(Operation operation, double now) {
-        TrafficClass band = operation.band;
-        double end = ((QueuedRequest) operation.kept).targetEnds;
+        TrafficClass band = operation.trafficClass;
+        double end = ((QueuedRequest) operation.schedulerState).targetEnds;
         // What is late already, or worth nearly as much when late, goes on for a while.
-        if (end <= now || band.lateShare() >= LATE_WORTH) {
-            end = Math.max(end, now) + LATE_GRACE * band.targetTime();
+        if (end <= now || band.lateWeightFraction() >= LATE_WORTH) {
+            end = Math.max(end, now) + LATE_GRACE * band.latencyObjective();
         }
         return Math.min(end, operation.deadline - lastCall) - now;
     }
 
     private RoutingDecision giveUp(Operation operation, double now) {
-        if (operation.isOut()) {
+        if (operation.isInFlight()) {
             return RoutingDecision.NOT_YET;
         }
         forsake(operation);
-        operation.over = true;
+        operation.ended = true;
         // A share that only answers wore off would last for good where it forbids every attempt.
-        rows[operation.band.index()].leftShare *= 1 - LEFT_STEP;
+        classStats[operation.trafficClass.index()].leftShare *= 1 - LEFT_STEP;
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
-        EndpointState seat = ((QueuedRequest) operation.kept).seat;
+        EndpointState seat = ((QueuedRequest) operation.schedulerState).seat;
         if (seat == null || sound(seat, now)) {
             load(seat).declines().add(now, 1);
         }
         if (!mayDecline(operation)) {
-            return RoutingDecision.SCRAPPED;
+            return RoutingDecision.ABANDONED;
         }
         Reason reason =
                 !lease.holds(now)
                         ? Reason.NO_LEASE
                         : now >= operation.deadline - lastCall
-                                ? Reason.PATIENCE
-                                : lateAt(operation) <= now ? Reason.LATE : Reason.NO_FURTHER_HOP;
-        return RoutingDecision.decline(comeBack(seat, now), reason);
+                                ? Reason.DEADLINE
+                                : lateAt(operation) <= now
+                                        ? Reason.OBJECTIVE_MISSED
+                                        : Reason.NO_RETRY;
+        return RoutingDecision.reject(comeBack(seat, now), reason);
     }
 
     /**
      * When to ask again: once the queue has drained, or as late as may be told of a failing node.
      */
     private double comeBack(EndpointState seat, double now) {
-        if (!site.mayAdvise()) {
+        if (!site.mayRetryAfter()) {
             return 0;
         }
         if (seat != null && !sound(seat, now)) {
-            return site.longestAdvice();
+            return site.maxRetryAfter();
         }
         double queue = (seat == null ? 1 : seat.crowd) * QUEUE_SHARE * shortestTarget;
-        return Math.min(site.longestAdvice(), queue);
+        return Math.min(site.maxRetryAfter(), queue);
     }
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
-        return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, rules.mostAttempts())
-                && !overloaded(((QueuedRequest) operation.kept).seat, now)
-                && !operation.isOut()
+        return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, rules.maxAttempts())
+                && !overloaded(((QueuedRequest) operation.schedulerState).seat, now)
+                && !operation.isInFlight()
                 && lateAt(operation) > now;
     }
 
     /** Overload is a node's matter: a surge at one forbids no further attempt at another. */
     private boolean overloaded(EndpointState seat, double now) {
         ArrivalWindow load = load(seat);
-        return (seat == null ? waiting > seats.size() : seat.waiting.size() > (int) seat.bound)
-                || load.declines().sumOver(now) > OVERLOAD_SHARE * load.arrivals().sumOver(now) + 1;
+        return (seat == null ? waiting > endpoints.size() : seat.waiting.size() > (int) seat.bound)
+                || load.declines().sumOverestimate(now)
+                        > OVERLOAD_SHARE * load.arrivals().sumOverestimate(now) + 1;
     }
 
     private ArrivalWindow load(EndpointState seat) {
@@ -767,7 +772,7 @@
 
     /** The seat to which this operation may go now, if it is its turn there; null if it waits. */
     private EndpointState turn(Operation operation, double now) {
-        QueuedRequest ticket = (QueuedRequest) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
         if (operation.shard < 0) {
             return first(fresh, null, now) == operation ? lowestScore(operation, now) : null;
         }
@@ -785,11 +790,11 @@
                 || lowestScore(fresh, now) != seat;
     }
 
-    boolean hasRoom(EndpointState seat, double now) {
-        if (seat.node.standing != Node.Phase.READY) {
+    boolean hasCapacity(EndpointState seat, double now) {
+        if (seat.node.phase != Node.Phase.READY) {
             return false;
         }
-        if (silent(seat, now)) {
+        if (isUnresponsive(seat, now)) {
             // One operation at a time tries a node that takes work and answers none.
             double next = seat.sentAt + TRIAL_SHARE * shortestTarget;
             if (now < next) {
@@ -804,13 +809,13 @@
 
     /** Whether a node serves as it should: not cold, not silent, and not failing. */
     private boolean sound(EndpointState seat, double now) {
-        return seat.node.standing == Node.Phase.READY
-                && !silent(seat, now)
-                && now - seat.startedAt >= rules.coldTime()
+        return seat.node.phase == Node.Phase.READY
+                && !isUnresponsive(seat, now)
+                && now - seat.startedAt >= rules.slowStartTime()
                 && seat.faults <= MOST_FAULTS;
     }
 
-    boolean silent(EndpointState seat, double now) {
+    boolean isUnresponsive(EndpointState seat, double now) {
         if (seat.distrusted) {
             return true;
         }
@@ -828,7 +833,7 @@
 
     /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
     private Operation pick(EndpointState seat, double now) {
-        if (seat.waiting.isEmpty() || !hasRoom(seat, now)) {
+        if (seat.waiting.isEmpty() || !hasCapacity(seat, now)) {
             return null;
         }
         // Asked again with nothing changed, as pause and place do one after the other.
@@ -843,13 +848,13 @@
     private Operation pickAnew(EndpointState seat, double now) {
         if (seat.runLeft > 0) {
             for (Operation operation : seat.waiting.of(seat.lastExtent)) {
-                if (lawful(operation, seat, now) && !holdsBack(operation, seat, now)) {
+                if (isAllowed(operation, seat, now) && !isHeldBack(operation, seat, now)) {
                     return operation;
                 }
             }
         }
         Operation best = first(seat.waiting, seat, now);
-        return seat.out.size() < (int) seat.bound || silent(seat, now) ? best : null;
+        return seat.out.size() < (int) seat.bound || isUnresponsive(seat, now) ? best : null;
     }
 
     /**
@@ -858,7 +863,7 @@
      * cold node's lot is each one's own.
      */
     private Operation first(WaitQueue queue, EndpointState seat, double now) {
-        boolean each = seat != null && now - seat.startedAt < rules.coldTime();
+        boolean each = seat != null && now - seat.startedAt < rules.slowStartTime();
         Operation best = null;
         int bestTier = -1;
         for (TreeSet<QueuedRequest> alike : queue.alike()) {
@@ -867,7 +872,7 @@
                 boolean stands =
                         !each && lateAt(operation) > now && now < operation.deadline - lastCall;
                 if (seat == null
-                        || lawful(operation, seat, now) && !holdsBack(operation, seat, now)) {
+                        || isAllowed(operation, seat, now) && !isHeldBack(operation, seat, now)) {
                     if (best != null && bestTier < 0) {
                         bestTier = tier(best, seat, now);
                     }
@@ -889,11 +894,11 @@
 
     private static boolean earlier(QueuedRequest one, Operation other) {
         double apart = one.operation.deadline - other.deadline;
-        return apart < 0 || apart == 0 && one.turn < ((QueuedRequest) other.kept).turn;
+        return apart < 0 || apart == 0 && one.turn < ((QueuedRequest) other.schedulerState).turn;
     }
 
     /** A queue seen holds back what is late, and past part of the bound what is over its level. */
-    boolean holdsBack(Operation operation, EndpointState seat, double now) {
+    boolean isHeldBack(Operation operation, EndpointState seat, double now) {
         if (seat.crowd <= CROWDED_LEAST) {
             return false;
         }
@@ -905,11 +910,13 @@
         }
         TenantUsage account = account(operation.volume, now);
         if (account.reserve >= operation.units) {
-            return seat.crowd > ease * CROWDED_RESERVE;
+            return seat.crowd > admissionFactor * CROWDED_RESERVE;
         }
-        double used = use(account, seat).beyond.sumOver(now) + operation.units / 2;
+        double used = use(account, seat).beyond.sumOverestimate(now) + operation.units / 2;
         double over = used / evenLevel(operation.volume);
-        return seat.crowd > Math.max(CROWDED_LEAST, ease * Math.min(CROWDED_SHARE, CROWDED / over));
+        return seat.crowd
+                > Math.max(
+                        CROWDED_LEAST, admissionFactor * Math.min(CROWDED_SHARE, CROWDED / over));
     }
 
     /**
@@ -935,10 +942,10 @@
         if (lateAt(operation) <= now) {
             return LATE;
         }
-        TrafficClass band = operation.band;
+        TrafficClass band = operation.trafficClass;
         double part = due(operation.volume, operation.units, seat, now);
-        double pace = rows[band.index()].meanPace + 1e-9;
-        double value = part * operation.volume.plan.price() * band.utility() / pace;
+        double pace = classStats[band.index()].meanPace + 1e-9;
+        double value = part * operation.volume.plan.price() * band.priorityWeight() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
 
@@ -950,27 +957,27 @@
         // Where many gateways share a node, none sees enough of it to deal it out: a volume that
         // takes far more of it than its weight of what all volumes are sized for surges.
         double used =
-                (seat == null ? account.beyond : use(account, seat).beyond).sumOver(now)
+                (seat == null ? account.beyond : use(account, seat).beyond).sumOverestimate(now)
                         + units / 2;
         if (used > HEADROOM * evenLevel(volume)) {
-            return site.beyondWorth();
+            return site.excessWeightFraction();
         }
-        if (seat == null || now - seat.startedAt < rules.coldTime()) {
-            return site.shareWorth();
+        if (seat == null || now - seat.startedAt < rules.slowStartTime()) {
+            return site.shareWeightFraction();
         }
         return used <= volume.plan.weight() * fair(seat, now)
-                ? site.shareWorth()
-                : site.beyondWorth();
+                ? site.shareWeightFraction()
+                : site.excessWeightFraction();
     }
 
     /** The part of its plan that an operation is in, by the level last dealt out. */
-    QuotaTier owed(Operation operation, EndpointState seat, double now) {
+    QuotaTier quotaTier(Operation operation, EndpointState seat, double now) {
         TenantUsage account = account(operation.volume, now);
         if (account.reserve >= operation.units) {
-            return QuotaTier.RESERVE;
+            return QuotaTier.RESERVATION;
         }
         double top = Math.min(HEADROOM * evenLevel(operation.volume), account.weight * seat.fair);
-        return use(account, seat).beyond.sumOver(now) <= top - operation.units / 2
+        return use(account, seat).beyond.sumOverestimate(now) <= top - operation.units / 2
                 ? QuotaTier.SHARE
                 : QuotaTier.EXCESS;
     }
@@ -989,8 +996,11 @@
         double weights = 0;
         int open = 0;
         for (TenantEndpointUsage use : seat.uses) {
-            use.served = use.beyond.sumOver(now);
-            use.wants = Math.max(use.served, use.asked.sumOver(now) - use.reserved.sumOver(now));
+            use.served = use.beyond.sumOverestimate(now);
+            use.wants =
+                    Math.max(
+                            use.served,
+                            use.asked.sumOverestimate(now) - use.reserved.sumOverestimate(now));
             left += use.served;
             use.open = use.wants > 0;
             if (use.open) {
@@ -1048,7 +1058,7 @@
 
     private TenantEndpointUsage use(TenantUsage account, EndpointState seat) {
         if (seat.index >= account.uses.length) {
-            account.uses = Arrays.copyOf(account.uses, seats.size());
+            account.uses = Arrays.copyOf(account.uses, endpoints.size());
         }
         TenantEndpointUsage use = account.uses[seat.index];
         if (use == null || use.seat != seat) {
@@ -1072,24 +1082,24 @@
         double mean = 0;
         double weight = 0;
         int ready = 0;
-        for (EndpointState seat : seats) {
-            if (seat.node.standing == Node.Phase.READY) {
-                mean += seat.placements.sumOver(now);
+        for (EndpointState seat : endpoints) {
+            if (seat.node.phase == Node.Phase.READY) {
+                mean += seat.placements.sumOverestimate(now);
                 weight += seat.node.weight;
                 ready++;
             }
         }
         EndpointState best = null;
         double least = Double.POSITIVE_INFINITY;
-        for (EndpointState seat : seats) {
+        for (EndpointState seat : endpoints) {
             // A node that fails at once looks idle: without this it draws every new object.
             // A cold node shows no placements and no latency: new objects would pour onto it.
-            if (!hasRoom(seat, now)
+            if (!hasCapacity(seat, now)
                     || seat.out.size() >= (int) seat.bound
                     || !sound(seat, now)
-                    || !lawful(operation, seat, now)
-                    || holdsBack(operation, seat, now)
-                    || !seat.node.takesNew) {
+                    || !isAllowed(operation, seat, now)
+                    || isHeldBack(operation, seat, now)
+                    || !seat.node.acceptsNewObjects) {
                 continue;
             }
             Operation rival = pick(seat, now);
@@ -1097,7 +1107,7 @@
                 continue;
             }
             double preference =
-                    site.weighsNodes() && seat.node.weight > 0
+                    site.hasNodeWeights() && seat.node.weight > 0
                             ? weight / ready / seat.node.weight
                             : 1;
             if (site.crossZonePrice() > 0 && seat.node.zone != site.zone()) {
@@ -1107,7 +1117,7 @@
             // now, and the queue that the latest answers showed, count with it.
             double busy = seat.busy * (1 + OUT_PART * seat.out.size()) + seat.crowd;
             double score =
-                    ALPHA * (seat.placements.sumOver(now) + 1) / (mean / ready + 1)
+                    ALPHA * (seat.placements.sumOverestimate(now) + 1) / (mean / ready + 1)
                             + GAMMA * busy
                             + DELTA * seat.fragment
                             + ETA * preference;
@@ -1124,13 +1134,14 @@
             return;
         }
         refreshAt = now + BUSY_REFRESH;
-        shortestTarget = site.bands().stream().mapToDouble(this::target).min().orElse(0);
-        double crowds = seats.stream().mapToDouble(seat -> seat.crowd).sum();
-        for (EndpointState seat : seats) {
+        shortestTarget = site.trafficClasses().stream().mapToDouble(this::target).min().orElse(0);
+        double crowds = endpoints.stream().mapToDouble(seat -> seat.crowd).sum();
+        for (EndpointState seat : endpoints) {
             // What was seen of one node fades into what is seen of all.
             seat.crowd =
                     CROWD_FADE
-                            * (CROWD_KEEP * seat.crowd + (1 - CROWD_KEEP) * crowds / seats.size());
+                            * (CROWD_KEEP * seat.crowd
+                                    + (1 - CROWD_KEEP) * crowds / endpoints.size());
             seat.faults *= FAULT_KEEP;
             if (now - seat.cutAt > BUSY_REFRESH && seat.bound < FIRST_BOUND) {
                 seat.bound = Math.min(FIRST_BOUND, seat.bound + BOUND_REST);
@@ -1140,7 +1151,7 @@
         double fragmentSum = 0;
         int busyCount = 0;
         int fragmentCount = 0;
-        for (EndpointState seat : seats) {
+        for (EndpointState seat : endpoints) {
             double units = seat.units[0] + seat.units[1];
             if (units > 0) {
                 seat.rawBusy = smooth(seat.rawBusy, (seat.took[0] + seat.took[1]) / units);
@@ -1161,7 +1172,7 @@
                 fragmentCount++;
             }
         }
-        for (EndpointState seat : seats) {
+        for (EndpointState seat : endpoints) {
             seat.busy =
                     Double.isNaN(seat.rawBusy) || !(busySum > 0)
                             ? 1
@@ -1181,19 +1192,19 @@
 
     private void learn(Attempt attempt, EndpointState seat, double now) {
         Operation operation = attempt.operation;
-        if (attempt.othersUnits > 0) {
-            hear(operation.volume, seat, attempt.othersUnits, now);
+        if (attempt.otherGatewaysUnits > 0) {
+            hear(operation.volume, seat, attempt.otherGatewaysUnits, now);
         }
-        if (attempt.outcome == Outcome.SATISFIED) {
+        if (attempt.outcome == Outcome.SERVED) {
             use(account(operation.volume, now), seat).toldAt = now;
         }
         switch (attempt.outcome) {
-            case SATISFIED -> {
+            case SERVED -> {
                 seat.heardAt = now;
                 seat.distrusted = false;
                 seat.faults -= FAULT_STEP * seat.faults;
             }
-            case FAULT -> {
+            case FAILED -> {
                 seat.heardAt = now;
                 seat.faults += FAULT_STEP * (1 - seat.faults);
             }
@@ -1205,29 +1216,29 @@
             case TIMED_OUT ->
                     seat.distrusted |=
                             seat.heardAt < attempt.sentAt
-                                    && attempt.took >= SILENCE_SHARE * shortestTarget;
+                                    && attempt.duration >= SILENCE_SHARE * shortestTarget;
             default -> {}
         }
-        if (attempt.outcome == Outcome.FULL) {
+        if (attempt.outcome == Outcome.REJECTED) {
             cut(seat, attempt, now);
         }
         // A time-out shows a queue at least as long, unless its answer was lost: it counts for
         // less.
         if (attempt.outcome == Outcome.TIMED_OUT) {
-            crowd(seat, attempt.took, TIMEOUT_PART, now);
+            crowd(seat, attempt.duration, TIMEOUT_PART, now);
         }
-        if (attempt.outcome != Outcome.SATISFIED) {
+        if (attempt.outcome != Outcome.SERVED) {
             return;
         }
-        TrafficClassStats row = rows[operation.band.index()];
+        TrafficClassStats row = classStats[operation.trafficClass.index()];
         row.leftShare -= LEFT_STEP * row.leftShare;
         servedUnits += operation.units;
         // How long a queue may be before anyone is held back follows how many answers come late.
-        ease =
-                attempt.took > LATE_ANSWER * target(operation.band)
-                        ? Math.max(LEAST_EASE, ease * (1 - EASE_CUT))
-                        : Math.min(MOST_EASE, ease * (1 + EASE_STEP));
-        double pace = attempt.took / operation.units;
+        admissionFactor =
+                attempt.duration > LATE_ANSWER * target(operation.trafficClass)
+                        ? Math.max(LEAST_EASE, admissionFactor * (1 - EASE_CUT))
+                        : Math.min(MOST_EASE, admissionFactor * (1 + EASE_STEP));
+        double pace = attempt.duration / operation.units;
         if (row.basePace == 0) {
             row.basePace = pace / 2;
             row.meanPace = pace;
@@ -1237,10 +1248,10 @@
                         ? 1 - PACE_STEP * (1 - PACE_QUANTILE)
                         : 1 + PACE_STEP * PACE_QUANTILE;
         row.meanPace += PACE_STEP * (Math.min(pace, 4 * row.meanPace) - row.meanPace);
-        int way = operation.band.writes() ? 1 : 0;
-        seat.took[way] += attempt.took;
+        int way = operation.trafficClass.writes() ? 1 : 0;
+        seat.took[way] += attempt.duration;
         seat.units[way] += operation.units;
-        double queued = attempt.took - operation.units * row.basePace;
+        double queued = attempt.duration - operation.units * row.basePace;
         crowd(seat, queued, 1, now);
         if (queued > QUEUE_SHARE * shortestTarget) {
             cut(seat, attempt, now);
@@ -1266,45 +1277,47 @@
 
     /** From when on an operation, if sent, would miss its target time. */
     private double lateAt(Operation operation) {
-        double usual = rows[operation.band.index()].meanPace * operation.units;
+        double usual = classStats[operation.trafficClass.index()].meanPace * operation.units;
         double ends =
                 Math.min(
-                        ((QueuedRequest) operation.kept).targetEnds,
-                        operation.arrivedAt + target(operation.band));
+                        ((QueuedRequest) operation.schedulerState).targetEnds,
+                        operation.arrivedAt + target(operation.trafficClass));
         return ends - LATE_FACTOR * usual;
     }
 
     /** The target time, or the age at which clients leave, where many leave before it. */
     private double target(TrafficClass band) {
-        TrafficClassStats row = rows[band.index()];
+        TrafficClassStats row = classStats[band.index()];
         return row.leftShare > LEFT_SHARE
-                ? Math.min(row.leftAge, band.targetTime())
-                : band.targetTime();
+                ? Math.min(row.leftAge, band.latencyObjective())
+                : band.latencyObjective();
     }
 
     // ---- books ----
 
     private QueuedRequest ticket(Operation operation, double now) {
-        if (operation.kept != null) {
-            return (QueuedRequest) operation.kept;
+        if (operation.schedulerState != null) {
+            return (QueuedRequest) operation.schedulerState;
         }
         QueuedRequest ticket = new QueuedRequest(operation, chance.nextDouble());
-        operation.kept = ticket;
+        operation.schedulerState = ticket;
         taken.add(now, 1);
-        TrafficClassStats row = rows[operation.band.index()];
+        TrafficClassStats row = classStats[operation.trafficClass.index()];
         // A client's repeat keeps the target time of its first try: it names the same extent and
         // has less patience left than others. Any other with little patience is only hurried, its
         // target time has just begun.
         double left = operation.deadline - now;
         row.patienceSeen = Math.max(row.patienceSeen, left);
         double gone = row.patienceSeen - left;
-        boolean shorter = gone > REPEAT_GONE * operation.band.targetTime();
+        boolean shorter = gone > REPEAT_GONE * operation.trafficClass.latencyObjective();
         Double first = shorter ? unserved.get(operation.extent) : null;
         ticket.targetEnds =
                 first != null
                         ? first
-                        : now + operation.band.targetTime() - (operation.clientRepeat ? gone : 0);
-        if (operation.band.inOrder() && operation.extent != 0) {
+                        : now
+                                + operation.trafficClass.latencyObjective()
+                                - (operation.clientRetry ? gone : 0);
+        if (operation.trafficClass.ordered() && operation.extent != 0) {
             ticket.line = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
             ticket.line.operations.add(operation);
         }
@@ -1312,9 +1325,9 @@
     }
 
     private TenantUsage account(Volume volume, double now) {
-        TenantUsage account = (TenantUsage) volume.kept;
-        double reserve = volume.plan.reserve();
-        double full = reserve > 0 ? reserve + site.mostUnits() : 0;
+        TenantUsage account = (TenantUsage) volume.schedulerState;
+        double reserve = volume.plan.reservation();
+        double full = reserve > 0 ? reserve + site.maxUnits() : 0;
         if (account == null) {
             account =
                     new TenantUsage(
@@ -1322,7 +1335,7 @@
             weights += volume.plan.weight();
             spare += Math.max(volume.plan.rate() / 2, volume.plan.rate() - reserve);
             account.reserve = full;
-            volume.kept = account;
+            volume.schedulerState = account;
         }
         if (now > account.reserveAt) {
             double filled = account.reserve + reserve * (now - account.reserveAt) / 1000;
@@ -1336,7 +1349,7 @@
 
     private void enqueue(Operation operation) {
         state++;
-        QueuedRequest ticket = (QueuedRequest) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
         ticket.waits = true;
         waiting++;
         ticket.seat = null;
@@ -1347,8 +1360,8 @@
         }
         for (EndpointState seat : seatsByCell.getOrDefault(operation.shard, List.of())) {
             if (ticket.seat == null
-                    || ticket.seat.node.standing != Node.Phase.READY
-                            && seat.node.standing == Node.Phase.READY) {
+                    || ticket.seat.node.phase != Node.Phase.READY
+                            && seat.node.phase == Node.Phase.READY) {
                 ticket.seat = seat;
             }
         }
@@ -1362,7 +1375,7 @@
     }
 
     private void dequeue(Operation operation) {
-        QueuedRequest ticket = (QueuedRequest) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
         if (!ticket.waits) {
             return;
         }
@@ -1389,7 +1402,7 @@
     private void forsake(Operation operation) {
         drop(operation);
         if (operation.extent != 0) {
-            unserved.put(operation.extent, ((QueuedRequest) operation.kept).targetEnds);
+            unserved.put(operation.extent, ((QueuedRequest) operation.schedulerState).targetEnds);
         }
     }
 
@@ -1398,9 +1411,9 @@
      * out.
      */
     private void drop(Operation operation) {
-        QueuedRequest ticket = (QueuedRequest) operation.kept;
+        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
         dequeue(operation);
-        if (ticket.line != null && !operation.isOut()) {
+        if (ticket.line != null && !operation.isInFlight()) {
             ticket.line.operations.remove(operation);
         }
     }
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /**
- * What Control has learned of a band, for whoever watches a gateway: the time that a unit takes
+ * What Scheduler has learned of a band, for whoever watches a gateway: the time that a unit takes
  * with no queue and usually, the age at which clients leave and the share that do; and how long it
  * lets queues be.
  */
@@ -13,7 +13,7 @@
         double basePace, double meanPace, double leftAge, double leftShare, double ease) {
     /** The views of all bands, in their order. */
     public static List<TrafficClassView> of(Scheduler control) {
-        return Arrays.stream(control.rows)
+        return Arrays.stream(control.classStats)
                 .map(
                         row ->
                                 new TrafficClassView(
@@ -21,7 +21,7 @@
                                         row.meanPace,
                                         row.leftAge,
                                         row.leftShare,
-                                        control.ease))
+                                        control.admissionFactor))
                 .toList();
     }
 
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -8,40 +8,40 @@
 public final class WaitExplainer {
     private WaitExplainer() {}
 
-    /** The first of Control's guards that holds it back now. */
+    /** The first of Scheduler's guards that holds it back now. */
     public static Reason why(Scheduler control, Operation operation, double now) {
         if (!control.lease.holds(now)) {
             return Reason.NO_LEASE;
         }
-        EndpointState seat = ((QueuedRequest) operation.kept).seat;
+        EndpointState seat = ((QueuedRequest) operation.schedulerState).seat;
         if (seat == null) {
             return operation.shard < 0 ? Reason.SHARE_FULL : Reason.NO_NODE;
         }
-        if (seat.node.standing != Node.Phase.READY) {
+        if (seat.node.phase != Node.Phase.READY) {
             return Reason.NOT_READY;
         }
-        if (control.silent(seat, now)) {
-            return Reason.SILENT;
+        if (control.isUnresponsive(seat, now)) {
+            return Reason.UNRESPONSIVE;
         }
         if (!control.isFirstOfKey(operation, now)) {
-            return Reason.ORDER;
+            return Reason.KEY_ORDER;
         }
-        if (!control.borne(operation, seat, now)) {
-            return Reason.COLD;
+        if (!control.fitsSlowStart(operation, seat, now)) {
+            return Reason.WARMING_UP;
         }
         boolean first = operation.attempts.isEmpty();
-        if (first && operation.units > control.limitRoom(operation.volume, now)) {
+        if (first && operation.units > control.limitRemaining(operation.volume, now)) {
             return Reason.LIMIT;
         }
-        if (!control.lawful(operation, seat, now)) {
-            return Reason.BUDGET;
+        if (!control.isAllowed(operation, seat, now)) {
+            return Reason.RETRY_BUDGET;
         }
-        if (control.holdsBack(operation, seat, now)) {
-            return Reason.HELD_BACK;
+        if (control.isHeldBack(operation, seat, now)) {
+            return Reason.QUEUE_AT_NODE;
         }
-        if (control.hasRoom(seat, now)) {
-            return Reason.RANKS_LATER;
+        if (control.hasCapacity(seat, now)) {
+            return Reason.LOWER_PRIORITY;
         }
-        return control.owed(operation, seat, now).full();
+        return control.quotaTier(operation, seat, now).full();
     }
 }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -29,7 +29,7 @@
             boolean plain = operation.attempts.isEmpty() && ticket.line == null;
             return new GroupKey(
                     operation.volume.id,
-                    operation.band.index(),
+                    operation.trafficClass.index(),
                     operation.units,
                     plain ? 0 : ticket.turn);
         }
--- a/src/main/java/sagepulley/simulator/SimulatedGateway.java
+++ b/src/main/java/sagepulley/simulator/SimulatedGateway.java
@@ -37,7 +37,7 @@
     /** After the events of a batch. */
     void settle(double now, long clockNs) {
         nowNs = clockNs;
-        host.settle(now);
+        host.runDueWork(now);
     }
 
     @Override
@@ -46,36 +46,36 @@
     }
 
     @Override
-    public void giveUp(Operation operation, RoutingDecision placement) {
-        if (placement.kind() == RoutingDecision.Kind.DECLINE) {
-            reply.decline(operation.id, (long) (placement.advice() * NS));
+    public void endUnserved(Operation operation, RoutingDecision placement) {
+        if (placement.kind() == RoutingDecision.Kind.REJECT) {
+            reply.decline(operation.id, (long) (placement.retryAfter() * NS));
         } else {
             reply.scrap(operation.id);
         }
     }
 
     @Override
-    public void callOff(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         reply.callOff(attempt.operation.id, attempt.number);
     }
 
     @Override
-    public void probe(Node node) {
+    public void checkHealth(Node node) {
         reply.probe(node.id);
     }
 
     @Override
-    public void subscribe() {
+    public void openWatch() {
         reply.subscribe();
     }
 
     @Override
-    public void fetch() {
+    public void pollEndpointList() {
         reply.fetch();
     }
 
     @Override
-    public void wakeIn(double pause, double now) {
+    public void scheduleWakeUp(double pause, double now) {
         if (pause < Double.POSITIVE_INFINITY) {
             long offset = Math.min(LONGEST_WAKE_NS, Math.max(1, (long) Math.ceil(pause * NS)));
             if (nowNs + offset < wakeNs) {
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -93,15 +93,15 @@
             throws MalformedFrameException {
         switch (code) {
             case 1 ->
-                    gateway.host.probed(
+                    gateway.host.onHealthCheck(
                             batch.u32(record, 5),
                             outcome(record, 9),
                             batch.u64(record, 11) / NS,
                             report(record, 19),
                             now);
             case 4 -> topology(gateway, record, now);
-            case 6 -> gateway.host.arrived(operation(gateway, record, now));
-            case 7 -> gateway.host.left(batch.u64(record, 5), now);
+            case 6 -> gateway.host.onArrival(operation(gateway, record, now));
+            case 7 -> gateway.host.onClientCancelled(batch.u64(record, 5), now);
             case 10 -> gateway.timer(batch.u64(record, 5));
             case 11 -> completed(gateway, record, now);
             default -> {} // streams and messages of peers: nothing is decided by them
@@ -183,7 +183,7 @@
                 switch (phase) {
                     case 1 -> Node.Phase.READY;
                     case 2 -> Node.Phase.DRAINING;
-                    default -> Node.Phase.GONE;
+                    default -> Node.Phase.REMOVED;
                 };
         return new EndpointEntry(
                 zone,
@@ -199,13 +199,13 @@
             throws MalformedFrameException {
         int scope = batch.u8(record, 5);
         switch (scope) {
-            case 0 -> gateway.host.listFailed(now);
+            case 0 -> gateway.host.onPollFailed(now);
             case 1, 3, 4 -> {
                 int table = batch.u8(record, 6);
                 if (table >= POOLS || pools.get(table) == null) {
                     throw batch.badRecord(record, "list number " + table + " was never set up");
                 }
-                gateway.host.listed(pools.get(table), scope != 3, now);
+                gateway.host.onEndpointList(pools.get(table), scope != 3, now);
             }
             default -> throw batch.badRecord(record, "unknown list scope " + scope);
         }
@@ -214,7 +214,7 @@
     private Operation operation(SimulatedGateway gateway, int record, double now)
             throws MalformedFrameException {
         int grade = batch.u8(record, 13);
-        List<TrafficClass> bands = gateway.host.deployment().bands();
+        List<TrafficClass> bands = gateway.host.deployment().trafficClasses();
         if (grade >= bands.size()) {
             throw batch.badRecord(
                     record, "class " + grade + " of " + bands.size() + " is out of range");
@@ -230,7 +230,7 @@
                             + " is out of range");
         }
         Volume volume = gateway.host.volume(batch.u64(record, 34), (int) plan);
-        volume.gateways = Math.max(1, (int) batch.f32(record, 50));
+        volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
         return new Operation(
                 batch.u64(record, 5),
                 bands.get(grade),
@@ -251,25 +251,25 @@
             return;
         }
         attempt.outcome = outcome;
-        attempt.took = batch.u64(record, 20) / NS;
+        attempt.duration = batch.u64(record, 20) / NS;
         int used = batch.u16(record, 29);
-        attempt.usedPercent = used == 0 ? Double.NaN : used - 1;
-        attempt.othersUnits = batch.u16(record, 31);
+        attempt.planUsagePercent = used == 0 ? Double.NaN : used - 1;
+        attempt.otherGatewaysUnits = batch.u16(record, 31);
         attempt.report = report(record, 33);
-        gateway.host.ended(attempt, batch.u8(record, 28) != 0, now);
+        gateway.host.onAttemptEnded(attempt, batch.u8(record, 28) != 0, now);
     }
 
     private Outcome outcome(int record, int at) throws MalformedFrameException {
         int code = batch.u16(record, at);
         return switch (code) {
-            case 200 -> Outcome.SATISFIED;
-            case 500 -> Outcome.FAULT;
-            case 503 -> Outcome.FULL;
+            case 200 -> Outcome.SERVED;
+            case 500 -> Outcome.FAILED;
+            case 503 -> Outcome.REJECTED;
             case 504 -> Outcome.TIMED_OUT;
             case 502 -> Outcome.NO_CONNECTION;
             case 598 -> Outcome.RESET;
-            case 499 -> Outcome.CALLED_OFF;
-            case 410 -> Outcome.MOOT;
+            case 499 -> Outcome.CANCELLED;
+            case 410 -> Outcome.NOT_EXECUTED;
             default -> throw batch.badRecord(record, "unknown outcome " + code);
         };
     }
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -370,7 +370,7 @@
         double warm = warmth();
         double span = traits.fallTime() / 1000;
         return warm < 1
-                && pressure.sumWithin(now)
+                && pressure.sumUnderestimate(now)
                         > Math.max(
                                 traits.coldUnits(),
                                 traits.fallMultiple() * warm * traits.unitsPerSecond() * span);
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -13,13 +13,13 @@
 import io.opentelemetry.sdk.trace.export.BatchSpanProcessor;
 import io.opentelemetry.sdk.trace.export.SpanExporter;
 import java.time.Duration;
-import java.util.Locale;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import sagepulley.accounts.Accounts;
 import sagepulley.config.TracingSettings;
+import sagepulley.model.ExternalName;
 
 /**
  * Makes traces of stories that were found worth keeping, on a thread of its own, and sends them to
@@ -109,7 +109,7 @@
     }
 
     private static String word(Enum<?> constant) {
-        return constant.name().toLowerCase(Locale.ROOT);
+        return ExternalName.of(constant);
     }
 
     private void make(OperationTrace story) {
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -60,7 +60,7 @@
             Accounts of, long volume, LatencyComponent why, int node, double from, double to) {
         OperationTimer meter = of.begin(volume, BAND, false, 1, from);
         of.waits(meter, why, node, from);
-        of.end(meter, Accounts.End.DECLINED, Reason.LATE, node, to);
+        of.end(meter, Accounts.End.DECLINED, Reason.OBJECTIVE_MISSED, node, to);
     }
 
     /**
@@ -141,7 +141,7 @@
         accounts.sent(flood, 4, QuotaTier.EXCESS, 600);
         OperationTimer waits = accounts.begin(2, BAND, false, 1, 600);
         accounts.waits(waits, LatencyComponent.SHARE_FULL, 4, 600);
-        accounts.end(waits, Accounts.End.DECLINED, Reason.LATE, 4, 900);
+        accounts.end(waits, Accounts.End.DECLINED, Reason.OBJECTIVE_MISSED, 4, 900);
         LatencyReport report = accounts.report(2, 0, 2000);
         assertEquals(Cause.Kind.SLOW_NODE, report.main().kind());
         assertEquals(4, report.main().node());
@@ -163,7 +163,7 @@
     @Test
     void whoIsBeyondItsShareWaitsOnItself() {
         for (int i = 0; i < 8; i++) {
-            accounts.sent(accounts.begin(3, BAND, false, 1, 0), 1, QuotaTier.RESERVE, 0);
+            accounts.sent(accounts.begin(3, BAND, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
         }
         for (int i = 0; i < 30; i++) {
             heldUntilDeclined(accounts, 2, LatencyComponent.BEYOND_SHARE, 1, 0, 10);
@@ -247,12 +247,12 @@
             accounts.sent(late, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.failed(late, Outcome.TIMED_OUT, 4100);
-            accounts.end(late, Accounts.End.DECLINED, Reason.LATE, 1, 4100);
+            accounts.end(late, Accounts.End.DECLINED, Reason.OBJECTIVE_MISSED, 1, 4100);
             OperationTimer lost = accounts.begin(3, BAND, false, 1, 3900);
             accounts.sent(lost, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.failed(lost, Outcome.TIMED_OUT, 6900);
-            accounts.end(lost, Accounts.End.SCRAPPED, Reason.MAY_HAVE_RUN, 1, 6900);
+            accounts.end(lost, Accounts.End.SCRAPPED, Reason.MAY_HAVE_EXECUTED, 1, 6900);
         }
         assertEquals(Cause.Kind.NEIGHBOUR, accounts.report(2, 0, 9000).main().kind());
         assertEquals(
@@ -270,7 +270,7 @@
             small.sent(meter, 1 + i % 30, QuotaTier.SHARE, at);
             small.failed(meter, Outcome.RESET, at + 10);
             small.waits(meter, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
-            small.end(meter, Accounts.End.SCRAPPED, Reason.MAY_HAVE_RUN, 1, at + 50);
+            small.end(meter, Accounts.End.SCRAPPED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
         }
         assertTrue(small.volumes().size() <= 6, small.volumes().toString());
         assertTrue(small.windows() <= 60, "windows " + small.windows());
@@ -294,7 +294,7 @@
 
     @Test
     void partsOfThePlanAreToldApart() {
-        attempt(accounts, 2, 1, QuotaTier.RESERVE, 0, 1, 4, 0);
+        attempt(accounts, 2, 1, QuotaTier.RESERVATION, 0, 1, 4, 0);
         attempt(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
         OperationTimer limited = accounts.begin(2, BAND, false, 1, 0);
         accounts.waits(limited, LatencyComponent.LIMIT, 0, 0);
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -18,10 +18,10 @@
     @Test
     void theDemosFileIsReadWhole() throws SiteConfigException {
         SiteConfig site = SiteConfig.read("demo.ini", GOOD);
-        assertEquals(3, site.deployment().gateways());
+        assertEquals(3, site.deployment().gatewayCount());
         assertEquals(64L << 20, site.volumes().get(0).size());
-        assertEquals(500, site.deployment().bands().get(0).targetTime());
-        assertEquals(8, site.deployment().mostUnits());
+        assertEquals(500, site.deployment().trafficClasses().get(0).latencyObjective());
+        assertEquals(8, site.deployment().maxUnits());
     }
 
     @ParameterizedTest
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -159,9 +159,9 @@
                 slowness[i] = 1;
                 entries.add(entry(i, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
-            host.listed(entries, true, now);
+            host.onEndpointList(entries, true, now);
             if (leaseIsBounded) {
-                host.listConfirmed(now);
+                host.onListConfirmed(now);
             }
         }
 
@@ -172,7 +172,7 @@
                 randomEvent();
                 if (random.nextInt(4) == 0 || now >= wakeAt) {
                     wakeAt = Double.POSITIVE_INFINITY;
-                    host.settle(now);
+                    host.runDueWork(now);
                 }
             }
         }
@@ -185,9 +185,9 @@
                     continue;
                 }
                 attempt.outcome = ending.outcome();
-                attempt.took = ending.at() - attempt.sentAt;
-                attempt.othersUnits = random.nextInt(5) == 0 ? random.nextInt(4) : 0;
-                host.ended(attempt, ending.ends(), now);
+                attempt.duration = ending.at() - attempt.sentAt;
+                attempt.otherGatewaysUnits = random.nextInt(5) == 0 ? random.nextInt(4) : 0;
+                host.onAttemptEnded(attempt, ending.ends(), now);
             }
         }
 
@@ -204,7 +204,7 @@
             } else if (dice < 653) {
                 silent[random.nextInt(ENDPOINTS)] ^= true;
             } else if (dice == 653 && random.nextInt(6) == 0) {
-                host.listFailed(now);
+                host.onPollFailed(now);
             } else if (leaseIsBounded) {
                 leaseEvent(dice);
             }
@@ -212,14 +212,14 @@
 
         private void leaseEvent(int dice) {
             if (dice < 662) {
-                host.listConfirmed(now - 100 * random.nextDouble());
+                host.onListConfirmed(now - 100 * random.nextDouble());
             } else if (dice < 664) {
-                host.discoveryUnreachable(now - 50);
+                host.onDiscoveryUnreachable(now - 50);
             } else if (dice == 664 && random.nextInt(4) == 0) {
-                host.reloadTold(now);
-                host.listMoved(now);
+                host.onReloadNotified(now);
+                host.onDiscoveryMoved(now);
             } else if (dice < 668) {
-                host.reloadRead(now);
+                host.onConfigurationRead(now);
             }
         }
 
@@ -232,7 +232,7 @@
             Operation operation =
                     new Operation(
                             ++sequence,
-                            host.deployment().bands().get(bandIndex),
+                            host.deployment().trafficClasses().get(bandIndex),
                             host.volume(1 + 10L * plan + random.nextInt(4), plan),
                             extent,
                             1 + random.nextInt(6),
@@ -241,12 +241,12 @@
                             now + patience,
                             random.nextInt(30) == 0);
             open.add(operation.id);
-            host.arrived(operation);
+            host.onArrival(operation);
         }
 
         private void leave() {
             if (!open.isEmpty()) {
-                host.left(open.remove(random.nextInt(open.size())), now);
+                host.onClientCancelled(open.remove(random.nextInt(open.size())), now);
             }
             if (open.size() > 200) {
                 open.subList(0, 100).clear();
@@ -256,13 +256,13 @@
         private void changeEndpoint(int index) {
             switch (random.nextInt(5)) {
                 case 0 -> entries.set(index, entry(index, Node.Phase.DRAINING, 0));
-                case 1 -> entries.set(index, entry(index, Node.Phase.GONE, 0));
+                case 1 -> entries.set(index, entry(index, Node.Phase.REMOVED, 0));
                 case 2 -> entries.set(index, entry(index, Node.Phase.READY, now - 20));
                 default ->
                         entries.set(
                                 index, entry(index, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
-            host.listed(entries, random.nextBoolean(), now);
+            host.onEndpointList(entries, random.nextBoolean(), now);
         }
 
         private static EndpointEntry entry(int index, Node.Phase standing, double startedAt) {
@@ -294,24 +294,24 @@
         public void send(Attempt attempt, double timeout) {
             sent++;
             record("send " + attempt.operation.id + " to " + attempt.node.id, timeout);
-            record("may begin " + host.mayBegin(attempt, now + 5), attempt.owed.ordinal());
+            record("may begin " + host.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
             int index = attempt.node.id - 100;
             double took = (2 + attempt.operation.units * 3) * slowness[index] * random.nextDouble();
             int dice = random.nextInt(100);
             if (silent[index] || took >= timeout) {
                 later(timeout, attempt, Outcome.TIMED_OUT, false);
             } else if (dice < 90) {
-                later(took, attempt, Outcome.SATISFIED, true);
+                later(took, attempt, Outcome.SERVED, true);
             } else if (dice < 93) {
-                later(took, attempt, Outcome.FAULT, false);
+                later(took, attempt, Outcome.FAILED, false);
             } else if (dice < 95) {
-                later(took / 2, attempt, Outcome.FULL, false);
+                later(took / 2, attempt, Outcome.REJECTED, false);
             } else if (dice < 96) {
                 later(took / 2, attempt, Outcome.RESET, false);
             } else if (dice < 98) {
                 later(took / 2, attempt, Outcome.NO_CONNECTION, false);
             } else {
-                later(took, attempt, Outcome.MOOT, false);
+                later(took, attempt, Outcome.NOT_EXECUTED, false);
             }
         }
 
@@ -320,42 +320,42 @@
         }
 
         @Override
-        public void giveUp(Operation operation, RoutingDecision placement) {
-            if (placement.kind() == RoutingDecision.Kind.DECLINE) {
+        public void endUnserved(Operation operation, RoutingDecision placement) {
+            if (placement.kind() == RoutingDecision.Kind.REJECT) {
                 rejected++;
             } else {
                 abandoned++;
             }
             record(
                     "give up " + operation.id + " " + placement.kind().ordinal(),
-                    placement.advice() + placement.reason().ordinal());
+                    placement.retryAfter() + placement.reason().ordinal());
         }
 
         @Override
-        public void callOff(Attempt attempt) {
+        public void cancel(Attempt attempt) {
             cancelled++;
             record("call off " + attempt.operation.id, attempt.number);
-            later(1, attempt, Outcome.CALLED_OFF, false);
+            later(1, attempt, Outcome.CANCELLED, false);
         }
 
         @Override
-        public void probe(Node node) {
+        public void checkHealth(Node node) {
             record("probe", node.id);
         }
 
         @Override
-        public void subscribe() {
+        public void openWatch() {
             polls++;
             record("subscribe", 0);
         }
 
         @Override
-        public void fetch() {
+        public void pollEndpointList() {
             record("fetch", 0);
         }
 
         @Override
-        public void wakeIn(double pause, double settledAt) {
+        public void scheduleWakeUp(double pause, double settledAt) {
             wakeAt = settledAt + pause;
             record("wake", pause);
         }
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -44,43 +44,43 @@
                         }
 
                         @Override
-                        public void giveUp(Operation operation, RoutingDecision placement) {
+                        public void endUnserved(Operation operation, RoutingDecision placement) {
                             throw new AssertionError("given up: " + placement.reason());
                         }
 
                         @Override
-                        public void callOff(Attempt attempt) {
+                        public void cancel(Attempt attempt) {
                             throw new AssertionError("called off");
                         }
 
                         @Override
-                        public void probe(Node node) {
+                        public void checkHealth(Node node) {
                             throw new AssertionError("probed");
                         }
 
                         @Override
-                        public void subscribe() {
+                        public void openWatch() {
                             throw new AssertionError("this site pushes its list");
                         }
 
                         @Override
-                        public void fetch() {
+                        public void pollEndpointList() {
                             throw new AssertionError("this site pushes its list");
                         }
 
                         @Override
-                        public void wakeIn(double pause, double now) {
+                        public void scheduleWakeUp(double pause, double now) {
                             // Time is driven by hand.
                         }
                     });
 
     @Test
     void nodesThatAreGoneForLongAreForgottenOnceTheirLastAttemptHasEnded() {
-        host.listed(List.of(entry(1, 0), entry(2, 1)), true, 0);
+        host.onEndpointList(List.of(entry(1, 0), entry(2, 1)), true, 0);
         Operation operation =
                 new Operation(
                         1,
-                        host.deployment().bands().get(0),
+                        host.deployment().trafficClasses().get(0),
                         host.volume(1, 0),
                         7,
                         1,
@@ -88,31 +88,32 @@
                         0,
                         1000,
                         false);
-        host.arrived(operation);
-        host.settle(0);
-        host.settle(0);
+        host.onArrival(operation);
+        host.runDueWork(0);
+        host.runDueWork(0);
         Attempt attempt = sent.get(0);
         assertEquals(1, attempt.node.id);
-        assertEquals(List.of(), host.listed(List.of(entry(2, 1)), true, 100));
+        assertEquals(List.of(), host.onEndpointList(List.of(entry(2, 1)), true, 100));
         assertEquals(
                 List.of(),
-                host.listed(List.of(entry(3, 0)), false, 40_000),
+                host.onEndpointList(List.of(entry(3, 0)), false, 40_000),
                 "its hop is still out");
-        attempt.outcome = Outcome.SATISFIED;
-        host.ended(attempt, true, 40_000);
-        assertEquals(List.of(attempt.node), host.listed(List.of(entry(4, 2)), false, 40_001));
+        attempt.outcome = Outcome.SERVED;
+        host.onAttemptEnded(attempt, true, 40_000);
+        assertEquals(
+                List.of(attempt.node), host.onEndpointList(List.of(entry(4, 2)), false, 40_001));
         assertEquals(3, host.nodes().size());
     }
 
     @Test
     void aNodeThatComesBackSoonIsTheSame() {
-        host.listed(List.of(entry(1, 0)), true, 0);
+        host.onEndpointList(List.of(entry(1, 0)), true, 0);
         Node node = host.nodes().iterator().next();
-        host.listed(List.of(), true, 1000);
-        host.listed(List.of(entry(1, 0)), true, 20_000);
-        assertEquals(List.of(), host.listed(List.of(entry(2, 1)), false, 60_000));
+        host.onEndpointList(List.of(), true, 1000);
+        host.onEndpointList(List.of(entry(1, 0)), true, 20_000);
+        assertEquals(List.of(), host.onEndpointList(List.of(entry(2, 1)), false, 60_000));
         assertEquals(node, host.nodes().iterator().next());
-        assertEquals(Node.Phase.READY, node.standing);
+        assertEquals(Node.Phase.READY, node.phase);
     }
 
     private static EndpointEntry entry(int store, int cell) {
--- a/src/test/java/sagepulley/persistence/AccountFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -58,7 +58,11 @@
             accounts.answered(
                     meter, random.nextInt(50), random.nextInt(50), random.nextInt(9), now + 100);
             accounts.end(
-                    meter, Accounts.End.values()[random.nextInt(4)], Reason.LATE, 1, now + 101);
+                    meter,
+                    Accounts.End.values()[random.nextInt(4)],
+                    Reason.OBJECTIVE_MISSED,
+                    1,
+                    now + 101);
         }
         return accounts;
     }
--- a/src/test/java/sagepulley/platform/ConfigTest.java
+++ b/src/test/java/sagepulley/platform/ConfigTest.java
@@ -21,11 +21,11 @@
     @Test
     void nestedSettingsAreReadAsTheFirstMessageIs() throws Exception {
         Config config = Config.read(write(WarmUpRun.text()));
-        assertEquals("put", config.deployment().bands().get(1).name());
-        assertTrue(config.deployment().bands().get(1).writes());
-        assertFalse(config.deployment().bands().get(0).writes());
-        assertEquals(5000, config.deployment().bands().get(0).targetTime());
-        assertEquals(4, config.deployment().mostUnits());
+        assertEquals("put", config.deployment().trafficClasses().get(1).name());
+        assertTrue(config.deployment().trafficClasses().get(1).writes());
+        assertFalse(config.deployment().trafficClasses().get(0).writes());
+        assertEquals(5000, config.deployment().trafficClasses().get(0).latencyObjective());
+        assertEquals(4, config.deployment().maxUnits());
         assertEquals(1, config.known().members().size());
         assertEquals(250, config.connectTimeout());
     }
--- a/src/test/java/sagepulley/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/platform/EndpointConnectionPoolTest.java
@@ -78,7 +78,7 @@
         SocketAddress address = node("*3\r\n$5\r\nva");
         EndpointConnectionPool links = links(NEVER);
         // The first bytes may come after a time-out, on a slow machine; not after every one.
-        await().until(() -> call(links, address, 50) == Outcome.FAULT);
+        await().until(() -> call(links, address, 50) == Outcome.FAILED);
     }
 
     @Test
@@ -90,7 +90,7 @@
 
     @Test
     void anAnswerThatPausesForTheStallTimeIsAFault() throws IOException {
-        assertEquals(Outcome.FAULT, call(links(20), node("*3\r\n$5\r\nva"), NEVER));
+        assertEquals(Outcome.FAILED, call(links(20), node("*3\r\n$5\r\nva"), NEVER));
     }
 
     /**
--- a/src/test/java/sagepulley/platform/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/platform/NodeCrossingsTest.java
@@ -164,7 +164,7 @@
         Peers.Talk fresh = taken.take();
         fresh.command();
         serve(fresh, "two");
-        assertEquals(new End(Outcome.SATISFIED, "two"), second.get());
+        assertEquals(new End(Outcome.SERVED, "two"), second.get());
     }
 
     /**
@@ -241,7 +241,7 @@
                                 left -> null,
                                 LONG,
                                 (outcome, answer, at) -> end.complete(outcome)));
-        assertEquals(Outcome.MOOT, end.get());
+        assertEquals(Outcome.NOT_EXECUTED, end.get());
         assertNull(taken.take().command(), "closed with nothing sent");
     }
 
@@ -257,7 +257,7 @@
                                     return called;
                                 })
                         .get();
-        assertEquals(Outcome.CALLED_OFF, end.get().outcome());
+        assertEquals(Outcome.CANCELLED, end.get().outcome());
         CompletableFuture<End> next = loop.submit(() -> call(attempt(), HELD_MS * 100)).get();
         List<String> sent = null;
         while (sent == null) {
--- a/src/test/java/sagepulley/platform/PlatformPathTest.java
+++ b/src/test/java/sagepulley/platform/PlatformPathTest.java
@@ -317,7 +317,7 @@
         }
     }
 
-    /** Control asks for none yet; what is written, and that any answer or none harms nobody. */
+    /** Scheduler asks for none yet; what is written, and that any answer or none harms nobody. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -339,7 +339,11 @@
                                     text.replace(
                                             "\"how\": \"silent\", \"fields\": []",
                                             "\"how\": \"pull\", \"fields\": " + fields))) {
-                peers.transport.loops().next().submit(() -> peers.gateway.probe(new Node(1))).get();
+                peers.transport
+                        .loops()
+                        .next()
+                        .submit(() -> peers.gateway.checkHealth(new Node(1)))
+                        .get();
                 await().until(() -> peers.commands.size() == 1);
                 assertEquals(
                         fields.equals("[]") ? List.of("PING") : List.of("INFO", "load"),
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -57,20 +57,20 @@
 
     @Test
     void figuresOfANodesAnswer() throws Exception {
-        TrafficClass band = WarmUpRun.config(null, null, null).deployment().bands().get(0);
+        TrafficClass band = WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
         Operation operation = new Operation(1, band, null, 0, 1, 0, 0, 900, false);
         Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
         EndpointResponse.tell(
                 attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
-        assertEquals(5, attempt.usedPercent);
-        assertEquals(6, attempt.othersUnits);
+        assertEquals(5, attempt.planUsagePercent);
+        assertEquals(6, attempt.otherGatewaysUnits);
         assertEquals(7, attempt.report[0]);
     }
 
     @Test
     void countsInTheLog() throws Exception {
         GatewayMetrics counts = new GatewayMetrics();
-        TrafficClass band = WarmUpRun.config(null, null, null).deployment().bands().get(0);
+        TrafficClass band = WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
         for (Outcome outcome : Outcome.values()) {
             counts.ended(outcome, new Node(1));
         }
@@ -79,14 +79,16 @@
             waits.put(reason, 1);
         }
         counts.waits(waits);
-        counts.gaveUp(band, Reason.LATE);
+        counts.gaveUp(band, Reason.OBJECTIVE_MISSED);
         assertEquals(
-                "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SATISFIED=1,"
-                        + " FAULT=1, FULL=1, TIMED_OUT=1, NO_CONNECTION=1, RESET=1, CALLED_OFF=1,"
-                        + " MOOT=1} given-up={get/LATE=1} waits={NONE=1, RESERVE_FULL=1,"
-                        + " SHARE_FULL=1, BEYOND_SHARE=1, HELD_BACK=1, COLD=1, SILENT=1,"
-                        + " NOT_READY=1, NO_NODE=1, NO_LEASE=1, LIMIT=1, BUDGET=1, ORDER=1,"
-                        + " RANKS_LATER=1, LATE=1, PATIENCE=1, NO_FURTHER_HOP=1, MAY_HAVE_RUN=1}",
+                "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SERVED=1,"
+                        + " FAILED=1, REJECTED=1, TIMED_OUT=1, NO_CONNECTION=1, RESET=1,"
+                        + " CANCELLED=1, NOT_EXECUTED=1} given-up={get/OBJECTIVE_MISSED=1}"
+                        + " waits={NONE=1, RESERVATION_FULL=1, SHARE_FULL=1, EXCESS_FULL=1,"
+                        + " QUEUE_AT_NODE=1, WARMING_UP=1, UNRESPONSIVE=1, NOT_READY=1,"
+                        + " NO_NODE=1, NO_LEASE=1, LIMIT=1, RETRY_BUDGET=1, KEY_ORDER=1,"
+                        + " LOWER_PRIORITY=1, OBJECTIVE_MISSED=1, DEADLINE=1, NO_RETRY=1,"
+                        + " MAY_HAVE_EXECUTED=1}",
                 counts.toString());
     }
 
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -67,7 +67,7 @@
                         new TrafficClass(
                                 2,
                                 "add",
-                                TrafficClass.Idempotency.UNREPEATABLE,
+                                TrafficClass.Idempotency.NON_IDEMPOTENT,
                                 TrafficClass.DeduplicationScope.ALL,
                                 0,
                                 false,
@@ -147,7 +147,7 @@
                         List.of(
                                 member("one", Node.Phase.READY, 81),
                                 member("two", Node.Phase.DRAINING, 82),
-                                member("three", Node.Phase.GONE, 83)),
+                                member("three", Node.Phase.REMOVED, 83)),
                         List.of()),
                 told().onWatch(6_000),
                 List.of("here", "there"),
@@ -220,7 +220,7 @@
                                 new TrafficClass(
                                         1,
                                         "write",
-                                        TrafficClass.Idempotency.UNREPEATABLE,
+                                        TrafficClass.Idempotency.NON_IDEMPOTENT,
                                         TrafficClass.DeduplicationScope.ALL,
                                         60_000,
                                         false,
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -233,7 +233,7 @@
             long mark = ++of.ids;
             StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
             int band = reads ? volume.readBand() : volume.writeBand();
-            int repeat = of.site.deployment().bands().get(band).repeat().ordinal();
+            int repeat = of.site.deployment().trafficClasses().get(band).idempotency().ordinal();
             ByteBuf payload = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(asked.payload()));
             asked.payload().release();
             java.util.function.IntConsumer send =
--- a/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
+++ b/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
@@ -38,7 +38,7 @@
         for (double end = now + LENGTH_MS; now < end; now += STEP_MS) {
             for (int i = 0; i < gateways; i++) {
                 if (!listed[i]
-                        && hosts.get(i).control.pause(now).call()
+                        && hosts.get(i).control.nextTurn(now).poll()
                                 == SchedulerTurn.EndpointPoll.SUBSCRIBE) {
                     Call call = new Call(i, now);
                     queue.add(call);
@@ -48,7 +48,7 @@
             for (Call call : List.copyOf(waiting)) {
                 if (now - call.at() > CALL_TIMEOUT_MS) {
                     waiting.remove(call);
-                    hosts.get(call.gateway()).control.listFailed(now);
+                    hosts.get(call.gateway()).control.onPollFailed(now);
                 }
             }
             for (;
@@ -57,8 +57,8 @@
                 Call served = queue.peek();
                 if (waiting.remove(served)) {
                     SchedulerHarness host = hosts.get(served.gateway());
-                    host.control.listed(host.nodes, now);
-                    host.control.listConfirmed(now);
+                    host.control.onEndpointList(host.nodes, now);
+                    host.control.onListConfirmed(now);
                     listed[served.gateway()] = true;
                 }
             }
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -90,7 +90,7 @@
     @Test
     void withoutALeaseNothingIsSentAndTheClientIsToldThatItMayComeAgain() {
         SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        host.control.listConfirmed(host.now);
+        host.control.onListConfirmed(host.now);
         assertEquals(1, host.take(SchedulerHarness.READ, 0).attempts.size());
         host.satisfyAllOut();
         host.passTime(SPAN + GRACE);
@@ -100,7 +100,7 @@
         host.passTime(260);
         assertTrue(host.declined.contains(waiting));
         Operation next = host.take(SchedulerHarness.READ, 0);
-        host.control.listConfirmed(host.now);
+        host.control.onListConfirmed(host.now);
         host.passTime(2);
         assertEquals(1, next.attempts.size(), "with the next confirmation it goes");
     }
@@ -109,10 +109,10 @@
     @Test
     void anAttemptThatIsHeldUpBeyondTheLeaseDoesNotBegin() {
         SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        host.control.listConfirmed(host.now - SPAN);
+        host.control.onListConfirmed(host.now - SPAN);
         Operation read = host.take(SchedulerHarness.BULK, 0);
         assertEquals(1, read.attempts.size());
-        assertTrue(host.control.mayBegin(host.lastAttempt(read), host.now));
-        assertFalse(host.control.mayBegin(host.lastAttempt(read), host.now + GRACE));
+        assertTrue(host.control.mayStart(host.lastAttempt(read), host.now));
+        assertFalse(host.control.mayStart(host.lastAttempt(read), host.now + GRACE));
     }
 }
