--- a/src/test/java/sagepulley/scheduler/HealthTest.java
+++ b/src/test/java/sagepulley/scheduler/HealthTest.java
@@ -21,7 +21,7 @@
         for (int i = 0; i < 6; i++) {
             host.take(SchedulerHarness.BULK, 0);
             host.take(SchedulerHarness.WRITE, -1);
-            host.end(host.lastAttempt(host.held.get(host.held.size() - 1)), Outcome.SATISFIED);
+            host.end(host.lastAttempt(host.held.get(host.held.size() - 1)), Outcome.SERVED);
         }
         assertEquals(2, sentTo(host, 0), "the hop that found it silent, and one trial");
         host.passTime(70);
@@ -30,7 +30,7 @@
         assertEquals(3, sentTo(host, 0), "one more trial");
         for (int i = 0; i < host.sent.size(); i++) {
             if (host.sent.get(i).outcome == null) {
-                host.end(host.sent.get(i), Outcome.SATISFIED);
+                host.end(host.sent.get(i), Outcome.SERVED);
             }
         }
         host.passTime(6000);
@@ -47,7 +47,7 @@
         host.passTime(500);
         host.end(host.lastAttempt(lost), Outcome.TIMED_OUT);
         assertEquals(2, sentTo(host, 0), "it is the trial itself");
-        host.end(host.lastAttempt(lost), Outcome.FULL);
+        host.end(host.lastAttempt(lost), Outcome.REJECTED);
         host.take(SchedulerHarness.BULK, 0);
         assertEquals(2, sentTo(host, 0), "the next trial waits for its time");
     }
@@ -56,7 +56,7 @@
     void aFullAnswerMakesNoNodeSilent() {
         SchedulerHarness host = new SchedulerHarness(2);
         Operation refused = host.take(SchedulerHarness.BULK, 0);
-        host.end(host.lastAttempt(refused), Outcome.FULL);
+        host.end(host.lastAttempt(refused), Outcome.REJECTED);
         host.take(SchedulerHarness.BULK, 0);
         assertEquals(
                 3, sentTo(host, 0), "the hop refused, the one after it, and the next operation's");
@@ -80,12 +80,12 @@
             Operation operation = host.take(SchedulerHarness.BULK, 0);
             host.passTime(60);
             host.leave(operation);
-            host.end(host.lastAttempt(operation), Outcome.CALLED_OFF);
+            host.end(host.lastAttempt(operation), Outcome.CANCELLED);
         }
         assertEquals(8, host.calledOff.size());
         host.passTime(2000);
         host.declined.clear();
-        host.nodes.get(0).standing = Node.Phase.DRAINING;
+        host.nodes.get(0).phase = Node.Phase.DRAINING;
         host.relist();
         host.take(SchedulerHarness.BULK, 0);
         host.passTime(70);
@@ -100,9 +100,9 @@
             Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(4);
             host.leave(operation);
-            host.end(host.lastAttempt(operation), Outcome.CALLED_OFF);
+            host.end(host.lastAttempt(operation), Outcome.CANCELLED);
         }
-        host.nodes.get(0).standing = Node.Phase.DRAINING;
+        host.nodes.get(0).phase = Node.Phase.DRAINING;
         host.relist();
         host.take(SchedulerHarness.READ, 0);
         host.passTime(100);
@@ -116,11 +116,11 @@
         for (int i = 0; i < 10; i++) {
             Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(22);
-            if (operation.over) {
+            if (operation.ended) {
                 continue;
             }
             host.leave(operation);
-            host.end(host.lastAttempt(operation), Outcome.CALLED_OFF);
+            host.end(host.lastAttempt(operation), Outcome.CANCELLED);
             // The node takes long for a while, so that no answer would come in the time that
             // clients stay.
             serve(host, 2, 60);
@@ -129,8 +129,8 @@
         for (int i = 0; i < 200; i++) {
             Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(10);
-            if (!operation.over) {
-                host.end(host.lastAttempt(operation), Outcome.SATISFIED);
+            if (!operation.ended) {
+                host.end(host.lastAttempt(operation), Outcome.SERVED);
             }
         }
         assertTrue(host.sent.size() - before > 100, "sent " + (host.sent.size() - before));
@@ -141,8 +141,8 @@
         for (int i = 0; i < count; i++) {
             Operation operation = host.take(SchedulerHarness.READ, 0);
             host.passTime(time);
-            if (!operation.over) {
-                host.end(host.lastAttempt(operation), Outcome.SATISFIED);
+            if (!operation.ended) {
+                host.end(host.lastAttempt(operation), Outcome.SERVED);
             }
         }
     }
@@ -158,7 +158,7 @@
         assertTrue(host.declined.size() > 20, "declined at the one " + host.declined.size());
         Operation read = host.take(SchedulerHarness.READ, 1);
         host.passTime(10);
-        host.end(host.lastAttempt(read), Outcome.FAULT);
+        host.end(host.lastAttempt(read), Outcome.FAILED);
         assertEquals(2, read.attempts.size(), "the other is idle");
     }
 
@@ -170,8 +170,8 @@
             Node old = host.nodes.get(0);
             Operation read = host.take(SchedulerHarness.READ, volume, 7 + i, 2, 0);
             host.passTime(20);
-            host.end(host.lastAttempt(read), Outcome.SATISFIED);
-            old.standing = Node.Phase.GONE;
+            host.end(host.lastAttempt(read), Outcome.SERVED);
+            old.phase = Node.Phase.REMOVED;
             host.relist();
             old.forgotten = true;
             Node fresh = new Node(1000 + i);
@@ -181,7 +181,7 @@
             // Cold at first: it is served once it is warm.
             host.passTime(10_000);
         }
-        assertEquals(2, host.control.seats.size());
+        assertEquals(2, host.control.endpoints.size());
         Operation read = host.take(SchedulerHarness.READ, volume, 3, 2, 0);
         assertEquals(host.nodes.get(0), host.lastAttempt(read).node);
     }
@@ -193,10 +193,9 @@
             Operation write = host.take(SchedulerHarness.WRITE, -1);
             host.passTime(6);
             Attempt attempt = host.lastAttempt(write);
-            host.end(
-                    attempt, attempt.node == host.nodes.get(0) ? Outcome.FAULT : Outcome.SATISFIED);
-            while (!write.over) {
-                host.end(host.lastAttempt(write), Outcome.SATISFIED);
+            host.end(attempt, attempt.node == host.nodes.get(0) ? Outcome.FAILED : Outcome.SERVED);
+            while (!write.ended) {
+                host.end(host.lastAttempt(write), Outcome.SERVED);
             }
         }
         assertTrue(sentTo(host, 0) < 12, "sent " + sentTo(host, 0));
@@ -208,12 +207,12 @@
         for (int i = 0; i < 40; i++) {
             Operation read = host.take(SchedulerHarness.READ, 0);
             host.passTime(10);
-            host.end(host.lastAttempt(read), Outcome.SATISFIED);
+            host.end(host.lastAttempt(read), Outcome.SERVED);
         }
         for (int i = 0; i < 10; i++) {
             Operation read = host.take(SchedulerHarness.READ, 0);
             host.passTime(110);
-            host.end(host.lastAttempt(read), Outcome.SATISFIED);
+            host.end(host.lastAttempt(read), Outcome.SERVED);
         }
         host.sent.clear();
         for (int i = 0; i < 8; i++) {
@@ -225,7 +224,7 @@
     @Test
     void noFurtherAttemptUnderOverloadButInAnOutage() {
         SchedulerHarness outage = new SchedulerHarness(3);
-        outage.nodes.get(0).standing = Node.Phase.DRAINING;
+        outage.nodes.get(0).phase = Node.Phase.DRAINING;
         outage.relist();
         SchedulerHarness overload = new SchedulerHarness(3);
         for (SchedulerHarness host : new SchedulerHarness[] {outage, overload}) {
@@ -237,7 +236,7 @@
                 assertEquals(8, host.declined.size());
             }
             Operation write = host.take(SchedulerHarness.WRITE, -1);
-            host.end(host.lastAttempt(write), Outcome.FAULT);
+            host.end(host.lastAttempt(write), Outcome.FAILED);
             assertEquals(host == outage ? 2 : 1, write.attempts.size());
         }
     }
@@ -249,7 +248,7 @@
         host.passTime(300);
         assertEquals(1, host.listCalls);
         for (int i = 0; i < 5; i++) {
-            host.control.listFailed(host.now);
+            host.control.onPollFailed(host.now);
             host.passTime(400);
         }
         int calls = host.listCalls;
@@ -273,7 +272,7 @@
                 longest = Math.max(longest, host.now - lastCall);
                 lastCall = host.now;
                 seen = host.listCalls;
-                host.control.listFailed(host.now);
+                host.control.onPollFailed(host.now);
             }
         }
         assertTrue(longest <= 4_600, "at most " + longest + " ms between two calls");
@@ -285,10 +284,10 @@
         SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         host.passTime(10);
         for (int i = 0; i < 10; i++) {
-            host.control.listFailed(host.now);
+            host.control.onPollFailed(host.now);
         }
         int calls = host.listCalls;
-        host.control.listMoved(host.now);
+        host.control.onDiscoveryMoved(host.now);
         host.passTime(302);
         assertEquals(calls + 1, host.listCalls);
     }
@@ -298,9 +297,9 @@
     void aListFromTheFormerAddressDoesNotPutOffTheCallAtTheNewOne() {
         SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
         host.passTime(10);
-        host.control.listConfirmed(host.now);
+        host.control.onListConfirmed(host.now);
         int calls = host.listCalls;
-        host.control.listMoved(host.now);
+        host.control.onDiscoveryMoved(host.now);
         host.relist();
         host.passTime(302);
         assertEquals(calls + 1, host.listCalls);
@@ -316,7 +315,7 @@
         host.passTime(2_500);
         assertEquals(1, host.listCalls);
         host.relist();
-        host.passTime(host.site.askWithin() - 2_600);
+        host.passTime(host.site.pollInterval() - 2_600);
         assertEquals(1, host.listCalls, "it was answered");
     }
 
@@ -326,7 +325,7 @@
         for (int i = 0; i < 10; i++) {
             Operation read = host.take(SchedulerHarness.READ, 0);
             host.passTime(i < 4 ? 10 : 90);
-            host.end(host.lastAttempt(read), Outcome.SATISFIED);
+            host.end(host.lastAttempt(read), Outcome.SERVED);
         }
         Volume surging = host.volume(0);
         for (int i = 0; i < 8; i++) {
@@ -338,7 +337,7 @@
         Operation reserved = host.take(SchedulerHarness.READ, 0);
         assertTrue(over.attempts.isEmpty());
         assertEquals(1, reserved.attempts.size());
-        host.end(host.lastAttempt(reserved), Outcome.SATISFIED);
+        host.end(host.lastAttempt(reserved), Outcome.SERVED);
         host.passTime(60_000);
         surging = host.volume(0);
         for (int i = 0; i < 4; i++) {
@@ -363,7 +362,7 @@
         SchedulerHarness host = new SchedulerHarness(1);
         Operation read = host.take(SchedulerHarness.READ, 0);
         host.passTime(250);
-        host.end(host.lastAttempt(read), Outcome.FAULT);
+        host.end(host.lastAttempt(read), Outcome.FAILED);
         assertEquals(1, read.attempts.size());
         assertEquals(List.of(read), host.declined, "at once, not near its patience");
     }
@@ -377,8 +376,8 @@
         host.passTime(15_000);
         Operation hurried = host.takeHurried(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
         assertEquals(98, host.timeoutOf(hurried), 2, "all the patience it has");
-        host.end(host.lastAttempt(hurried), Outcome.SATISFIED);
-        host.nodes.get(0).standing = Node.Phase.DRAINING;
+        host.end(host.lastAttempt(hurried), Outcome.SERVED);
+        host.nodes.get(0).phase = Node.Phase.DRAINING;
         host.relist();
         Operation repeat = host.takeHurried(SchedulerHarness.READ, first.extent, 0, 1700);
         assertTrue(host.declined.contains(repeat), "its first try's target time is over");
@@ -399,11 +398,11 @@
         host.satisfyAllOut();
         host.passTime(140);
         assertTrue(host.advice > 0 && host.advice < 500, "told " + host.advice);
-        host.nodes.get(0).standing = Node.Phase.DRAINING;
+        host.nodes.get(0).phase = Node.Phase.DRAINING;
         host.relist();
         host.take(SchedulerHarness.READ, 0);
         host.passTime(252);
-        assertEquals(host.site.longestAdvice(), host.advice);
+        assertEquals(host.site.maxRetryAfter(), host.advice);
     }
 
     private static long sentTo(SchedulerHarness host, int node) {
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -24,9 +24,9 @@
         Operation run1 = host.take(SchedulerHarness.READ, volume, 5, 1, 0);
         Operation run2 = host.take(SchedulerHarness.READ, volume, 5, 1, 0);
         assertEquals(4, host.sent.size());
-        host.end(host.sent.get(0), Outcome.SATISFIED);
+        host.end(host.sent.get(0), Outcome.SERVED);
         assertEquals(1, early.attempts.size(), "the earliest deadline");
-        host.end(host.sent.get(1), Outcome.SATISFIED);
+        host.end(host.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
         assertEquals(
                 1, run2.attempts.size(), "the rest of the run goes along, a few over the bound");
@@ -40,17 +40,17 @@
             host.passTime(10);
             Attempt slow = i % 2 == 0 ? host.lastAttempt(read) : null;
             if (slow == null) {
-                host.end(host.lastAttempt(read), Outcome.SATISFIED);
+                host.end(host.lastAttempt(read), Outcome.SERVED);
             } else {
                 host.passTime(50);
-                host.end(slow, Outcome.SATISFIED);
+                host.end(slow, Outcome.SERVED);
             }
         }
         host.sent.clear();
         for (int i = 0; i < 10; i++) {
             Operation write = host.take(SchedulerHarness.WRITE, -1);
             host.passTime(10);
-            host.end(host.lastAttempt(write), Outcome.SATISFIED);
+            host.end(host.lastAttempt(write), Outcome.SERVED);
         }
         Node quick = host.nodes.get(1);
         assertTrue(host.sent.stream().filter(attempt -> attempt.node == quick).count() >= 7);
@@ -79,7 +79,7 @@
         host.passTime(10);
         Operation reserved = host.take(SchedulerHarness.READ, 0);
         assertTrue(reserved.attempts.isEmpty());
-        host.end(host.sent.get(0), Outcome.SATISFIED);
+        host.end(host.sent.get(0), Outcome.SERVED);
         assertEquals(1, reserved.attempts.size());
     }
 
@@ -88,15 +88,15 @@
         SchedulerHarness host = new SchedulerHarness(1);
         Volume heavyElsewhere = host.volume(1);
         Operation told = host.take(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
-        host.lastAttempt(told).othersUnits = 40;
-        host.end(host.lastAttempt(told), Outcome.SATISFIED);
+        host.lastAttempt(told).otherGatewaysUnits = 40;
+        host.end(host.lastAttempt(told), Outcome.SERVED);
         for (int i = 0; i < 4; i++) {
             host.take(SchedulerHarness.READ, 0);
         }
         Operation spent = host.take(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
         host.passTime(4);
         Operation due = host.take(SchedulerHarness.READ, 0);
-        host.end(host.sent.get(1), Outcome.SATISFIED);
+        host.end(host.sent.get(1), Outcome.SERVED);
         assertTrue(spent.attempts.isEmpty());
         assertEquals(1, due.attempts.size());
     }
@@ -112,11 +112,11 @@
         for (int i = 0; i < 4; i++) {
             host.passTime(50);
             host.take(SchedulerHarness.READ, 0);
-            host.end(host.sent.get(i), Outcome.SATISFIED);
+            host.end(host.sent.get(i), Outcome.SERVED);
         }
-        assertTrue(read.attempts.isEmpty() && !read.over);
+        assertTrue(read.attempts.isEmpty() && !read.ended);
         host.passTime(52);
-        assertTrue(read.over, "its target time is past, its patience is not");
+        assertTrue(read.ended, "its target time is past, its patience is not");
         assertEquals(1, host.declined.size());
     }
 }
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -83,7 +83,7 @@
                                 3),
                         band(
                                 UNREPEATABLE,
-                                TrafficClass.Idempotency.UNREPEATABLE,
+                                TrafficClass.Idempotency.NON_IDEMPOTENT,
                                 false,
                                 300,
                                 2000,
@@ -141,7 +141,7 @@
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(node(i));
         }
-        control.listed(nodes, now);
+        control.onEndpointList(nodes, now);
         settle();
     }
 
@@ -185,7 +185,7 @@
     }
 
     Operation take(int band, Volume volume, long extent, double units, int shard) {
-        return take(band, volume, extent, units, shard, site.bands().get(band).patience());
+        return take(band, volume, extent, units, shard, site.trafficClasses().get(band).deadline());
     }
 
     /** An operation whose client has only so much patience left. */
@@ -198,7 +198,7 @@
         Operation operation =
                 new Operation(
                         ++ids,
-                        site.bands().get(band),
+                        site.trafficClasses().get(band),
                         volume,
                         extent,
                         units,
@@ -207,7 +207,7 @@
                         now + patience,
                         false);
         held.add(operation);
-        answer(operation, control.place(operation, now));
+        answer(operation, control.route(operation, now));
         settle();
         return operation;
     }
@@ -215,10 +215,10 @@
     /** Ends an attempt and carries out what follows. */
     void end(Attempt attempt, Outcome outcome) {
         attempt.outcome = outcome;
-        attempt.took = now - attempt.sentAt;
-        attempt.operation.over |= outcome == Outcome.SATISFIED;
-        if (control.after(attempt, now) == FollowUp.PLACE_AGAIN) {
-            answer(attempt.operation, control.place(attempt.operation, now));
+        attempt.duration = now - attempt.sentAt;
+        attempt.operation.ended |= outcome == Outcome.SERVED;
+        if (control.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
+            answer(attempt.operation, control.route(attempt.operation, now));
         }
         settle();
     }
@@ -228,12 +228,12 @@
         sent.stream()
                 .filter(attempt -> attempt.outcome == null)
                 .toList()
-                .forEach(attempt -> end(attempt, Outcome.SATISFIED));
+                .forEach(attempt -> end(attempt, Outcome.SERVED));
     }
 
     void leave(Operation operation) {
-        operation.over = true;
-        control.left(operation, now);
+        operation.ended = true;
+        control.onClientCancelled(operation, now);
         settle();
     }
 
@@ -247,23 +247,23 @@
     }
 
     void relist() {
-        control.listed(nodes, now);
+        control.onEndpointList(nodes, now);
         settle();
     }
 
     void settle() {
         for (int round = 0; round < 1000; round++) {
-            SchedulerTurn pause = control.pause(now);
-            probes += pause.probes().size();
-            calledOff.addAll(pause.callOff());
-            if (pause.call() != SchedulerTurn.EndpointPoll.NONE) {
+            SchedulerTurn pause = control.nextTurn(now);
+            probes += pause.healthChecks().size();
+            calledOff.addAll(pause.cancellations());
+            if (pause.poll() != SchedulerTurn.EndpointPoll.NONE) {
                 listCalls++;
             }
             if (pause.due().isEmpty()) {
                 return;
             }
             for (Operation operation : pause.due()) {
-                answer(operation, control.place(operation, now));
+                answer(operation, control.route(operation, now));
             }
         }
     }
@@ -283,11 +283,11 @@
                 sent.add(lastAttempt(operation));
                 timeouts.put(lastAttempt(operation), placement.timeout());
             }
-            case DECLINE -> {
+            case REJECT -> {
                 declined.add(operation);
-                advice = placement.advice();
+                advice = placement.retryAfter();
             }
-            case SCRAP -> scrapped.add(operation);
+            case ABANDON -> scrapped.add(operation);
             case WAIT -> {}
         }
     }
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -26,10 +26,10 @@
         SchedulerHarness host = new SchedulerHarness(1);
         Operation sent = host.take(band, 0);
         Operation homeless = host.take(band, 7);
-        host.passTime(sent.band.patience() - 2);
-        assertTrue(homeless.over, "an operation whose shard no node holds");
+        host.passTime(sent.trafficClass.deadline() - 2);
+        assertTrue(homeless.ended, "an operation whose shard no node holds");
         host.end(host.lastAttempt(sent), Outcome.TIMED_OUT);
-        assertTrue(sent.over, "an operation whose only hop was never answered");
+        assertTrue(sent.ended, "an operation whose only hop was never answered");
         assertEquals(2, host.declined.size() + host.scrapped.size());
     }
 
@@ -40,7 +40,7 @@
         Operation operation = host.take(SchedulerHarness.UNREPEATABLE, -1);
         host.end(host.lastAttempt(operation), outcome);
         host.passTime(100);
-        if (!outcome.provesNotRun) {
+        if (!outcome.provesNotExecuted) {
             assertEquals(1, operation.attempts.size());
             assertTrue(host.declined.isEmpty());
         } else {
@@ -58,33 +58,34 @@
         Operation once = host.take(SchedulerHarness.UNREPEATABLE, 0);
         host.passTime(10);
         for (Operation operation : List.of(drained, left, repeated, once)) {
-            assertTrue(host.control.mayBegin(host.lastAttempt(operation), host.now));
+            assertTrue(host.control.mayStart(host.lastAttempt(operation), host.now));
         }
         host.end(host.lastAttempt(repeated), Outcome.RESET);
         assertEquals(2, repeated.attempts.size(), "sent again while the node remembers");
-        assertTrue(host.control.mayBegin(host.lastAttempt(repeated), host.now));
-        double forgets = repeated.attempts.get(0).sentAt + repeated.band.groupMemory();
+        assertTrue(host.control.mayStart(host.lastAttempt(repeated), host.now));
+        double forgets =
+                repeated.attempts.get(0).sentAt + repeated.trafficClass.deduplicationWindow();
         assertFalse(
-                host.control.mayBegin(host.lastAttempt(repeated), forgets),
+                host.control.mayStart(host.lastAttempt(repeated), forgets),
                 "not when it has forgotten");
-        host.end(host.lastAttempt(once), Outcome.FULL);
+        host.end(host.lastAttempt(once), Outcome.REJECTED);
         assertTrue(
-                host.control.mayBegin(host.lastAttempt(once), host.now),
+                host.control.mayStart(host.lastAttempt(once), host.now),
                 "the first has proved that it never ran");
         assertEquals(2, once.attempts.size());
         once.attempts.get(0).outcome = Outcome.RESET;
-        assertFalse(host.control.mayBegin(host.lastAttempt(once), host.now), "or else it may not");
-        host.nodes.get(0).standing = Node.Phase.DRAINING;
+        assertFalse(host.control.mayStart(host.lastAttempt(once), host.now), "or else it may not");
+        host.nodes.get(0).phase = Node.Phase.DRAINING;
         host.relist();
-        assertFalse(host.control.mayBegin(host.lastAttempt(drained), host.now));
+        assertFalse(host.control.mayStart(host.lastAttempt(drained), host.now));
         host.leave(left);
-        assertFalse(host.control.mayBegin(host.lastAttempt(left), host.now));
+        assertFalse(host.control.mayStart(host.lastAttempt(left), host.now));
     }
 
     @Test
     void aDrainingNodeGetsNothingNew() {
         SchedulerHarness host = new SchedulerHarness(2);
-        host.nodes.get(0).standing = Node.Phase.DRAINING;
+        host.nodes.get(0).phase = Node.Phase.DRAINING;
         host.relist();
         for (int i = 0; i < 4; i++) {
             host.take(SchedulerHarness.WRITE, -1);
@@ -114,7 +115,7 @@
             for (Attempt attempt : List.copyOf(host.sent)) {
                 sent[(int) ((host.now - 100_000) / 500)] += attempt.operation.units;
                 host.sent.remove(attempt);
-                host.end(attempt, Outcome.SATISFIED);
+                host.end(attempt, Outcome.SERVED);
             }
         }
         double warm = 200 / 2.0;
@@ -182,7 +183,7 @@
                         sentAt.add(now);
                     }
                     host.sent.remove(attempt);
-                    host.end(attempt, Outcome.SATISFIED);
+                    host.end(attempt, Outcome.SERVED);
                 }
             }
         }
@@ -208,10 +209,10 @@
             Operation read = host.take(SchedulerHarness.READ, 0);
             if (!read.attempts.isEmpty()) {
                 units += read.units;
-                host.end(host.lastAttempt(read), Outcome.SATISFIED);
+                host.end(host.lastAttempt(read), Outcome.SERVED);
             }
         }
-        assertTrue(units > 0 && units <= host.site.mostUnits(), "sent " + units);
+        assertTrue(units > 0 && units <= host.site.maxUnits(), "sent " + units);
         host.passTime(5000);
         Volume surging = host.volume(0);
         int sent = 0;
@@ -219,7 +220,7 @@
             Operation read = host.take(SchedulerHarness.READ, surging, 2000 + i, 1, 0);
             sent += read.attempts.size();
             if (!read.attempts.isEmpty()) {
-                host.end(host.lastAttempt(read), Outcome.SATISFIED);
+                host.end(host.lastAttempt(read), Outcome.SERVED);
             }
         }
         assertTrue(sent > 0 && sent <= 4, "sent " + sent);
@@ -244,10 +245,10 @@
         Operation second = host.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
         Operation other = host.take(SchedulerHarness.READ, 0);
         assertEquals(2, host.sent.size());
-        first.over = true;
-        host.control.left(first, host.now);
+        first.ended = true;
+        host.control.onClientCancelled(first, host.now);
         host.end(host.lastAttempt(first), Outcome.TIMED_OUT);
-        host.end(host.lastAttempt(other), Outcome.SATISFIED);
+        host.end(host.lastAttempt(other), Outcome.SERVED);
         host.passTime(150);
         assertTrue(second.attempts.isEmpty(), "the key rests");
         host.passTime(60);
@@ -258,14 +259,14 @@
     void aVolumeKeepsToItsPartOfTheLimit() {
         SchedulerHarness host = new SchedulerHarness(4);
         Volume volume = host.volume(2);
-        volume.gateways = 2;
+        volume.gatewayCount = 2;
         double units = 0;
         for (int i = 0; i < 100; i++) {
             host.take(SchedulerHarness.WRITE, volume, 1000 + i, 2, -1);
             host.passTime(20);
             while (!host.sent.isEmpty()) {
                 units += host.sent.get(0).operation.units;
-                host.end(host.sent.remove(0), Outcome.SATISFIED);
+                host.end(host.sent.remove(0), Outcome.SERVED);
             }
         }
         assertTrue(units > 4 && units <= 10 / 2.0 * 2 + 0.1, "sent " + units);
@@ -295,13 +296,13 @@
         SchedulerHarness host = new SchedulerHarness(2);
         Operation kept = host.take(SchedulerHarness.DEDUPLICATED, -1);
         Node first = host.lastAttempt(kept).node;
-        host.end(host.lastAttempt(kept), Outcome.FAULT);
+        host.end(host.lastAttempt(kept), Outcome.FAILED);
         host.passTime(100);
         assertTrue(kept.attempts.stream().allMatch(attempt -> attempt.node == first));
         assertTrue(
                 host.declined.isEmpty(), "a decline would promise that asking again is harmless");
         host.passTime(2000);
-        assertTrue(kept.over || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
+        assertTrue(kept.ended || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
         Operation old = host.take(SchedulerHarness.DEDUPLICATED, 0);
         host.passTime(1100);
         int attempts = old.attempts.size();
@@ -314,14 +315,14 @@
     void noSecondCopyWhereNoneIsAllowedAndNoThirdFurtherAttempt() {
         SchedulerHarness host = new SchedulerHarness(1);
         Operation operation = host.take(SchedulerHarness.BULK, 0);
-        for (int i = 0; i < 5 && !operation.over; i++) {
+        for (int i = 0; i < 5 && !operation.ended; i++) {
             host.settle();
             assertTrue(
                     operation.attempts.stream().filter(attempt -> attempt.outcome == null).count()
                             <= 1);
-            host.end(host.lastAttempt(operation), Outcome.FAULT);
+            host.end(host.lastAttempt(operation), Outcome.FAILED);
         }
-        assertTrue(operation.over);
+        assertTrue(operation.ended);
         assertEquals(3, operation.attempts.size());
         assertEquals(1, host.declined.size());
     }
@@ -334,7 +335,7 @@
         }
         Operation waiting = host.take(SchedulerHarness.READ, 0);
         host.leave(waiting);
-        host.end(host.sent.get(0), Outcome.SATISFIED);
+        host.end(host.sent.get(0), Outcome.SERVED);
         host.passTime(100);
         assertTrue(waiting.attempts.isEmpty());
     }
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -21,14 +21,14 @@
     @ValueSource(doubles = {-HOUR, -30_000, -11_000, 0, 5_000, HOUR})
     void aRestartCountsFromWhenItIsFirstSeen(double clockError) {
         SchedulerHarness host = new SchedulerHarness(2, 0, 1, true, Double.NaN, SPAN);
-        host.control.listConfirmed(host.now);
+        host.control.onListConfirmed(host.now);
         host.passTime(2_000);
-        host.control.listConfirmed(host.now);
+        host.control.onListConfirmed(host.now);
         host.passTime(500);
         Node node = host.nodes.get(0);
         node.startedAt = host.now - 100 + clockError;
         host.relist();
-        double age = host.now - ((EndpointState) node.kept).startedAt;
+        double age = host.now - ((EndpointState) node.schedulerState).startedAt;
         assertTrue(age >= 0 && age <= 500, "counts as started " + age + " ms ago");
     }
 
@@ -40,19 +40,19 @@
         fresh.startedAt = host.now + clockError;
         host.nodes.add(fresh);
         host.relist();
-        assertEquals(host.now, ((EndpointState) fresh.kept).startedAt);
+        assertEquals(host.now, ((EndpointState) fresh.schedulerState).startedAt);
     }
 
     @Test
     void aStartThatIsToldAgainIsNoRestart() {
         SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        host.control.listConfirmed(host.now);
+        host.control.onListConfirmed(host.now);
         Node node = host.nodes.get(0);
         node.startedAt = host.now + HOUR;
         host.relist();
-        double startedAt = ((EndpointState) node.kept).startedAt;
+        double startedAt = ((EndpointState) node.schedulerState).startedAt;
         host.passTime(3_000);
         host.relist();
-        assertEquals(startedAt, ((EndpointState) node.kept).startedAt);
+        assertEquals(startedAt, ((EndpointState) node.schedulerState).startedAt);
     }
 }
