--- a/src/jmh/java/sagepulley/bench/ControlBench.java
+++ b/src/jmh/java/sagepulley/bench/ControlBench.java
@@ -54,7 +54,7 @@
     @Param({"0", "2000", "12000"})
     int held;
 
-    private Scheduler control;
+    private Scheduler scheduler;
     private List<Volume> volumes;
     private final List<TrafficClass> bands = new ArrayList<>();
     private final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
@@ -79,17 +79,17 @@
         }
         List<TenantPlan> plans = List.of(new TenantPlan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
                 new TenantPlan(1, "reserved", 60, 30, 3, 1, 0, 0, 0));
-        ServicePolicy rules = new ServicePolicy(8, 1000, 0.25, 10_000, 2, 2000, 6, 200, Double.NaN, 0, Double.NaN, 3, false);
-        Deployment site = new Deployment(0, 1, 0, bands, plans, rules, 2, nodeCount, 2, 6, 0.35, 0.05, 1000, true,
+        ServicePolicy policy = new ServicePolicy(8, 1000, 0.25, 10_000, 2, 2000, 6, 200, Double.NaN, 0, Double.NaN, 3, false);
+        Deployment site = new Deployment(0, 1, 0, bands, plans, policy, 2, nodeCount, 2, 6, 0.35, 0.05, 1000, true,
                 false, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, false, true, true, 1000, 0, 0, 0.05, false, List.of());
-        control = new Scheduler(site, 7);
+        scheduler = new Scheduler(site, 7);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < nodeCount; i++) {
             Node node = new Node(i);
             node.cell = i;
             nodes.add(node);
         }
-        control.onEndpointList(nodes, now);
+        scheduler.onEndpointList(nodes, now);
         volumes = new ArrayList<>();
         for (int i = 0; i < nodeCount * 6; i++) {
             volumes.add(new Volume(i, plans.get(i % 2)));
@@ -135,7 +135,7 @@
         Operation operation = new Operation(++ids, bands.get(random.nextInt(3)), volumes.get(volume), ids,
                 1 + random.nextInt(4), (volume + random.nextInt(2)) % nodeCount, now,
                 now + bands.get(0).deadline(), false);
-        answer(operation, control.route(operation, now));
+        answer(operation, scheduler.route(operation, now));
         settle();
     }
 
@@ -143,31 +143,31 @@
         attempt.outcome = Outcome.SERVED;
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended = true;
-        if (control.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            answer(attempt.operation, control.route(attempt.operation, now));
+        if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
+            answer(attempt.operation, scheduler.route(attempt.operation, now));
         }
         settle();
     }
 
     private void settle() {
-        SchedulerTurn pause = control.nextTurn(now);
-        while (!pause.due().isEmpty()) {
+        SchedulerTurn turn = scheduler.nextTurn(now);
+        while (!turn.due().isEmpty()) {
             boolean moved = false;
-            for (Operation operation : pause.due()) {
-                RoutingDecision placement = control.route(operation, now);
-                moved |= placement.kind() != RoutingDecision.Kind.WAIT;
-                answer(operation, placement);
+            for (Operation operation : turn.due()) {
+                RoutingDecision decision = scheduler.route(operation, now);
+                moved |= decision.kind() != RoutingDecision.Kind.WAIT;
+                answer(operation, decision);
             }
             if (!moved) {
                 break;
             }
-            pause = control.nextTurn(now);
+            turn = scheduler.nextTurn(now);
         }
-        wake = now + Math.max(0.01, pause.delay());
+        wake = now + Math.max(0.01, turn.delay());
     }
 
-    private void answer(Operation operation, RoutingDecision placement) {
-        if (placement.kind() == RoutingDecision.Kind.SEND) {
+    private void answer(Operation operation, RoutingDecision decision) {
+        if (decision.kind() == RoutingDecision.Kind.SEND) {
             out.add(operation.attempts.get(operation.attempts.size() - 1));
             ends.add(new double[] {now + SERVICE * (0.5 + random.nextDouble()), out.size() - 1});
         }
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -106,8 +106,10 @@
      * An operation came. Its meter is null where no accounts are kept, and all else takes it so.
      */
     public OperationTimer begin(
-            long volume, TrafficClass band, boolean writes, double units, double now) {
-        return bounds.volumes() == 0 ? null : new OperationTimer(volume, band, writes, units, now);
+            long volume, TrafficClass trafficClass, boolean writes, double units, double now) {
+        return bounds.volumes() == 0
+                ? null
+                : new OperationTimer(volume, trafficClass, writes, units, now);
     }
 
     /** From now on it waits at this gateway, for a node (0: none). */
@@ -118,7 +120,7 @@
         close(meter, now);
         start(meter, part, node);
         meter.limited |= part == LatencyComponent.LIMIT;
-        meter.owed =
+        meter.quotaTier =
                 switch (part) {
                     case RESERVE_FULL -> QuotaTier.RESERVATION;
                     case BEYOND_SHARE -> QuotaTier.EXCESS;
@@ -155,23 +157,23 @@
     }
 
     /** An attempt of it goes to a node, in this part of its plan. */
-    public void sent(OperationTimer meter, int node, QuotaTier owed, double now) {
+    public void sent(OperationTimer meter, int node, QuotaTier quotaTier, double now) {
         if (meter == null) {
             return;
         }
         close(meter, now);
         claimed(meter);
         start(meter, LatencyComponent.ON_THE_WAY, node);
-        meter.owed = owed;
+        meter.quotaTier = quotaTier;
         meter.wasSent = true;
         NodeActivity log = log(node);
         meter.out = log;
         if (log != null) {
             meter.othersLeast = log.othersLeast();
             meter.othersMost = log.othersMost();
-            meter.outKey = log.out.add(OutstandingWork.key(meter.volume, owed), meter.units);
+            meter.outKey = log.out.add(OutstandingWork.key(meter.volume, quotaTier), meter.units);
             meter.outKeyAnywhere =
-                    anywhere.add(OutstandingWork.key(meter.volume, owed), meter.units);
+                    anywhere.add(OutstandingWork.key(meter.volume, quotaTier), meter.units);
             log.sent(now);
             if (meter.writes) {
                 log.written.add(meter.volume, meter.units, now);
@@ -306,12 +308,14 @@
         claimed(meter);
         meter.ended = true;
         double took = now - meter.arrivedAt;
-        boolean met = how == End.SATISFIED && took <= meter.band.latencyObjective();
+        boolean met = how == End.SATISFIED && took <= meter.trafficClass.latencyObjective();
         double lost =
                 met
                         ? 0
-                        : meter.band.priorityWeight()
-                                * (how == End.SATISFIED ? 1 - meter.band.lateWeightFraction() : 1);
+                        : meter.trafficClass.priorityWeight()
+                                * (how == End.SATISFIED
+                                        ? 1 - meter.trafficClass.lateWeightFraction()
+                                        : 1);
         if (lost > 0 && meter.charges.size() == 0) {
             blameUnwaited(meter, reason, node, now);
         }
@@ -319,7 +323,7 @@
         PlanTier part =
                 meter.limited || reason == Reason.LIMIT
                         ? PlanTier.LIMIT
-                        : !meter.wasSent ? PlanTier.NONE : PlanTier.of(meter.owed);
+                        : !meter.wasSent ? PlanTier.NONE : PlanTier.of(meter.quotaTier);
         int at = part.ordinal();
         window.units[at] += meter.units;
         window.lost[at] += lost;
@@ -634,7 +638,7 @@
             double part = (1 - slow) * meter.ahead.units(i) / sum;
             boolean mine =
                     meter.ahead.volume(i) == meter.volume
-                            || meter.ahead.owed(i).compareTo(meter.owed) < 0;
+                            || meter.ahead.owed(i).compareTo(meter.quotaTier) < 0;
             long key =
                     mine
                             ? Cause.key(Cause.Kind.OWN_LOAD, meter.volume, at, !seen)
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -18,7 +18,7 @@
     private static final LatencyComponent[] SPENT = LatencyComponent.values();
 
     final long volume;
-    final TrafficClass band;
+    final TrafficClass trafficClass;
     final boolean writes;
     final double units;
     final double arrivedAt;
@@ -32,7 +32,7 @@
 
     double since;
     int node;
-    QuotaTier owed = QuotaTier.SHARE;
+    QuotaTier quotaTier = QuotaTier.SHARE;
     OutstandingWork ahead;
 
     /**
@@ -64,9 +64,14 @@
     private double[] lengths = new double[FIRST_STEPS];
     private int count;
 
-    OperationTimer(long volume, TrafficClass band, boolean writes, double units, double arrivedAt) {
+    OperationTimer(
+            long volume,
+            TrafficClass trafficClass,
+            boolean writes,
+            double units,
+            double arrivedAt) {
         this.volume = volume;
-        this.band = band;
+        this.trafficClass = trafficClass;
         this.writes = writes;
         this.units = units;
         this.arrivedAt = arrivedAt;
--- a/src/main/java/sagepulley/accounts/OutstandingWork.java
+++ b/src/main/java/sagepulley/accounts/OutstandingWork.java
@@ -14,8 +14,8 @@
     private final double[] units = new double[MOST];
     private int size;
 
-    static long key(long volume, QuotaTier owed) {
-        return volume << 2 | owed.ordinal();
+    static long key(long volume, QuotaTier quotaTier) {
+        return volume << 2 | quotaTier.ordinal();
     }
 
     int size() {
--- a/src/main/java/sagepulley/accounts/PlanTier.java
+++ b/src/main/java/sagepulley/accounts/PlanTier.java
@@ -14,8 +14,8 @@
     /** Never sent anywhere. */
     NONE;
 
-    static PlanTier of(QuotaTier owed) {
-        return switch (owed) {
+    static PlanTier of(QuotaTier quotaTier) {
+        return switch (quotaTier) {
             case RESERVATION -> RESERVE;
             case SHARE -> SHARE;
             case EXCESS -> EXCESS;
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -47,10 +47,10 @@
         for (int i = 1; i <= nodes; i++) {
             traits.add(NodeProfile.quick(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
         }
-        LocalCluster town = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
+        LocalCluster cluster = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
         NbdGateway gateway =
-                town.open(
-                        LocalCluster.demoSite("demo", 0, 1, port, town.directory().address()),
+                cluster.open(
+                        LocalCluster.demoSite("demo", 0, 1, port, cluster.directory().address()),
                         new SecureRandom().nextLong());
         System.out.println(
                 "ready: nbd://127.0.0.1:"
@@ -58,6 +58,6 @@
                         + "/demo (64 MiB) over "
                         + nodes
                         + " stand-in nodes");
-        return SignalWait.untilSignal(town::close);
+        return SignalWait.untilSignal(cluster::close);
     }
 }
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -84,7 +84,7 @@
     @Override
     public Integer call() {
         EventLoopGroup loops = EventLoops.group(1, "node-" + id);
-        NodeProfile traits =
+        NodeProfile profile =
                 new NodeProfile(
                         id,
                         cell == null ? id : cell,
@@ -105,7 +105,7 @@
                         data);
         StandInNode node =
                 LocalCluster.await(
-                        new StandInNode(traits, loops, TrafficRecorder.NOBODY, id)
+                        new StandInNode(profile, loops, TrafficRecorder.NOBODY, id)
                                 .start(listen.socket()));
         DirectoryRegistration registration =
                 new DirectoryRegistration(
@@ -114,7 +114,7 @@
                         () ->
                                 new DirectoryMessages.EndpointLine(
                                         id,
-                                        traits.cell(),
+                                        profile.cell(),
                                         zone,
                                         0,
                                         DirectoryMessages.Phase.READY,
--- a/src/main/java/sagepulley/engine/DecisionSink.java
+++ b/src/main/java/sagepulley/engine/DecisionSink.java
@@ -11,7 +11,7 @@
     void send(Attempt attempt, double timeout);
 
     /** The final answer to an operation that is given up: declined, or scrapped. */
-    void endUnserved(Operation operation, RoutingDecision placement);
+    void endUnserved(Operation operation, RoutingDecision decision);
 
     /** Nobody waits for this attempt any longer. */
     void cancel(Attempt attempt);
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -35,8 +35,8 @@
     private static final double GONE_FOR_GOOD = 30_000;
 
     private final Deployment deployment;
-    private final DecisionSink exit;
-    private final Scheduler control;
+    private final DecisionSink sink;
+    private final Scheduler scheduler;
     private final Map<Long, Operation> operations = new HashMap<>();
     private final Map<Long, Volume> volumes = new HashMap<>();
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
@@ -45,10 +45,10 @@
     /** Taken, and not yet placed: all that came at one moment is known before anything is sent. */
     private final Queue<Operation> arrivals = new ArrayDeque<>();
 
-    public GatewayEngine(Deployment deployment, long seed, DecisionSink exit) {
+    public GatewayEngine(Deployment deployment, long seed, DecisionSink sink) {
         this.deployment = deployment;
-        this.exit = exit;
-        this.control = new Scheduler(deployment, seed);
+        this.sink = sink;
+        this.scheduler = new Scheduler(deployment, seed);
     }
 
     public Deployment deployment() {
@@ -69,7 +69,7 @@
             entry.copyTo(nodes.computeIfAbsent(entry.node(), Node::new));
         }
         List<Node> forgotten = longGone(now);
-        control.onEndpointList(new ArrayList<>(nodes.values()), now);
+        scheduler.onEndpointList(new ArrayList<>(nodes.values()), now);
         return forgotten;
     }
 
@@ -105,30 +105,30 @@
 
     /** The list held is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
-        control.onListConfirmed(asOf);
+        scheduler.onListConfirmed(asOf);
     }
 
     /** Nobody could reach discovery at a time. */
     public void onDiscoveryUnreachable(double at) {
-        control.onDiscoveryUnreachable(at);
+        scheduler.onDiscoveryUnreachable(at);
     }
 
     public void onPollFailed(double now) {
-        control.onPollFailed(now);
+        scheduler.onPollFailed(now);
     }
 
     /** A new configuration was told at a time, which may move discovery. */
     public void onReloadNotified(double toldAt) {
-        control.onReloadNotified(toldAt);
+        scheduler.onReloadNotified(toldAt);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
     public void onConfigurationRead(double readAt) {
-        control.onConfigurationRead(readAt);
+        scheduler.onConfigurationRead(readAt);
     }
 
     public void onDiscoveryMoved(double now) {
-        control.onDiscoveryMoved(now);
+        scheduler.onDiscoveryMoved(now);
     }
 
     /**
@@ -163,7 +163,7 @@
 
     /** What Scheduler has learned by band, in the order of the bands. */
     public List<TrafficClassView> trafficClassViews() {
-        return TrafficClassView.of(control);
+        return TrafficClassView.of(scheduler);
     }
 
     /** Why each operation that waits is not sent now, by reason. */
@@ -171,7 +171,7 @@
         Map<Reason, Integer> waiting = new EnumMap<>(Reason.class);
         for (Operation operation : operations.values()) {
             if (!operation.ended && !operation.isInFlight() && !arrivals.contains(operation)) {
-                waiting.merge(WaitExplainer.why(control, operation, now), 1, Integer::sum);
+                waiting.merge(WaitExplainer.why(scheduler, operation, now), 1, Integer::sum);
             }
         }
         return waiting;
@@ -187,15 +187,15 @@
     public void onAttemptEnded(Attempt attempt, boolean settled, double now) {
         Operation operation = attempt.operation;
         operation.ended |= settled;
-        if (control.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            answer(operation, control.route(operation, now));
+        if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
+            answer(operation, scheduler.route(operation, now));
         }
         forget(operation);
     }
 
     /** Whether an attempt that was held up before its first byte may still go out. */
     public boolean mayStart(Attempt attempt, double now) {
-        return control.mayStart(attempt, now);
+        return scheduler.mayStart(attempt, now);
     }
 
     public void onClientCancelled(long id, double now) {
@@ -203,7 +203,7 @@
         if (operation != null && !operation.ended) {
             operation.ended = true;
             if (!arrivals.remove(operation)) {
-                control.onClientCancelled(operation, now);
+                scheduler.onClientCancelled(operation, now);
             }
             forget(operation);
         }
@@ -212,7 +212,7 @@
     public void onHealthCheck(int id, Outcome outcome, double took, double[] report, double now) {
         Node node = nodes.get(id);
         if (node != null) {
-            control.onHealthCheck(node, outcome, took, report, now);
+            scheduler.onHealthCheck(node, outcome, took, report, now);
         }
     }
 
@@ -222,38 +222,38 @@
      */
     public void runDueWork(double now) {
         for (Operation fresh = arrivals.poll(); fresh != null; fresh = arrivals.poll()) {
-            answer(fresh, control.route(fresh, now));
+            answer(fresh, scheduler.route(fresh, now));
         }
-        SchedulerTurn pause = control.nextTurn(now);
+        SchedulerTurn turn = scheduler.nextTurn(now);
         while (true) {
-            pause.cancellations().forEach(exit::cancel);
-            pause.healthChecks().forEach(exit::checkHealth);
-            switch (pause.poll()) {
-                case SUBSCRIBE -> exit.openWatch();
-                case FETCH -> exit.pollEndpointList();
+            turn.cancellations().forEach(sink::cancel);
+            turn.healthChecks().forEach(sink::checkHealth);
+            switch (turn.poll()) {
+                case SUBSCRIBE -> sink.openWatch();
+                case FETCH -> sink.pollEndpointList();
                 case NONE -> {}
             }
             boolean moved = false;
-            for (Operation operation : pause.due()) {
-                RoutingDecision placement = control.route(operation, now);
-                moved |= placement.kind() != RoutingDecision.Kind.WAIT;
-                answer(operation, placement);
+            for (Operation operation : turn.due()) {
+                RoutingDecision decision = scheduler.route(operation, now);
+                moved |= decision.kind() != RoutingDecision.Kind.WAIT;
+                answer(operation, decision);
             }
             if (!moved) {
                 break; // asking again at the same moment would change nothing
             }
-            pause = control.nextTurn(now);
+            turn = scheduler.nextTurn(now);
         }
-        exit.scheduleWakeUp(pause.delay(), now);
+        sink.scheduleWakeUp(turn.delay(), now);
     }
 
-    private void answer(Operation operation, RoutingDecision placement) {
-        switch (placement.kind()) {
+    private void answer(Operation operation, RoutingDecision decision) {
+        switch (decision.kind()) {
             case SEND ->
-                    exit.send(
+                    sink.send(
                             operation.attempts.get(operation.attempts.size() - 1),
-                            placement.timeout());
-            case REJECT, ABANDON -> exit.endUnserved(operation, placement);
+                            decision.timeout());
+            case REJECT, ABANDON -> sink.endUnserved(operation, decision);
             case WAIT -> {}
         }
         forget(operation);
--- a/src/main/java/sagepulley/engine/SettingsReader.java
+++ b/src/main/java/sagepulley/engine/SettingsReader.java
@@ -39,9 +39,9 @@
         String[] writes = optional("domain.changesData", "").split(",");
         boolean ordered = false;
         for (int i = 0; i < whole("classes.count"); i++) {
-            TrafficClass band = band(i, i < writes.length && writes[i].equals("true"));
-            ordered |= band.ordered();
-            bands.add(band);
+            TrafficClass trafficClass = band(i, i < writes.length && writes[i].equals("true"));
+            ordered |= trafficClass.ordered();
+            bands.add(trafficClass);
         }
         List<TenantPlan> plans = new ArrayList<>();
         for (int i = 0; i < whole("plans.count"); i++) {
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -102,11 +102,11 @@
     private final EventLoop loop;
     private final Class<? extends Channel> kind;
     private final Clock clock;
-    private final Scheduler control;
+    private final Scheduler scheduler;
     private final RequestSplitter splitter;
     private final StoreMessages.Hello hello;
     private final DirectoryClient directory;
-    private final Counters tally = new Counters();
+    private final Counters counters = new Counters();
     private final Map<String, ExportedVolume> disks = new LinkedHashMap<>();
     private final Map<Integer, Place> places = new LinkedHashMap<>();
 
@@ -200,7 +200,7 @@
 
         @Override
         public void probed(long id, float[] report) {
-            control.onHealthCheck(node, Outcome.SERVED, 0, widened(report), clock.now());
+            scheduler.onHealthCheck(node, Outcome.SERVED, 0, widened(report), clock.now());
             settle();
         }
 
@@ -247,7 +247,7 @@
             Class<? extends Channel> kind,
             Clock clock,
             long seed,
-            Scheduler control,
+            Scheduler scheduler,
             Membership membership,
             Tracer tracer) {
         this.site = site;
@@ -255,7 +255,7 @@
         this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
         this.kind = kind;
         this.clock = clock;
-        this.control = control;
+        this.scheduler = scheduler;
         this.accounts =
                 new Accounts(
                         site.books().keep() ? Accounts.Bounds.USUAL : Accounts.Bounds.NONE,
@@ -516,7 +516,7 @@
 
     /** From any thread. */
     Counters tally() {
-        return tally;
+        return counters;
     }
 
     /** From any thread: the volumes do not change in service. */
@@ -565,7 +565,7 @@
             }
         }
         request.open = request.parts.size();
-        tally.taken.add(request.open);
+        counters.taken.add(request.open);
         if (request.open == 0) {
             close(request);
         }
@@ -675,10 +675,10 @@
 
     private void leave(RequestPart part) {
         part.operation.ended = true;
-        tally.left.increment();
+        counters.left.increment();
         unseek(part);
         if (part.shown) {
-            control.onClientCancelled(part.operation, clock.now());
+            scheduler.onClientCancelled(part.operation, clock.now());
         }
         end(part, Accounts.End.LEFT, Reason.NONE);
         waiting.remove(part);
@@ -748,9 +748,9 @@
                     } else {
                         if (part.shown) {
                             part.operation.ended = true;
-                            control.onEndedWithoutNode(part.operation);
+                            scheduler.onEndedWithoutNode(part.operation);
                         }
-                        tally.holes.increment();
+                        counters.holes.increment();
                         if (part.kind == StoreMessages.Kind.READ) {
                             part.request.found.add(
                                     new PendingRequest.Found(part.at, part.length, null));
@@ -770,7 +770,7 @@
         if (all != null) {
             for (RequestPart part : all) {
                 if (part.shown) {
-                    control.onExtentLocated(part.operation, holder);
+                    scheduler.onExtentLocated(part.operation, holder);
                 }
             }
         }
@@ -821,7 +821,7 @@
     private void refile(long key, int shard) {
         for (RequestPart part : seeking.getOrDefault(key, Set.of())) {
             if (part.shown && part.attempt == 0 && part.operation.shard != shard && creates(part)) {
-                control.onExtentLocated(part.operation, shard);
+                scheduler.onExtentLocated(part.operation, shard);
             }
         }
     }
@@ -853,7 +853,7 @@
                         directoryFailed();
                         refile(key, newShard());
                         if (directoryDown && !part.operation.ended) {
-                            control.onExtentLocated(part.operation, NOT_FOUND_YET);
+                            scheduler.onExtentLocated(part.operation, NOT_FOUND_YET);
                         }
                     }
                     for (RequestPart waiting : holders.claimed(key)) {
@@ -877,12 +877,12 @@
 
     private void show(RequestPart part) {
         part.shown = true;
-        carryOut(part, control.route(part.operation, clock.now()));
+        carryOut(part, scheduler.route(part.operation, clock.now()));
     }
 
-    private void carryOut(RequestPart part, RoutingDecision placement) {
+    private void carryOut(RequestPart part, RoutingDecision decision) {
         Operation operation = part.operation;
-        if (placement.kind() == RoutingDecision.Kind.WAIT) {
+        if (decision.kind() == RoutingDecision.Kind.WAIT) {
             if (!operation.ended) {
                 waiting.add(part);
                 account(part, clock.now());
@@ -890,7 +890,7 @@
             return;
         }
         waiting.remove(part);
-        switch (placement.kind()) {
+        switch (decision.kind()) {
             case SEND -> {
                 Attempt attempt = operation.attempts.get(operation.attempts.size() - 1);
                 part.attempt = ++attemptIds;
@@ -900,7 +900,7 @@
                 part.timer =
                         loop.schedule(
                                 () -> timedOut(number),
-                                Math.max(1, (long) (placement.timeout() * NS)),
+                                Math.max(1, (long) (decision.timeout() * NS)),
                                 TimeUnit.NANOSECONDS);
                 if (operation.shard < 0) {
                     accounts.claims(part.meter, attempt.node.id, clock.now());
@@ -910,29 +910,29 @@
                 }
             }
             case REJECT -> {
-                tally.declined.increment();
+                counters.declined.increment();
                 String when =
-                        placement.retryAfter() > 0
+                        decision.retryAfter() > 0
                                 ? "; come back in "
-                                        + (long) Math.ceil(placement.retryAfter())
+                                        + (long) Math.ceil(decision.retryAfter())
                                         + " ms"
                                 : "";
                 finish(
                         part,
                         Accounts.End.DECLINED,
-                        placement.reason(),
+                        decision.reason(),
                         NbdConstants.ENOMEM,
                         "declined ("
-                                + word(placement.reason())
+                                + word(decision.reason())
                                 + "): asking again does no harm"
                                 + when);
             }
             case ABANDON -> {
-                tally.scrapped.increment();
+                counters.scrapped.increment();
                 finish(
                         part,
                         Accounts.End.SCRAPPED,
-                        placement.reason(),
+                        decision.reason(),
                         NbdConstants.EIO,
                         "scrapped: it may have taken effect or not");
             }
@@ -950,7 +950,7 @@
             return; // no accounts are kept
         }
         LatencyComponent spent =
-                LatencyComponent.of(WaitExplainer.why(control, part.operation, now));
+                LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
         accounts.waits(part.meter, spent, nodeOf(part.operation.shard), now);
     }
 
@@ -982,7 +982,7 @@
         part.handed = true;
         accounts.sent(part.meter, attempt.node.id, attempt.quotaTier, clock.now());
         Place place = places.get(attempt.node.id);
-        tally.attempts.increment();
+        counters.attempts.increment();
         boolean durable = (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
         StoreMessages.Send send =
                 new StoreMessages.Send(
@@ -1069,7 +1069,7 @@
         holdersChanged = true;
         seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
         if (!part.operation.ended) {
-            control.onExtentLocated(part.operation, creates(part) ? newShard() : NOT_FOUND_YET);
+            scheduler.onExtentLocated(part.operation, creates(part) ? newShard() : NOT_FOUND_YET);
         }
     }
 
@@ -1108,14 +1108,14 @@
         boolean first = !operation.ended && outcome == Outcome.SERVED;
         operation.ended |= first;
         if (outcome == Outcome.NOT_EXECUTED) {
-            tally.moot.increment();
+            counters.moot.increment();
         }
-        FollowUp sequel = control.onAttemptEnded(attempt, now);
+        FollowUp sequel = scheduler.onAttemptEnded(attempt, now);
         if (first) {
             note(part, attempt);
             satisfied(part);
         } else if (sequel == FollowUp.ROUTE_AGAIN) {
-            carryOut(part, control.route(operation, now));
+            carryOut(part, scheduler.route(operation, now));
         }
         settle();
     }
@@ -1133,7 +1133,7 @@
 
     private void satisfied(RequestPart part) {
         part.operation.ended = true;
-        tally.satisfied.increment();
+        counters.satisfied.increment();
         end(part, Accounts.End.SATISFIED, Reason.NONE);
         over(part);
     }
@@ -1246,31 +1246,31 @@
         for (RequestPart part : holders.overdue(now)) {
             handOn(part);
         }
-        SchedulerTurn pause = control.nextTurn(now);
+        SchedulerTurn turn = scheduler.nextTurn(now);
         while (true) {
-            for (Attempt attempt : pause.cancellations()) {
+            for (Attempt attempt : turn.cancellations()) {
                 callOff(attempt);
             }
-            for (Node node : pause.healthChecks()) {
+            for (Node node : turn.healthChecks()) {
                 places.get(node.id).link.probe(++attemptIds);
             }
-            switch (pause.poll()) {
+            switch (turn.poll()) {
                 case SUBSCRIBE -> directory.subscribe();
                 case FETCH -> directory.fetch();
                 case NONE -> {}
             }
             boolean moved = false;
-            for (Operation operation : pause.due()) {
-                RoutingDecision placement = control.route(operation, now);
-                moved |= placement.kind() != RoutingDecision.Kind.WAIT;
-                carryOut(partOf(operation), placement);
+            for (Operation operation : turn.due()) {
+                RoutingDecision decision = scheduler.route(operation, now);
+                moved |= decision.kind() != RoutingDecision.Kind.WAIT;
+                carryOut(partOf(operation), decision);
             }
             if (!moved) {
                 break; // asking again at the same moment would change nothing
             }
-            pause = control.nextTurn(now);
+            turn = scheduler.nextTurn(now);
         }
-        alarm.by(Math.min(now + pause.delay(), holders.nextOverdue()));
+        alarm.by(Math.min(now + turn.delay(), holders.nextOverdue()));
     }
 
     private static RequestPart partOf(Operation operation) {
@@ -1366,7 +1366,7 @@
             }
         }
         listChanged = true;
-        control.onEndpointList(nodes, clock.now());
+        scheduler.onEndpointList(nodes, clock.now());
         settle();
     }
 
@@ -1432,7 +1432,7 @@
 
     private void askAgain() {
         if (listed) {
-            control.onPollFailed(clock.now());
+            scheduler.onPollFailed(clock.now());
             settle();
         } else if (!stopping) {
             loop.schedule(directory::fetch, (long) returning.next(), TimeUnit.MILLISECONDS);
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -54,8 +54,8 @@
     private final SiteConfig site;
     private final EventLoopGroup houseGroup = EventLoops.group(1, "gateway");
     private final EventLoopGroup clientGroup;
-    private final NbdEngine house;
-    private final BufferBudget room;
+    private final NbdEngine engine;
+    private final BufferBudget bufferBudget;
     private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicReference<CompletableFuture<Void>> ending = new AtomicReference<>();
     private Channel listener;
@@ -75,20 +75,20 @@
         this(site, seed, new Scheduler(site.deployment(), seed), membership);
     }
 
-    NbdGateway(SiteConfig site, long seed, Scheduler control, Membership membership) {
+    NbdGateway(SiteConfig site, long seed, Scheduler scheduler, Membership membership) {
         this.site = site;
         this.clientGroup =
                 site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : houseGroup;
-        this.room = new BufferBudget(site.allBytes());
+        this.bufferBudget = new BufferBudget(site.allBytes());
         this.tracer = site.traces().wanted() ? new Tracer(site.traces(), site.name()) : null;
-        this.house =
+        this.engine =
                 new NbdEngine(
                         site,
                         houseGroup.next(),
                         EventLoops.socket(),
                         new Clock(),
                         seed,
-                        control,
+                        scheduler,
                         membership,
                         tracer);
     }
@@ -122,11 +122,11 @@
                 .next()
                 .execute(
                         () -> {
-                            house.restore(list, cells);
+                            engine.restore(list, cells);
                             if (before != null) {
-                                house.goOn(before.book());
+                                engine.goOn(before.book());
                             }
-                            house.start(() -> listen(ready));
+                            engine.start(() -> listen(ready));
                         });
         return ready;
     }
@@ -142,7 +142,7 @@
         AccountFile file = new AccountFile(site.books().file(), site.name());
         keepers.add(
                 new PeriodicWriter<>(
-                        "accounts", site.books().every(), house::writtenBook, file::write));
+                        "accounts", site.books().every(), engine::writtenBook, file::write));
         try {
             return file.goOn();
         } catch (IOException e) {
@@ -163,7 +163,7 @@
                 new PeriodicWriter<>(
                         "list",
                         LIST_LOOK_MS,
-                        house::keptList,
+                        engine::keptList,
                         list -> file.write(list, System.currentTimeMillis())));
         return file.start();
     }
@@ -177,7 +177,7 @@
                 new PeriodicWriter<>(
                         "holders",
                         HOLDERS_LOOK_MS,
-                        house::keptHolders,
+                        engine::keptHolders,
                         cells -> file.write(cells, System.currentTimeMillis())));
         return file.start();
     }
@@ -222,26 +222,26 @@
             return;
         }
         clients.add(client);
-        house.tally().clients.increment();
-        client.closeFuture().addListener(done -> house.tally().clientsEnded.increment());
-        BufferBudget.Client part = room.client(site.clientBytes());
+        engine.tally().clients.increment();
+        client.closeFuture().addListener(done -> engine.tally().clientsEnded.increment());
+        BufferBudget.Client part = bufferBudget.client(site.clientBytes());
         client.pipeline().addLast(new IdleStateHandler(STUCK_SECONDS, STUCK_SECONDS, 0));
-        NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(house, part));
+        NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(engine, part));
     }
 
     /** The volumes as exports; the first is the default. */
     private final class Offered implements Exports {
         @Override
         public List<Export> all() {
-            return house.disks().values().stream().map(disk -> disk.export).toList();
+            return engine.disks().values().stream().map(disk -> disk.export).toList();
         }
 
         @Override
         public Export named(String name) {
-            if (name.isEmpty() && !house.disks().isEmpty()) {
+            if (name.isEmpty() && !engine.disks().isEmpty()) {
                 return all().get(0);
             }
-            ExportedVolume disk = house.disk(name);
+            ExportedVolume disk = engine.disk(name);
             return disk == null ? null : disk.export;
         }
     }
@@ -252,22 +252,22 @@
     }
 
     public Counters tally() {
-        return house.tally();
+        return engine.tally();
     }
 
     /** Each volume's account of latency over the last so many milliseconds, by its name. */
     public CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
-        return house.accounts(lately);
+        return engine.accounts(lately);
     }
 
     /** What it knows of its nodes. */
     public CompletableFuture<NodesView> nodes() {
-        return house.nodesView();
+        return engine.nodesView();
     }
 
     /** Sums of the accounts since the start. */
     public CompletableFuture<Totals> totals() {
-        return house.totals();
+        return engine.totals();
     }
 
     /** Traces made since the start, and those dropped; 0 where none go anywhere. */
@@ -281,16 +281,16 @@
 
     /** A copy of all accounts as they stand, as they go to disk. */
     public CompletableFuture<GatewayAccounts> writtenBook() {
-        return house.writtenBook();
+        return engine.writtenBook();
     }
 
     /** Bytes of requests in hand now, and the most there ever were. */
     public long bytesInHand() {
-        return room.used();
+        return bufferBudget.used();
     }
 
     public long mostBytesInHand() {
-        return room.highest();
+        return bufferBudget.highest();
     }
 
     /**
@@ -306,7 +306,7 @@
         if (listener != null) {
             listener.close();
         }
-        house.stop(() -> empty.complete(null));
+        engine.stop(() -> empty.complete(null));
         empty.orTimeout((long) site.stopWithin() + 1, TimeUnit.MILLISECONDS)
                 .whenComplete(
                         (done, late) -> {
@@ -362,7 +362,7 @@
                 .next()
                 .execute(
                         () -> {
-                            house.close();
+                            engine.close();
                             LOG.atInfo()
                                     .addKeyValue("gateway", site.name())
                                     .addKeyValue("taken", tally().taken.sum())
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -29,7 +29,7 @@
             Unpooled.unreleasableBuffer(
                     Unpooled.directBuffer(ZEROES_AT_ONCE).writeZero(ZEROES_AT_ONCE).asReadOnly());
 
-    private final NbdEngine house;
+    private final NbdEngine engine;
     private final BufferBudget.Client room;
     private Channel channel;
     private ExportedVolume disk;
@@ -39,8 +39,8 @@
     private int inHand;
     private boolean leaving;
 
-    NbdSession(NbdEngine house, BufferBudget.Client room) {
-        this.house = house;
+    NbdSession(NbdEngine engine, BufferBudget.Client room) {
+        this.engine = engine;
         this.room = room;
     }
 
@@ -52,7 +52,7 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof AttachedExport attached) {
-            disk = house.disk(attached.export().name());
+            disk = engine.disk(attached.export().name());
             structured = attached.structured();
             baseAllocation = attached.baseAllocation();
             LOG.atInfo()
@@ -72,7 +72,7 @@
     private void idle(IdleState state) {
         boolean stuckReading =
                 state == IdleState.READER_IDLE
-                        && house.waitsForRest(channel)
+                        && engine.waitsForRest(channel)
                         && channel.config().isAutoRead();
         boolean stuckWriting = state == IdleState.WRITER_IDLE && !channel.isWritable();
         if (stuckReading || stuckWriting) {
@@ -128,7 +128,7 @@
             reply(request);
             return;
         }
-        house.take(this, asked, disk);
+        engine.take(this, asked, disk);
     }
 
     /** Writes the one reply of a request. From any loop. */
@@ -240,13 +240,13 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         room.close();
-        house.left(this);
+        engine.left(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof MalformedMessageException) {
-            house.tally().badClients.increment();
+            engine.tally().badClients.increment();
             LOG.atInfo()
                     .addKeyValue("client", channel.remoteAddress())
                     .addKeyValue("why", cause.getMessage())
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -163,7 +163,7 @@
             int length,
             long at,
             ByteBuf payload) {
-        TrafficClass band = deployment.trafficClasses().get(bandIndex);
+        TrafficClass trafficClass = deployment.trafficClasses().get(bandIndex);
         // What moves no data still costs the node a look.
         double units =
                 kind == StoreMessages.Kind.READ || kind == StoreMessages.Kind.WRITE
@@ -176,13 +176,13 @@
         Operation operation =
                 new Operation(
                         ++ids,
-                        band,
+                        trafficClass,
                         request.disk.volume,
                         key,
                         units,
                         -1,
                         request.arrivedAt,
-                        request.arrivedAt + band.deadline(),
+                        request.arrivedAt + trafficClass.deadline(),
                         false);
         return new RequestPart(request, operation, kind, extent, inside, length, at, payload);
     }
--- a/src/main/java/sagepulley/model/Operation.java
+++ b/src/main/java/sagepulley/model/Operation.java
@@ -39,7 +39,7 @@
 
     public Operation(
             long id,
-            TrafficClass band,
+            TrafficClass trafficClass,
             Volume volume,
             long extent,
             double units,
@@ -48,7 +48,7 @@
             double deadline,
             boolean clientRepeat) {
         this.id = id;
-        this.trafficClass = band;
+        this.trafficClass = trafficClass;
         this.volume = volume;
         this.extent = extent;
         this.units = units;
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/platform/BlockCommand.java
@@ -27,7 +27,7 @@
 
     final long id;
     final long extent;
-    final TrafficClass band;
+    final TrafficClass trafficClass;
     final TenantPlan plan;
     final double patience;
     final long volume;
@@ -48,7 +48,7 @@
         this.id = hex(text(words.get(2)), "the id");
         String list = text(words.get(3));
         Map<String, String> fields = fields(list);
-        this.band = band(need(fields, "c"), deployment);
+        this.trafficClass = band(need(fields, "c"), deployment);
         this.plan = plan(need(fields, "t"), deployment);
         this.patience = number(need(fields, "d"), "d", LONGEST_PATIENCE);
         this.volume = hex(need(fields, "volume"), "volume");
@@ -68,9 +68,9 @@
             throw new BadCommandException("wrong number of words");
         }
         BlockCommand command = new BlockCommand(words, deployment);
-        if (command.band.writes() != writes) {
+        if (command.trafficClass.writes() != writes) {
             throw new BadCommandException(
-                    "c=" + command.band.name() + " does not go with the command");
+                    "c=" + command.trafficClass.name() + " does not go with the command");
         }
         return command;
     }
@@ -172,9 +172,9 @@
 
     private static TrafficClass band(String name, Deployment deployment)
             throws BadCommandException {
-        for (TrafficClass band : deployment.trafficClasses()) {
-            if (band.name().equals(name)) {
-                return band;
+        for (TrafficClass trafficClass : deployment.trafficClasses()) {
+            if (trafficClass.name().equals(name)) {
+                return trafficClass;
             }
         }
         throw new BadCommandException("there is no such class");
--- a/src/main/java/sagepulley/platform/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/platform/EndpointListUpdate.java
@@ -19,7 +19,7 @@
             String locality,
             String flavor,
             int cell,
-            Node.Phase standing,
+            Node.Phase phase,
             double weight,
             long started) {}
 
@@ -37,7 +37,7 @@
                                                 member.locality(),
                                                 member.flavor(),
                                                 member.cell(),
-                                                member.standing(),
+                                                member.phase(),
                                                 member.weight(),
                                                 member.started()))
                         .toList(),
@@ -65,7 +65,7 @@
     }
 
     private static Member member(Map<?, ?> fields) {
-        Node.Phase standing =
+        Node.Phase phase =
                 switch (String.valueOf(fields.get("phase")).toUpperCase(Locale.ROOT)) {
                     case "SERVING" -> Node.Phase.READY;
                     case "DRAINING" -> Node.Phase.DRAINING;
@@ -74,12 +74,12 @@
                 };
         InetSocketAddress address =
                 fields.get("host_port") instanceof String text ? AddressParser.read(text) : null;
-        if (standing == null || !(fields.get("id") instanceof String id) || id.isEmpty()) {
+        if (phase == null || !(fields.get("id") instanceof String id) || id.isEmpty()) {
             return null;
         }
         // What has gone needs no address any more.
         boolean placed = address != null && fields.get("cell") instanceof Number;
-        if (!placed && standing != Node.Phase.REMOVED) {
+        if (!placed && phase != Node.Phase.REMOVED) {
             return null;
         }
         return new Member(
@@ -88,7 +88,7 @@
                 String.valueOf(fields.get("locality")),
                 String.valueOf(fields.get("flavor")),
                 (int) number(fields.get("cell"), -1),
-                standing,
+                phase,
                 number(fields.get("size"), 1),
                 (long) number(fields.get("up_since_ms"), 0));
     }
--- a/src/main/java/sagepulley/platform/EndpointRegistry.java
+++ b/src/main/java/sagepulley/platform/EndpointRegistry.java
@@ -33,7 +33,7 @@
         return listing.members().stream()
                 .filter(
                         member ->
-                                member.standing() != Node.Phase.REMOVED
+                                member.phase() != Node.Phase.REMOVED
                                         || numbers.containsKey(member.id()))
                 .map(this::entry)
                 .toList();
@@ -46,8 +46,8 @@
             Integer number = numbers.get(member.id());
             Node node = number == null ? null : known.apply(number);
             Object before = node == null ? "unknown" : node.phase;
-            if (before != member.standing()) {
-                changes.add(member.id() + ":" + before + "->" + member.standing());
+            if (before != member.phase()) {
+                changes.add(member.id() + ":" + before + "->" + member.phase());
             }
         }
         return changes;
@@ -63,7 +63,7 @@
                 zones.indexOf(member.locality()),
                 member.cell(),
                 number,
-                member.standing(),
+                member.phase(),
                 clock.atWall(member.started()),
                 kinds.indexOf(member.flavor()),
                 member.weight());
--- a/src/main/java/sagepulley/platform/GatewayMetrics.java
+++ b/src/main/java/sagepulley/platform/GatewayMetrics.java
@@ -43,8 +43,8 @@
         waiting.forEach((reason, count) -> waits.merge(reason, (long) count, Long::sum));
     }
 
-    void gaveUp(TrafficClass band, Reason reason) {
-        givenUp.merge(band.name() + "/" + reason, 1L, Long::sum);
+    void gaveUp(TrafficClass trafficClass, Reason reason) {
+        givenUp.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
     }
 
     /** How attempts to a node have ended since this was last asked. */
--- a/src/main/java/sagepulley/platform/GatewayServer.java
+++ b/src/main/java/sagepulley/platform/GatewayServer.java
@@ -59,13 +59,13 @@
     /** Each with its target time and patience. */
     private static String bands(Config config) {
         StringBuilder all = new StringBuilder();
-        for (TrafficClass band : config.deployment().trafficClasses()) {
+        for (TrafficClass trafficClass : config.deployment().trafficClasses()) {
             all.append(all.isEmpty() ? "" : ",")
-                    .append(band.name())
+                    .append(trafficClass.name())
                     .append(':')
-                    .append(band.latencyObjective())
+                    .append(trafficClass.latencyObjective())
                     .append('/')
-                    .append(band.deadline());
+                    .append(trafficClass.deadline());
         }
         return all.toString();
     }
--- a/src/main/java/sagepulley/platform/RespGateway.java
+++ b/src/main/java/sagepulley/platform/RespGateway.java
@@ -80,7 +80,7 @@
     private final Clock clock = new Clock();
     private final EventLoop loop;
     private final EventLoopTimer alarm;
-    private final GatewayEngine host;
+    private final GatewayEngine engine;
     private final EndpointRegistry book;
     private final ClientListener front;
     private final EndpointConnectionPool nodes;
@@ -113,7 +113,7 @@
         this.loop = transport.loops().next();
         this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
         this.config = config;
-        this.host = new GatewayEngine(config.deployment(), config.seed(), this);
+        this.engine = new GatewayEngine(config.deployment(), config.seed(), this);
         this.book = new EndpointRegistry(config.zones(), config.kinds(), clock);
         int sockets = config.sockets() - OWN_SOCKETS;
         int clients = (int) (sockets * CLIENT_PART);
@@ -210,7 +210,7 @@
         BlockCommand command;
         try {
             command = BlockCommand.read(words, config.deployment());
-            if (host.operation(command.id) != null) {
+            if (engine.operation(command.id) != null) {
                 throw new BadCommandException("an operation with this id is in hand");
             }
         } catch (BadCommandException bad) {
@@ -225,7 +225,7 @@
             return;
         }
         if (bytesInHand + command.bytes() > mostBytes
-                || host.inFlight().size() >= config.mostOpen()) {
+                || engine.inFlight().size() >= config.mostOpen()) {
             counts.noRoom++;
             events.line("request refused", "id", NumberParser.id(command.id), "why", "NO_ROOM");
             slot.answer(RespBytes.error("BUSY"));
@@ -233,14 +233,14 @@
         }
         bytesInHand += command.bytes();
         counts.taken++;
-        Volume volume = host.volume(command.volume, command.plan.index());
+        Volume volume = engine.volume(command.volume, command.plan.index());
         volume.gatewayCount = command.gateways;
         double cameAt = now - connection.cameAgo(arrival);
         double deadline = Math.min(cameAt + command.patience, Math.max(now + 1, stopAt));
         Operation operation =
                 new Operation(
                         command.id,
-                        command.band,
+                        command.trafficClass,
                         volume,
                         command.extent,
                         command.units,
@@ -250,7 +250,7 @@
                         command.repeat);
         operation.engineState = new Held(command, slot);
         slot.held = operation;
-        host.onArrival(operation);
+        engine.onArrival(operation);
         settle();
     }
 
@@ -260,7 +260,7 @@
         slot.held = null;
         counts.left++;
         release(operation);
-        host.onClientCancelled(operation.id, clock.now());
+        engine.onClientCancelled(operation.id, clock.now());
         operation.attempts.forEach(nodes::callOffUnwritten);
         settle();
     }
@@ -282,8 +282,8 @@
     }
 
     @Override
-    public void endUnserved(Operation operation, RoutingDecision placement) {
-        boolean declined = placement.kind() == RoutingDecision.Kind.REJECT;
+    public void endUnserved(Operation operation, RoutingDecision decision) {
+        boolean declined = decision.kind() == RoutingDecision.Kind.REJECT;
         events.line(
                 declined ? "request refused" : "request failed",
                 "id",
@@ -291,16 +291,16 @@
                 "band",
                 operation.trafficClass.name(),
                 "why",
-                placement.reason(),
+                decision.reason(),
                 "after-ms",
                 Math.round(clock.now() - operation.arrivedAt),
                 "attempts",
                 attempts(operation));
-        counts.gaveUp(operation.trafficClass, placement.reason());
+        counts.gaveUp(operation.trafficClass, decision.reason());
         if (!declined) {
             answer(operation, RespBytes.error("ERR failed"));
-        } else if (placement.retryAfter() > 0) {
-            answer(operation, RespBytes.error("BUSY " + (long) Math.ceil(placement.retryAfter())));
+        } else if (decision.retryAfter() > 0) {
+            answer(operation, RespBytes.error("BUSY " + (long) Math.ceil(decision.retryAfter())));
         } else {
             answer(operation, RespBytes.error("BUSY"));
         }
@@ -349,7 +349,7 @@
         nodes.send(
                 attempt,
                 address,
-                left -> host.mayStart(attempt, clock.now()) ? command.forNode(left) : null,
+                left -> engine.mayStart(attempt, clock.now()) ? command.forNode(left) : null,
                 timeout,
                 (outcome, answer, at) -> attemptEnded(attempt, outcome, answer, at));
     }
@@ -367,7 +367,7 @@
             attempt.operation.ended = true;
             answer(attempt.operation, RespBytes.bulk(EndpointResponse.value(answer)));
         }
-        host.onAttemptEnded(attempt, settled, now);
+        engine.onAttemptEnded(attempt, settled, now);
         settle();
     }
 
@@ -396,7 +396,7 @@
                                     ? EndpointResponse.report(
                                             bulk, config.deployment().reportFields())
                                     : null;
-                    host.onHealthCheck(
+                    engine.onHealthCheck(
                             node.id,
                             well ? Outcome.SERVED : outcome,
                             at - sentAt,
@@ -428,34 +428,34 @@
                 listing.whole(),
                 "entries",
                 listing.members().size());
-        List<String> changes = book.changes(listing, host::node);
+        List<String> changes = book.changes(listing, engine::node);
         if (!changes.isEmpty()) {
             LogWriter.info("endpoint states", "revision", listing.revision(), "changes", changes);
         }
         for (String entry : listing.unreadable()) {
             LogWriter.warn("an entry of the list cannot be read", "entry", entry);
         }
-        host.onEndpointList(book.entries(listing), listing.whole(), clock.now())
+        engine.onEndpointList(book.entries(listing), listing.whole(), clock.now())
                 .forEach(book::forget);
         settle();
     }
 
     @Override
     public void listConfirmed(double asOf) {
-        host.onListConfirmed(asOf);
+        engine.onListConfirmed(asOf);
         firstList.complete(null);
         settle();
     }
 
     @Override
     public void discoveryUnreachable(double at) {
-        host.onDiscoveryUnreachable(at);
+        engine.onDiscoveryUnreachable(at);
     }
 
     @Override
     public void listFailed(String why) {
         LogWriter.warn("the list of nodes failed", "why", why);
-        host.onPollFailed(clock.now());
+        engine.onPollFailed(clock.now());
         settle();
     }
 
@@ -474,7 +474,7 @@
     }
 
     private void settleNow() {
-        host.runDueWork(clock.now());
+        engine.runDueWork(clock.now());
     }
 
     @Override
@@ -490,7 +490,7 @@
         nodes.sweep();
         checkEnd();
         double now = clock.now();
-        counts.waits(host.waitingByReason(now));
+        counts.waits(engine.waitingByReason(now));
     }
 
     private void report() {
@@ -498,7 +498,7 @@
         LogWriter.info(
                 "state",
                 "in-hand",
-                host.inFlight().size(),
+                engine.inFlight().size(),
                 "bytes",
                 bytesInHand,
                 "hops-out",
@@ -530,9 +530,9 @@
                 "counts",
                 counts,
                 "bands",
-                host.trafficClassViews());
+                engine.trafficClassViews());
         worstLag = 0;
-        for (Node node : host.nodes()) {
+        for (Node node : engine.nodes()) {
             Map<Outcome, Integer> ended = counts.lately(node);
             if (node.phase != Node.Phase.REMOVED || !ended.isEmpty()) {
                 LogWriter.info(
@@ -575,7 +575,7 @@
                             "a new configuration is told",
                             "ago-ms",
                             Math.round(clock.now() - toldAt));
-                    host.onReloadNotified(toldAt);
+                    engine.onReloadNotified(toldAt);
                 });
     }
 
@@ -593,9 +593,9 @@
                             "after-ms",
                             Math.round(clock.now() - readAt));
                     boolean moved = discovery.moveTo(fresh.discovery());
-                    host.onConfigurationRead(readAt);
+                    engine.onConfigurationRead(readAt);
                     if (moved) {
-                        host.onDiscoveryMoved(clock.now());
+                        engine.onDiscoveryMoved(clock.now());
                         settle();
                     }
                     reloads++;
@@ -604,7 +604,7 @@
 
     /** The file was read, beginning at a time, and cannot be used: all stays as it was. */
     void reloadUnusable(double readAt) {
-        loop.execute(() -> host.onConfigurationRead(readAt));
+        loop.execute(() -> engine.onConfigurationRead(readAt));
     }
 
     /** Goes on serving while clients still come, then answers what it has and ends. */
@@ -627,7 +627,7 @@
                     stopAt = toldAt + left;
                     double now = clock.now();
                     front.keepUnused();
-                    LogWriter.info("stopping", "in-hand", host.inFlight().size());
+                    LogWriter.info("stopping", "in-hand", engine.inFlight().size());
                     loop.schedule(
                             () -> {
                                 front.end();
@@ -641,7 +641,7 @@
 
     /** The time is up: whatever is still in hand gets the answer that promises nothing. */
     private void giveUpAll() {
-        for (Operation operation : new ArrayList<>(host.inFlight())) {
+        for (Operation operation : new ArrayList<>(engine.inFlight())) {
             if (operation.engineState != null) {
                 events.line(
                         "request failed",
@@ -652,7 +652,7 @@
                         "attempts",
                         attempts(operation));
                 answer(operation, RespBytes.error("ERR the gateway stops"));
-                host.onClientCancelled(operation.id, clock.now());
+                engine.onClientCancelled(operation.id, clock.now());
             }
         }
         loop.schedule(this::finish, SWEEP_MS / 2, TimeUnit.MILLISECONDS);
@@ -668,7 +668,8 @@
     void finish() {
         loop.execute(
                 () -> {
-                    LogWriter.info("stopped", "in-hand", host.inFlight().size(), "counts", counts);
+                    LogWriter.info(
+                            "stopped", "in-hand", engine.inFlight().size(), "counts", counts);
                     front.end();
                     discovery.close();
                     nodes.close();
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -132,25 +132,25 @@
             traits.add(
                     NodeProfile.quick(i, EXTENT).withCost(1, 1).withCold(0.25, 3_000, 2, 500, 24));
         }
-        try (LocalCluster town = LocalCluster.start(traits, counter, 3)) {
+        try (LocalCluster cluster = LocalCluster.start(traits, counter, 3)) {
             List<String> sites = new ArrayList<>();
             Path mine = Files.createDirectories(folder.resolve("start-" + System.nanoTime()));
             for (int i = 0; i < GATEWAYS; i++) {
-                sites.add(site(town, i, mine.resolve("gw" + i)));
+                sites.add(site(cluster, i, mine.resolve("gw" + i)));
             }
-            firstLife(town, sites, seed);
+            firstLife(cluster, sites, seed);
             for (int i = 0; i < GATEWAYS; i++) {
                 age(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
             }
-            LocalCluster.await(town.directory().stop());
-            change(town, counter, since, changed);
-            return serve(town, way, ageHours, since, changed, sites, counter, seed);
+            LocalCluster.await(cluster.directory().stop());
+            change(cluster, counter, since, changed);
+            return serve(cluster, way, ageHours, since, changed, sites, counter, seed);
         }
     }
 
-    private static String site(LocalCluster town, int number, Path files) {
+    private static String site(LocalCluster cluster, int number, Path files) {
         return LocalCluster.demoSite(
-                                "gw-" + number, number, GATEWAYS, 0, town.directory().address())
+                                "gw-" + number, number, GATEWAYS, 0, cluster.directory().address())
                         .replace("extent = 1 MiB", "extent = 256 KiB\nask-within = 2 s")
                         .replace("unit = 128 KiB", "unit = 16 KiB")
                         .replace("cold-time = 10 s", "cold-time = 3 s")
@@ -165,7 +165,7 @@
                 + "\n";
     }
 
-    private static void firstLife(LocalCluster town, List<String> sites, long seed)
+    private static void firstLife(LocalCluster cluster, List<String> sites, long seed)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
         for (String site : sites) {
@@ -174,7 +174,7 @@
                             new NbdGateway(SiteConfig.read("site", site), ++seed * 100).start());
             gateways.add(gateway);
             if (gateways.size() == 1) {
-                NbdClient client = open(town.loops(), gateway);
+                NbdClient client = open(cluster.loops(), gateway);
                 for (int i = 0; i < EXTENTS; i++) {
                     LocalCluster.await(client.write(i * (long) EXTENT, new byte[4096])).release();
                 }
@@ -205,8 +205,8 @@
                 System.currentTimeMillis());
     }
 
-    private static void change(LocalCluster town, Counter counter, Since since, int changed) {
-        for (StandInNode node : town.nodes().subList(0, changed)) {
+    private static void change(LocalCluster cluster, Counter counter, Since since, int changed) {
+        for (StandInNode node : cluster.nodes().subList(0, changed)) {
             switch (since) {
                 case NOTHING -> {}
                 case DRAINED -> node.drain();
@@ -216,7 +216,7 @@
                     NodeProfile other =
                             NodeProfile.quick(node.traits().id() + 100, EXTENT).withCost(1, 1);
                     LocalCluster.await(
-                            new StandInNode(other, town.loops(), counter, other.id())
+                            new StandInNode(other, cluster.loops(), counter, other.id())
                                     .start(address));
                 }
                 case COLD -> LocalCluster.await(node.restartCold());
@@ -230,7 +230,7 @@
     }
 
     private static Row serve(
-            LocalCluster town,
+            LocalCluster cluster,
             Way way,
             double ageHours,
             Since since,
@@ -258,7 +258,7 @@
             var ready = gateway.start();
             if (way != Way.WAITING) {
                 LocalCluster.await(ready);
-                clients.add(open(town.loops(), gateway));
+                clients.add(open(cluster.loops(), gateway));
             }
             gateways.add(gateway);
         }
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -42,8 +42,8 @@
     private final Scenario.Load load;
     private final SiteConfig site;
     private final VolumeSettings volume;
-    private final SocketEventLog notes;
-    private final BlockHistory ledger;
+    private final SocketEventLog eventLog;
+    private final BlockHistory history;
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final Random chance;
@@ -58,15 +58,15 @@
             SiteConfig site,
             VolumeSettings volume,
             List<Door> doors,
-            SocketEventLog notes,
-            BlockHistory ledger,
+            SocketEventLog eventLog,
+            BlockHistory history,
             EventLoopGroup group,
             long seed) {
         this.load = load;
         this.site = site;
         this.volume = volume;
-        this.notes = notes;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
+        this.history = history;
         this.group = group;
         this.loop = group.next();
         this.chance = new Random(seed);
@@ -192,9 +192,9 @@
                         : load.bytes() >= volume.bulkFrom() ? volume.bulkBand() : volume.readBand();
         long now = System.nanoTime();
         SocketEventLog.Asked asked =
-                notes.asks(wire.gateway, volume.id(), kind, band, offset, load.bytes(), now);
+                eventLog.asks(wire.gateway, volume.id(), kind, band, offset, load.bytes(), now);
         BlockHistory.Write write =
-                reads ? null : ledger.begin(volume.id(), offset, load.bytes(), now);
+                reads ? null : history.begin(volume.id(), offset, load.bytes(), now);
         ByteBuf payload =
                 reads
                         ? Unpooled.EMPTY_BUFFER
@@ -216,7 +216,7 @@
                         asked.error = reply.error;
                         if (reads && reply.error == 0) {
                             ByteBuf data = reply.data();
-                            ledger.check(volume.id(), offset, data, now, end);
+                            history.check(volume.id(), offset, data, now, end);
                             data.release();
                         }
                         reply.release();
--- a/src/main/java/sagepulley/scenario/LocalCluster.java
+++ b/src/main/java/sagepulley/scenario/LocalCluster.java
@@ -37,18 +37,18 @@
 
     /** Starts directory and nodes; gateways are opened one by one. */
     public static LocalCluster start(
-            List<NodeProfile> traits, TrafficRecorder witness, int loopCount) {
+            List<NodeProfile> traits, TrafficRecorder recorder, int loopCount) {
         EventLoopGroup loops = EventLoops.group(loopCount, "stand-in");
-        StandInDirectory directory = new StandInDirectory(loops, witness);
+        StandInDirectory directory = new StandInDirectory(loops, recorder);
         await(directory.start(loopback(0)));
-        LocalCluster town = new LocalCluster(loops, directory);
+        LocalCluster cluster = new LocalCluster(loops, directory);
         for (NodeProfile one : traits) {
-            StandInNode node = new StandInNode(one, loops, witness, one.id());
+            StandInNode node = new StandInNode(one, loops, recorder, one.id());
             await(node.start(loopback(0)));
-            town.nodes.add(node);
-            town.list(node, DirectoryMessages.Phase.READY);
+            cluster.nodes.add(node);
+            cluster.list(node, DirectoryMessages.Phase.READY);
         }
-        return town;
+        return cluster;
     }
 
     /** The site file of the demo with its blanks filled in. */
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -30,7 +30,7 @@
 
     private record Op(long gateway, long mark) {}
 
-    private final SocketEventLog notes;
+    private final SocketEventLog eventLog;
     private final SiteConfig site;
     private final List<NodeProfile> traits;
     private final double allowance;
@@ -40,22 +40,22 @@
 
     /** Still is how many milliseconds the machine stood still in all. */
     public RuleChecker(
-            SocketEventLog notes, SiteConfig site, List<NodeProfile> traits, double still) {
-        this.notes = notes;
+            SocketEventLog eventLog, SiteConfig site, List<NodeProfile> traits, double still) {
+        this.eventLog = eventLog;
         this.site = site;
         this.traits = traits;
         this.allowance = WAY_MS + still;
-        for (SocketEventLog.Came came : notes.came) {
+        for (SocketEventLog.Came came : eventLog.came) {
             attempts.computeIfAbsent(
                             new Op(came.gateway(), came.send().mark()), any -> new ArrayList<>())
                     .add(came);
         }
-        for (SocketEventLog.Answered answer : notes.answered) {
+        for (SocketEventLog.Answered answer : eventLog.answered) {
             answers.computeIfAbsent(
                             new Op(answer.gateway(), answer.mark()), any -> new ArrayList<>())
                     .add(answer);
         }
-        for (SocketEventLog.CalledOff off : notes.calledOff) {
+        for (SocketEventLog.CalledOff off : eventLog.calledOff) {
             callsOff.computeIfAbsent(new Op(off.gateway(), off.mark()), any -> new ArrayList<>())
                     .add(off);
         }
@@ -89,7 +89,7 @@
         double least = Double.POSITIVE_INFINITY;
         int owed = 0;
         Map<String, List<SocketEventLog.Asked>> byExtent = new HashMap<>();
-        for (SocketEventLog.Asked asked : notes.asked) {
+        for (SocketEventLog.Asked asked : eventLog.asked) {
             double patience = site.deployment().trafficClasses().get(asked.band).deadline();
             for (long extent = asked.offset / site.extentBytes();
                     extent <= (asked.offset + asked.length - 1) / site.extentBytes();
@@ -117,7 +117,7 @@
                 }
             }
         }
-        for (SocketEventLog.Came came : notes.came) {
+        for (SocketEventLog.Came came : eventLog.came) {
             StoreMessages.Send send = came.send();
             if (send.kind() == StoreMessages.Kind.FLUSH) {
                 continue;
@@ -164,7 +164,7 @@
     private RuleVerdict effects() {
         Findings findings = new Findings();
         Map<Op, Integer> runs = new HashMap<>();
-        for (SocketEventLog.Ran ran : notes.ran) {
+        for (SocketEventLog.Ran ran : eventLog.ran) {
             Op op = new Op(ran.gateway(), ran.send().mark());
             int count = runs.merge(op, 1, Integer::sum);
             if (count > 1
@@ -193,7 +193,7 @@
 
     private void again(
             Findings findings, Op op, SocketEventLog.Came before, SocketEventLog.Came came) {
-        TrafficClass band = band(came.send());
+        TrafficClass trafficClass = band(came.send());
         SocketEventLog.Answered answer = answerTo(op, before.send().number());
         boolean neverRan =
                 answer != null
@@ -205,13 +205,13 @@
         if (neverRan) {
             return;
         }
-        if (band.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
+        if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
             findings.breach(
                     "unrepeatable operation "
                             + op.mark()
                             + " was sent again though it may have run");
-        } else if (band.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
-                && band.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
+        } else if (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
+                && trafficClass.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
                 && before.node() != came.node()) {
             findings.breach("deduplicated operation " + op.mark() + " was sent to another cell");
         }
@@ -233,13 +233,13 @@
      * never answered.
      */
     private boolean linkEnded(SocketEventLog.Came attempt, long until) {
-        for (SocketEventLog.Came other : notes.came) {
+        for (SocketEventLog.Came other : eventLog.came) {
             if (other.node() == attempt.node()
                     && other.gateway() == attempt.gateway()
                     && other.at() > until) {
                 // The node was still read from by this gateway later, and never heard of a calling
                 // off.
-                return notes.started.stream()
+                return eventLog.started.stream()
                         .anyMatch(
                                 start ->
                                         start.node() == attempt.node()
@@ -270,8 +270,8 @@
         Map<Long, Map<Integer, Long>> toldAt = new HashMap<>();
         Map<Long, Set<Integer>> known = new HashMap<>();
         List<Object[]> all = new ArrayList<>();
-        notes.told.forEach(told -> all.add(new Object[] {told.at(), told}));
-        notes.came.forEach(came -> all.add(new Object[] {came.at(), came}));
+        eventLog.told.forEach(told -> all.add(new Object[] {told.at(), told}));
+        eventLog.came.forEach(came -> all.add(new Object[] {came.at(), came}));
         all.sort(Comparator.comparingLong(one -> (long) one[0]));
         double latest = Double.NEGATIVE_INFINITY;
         double grace = site.deployment().policy().drainGrace();
@@ -323,9 +323,9 @@
 
     private RuleVerdict cold() {
         Findings findings = new Findings();
-        ServicePolicy rules = site.deployment().policy();
+        ServicePolicy policy = site.deployment().policy();
         double most = 0;
-        for (SocketEventLog.Started start : notes.started) {
+        for (SocketEventLog.Started start : eventLog.started) {
             if (Double.isNaN(start.unitsPerSecond()) || Double.isInfinite(start.unitsPerSecond())) {
                 continue;
             }
@@ -336,14 +336,14 @@
                             .orElseThrow();
             ArrayDeque<SocketEventLog.Came> window = new ArrayDeque<>();
             double units = 0;
-            for (SocketEventLog.Came came : notes.came) {
+            for (SocketEventLog.Came came : eventLog.came) {
                 double age = (came.at() - start.at()) / NS;
-                if (came.node() != start.node() || age < 0 || age > rules.slowStartTime()) {
+                if (came.node() != start.node() || age < 0 || age > policy.slowStartTime()) {
                     continue;
                 }
                 window.add(came);
                 units += came.send().units();
-                while ((came.at() - window.peek().at()) / NS > rules.overloadWindow()) {
+                while ((came.at() - window.peek().at()) / NS > policy.overloadWindow()) {
                     units -= window.poll().send().units();
                 }
                 double warm =
@@ -352,16 +352,16 @@
                                 node.coldShare() + (1 - node.coldShare()) * age / node.coldTime());
                 double borne =
                         Math.max(
-                                rules.slowStartUnits(),
-                                rules.overloadMultiple()
+                                policy.slowStartUnits(),
+                                policy.overloadMultiple()
                                         * warm
                                         * start.unitsPerSecond()
-                                        * rules.overloadWindow()
+                                        * policy.overloadWindow()
                                         / 1000);
                 most = Math.max(most, units / borne);
             }
         }
-        for (SocketEventLog.Fell fell : notes.fell) {
+        for (SocketEventLog.Fell fell : eventLog.fell) {
             findings.breach("node " + fell.node() + " was pushed over");
         }
         return findings.verdict(
@@ -418,12 +418,12 @@
 
     private RuleVerdict budget() {
         Findings findings = new Findings();
-        ServicePolicy rules = site.deployment().policy();
+        ServicePolicy policy = site.deployment().policy();
         double most = 0;
-        if (rules.hasRetryBudget()) {
-            for (SocketEventLog.Life life : notes.lives) {
+        if (policy.hasRetryBudget()) {
+            for (SocketEventLog.Life life : eventLog.lives) {
                 List<Long> taken = new ArrayList<>();
-                for (SocketEventLog.Asked asked : notes.asked) {
+                for (SocketEventLog.Asked asked : eventLog.asked) {
                     if (asked.gateway == life.gateway) {
                         long parts =
                                 (asked.offset + asked.length - 1) / site.extentBytes()
@@ -435,7 +435,7 @@
                     }
                 }
                 List<Long> further =
-                        notes.came.stream()
+                        eventLog.came.stream()
                                 .filter(
                                         came ->
                                                 came.gateway() == life.gateway
@@ -443,7 +443,7 @@
                                 .map(SocketEventLog.Came::at)
                                 .sorted()
                                 .toList();
-                double window = (rules.retryBudgetWindow() + allowance) * NS;
+                double window = (policy.retryBudgetWindow() + allowance) * NS;
                 for (long at : further) {
                     long attemptsIn =
                             further.stream()
@@ -452,13 +452,14 @@
                                                     one <= at
                                                             && one
                                                                     > at
-                                                                            - rules
+                                                                            - policy
                                                                                             .retryBudgetWindow()
                                                                                     * NS)
                                     .count();
                     long takenIn =
                             taken.stream().filter(one -> one <= at && one > at - window).count();
-                    double allowed = rules.retryBudgetFloor() + rules.retryBudgetRatio() * takenIn;
+                    double allowed =
+                            policy.retryBudgetFloor() + policy.retryBudgetRatio() * takenIn;
                     most = Math.max(most, attemptsIn / Math.max(1e-9, allowed));
                     if (attemptsIn > allowed) {
                         findings.breach(
@@ -474,7 +475,7 @@
         }
         return findings.verdict(
                 "6 budget kept",
-                rules.hasRetryBudget()
+                policy.hasRetryBudget()
                         ? "at most " + round(100 * most) + " % of it"
                         : "none is stated",
                 "100 %");
@@ -492,7 +493,7 @@
             }
             double level = plan.limitBurst();
             long last = Long.MIN_VALUE;
-            for (SocketEventLog.Came came : notes.came) {
+            for (SocketEventLog.Came came : eventLog.came) {
                 if (came.send().volume() != volume.id() || came.send().number() > 0 || moot(came)) {
                     continue;
                 }
@@ -540,17 +541,19 @@
         for (VolumeSettings volume : site.volumes()) {
             double due = 0;
             double got = 0;
-            for (SocketEventLog.Asked asked : notes.asked) {
+            for (SocketEventLog.Asked asked : eventLog.asked) {
                 if (asked.volume == volume.id()) {
-                    TrafficClass band = site.deployment().trafficClasses().get(asked.band);
-                    due += band.priorityWeight();
+                    TrafficClass trafficClass = site.deployment().trafficClasses().get(asked.band);
+                    due += trafficClass.priorityWeight();
                     boolean good = asked.replies == 1 && asked.error == 0;
                     got +=
                             !good
                                     ? 0
-                                    : (asked.ended - asked.sent) / NS <= band.latencyObjective()
-                                            ? band.priorityWeight()
-                                            : band.priorityWeight() * band.lateWeightFraction();
+                                    : (asked.ended - asked.sent) / NS
+                                                    <= trafficClass.latencyObjective()
+                                            ? trafficClass.priorityWeight()
+                                            : trafficClass.priorityWeight()
+                                                    * trafficClass.lateWeightFraction();
                 }
             }
             if (due > 0) {
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -59,8 +59,8 @@
 
     private final Scenario day;
     private final Opener opener;
-    private final SocketEventLog notes = new SocketEventLog();
-    private final BlockHistory ledger = new BlockHistory();
+    private final SocketEventLog eventLog = new SocketEventLog();
+    private final BlockHistory history = new BlockHistory();
     private final List<LoadGenerator> loaders = new ArrayList<>();
     private final List<LoadGenerator.Door> doors = new ArrayList<>();
     private final List<Opener.Opened> gateways = new CopyOnWriteArrayList<>();
@@ -73,7 +73,7 @@
                         return thread;
                     });
     private final List<GatewayAccounts> books = new ArrayList<>();
-    private LocalCluster town;
+    private LocalCluster cluster;
     private final AtomicLong seeds;
 
     public ScenarioRunner(Scenario day) {
@@ -98,7 +98,7 @@
     public Result run() throws SiteConfigException {
         List<NodeProfile> traits = new ArrayList<>();
         SiteConfig first = site(0, new InetSocketAddress("127.0.0.1", 1));
-        var rules = first.deployment().policy();
+        var policy = first.deployment().policy();
         Scenario.Nodes nodes = day.nodes();
         for (int i = 1; i <= nodes.count(); i++) {
             traits.add(
@@ -112,18 +112,18 @@
                             nodes.writeCost(),
                             nodes.queue(),
                             first.extentBytes(),
-                            rules.slowStartShare(),
-                            rules.slowStartTime(),
-                            rules.overloadMultiple(),
-                            rules.overloadWindow(),
-                            rules.slowStartUnits(),
+                            policy.slowStartShare(),
+                            policy.slowStartTime(),
+                            policy.overloadMultiple(),
+                            policy.overloadWindow(),
+                            policy.slowStartUnits(),
                             nodes.deferredShare(),
                             nodes.deferEvery(),
                             null));
         }
         try (StallDetector machine = new StallDetector();
-                LocalCluster all = LocalCluster.start(traits, notes, 3)) {
-            town = all;
+                LocalCluster all = LocalCluster.start(traits, eventLog, 3)) {
+            cluster = all;
             machine.watch(all.loops());
             for (int i = 0; i < day.gateways(); i++) {
                 doors.add(new LoadGenerator.Door());
@@ -149,22 +149,22 @@
                                 first,
                                 volume,
                                 doors,
-                                notes,
-                                ledger,
+                                eventLog,
+                                history,
                                 all.loops(),
                                 day.seed() * 31 + loaders.size()));
             }
             play();
-            synchronized (notes) {
-                RuleChecker judge = new RuleChecker(notes, first, traits, machine.stoodStill());
+            synchronized (eventLog) {
+                RuleChecker judge = new RuleChecker(eventLog, first, traits, machine.stoodStill());
                 List<RuleVerdict> verdicts = new ArrayList<>(judge.verdicts());
                 verdicts.add(
                         new RuleVerdict(
                                 "reads show the last acknowledged write",
-                                ledger.breaches().isEmpty(),
-                                ledger.checked() + " blocks read",
+                                history.breaches().isEmpty(),
+                                history.checked() + " blocks read",
                                 "all of them",
-                                ledger.breaches()));
+                                history.breaches()));
                 Map<String, Double> service = judge.service();
                 List<String> unmet = new ArrayList<>();
                 for (Scenario.Expectation wanted : day.expectations()) {
@@ -185,8 +185,8 @@
                         verdicts,
                         service,
                         unmet,
-                        notes.asked.size(),
-                        notes.came.size(),
+                        eventLog.asked.size(),
+                        eventLog.came.size(),
                         machine.stoodStill());
             }
         } finally {
@@ -233,8 +233,8 @@
 
     private void open(int index) throws SiteConfigException {
         long seed = seeds.incrementAndGet();
-        SocketEventLog.Life life = notes.opened(index, seed, System.nanoTime());
-        Opener.Opened opened = opener.open(site(index, town.directory().address()), seed);
+        SocketEventLog.Life life = eventLog.opened(index, seed, System.nanoTime());
+        Opener.Opened opened = opener.open(site(index, cluster.directory().address()), seed);
         gateways.set(index, opened);
         lives.set(index, life);
         doors.get(index).gateway = seed;
@@ -259,11 +259,11 @@
                 .log("fault begins");
         try {
             switch (event.fault()) {
-                case DIRECTORY_SILENT -> town.directory().silent(true);
-                case DIRECTORY_FAILING -> town.directory().failing(true);
-                case DIRECTORY_LAGGING -> town.directory().lag(event.much());
-                case DIRECTORY_SLOW -> town.directory().slow(event.much());
-                case DIRECTORY_DOWN -> LocalCluster.await(town.directory().stop());
+                case DIRECTORY_SILENT -> cluster.directory().silent(true);
+                case DIRECTORY_FAILING -> cluster.directory().failing(true);
+                case DIRECTORY_LAGGING -> cluster.directory().lag(event.much());
+                case DIRECTORY_SLOW -> cluster.directory().slow(event.much());
+                case DIRECTORY_DOWN -> LocalCluster.await(cluster.directory().stop());
                 case GATEWAY_KILLED -> kill(event.whom().get(0) - 1);
                 case SURGE -> surge(event, event.much());
                 default -> nodes(event).forEach(node -> begin(event, node));
@@ -280,11 +280,11 @@
                 .log("fault ends");
         try {
             switch (event.fault()) {
-                case DIRECTORY_SILENT -> town.directory().silent(false);
-                case DIRECTORY_FAILING -> town.directory().failing(false);
-                case DIRECTORY_LAGGING -> town.directory().lag(0);
-                case DIRECTORY_SLOW -> town.directory().slow(0);
-                case DIRECTORY_DOWN -> LocalCluster.await(town.directory().restart());
+                case DIRECTORY_SILENT -> cluster.directory().silent(false);
+                case DIRECTORY_FAILING -> cluster.directory().failing(false);
+                case DIRECTORY_LAGGING -> cluster.directory().lag(0);
+                case DIRECTORY_SLOW -> cluster.directory().slow(0);
+                case DIRECTORY_DOWN -> LocalCluster.await(cluster.directory().restart());
                 // It may take until a directory is back: the script goes on meanwhile.
                 case GATEWAY_KILLED ->
                         CompletableFuture.runAsync(() -> reopen(event.whom().get(0) - 1));
@@ -305,7 +305,7 @@
     }
 
     private List<StandInNode> nodes(Scenario.Event event) {
-        return event.whom().stream().map(number -> town.nodes().get(number - 1)).toList();
+        return event.whom().stream().map(number -> cluster.nodes().get(number - 1)).toList();
     }
 
     private void surge(Scenario.Event event, double times) {
@@ -337,15 +337,15 @@
             case SLOW -> node.faults().slow = Math.max(1, event.much());
             case LOSING -> node.faults().losing = event.much();
             case ERRING -> node.faults().erring = event.much();
-            case DRAINS -> town.drain(node);
-            case RESTARTS_COLD -> town.restartCold(node);
+            case DRAINS -> cluster.drain(node);
+            case RESTARTS_COLD -> cluster.restartCold(node);
             case LOSES_POWER -> {
                 LocalCluster.await(node.powerFails());
-                town.list(node, DirectoryMessages.Phase.READY);
+                cluster.list(node, DirectoryMessages.Phase.READY);
             }
             case GONE -> {
                 LocalCluster.await(node.stop());
-                town.list(node, DirectoryMessages.Phase.GONE);
+                cluster.list(node, DirectoryMessages.Phase.GONE);
             }
             default -> throw new IllegalStateException("not a node's fault: " + event.fault());
         }
@@ -360,7 +360,7 @@
             case SLOW -> node.faults().slow = 1;
             case LOSING -> node.faults().losing = 0;
             case ERRING -> node.faults().erring = 0;
-            case GONE -> town.restartCold(node);
+            case GONE -> cluster.restartCold(node);
             default -> {} // over at once, or for good
         }
     }
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -73,9 +73,10 @@
     public List<Row> run(int nodes, int[] sizes, int[] depths) throws SiteConfigException {
         EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
-        try (LocalCluster town = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
+        try (LocalCluster cluster = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
             NbdGateway gateway =
-                    town.open(LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address()), 1);
+                    cluster.open(
+                            LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address()), 1);
             NbdClient client =
                     LocalCluster.await(
                             NbdClient.open(
@@ -87,7 +88,7 @@
             for (int i = 0; i < EXTENTS; i++) {
                 LocalCluster.await(client.write(i * (long) EXTENT, new byte[EXTENT])).release();
             }
-            Direct direct = new Direct(town.nodes(), clients.next());
+            Direct direct = new Direct(cluster.nodes(), clients.next());
             for (boolean reads : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
                     for (int depth : depths) {
@@ -151,8 +152,8 @@
             throws SiteConfigException {
         EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
-        try (LocalCluster town = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
-            String site = LocalCluster.demoSite("gw", 0, 2, 0, town.directory().address());
+        try (LocalCluster cluster = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
+            String site = LocalCluster.demoSite("gw", 0, 2, 0, cluster.directory().address());
             NbdClient[] sides = new NbdClient[2];
             for (int i = 0; i < 2; i++) {
                 String extra =
@@ -165,7 +166,7 @@
                                                 : "")
                                         + "\n";
                 NbdGateway gateway =
-                        town.open(site.replace("name = gw", "name = gw" + i) + extra, i + 1);
+                        cluster.open(site.replace("name = gw", "name = gw" + i) + extra, i + 1);
                 sides[i] =
                         LocalCluster.await(
                                 NbdClient.open(
--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -22,9 +22,9 @@
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
                             (Operation operation) -> {
-                                QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
-                                return ticket.seat != null
-                                        ? ticket.seat.index
+                                QueuedRequest request = (QueuedRequest) operation.schedulerState;
+                                return request.endpoint != null
+                                        ? request.endpoint.index
                                         : operation.shard < 0
                                                 ? Integer.MAX_VALUE - 1
                                                 : Integer.MAX_VALUE;
@@ -46,20 +46,20 @@
 
     /** Operations of one band and size: whatever moves their ends moves all of them alike. */
     static final class Group {
-        final TrafficClass band;
+        final TrafficClass trafficClass;
         final double units;
-        final TreeSet<QueuedRequest> byTarget = sorted(ticket -> ticket.targetEnds);
-        final TreeSet<QueuedRequest> byArrival = sorted(ticket -> ticket.operation.arrivedAt);
-        final TreeSet<QueuedRequest> byPatience = sorted(ticket -> ticket.operation.deadline);
+        final TreeSet<QueuedRequest> byTarget = sorted(request -> request.targetEnds);
+        final TreeSet<QueuedRequest> byArrival = sorted(request -> request.operation.arrivedAt);
+        final TreeSet<QueuedRequest> byPatience = sorted(request -> request.operation.deadline);
 
-        Group(TrafficClass band, double units) {
-            this.band = band;
+        Group(TrafficClass trafficClass, double units) {
+            this.trafficClass = trafficClass;
             this.units = units;
         }
 
         private static TreeSet<QueuedRequest> sorted(ToDoubleFunction<QueuedRequest> time) {
             return new TreeSet<>(
-                    Comparator.comparingDouble(time).thenComparingLong(ticket -> ticket.turn));
+                    Comparator.comparingDouble(time).thenComparingLong(request -> request.turn));
         }
 
         /** Adds those that have ended by now, and tells when the next one ends. */
@@ -69,13 +69,13 @@
                 double now,
                 List<Operation> ended,
                 DoubleConsumer next) {
-            for (QueuedRequest ticket : order) {
-                double at = end.applyAsDouble(ticket);
+            for (QueuedRequest request : order) {
+                double at = end.applyAsDouble(request);
                 if (at <= now) {
-                    if (!ended.contains(ticket.operation)) {
-                        ended.add(ticket.operation);
+                    if (!ended.contains(request.operation)) {
+                        ended.add(request.operation);
                     }
-                } else if (!ended.contains(ticket.operation)) {
+                } else if (!ended.contains(request.operation)) {
                     next.accept(at);
                     return;
                 }
@@ -86,23 +86,23 @@
     private final Map<Key, Group> kinds = new HashMap<>();
     private long turns;
 
-    void add(QueuedRequest ticket) {
-        ticket.turn = ++turns;
-        Operation operation = ticket.operation;
+    void add(QueuedRequest request) {
+        request.turn = ++turns;
+        Operation operation = request.operation;
         Group kind =
                 kinds.computeIfAbsent(
                         key(operation), any -> new Group(operation.trafficClass, operation.units));
-        kind.byTarget.add(ticket);
-        kind.byArrival.add(ticket);
-        kind.byPatience.add(ticket);
+        kind.byTarget.add(request);
+        kind.byArrival.add(request);
+        kind.byPatience.add(request);
     }
 
-    void remove(QueuedRequest ticket) {
-        Key key = key(ticket.operation);
+    void remove(QueuedRequest request) {
+        Key key = key(request.operation);
         Group kind = kinds.get(key);
-        kind.byTarget.remove(ticket);
-        kind.byArrival.remove(ticket);
-        kind.byPatience.remove(ticket);
+        kind.byTarget.remove(request);
+        kind.byArrival.remove(request);
+        kind.byPatience.remove(request);
         if (kind.byTarget.isEmpty()) {
             kinds.remove(key);
         }
--- a/src/main/java/sagepulley/scheduler/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/scheduler/DiscoverySchedule.java
@@ -34,14 +34,14 @@
     private static final double LONGEST_SPREAD = 2_500;
 
     private final Deployment site;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private double nextAt = Double.POSITIVE_INFINITY;
     private double gap = FIRST_GAP;
     private boolean asked;
 
-    DiscoverySchedule(Deployment site, RandomGenerator chance) {
+    DiscoverySchedule(Deployment site, RandomGenerator random) {
         this.site = site;
-        this.chance = chance;
+        this.random = random;
     }
 
     /**
@@ -66,7 +66,7 @@
     /** A call failed, or the watch ended. */
     void failed(double now) {
         if (site.mustPoll()) {
-            nextAt = now + gap * (0.5 + chance.nextDouble());
+            nextAt = now + gap * (0.5 + random.nextDouble());
             gap = Math.min(gap * GAP_GROWTH, LONGEST_GAP);
         }
     }
@@ -74,7 +74,7 @@
     /** Discovery is elsewhere from now on, and nobody has been asked there. */
     void moved(double now) {
         gap = FIRST_GAP;
-        nextAt = now + chance.nextDouble() * FIRST_GAP;
+        nextAt = now + random.nextDouble() * FIRST_GAP;
     }
 
     /** Whether a call is due; then it counts as made. */
--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -8,14 +8,14 @@
         double bound, double crowd, int out, int waiting, boolean distrusted, double faults) {
     /** The view of a node that was listed. */
     public static EndpointView of(Node node) {
-        EndpointState seat = (EndpointState) node.schedulerState;
+        EndpointState endpoint = (EndpointState) node.schedulerState;
         return new EndpointView(
-                seat.bound,
-                seat.crowd,
-                seat.out.size(),
-                seat.waiting.size(),
-                seat.distrusted,
-                seat.faults);
+                endpoint.bound,
+                endpoint.crowd,
+                endpoint.out.size(),
+                endpoint.waiting.size(),
+                endpoint.distrusted,
+                endpoint.faults);
     }
 
     @Override
--- a/src/main/java/sagepulley/scheduler/QueuedRequest.java
+++ b/src/main/java/sagepulley/scheduler/QueuedRequest.java
@@ -19,7 +19,7 @@
     boolean waits;
 
     /** The seat in whose queue it stands; null for a new object or a shard without a node. */
-    EndpointState seat;
+    EndpointState endpoint;
 
     /** Where its band asks for order. */
     KeyQueue line;
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -134,8 +134,8 @@
     private static final int LATE = 1000;
 
     private final Deployment site;
-    private final ServicePolicy rules;
-    private final RandomGenerator chance;
+    private final ServicePolicy policy;
+    private final RandomGenerator random;
     final TrafficClassStats[] classStats;
     final List<EndpointState> endpoints = new ArrayList<>();
 
@@ -198,16 +198,16 @@
 
     public Scheduler(Deployment site, long seed) {
         this.site = site;
-        this.rules = site.policy();
-        this.chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        this.policy = site.policy();
+        this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.classStats = new TrafficClassStats[site.trafficClasses().size()];
-        for (TrafficClass band : site.trafficClasses()) {
-            classStats[band.index()] = new TrafficClassStats();
+        for (TrafficClass trafficClass : site.trafficClasses()) {
+            classStats[trafficClass.index()] = new TrafficClassStats();
         }
         this.lastCall = 1.5 * site.tick();
-        this.discovery = new DiscoverySchedule(site, chance);
-        this.lease = new EndpointLease(site.notifiedWithin(), rules.drainGrace());
-        double window = rules.hasRetryBudget() ? rules.retryBudgetWindow() : 1;
+        this.discovery = new DiscoverySchedule(site, random);
+        this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
+        double window = policy.hasRetryBudget() ? policy.retryBudgetWindow() : 1;
         this.taken = new SlidingWindowCounter(window, 50);
         this.further = new SlidingWindowCounter(window, 50);
     }
@@ -217,42 +217,44 @@
     /** The list as it now stands; a node that left it is GONE. */
     public void onEndpointList(List<Node> nodes, double now) {
         for (Node node : nodes) {
-            EndpointState seat = (EndpointState) node.schedulerState;
-            if (seat == null) {
+            EndpointState endpoint = (EndpointState) node.schedulerState;
+            if (endpoint == null) {
                 // Who is gone for good leaves its place: the seats stay as many as the fleet is
                 // wide.
                 EndpointState old =
                         endpoints.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
-                seat =
+                endpoint =
                         new EndpointState(
                                 old == null ? endpoints.size() : old.index,
                                 node,
                                 FIRST_BOUND,
                                 ArrivalWindow.over(OVERLOAD_WINDOW),
                                 new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
-                                new SlidingWindowCounter(rules.overloadWindow(), 20));
-                node.schedulerState = seat;
-                seat.startedAt = possibleStart(node.startedAt, now);
+                                new SlidingWindowCounter(policy.overloadWindow(), 20));
+                node.schedulerState = endpoint;
+                endpoint.startedAt = possibleStart(node.startedAt, now);
                 if (old == null) {
-                    endpoints.add(seat);
+                    endpoints.add(endpoint);
                 } else {
-                    endpoints.set(old.index, seat);
+                    endpoints.set(old.index, endpoint);
                 }
                 // A node that turns up later has just started, whatever its line says of its start.
-                if (knowsList && node.startedAt < now - rules.slowStartTime()) {
-                    seat.startedAt = now;
+                if (knowsList && node.startedAt < now - policy.slowStartTime()) {
+                    endpoint.startedAt = now;
                 }
             } else if (lease.isBounded()
-                    ? node.startedAt != seat.toldStart
-                    : node.startedAt > seat.startedAt) {
-                seat.toldStart = node.startedAt;
-                seat.startedAt = possibleStart(node.startedAt, now);
-                seat.bound = LEAST_BOUND;
+                    ? node.startedAt != endpoint.toldStart
+                    : node.startedAt > endpoint.startedAt) {
+                endpoint.toldStart = node.startedAt;
+                endpoint.startedAt = possibleStart(node.startedAt, now);
+                endpoint.bound = LEAST_BOUND;
             }
         }
         seatsByCell.clear();
-        for (EndpointState seat : endpoints) {
-            seatsByCell.computeIfAbsent(seat.node.cell, any -> new ArrayList<>(1)).add(seat);
+        for (EndpointState endpoint : endpoints) {
+            seatsByCell
+                    .computeIfAbsent(endpoint.node.cell, any -> new ArrayList<>(1))
+                    .add(endpoint);
         }
         state++;
         if (!knowsList) {
@@ -266,9 +268,9 @@
         }
         // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
         queueAnew(homeless);
-        for (EndpointState seat : endpoints) {
-            if (seat.node.phase != Node.Phase.READY) {
-                queueAnew(seat.waiting);
+        for (EndpointState endpoint : endpoints) {
+            if (endpoint.node.phase != Node.Phase.READY) {
+                queueAnew(endpoint.waiting);
             }
         }
     }
@@ -375,24 +377,26 @@
 
     /** Where to send this operation, or not yet, or never. */
     public RoutingDecision route(Operation operation, double now) {
-        QueuedRequest ticket = ticket(operation, now);
+        QueuedRequest request = ticket(operation, now);
         if (operation.ended) {
             drop(operation);
             return RoutingDecision.NOT_YET;
         }
-        if (!ticket.waits) {
+        if (!request.waits) {
             enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                load(ticket.seat).arrivals().add(now, 1);
+                load(request.endpoint).arrivals().add(now, 1);
             }
-            if (operation.attempts.isEmpty() && ticket.seat != null) {
-                use(account(operation.volume, now), ticket.seat).asked.add(now, operation.units);
+            if (operation.attempts.isEmpty() && request.endpoint != null) {
+                use(account(operation.volume, now), request.endpoint)
+                        .asked
+                        .add(now, operation.units);
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
-        EndpointState seat = mayAttempt ? turn(operation, now) : null;
-        if (seat != null && isAllowed(operation, seat, now)) {
-            return send(operation, seat, now);
+        EndpointState endpoint = mayAttempt ? turn(operation, now) : null;
+        if (endpoint != null && isAllowed(operation, endpoint, now)) {
+            return send(operation, endpoint, now);
         }
         if (!mayAttempt || now >= operation.deadline - lastCall || lateAt(operation) <= now) {
             return giveUp(operation, now);
@@ -403,16 +407,16 @@
     /** What to do for the operation after this outcome. */
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
-        EndpointState seat = (EndpointState) attempt.node.schedulerState;
-        seat.out.remove(attempt);
+        EndpointState endpoint = (EndpointState) attempt.node.schedulerState;
+        endpoint.out.remove(attempt);
         state++;
-        learn(attempt, seat, now);
-        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
-        if (ticket.line != null
+        learn(attempt, endpoint, now);
+        QueuedRequest request = (QueuedRequest) operation.schedulerState;
+        if (request.line != null
                 && (attempt.outcome == Outcome.TIMED_OUT
                         || attempt.outcome == Outcome.RESET
                         || attempt.outcome == Outcome.CANCELLED)) {
-            ticket.line.restsUntil = now + rules.keyIdleTime();
+            request.line.restsUntil = now + policy.keyIdleTime();
         }
         if (operation.ended) {
             drop(operation);
@@ -431,12 +435,12 @@
         Operation newest = first(fresh, null, now);
         int at = 0;
         for (int i = waitingSeats.nextSetBit(0); i >= 0; i = waitingSeats.nextSetBit(i + 1)) {
-            EndpointState seat = endpoints.get(i);
-            Operation next = pick(seat, now);
-            if (next != null && goesFirst(next, newest, seat, now)) {
+            EndpointState endpoint = endpoints.get(i);
+            Operation next = pick(endpoint, now);
+            if (next != null && goesFirst(next, newest, endpoint, now)) {
                 due.add(next);
             }
-            at = addLate(late, at, seat, due);
+            at = addLate(late, at, endpoint, due);
         }
         if (newest != null && lowestScore(newest, now) != null) {
             due.add(newest);
@@ -459,20 +463,22 @@
     private List<Operation> overdue(double now) {
         List<Operation> late = new ArrayList<>(0);
         for (DeadlineIndex.Group kind : waits.kinds()) {
-            double early = LATE_FACTOR * (classStats[kind.band.index()].meanPace * kind.units);
-            double target = target(kind.band);
+            double early =
+                    LATE_FACTOR * (classStats[kind.trafficClass.index()].meanPace * kind.units);
+            double target = target(kind.trafficClass);
             // Sorted by each of the three times that may end it: nobody is walked who is not
             // overdue.
-            kind.first(kind.byTarget, ticket -> ticket.targetEnds - early, now, late, this::lookAt);
+            kind.first(
+                    kind.byTarget, request -> request.targetEnds - early, now, late, this::lookAt);
             kind.first(
                     kind.byArrival,
-                    ticket -> ticket.operation.arrivedAt + target - early,
+                    request -> request.operation.arrivedAt + target - early,
                     now,
                     late,
                     this::lookAt);
             kind.first(
                     kind.byPatience,
-                    ticket -> ticket.operation.deadline - lastCall,
+                    request -> request.operation.deadline - lastCall,
                     now,
                     late,
                     this::lookAt);
@@ -483,10 +489,11 @@
 
     /** Adds those of a seat's queue, or of the queues behind all seats. */
     private static int addLate(
-            List<Operation> late, int at, EndpointState seat, List<Operation> due) {
+            List<Operation> late, int at, EndpointState endpoint, List<Operation> due) {
         int next = at;
         while (next < late.size()
-                && (seat == null || ((QueuedRequest) late.get(next).schedulerState).seat == seat)) {
+                && (endpoint == null
+                        || ((QueuedRequest) late.get(next).schedulerState).endpoint == endpoint)) {
             Operation operation = late.get(next++);
             if (!due.contains(operation)) {
                 due.add(operation);
@@ -501,7 +508,7 @@
 
     // ---- the rules: every send passes here ----
 
-    boolean isAllowed(Operation operation, EndpointState seat, double now) {
+    boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
         // 1: one final answer, in time, and nothing after it.
         if (operation.ended || now >= operation.deadline - lastCall) {
             return false;
@@ -510,30 +517,30 @@
         if (!lease.holds(now)) {
             return false;
         }
-        if (seat.node.phase != Node.Phase.READY) {
+        if (endpoint.node.phase != Node.Phase.READY) {
             return false;
         }
-        if (operation.shard >= 0 && operation.shard != seat.node.cell) {
+        if (operation.shard >= 0 && operation.shard != endpoint.node.cell) {
             return false;
         }
         int attempts = operation.attempts.size();
         if (attempts > 0) {
             // 2: no effect twice.
-            if (!mayRepeat(operation, seat.node, null, now)
-                    || attempts >= rules.maxAttempts()
-                    || !rules.hedgingAllowed() && operation.isInFlight()) {
+            if (!mayRepeat(operation, endpoint.node, null, now)
+                    || attempts >= policy.maxAttempts()
+                    || !policy.hedgingAllowed() && operation.isInFlight()) {
                 return false;
             }
             // 6: the budget of further attempts, counted against ourselves where a bucket is cut.
-            if (rules.hasRetryBudget()
+            if (policy.hasRetryBudget()
                     && further.sumOverestimate(now) + 1
-                            > rules.retryBudgetFloor()
-                                    + rules.retryBudgetRatio() * taken.sumUnderestimate(now)) {
+                            > policy.retryBudgetFloor()
+                                    + policy.retryBudgetRatio() * taken.sumUnderestimate(now)) {
                 return false;
             }
         }
         // 4: a cold node is not pushed over.
-        if (!fitsSlowStart(operation, seat, now)) {
+        if (!fitsSlowStart(operation, endpoint, now)) {
             return false;
         }
         // 5: order by key.
@@ -557,24 +564,24 @@
     }
 
     private boolean mayRepeat(Operation operation, Node node, Attempt itself, double now) {
-        TrafficClass band = operation.trafficClass;
-        if (band.idempotency() == TrafficClass.Idempotency.IDEMPOTENT) {
+        TrafficClass trafficClass = operation.trafficClass;
+        if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT) {
             return true;
         }
         for (Attempt attempt : operation.attempts) {
             if (attempt == itself || attempt.outcome != null && attempt.outcome.provesNotExecuted) {
                 continue;
             }
-            if (band.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
+            if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
                 return false;
             }
             boolean same =
-                    switch (band.deduplicationScope()) {
+                    switch (trafficClass.deduplicationScope()) {
                         case ALL -> true;
                         case ZONE -> attempt.node.zone == node.zone;
                         case CELL -> attempt.node.cell == node.cell;
                     };
-            if (!same || now > attempt.sentAt + band.deduplicationWindow() - lastCall) {
+            if (!same || now > attempt.sentAt + trafficClass.deduplicationWindow() - lastCall) {
                 return false;
             }
         }
@@ -583,10 +590,11 @@
 
     /** A decline promises that asking again does no harm. */
     private boolean mayDecline(Operation operation) {
-        TrafficClass band = operation.trafficClass;
-        if (band.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
-                || band.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
-                        && band.deduplicationScope() == TrafficClass.DeduplicationScope.ALL) {
+        TrafficClass trafficClass = operation.trafficClass;
+        if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
+                || trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
+                        && trafficClass.deduplicationScope()
+                                == TrafficClass.DeduplicationScope.ALL) {
             return true;
         }
         return operation.attempts.stream()
@@ -601,29 +609,30 @@
      * wrong share may add. It needs no count of gateways, of what they sent or of what was sent
      * before our own start.
      */
-    boolean fitsSlowStart(Operation operation, EndpointState seat, double now) {
-        double age = now - seat.startedAt;
-        if (!(age < rules.slowStartTime())) {
+    boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
+        double age = now - endpoint.startedAt;
+        if (!(age < policy.slowStartTime())) {
             return true;
         }
         double ramp =
-                rules.slowStartShare()
-                        + (1 - rules.slowStartShare())
-                                * Math.max(0, age - rules.overloadWindow())
-                                / rules.slowStartTime();
-        double part = Math.min(1, COLD_PART * rules.overloadMultiple() * ramp);
+                policy.slowStartShare()
+                        + (1 - policy.slowStartShare())
+                                * Math.max(0, age - policy.overloadWindow())
+                                / policy.slowStartTime();
+        double part = Math.min(1, COLD_PART * policy.overloadMultiple() * ramp);
         if (((QueuedRequest) operation.schedulerState).lot > part) {
             lookAt(now + COLD_LOOK);
             return false;
         }
         // A surge that looks inside its share, or many at once, must not follow the lot all the
         // way.
-        double windows = Math.max(1, (now - bornAt) / rules.overloadWindow());
+        double windows = Math.max(1, (now - bornAt) / policy.overloadWindow());
         double usual = servedUnits / windows / endpoints.size();
-        double spent = seat.coldSpent.sumOverestimate(now);
+        double spent = endpoint.coldSpent.sumOverestimate(now);
         return operation.attempts.isEmpty()
                 && spent + operation.units <= Math.max(site.maxUnits(), COLD_BURST * part * usual)
-                && due(operation.volume, operation.units, seat, now) >= site.shareWeightFraction();
+                && due(operation.volume, operation.units, endpoint, now)
+                        >= site.shareWeightFraction();
     }
 
     boolean isFirstOfKey(Operation operation, double now) {
@@ -659,35 +668,35 @@
 
     // ---- sending ----
 
-    private RoutingDecision send(Operation operation, EndpointState seat, double now) {
+    private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
         boolean first = operation.attempts.isEmpty();
         dequeue(operation);
-        Attempt attempt = new Attempt(operation, seat.node, operation.attempts.size(), now);
+        Attempt attempt = new Attempt(operation, endpoint.node, operation.attempts.size(), now);
         operation.attempts.add(attempt);
-        seat.out.add(attempt);
-        seat.sentAt = now;
-        seat.coldSpent.add(now, operation.units);
-        if (operation.extent != 0 && operation.extent == seat.lastExtent) {
-            seat.runLeft--;
+        endpoint.out.add(attempt);
+        endpoint.sentAt = now;
+        endpoint.coldSpent.add(now, operation.units);
+        if (operation.extent != 0 && operation.extent == endpoint.lastExtent) {
+            endpoint.runLeft--;
         } else {
-            seat.lastExtent = operation.extent;
-            seat.runLeft = RUN - 1;
+            endpoint.lastExtent = operation.extent;
+            endpoint.runLeft = RUN - 1;
         }
         if (operation.shard < 0) {
-            seat.placements.add(now, 1);
+            endpoint.placements.add(now, 1);
         }
         TenantUsage account = account(operation.volume, now);
-        attempt.quotaTier = quotaTier(operation, seat, now);
+        attempt.quotaTier = quotaTier(operation, endpoint, now);
         if (first) {
             if (operation.shard < 0) {
-                use(account, seat).asked.add(now, operation.units);
+                use(account, endpoint).asked.add(now, operation.units);
             }
             account.limit -= operation.units;
-            spend(operation.volume, seat, operation.units, now);
+            spend(operation.volume, endpoint, operation.units, now);
         } else {
             further.add(now, 1);
         }
-        return RoutingDecision.send(seat.node, timeout(operation, now));
+        return RoutingDecision.send(endpoint.node, timeout(operation, now));
     }
 
     /**
@@ -697,11 +706,11 @@
      * ended.
      */
     private double timeout(Operation operation, double now) {
-        TrafficClass band = operation.trafficClass;
+        TrafficClass trafficClass = operation.trafficClass;
         double end = ((QueuedRequest) operation.schedulerState).targetEnds;
         // What is late already, or worth nearly as much when late, goes on for a while.
-        if (end <= now || band.lateWeightFraction() >= LATE_WORTH) {
-            end = Math.max(end, now) + LATE_GRACE * band.latencyObjective();
+        if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
+            end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
         }
         return Math.min(end, operation.deadline - lastCall) - now;
     }
@@ -716,9 +725,9 @@
         classStats[operation.trafficClass.index()].leftShare *= 1 - LEFT_STEP;
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
-        EndpointState seat = ((QueuedRequest) operation.schedulerState).seat;
-        if (seat == null || sound(seat, now)) {
-            load(seat).declines().add(now, 1);
+        EndpointState endpoint = ((QueuedRequest) operation.schedulerState).endpoint;
+        if (endpoint == null || sound(endpoint, now)) {
+            load(endpoint).declines().add(now, 1);
         }
         if (!mayDecline(operation)) {
             return RoutingDecision.ABANDONED;
@@ -731,98 +740,101 @@
                                 : lateAt(operation) <= now
                                         ? Reason.OBJECTIVE_MISSED
                                         : Reason.NO_RETRY;
-        return RoutingDecision.reject(comeBack(seat, now), reason);
+        return RoutingDecision.reject(comeBack(endpoint, now), reason);
     }
 
     /**
      * When to ask again: once the queue has drained, or as late as may be told of a failing node.
      */
-    private double comeBack(EndpointState seat, double now) {
+    private double comeBack(EndpointState endpoint, double now) {
         if (!site.mayRetryAfter()) {
             return 0;
         }
-        if (seat != null && !sound(seat, now)) {
+        if (endpoint != null && !sound(endpoint, now)) {
             return site.maxRetryAfter();
         }
-        double queue = (seat == null ? 1 : seat.crowd) * QUEUE_SHARE * shortestTarget;
+        double queue = (endpoint == null ? 1 : endpoint.crowd) * QUEUE_SHARE * shortestTarget;
         return Math.min(site.maxRetryAfter(), queue);
     }
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
-        return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, rules.maxAttempts())
-                && !overloaded(((QueuedRequest) operation.schedulerState).seat, now)
+        return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, policy.maxAttempts())
+                && !overloaded(((QueuedRequest) operation.schedulerState).endpoint, now)
                 && !operation.isInFlight()
                 && lateAt(operation) > now;
     }
 
     /** Overload is a node's matter: a surge at one forbids no further attempt at another. */
-    private boolean overloaded(EndpointState seat, double now) {
-        ArrivalWindow load = load(seat);
-        return (seat == null ? waiting > endpoints.size() : seat.waiting.size() > (int) seat.bound)
+    private boolean overloaded(EndpointState endpoint, double now) {
+        ArrivalWindow load = load(endpoint);
+        return (endpoint == null
+                        ? waiting > endpoints.size()
+                        : endpoint.waiting.size() > (int) endpoint.bound)
                 || load.declines().sumOverestimate(now)
                         > OVERLOAD_SHARE * load.arrivals().sumOverestimate(now) + 1;
     }
 
-    private ArrivalWindow load(EndpointState seat) {
-        return seat == null ? freshLoad : seat.load;
+    private ArrivalWindow load(EndpointState endpoint) {
+        return endpoint == null ? freshLoad : endpoint.load;
     }
 
     // ---- whose turn it is ----
 
     /** The seat to which this operation may go now, if it is its turn there; null if it waits. */
     private EndpointState turn(Operation operation, double now) {
-        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
+        QueuedRequest request = (QueuedRequest) operation.schedulerState;
         if (operation.shard < 0) {
             return first(fresh, null, now) == operation ? lowestScore(operation, now) : null;
         }
-        EndpointState seat = ticket.seat;
-        if (seat == null || pick(seat, now) != operation) {
+        EndpointState endpoint = request.endpoint;
+        if (endpoint == null || pick(endpoint, now) != operation) {
             return null;
         }
-        return goesFirst(operation, first(fresh, null, now), seat, now) ? seat : null;
+        return goesFirst(operation, first(fresh, null, now), endpoint, now) ? endpoint : null;
     }
 
     /** Whether no new object that would come to the seat ranks before the one picked for it. */
-    private boolean goesFirst(Operation picked, Operation fresh, EndpointState seat, double now) {
+    private boolean goesFirst(
+            Operation picked, Operation fresh, EndpointState endpoint, double now) {
         return fresh == null
-                || !outranks(fresh, picked, seat, now)
-                || lowestScore(fresh, now) != seat;
+                || !outranks(fresh, picked, endpoint, now)
+                || lowestScore(fresh, now) != endpoint;
     }
 
-    boolean hasCapacity(EndpointState seat, double now) {
-        if (seat.node.phase != Node.Phase.READY) {
+    boolean hasCapacity(EndpointState endpoint, double now) {
+        if (endpoint.node.phase != Node.Phase.READY) {
             return false;
         }
-        if (isUnresponsive(seat, now)) {
+        if (isUnresponsive(endpoint, now)) {
             // One operation at a time tries a node that takes work and answers none.
-            double next = seat.sentAt + TRIAL_SHARE * shortestTarget;
+            double next = endpoint.sentAt + TRIAL_SHARE * shortestTarget;
             if (now < next) {
                 lookAt(next);
                 return false;
             }
-            return seat.out.size() < MOST_BOUND;
+            return endpoint.out.size() < MOST_BOUND;
         }
-        int over = seat.runLeft > 0 && seat.sentAt == now ? RUN_OVER : 0;
-        return seat.out.size() < (int) seat.bound + over;
+        int over = endpoint.runLeft > 0 && endpoint.sentAt == now ? RUN_OVER : 0;
+        return endpoint.out.size() < (int) endpoint.bound + over;
     }
 
     /** Whether a node serves as it should: not cold, not silent, and not failing. */
-    private boolean sound(EndpointState seat, double now) {
-        return seat.node.phase == Node.Phase.READY
-                && !isUnresponsive(seat, now)
-                && now - seat.startedAt >= rules.slowStartTime()
-                && seat.faults <= MOST_FAULTS;
+    private boolean sound(EndpointState endpoint, double now) {
+        return endpoint.node.phase == Node.Phase.READY
+                && !isUnresponsive(endpoint, now)
+                && now - endpoint.startedAt >= policy.slowStartTime()
+                && endpoint.faults <= MOST_FAULTS;
     }
 
-    boolean isUnresponsive(EndpointState seat, double now) {
-        if (seat.distrusted) {
+    boolean isUnresponsive(EndpointState endpoint, double now) {
+        if (endpoint.distrusted) {
             return true;
         }
-        if (seat.out.isEmpty()) {
+        if (endpoint.out.isEmpty()) {
             return false;
         }
-        double since = Math.max(seat.out.get(0).sentAt, seat.heardAt);
+        double since = Math.max(endpoint.out.get(0).sentAt, endpoint.heardAt);
         double limit = shortestTarget * SILENCE_SHARE;
         if (now - since > limit) {
             return true;
@@ -832,29 +844,31 @@
     }
 
     /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
-    private Operation pick(EndpointState seat, double now) {
-        if (seat.waiting.isEmpty() || !hasCapacity(seat, now)) {
+    private Operation pick(EndpointState endpoint, double now) {
+        if (endpoint.waiting.isEmpty() || !hasCapacity(endpoint, now)) {
             return null;
         }
         // Asked again with nothing changed, as pause and place do one after the other.
-        if (seat.pickedAt != now || seat.pickedState != state) {
-            seat.picked = pickAnew(seat, now);
-            seat.pickedAt = now;
-            seat.pickedState = state;
+        if (endpoint.pickedAt != now || endpoint.pickedState != state) {
+            endpoint.picked = pickAnew(endpoint, now);
+            endpoint.pickedAt = now;
+            endpoint.pickedState = state;
         }
-        return seat.picked;
+        return endpoint.picked;
     }
 
-    private Operation pickAnew(EndpointState seat, double now) {
-        if (seat.runLeft > 0) {
-            for (Operation operation : seat.waiting.of(seat.lastExtent)) {
-                if (isAllowed(operation, seat, now) && !isHeldBack(operation, seat, now)) {
+    private Operation pickAnew(EndpointState endpoint, double now) {
+        if (endpoint.runLeft > 0) {
+            for (Operation operation : endpoint.waiting.of(endpoint.lastExtent)) {
+                if (isAllowed(operation, endpoint, now) && !isHeldBack(operation, endpoint, now)) {
                     return operation;
                 }
             }
         }
-        Operation best = first(seat.waiting, seat, now);
-        return seat.out.size() < (int) seat.bound || isUnresponsive(seat, now) ? best : null;
+        Operation best = first(endpoint.waiting, endpoint, now);
+        return endpoint.out.size() < (int) endpoint.bound || isUnresponsive(endpoint, now)
+                ? best
+                : null;
     }
 
     /**
@@ -862,24 +876,26 @@
      * only in their deadline and in being late, so that one that is not late stands for the rest; a
      * cold node's lot is each one's own.
      */
-    private Operation first(WaitQueue queue, EndpointState seat, double now) {
-        boolean each = seat != null && now - seat.startedAt < rules.slowStartTime();
+    private Operation first(WaitQueue queue, EndpointState endpoint, double now) {
+        boolean each = endpoint != null && now - endpoint.startedAt < policy.slowStartTime();
         Operation best = null;
         int bestTier = -1;
         for (TreeSet<QueuedRequest> alike : queue.alike()) {
-            for (QueuedRequest ticket : alike) {
-                Operation operation = ticket.operation;
+            for (QueuedRequest request : alike) {
+                Operation operation = request.operation;
                 boolean stands =
                         !each && lateAt(operation) > now && now < operation.deadline - lastCall;
-                if (seat == null
-                        || isAllowed(operation, seat, now) && !isHeldBack(operation, seat, now)) {
+                if (endpoint == null
+                        || isAllowed(operation, endpoint, now)
+                                && !isHeldBack(operation, endpoint, now)) {
                     if (best != null && bestTier < 0) {
-                        bestTier = tier(best, seat, now);
+                        bestTier = tier(best, endpoint, now);
                     }
-                    int tier = best != null || alike.size() > 1 ? tier(operation, seat, now) : -1;
+                    int tier =
+                            best != null || alike.size() > 1 ? tier(operation, endpoint, now) : -1;
                     if (best == null
                             || tier < bestTier
-                            || tier == bestTier && earlier(ticket, best)) {
+                            || tier == bestTier && earlier(request, best)) {
                         best = operation;
                         bestTier = tier;
                     }
@@ -898,23 +914,23 @@
     }
 
     /** A queue seen holds back what is late, and past part of the bound what is over its level. */
-    boolean isHeldBack(Operation operation, EndpointState seat, double now) {
-        if (seat.crowd <= CROWDED_LEAST) {
+    boolean isHeldBack(Operation operation, EndpointState endpoint, double now) {
+        if (endpoint.crowd <= CROWDED_LEAST) {
             return false;
         }
         if (lateAt(operation) <= now) {
             return true;
         }
-        if (seat.out.size() < (int) (seat.bound * BEYOND_PART)) {
+        if (endpoint.out.size() < (int) (endpoint.bound * BEYOND_PART)) {
             return false;
         }
         TenantUsage account = account(operation.volume, now);
         if (account.reserve >= operation.units) {
-            return seat.crowd > admissionFactor * CROWDED_RESERVE;
+            return endpoint.crowd > admissionFactor * CROWDED_RESERVE;
         }
-        double used = use(account, seat).beyond.sumOverestimate(now) + operation.units / 2;
+        double used = use(account, endpoint).beyond.sumOverestimate(now) + operation.units / 2;
         double over = used / evenLevel(operation.volume);
-        return seat.crowd
+        return endpoint.crowd
                 > Math.max(
                         CROWDED_LEAST, admissionFactor * Math.min(CROWDED_SHARE, CROWDED / over));
     }
@@ -928,9 +944,9 @@
     }
 
     /** Utility still due goes first; among equals the earliest deadline. */
-    private boolean outranks(Operation one, Operation other, EndpointState seat, double now) {
-        int a = tier(one, seat, now);
-        int b = tier(other, seat, now);
+    private boolean outranks(Operation one, Operation other, EndpointState endpoint, double now) {
+        int a = tier(one, endpoint, now);
+        int b = tier(other, endpoint, now);
         return a != b ? a < b : one.deadline < other.deadline;
     }
 
@@ -938,18 +954,18 @@
      * Steps that the utility still due, for the node's time that it takes, lies under the best
      * there is.
      */
-    private int tier(Operation operation, EndpointState seat, double now) {
+    private int tier(Operation operation, EndpointState endpoint, double now) {
         if (lateAt(operation) <= now) {
             return LATE;
         }
-        TrafficClass band = operation.trafficClass;
-        double part = due(operation.volume, operation.units, seat, now);
-        double pace = classStats[band.index()].meanPace + 1e-9;
-        double value = part * operation.volume.plan.price() * band.priorityWeight() / pace;
+        TrafficClass trafficClass = operation.trafficClass;
+        double part = due(operation.volume, operation.units, endpoint, now);
+        double pace = classStats[trafficClass.index()].meanPace + 1e-9;
+        double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
 
-    private double due(Volume volume, double units, EndpointState seat, double now) {
+    private double due(Volume volume, double units, EndpointState endpoint, double now) {
         TenantUsage account = account(volume, now);
         if (account.reserve >= units) {
             return 1;
@@ -957,27 +973,29 @@
         // Where many gateways share a node, none sees enough of it to deal it out: a volume that
         // takes far more of it than its weight of what all volumes are sized for surges.
         double used =
-                (seat == null ? account.beyond : use(account, seat).beyond).sumOverestimate(now)
+                (endpoint == null ? account.beyond : use(account, endpoint).beyond)
+                                .sumOverestimate(now)
                         + units / 2;
         if (used > HEADROOM * evenLevel(volume)) {
             return site.excessWeightFraction();
         }
-        if (seat == null || now - seat.startedAt < rules.slowStartTime()) {
+        if (endpoint == null || now - endpoint.startedAt < policy.slowStartTime()) {
             return site.shareWeightFraction();
         }
-        return used <= volume.plan.weight() * fair(seat, now)
+        return used <= volume.plan.weight() * fair(endpoint, now)
                 ? site.shareWeightFraction()
                 : site.excessWeightFraction();
     }
 
     /** The part of its plan that an operation is in, by the level last dealt out. */
-    QuotaTier quotaTier(Operation operation, EndpointState seat, double now) {
+    QuotaTier quotaTier(Operation operation, EndpointState endpoint, double now) {
         TenantUsage account = account(operation.volume, now);
         if (account.reserve >= operation.units) {
             return QuotaTier.RESERVATION;
         }
-        double top = Math.min(HEADROOM * evenLevel(operation.volume), account.weight * seat.fair);
-        return use(account, seat).beyond.sumOverestimate(now) <= top - operation.units / 2
+        double top =
+                Math.min(HEADROOM * evenLevel(operation.volume), account.weight * endpoint.fair);
+        return use(account, endpoint).beyond.sumOverestimate(now) <= top - operation.units / 2
                 ? QuotaTier.SHARE
                 : QuotaTier.EXCESS;
     }
@@ -987,15 +1005,15 @@
      * beyond the reserves, dealt out by weight among the volumes that asked for more. No volume's
      * demand counts above what it asked.
      */
-    private double fair(EndpointState seat, double now) {
-        if (now < seat.fairUntil) {
-            return seat.fair;
+    private double fair(EndpointState endpoint, double now) {
+        if (now < endpoint.fairUntil) {
+            return endpoint.fair;
         }
-        seat.fairUntil = now + FAIR_REFRESH;
+        endpoint.fairUntil = now + FAIR_REFRESH;
         double left = 0;
         double weights = 0;
         int open = 0;
-        for (TenantEndpointUsage use : seat.uses) {
+        for (TenantEndpointUsage use : endpoint.uses) {
             use.served = use.beyond.sumOverestimate(now);
             use.wants =
                     Math.max(
@@ -1011,7 +1029,7 @@
         // Whoever wants less than an even level is content with it; the rest is dealt out anew.
         for (boolean again = true; again && open > 0; ) {
             again = false;
-            for (TenantEndpointUsage use : seat.uses) {
+            for (TenantEndpointUsage use : endpoint.uses) {
                 if (use.open && use.wants <= use.weight * left / weights) {
                     use.open = false;
                     open--;
@@ -1021,13 +1039,13 @@
                 }
             }
         }
-        seat.fair = open == 0 ? Double.POSITIVE_INFINITY : left / weights;
-        return seat.fair;
+        endpoint.fair = open == 0 ? Double.POSITIVE_INFINITY : left / weights;
+        return endpoint.fair;
     }
 
-    private void spend(Volume volume, EndpointState seat, double units, double now) {
+    private void spend(Volume volume, EndpointState endpoint, double units, double now) {
         TenantUsage account = account(volume, now);
-        TenantEndpointUsage use = use(account, seat);
+        TenantEndpointUsage use = use(account, endpoint);
         if (account.reserve >= units) {
             account.reserve -= units;
             use.reserved.add(now, units);
@@ -1042,9 +1060,9 @@
      * not look like a surge: of the reserve it costs what our own reckoning did not lose while
      * full, and of the last second its part.
      */
-    private void hear(Volume volume, EndpointState seat, double units, double now) {
+    private void hear(Volume volume, EndpointState endpoint, double units, double now) {
         TenantUsage account = account(volume, now);
-        TenantEndpointUsage use = use(account, seat);
+        TenantEndpointUsage use = use(account, endpoint);
         double unspent = Math.min(account.lost, units);
         account.lost -= unspent;
         double reserved = Math.min(Math.max(0, account.reserve), units - unspent);
@@ -1056,21 +1074,21 @@
         use.asked.add(now, units * lately);
     }
 
-    private TenantEndpointUsage use(TenantUsage account, EndpointState seat) {
-        if (seat.index >= account.uses.length) {
+    private TenantEndpointUsage use(TenantUsage account, EndpointState endpoint) {
+        if (endpoint.index >= account.uses.length) {
             account.uses = Arrays.copyOf(account.uses, endpoints.size());
         }
-        TenantEndpointUsage use = account.uses[seat.index];
-        if (use == null || use.seat != seat) {
+        TenantEndpointUsage use = account.uses[endpoint.index];
+        if (use == null || use.endpoint != endpoint) {
             use =
                     new TenantEndpointUsage(
-                            seat,
+                            endpoint,
                             account.weight,
                             new SlidingWindowCounter(SHARE_WINDOW, 5),
                             new SlidingWindowCounter(SHARE_WINDOW, 5),
                             new SlidingWindowCounter(SHARE_WINDOW, 5));
-            account.uses[seat.index] = use;
-            seat.uses.add(use);
+            account.uses[endpoint.index] = use;
+            endpoint.uses.add(use);
         }
         return use;
     }
@@ -1082,48 +1100,48 @@
         double mean = 0;
         double weight = 0;
         int ready = 0;
-        for (EndpointState seat : endpoints) {
-            if (seat.node.phase == Node.Phase.READY) {
-                mean += seat.placements.sumOverestimate(now);
-                weight += seat.node.weight;
+        for (EndpointState endpoint : endpoints) {
+            if (endpoint.node.phase == Node.Phase.READY) {
+                mean += endpoint.placements.sumOverestimate(now);
+                weight += endpoint.node.weight;
                 ready++;
             }
         }
         EndpointState best = null;
         double least = Double.POSITIVE_INFINITY;
-        for (EndpointState seat : endpoints) {
+        for (EndpointState endpoint : endpoints) {
             // A node that fails at once looks idle: without this it draws every new object.
             // A cold node shows no placements and no latency: new objects would pour onto it.
-            if (!hasCapacity(seat, now)
-                    || seat.out.size() >= (int) seat.bound
-                    || !sound(seat, now)
-                    || !isAllowed(operation, seat, now)
-                    || isHeldBack(operation, seat, now)
-                    || !seat.node.acceptsNewObjects) {
+            if (!hasCapacity(endpoint, now)
+                    || endpoint.out.size() >= (int) endpoint.bound
+                    || !sound(endpoint, now)
+                    || !isAllowed(operation, endpoint, now)
+                    || isHeldBack(operation, endpoint, now)
+                    || !endpoint.node.acceptsNewObjects) {
                 continue;
             }
-            Operation rival = pick(seat, now);
-            if (rival != null && !outranks(operation, rival, seat, now)) {
+            Operation rival = pick(endpoint, now);
+            if (rival != null && !outranks(operation, rival, endpoint, now)) {
                 continue;
             }
             double preference =
-                    site.hasNodeWeights() && seat.node.weight > 0
-                            ? weight / ready / seat.node.weight
+                    site.hasNodeWeights() && endpoint.node.weight > 0
+                            ? weight / ready / endpoint.node.weight
                             : 1;
-            if (site.crossZonePrice() > 0 && seat.node.zone != site.zone()) {
+            if (site.crossZonePrice() > 0 && endpoint.node.zone != site.zone()) {
                 preference += 1;
             }
             // A busy degree a second old sends a second's new objects one way: what is out there
             // now, and the queue that the latest answers showed, count with it.
-            double busy = seat.busy * (1 + OUT_PART * seat.out.size()) + seat.crowd;
+            double busy = endpoint.busy * (1 + OUT_PART * endpoint.out.size()) + endpoint.crowd;
             double score =
-                    ALPHA * (seat.placements.sumOverestimate(now) + 1) / (mean / ready + 1)
+                    ALPHA * (endpoint.placements.sumOverestimate(now) + 1) / (mean / ready + 1)
                             + GAMMA * busy
-                            + DELTA * seat.fragment
+                            + DELTA * endpoint.fragment
                             + ETA * preference;
             if (score < least) {
                 least = score;
-                best = seat;
+                best = endpoint;
             }
         }
         return best;
@@ -1135,52 +1153,58 @@
         }
         refreshAt = now + BUSY_REFRESH;
         shortestTarget = site.trafficClasses().stream().mapToDouble(this::target).min().orElse(0);
-        double crowds = endpoints.stream().mapToDouble(seat -> seat.crowd).sum();
-        for (EndpointState seat : endpoints) {
+        double crowds = endpoints.stream().mapToDouble(endpoint -> endpoint.crowd).sum();
+        for (EndpointState endpoint : endpoints) {
             // What was seen of one node fades into what is seen of all.
-            seat.crowd =
+            endpoint.crowd =
                     CROWD_FADE
-                            * (CROWD_KEEP * seat.crowd
+                            * (CROWD_KEEP * endpoint.crowd
                                     + (1 - CROWD_KEEP) * crowds / endpoints.size());
-            seat.faults *= FAULT_KEEP;
-            if (now - seat.cutAt > BUSY_REFRESH && seat.bound < FIRST_BOUND) {
-                seat.bound = Math.min(FIRST_BOUND, seat.bound + BOUND_REST);
+            endpoint.faults *= FAULT_KEEP;
+            if (now - endpoint.cutAt > BUSY_REFRESH && endpoint.bound < FIRST_BOUND) {
+                endpoint.bound = Math.min(FIRST_BOUND, endpoint.bound + BOUND_REST);
             }
         }
         double busySum = 0;
         double fragmentSum = 0;
         int busyCount = 0;
         int fragmentCount = 0;
-        for (EndpointState seat : endpoints) {
-            double units = seat.units[0] + seat.units[1];
+        for (EndpointState endpoint : endpoints) {
+            double units = endpoint.units[0] + endpoint.units[1];
             if (units > 0) {
-                seat.rawBusy = smooth(seat.rawBusy, (seat.took[0] + seat.took[1]) / units);
+                endpoint.rawBusy =
+                        smooth(endpoint.rawBusy, (endpoint.took[0] + endpoint.took[1]) / units);
             }
             for (int i = 0; i < 2; i++) {
-                if (seat.units[i] > 0) {
-                    seat.pace[i] = smooth(seat.pace[i], seat.took[i] / seat.units[i]);
+                if (endpoint.units[i] > 0) {
+                    endpoint.pace[i] =
+                            smooth(endpoint.pace[i], endpoint.took[i] / endpoint.units[i]);
                 }
-                seat.took[i] = 0;
-                seat.units[i] = 0;
+                endpoint.took[i] = 0;
+                endpoint.units[i] = 0;
             }
-            if (!Double.isNaN(seat.rawBusy)) {
-                busySum += seat.rawBusy;
+            if (!Double.isNaN(endpoint.rawBusy)) {
+                busySum += endpoint.rawBusy;
                 busyCount++;
             }
-            if (!Double.isNaN(seat.pace[0]) && !Double.isNaN(seat.pace[1]) && seat.pace[0] > 0) {
-                fragmentSum += seat.pace[1] / seat.pace[0];
+            if (!Double.isNaN(endpoint.pace[0])
+                    && !Double.isNaN(endpoint.pace[1])
+                    && endpoint.pace[0] > 0) {
+                fragmentSum += endpoint.pace[1] / endpoint.pace[0];
                 fragmentCount++;
             }
         }
-        for (EndpointState seat : endpoints) {
-            seat.busy =
-                    Double.isNaN(seat.rawBusy) || !(busySum > 0)
+        for (EndpointState endpoint : endpoints) {
+            endpoint.busy =
+                    Double.isNaN(endpoint.rawBusy) || !(busySum > 0)
                             ? 1
-                            : seat.rawBusy / (busySum / busyCount);
-            seat.fragment =
-                    Double.isNaN(seat.pace[0]) || Double.isNaN(seat.pace[1]) || !(fragmentSum > 0)
+                            : endpoint.rawBusy / (busySum / busyCount);
+            endpoint.fragment =
+                    Double.isNaN(endpoint.pace[0])
+                                    || Double.isNaN(endpoint.pace[1])
+                                    || !(fragmentSum > 0)
                             ? 1
-                            : seat.pace[1] / seat.pace[0] / (fragmentSum / fragmentCount);
+                            : endpoint.pace[1] / endpoint.pace[0] / (fragmentSum / fragmentCount);
         }
     }
 
@@ -1190,42 +1214,42 @@
 
     // ---- what is learned from an outcome ----
 
-    private void learn(Attempt attempt, EndpointState seat, double now) {
+    private void learn(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
-            hear(operation.volume, seat, attempt.otherGatewaysUnits, now);
+            hear(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
         }
         if (attempt.outcome == Outcome.SERVED) {
-            use(account(operation.volume, now), seat).toldAt = now;
+            use(account(operation.volume, now), endpoint).toldAt = now;
         }
         switch (attempt.outcome) {
             case SERVED -> {
-                seat.heardAt = now;
-                seat.distrusted = false;
-                seat.faults -= FAULT_STEP * seat.faults;
+                endpoint.heardAt = now;
+                endpoint.distrusted = false;
+                endpoint.faults -= FAULT_STEP * endpoint.faults;
             }
             case FAILED -> {
-                seat.heardAt = now;
-                seat.faults += FAULT_STEP * (1 - seat.faults);
+                endpoint.heardAt = now;
+                endpoint.faults += FAULT_STEP * (1 - endpoint.faults);
             }
             // A full node is up, but one that hangs turns work away as well: only an answer
             // restores trust. A connection that breaks may be the only thing that did: if the node
             // is down, the next one tells.
-            case NO_CONNECTION -> seat.distrusted |= seat.heardAt < attempt.sentAt;
+            case NO_CONNECTION -> endpoint.distrusted |= endpoint.heardAt < attempt.sentAt;
             // An attempt that had little time left tells as little.
             case TIMED_OUT ->
-                    seat.distrusted |=
-                            seat.heardAt < attempt.sentAt
+                    endpoint.distrusted |=
+                            endpoint.heardAt < attempt.sentAt
                                     && attempt.duration >= SILENCE_SHARE * shortestTarget;
             default -> {}
         }
         if (attempt.outcome == Outcome.REJECTED) {
-            cut(seat, attempt, now);
+            cut(endpoint, attempt, now);
         }
         // A time-out shows a queue at least as long, unless its answer was lost: it counts for
         // less.
         if (attempt.outcome == Outcome.TIMED_OUT) {
-            crowd(seat, attempt.duration, TIMEOUT_PART, now);
+            crowd(endpoint, attempt.duration, TIMEOUT_PART, now);
         }
         if (attempt.outcome != Outcome.SERVED) {
             return;
@@ -1249,29 +1273,29 @@
                         : 1 + PACE_STEP * PACE_QUANTILE;
         row.meanPace += PACE_STEP * (Math.min(pace, 4 * row.meanPace) - row.meanPace);
         int way = operation.trafficClass.writes() ? 1 : 0;
-        seat.took[way] += attempt.duration;
-        seat.units[way] += operation.units;
+        endpoint.took[way] += attempt.duration;
+        endpoint.units[way] += operation.units;
         double queued = attempt.duration - operation.units * row.basePace;
-        crowd(seat, queued, 1, now);
+        crowd(endpoint, queued, 1, now);
         if (queued > QUEUE_SHARE * shortestTarget) {
-            cut(seat, attempt, now);
-        } else if (seat.bound < MOST_BOUND) {
-            seat.bound = Math.min(MOST_BOUND, seat.bound + BOUND_STEP / seat.bound);
+            cut(endpoint, attempt, now);
+        } else if (endpoint.bound < MOST_BOUND) {
+            endpoint.bound = Math.min(MOST_BOUND, endpoint.bound + BOUND_STEP / endpoint.bound);
         }
     }
 
     /** Few answers must tell as much as many: one counts the more, the longer ago the last came. */
-    private void crowd(EndpointState seat, double queued, double part, double now) {
-        double step = Math.max(CROWD_STEP, 1 - Math.exp((seat.crowdAt - now) / CROWD_TIME));
-        seat.crowdAt = now;
+    private void crowd(EndpointState endpoint, double queued, double part, double now) {
+        double step = Math.max(CROWD_STEP, 1 - Math.exp((endpoint.crowdAt - now) / CROWD_TIME));
+        endpoint.crowdAt = now;
         double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * shortestTarget));
-        seat.crowd += part * step * (seen - seat.crowd);
+        endpoint.crowd += part * step * (seen - endpoint.crowd);
     }
 
-    private void cut(EndpointState seat, Attempt attempt, double now) {
-        if (attempt.sentAt >= seat.cutAt) {
-            seat.bound = Math.max(LEAST_BOUND, seat.bound * BOUND_CUT);
-            seat.cutAt = now;
+    private void cut(EndpointState endpoint, Attempt attempt, double now) {
+        if (attempt.sentAt >= endpoint.cutAt) {
+            endpoint.bound = Math.max(LEAST_BOUND, endpoint.bound * BOUND_CUT);
+            endpoint.cutAt = now;
         }
     }
 
@@ -1286,11 +1310,11 @@
     }
 
     /** The target time, or the age at which clients leave, where many leave before it. */
-    private double target(TrafficClass band) {
-        TrafficClassStats row = classStats[band.index()];
+    private double target(TrafficClass trafficClass) {
+        TrafficClassStats row = classStats[trafficClass.index()];
         return row.leftShare > LEFT_SHARE
-                ? Math.min(row.leftAge, band.latencyObjective())
-                : band.latencyObjective();
+                ? Math.min(row.leftAge, trafficClass.latencyObjective())
+                : trafficClass.latencyObjective();
     }
 
     // ---- books ----
@@ -1299,8 +1323,8 @@
         if (operation.schedulerState != null) {
             return (QueuedRequest) operation.schedulerState;
         }
-        QueuedRequest ticket = new QueuedRequest(operation, chance.nextDouble());
-        operation.schedulerState = ticket;
+        QueuedRequest request = new QueuedRequest(operation, random.nextDouble());
+        operation.schedulerState = request;
         taken.add(now, 1);
         TrafficClassStats row = classStats[operation.trafficClass.index()];
         // A client's repeat keeps the target time of its first try: it names the same extent and
@@ -1311,17 +1335,17 @@
         double gone = row.patienceSeen - left;
         boolean shorter = gone > REPEAT_GONE * operation.trafficClass.latencyObjective();
         Double first = shorter ? unserved.get(operation.extent) : null;
-        ticket.targetEnds =
+        request.targetEnds =
                 first != null
                         ? first
                         : now
                                 + operation.trafficClass.latencyObjective()
                                 - (operation.clientRetry ? gone : 0);
         if (operation.trafficClass.ordered() && operation.extent != 0) {
-            ticket.line = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
-            ticket.line.operations.add(operation);
+            request.line = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
+            request.line.operations.add(operation);
         }
-        return ticket;
+        return request;
     }
 
     private TenantUsage account(Volume volume, double now) {
@@ -1349,49 +1373,49 @@
 
     private void enqueue(Operation operation) {
         state++;
-        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
-        ticket.waits = true;
+        QueuedRequest request = (QueuedRequest) operation.schedulerState;
+        request.waits = true;
         waiting++;
-        ticket.seat = null;
-        waits.add(ticket);
+        request.endpoint = null;
+        waits.add(request);
         if (operation.shard < 0) {
-            fresh.add(ticket);
+            fresh.add(request);
             return;
         }
-        for (EndpointState seat : seatsByCell.getOrDefault(operation.shard, List.of())) {
-            if (ticket.seat == null
-                    || ticket.seat.node.phase != Node.Phase.READY
-                            && seat.node.phase == Node.Phase.READY) {
-                ticket.seat = seat;
+        for (EndpointState endpoint : seatsByCell.getOrDefault(operation.shard, List.of())) {
+            if (request.endpoint == null
+                    || request.endpoint.node.phase != Node.Phase.READY
+                            && endpoint.node.phase == Node.Phase.READY) {
+                request.endpoint = endpoint;
             }
         }
-        if (ticket.seat == null) {
+        if (request.endpoint == null) {
             // A shard that no listed node holds waits apart until its node turns up.
-            homeless.add(ticket);
+            homeless.add(request);
             return;
         }
-        ticket.seat.waiting.add(ticket);
-        waitingSeats.set(ticket.seat.index);
+        request.endpoint.waiting.add(request);
+        waitingSeats.set(request.endpoint.index);
     }
 
     private void dequeue(Operation operation) {
-        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
-        if (!ticket.waits) {
+        QueuedRequest request = (QueuedRequest) operation.schedulerState;
+        if (!request.waits) {
             return;
         }
         state++;
-        ticket.waits = false;
+        request.waits = false;
         waiting--;
-        waits.remove(ticket);
+        waits.remove(request);
         if (operation.shard < 0) {
-            fresh.remove(ticket);
-        } else if (ticket.seat != null) {
-            ticket.seat.waiting.remove(ticket);
-            if (ticket.seat.waiting.isEmpty()) {
-                waitingSeats.clear(ticket.seat.index);
+            fresh.remove(request);
+        } else if (request.endpoint != null) {
+            request.endpoint.waiting.remove(request);
+            if (request.endpoint.waiting.isEmpty()) {
+                waitingSeats.clear(request.endpoint.index);
             }
         } else {
-            homeless.remove(ticket);
+            homeless.remove(request);
         }
     }
 
@@ -1411,10 +1435,10 @@
      * out.
      */
     private void drop(Operation operation) {
-        QueuedRequest ticket = (QueuedRequest) operation.schedulerState;
+        QueuedRequest request = (QueuedRequest) operation.schedulerState;
         dequeue(operation);
-        if (ticket.line != null && !operation.isInFlight()) {
-            ticket.line.operations.remove(operation);
+        if (request.line != null && !operation.isInFlight()) {
+            request.line.operations.remove(operation);
         }
     }
 }
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -7,7 +7,7 @@
  * told.
  */
 final class TenantEndpointUsage {
-    final EndpointState seat;
+    final EndpointState endpoint;
     final double weight;
     final SlidingWindowCounter asked;
     final SlidingWindowCounter reserved;
@@ -23,12 +23,12 @@
     boolean open;
 
     TenantEndpointUsage(
-            EndpointState seat,
+            EndpointState endpoint,
             double weight,
             SlidingWindowCounter asked,
             SlidingWindowCounter reserved,
             SlidingWindowCounter beyond) {
-        this.seat = seat;
+        this.endpoint = endpoint;
         this.weight = weight;
         this.asked = asked;
         this.reserved = reserved;
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -12,8 +12,8 @@
 public record TrafficClassView(
         double basePace, double meanPace, double leftAge, double leftShare, double ease) {
     /** The views of all bands, in their order. */
-    public static List<TrafficClassView> of(Scheduler control) {
-        return Arrays.stream(control.classStats)
+    public static List<TrafficClassView> of(Scheduler scheduler) {
+        return Arrays.stream(scheduler.classStats)
                 .map(
                         row ->
                                 new TrafficClassView(
@@ -21,7 +21,7 @@
                                         row.meanPace,
                                         row.leftAge,
                                         row.leftShare,
-                                        control.admissionFactor))
+                                        scheduler.admissionFactor))
                 .toList();
     }
 
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -9,39 +9,39 @@
     private WaitExplainer() {}
 
     /** The first of Scheduler's guards that holds it back now. */
-    public static Reason why(Scheduler control, Operation operation, double now) {
-        if (!control.lease.holds(now)) {
+    public static Reason why(Scheduler scheduler, Operation operation, double now) {
+        if (!scheduler.lease.holds(now)) {
             return Reason.NO_LEASE;
         }
-        EndpointState seat = ((QueuedRequest) operation.schedulerState).seat;
-        if (seat == null) {
+        EndpointState endpoint = ((QueuedRequest) operation.schedulerState).endpoint;
+        if (endpoint == null) {
             return operation.shard < 0 ? Reason.SHARE_FULL : Reason.NO_NODE;
         }
-        if (seat.node.phase != Node.Phase.READY) {
+        if (endpoint.node.phase != Node.Phase.READY) {
             return Reason.NOT_READY;
         }
-        if (control.isUnresponsive(seat, now)) {
+        if (scheduler.isUnresponsive(endpoint, now)) {
             return Reason.UNRESPONSIVE;
         }
-        if (!control.isFirstOfKey(operation, now)) {
+        if (!scheduler.isFirstOfKey(operation, now)) {
             return Reason.KEY_ORDER;
         }
-        if (!control.fitsSlowStart(operation, seat, now)) {
+        if (!scheduler.fitsSlowStart(operation, endpoint, now)) {
             return Reason.WARMING_UP;
         }
         boolean first = operation.attempts.isEmpty();
-        if (first && operation.units > control.limitRemaining(operation.volume, now)) {
+        if (first && operation.units > scheduler.limitRemaining(operation.volume, now)) {
             return Reason.LIMIT;
         }
-        if (!control.isAllowed(operation, seat, now)) {
+        if (!scheduler.isAllowed(operation, endpoint, now)) {
             return Reason.RETRY_BUDGET;
         }
-        if (control.isHeldBack(operation, seat, now)) {
+        if (scheduler.isHeldBack(operation, endpoint, now)) {
             return Reason.QUEUE_AT_NODE;
         }
-        if (control.hasCapacity(seat, now)) {
+        if (scheduler.hasCapacity(endpoint, now)) {
             return Reason.LOWER_PRIORITY;
         }
-        return control.quotaTier(operation, seat, now).full();
+        return scheduler.quotaTier(operation, endpoint, now).full();
     }
 }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -16,22 +16,22 @@
  */
 final class WaitQueue {
     private static final Comparator<QueuedRequest> BY_PATIENCE =
-            Comparator.comparingDouble((QueuedRequest ticket) -> ticket.operation.deadline)
-                    .thenComparingLong(ticket -> ticket.turn);
+            Comparator.comparingDouble((QueuedRequest request) -> request.operation.deadline)
+                    .thenComparingLong(request -> request.turn);
 
     /**
      * Whoever had an attempt, or keeps an order, is like nobody else: its turn tells it apart;
      * others have 0.
      */
     private record GroupKey(long volume, int band, double units, long turn) {
-        static GroupKey of(QueuedRequest ticket) {
-            Operation operation = ticket.operation;
-            boolean plain = operation.attempts.isEmpty() && ticket.line == null;
+        static GroupKey of(QueuedRequest request) {
+            Operation operation = request.operation;
+            boolean plain = operation.attempts.isEmpty() && request.line == null;
             return new GroupKey(
                     operation.volume.id,
                     operation.trafficClass.index(),
                     operation.units,
-                    plain ? 0 : ticket.turn);
+                    plain ? 0 : request.turn);
         }
 
         // Written out: what the compiler leaves to the start costs 25 ms of CPU there.
@@ -64,29 +64,29 @@
         return all.isEmpty();
     }
 
-    void add(QueuedRequest ticket) {
-        all.put(ticket.turn, ticket.operation);
-        ticket.alike = GroupKey.of(ticket);
-        alike.computeIfAbsent((GroupKey) ticket.alike, any -> new TreeSet<>(BY_PATIENCE))
-                .add(ticket);
-        if (ticket.operation.extent != 0) {
-            byExtent.computeIfAbsent(ticket.operation.extent, any -> new TreeMap<>())
-                    .put(ticket.turn, ticket.operation);
+    void add(QueuedRequest request) {
+        all.put(request.turn, request.operation);
+        request.alike = GroupKey.of(request);
+        alike.computeIfAbsent((GroupKey) request.alike, any -> new TreeSet<>(BY_PATIENCE))
+                .add(request);
+        if (request.operation.extent != 0) {
+            byExtent.computeIfAbsent(request.operation.extent, any -> new TreeMap<>())
+                    .put(request.turn, request.operation);
         }
     }
 
-    void remove(QueuedRequest ticket) {
-        all.remove(ticket.turn);
-        TreeSet<QueuedRequest> like = alike.get((GroupKey) ticket.alike);
-        like.remove(ticket);
+    void remove(QueuedRequest request) {
+        all.remove(request.turn);
+        TreeSet<QueuedRequest> like = alike.get((GroupKey) request.alike);
+        like.remove(request);
         if (like.isEmpty()) {
-            alike.remove((GroupKey) ticket.alike);
+            alike.remove((GroupKey) request.alike);
         }
-        TreeMap<Long, Operation> same = byExtent.get(ticket.operation.extent);
+        TreeMap<Long, Operation> same = byExtent.get(request.operation.extent);
         if (same != null) {
-            same.remove(ticket.turn);
+            same.remove(request.turn);
             if (same.isEmpty()) {
-                byExtent.remove(ticket.operation.extent);
+                byExtent.remove(request.operation.extent);
             }
         }
     }
--- a/src/main/java/sagepulley/simulator/SimulatedGateway.java
+++ b/src/main/java/sagepulley/simulator/SimulatedGateway.java
@@ -14,7 +14,7 @@
     private static final long LONGEST_WAKE_NS = 70L * 60 * 1_000_000_000;
 
     final ReplyWriter reply;
-    final GatewayEngine host;
+    final GatewayEngine engine;
 
     /** Set while the instance has an event in the batch at hand. */
     boolean called;
@@ -25,7 +25,7 @@
 
     SimulatedGateway(ReplyWriter reply, Deployment deployment, long seed) {
         this.reply = reply;
-        this.host = new GatewayEngine(deployment, seed, this);
+        this.engine = new GatewayEngine(deployment, seed, this);
     }
 
     void timer(long token) {
@@ -37,7 +37,7 @@
     /** After the events of a batch. */
     void settle(double now, long clockNs) {
         nowNs = clockNs;
-        host.runDueWork(now);
+        engine.runDueWork(now);
     }
 
     @Override
@@ -46,9 +46,9 @@
     }
 
     @Override
-    public void endUnserved(Operation operation, RoutingDecision placement) {
-        if (placement.kind() == RoutingDecision.Kind.REJECT) {
-            reply.decline(operation.id, (long) (placement.retryAfter() * NS));
+    public void endUnserved(Operation operation, RoutingDecision decision) {
+        if (decision.kind() == RoutingDecision.Kind.REJECT) {
+            reply.decline(operation.id, (long) (decision.retryAfter() * NS));
         } else {
             reply.scrap(operation.id);
         }
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -93,15 +93,15 @@
             throws MalformedFrameException {
         switch (code) {
             case 1 ->
-                    gateway.host.onHealthCheck(
+                    gateway.engine.onHealthCheck(
                             batch.u32(record, 5),
                             outcome(record, 9),
                             batch.u64(record, 11) / NS,
                             report(record, 19),
                             now);
             case 4 -> topology(gateway, record, now);
-            case 6 -> gateway.host.onArrival(operation(gateway, record, now));
-            case 7 -> gateway.host.onClientCancelled(batch.u64(record, 5), now);
+            case 6 -> gateway.engine.onArrival(operation(gateway, record, now));
+            case 7 -> gateway.engine.onClientCancelled(batch.u64(record, 5), now);
             case 10 -> gateway.timer(batch.u64(record, 5));
             case 11 -> completed(gateway, record, now);
             default -> {} // streams and messages of peers: nothing is decided by them
@@ -172,15 +172,15 @@
         int zone = from.getShort() & 0xffff;
         int cell = from.getShort() & 0xffff;
         int store = from.getInt();
-        int phase = from.get();
+        int phaseCode = from.get();
         long started = from.getLong();
         int kind = from.get() & 0xff;
         float weight = from.getFloat();
-        if (phase < 0 || phase > 2) {
+        if (phaseCode < 0 || phaseCode > 2) {
             return null;
         }
-        Node.Phase standing =
-                switch (phase) {
+        Node.Phase phase =
+                switch (phaseCode) {
                     case 1 -> Node.Phase.READY;
                     case 2 -> Node.Phase.DRAINING;
                     default -> Node.Phase.REMOVED;
@@ -189,7 +189,7 @@
                 zone,
                 cell,
                 store,
-                standing,
+                phase,
                 started == 0 ? Double.NEGATIVE_INFINITY : started / 1e6,
                 kind,
                 weight);
@@ -199,13 +199,13 @@
             throws MalformedFrameException {
         int scope = batch.u8(record, 5);
         switch (scope) {
-            case 0 -> gateway.host.onPollFailed(now);
+            case 0 -> gateway.engine.onPollFailed(now);
             case 1, 3, 4 -> {
                 int table = batch.u8(record, 6);
                 if (table >= POOLS || pools.get(table) == null) {
                     throw batch.badRecord(record, "list number " + table + " was never set up");
                 }
-                gateway.host.onEndpointList(pools.get(table), scope != 3, now);
+                gateway.engine.onEndpointList(pools.get(table), scope != 3, now);
             }
             default -> throw batch.badRecord(record, "unknown list scope " + scope);
         }
@@ -214,22 +214,22 @@
     private Operation operation(SimulatedGateway gateway, int record, double now)
             throws MalformedFrameException {
         int grade = batch.u8(record, 13);
-        List<TrafficClass> bands = gateway.host.deployment().trafficClasses();
+        List<TrafficClass> bands = gateway.engine.deployment().trafficClasses();
         if (grade >= bands.size()) {
             throw batch.badRecord(
                     record, "class " + grade + " of " + bands.size() + " is out of range");
         }
         long plan = Integer.toUnsignedLong(batch.u32(record, 14));
-        if (plan >= gateway.host.deployment().plans().size()) {
+        if (plan >= gateway.engine.deployment().plans().size()) {
             throw batch.badRecord(
                     record,
                     "plan "
                             + plan
                             + " of "
-                            + gateway.host.deployment().plans().size()
+                            + gateway.engine.deployment().plans().size()
                             + " is out of range");
         }
-        Volume volume = gateway.host.volume(batch.u64(record, 34), (int) plan);
+        Volume volume = gateway.engine.volume(batch.u64(record, 34), (int) plan);
         volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
         return new Operation(
                 batch.u64(record, 5),
@@ -246,7 +246,7 @@
     private void completed(SimulatedGateway gateway, int record, double now)
             throws MalformedFrameException {
         Outcome outcome = outcome(record, 18);
-        Attempt attempt = gateway.host.attempt(batch.u64(record, 5), batch.u8(record, 13));
+        Attempt attempt = gateway.engine.attempt(batch.u64(record, 5), batch.u8(record, 13));
         if (attempt == null || attempt.outcome != null) {
             return;
         }
@@ -256,7 +256,7 @@
         attempt.planUsagePercent = used == 0 ? Double.NaN : used - 1;
         attempt.otherGatewaysUnits = batch.u16(record, 31);
         attempt.report = report(record, 33);
-        gateway.host.onAttemptEnded(attempt, batch.u8(record, 28) != 0, now);
+        gateway.engine.onAttemptEnded(attempt, batch.u8(record, 28) != 0, now);
     }
 
     private Outcome outcome(int record, int at) throws MalformedFrameException {
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -35,7 +35,7 @@
     private record Key(int volume, long extent) {}
 
     private final EventLoop loop;
-    private final TrafficRecorder witness;
+    private final TrafficRecorder recorder;
 
     /** The list as it is, and as it is told. */
     private final Map<Integer, DirectoryMessages.EndpointLine> lines = new LinkedHashMap<>();
@@ -58,9 +58,9 @@
     private volatile boolean failing;
     private long claims;
 
-    public StandInDirectory(EventLoopGroup group, TrafficRecorder witness) {
+    public StandInDirectory(EventLoopGroup group, TrafficRecorder recorder) {
         this.loop = group.next();
-        this.witness = witness;
+        this.recorder = recorder;
     }
 
     public CompletableFuture<StandInDirectory> start(InetSocketAddress at) {
@@ -218,7 +218,7 @@
 
         void list(long call, boolean whole, List<DirectoryMessages.EndpointLine> told) {
             wholeLists += whole ? 1 : 0;
-            witness.told(gateway, whole, told, System.nanoTime());
+            recorder.told(gateway, whole, told, System.nanoTime());
             channel.writeAndFlush(
                     DirectoryMessages.list(
                             new DirectoryMessages.EndpointList(
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -85,11 +85,11 @@
         }
     }
 
-    private final NodeProfile traits;
-    private final TrafficRecorder witness;
+    private final NodeProfile profile;
+    private final TrafficRecorder recorder;
     private final EventLoop loop;
     private final Random chance;
-    private final BlockStore shelf;
+    private final BlockStore blockStore;
     private final Faults faults = new Faults();
     private final List<Link> links = new ArrayList<>();
     private final ArrayDeque<Work> queue = new ArrayDeque<>();
@@ -123,16 +123,16 @@
 
     /** A node on a loop of the group; chance (for shares of faults) comes from the seed. */
     public StandInNode(
-            NodeProfile traits, EventLoopGroup group, TrafficRecorder witness, long seed) {
-        this.traits = traits;
-        this.witness = witness;
+            NodeProfile profile, EventLoopGroup group, TrafficRecorder recorder, long seed) {
+        this.profile = profile;
+        this.recorder = recorder;
         this.loop = group.next();
         this.chance = new Random(seed);
-        this.shelf = new BlockStore(traits.extentBytes(), traits.data());
+        this.blockStore = new BlockStore(profile.extentBytes(), profile.data());
     }
 
     public NodeProfile traits() {
-        return traits;
+        return profile;
     }
 
     public Faults faults() {
@@ -170,8 +170,8 @@
                     fallen = false;
                     startedWall = warm ? 0 : System.currentTimeMillis();
                     startedNanos =
-                            System.nanoTime() - (warm ? (long) (traits.coldTime() * 2e6) : 0);
-                    pressure = new SlidingWindowCounter(traits.fallTime(), RING_PARTS);
+                            System.nanoTime() - (warm ? (long) (profile.coldTime() * 2e6) : 0);
+                    pressure = new SlidingWindowCounter(profile.fallTime(), RING_PARTS);
                     new ServerBootstrap()
                             .group(loop)
                             .channel(EventLoops.server())
@@ -187,7 +187,7 @@
                                             }
                                             channel.pipeline()
                                                     .addLast(
-                                                            new FrameDecoder(traits.extentBytes()),
+                                                            new FrameDecoder(profile.extentBytes()),
                                                             new FrameEncoder(),
                                                             new Link(channel));
                                         }
@@ -201,9 +201,9 @@
                                         }
                                         listener = bound.channel();
                                         address = (InetSocketAddress) listener.localAddress();
-                                        witness.started(
-                                                traits.id(),
-                                                warm ? Double.NaN : traits.unitsPerSecond(),
+                                        recorder.started(
+                                                profile.id(),
+                                                warm ? Double.NaN : profile.unitsPerSecond(),
                                                 System.nanoTime());
                                         ready.complete(this);
                                     });
@@ -217,7 +217,7 @@
         loop.execute(
                 () -> {
                     goDown();
-                    shelf.close();
+                    blockStore.close();
                     stopped.complete(null);
                 });
         return stopped;
@@ -250,7 +250,7 @@
         loop.execute(
                 () -> {
                     goDown();
-                    lostData |= shelf.powerFails();
+                    lostData |= blockStore.powerFails();
                     lost.complete(null);
                 });
         return lost.thenCompose(done -> listen(at, false));
@@ -295,16 +295,17 @@
         if (overPressed(now)) {
             fallen = true;
             work.payload.release();
-            witness.fell(traits.id(), System.nanoTime());
+            recorder.fell(profile.id(), System.nanoTime());
             goDown();
             return;
         }
         StoreMessages.Code refusal = null;
         if (draining) {
             refusal = StoreMessages.Code.DRAINING;
-        } else if (faults.refusing || queue.size() >= traits.queue()) {
+        } else if (faults.refusing || queue.size() >= profile.queue()) {
             refusal = StoreMessages.Code.FULL;
-        } else if (work.send.mustBeThere() && !shelf.has(work.send.volume(), work.send.extent())) {
+        } else if (work.send.mustBeThere()
+                && !blockStore.has(work.send.volume(), work.send.extent())) {
             refusal = StoreMessages.Code.MOOT;
         } else if (work.send.kind().changes() && !holdsPen(work)) {
             refusal = StoreMessages.Code.STALE_PEN;
@@ -363,21 +364,22 @@
     /** What it can do now, as a part of what it can do when warm. */
     private double warmth() {
         double age = (System.nanoTime() - startedNanos) / 1e6;
-        return Math.min(1, traits.coldShare() + (1 - traits.coldShare()) * age / traits.coldTime());
+        return Math.min(
+                1, profile.coldShare() + (1 - profile.coldShare()) * age / profile.coldTime());
     }
 
     private boolean overPressed(double now) {
         double warm = warmth();
-        double span = traits.fallTime() / 1000;
+        double span = profile.fallTime() / 1000;
         return warm < 1
                 && pressure.sumUnderestimate(now)
                         > Math.max(
-                                traits.coldUnits(),
-                                traits.fallMultiple() * warm * traits.unitsPerSecond() * span);
+                                profile.coldUnits(),
+                                profile.fallMultiple() * warm * profile.unitsPerSecond() * span);
     }
 
     private void serve() {
-        while (busy < traits.slots() && !queue.isEmpty() && !faults.paused) {
+        while (busy < profile.slots() && !queue.isEmpty() && !faults.paused) {
             Work work = queue.poll();
             if (work.calledOff || !work.link.channel.isActive()) {
                 work.payload.release();
@@ -442,13 +444,13 @@
 
     private double cost(StoreMessages.Send send) {
         boolean writes = send.kind().changes();
-        double cost = send.units() * (writes ? traits.writeCost() : traits.readCost());
-        if (writes && traits.deferredShare() > 0) {
+        double cost = send.units() * (writes ? profile.writeCost() : profile.readCost());
+        if (writes && profile.deferredShare() > 0) {
             // A part of each write is put off, and falls to whoever comes when its time is up.
-            double late = cost * traits.deferredShare();
+            double late = cost * profile.deferredShare();
             cost -= late;
             deferred += late;
-            if (Math.floorMod((long) nowMs(), (long) traits.deferEvery()) < 10) {
+            if (Math.floorMod((long) nowMs(), (long) profile.deferEvery()) < 10) {
                 cost += deferred;
                 deferred = 0;
             }
@@ -458,28 +460,29 @@
 
     private ByteBuf run(Work work) throws IOException {
         StoreMessages.Send send = work.send;
-        if (send.offset() + send.length() > traits.extentBytes()) {
+        if (send.offset() + send.length() > profile.extentBytes()) {
             throw new IOException("past the extent's end");
         }
         if (send.repeat() == TrafficClass.Idempotency.DEDUPLICATED.ordinal()
                 && marks.put(new Mark(work.link.gateway, send.mark()), true) != null) {
             return Unpooled.EMPTY_BUFFER;
         }
-        witness.ran(traits.id(), work.link.gateway, send, System.nanoTime());
+        recorder.ran(profile.id(), work.link.gateway, send, System.nanoTime());
         switch (send.kind()) {
             case READ -> {
                 ByteBuf into = work.link.channel.alloc().ioBuffer(Math.max(1, send.length()));
-                return shelf.read(send.volume(), send.extent(), send.offset(), send.length(), into);
+                return blockStore.read(
+                        send.volume(), send.extent(), send.offset(), send.length(), into);
             }
             case WRITE ->
-                    shelf.write(
+                    blockStore.write(
                             send.volume(),
                             send.extent(),
                             send.offset(),
                             work.payload,
                             send.durable());
             case ZERO, TRIM ->
-                    shelf.zero(
+                    blockStore.zero(
                             send.volume(),
                             send.extent(),
                             send.offset(),
@@ -490,7 +493,7 @@
                 if (lostData && send.since() != startedWall) {
                     throw new IOException("writes before the start were lost");
                 }
-                shelf.flush(send.volume());
+                blockStore.flush(send.volume());
             }
         }
         return Unpooled.EMPTY_BUFFER;
@@ -499,8 +502,8 @@
     private void answer(Work work, StoreMessages.Code code, ByteBuf payload) {
         Link link = work.link;
         boolean lost = faults.silent || faults.losing > 0 && chance.nextDouble() < faults.losing;
-        witness.answered(
-                traits.id(),
+        recorder.answered(
+                profile.id(),
                 link.gateway,
                 work.send.mark(),
                 work.send.number(),
@@ -642,12 +645,12 @@
                                         frame.head().duplicate(),
                                         frame.payload()));
                 open.put(frame.id(), send);
-                witness.attemptCame(traits.id(), gateway, send, System.nanoTime());
+                recorder.attemptCame(profile.id(), gateway, send, System.nanoTime());
             } else if (frame.type() == StoreMessages.CALL_OFF) {
                 StoreMessages.Send send = open.remove(frame.id());
                 if (send != null) {
-                    witness.calledOff(
-                            traits.id(), gateway, send.mark(), send.number(), System.nanoTime());
+                    recorder.calledOff(
+                            profile.id(), gateway, send.mark(), send.number(), System.nanoTime());
                 }
             }
         }
@@ -716,10 +719,10 @@
             channel.writeAndFlush(
                     StoreMessages.welcome(
                             new StoreMessages.Welcome(
-                                    traits.id(),
-                                    traits.cell(),
-                                    traits.zone(),
-                                    traits.kind(),
+                                    profile.id(),
+                                    profile.cell(),
+                                    profile.zone(),
+                                    profile.kind(),
                                     draining,
                                     startedWall)));
         }
--- a/src/main/java/sagepulley/tracing/OperationTrace.java
+++ b/src/main/java/sagepulley/tracing/OperationTrace.java
@@ -38,5 +38,10 @@
      * (null: out).
      */
     public record Attempt(
-            int number, int node, QuotaTier owed, double after, double took, Outcome outcome) {}
+            int number,
+            int node,
+            QuotaTier quotaTier,
+            double after,
+            double took,
+            Outcome outcome) {}
 }
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -75,8 +75,8 @@
     }
 
     /** Takes a story; drops it if too many wait. From any thread, without waiting. */
-    public void tell(OperationTrace story) {
-        if (!waiting.offer(story)) {
+    public void tell(OperationTrace trace) {
+        if (!waiting.offer(trace)) {
             dropped.increment();
         }
     }
@@ -93,9 +93,9 @@
     private void work() {
         try {
             while (!ending || !waiting.isEmpty()) {
-                OperationTrace story = waiting.poll(100, TimeUnit.MILLISECONDS);
-                if (story != null) {
-                    make(story);
+                OperationTrace trace = waiting.poll(100, TimeUnit.MILLISECONDS);
+                if (trace != null) {
+                    make(trace);
                     made.increment();
                 }
             }
@@ -112,48 +112,49 @@
         return ExternalName.of(constant);
     }
 
-    private void make(OperationTrace story) {
-        double end = story.arrived() + story.took();
+    private void make(OperationTrace trace) {
+        double end = trace.arrived() + trace.took();
         Span root =
                 spans.spanBuilder("operation")
                         .setNoParent()
-                        .setStartTimestamp(at(story.arrived()), TimeUnit.NANOSECONDS)
-                        .setAttribute("gateway", story.gateway())
-                        .setAttribute("operation", story.operation())
-                        .setAttribute("cookie", story.cookie())
-                        .setAttribute("volume", story.volume())
-                        .setAttribute("band", story.band())
-                        .setAttribute("kind", story.kind())
-                        .setAttribute("extent", story.extent())
-                        .setAttribute("units", story.units())
-                        .setAttribute("result", word(story.end()))
-                        .setAttribute("reason", word(story.reason()))
-                        .setAttribute("main_cause", story.mainCause())
-                        .setAttribute("kept", word(story.kept()))
-                        .setAttribute("stands_for", story.standsFor())
+                        .setStartTimestamp(at(trace.arrived()), TimeUnit.NANOSECONDS)
+                        .setAttribute("gateway", trace.gateway())
+                        .setAttribute("operation", trace.operation())
+                        .setAttribute("cookie", trace.cookie())
+                        .setAttribute("volume", trace.volume())
+                        .setAttribute("band", trace.band())
+                        .setAttribute("kind", trace.kind())
+                        .setAttribute("extent", trace.extent())
+                        .setAttribute("units", trace.units())
+                        .setAttribute("result", word(trace.end()))
+                        .setAttribute("reason", word(trace.reason()))
+                        .setAttribute("main_cause", trace.mainCause())
+                        .setAttribute("kept", word(trace.kept()))
+                        .setAttribute("stands_for", trace.standsFor())
                         .startSpan();
         Context within = Context.root().with(root);
-        for (OperationTrace.Attempt attempt : story.attempts()) {
+        for (OperationTrace.Attempt attempt : trace.attempts()) {
             SpanBuilder one =
                     spans.spanBuilder("hop")
                             .setParent(within)
                             .setStartTimestamp(
-                                    at(story.arrived() + attempt.after()), TimeUnit.NANOSECONDS)
+                                    at(trace.arrived() + attempt.after()), TimeUnit.NANOSECONDS)
                             .setAttribute("number", attempt.number())
                             .setAttribute("node", attempt.node())
                             .setAttribute(
-                                    "owed", attempt.owed() == null ? "" : word(attempt.owed()))
+                                    "owed",
+                                    attempt.quotaTier() == null ? "" : word(attempt.quotaTier()))
                             .setAttribute(
                                     "result",
                                     attempt.outcome() == null ? "out" : word(attempt.outcome()));
             double ended =
                     attempt.outcome() == null
                             ? end
-                            : story.arrived() + attempt.after() + attempt.took();
+                            : trace.arrived() + attempt.after() + attempt.took();
             one.startSpan().end(at(ended), TimeUnit.NANOSECONDS);
         }
-        double at = story.arrived();
-        for (OperationTrace.Step step : story.steps()) {
+        double at = trace.arrived();
+        for (OperationTrace.Step step : trace.steps()) {
             spans.spanBuilder("step")
                     .setParent(within)
                     .setStartTimestamp(at(at), TimeUnit.NANOSECONDS)
@@ -163,8 +164,8 @@
                     .end(at(at + step.length()), TimeUnit.NANOSECONDS);
             at += step.length();
         }
-        if (story.end() == Accounts.End.SCRAPPED || story.end() == Accounts.End.DECLINED) {
-            root.setStatus(StatusCode.ERROR, word(story.reason()));
+        if (trace.end() == Accounts.End.SCRAPPED || trace.end() == Accounts.End.DECLINED) {
+            root.setStatus(StatusCode.ERROR, word(trace.reason()));
         }
         root.end(at(end), TimeUnit.NANOSECONDS);
     }
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -43,13 +43,13 @@
             Accounts of,
             long volume,
             int node,
-            QuotaTier owed,
+            QuotaTier quotaTier,
             double at,
             double waited,
             double worked,
             double queue) {
         OperationTimer meter = of.begin(volume, BAND, false, 1, at);
-        of.sent(meter, node, owed, at);
+        of.sent(meter, node, quotaTier, at);
         of.answered(meter, waited, worked, queue, at + waited + worked);
         of.end(meter, Accounts.End.SATISFIED, Reason.NONE, node, at + waited + worked);
         return meter;
