--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -124,7 +124,7 @@
         private final Random random;
         private final MessageDigest digest;
         private final boolean leaseIsBounded;
-        private final GatewayEngine host;
+        private final GatewayEngine engine;
         private final List<EndpointEntry> entries = new ArrayList<>();
         private final double[] slowness = new double[ENDPOINTS];
         private final boolean[] silent = new boolean[ENDPOINTS];
@@ -150,7 +150,7 @@
                 throw new AssertionError(e);
             }
             Deployment deployment = SettingsReader.ofLines(SETTINGS).deployment();
-            this.host =
+            this.engine =
                     new GatewayEngine(
                             leaseIsBounded ? deployment.onWatch(WATCH_SPAN_MILLIS) : deployment,
                             seed,
@@ -159,9 +159,9 @@
                 slowness[i] = 1;
                 entries.add(entry(i, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
-            host.onEndpointList(entries, true, now);
+            engine.onEndpointList(entries, true, now);
             if (leaseIsBounded) {
-                host.onListConfirmed(now);
+                engine.onListConfirmed(now);
             }
         }
 
@@ -172,7 +172,7 @@
                 randomEvent();
                 if (random.nextInt(4) == 0 || now >= wakeAt) {
                     wakeAt = Double.POSITIVE_INFINITY;
-                    host.runDueWork(now);
+                    engine.runDueWork(now);
                 }
             }
         }
@@ -187,7 +187,7 @@
                 attempt.outcome = ending.outcome();
                 attempt.duration = ending.at() - attempt.sentAt;
                 attempt.otherGatewaysUnits = random.nextInt(5) == 0 ? random.nextInt(4) : 0;
-                host.onAttemptEnded(attempt, ending.ends(), now);
+                engine.onAttemptEnded(attempt, ending.ends(), now);
             }
         }
 
@@ -204,7 +204,7 @@
             } else if (dice < 653) {
                 silent[random.nextInt(ENDPOINTS)] ^= true;
             } else if (dice == 653 && random.nextInt(6) == 0) {
-                host.onPollFailed(now);
+                engine.onPollFailed(now);
             } else if (leaseIsBounded) {
                 leaseEvent(dice);
             }
@@ -212,14 +212,14 @@
 
         private void leaseEvent(int dice) {
             if (dice < 662) {
-                host.onListConfirmed(now - 100 * random.nextDouble());
+                engine.onListConfirmed(now - 100 * random.nextDouble());
             } else if (dice < 664) {
-                host.onDiscoveryUnreachable(now - 50);
+                engine.onDiscoveryUnreachable(now - 50);
             } else if (dice == 664 && random.nextInt(4) == 0) {
-                host.onReloadNotified(now);
-                host.onDiscoveryMoved(now);
+                engine.onReloadNotified(now);
+                engine.onDiscoveryMoved(now);
             } else if (dice < 668) {
-                host.onConfigurationRead(now);
+                engine.onConfigurationRead(now);
             }
         }
 
@@ -232,8 +232,8 @@
             Operation operation =
                     new Operation(
                             ++sequence,
-                            host.deployment().trafficClasses().get(bandIndex),
-                            host.volume(1 + 10L * plan + random.nextInt(4), plan),
+                            engine.deployment().trafficClasses().get(bandIndex),
+                            engine.volume(1 + 10L * plan + random.nextInt(4), plan),
                             extent,
                             1 + random.nextInt(6),
                             cell,
@@ -241,12 +241,12 @@
                             now + patience,
                             random.nextInt(30) == 0);
             open.add(operation.id);
-            host.onArrival(operation);
+            engine.onArrival(operation);
         }
 
         private void leave() {
             if (!open.isEmpty()) {
-                host.onClientCancelled(open.remove(random.nextInt(open.size())), now);
+                engine.onClientCancelled(open.remove(random.nextInt(open.size())), now);
             }
             if (open.size() > 200) {
                 open.subList(0, 100).clear();
@@ -262,12 +262,12 @@
                         entries.set(
                                 index, entry(index, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
-            host.onEndpointList(entries, random.nextBoolean(), now);
+            engine.onEndpointList(entries, random.nextBoolean(), now);
         }
 
-        private static EndpointEntry entry(int index, Node.Phase standing, double startedAt) {
+        private static EndpointEntry entry(int index, Node.Phase phase, double startedAt) {
             return new EndpointEntry(
-                    index % 3, index % CELLS, 100 + index, standing, startedAt, 0, 1 + index % 2);
+                    index % 3, index % CELLS, 100 + index, phase, startedAt, 0, 1 + index % 2);
         }
 
         boolean everyKindOfDecisionSeen() {
@@ -294,7 +294,7 @@
         public void send(Attempt attempt, double timeout) {
             sent++;
             record("send " + attempt.operation.id + " to " + attempt.node.id, timeout);
-            record("may begin " + host.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
+            record("may begin " + engine.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
             int index = attempt.node.id - 100;
             double took = (2 + attempt.operation.units * 3) * slowness[index] * random.nextDouble();
             int dice = random.nextInt(100);
@@ -320,15 +320,15 @@
         }
 
         @Override
-        public void endUnserved(Operation operation, RoutingDecision placement) {
-            if (placement.kind() == RoutingDecision.Kind.REJECT) {
+        public void endUnserved(Operation operation, RoutingDecision decision) {
+            if (decision.kind() == RoutingDecision.Kind.REJECT) {
                 rejected++;
             } else {
                 abandoned++;
             }
             record(
-                    "give up " + operation.id + " " + placement.kind().ordinal(),
-                    placement.retryAfter() + placement.reason().ordinal());
+                    "give up " + operation.id + " " + decision.kind().ordinal(),
+                    decision.retryAfter() + decision.reason().ordinal());
         }
 
         @Override
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -33,7 +33,7 @@
             limits.mayDuplicate=false
             """;
     private final List<Attempt> sent = new ArrayList<>();
-    private final GatewayEngine host =
+    private final GatewayEngine engine =
             new GatewayEngine(
                     SettingsReader.ofLines(SETTINGS).deployment(),
                     1,
@@ -44,8 +44,8 @@
                         }
 
                         @Override
-                        public void endUnserved(Operation operation, RoutingDecision placement) {
-                            throw new AssertionError("given up: " + placement.reason());
+                        public void endUnserved(Operation operation, RoutingDecision decision) {
+                            throw new AssertionError("given up: " + decision.reason());
                         }
 
                         @Override
@@ -76,43 +76,43 @@
 
     @Test
     void nodesThatAreGoneForLongAreForgottenOnceTheirLastAttemptHasEnded() {
-        host.onEndpointList(List.of(entry(1, 0), entry(2, 1)), true, 0);
+        engine.onEndpointList(List.of(entry(1, 0), entry(2, 1)), true, 0);
         Operation operation =
                 new Operation(
                         1,
-                        host.deployment().trafficClasses().get(0),
-                        host.volume(1, 0),
+                        engine.deployment().trafficClasses().get(0),
+                        engine.volume(1, 0),
                         7,
                         1,
                         0,
                         0,
                         1000,
                         false);
-        host.onArrival(operation);
-        host.runDueWork(0);
-        host.runDueWork(0);
+        engine.onArrival(operation);
+        engine.runDueWork(0);
+        engine.runDueWork(0);
         Attempt attempt = sent.get(0);
         assertEquals(1, attempt.node.id);
-        assertEquals(List.of(), host.onEndpointList(List.of(entry(2, 1)), true, 100));
+        assertEquals(List.of(), engine.onEndpointList(List.of(entry(2, 1)), true, 100));
         assertEquals(
                 List.of(),
-                host.onEndpointList(List.of(entry(3, 0)), false, 40_000),
+                engine.onEndpointList(List.of(entry(3, 0)), false, 40_000),
                 "its hop is still out");
         attempt.outcome = Outcome.SERVED;
-        host.onAttemptEnded(attempt, true, 40_000);
+        engine.onAttemptEnded(attempt, true, 40_000);
         assertEquals(
-                List.of(attempt.node), host.onEndpointList(List.of(entry(4, 2)), false, 40_001));
-        assertEquals(3, host.nodes().size());
+                List.of(attempt.node), engine.onEndpointList(List.of(entry(4, 2)), false, 40_001));
+        assertEquals(3, engine.nodes().size());
     }
 
     @Test
     void aNodeThatComesBackSoonIsTheSame() {
-        host.onEndpointList(List.of(entry(1, 0)), true, 0);
-        Node node = host.nodes().iterator().next();
-        host.onEndpointList(List.of(), true, 1000);
-        host.onEndpointList(List.of(entry(1, 0)), true, 20_000);
-        assertEquals(List.of(), host.onEndpointList(List.of(entry(2, 1)), false, 60_000));
-        assertEquals(node, host.nodes().iterator().next());
+        engine.onEndpointList(List.of(entry(1, 0)), true, 0);
+        Node node = engine.nodes().iterator().next();
+        engine.onEndpointList(List.of(), true, 1000);
+        engine.onEndpointList(List.of(entry(1, 0)), true, 20_000);
+        assertEquals(List.of(), engine.onEndpointList(List.of(entry(2, 1)), false, 60_000));
+        assertEquals(node, engine.nodes().iterator().next());
         assertEquals(Node.Phase.READY, node.phase);
     }
 
--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -51,10 +51,10 @@
                 });
     }
 
-    private static NbdClient open(LocalCluster town, NbdGateway gateway, String volume) {
+    private static NbdClient open(LocalCluster cluster, NbdGateway gateway, String volume) {
         return LocalCluster.await(
                 NbdClient.open(
-                        town.loops(),
+                        cluster.loops(),
                         EventLoops.socket(),
                         gateway.address(),
                         volume,
@@ -85,13 +85,14 @@
                             1_000,
                             null));
         }
-        try (LocalCluster town = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2)) {
+        try (LocalCluster cluster = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2)) {
             NbdGateway gateway =
-                    town.open(
-                            LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address()) + TWO,
+                    cluster.open(
+                            LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address())
+                                    + TWO,
                             1);
-            NbdClient victim = open(town, gateway, "demo");
-            NbdClient neighbour = open(town, gateway, "flood");
+            NbdClient victim = open(cluster, gateway, "demo");
+            NbdClient neighbour = open(cluster, gateway, "flood");
             for (int i = 0; i < 4; i++) {
                 NbdTestFixture.await(victim.write(i * (long) NbdTestFixture.MIB, new byte[4096]))
                         .release();
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -34,8 +34,8 @@
         REFUSING((rig, node) -> node.faults().refusing = true),
         ERRING((rig, node) -> node.faults().erring = 0.5),
         LOSING((rig, node) -> node.faults().losing = 0.7),
-        COLD((rig, node) -> rig.town.restartCold(node)),
-        DRAINING((rig, node) -> rig.town.drain(node)),
+        COLD((rig, node) -> rig.cluster.restartCold(node)),
+        DRAINING((rig, node) -> rig.cluster.drain(node)),
         CUT((rig, node) -> node.cut()),
         HALF_CLOSED((rig, node) -> node.faults().halfClose = true),
         GARBLED((rig, node) -> node.faults().garble = true),
@@ -47,10 +47,10 @@
                     node.faults().unreachable = true;
                     node.cut();
                 }),
-        DIRECTORY_DOWN((rig, node) -> NbdTestFixture.await(rig.town.directory().stop())),
-        DIRECTORY_SILENT((rig, node) -> rig.town.directory().silent(true)),
-        DIRECTORY_FAILING((rig, node) -> rig.town.directory().failing(true)),
-        DIRECTORY_RESTARTED((rig, node) -> NbdTestFixture.await(rig.town.directory().restart()));
+        DIRECTORY_DOWN((rig, node) -> NbdTestFixture.await(rig.cluster.directory().stop())),
+        DIRECTORY_SILENT((rig, node) -> rig.cluster.directory().silent(true)),
+        DIRECTORY_FAILING((rig, node) -> rig.cluster.directory().failing(true)),
+        DIRECTORY_RESTARTED((rig, node) -> NbdTestFixture.await(rig.cluster.directory().restart()));
 
         final BiConsumer<NbdTestFixture, StandInNode> begin;
 
@@ -87,12 +87,12 @@
                 NbdTestFixture rig =
                         new NbdTestFixture(
                                 3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
-            machine.watch(rig.town.loops());
+            machine.watch(rig.cluster.loops());
             NbdClient client = rig.client();
             for (int i = 0; i < 32; i++) {
                 NbdTestFixture.await(client.write(i * 2L * NbdTestFixture.MIB, new byte[4096]));
             }
-            fault.begin.accept(rig, rig.town.nodes().get(0));
+            fault.begin.accept(rig, rig.cluster.nodes().get(0));
             List<CompletableFuture<Told>> asked = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 asked.add(ask(client, i));
@@ -110,12 +110,12 @@
                         one.join().took() < 2500 + 100 + machine.stoodStill(),
                         "took " + one.join().took());
             }
-            Counters tally = rig.gateway.tally();
-            assertEquals(0, tally.open());
-            assertEquals(0, tally.left.sum());
-            assertEquals(200 + 32, tally.taken.sum());
-            assertEquals(32 + satisfied, tally.satisfied.sum());
-            assertEquals(200 - satisfied, tally.declined.sum() + tally.scrapped.sum());
+            Counters counters = rig.gateway.tally();
+            assertEquals(0, counters.open());
+            assertEquals(0, counters.left.sum());
+            assertEquals(200 + 32, counters.taken.sum());
+            assertEquals(32 + satisfied, counters.satisfied.sum());
+            assertEquals(200 - satisfied, counters.declined.sum() + counters.scrapped.sum());
             assertTrue(satisfied >= 60, "only " + satisfied + " of 200 were satisfied");
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
@@ -126,7 +126,7 @@
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient other = rig.client();
             NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
-            rig.town.nodes().forEach(node -> node.faults().silent = true);
+            rig.cluster.nodes().forEach(node -> node.faults().silent = true);
             NbdClient leaver = rig.client();
             AtomicInteger ends = new AtomicInteger();
             for (int i = 0; i < 20; i++) {
@@ -137,7 +137,7 @@
             leaver.channel().close().syncUninterruptibly();
             await().until(() -> rig.gateway.tally().open() == 0 && ends.get() == 20);
             assertTrue(rig.gateway.tally().left.sum() > 0);
-            rig.town.nodes().forEach(node -> node.faults().silent = false);
+            rig.cluster.nodes().forEach(node -> node.faults().silent = false);
             await().until(() -> NbdTestFixture.error(other.read(0, 512)) == 0);
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
@@ -150,7 +150,7 @@
             NbdClient client = rig.client();
             byte[] old = NbdTestFixture.noise(5, 4 * NbdTestFixture.MIB);
             assertEquals(0, NbdTestFixture.error(client.write(0, old)));
-            StandInNode dead = rig.town.nodes().get(1);
+            StandInNode dead = rig.cluster.nodes().get(1);
             NbdTestFixture.await(dead.stop());
             byte[] fresh = NbdTestFixture.noise(6, 4 * NbdTestFixture.MIB);
             NbdReply reply = NbdTestFixture.await(client.write(0, fresh));
@@ -195,7 +195,7 @@
     @Test
     void twoFirstWritesAtOnceEndWithOneHolder() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(6)) {
-            NbdGateway second = rig.town.open(rig.site(1, 2), 2);
+            NbdGateway second = rig.cluster.open(rig.site(1, 2), 2);
             NbdClient a = rig.client();
             NbdClient b = rig.client(second, NbdClient.Style.GO);
             for (int extent = 0; extent < 40; extent++) {
@@ -226,7 +226,7 @@
                                 NbdTestFixture.data(
                                         NbdTestFixture.await(a.read(at + 131072, 8192)))));
             }
-            assertEquals(40, NbdTestFixture.await(rig.town.directory().counts())[0]);
+            assertEquals(40, NbdTestFixture.await(rig.cluster.directory().counts())[0]);
         }
     }
 
@@ -236,13 +236,13 @@
                 new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
-            rig.town.directory().silent(true);
+            rig.cluster.directory().silent(true);
             var one = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
             var two = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
             assertEquals(0, NbdTestFixture.error(client.read(0, 4096)));
             assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(one).error);
             assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(two).error);
-            rig.town.directory().silent(false);
+            rig.cluster.directory().silent(false);
             await().until(
                             () ->
                                     NbdTestFixture.error(
@@ -257,12 +257,12 @@
     @Test
     void aGatewayStartedWhileTheDirectoryIsSilentGetsReadyOnceItSpeaks() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(2)) {
-            rig.town.directory().silent(true);
+            rig.cluster.directory().silent(true);
             NbdGateway second = new NbdGateway(SiteConfig.read("second", rig.site(1, 2)), 5);
             CompletableFuture<NbdGateway> ready = second.start();
             Thread.sleep(300); // time for its call to be swallowed; what follows holds either way
             assertTrue(!ready.isDone());
-            rig.town.directory().silent(false);
+            rig.cluster.directory().silent(false);
             NbdTestFixture.await(ready);
             NbdClient client = rig.client(second, NbdClient.Style.GO);
             assertEquals(0, NbdTestFixture.error(client.write(0, new byte[4096])));
@@ -276,7 +276,7 @@
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
-            rig.town.nodes().forEach(node -> node.faults().silent = true);
+            rig.cluster.nodes().forEach(node -> node.faults().silent = true);
             List<CompletableFuture<NbdReply>> asked = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 asked.add(client.read(0, 4096));
@@ -320,7 +320,7 @@
                                 }
                             });
             NbdTestFixture.await(rig.gateway.kill());
-            NbdGateway again = rig.town.open(rig.site(0, 1), 99);
+            NbdGateway again = rig.cluster.open(rig.site(0, 1), 99);
             NbdClient back = rig.client(again, NbdClient.Style.GO);
             List<Integer> kept;
             synchronized (acknowledged) {
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -16,7 +16,7 @@
 /** A small town with a gateway, and clients of it. */
 final class NbdTestFixture implements AutoCloseable {
     static final int MIB = 1 << 20;
-    final LocalCluster town;
+    final LocalCluster cluster;
     final NbdGateway gateway;
     private final List<NbdClient> clients = new ArrayList<>();
 
@@ -25,19 +25,19 @@
     }
 
     /** With one piece of the demo's site file put in place of another. */
-    NbdTestFixture(int nodes, TrafficRecorder witness, String piece, String other)
+    NbdTestFixture(int nodes, TrafficRecorder recorder, String piece, String other)
             throws Exception {
         List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
             traits.add(NodeProfile.quick(i, MIB));
         }
-        town = LocalCluster.start(traits, witness, 2);
-        gateway = town.open(site(0, 1).replace(piece, other), 1);
+        cluster = LocalCluster.start(traits, recorder, 2);
+        gateway = cluster.open(site(0, 1).replace(piece, other), 1);
     }
 
     String site(int number, int gateways) {
         return LocalCluster.demoSite(
-                "gw-" + number, number, gateways, 0, town.directory().address());
+                "gw-" + number, number, gateways, 0, cluster.directory().address());
     }
 
     NbdClient client() {
@@ -48,7 +48,7 @@
         NbdClient client =
                 await(
                         NbdClient.open(
-                                town.loops(), EventLoops.socket(), of.address(), "demo", style));
+                                cluster.loops(), EventLoops.socket(), of.address(), "demo", style));
         clients.add(client);
         return client;
     }
@@ -83,6 +83,6 @@
     @Override
     public void close() {
         clients.forEach(client -> client.channel().close().awaitUninterruptibly());
-        town.close();
+        cluster.close();
     }
 }
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -83,7 +83,7 @@
     void startsWithListsOfAnyAgeAndReadsWhatItKnows() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            NbdTestFixture.await(rig.town.directory().stop());
+            NbdTestFixture.await(rig.cluster.directory().stop());
             double[] ages = {60_000, 3_600_000, 7 * 86_400_000.0};
             ListFreshness[] trusts = {ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD};
             for (int i = 0; i < ages.length; i++) {
@@ -100,8 +100,8 @@
     void aDrainedNodeSaysSoAtFirstContactAndGetsNothing() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            NbdTestFixture.await(rig.town.directory().stop());
-            rig.town.nodes().get(0).drain();
+            NbdTestFixture.await(rig.cluster.directory().stop());
+            rig.cluster.nodes().get(0).drain();
             age(60_000);
             NbdGateway again = start(site, 30);
             long before = again.tally().attempts.sum();
@@ -127,7 +127,7 @@
     void firstWritesAreHeldAndDeclinedUntilTheDirectoryIsBack() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
-            NbdTestFixture.await(rig.town.directory().stop());
+            NbdTestFixture.await(rig.cluster.directory().stop());
             NbdGateway again = start(site, 40);
             NbdClient client = rig.client(again, NbdClient.Style.GO);
             assertEquals(
@@ -141,7 +141,7 @@
                     NbdTestFixture.error(client.write(0, NbdTestFixture.noise(0, 4096))),
                     "a known extent is written");
             assertEquals(attempts + 1, again.tally().attempts.sum());
-            NbdTestFixture.await(rig.town.directory().restart());
+            NbdTestFixture.await(rig.cluster.directory().restart());
             await().until(
                             () -> {
                                 NbdReply reply =
@@ -189,12 +189,12 @@
             Path file = folder.resolve("nodes");
             byte[] whole = Files.readAllBytes(file);
             Files.write(file, Arrays.copyOf(whole, whole.length / 3));
-            NbdTestFixture.await(rig.town.directory().stop());
+            NbdTestFixture.await(rig.cluster.directory().stop());
             NbdGateway again = start(site, 60);
             reads(rig.client(again, NbdClient.Style.GO));
             assertTrue(Files.exists(folder.resolve("nodes.set-aside")));
             NbdTestFixture.await(again.kill());
-            NbdTestFixture.await(rig.town.directory().restart());
+            NbdTestFixture.await(rig.cluster.directory().restart());
             String other = site.replace("[site]", "[site]\nname = elsewhere");
             NbdGateway elsewhere = start(other, 61);
             NodesView view = NbdTestFixture.await(elsewhere.nodes());
@@ -210,11 +210,11 @@
             String site = firstLife(rig);
             NbdGateway again = start(site, 70);
             NbdClient client = rig.client(again, NbdClient.Style.GO);
-            NbdTestFixture.await(rig.town.directory().stop());
-            NbdTestFixture.await(rig.town.directory().becomes("another", 9, 1, List.of()));
-            NbdTestFixture.await(rig.town.directory().restart());
-            long lists = rig.town.directory().wholeLists();
-            await().until(() -> rig.town.directory().wholeLists() > lists);
+            NbdTestFixture.await(rig.cluster.directory().stop());
+            NbdTestFixture.await(rig.cluster.directory().becomes("another", 9, 1, List.of()));
+            NbdTestFixture.await(rig.cluster.directory().restart());
+            long lists = rig.cluster.directory().wholeLists();
+            await().until(() -> rig.cluster.directory().wholeLists() > lists);
             reads(client);
             NbdTestFixture.await(again.kill());
         }
--- a/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -41,7 +41,7 @@
 class MonitoringServerTest {
     private static final int MIB = 1 << 20;
     @TempDir private Path folder;
-    private LocalCluster town;
+    private LocalCluster cluster;
 
     @BeforeEach
     void open() {
@@ -49,16 +49,16 @@
         for (int i = 1; i <= 2; i++) {
             traits.add(NodeProfile.quick(i, MIB).withCost(2, 2));
         }
-        town = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
+        cluster = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
     }
 
     @AfterEach
     void close() {
-        town.close();
+        cluster.close();
     }
 
     private String site(String sections) {
-        return LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address()) + sections;
+        return LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address()) + sections;
     }
 
     private static NbdGateway start(String site, long seed) throws Exception {
@@ -69,7 +69,7 @@
         NbdClient client =
                 LocalCluster.await(
                         NbdClient.open(
-                                town.loops(),
+                                cluster.loops(),
                                 EventLoops.socket(),
                                 gateway.address(),
                                 "demo",
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -41,7 +41,7 @@
         BlockCommand read = command("BLK.READ", FIELDS);
         assertEquals(10, read.extent);
         assertEquals(11, read.id);
-        assertEquals("get", read.band.name());
+        assertEquals("get", read.trafficClass.name());
         assertEquals("any", read.plan.name());
         assertEquals(900, read.patience);
         assertEquals(7, read.volume);
@@ -49,7 +49,8 @@
         assertEquals(0, read.shard);
         assertEquals(3, read.gateways);
         assertTrue(read.repeat);
-        assertEquals("put", command("BLK.WRITE", FIELDS.replace("get", "put"), "x").band.name());
+        assertEquals(
+                "put", command("BLK.WRITE", FIELDS.replace("get", "put"), "x").trafficClass.name());
         assertEquals(
                 FIELDS.replace("d=900", "d=42"),
                 new String(read.forNode(42).get(3), StandardCharsets.US_ASCII));
@@ -57,8 +58,9 @@
 
     @Test
     void figuresOfANodesAnswer() throws Exception {
-        TrafficClass band = WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
-        Operation operation = new Operation(1, band, null, 0, 1, 0, 0, 900, false);
+        TrafficClass trafficClass =
+                WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
+        Operation operation = new Operation(1, trafficClass, null, 0, 1, 0, 0, 900, false);
         Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
         EndpointResponse.tell(
                 attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
@@ -70,7 +72,8 @@
     @Test
     void countsInTheLog() throws Exception {
         GatewayMetrics counts = new GatewayMetrics();
-        TrafficClass band = WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
+        TrafficClass trafficClass =
+                WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
         for (Outcome outcome : Outcome.values()) {
             counts.ended(outcome, new Node(1));
         }
@@ -79,7 +82,7 @@
             waits.put(reason, 1);
         }
         counts.waits(waits);
-        counts.gaveUp(band, Reason.OBJECTIVE_MISSED);
+        counts.gaveUp(trafficClass, Reason.OBJECTIVE_MISSED);
         assertEquals(
                 "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SERVED=1,"
                         + " FAILED=1, REJECTED=1, TIMED_OUT=1, NO_CONNECTION=1, RESET=1,"
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -157,14 +157,14 @@
                 93);
     }
 
-    private static EndpointListUpdate.Member member(String id, Node.Phase standing, int port) {
+    private static EndpointListUpdate.Member member(String id, Node.Phase phase, int port) {
         return new EndpointListUpdate.Member(
                 id,
                 new InetSocketAddress("127.0.0.1", port),
                 "here",
                 "plain",
                 port + 100,
-                standing,
+                phase,
                 1.5,
                 port + 1000);
     }
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -97,19 +97,19 @@
 
     @Test
     void theLedgerKnowsWhatAReadMayShow() {
-        BlockHistory ledger = new BlockHistory();
-        BlockHistory.Write first = ledger.begin(1, 0, 4096, 10);
-        BlockHistory.Write second = ledger.begin(1, 0, 4096, 30);
+        BlockHistory history = new BlockHistory();
+        BlockHistory.Write first = history.begin(1, 0, 4096, 10);
+        BlockHistory.Write second = history.begin(1, 0, 4096, 30);
         ByteBuf old = BlockHistory.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
         first.ends(20, false);
-        ledger.check(1, 0, old, 35, 36); // the second is not acknowledged yet
+        history.check(1, 0, old, 35, 36); // the second is not acknowledged yet
         second.ends(40, true);
-        ledger.check(1, 0, old, 38, 45); // asked before it was
-        assertEquals(0, ledger.breaches().size());
-        ledger.check(1, 0, old, 50, 55); // undone by a late attempt
-        assertEquals(1, ledger.breaches().size());
-        ledger.check(1, 0, old.setLong(512, 99), 20, 25);
-        assertTrue(ledger.breaches().get(1).contains("torn"));
+        history.check(1, 0, old, 38, 45); // asked before it was
+        assertEquals(0, history.breaches().size());
+        history.check(1, 0, old, 50, 55); // undone by a late attempt
+        assertEquals(1, history.breaches().size());
+        history.check(1, 0, old.setLong(512, 99), 20, 25);
+        assertTrue(history.breaches().get(1).contains("torn"));
         old.release();
     }
 
--- a/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
+++ b/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
@@ -38,7 +38,7 @@
         for (double end = now + LENGTH_MS; now < end; now += STEP_MS) {
             for (int i = 0; i < gateways; i++) {
                 if (!listed[i]
-                        && hosts.get(i).control.nextTurn(now).poll()
+                        && hosts.get(i).scheduler.nextTurn(now).poll()
                                 == SchedulerTurn.EndpointPoll.SUBSCRIBE) {
                     Call call = new Call(i, now);
                     queue.add(call);
@@ -48,7 +48,7 @@
             for (Call call : List.copyOf(waiting)) {
                 if (now - call.at() > CALL_TIMEOUT_MS) {
                     waiting.remove(call);
-                    hosts.get(call.gateway()).control.onPollFailed(now);
+                    hosts.get(call.gateway()).scheduler.onPollFailed(now);
                 }
             }
             for (;
@@ -56,9 +56,9 @@
                     idleAt = Math.max(idleAt, queue.poll().at()) + SERVICE_MS) {
                 Call served = queue.peek();
                 if (waiting.remove(served)) {
-                    SchedulerHarness host = hosts.get(served.gateway());
-                    host.control.onEndpointList(host.nodes, now);
-                    host.control.onListConfirmed(now);
+                    SchedulerHarness harness = hosts.get(served.gateway());
+                    harness.scheduler.onEndpointList(harness.nodes, now);
+                    harness.scheduler.onListConfirmed(now);
                     listed[served.gateway()] = true;
                 }
             }
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -89,30 +89,30 @@
 
     @Test
     void withoutALeaseNothingIsSentAndTheClientIsToldThatItMayComeAgain() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        host.control.onListConfirmed(host.now);
-        assertEquals(1, host.take(SchedulerHarness.READ, 0).attempts.size());
-        host.satisfyAllOut();
-        host.passTime(SPAN + GRACE);
-        Operation waiting = host.take(SchedulerHarness.READ, 0);
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
+        harness.scheduler.onListConfirmed(harness.now);
+        assertEquals(1, harness.take(SchedulerHarness.READ, 0).attempts.size());
+        harness.satisfyAllOut();
+        harness.passTime(SPAN + GRACE);
+        Operation waiting = harness.take(SchedulerHarness.READ, 0);
         assertEquals(0, waiting.attempts.size());
-        assertEquals(Reason.NO_LEASE, WaitExplainer.why(host.control, waiting, host.now));
-        host.passTime(260);
-        assertTrue(host.declined.contains(waiting));
-        Operation next = host.take(SchedulerHarness.READ, 0);
-        host.control.onListConfirmed(host.now);
-        host.passTime(2);
+        assertEquals(Reason.NO_LEASE, WaitExplainer.why(harness.scheduler, waiting, harness.now));
+        harness.passTime(260);
+        assertTrue(harness.declined.contains(waiting));
+        Operation next = harness.take(SchedulerHarness.READ, 0);
+        harness.scheduler.onListConfirmed(harness.now);
+        harness.passTime(2);
         assertEquals(1, next.attempts.size(), "with the next confirmation it goes");
     }
 
     /** Its connection comes up only when the lease has ended. */
     @Test
     void anAttemptThatIsHeldUpBeyondTheLeaseDoesNotBegin() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        host.control.onListConfirmed(host.now - SPAN);
-        Operation read = host.take(SchedulerHarness.BULK, 0);
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
+        harness.scheduler.onListConfirmed(harness.now - SPAN);
+        Operation read = harness.take(SchedulerHarness.BULK, 0);
         assertEquals(1, read.attempts.size());
-        assertTrue(host.control.mayStart(host.lastAttempt(read), host.now));
-        assertFalse(host.control.mayStart(host.lastAttempt(read), host.now + GRACE));
+        assertTrue(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now));
+        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now + GRACE));
     }
 }
--- a/src/test/java/sagepulley/scheduler/HealthTest.java
+++ b/src/test/java/sagepulley/scheduler/HealthTest.java
@@ -15,210 +15,216 @@
 class HealthTest {
     @Test
     void aSilentNodeGetsOneTrialAtATimeAndNoNewObjects() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        host.take(SchedulerHarness.BULK, 0);
-        host.passTime(200);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        harness.take(SchedulerHarness.BULK, 0);
+        harness.passTime(200);
         for (int i = 0; i < 6; i++) {
-            host.take(SchedulerHarness.BULK, 0);
-            host.take(SchedulerHarness.WRITE, -1);
-            host.end(host.lastAttempt(host.held.get(host.held.size() - 1)), Outcome.SERVED);
+            harness.take(SchedulerHarness.BULK, 0);
+            harness.take(SchedulerHarness.WRITE, -1);
+            harness.end(
+                    harness.lastAttempt(harness.held.get(harness.held.size() - 1)), Outcome.SERVED);
         }
-        assertEquals(2, sentTo(host, 0), "the hop that found it silent, and one trial");
-        host.passTime(70);
-        assertEquals(2, sentTo(host, 0), "the next waits for a part of the shortest target time");
-        host.passTime(10);
-        assertEquals(3, sentTo(host, 0), "one more trial");
-        for (int i = 0; i < host.sent.size(); i++) {
-            if (host.sent.get(i).outcome == null) {
-                host.end(host.sent.get(i), Outcome.SERVED);
+        assertEquals(2, sentTo(harness, 0), "the hop that found it silent, and one trial");
+        harness.passTime(70);
+        assertEquals(
+                2, sentTo(harness, 0), "the next waits for a part of the shortest target time");
+        harness.passTime(10);
+        assertEquals(3, sentTo(harness, 0), "one more trial");
+        for (int i = 0; i < harness.sent.size(); i++) {
+            if (harness.sent.get(i).outcome == null) {
+                harness.end(harness.sent.get(i), Outcome.SERVED);
             }
         }
-        host.passTime(6000);
-        long before = sentTo(host, 0);
-        host.take(SchedulerHarness.READ, 0);
-        host.take(SchedulerHarness.READ, 0);
-        assertEquals(before + 2, sentTo(host, 0), "an answer restores trust");
+        harness.passTime(6000);
+        long before = sentTo(harness, 0);
+        harness.take(SchedulerHarness.READ, 0);
+        harness.take(SchedulerHarness.READ, 0);
+        assertEquals(before + 2, sentTo(harness, 0), "an answer restores trust");
     }
 
     @Test
     void aFullAnswerRestoresNoTrust() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Operation lost = host.take(SchedulerHarness.BULK, 0);
-        host.passTime(500);
-        host.end(host.lastAttempt(lost), Outcome.TIMED_OUT);
-        assertEquals(2, sentTo(host, 0), "it is the trial itself");
-        host.end(host.lastAttempt(lost), Outcome.REJECTED);
-        host.take(SchedulerHarness.BULK, 0);
-        assertEquals(2, sentTo(host, 0), "the next trial waits for its time");
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Operation lost = harness.take(SchedulerHarness.BULK, 0);
+        harness.passTime(500);
+        harness.end(harness.lastAttempt(lost), Outcome.TIMED_OUT);
+        assertEquals(2, sentTo(harness, 0), "it is the trial itself");
+        harness.end(harness.lastAttempt(lost), Outcome.REJECTED);
+        harness.take(SchedulerHarness.BULK, 0);
+        assertEquals(2, sentTo(harness, 0), "the next trial waits for its time");
     }
 
     @Test
     void aFullAnswerMakesNoNodeSilent() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Operation refused = host.take(SchedulerHarness.BULK, 0);
-        host.end(host.lastAttempt(refused), Outcome.REJECTED);
-        host.take(SchedulerHarness.BULK, 0);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Operation refused = harness.take(SchedulerHarness.BULK, 0);
+        harness.end(harness.lastAttempt(refused), Outcome.REJECTED);
+        harness.take(SchedulerHarness.BULK, 0);
         assertEquals(
-                3, sentTo(host, 0), "the hop refused, the one after it, and the next operation's");
+                3,
+                sentTo(harness, 0),
+                "the hop refused, the one after it, and the next operation's");
     }
 
     @Test
     void anAttemptThatHadLittleTimeLeftMakesNoNodeSilent() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Operation hurried = host.takeHurried(SchedulerHarness.BULK, 1, 0, 60);
-        host.passTime(60);
-        host.end(host.lastAttempt(hurried), Outcome.TIMED_OUT);
-        host.take(SchedulerHarness.BULK, 0);
-        host.take(SchedulerHarness.BULK, 0);
-        assertEquals(3, sentTo(host, 0), "none of them is a trial");
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Operation hurried = harness.takeHurried(SchedulerHarness.BULK, 1, 0, 60);
+        harness.passTime(60);
+        harness.end(harness.lastAttempt(hurried), Outcome.TIMED_OUT);
+        harness.take(SchedulerHarness.BULK, 0);
+        harness.take(SchedulerHarness.BULK, 0);
+        assertEquals(3, sentTo(harness, 0), "none of them is a trial");
     }
 
     @Test
     void clientsThatLeaveEarlySetAShorterTargetAndTheirWorkIsCalledOff() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 8; i++) {
-            Operation operation = host.take(SchedulerHarness.BULK, 0);
-            host.passTime(60);
-            host.leave(operation);
-            host.end(host.lastAttempt(operation), Outcome.CANCELLED);
+            Operation operation = harness.take(SchedulerHarness.BULK, 0);
+            harness.passTime(60);
+            harness.leave(operation);
+            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
         }
-        assertEquals(8, host.calledOff.size());
-        host.passTime(2000);
-        host.declined.clear();
-        host.nodes.get(0).phase = Node.Phase.DRAINING;
-        host.relist();
-        host.take(SchedulerHarness.BULK, 0);
-        host.passTime(70);
-        assertEquals(1, host.declined.size(), "long before its target time of 1.5 s");
+        assertEquals(8, harness.calledOff.size());
+        harness.passTime(2000);
+        harness.declined.clear();
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.relist();
+        harness.take(SchedulerHarness.BULK, 0);
+        harness.passTime(70);
+        assertEquals(1, harness.declined.size(), "long before its target time of 1.5 s");
     }
 
     @Test
     void clientsThatLeaveBeforeAnyAnswerCouldComeTellNothing() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        serve(host, 30, 20);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        serve(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
-            Operation operation = host.take(SchedulerHarness.READ, 0);
-            host.passTime(4);
-            host.leave(operation);
-            host.end(host.lastAttempt(operation), Outcome.CANCELLED);
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(4);
+            harness.leave(operation);
+            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
         }
-        host.nodes.get(0).phase = Node.Phase.DRAINING;
-        host.relist();
-        host.take(SchedulerHarness.READ, 0);
-        host.passTime(100);
-        assertEquals(0, host.declined.size(), "the target time is still 250 ms");
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.relist();
+        harness.take(SchedulerHarness.READ, 0);
+        harness.passTime(100);
+        assertEquals(0, harness.declined.size(), "the target time is still 250 ms");
     }
 
     @Test
     void clientsThatLeftOnceDoNotForbidAllAttemptsForGood() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        serve(host, 30, 20);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        serve(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
-            Operation operation = host.take(SchedulerHarness.READ, 0);
-            host.passTime(22);
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(22);
             if (operation.ended) {
                 continue;
             }
-            host.leave(operation);
-            host.end(host.lastAttempt(operation), Outcome.CANCELLED);
+            harness.leave(operation);
+            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
             // The node takes long for a while, so that no answer would come in the time that
             // clients stay.
-            serve(host, 2, 60);
+            serve(harness, 2, 60);
         }
-        int before = host.sent.size();
+        int before = harness.sent.size();
         for (int i = 0; i < 200; i++) {
-            Operation operation = host.take(SchedulerHarness.READ, 0);
-            host.passTime(10);
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(10);
             if (!operation.ended) {
-                host.end(host.lastAttempt(operation), Outcome.SERVED);
+                harness.end(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
-        assertTrue(host.sent.size() - before > 100, "sent " + (host.sent.size() - before));
+        assertTrue(harness.sent.size() - before > 100, "sent " + (harness.sent.size() - before));
     }
 
     /** So many reads, one after the other, each answered after a time. */
-    private static void serve(SchedulerHarness host, int count, double time) {
+    private static void serve(SchedulerHarness harness, int count, double time) {
         for (int i = 0; i < count; i++) {
-            Operation operation = host.take(SchedulerHarness.READ, 0);
-            host.passTime(time);
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(time);
             if (!operation.ended) {
-                host.end(host.lastAttempt(operation), Outcome.SERVED);
+                harness.end(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
     }
 
     @Test
     void aSurgeAtOneNodeForbidsNoFurtherAttemptAtAnother() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Volume surging = host.volume(0);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Volume surging = harness.volume(0);
         for (int i = 0; i < 40; i++) {
-            host.take(SchedulerHarness.READ, surging, 100 + i, 2, 0);
+            harness.take(SchedulerHarness.READ, surging, 100 + i, 2, 0);
         }
-        host.passTime(260);
-        assertTrue(host.declined.size() > 20, "declined at the one " + host.declined.size());
-        Operation read = host.take(SchedulerHarness.READ, 1);
-        host.passTime(10);
-        host.end(host.lastAttempt(read), Outcome.FAILED);
+        harness.passTime(260);
+        assertTrue(harness.declined.size() > 20, "declined at the one " + harness.declined.size());
+        Operation read = harness.take(SchedulerHarness.READ, 1);
+        harness.passTime(10);
+        harness.end(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(2, read.attempts.size(), "the other is idle");
     }
 
     @Test
     void aNodeThatIsForgottenLeavesItsPlaceToAnother() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Volume volume = host.volume(1);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Volume volume = harness.volume(1);
         for (int i = 0; i < 50; i++) {
-            Node old = host.nodes.get(0);
-            Operation read = host.take(SchedulerHarness.READ, volume, 7 + i, 2, 0);
-            host.passTime(20);
-            host.end(host.lastAttempt(read), Outcome.SERVED);
+            Node old = harness.nodes.get(0);
+            Operation read = harness.take(SchedulerHarness.READ, volume, 7 + i, 2, 0);
+            harness.passTime(20);
+            harness.end(harness.lastAttempt(read), Outcome.SERVED);
             old.phase = Node.Phase.REMOVED;
-            host.relist();
+            harness.relist();
             old.forgotten = true;
             Node fresh = new Node(1000 + i);
             fresh.cell = 0;
-            host.nodes.set(0, fresh);
-            host.relist();
+            harness.nodes.set(0, fresh);
+            harness.relist();
             // Cold at first: it is served once it is warm.
-            host.passTime(10_000);
+            harness.passTime(10_000);
         }
-        assertEquals(2, host.control.endpoints.size());
-        Operation read = host.take(SchedulerHarness.READ, volume, 3, 2, 0);
-        assertEquals(host.nodes.get(0), host.lastAttempt(read).node);
+        assertEquals(2, harness.scheduler.endpoints.size());
+        Operation read = harness.take(SchedulerHarness.READ, volume, 3, 2, 0);
+        assertEquals(harness.nodes.get(0), harness.lastAttempt(read).node);
     }
 
     @Test
     void aNodeThatFailsAtOnceDrawsNoNewObjects() {
-        SchedulerHarness host = new SchedulerHarness(2);
+        SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 40; i++) {
-            Operation write = host.take(SchedulerHarness.WRITE, -1);
-            host.passTime(6);
-            Attempt attempt = host.lastAttempt(write);
-            host.end(attempt, attempt.node == host.nodes.get(0) ? Outcome.FAILED : Outcome.SERVED);
+            Operation write = harness.take(SchedulerHarness.WRITE, -1);
+            harness.passTime(6);
+            Attempt attempt = harness.lastAttempt(write);
+            harness.end(
+                    attempt,
+                    attempt.node == harness.nodes.get(0) ? Outcome.FAILED : Outcome.SERVED);
             while (!write.ended) {
-                host.end(host.lastAttempt(write), Outcome.SERVED);
+                harness.end(harness.lastAttempt(write), Outcome.SERVED);
             }
         }
-        assertTrue(sentTo(host, 0) < 12, "sent " + sentTo(host, 0));
+        assertTrue(sentTo(harness, 0) < 12, "sent " + sentTo(harness, 0));
     }
 
     @Test
     void aSlowNodeGetsFewerOperationsAtATime() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 40; i++) {
-            Operation read = host.take(SchedulerHarness.READ, 0);
-            host.passTime(10);
-            host.end(host.lastAttempt(read), Outcome.SERVED);
+            Operation read = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(10);
+            harness.end(harness.lastAttempt(read), Outcome.SERVED);
         }
         for (int i = 0; i < 10; i++) {
-            Operation read = host.take(SchedulerHarness.READ, 0);
-            host.passTime(110);
-            host.end(host.lastAttempt(read), Outcome.SERVED);
+            Operation read = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(110);
+            harness.end(harness.lastAttempt(read), Outcome.SERVED);
         }
-        host.sent.clear();
+        harness.sent.clear();
         for (int i = 0; i < 8; i++) {
-            host.take(SchedulerHarness.BULK, 0);
+            harness.take(SchedulerHarness.BULK, 0);
         }
-        assertTrue(host.sent.size() <= 2, "sent " + host.sent.size());
+        assertTrue(harness.sent.size() <= 2, "sent " + harness.sent.size());
     }
 
     @Test
@@ -227,34 +233,34 @@
         outage.nodes.get(0).phase = Node.Phase.DRAINING;
         outage.relist();
         SchedulerHarness overload = new SchedulerHarness(3);
-        for (SchedulerHarness host : new SchedulerHarness[] {outage, overload}) {
+        for (SchedulerHarness harness : new SchedulerHarness[] {outage, overload}) {
             for (int i = 0; i < 8; i++) {
-                host.take(SchedulerHarness.READ, 0);
+                harness.take(SchedulerHarness.READ, 0);
             }
-            if (host == outage) {
-                host.passTime(252);
-                assertEquals(8, host.declined.size());
+            if (harness == outage) {
+                harness.passTime(252);
+                assertEquals(8, harness.declined.size());
             }
-            Operation write = host.take(SchedulerHarness.WRITE, -1);
-            host.end(host.lastAttempt(write), Outcome.FAILED);
-            assertEquals(host == outage ? 2 : 1, write.attempts.size());
+            Operation write = harness.take(SchedulerHarness.WRITE, -1);
+            harness.end(harness.lastAttempt(write), Outcome.FAILED);
+            assertEquals(harness == outage ? 2 : 1, write.attempts.size());
         }
     }
 
     @Test
     void theListIsAskedForAtTheStartAndAnewAfterAFailureWithoutFlooding() {
-        SchedulerHarness host = new SchedulerHarness(1, 1, 3, true, Double.NaN);
-        assertEquals(0, host.listCalls, "staggered by the gateway's number");
-        host.passTime(300);
-        assertEquals(1, host.listCalls);
+        SchedulerHarness harness = new SchedulerHarness(1, 1, 3, true, Double.NaN);
+        assertEquals(0, harness.listCalls, "staggered by the gateway's number");
+        harness.passTime(300);
+        assertEquals(1, harness.listCalls);
         for (int i = 0; i < 5; i++) {
-            host.control.onPollFailed(host.now);
-            host.passTime(400);
+            harness.scheduler.onPollFailed(harness.now);
+            harness.passTime(400);
         }
-        int calls = host.listCalls;
+        int calls = harness.listCalls;
         assertTrue(calls <= 3, "asked " + calls);
-        host.passTime(9000);
-        assertTrue(host.listCalls > calls, "but it does ask again");
+        harness.passTime(9000);
+        assertTrue(harness.listCalls > calls, "but it does ask again");
     }
 
     /**
@@ -264,45 +270,45 @@
      */
     @Test
     void howeverLongTheListCannotBeHadItIsAskedForSoonAgain() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN);
-        double lastCall = host.now;
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
+        double lastCall = harness.now;
         double longest = 0;
-        for (int seen = 0; host.now < 160_000; host.passTime(2)) {
-            if (host.listCalls > seen) {
-                longest = Math.max(longest, host.now - lastCall);
-                lastCall = host.now;
-                seen = host.listCalls;
-                host.control.onPollFailed(host.now);
+        for (int seen = 0; harness.now < 160_000; harness.passTime(2)) {
+            if (harness.listCalls > seen) {
+                longest = Math.max(longest, harness.now - lastCall);
+                lastCall = harness.now;
+                seen = harness.listCalls;
+                harness.scheduler.onPollFailed(harness.now);
             }
         }
         assertTrue(longest <= 4_600, "at most " + longest + " ms between two calls");
-        assertTrue(host.listCalls < 45, "in a minute " + host.listCalls);
+        assertTrue(harness.listCalls < 45, "in a minute " + harness.listCalls);
     }
 
     @Test
     void aListThatMovedIsAskedForAtOnceWhateverFailedBefore() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN);
-        host.passTime(10);
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
+        harness.passTime(10);
         for (int i = 0; i < 10; i++) {
-            host.control.onPollFailed(host.now);
+            harness.scheduler.onPollFailed(harness.now);
         }
-        int calls = host.listCalls;
-        host.control.onDiscoveryMoved(host.now);
-        host.passTime(302);
-        assertEquals(calls + 1, host.listCalls);
+        int calls = harness.listCalls;
+        harness.scheduler.onDiscoveryMoved(harness.now);
+        harness.passTime(302);
+        assertEquals(calls + 1, harness.listCalls);
     }
 
     /** The old address may still tell changes before the new one has been called. */
     @Test
     void aListFromTheFormerAddressDoesNotPutOffTheCallAtTheNewOne() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
-        host.passTime(10);
-        host.control.onListConfirmed(host.now);
-        int calls = host.listCalls;
-        host.control.onDiscoveryMoved(host.now);
-        host.relist();
-        host.passTime(302);
-        assertEquals(calls + 1, host.listCalls);
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
+        harness.passTime(10);
+        harness.scheduler.onListConfirmed(harness.now);
+        int calls = harness.listCalls;
+        harness.scheduler.onDiscoveryMoved(harness.now);
+        harness.relist();
+        harness.passTime(302);
+        assertEquals(calls + 1, harness.listCalls);
     }
 
     /**
@@ -311,101 +317,104 @@
      */
     @Test
     void theLastOfManyGatewaysHasAskedForTheListBeforeItCountsAsTold() {
-        SchedulerHarness host = new SchedulerHarness(1, 199, 200, true, Double.NaN);
-        host.passTime(2_500);
-        assertEquals(1, host.listCalls);
-        host.relist();
-        host.passTime(host.site.pollInterval() - 2_600);
-        assertEquals(1, host.listCalls, "it was answered");
+        SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
+        harness.passTime(2_500);
+        assertEquals(1, harness.listCalls);
+        harness.relist();
+        harness.passTime(harness.site.pollInterval() - 2_600);
+        assertEquals(1, harness.listCalls, "it was answered");
     }
 
     @Test
     void whatIsOverItsLevelWaitsForAShorterQueueThanTheReserve() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 10; i++) {
-            Operation read = host.take(SchedulerHarness.READ, 0);
-            host.passTime(i < 4 ? 10 : 90);
-            host.end(host.lastAttempt(read), Outcome.SERVED);
+            Operation read = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(i < 4 ? 10 : 90);
+            harness.end(harness.lastAttempt(read), Outcome.SERVED);
         }
-        Volume surging = host.volume(0);
+        Volume surging = harness.volume(0);
         for (int i = 0; i < 8; i++) {
-            host.take(SchedulerHarness.READ, surging, 1000 + i, 6, 0);
+            harness.take(SchedulerHarness.READ, surging, 1000 + i, 6, 0);
         }
-        host.passTime(90);
-        host.satisfyAllOut();
-        Operation over = host.take(SchedulerHarness.READ, surging, 2000, 6, 0);
-        Operation reserved = host.take(SchedulerHarness.READ, 0);
+        harness.passTime(90);
+        harness.satisfyAllOut();
+        Operation over = harness.take(SchedulerHarness.READ, surging, 2000, 6, 0);
+        Operation reserved = harness.take(SchedulerHarness.READ, 0);
         assertTrue(over.attempts.isEmpty());
         assertEquals(1, reserved.attempts.size());
-        host.end(host.lastAttempt(reserved), Outcome.SERVED);
-        host.passTime(60_000);
-        surging = host.volume(0);
+        harness.end(harness.lastAttempt(reserved), Outcome.SERVED);
+        harness.passTime(60_000);
+        surging = harness.volume(0);
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.READ, surging, 3000 + i, 6, 0);
+            harness.take(SchedulerHarness.READ, surging, 3000 + i, 6, 0);
         }
         assertEquals(
                 4,
-                host.sent.stream().filter(attempt -> attempt.outcome == null).count(),
+                harness.sent.stream().filter(attempt -> attempt.outcome == null).count(),
                 "the queue is forgotten");
     }
 
     @Test
     void anAttemptEndsWithTheTargetTimeWhereLateAnswersAreWorthLittle() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        host.passTime(40);
-        Operation read = host.take(SchedulerHarness.READ, 0);
-        assertEquals(250, host.timeoutOf(read), 1e-6);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        harness.passTime(40);
+        Operation read = harness.take(SchedulerHarness.READ, 0);
+        assertEquals(250, harness.timeoutOf(read), 1e-6);
     }
 
     @Test
     void whatIsLateGetsNoFurtherAttempt() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Operation read = host.take(SchedulerHarness.READ, 0);
-        host.passTime(250);
-        host.end(host.lastAttempt(read), Outcome.FAILED);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Operation read = harness.take(SchedulerHarness.READ, 0);
+        harness.passTime(250);
+        harness.end(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(1, read.attempts.size());
-        assertEquals(List.of(read), host.declined, "at once, not near its patience");
+        assertEquals(List.of(read), harness.declined, "at once, not near its patience");
     }
 
     @Test
     void hurriedClientsAreNotTakenForRepeatsOfLateOperations() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Operation first = host.take(SchedulerHarness.READ, 0);
-        host.passTime(250);
-        host.end(host.lastAttempt(first), Outcome.TIMED_OUT);
-        host.passTime(15_000);
-        Operation hurried = host.takeHurried(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
-        assertEquals(98, host.timeoutOf(hurried), 2, "all the patience it has");
-        host.end(host.lastAttempt(hurried), Outcome.SERVED);
-        host.nodes.get(0).phase = Node.Phase.DRAINING;
-        host.relist();
-        Operation repeat = host.takeHurried(SchedulerHarness.READ, first.extent, 0, 1700);
-        assertTrue(host.declined.contains(repeat), "its first try's target time is over");
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Operation first = harness.take(SchedulerHarness.READ, 0);
+        harness.passTime(250);
+        harness.end(harness.lastAttempt(first), Outcome.TIMED_OUT);
+        harness.passTime(15_000);
+        Operation hurried =
+                harness.takeHurried(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
+        assertEquals(98, harness.timeoutOf(hurried), 2, "all the patience it has");
+        harness.end(harness.lastAttempt(hurried), Outcome.SERVED);
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.relist();
+        Operation repeat = harness.takeHurried(SchedulerHarness.READ, first.extent, 0, 1700);
+        assertTrue(harness.declined.contains(repeat), "its first try's target time is over");
     }
 
     @Test
     void aDeclineTellsAShortWaitForAQueueAndTheLongestWhereTheNodeDoesNotServe() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.BULK, 0);
+            harness.take(SchedulerHarness.BULK, 0);
         }
-        host.passTime(100);
-        host.satisfyAllOut();
+        harness.passTime(100);
+        harness.satisfyAllOut();
         for (int i = 0; i < 40; i++) {
-            host.take(SchedulerHarness.READ, host.volume(0), 5000 + i, 6, 0);
+            harness.take(SchedulerHarness.READ, harness.volume(0), 5000 + i, 6, 0);
         }
-        host.passTime(120);
-        host.satisfyAllOut();
-        host.passTime(140);
-        assertTrue(host.advice > 0 && host.advice < 500, "told " + host.advice);
-        host.nodes.get(0).phase = Node.Phase.DRAINING;
-        host.relist();
-        host.take(SchedulerHarness.READ, 0);
-        host.passTime(252);
-        assertEquals(host.site.maxRetryAfter(), host.advice);
+        harness.passTime(120);
+        harness.satisfyAllOut();
+        harness.passTime(140);
+        assertTrue(harness.advice > 0 && harness.advice < 500, "told " + harness.advice);
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.relist();
+        harness.take(SchedulerHarness.READ, 0);
+        harness.passTime(252);
+        assertEquals(harness.site.maxRetryAfter(), harness.advice);
     }
 
-    private static long sentTo(SchedulerHarness host, int node) {
-        return host.sent.stream().filter(attempt -> attempt.node == host.nodes.get(node)).count();
+    private static long sentTo(SchedulerHarness harness, int node) {
+        return harness.sent.stream()
+                .filter(attempt -> attempt.node == harness.nodes.get(node))
+                .count();
     }
 }
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -14,19 +14,19 @@
 class PlacementTest {
     @Test
     void theBoundStartsAtFourAndARunGoesTogetherBeforeTheEarliestDeadline() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.READ, 0);
+            harness.take(SchedulerHarness.READ, 0);
         }
-        Volume volume = host.volume(1);
-        Operation early = host.take(SchedulerHarness.READ, 0);
-        host.passTime(4);
-        Operation run1 = host.take(SchedulerHarness.READ, volume, 5, 1, 0);
-        Operation run2 = host.take(SchedulerHarness.READ, volume, 5, 1, 0);
-        assertEquals(4, host.sent.size());
-        host.end(host.sent.get(0), Outcome.SERVED);
+        Volume volume = harness.volume(1);
+        Operation early = harness.take(SchedulerHarness.READ, 0);
+        harness.passTime(4);
+        Operation run1 = harness.take(SchedulerHarness.READ, volume, 5, 1, 0);
+        Operation run2 = harness.take(SchedulerHarness.READ, volume, 5, 1, 0);
+        assertEquals(4, harness.sent.size());
+        harness.end(harness.sent.get(0), Outcome.SERVED);
         assertEquals(1, early.attempts.size(), "the earliest deadline");
-        host.end(host.sent.get(1), Outcome.SERVED);
+        harness.end(harness.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
         assertEquals(
                 1, run2.attempts.size(), "the rest of the run goes along, a few over the bound");
@@ -34,89 +34,90 @@
 
     @Test
     void newObjectsLeaveABusyNode() {
-        SchedulerHarness host = new SchedulerHarness(2);
+        SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 60; i++) {
-            Operation read = host.take(SchedulerHarness.READ, i % 2);
-            host.passTime(10);
-            Attempt slow = i % 2 == 0 ? host.lastAttempt(read) : null;
+            Operation read = harness.take(SchedulerHarness.READ, i % 2);
+            harness.passTime(10);
+            Attempt slow = i % 2 == 0 ? harness.lastAttempt(read) : null;
             if (slow == null) {
-                host.end(host.lastAttempt(read), Outcome.SERVED);
+                harness.end(harness.lastAttempt(read), Outcome.SERVED);
             } else {
-                host.passTime(50);
-                host.end(slow, Outcome.SERVED);
+                harness.passTime(50);
+                harness.end(slow, Outcome.SERVED);
             }
         }
-        host.sent.clear();
+        harness.sent.clear();
         for (int i = 0; i < 10; i++) {
-            Operation write = host.take(SchedulerHarness.WRITE, -1);
-            host.passTime(10);
-            host.end(host.lastAttempt(write), Outcome.SERVED);
+            Operation write = harness.take(SchedulerHarness.WRITE, -1);
+            harness.passTime(10);
+            harness.end(harness.lastAttempt(write), Outcome.SERVED);
         }
-        Node quick = host.nodes.get(1);
-        assertTrue(host.sent.stream().filter(attempt -> attempt.node == quick).count() >= 7);
+        Node quick = harness.nodes.get(1);
+        assertTrue(harness.sent.stream().filter(attempt -> attempt.node == quick).count() >= 7);
     }
 
     @Test
     void newObjectsDoNotPourOntoANodeThatTurnsUp() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        host.passTime(3000);
-        host.nodes.add(host.node(2));
-        host.relist();
+        SchedulerHarness harness = new SchedulerHarness(2);
+        harness.passTime(3000);
+        harness.nodes.add(harness.node(2));
+        harness.relist();
         for (int i = 0; i < 8; i++) {
-            host.take(SchedulerHarness.WRITE, -1);
+            harness.take(SchedulerHarness.WRITE, -1);
         }
-        assertEquals(8, host.sent.size());
-        assertTrue(host.sent.stream().noneMatch(attempt -> attempt.node == host.nodes.get(2)));
+        assertEquals(8, harness.sent.size());
+        assertTrue(
+                harness.sent.stream().noneMatch(attempt -> attempt.node == harness.nodes.get(2)));
     }
 
     @Test
     void utilityStillDueGoesBeforeAnEarlierDeadline() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Volume surging = host.volume(0);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Volume surging = harness.volume(0);
         for (int i = 0; i < 8; i++) {
-            host.take(SchedulerHarness.READ, surging, 1000 + i, 2, 0);
+            harness.take(SchedulerHarness.READ, surging, 1000 + i, 2, 0);
         }
-        host.passTime(10);
-        Operation reserved = host.take(SchedulerHarness.READ, 0);
+        harness.passTime(10);
+        Operation reserved = harness.take(SchedulerHarness.READ, 0);
         assertTrue(reserved.attempts.isEmpty());
-        host.end(host.sent.get(0), Outcome.SERVED);
+        harness.end(harness.sent.get(0), Outcome.SERVED);
         assertEquals(1, reserved.attempts.size());
     }
 
     @Test
     void whatOthersUsedDrawsOnTheReserve() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Volume heavyElsewhere = host.volume(1);
-        Operation told = host.take(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
-        host.lastAttempt(told).otherGatewaysUnits = 40;
-        host.end(host.lastAttempt(told), Outcome.SERVED);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Volume heavyElsewhere = harness.volume(1);
+        Operation told = harness.take(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
+        harness.lastAttempt(told).otherGatewaysUnits = 40;
+        harness.end(harness.lastAttempt(told), Outcome.SERVED);
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.READ, 0);
+            harness.take(SchedulerHarness.READ, 0);
         }
-        Operation spent = host.take(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
-        host.passTime(4);
-        Operation due = host.take(SchedulerHarness.READ, 0);
-        host.end(host.sent.get(1), Outcome.SERVED);
+        Operation spent = harness.take(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
+        harness.passTime(4);
+        Operation due = harness.take(SchedulerHarness.READ, 0);
+        harness.end(harness.sent.get(1), Outcome.SERVED);
         assertTrue(spent.attempts.isEmpty());
         assertEquals(1, due.attempts.size());
     }
 
     @Test
     void aLateOperationIsDeclinedAtOnceWhenOthersTakeTheSlots() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.BULK, 0);
+            harness.take(SchedulerHarness.BULK, 0);
         }
-        Operation read = host.take(SchedulerHarness.READ, host.volume(0), 1, 2, 0);
+        Operation read = harness.take(SchedulerHarness.READ, harness.volume(0), 1, 2, 0);
         // The node goes on answering: it is no trial that the read waits for.
         for (int i = 0; i < 4; i++) {
-            host.passTime(50);
-            host.take(SchedulerHarness.READ, 0);
-            host.end(host.sent.get(i), Outcome.SERVED);
+            harness.passTime(50);
+            harness.take(SchedulerHarness.READ, 0);
+            harness.end(harness.sent.get(i), Outcome.SERVED);
         }
         assertTrue(read.attempts.isEmpty() && !read.ended);
-        host.passTime(52);
+        harness.passTime(52);
         assertTrue(read.ended, "its target time is past, its patience is not");
-        assertEquals(1, host.declined.size());
+        assertEquals(1, harness.declined.size());
     }
 }
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -39,7 +39,7 @@
     final List<Operation> scrapped = new ArrayList<>();
     final List<Attempt> calledOff = new ArrayList<>();
     final List<Operation> held = new ArrayList<>();
-    final Scheduler control;
+    final Scheduler scheduler;
     final Deployment site;
 
     /** When the client declined last should come back. */
@@ -94,7 +94,7 @@
                         new TenantPlan(0, "plain", 10, 0, 1, 1, 0, 0, 0),
                         new TenantPlan(1, "reserved", 10, 10, 3, 1, 0, 0, 0),
                         new TenantPlan(2, "limited", 10, 0, 1, 1, 10, 24, 2));
-        ServicePolicy rules =
+        ServicePolicy policy =
                 new ServicePolicy(
                         8,
                         1000,
@@ -116,7 +116,7 @@
                         0,
                         bands,
                         plans,
-                        rules,
+                        policy,
                         2,
                         99,
                         2,
@@ -137,11 +137,11 @@
                         0.05,
                         false,
                         List.of());
-        control = new Scheduler(site, 7 + me);
+        scheduler = new Scheduler(site, 7 + me);
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(node(i));
         }
-        control.onEndpointList(nodes, now);
+        scheduler.onEndpointList(nodes, now);
         settle();
     }
 
@@ -207,7 +207,7 @@
                         now + patience,
                         false);
         held.add(operation);
-        answer(operation, control.route(operation, now));
+        answer(operation, scheduler.route(operation, now));
         settle();
         return operation;
     }
@@ -217,8 +217,8 @@
         attempt.outcome = outcome;
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended |= outcome == Outcome.SERVED;
-        if (control.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            answer(attempt.operation, control.route(attempt.operation, now));
+        if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
+            answer(attempt.operation, scheduler.route(attempt.operation, now));
         }
         settle();
     }
@@ -233,7 +233,7 @@
 
     void leave(Operation operation) {
         operation.ended = true;
-        control.onClientCancelled(operation, now);
+        scheduler.onClientCancelled(operation, now);
         settle();
     }
 
@@ -247,23 +247,23 @@
     }
 
     void relist() {
-        control.onEndpointList(nodes, now);
+        scheduler.onEndpointList(nodes, now);
         settle();
     }
 
     void settle() {
         for (int round = 0; round < 1000; round++) {
-            SchedulerTurn pause = control.nextTurn(now);
-            probes += pause.healthChecks().size();
-            calledOff.addAll(pause.cancellations());
-            if (pause.poll() != SchedulerTurn.EndpointPoll.NONE) {
+            SchedulerTurn turn = scheduler.nextTurn(now);
+            probes += turn.healthChecks().size();
+            calledOff.addAll(turn.cancellations());
+            if (turn.poll() != SchedulerTurn.EndpointPoll.NONE) {
                 listCalls++;
             }
-            if (pause.due().isEmpty()) {
+            if (turn.due().isEmpty()) {
                 return;
             }
-            for (Operation operation : pause.due()) {
-                answer(operation, control.route(operation, now));
+            for (Operation operation : turn.due()) {
+                answer(operation, scheduler.route(operation, now));
             }
         }
     }
@@ -277,15 +277,15 @@
         return operation.attempts.get(operation.attempts.size() - 1);
     }
 
-    private void answer(Operation operation, RoutingDecision placement) {
-        switch (placement.kind()) {
+    private void answer(Operation operation, RoutingDecision decision) {
+        switch (decision.kind()) {
             case SEND -> {
                 sent.add(lastAttempt(operation));
-                timeouts.put(lastAttempt(operation), placement.timeout());
+                timeouts.put(lastAttempt(operation), decision.timeout());
             }
             case REJECT -> {
                 declined.add(operation);
-                advice = placement.retryAfter();
+                advice = decision.retryAfter();
             }
             case ABANDON -> scrapped.add(operation);
             case WAIT -> {}
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -23,26 +23,26 @@
     @ParameterizedTest
     @CsvSource({"0", "1", "2", "3", "4", "5"})
     void everyOperationIsAnsweredBeforeItsPatienceEnds(int band) {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Operation sent = host.take(band, 0);
-        Operation homeless = host.take(band, 7);
-        host.passTime(sent.trafficClass.deadline() - 2);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Operation sent = harness.take(band, 0);
+        Operation homeless = harness.take(band, 7);
+        harness.passTime(sent.trafficClass.deadline() - 2);
         assertTrue(homeless.ended, "an operation whose shard no node holds");
-        host.end(host.lastAttempt(sent), Outcome.TIMED_OUT);
+        harness.end(harness.lastAttempt(sent), Outcome.TIMED_OUT);
         assertTrue(sent.ended, "an operation whose only hop was never answered");
-        assertEquals(2, host.declined.size() + host.scrapped.size());
+        assertEquals(2, harness.declined.size() + harness.scrapped.size());
     }
 
     @ParameterizedTest
     @EnumSource(Outcome.class)
     void anUnrepeatableOperationRunsAgainOnlyAfterProof(Outcome outcome) {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Operation operation = host.take(SchedulerHarness.UNREPEATABLE, -1);
-        host.end(host.lastAttempt(operation), outcome);
-        host.passTime(100);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Operation operation = harness.take(SchedulerHarness.UNREPEATABLE, -1);
+        harness.end(harness.lastAttempt(operation), outcome);
+        harness.passTime(100);
         if (!outcome.provesNotExecuted) {
             assertEquals(1, operation.attempts.size());
-            assertTrue(host.declined.isEmpty());
+            assertTrue(harness.declined.isEmpty());
         } else {
             assertTrue(operation.attempts.size() > 1);
         }
@@ -51,48 +51,50 @@
     /** Between the decision and the first byte a connection has to come up. */
     @Test
     void anAttemptThatIsHeldUpBeginsOnlyWhileTheRulesStillAllowIt() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Operation drained = host.take(SchedulerHarness.READ, 0);
-        Operation left = host.take(SchedulerHarness.READ, 1);
-        Operation repeated = host.take(SchedulerHarness.DEDUPLICATED, 1);
-        Operation once = host.take(SchedulerHarness.UNREPEATABLE, 0);
-        host.passTime(10);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Operation drained = harness.take(SchedulerHarness.READ, 0);
+        Operation left = harness.take(SchedulerHarness.READ, 1);
+        Operation repeated = harness.take(SchedulerHarness.DEDUPLICATED, 1);
+        Operation once = harness.take(SchedulerHarness.UNREPEATABLE, 0);
+        harness.passTime(10);
         for (Operation operation : List.of(drained, left, repeated, once)) {
-            assertTrue(host.control.mayStart(host.lastAttempt(operation), host.now));
+            assertTrue(harness.scheduler.mayStart(harness.lastAttempt(operation), harness.now));
         }
-        host.end(host.lastAttempt(repeated), Outcome.RESET);
+        harness.end(harness.lastAttempt(repeated), Outcome.RESET);
         assertEquals(2, repeated.attempts.size(), "sent again while the node remembers");
-        assertTrue(host.control.mayStart(host.lastAttempt(repeated), host.now));
+        assertTrue(harness.scheduler.mayStart(harness.lastAttempt(repeated), harness.now));
         double forgets =
                 repeated.attempts.get(0).sentAt + repeated.trafficClass.deduplicationWindow();
         assertFalse(
-                host.control.mayStart(host.lastAttempt(repeated), forgets),
+                harness.scheduler.mayStart(harness.lastAttempt(repeated), forgets),
                 "not when it has forgotten");
-        host.end(host.lastAttempt(once), Outcome.REJECTED);
+        harness.end(harness.lastAttempt(once), Outcome.REJECTED);
         assertTrue(
-                host.control.mayStart(host.lastAttempt(once), host.now),
+                harness.scheduler.mayStart(harness.lastAttempt(once), harness.now),
                 "the first has proved that it never ran");
         assertEquals(2, once.attempts.size());
         once.attempts.get(0).outcome = Outcome.RESET;
-        assertFalse(host.control.mayStart(host.lastAttempt(once), host.now), "or else it may not");
-        host.nodes.get(0).phase = Node.Phase.DRAINING;
-        host.relist();
-        assertFalse(host.control.mayStart(host.lastAttempt(drained), host.now));
-        host.leave(left);
-        assertFalse(host.control.mayStart(host.lastAttempt(left), host.now));
+        assertFalse(
+                harness.scheduler.mayStart(harness.lastAttempt(once), harness.now),
+                "or else it may not");
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.relist();
+        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(drained), harness.now));
+        harness.leave(left);
+        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(left), harness.now));
     }
 
     @Test
     void aDrainingNodeGetsNothingNew() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        host.nodes.get(0).phase = Node.Phase.DRAINING;
-        host.relist();
+        SchedulerHarness harness = new SchedulerHarness(2);
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.relist();
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.WRITE, -1);
-            host.take(SchedulerHarness.READ, 0);
+            harness.take(SchedulerHarness.WRITE, -1);
+            harness.take(SchedulerHarness.READ, 0);
         }
-        assertEquals(4, host.sent.size());
-        assertTrue(host.sent.stream().allMatch(attempt -> attempt.node == host.nodes.get(1)));
+        assertEquals(4, harness.sent.size());
+        assertTrue(harness.sent.stream().allMatch(attempt -> attempt.node == harness.nodes.get(1)));
     }
 
     /** The even demand of all gateways is all that the node does when warm. */
@@ -105,17 +107,17 @@
         }
         double[] sent = new double[200];
         for (int turn = 0; turn < 1800; turn++) {
-            SchedulerHarness host = hosts.get(turn % gateways);
-            host.passTime(10.0 * gateways);
+            SchedulerHarness harness = hosts.get(turn % gateways);
+            harness.passTime(10.0 * gateways);
             if (turn / gateways == 400 / gateways) {
-                host.nodes.get(0).startedAt = host.now;
-                host.relist();
+                harness.nodes.get(0).startedAt = harness.now;
+                harness.relist();
             }
-            host.take(SchedulerHarness.READ, 0);
-            for (Attempt attempt : List.copyOf(host.sent)) {
-                sent[(int) ((host.now - 100_000) / 500)] += attempt.operation.units;
-                host.sent.remove(attempt);
-                host.end(attempt, Outcome.SERVED);
+            harness.take(SchedulerHarness.READ, 0);
+            for (Attempt attempt : List.copyOf(harness.sent)) {
+                sent[(int) ((harness.now - 100_000) / 500)] += attempt.operation.units;
+                harness.sent.remove(attempt);
+                harness.end(attempt, Outcome.SERVED);
             }
         }
         double warm = 200 / 2.0;
@@ -142,7 +144,7 @@
     void aFleetOfUnevenAndRestartedGatewaysNeverPushesAColdNodeOver(int gateways, double burst) {
         double warm = 100;
         double step = 10;
-        RandomGenerator chance = new SplittableRandom(5 * gateways);
+        RandomGenerator random = new SplittableRandom(5 * gateways);
         SchedulerHarness[] hosts = new SchedulerHarness[gateways];
         double[] weight = new double[gateways];
         double weights = 0;
@@ -155,35 +157,35 @@
         List<Double> sentAt = new ArrayList<>();
         for (double now = 100_000; now < 122_000; now += step) {
             for (int me = 0; me < gateways; me++) {
-                SchedulerHarness host = hosts[me];
+                SchedulerHarness harness = hosts[me];
                 if (now == startedAt) {
-                    host.nodes.get(0).startedAt = startedAt;
-                    host.relist();
+                    harness.nodes.get(0).startedAt = startedAt;
+                    harness.relist();
                 } else if (now == startedAt + 100 * (me + 1) && me % 2 == 0) {
-                    host = new SchedulerHarness(2, me, gateways, false, Double.NaN);
-                    host.passTime(now - host.now);
-                    host.nodes.get(0).startedAt = startedAt;
-                    host.relist();
-                    hosts[me] = host;
+                    harness = new SchedulerHarness(2, me, gateways, false, Double.NaN);
+                    harness.passTime(now - harness.now);
+                    harness.nodes.get(0).startedAt = startedAt;
+                    harness.relist();
+                    hosts[me] = harness;
                 }
-                host.passTime(step);
+                harness.passTime(step);
             }
             double rate = warm / SchedulerHarness.UNITS * (now >= startedAt ? burst : 1);
-            for (double due = rate * step / 1000; chance.nextDouble() < due; due--) {
-                double pick = chance.nextDouble() * weights;
+            for (double due = rate * step / 1000; random.nextDouble() < due; due--) {
+                double pick = random.nextDouble() * weights;
                 int me = 0;
                 for (; me < gateways - 1 && pick >= weight[me]; me++) {
                     pick -= weight[me];
                 }
                 hosts[me].take(SchedulerHarness.READ, 0);
             }
-            for (SchedulerHarness host : hosts) {
-                for (Attempt attempt : List.copyOf(host.sent)) {
-                    if (now >= startedAt && attempt.node == host.nodes.get(0)) {
+            for (SchedulerHarness harness : hosts) {
+                for (Attempt attempt : List.copyOf(harness.sent)) {
+                    if (now >= startedAt && attempt.node == harness.nodes.get(0)) {
                         sentAt.add(now);
                     }
-                    host.sent.remove(attempt);
-                    host.end(attempt, Outcome.SERVED);
+                    harness.sent.remove(attempt);
+                    harness.end(attempt, Outcome.SERVED);
                 }
             }
         }
@@ -201,26 +203,26 @@
 
     @Test
     void aSurgeAtAColdNodeIsCappedAndWhatIsBeyondItsShareGoesToNone() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        host.nodes.get(0).startedAt = host.now;
-        host.relist();
+        SchedulerHarness harness = new SchedulerHarness(2);
+        harness.nodes.get(0).startedAt = harness.now;
+        harness.relist();
         double units = 0;
         for (int i = 0; i < 60; i++) {
-            Operation read = host.take(SchedulerHarness.READ, 0);
+            Operation read = harness.take(SchedulerHarness.READ, 0);
             if (!read.attempts.isEmpty()) {
                 units += read.units;
-                host.end(host.lastAttempt(read), Outcome.SERVED);
+                harness.end(harness.lastAttempt(read), Outcome.SERVED);
             }
         }
-        assertTrue(units > 0 && units <= host.site.maxUnits(), "sent " + units);
-        host.passTime(5000);
-        Volume surging = host.volume(0);
+        assertTrue(units > 0 && units <= harness.site.maxUnits(), "sent " + units);
+        harness.passTime(5000);
+        Volume surging = harness.volume(0);
         int sent = 0;
         for (int i = 0; i < 60; i++) {
-            Operation read = host.take(SchedulerHarness.READ, surging, 2000 + i, 1, 0);
+            Operation read = harness.take(SchedulerHarness.READ, surging, 2000 + i, 1, 0);
             sent += read.attempts.size();
             if (!read.attempts.isEmpty()) {
-                host.end(host.lastAttempt(read), Outcome.SERVED);
+                harness.end(harness.lastAttempt(read), Outcome.SERVED);
             }
         }
         assertTrue(sent > 0 && sent <= 4, "sent " + sent);
@@ -228,45 +230,45 @@
 
     @Test
     void whatMayHaveRunAndMustNotTwiceIsScrappedNotDeclined() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Operation operation = host.take(SchedulerHarness.UNREPEATABLE, 0);
-        host.passTime(100);
-        host.end(host.lastAttempt(operation), Outcome.RESET);
-        host.passTime(400);
-        assertEquals(List.of(operation), host.scrapped);
-        assertTrue(host.declined.isEmpty());
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Operation operation = harness.take(SchedulerHarness.UNREPEATABLE, 0);
+        harness.passTime(100);
+        harness.end(harness.lastAttempt(operation), Outcome.RESET);
+        harness.passTime(400);
+        assertEquals(List.of(operation), harness.scrapped);
+        assertTrue(harness.declined.isEmpty());
     }
 
     @Test
     void orderedOperationsOfAKeyRunOneByOneAndRestAfterATimeOut() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Volume volume = host.volume(0);
-        Operation first = host.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
-        Operation second = host.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
-        Operation other = host.take(SchedulerHarness.READ, 0);
-        assertEquals(2, host.sent.size());
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Volume volume = harness.volume(0);
+        Operation first = harness.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
+        Operation second = harness.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
+        Operation other = harness.take(SchedulerHarness.READ, 0);
+        assertEquals(2, harness.sent.size());
         first.ended = true;
-        host.control.onClientCancelled(first, host.now);
-        host.end(host.lastAttempt(first), Outcome.TIMED_OUT);
-        host.end(host.lastAttempt(other), Outcome.SERVED);
-        host.passTime(150);
+        harness.scheduler.onClientCancelled(first, harness.now);
+        harness.end(harness.lastAttempt(first), Outcome.TIMED_OUT);
+        harness.end(harness.lastAttempt(other), Outcome.SERVED);
+        harness.passTime(150);
         assertTrue(second.attempts.isEmpty(), "the key rests");
-        host.passTime(60);
+        harness.passTime(60);
         assertEquals(1, second.attempts.size());
     }
 
     @Test
     void aVolumeKeepsToItsPartOfTheLimit() {
-        SchedulerHarness host = new SchedulerHarness(4);
-        Volume volume = host.volume(2);
+        SchedulerHarness harness = new SchedulerHarness(4);
+        Volume volume = harness.volume(2);
         volume.gatewayCount = 2;
         double units = 0;
         for (int i = 0; i < 100; i++) {
-            host.take(SchedulerHarness.WRITE, volume, 1000 + i, 2, -1);
-            host.passTime(20);
-            while (!host.sent.isEmpty()) {
-                units += host.sent.get(0).operation.units;
-                host.end(host.sent.remove(0), Outcome.SERVED);
+            harness.take(SchedulerHarness.WRITE, volume, 1000 + i, 2, -1);
+            harness.passTime(20);
+            while (!harness.sent.isEmpty()) {
+                units += harness.sent.get(0).operation.units;
+                harness.end(harness.sent.remove(0), Outcome.SERVED);
             }
         }
         assertTrue(units > 4 && units <= 10 / 2.0 * 2 + 0.1, "sent " + units);
@@ -274,17 +276,17 @@
 
     @Test
     void furtherAttemptsKeepToTheBudgetOfTheWindow() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 1, false, 1);
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, false, 1);
         List<Operation> taken = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            taken.add(host.take(SchedulerHarness.BULK, 0));
+            taken.add(harness.take(SchedulerHarness.BULK, 0));
         }
         for (Operation operation : taken) {
-            host.end(host.lastAttempt(operation), Outcome.NO_CONNECTION);
-            host.passTime(302);
+            harness.end(harness.lastAttempt(operation), Outcome.NO_CONNECTION);
+            harness.passTime(302);
         }
         assertEquals(1, taken.stream().mapToInt(operation -> operation.attempts.size() - 1).sum());
-        host.passTime(200);
+        harness.passTime(200);
         assertEquals(
                 2,
                 taken.stream().mapToInt(operation -> operation.attempts.size() - 1).sum(),
@@ -293,50 +295,51 @@
 
     @Test
     void aDeduplicatedOperationThatMayHaveRunStaysInItsGroupAndMemory() {
-        SchedulerHarness host = new SchedulerHarness(2);
-        Operation kept = host.take(SchedulerHarness.DEDUPLICATED, -1);
-        Node first = host.lastAttempt(kept).node;
-        host.end(host.lastAttempt(kept), Outcome.FAILED);
-        host.passTime(100);
+        SchedulerHarness harness = new SchedulerHarness(2);
+        Operation kept = harness.take(SchedulerHarness.DEDUPLICATED, -1);
+        Node first = harness.lastAttempt(kept).node;
+        harness.end(harness.lastAttempt(kept), Outcome.FAILED);
+        harness.passTime(100);
         assertTrue(kept.attempts.stream().allMatch(attempt -> attempt.node == first));
         assertTrue(
-                host.declined.isEmpty(), "a decline would promise that asking again is harmless");
-        host.passTime(2000);
+                harness.declined.isEmpty(),
+                "a decline would promise that asking again is harmless");
+        harness.passTime(2000);
         assertTrue(kept.ended || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
-        Operation old = host.take(SchedulerHarness.DEDUPLICATED, 0);
-        host.passTime(1100);
+        Operation old = harness.take(SchedulerHarness.DEDUPLICATED, 0);
+        harness.passTime(1100);
         int attempts = old.attempts.size();
-        host.end(host.lastAttempt(old), Outcome.TIMED_OUT);
-        host.passTime(500);
+        harness.end(harness.lastAttempt(old), Outcome.TIMED_OUT);
+        harness.passTime(500);
         assertEquals(attempts, old.attempts.size(), "the group no longer remembers it");
     }
 
     @Test
     void noSecondCopyWhereNoneIsAllowedAndNoThirdFurtherAttempt() {
-        SchedulerHarness host = new SchedulerHarness(1);
-        Operation operation = host.take(SchedulerHarness.BULK, 0);
+        SchedulerHarness harness = new SchedulerHarness(1);
+        Operation operation = harness.take(SchedulerHarness.BULK, 0);
         for (int i = 0; i < 5 && !operation.ended; i++) {
-            host.settle();
+            harness.settle();
             assertTrue(
                     operation.attempts.stream().filter(attempt -> attempt.outcome == null).count()
                             <= 1);
-            host.end(host.lastAttempt(operation), Outcome.FAILED);
+            harness.end(harness.lastAttempt(operation), Outcome.FAILED);
         }
         assertTrue(operation.ended);
         assertEquals(3, operation.attempts.size());
-        assertEquals(1, host.declined.size());
+        assertEquals(1, harness.declined.size());
     }
 
     @Test
     void nothingIsSentForAnOperationThatIsOver() {
-        SchedulerHarness host = new SchedulerHarness(1);
+        SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            host.take(SchedulerHarness.READ, 0);
+            harness.take(SchedulerHarness.READ, 0);
         }
-        Operation waiting = host.take(SchedulerHarness.READ, 0);
-        host.leave(waiting);
-        host.end(host.sent.get(0), Outcome.SERVED);
-        host.passTime(100);
+        Operation waiting = harness.take(SchedulerHarness.READ, 0);
+        harness.leave(waiting);
+        harness.end(harness.sent.get(0), Outcome.SERVED);
+        harness.passTime(100);
         assertTrue(waiting.attempts.isEmpty());
     }
 }
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -20,39 +20,39 @@
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR, -30_000, -11_000, 0, 5_000, HOUR})
     void aRestartCountsFromWhenItIsFirstSeen(double clockError) {
-        SchedulerHarness host = new SchedulerHarness(2, 0, 1, true, Double.NaN, SPAN);
-        host.control.onListConfirmed(host.now);
-        host.passTime(2_000);
-        host.control.onListConfirmed(host.now);
-        host.passTime(500);
-        Node node = host.nodes.get(0);
-        node.startedAt = host.now - 100 + clockError;
-        host.relist();
-        double age = host.now - ((EndpointState) node.schedulerState).startedAt;
+        SchedulerHarness harness = new SchedulerHarness(2, 0, 1, true, Double.NaN, SPAN);
+        harness.scheduler.onListConfirmed(harness.now);
+        harness.passTime(2_000);
+        harness.scheduler.onListConfirmed(harness.now);
+        harness.passTime(500);
+        Node node = harness.nodes.get(0);
+        node.startedAt = harness.now - 100 + clockError;
+        harness.relist();
+        double age = harness.now - ((EndpointState) node.schedulerState).startedAt;
         assertTrue(age >= 0 && age <= 500, "counts as started " + age + " ms ago");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR, HOUR})
     void whatTheFirstListTellsIsNeitherInTheFutureNorLongAgo(double clockError) {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         Node fresh = new Node(77);
-        fresh.startedAt = host.now + clockError;
-        host.nodes.add(fresh);
-        host.relist();
-        assertEquals(host.now, ((EndpointState) fresh.schedulerState).startedAt);
+        fresh.startedAt = harness.now + clockError;
+        harness.nodes.add(fresh);
+        harness.relist();
+        assertEquals(harness.now, ((EndpointState) fresh.schedulerState).startedAt);
     }
 
     @Test
     void aStartThatIsToldAgainIsNoRestart() {
-        SchedulerHarness host = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        host.control.onListConfirmed(host.now);
-        Node node = host.nodes.get(0);
-        node.startedAt = host.now + HOUR;
-        host.relist();
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
+        harness.scheduler.onListConfirmed(harness.now);
+        Node node = harness.nodes.get(0);
+        node.startedAt = harness.now + HOUR;
+        harness.relist();
         double startedAt = ((EndpointState) node.schedulerState).startedAt;
-        host.passTime(3_000);
-        host.relist();
+        harness.passTime(3_000);
+        harness.relist();
         assertEquals(startedAt, ((EndpointState) node.schedulerState).startedAt);
     }
 }
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -227,10 +227,10 @@
 
     @Test
     void metricsAndViewsOfARunningGateway() throws Exception {
-        try (LocalCluster town =
+        try (LocalCluster cluster =
                 LocalCluster.start(
                         List.of(NodeProfile.quick(1, 1 << 20)), TrafficRecorder.NOBODY, 1)) {
-            String text = LocalCluster.demoSite("gw", 0, 1, 0, town.directory().address());
+            String text = LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address());
             SiteConfig site = SiteConfig.read("site", text);
             NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -319,7 +319,7 @@
 
     private static OperationTrace story(int number) {
         Reason reason = Reason.values()[number];
-        QuotaTier owed = QuotaTier.values()[number % 3];
+        QuotaTier quotaTier = QuotaTier.values()[number % 3];
         Outcome outcome = number == 8 ? null : Outcome.values()[number % 8];
         return new OperationTrace(
                 "gw",
@@ -342,7 +342,7 @@
                         new OperationTrace.Step(LatencyComponent.NODE_WORK, 5, 16)),
                 List.of(
                         new OperationTrace.Attempt(
-                                0, 5, number == 8 ? null : owed, 4, 15, outcome)));
+                                0, 5, number == 8 ? null : quotaTier, 4, 15, outcome)));
     }
 
     /** Ids differ from run to run. */
