--- a/src/main/java/sagepulley/engine/MissingSettingException.java
+++ b/src/main/java/sagepulley/config/settings/MissingSettingException.java
@@ -1,4 +1,4 @@
-package sagepulley.engine;
+package sagepulley.config.settings;
 
 /** The first message lacks a figure that the decisions depend on, or it cannot be read. */
 public final class MissingSettingException extends RuntimeException {
--- a/src/main/java/sagepulley/engine/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -1,4 +1,4 @@
-package sagepulley.engine;
+package sagepulley.config.settings;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/sagepulley/scheduler/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -1,4 +1,4 @@
-package sagepulley.scheduler;
+package sagepulley.membership;
 
 import java.util.random.RandomGenerator;
 import sagepulley.model.Deployment;
@@ -8,7 +8,7 @@
  * spread over the fleet, and anew after each failure, with a gap that doubles and is half chance.
  * Times are milliseconds on the monotonic clock.
  */
-final class DiscoverySchedule {
+public final class DiscoverySchedule {
     private static final double FIRST_GAP = 300;
 
     /**
@@ -39,7 +39,7 @@
     private double gap = FIRST_GAP;
     private boolean asked;
 
-    DiscoverySchedule(Deployment site, RandomGenerator random) {
+    public DiscoverySchedule(Deployment site, RandomGenerator random) {
         this.site = site;
         this.random = random;
     }
@@ -48,7 +48,7 @@
      * The process has begun; the last of many gateways must still have asked before a change counts
      * as notified.
      */
-    void started(double now) {
+    public void started(double now) {
         if (site.mustPoll()) {
             double spread = Math.min(SPREAD_SHARE * site.pollInterval(), LONGEST_SPREAD);
             nextAt = now + site.gatewayIndex() * Math.min(STAGGER, spread / site.gatewayCount());
@@ -56,7 +56,7 @@
     }
 
     /** A call was answered, or its watch lives on. */
-    void answered() {
+    public void answered() {
         if (asked) {
             gap = FIRST_GAP;
             nextAt = Double.POSITIVE_INFINITY;
@@ -64,7 +64,7 @@
     }
 
     /** A call failed, or the watch ended. */
-    void failed(double now) {
+    public void failed(double now) {
         if (site.mustPoll()) {
             nextAt = now + gap * (0.5 + random.nextDouble());
             gap = Math.min(gap * GAP_GROWTH, LONGEST_GAP);
@@ -72,13 +72,13 @@
     }
 
     /** Discovery is elsewhere from now on, and nobody has been asked there. */
-    void moved(double now) {
+    public void moved(double now) {
         gap = FIRST_GAP;
         nextAt = now + random.nextDouble() * FIRST_GAP;
     }
 
     /** Whether a call is due; then it counts as made. */
-    boolean takeDue(double now) {
+    public boolean takeDue(double now) {
         if (nextAt > now) {
             return false;
         }
@@ -87,7 +87,7 @@
         return true;
     }
 
-    double nextAt() {
+    public double nextAt() {
         return nextAt;
     }
 }
--- a/src/main/java/sagepulley/scheduler/EndpointLease.java
+++ b/src/main/java/sagepulley/membership/EndpointLease.java
@@ -1,4 +1,4 @@
-package sagepulley.scheduler;
+package sagepulley.membership;
 
 /**
  * How long the endpoint list may be relied on. A change of the list counts as notified a fixed span
@@ -7,7 +7,7 @@
  * one span and the grace after the latest such proof. A process that has had no proof since its
  * start holds no lease. Times are milliseconds on the monotonic clock.
  */
-final class EndpointLease {
+public final class EndpointLease {
     /**
      * A process may be held up between reading its clock and writing; and what the sender's timers
      * add.
@@ -31,18 +31,18 @@
     private double unreadSince = Double.POSITIVE_INFINITY;
 
     /** An infinite span is that of a host to which nothing arrives late: its lease always holds. */
-    EndpointLease(double notifiedWithin, double drainGrace) {
+    public EndpointLease(double notifiedWithin, double drainGrace) {
         this.notifiedWithin = notifiedWithin;
         this.usableAfter = drainGrace - HOLD_UP - TIMER_SLACK;
         this.currentUntil = isBounded() ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
     }
 
-    boolean isBounded() {
+    public boolean isBounded() {
         return notifiedWithin < Double.POSITIVE_INFINITY;
     }
 
     /** The list held is known to have been current at a time. */
-    void confirmed(double asOf) {
+    public void confirmed(double asOf) {
         confirmedAt = Math.max(confirmedAt, asOf);
         renew(asOf);
     }
@@ -59,7 +59,7 @@
      * reachable for the whole span again. That renews a lease under which nothing unknown counts as
      * notified yet, and no other.
      */
-    void unreachable(double at) {
+    public void unreachable(double at) {
         if (at < currentUntil) {
             renew(at);
         }
@@ -70,7 +70,7 @@
      * there yet. Until the configuration has been read nobody knows where that is, and nothing
      * renews the lease.
      */
-    void reloadTold(double toldAt) {
+    public void reloadTold(double toldAt) {
         if (isBounded()) {
             currentUntil = Math.min(currentUntil, toldAt + NOTIFIED_AFTER_RELOAD);
             unreadSince = toldAt;
@@ -78,7 +78,7 @@
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
-    void reloadRead(double readAt) {
+    public void reloadRead(double readAt) {
         if (readAt >= unreadSince) {
             unreadSince = Double.POSITIVE_INFINITY;
         }
@@ -88,16 +88,16 @@
      * The latest time as of which the list is known to have been current; negative infinity if
      * there is none.
      */
-    double confirmedAt() {
+    public double confirmedAt() {
         return confirmedAt;
     }
 
     /** Whether endpoints may be sent to by the list held. */
-    boolean holds(double now) {
+    public boolean holds(double now) {
         return now < expiresAt();
     }
 
-    double expiresAt() {
+    public double expiresAt() {
         return currentUntil + usableAfter;
     }
 }
--- a/src/main/java/sagepulley/scheduler/EndpointPollPolicy.java
+++ b/src/main/java/sagepulley/membership/EndpointPollPolicy.java
@@ -1,4 +1,4 @@
-package sagepulley.scheduler;
+package sagepulley.membership;
 
 /**
  * How long calls to discovery are waited for, and which of those that are overdue are kept open.
--- a/src/main/java/sagepulley/platform/Config.java
+++ b/src/main/java/sagepulley/platform/Config.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import sagepulley.engine.SettingsReader;
+import sagepulley.config.settings.SettingsReader;
 import sagepulley.model.Deployment;
 
 /**
--- a/src/main/java/sagepulley/platform/DiscoveryClient.java
+++ b/src/main/java/sagepulley/platform/DiscoveryClient.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
+import sagepulley.membership.EndpointPollPolicy;
 import sagepulley.platform.DiscoveryRequest.Patience;
 import sagepulley.platform.DiscoveryRequest.Role;
-import sagepulley.scheduler.EndpointPollPolicy;
 
 /**
  * The calls to discovery: one watch, and now and then the whole list. It asks nothing again by
--- a/src/main/java/sagepulley/platform/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/platform/DiscoveryRequest.java
@@ -31,7 +31,7 @@
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import sagepulley.scheduler.EndpointPollPolicy;
+import sagepulley.membership.EndpointPollPolicy;
 
 /**
  * One call to discovery and its answer: lists as JSON values, in any pieces and with any white
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -10,6 +10,8 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
+import sagepulley.membership.DiscoverySchedule;
+import sagepulley.membership.EndpointLease;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.FollowUp;
--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -78,7 +78,7 @@
                             "sagepulley.simulator..");
 
     @ArchTest
-    static final ArchRule SIMHOST_STAYS_LIGHT =
+    static final ArchRule SIMULATOR_STAYS_LIGHT =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.simulator..")
@@ -87,12 +87,37 @@
                     .resideOutsideOfPackages(
                             "java..",
                             "sagepulley.simulator..",
+                            "sagepulley.config.settings..",
                             "sagepulley.engine..",
+                            "sagepulley.membership..",
                             "sagepulley.scheduler..",
                             "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule THE_HOST_KNOWS_NO_WIRE =
+    static final ArchRule SETTINGS_STAY_LIGHT =
+            noClasses()
+                    .that()
+                    .resideInAPackage("sagepulley.config.settings..")
+                    .should()
+                    .dependOnClassesThat()
+                    .resideOutsideOfPackages(
+                            "java..", "sagepulley.config.settings..", "sagepulley.model..");
+
+    @ArchTest
+    static final ArchRule SCHEDULER_KNOWS_MODEL_AND_LEASE_ONLY =
+            noClasses()
+                    .that()
+                    .resideInAPackage("sagepulley.scheduler..")
+                    .should()
+                    .dependOnClassesThat()
+                    .resideOutsideOfPackages(
+                            "java..",
+                            "sagepulley.scheduler..",
+                            "sagepulley.membership..",
+                            "sagepulley.model..");
+
+    @ArchTest
+    static final ArchRule ENGINE_KNOWS_NO_PROTOCOL =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.engine..")
@@ -101,6 +126,7 @@
                     .resideOutsideOfPackages(
                             "java..",
                             "sagepulley.engine..",
+                            "sagepulley.membership..",
                             "sagepulley.scheduler..",
                             "sagepulley.model..");
 
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -14,6 +14,7 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sagepulley.config.settings.SettingsReader;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import sagepulley.config.settings.SettingsReader;
 import sagepulley.model.Attempt;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
--- a/src/test/java/sagepulley/scheduler/EndpointPollPolicyTest.java
+++ b/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
@@ -1,4 +1,4 @@
-package sagepulley.scheduler;
+package sagepulley.membership;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -16,7 +16,7 @@
 import sagepulley.config.SiteConfig;
 import sagepulley.config.TracingSettings;
 import sagepulley.config.VolumeSettings;
-import sagepulley.engine.SettingsReader;
+import sagepulley.config.settings.SettingsReader;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.ServicePolicy;
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import sagepulley.membership.EndpointLease;
 import sagepulley.model.Operation;
 import sagepulley.model.Reason;
 
