--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -34,6 +34,7 @@
     private FleetMerger() {}
 
     /** Puts all together by the clock of the first; names who worked elsewhere, as an estimate. */
+    @SuppressWarnings("ReferenceEquality") // the first member itself, not one like it
     public static Merged merge(List<Member> members) {
         List<Clock> clocks = new ArrayList<>();
         LatencyAccount all = new LatencyAccount();
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -60,6 +60,7 @@
     private final List<JsonNode> spans = new ArrayList<>();
     private long unreadable;
 
+    @SuppressWarnings("ReferenceEquality") // the root span itself, not one like it
     @Override
     public Integer call() throws Exception {
         read();
--- a/src/main/java/sagepulley/cli/Plots.java
+++ b/src/main/java/sagepulley/cli/Plots.java
@@ -18,6 +18,7 @@
     private Plots() {}
 
     /** A volume's waiting and work over time, as seconds in each second. */
+    @SuppressWarnings("JavaUtilDate") // the type that XChart takes on a time axis
     static String course(List<LatencyAccount.Point> points) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart =
--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -28,7 +28,7 @@
 
     /** At this time at the latest; infinite: whenever it was asked for before. */
     public void by(double time) {
-        if (due != null && time >= dueAt || time == Double.POSITIVE_INFINITY) {
+        if ((due != null && time >= dueAt) || time == Double.POSITIVE_INFINITY) {
             return;
         }
         if (due != null) {
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -263,7 +263,7 @@
         }
         boolean chosen =
                 queries.contains(NbdConstants.BASE_ALLOCATION)
-                        || !set && (queries.isEmpty() || queries.contains("base:"));
+                        || (!set && (queries.isEmpty() || queries.contains("base:")));
         if (chosen) {
             ByteBuf reply =
                     ctx.alloc().ioBuffer().writeInt(set ? NbdConstants.BASE_ALLOCATION_ID : 0);
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -156,7 +156,7 @@
         }
         boolean moves =
                 command == NbdConstants.CMD_WRITE
-                        || command == NbdConstants.CMD_READ && bytes <= mostBlock;
+                        || (command == NbdConstants.CMD_READ && bytes <= mostBlock);
         phase = Phase.PAYLOAD;
         expect(command == NbdConstants.CMD_WRITE ? length : 0);
         admit(ctx, (moves ? bytes : 0) + REQUEST_WEIGHT);
--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -156,7 +156,7 @@
 
     private int length(String text, int most) {
         long value = number(text);
-        if (value > most || value < 0 && (limits.commandsOnly() || value != NONE)) {
+        if (value > most || (value < 0 && (limits.commandsOnly() || value != NONE))) {
             throw new CorruptedFrameException("a length of " + text + ", at most " + most);
         }
         if (items == null) {
--- a/src/main/java/sagepulley/config/IniReader.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -166,8 +166,8 @@
                         section,
                         key,
                         without,
-                        least,
-                        most,
+                        (double) least,
+                        (double) most,
                         new String[] {"B", "KiB", "MiB", "GiB", "TiB"},
                         new double[] {1, 1 << 10, 1 << 20, 1 << 30, 1L << 40},
                         "B");
--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -115,7 +115,7 @@
                         < TimeUnit.MILLISECONDS.toNanos(STOP_NOTICE_MS)) {
             return false;
         }
-        return request.onConnection == 0 && !crowded || !attempts.isEmpty() || ending != null;
+        return (request.onConnection == 0 && !crowded) || !attempts.isEmpty() || ending != null;
     }
 
     /** How its gateway ended by SIGKILL while it was open; null if it did not. */
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -205,7 +205,7 @@
 
     private void plan() {
         for (long at = QUIET_MS; at < lengthMs - 4_000; ) {
-            long length = 1_000 + random.nextInt(9_000);
+            long length = 1_000L + random.nextInt(9_000);
             planDiscoveryTrouble(at, length);
             at += length + random.nextInt(3_000);
         }
@@ -239,7 +239,7 @@
 
     private void planDiscoveryTrouble(long at, long length) {
         DiscoveryServer.Behaviour healthy = DiscoveryServer.Behaviour.HEALTHY;
-        long slow = 500 + random.nextInt(4_000);
+        long slow = 500L + random.nextInt(4_000);
         boolean cutsWatches = random.nextInt(3) > 0;
         switch (random.nextInt(8)) {
             case 0 ->
@@ -257,8 +257,8 @@
                             cutsWatches,
                             "lists trickle for " + slow);
             case 2 -> {
-                long service = 100 + random.nextInt(1_500);
-                long timeout = 1_000 + random.nextInt(2_000);
+                long service = 100L + random.nextInt(1_500);
+                long timeout = 1_000L + random.nextInt(2_000);
                 int limit = 1 + random.nextInt(6);
                 planBehaviour(
                         at,
@@ -349,7 +349,7 @@
                 at(back, store.id + " serves again", () -> list(store, Endpoint.State.SERVING));
             }
             case 2 -> {
-                long hang = 500 + random.nextInt(6_000);
+                long hang = 500L + random.nextInt(6_000);
                 at(at, store.id + " hangs", () -> store.hangs = true);
                 at(at + hang, store.id + " goes on", () -> store.hangs = false);
             }
@@ -377,7 +377,7 @@
                             () -> inBackground(gateway, () -> restart(gateway, true)));
             case 3 -> at(at, "discovery moves for gateway " + gateway, () -> reload(gateway));
             case 4 -> {
-                long unreadable = 300 + random.nextInt(6_000);
+                long unreadable = 300L + random.nextInt(6_000);
                 at(
                         at,
                         "discovery moves for gateway " + gateway + ", its file cannot be read",
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -716,8 +716,8 @@
     /** Whether the extent must have a holder afterwards. */
     private static boolean creates(RequestPart part) {
         return part.kind == StoreMessages.Kind.WRITE
-                || part.kind == StoreMessages.Kind.ZERO
-                        && (part.request.asked.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0;
+                || (part.kind == StoreMessages.Kind.ZERO
+                        && (part.request.asked.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0);
     }
 
     /**
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -55,9 +55,10 @@
             return new PendingRequest.Failed(
                     -1, NbdConstants.EINVAL, "DF is for reads with structured replies");
         }
-        if ((flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0 && command != NbdConstants.CMD_WRITE_ZEROES
-                || (flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0
-                        && command != NbdConstants.CMD_BLOCK_STATUS) {
+        if (((flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0
+                        && command != NbdConstants.CMD_WRITE_ZEROES)
+                || ((flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0
+                        && command != NbdConstants.CMD_BLOCK_STATUS)) {
             return new PendingRequest.Failed(-1, NbdConstants.EINVAL, "a flag of another command");
         }
         if (command == NbdConstants.CMD_FLUSH) {
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -320,7 +320,7 @@
         if (restarted) {
             known.line = known.line.startedAt(startedAt);
         }
-        return draining && !drainedBefore || restarted
+        return (draining && !drainedBefore) || restarted
                 ? HandshakeVerdict.THINK_AGAIN
                 : HandshakeVerdict.GO;
     }
@@ -417,11 +417,11 @@
             return false;
         }
         return known.struck != null
-                || !proven(known, now)
+                || (!proven(known, now)
                         && (trust(now) != ListFreshness.FRESH
                                 || known.source == RecordSource.SITE
-                                || known.line.standing() != EndpointRecord.Phase.READY
-                                        && known.permitted);
+                                || (known.line.standing() != EndpointRecord.Phase.READY
+                                        && known.permitted)));
     }
 
     private boolean proven(Known known, double now) {
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/platform/BlockCommand.java
@@ -164,7 +164,7 @@
             return -1;
         }
         int shard = NumberParser.whole(text);
-        if (shard < 0 || shards > 0 && shard >= shards) {
+        if (shard < 0 || (shards > 0 && shard >= shards)) {
             throw new BadCommandException("there is no such shard");
         }
         return shard;
--- a/src/main/java/sagepulley/platform/ClientConnection.java
+++ b/src/main/java/sagepulley/platform/ClientConnection.java
@@ -230,9 +230,9 @@
             channel.config()
                     .setAutoRead(
                             shutting
-                                    || unanswered.size() < MOST_UNANSWERED
+                                    || (unanswered.size() < MOST_UNANSWERED
                                             && channel.isWritable()
-                                            && !output.isWaiting());
+                                            && !output.isWaiting()));
         }
     }
 
--- a/src/main/java/sagepulley/platform/ClientListener.java
+++ b/src/main/java/sagepulley/platform/ClientListener.java
@@ -172,9 +172,9 @@
                 break;
             }
             if (worst == null
-                    || worst.inMiddle() && !connection.inMiddle()
-                    || worst.inMiddle() == connection.inMiddle()
-                            && connection.activeAt < worst.activeAt) {
+                    || (worst.inMiddle() && !connection.inMiddle())
+                    || (worst.inMiddle() == connection.inMiddle()
+                            && connection.activeAt < worst.activeAt)) {
                 worst = connection;
             }
         }
--- a/src/main/java/sagepulley/platform/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/platform/DiscoveryRequest.java
@@ -378,7 +378,7 @@
         lastByteAt = clock.getAsDouble();
         boolean endsLine =
                 content.indexOf(content.readerIndex(), content.writerIndex(), (byte) '\n') >= 0;
-        double cameAt = lastByteAt - arrival.ago(channel, patience.silenceMs());
+        double cameAt = lastByteAt - arrival.ago(channel, (double) patience.silenceMs());
         if (!values.inMiddle()) {
             listBeganAt = cameAt;
         }
--- a/src/main/java/sagepulley/platform/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/platform/EndpointConnectionPool.java
@@ -86,7 +86,7 @@
 
     private final KernelReceiveTime arrival = new KernelReceiveTime();
     private final ByteBuffer oneByte = ByteBuffer.allocateDirect(1);
-    private final Map<Attempt, Link> out = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt, Link> out = new IdentityHashMap<>();
     private final Map<SocketAddress, Integer> openTo = new HashMap<>();
     private int open;
     private BiConsumer<SocketAddress, String> closeListener = (address, why) -> {};
--- a/src/main/java/sagepulley/platform/NumberParser.java
+++ b/src/main/java/sagepulley/platform/NumberParser.java
@@ -15,7 +15,7 @@
         boolean well = text.length() == HEX_DIGITS;
         for (int i = 0; well && i < HEX_DIGITS; i++) {
             char c = text.charAt(i);
-            well = c >= '0' && c <= '9' || c >= 'a' && c <= 'f';
+            well = (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f');
         }
         return well;
     }
--- a/src/main/java/sagepulley/platform/RespGateway.java
+++ b/src/main/java/sagepulley/platform/RespGateway.java
@@ -389,8 +389,8 @@
                 PROBE_TIMEOUT,
                 (outcome, answer, at) -> {
                     boolean well =
-                            answer instanceof Resp.Bulk bulk && !bulk.isNull()
-                                    || answer instanceof Resp.Line line && !line.isError();
+                            (answer instanceof Resp.Bulk bulk && !bulk.isNull())
+                                    || (answer instanceof Resp.Line line && !line.isError());
                     double[] report =
                             answer instanceof Resp.Bulk bulk
                                     ? EndpointResponse.report(
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -229,6 +229,7 @@
         }
     }
 
+    @SuppressWarnings("UnnecessaryAsync") // counted on the event loops of the clients
     private static Row serve(
             LocalCluster cluster,
             Way way,
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -216,7 +216,7 @@
             findings.breach("deduplicated operation " + op.mark() + " was sent to another cell");
         }
         boolean over =
-                answer != null && answer.at() <= came.at() + allowance * NS
+                (answer != null && answer.at() <= came.at() + allowance * NS)
                         || callsOff.getOrDefault(op, List.of()).stream()
                                 .anyMatch(
                                         off ->
@@ -394,10 +394,10 @@
                     SocketEventLog.Answered answer =
                             answerTo(ops.get(i - 1), earlier.send().number());
                     boolean ended =
-                            answer != null && answer.at() <= first.at()
+                            (answer != null && answer.at() <= first.at())
                                     || callsOff.getOrDefault(ops.get(i - 1), List.of()).stream()
                                             .anyMatch(off -> off.at() <= first.at());
-                    if (earlier.at() > first.at() || !ended && !linkEnded(earlier, first.at())) {
+                    if (earlier.at() > first.at() || (!ended && !linkEnded(earlier, first.at()))) {
                         findings.breach(
                                 "operation "
                                         + ops.get(i).mark()
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -5,6 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.stream.IntStream;
 import org.antlr.v4.runtime.BaseErrorListener;
 import org.antlr.v4.runtime.CharStreams;
@@ -362,7 +363,8 @@
                 ScenarioParser.DirectoryFaultContext fault = directory.directoryFault();
                 Scenario.Fault kind =
                         Scenario.Fault.valueOf(
-                                "DIRECTORY_" + fault.getChild(0).getText().toUpperCase());
+                                "DIRECTORY_"
+                                        + fault.getChild(0).getText().toUpperCase(Locale.ROOT));
                 double much = fault.duration() == null ? 0 : time(fault.duration());
                 events.add(new Scenario.Event(at, kind, List.of(), much, "", until));
             } else if (what instanceof ScenarioParser.GatewayKilledContext killed) {
@@ -394,7 +396,7 @@
                     switch (word) {
                         case "restarts" -> Scenario.Fault.RESTARTS_COLD;
                         case "loses" -> Scenario.Fault.LOSES_POWER;
-                        default -> Scenario.Fault.valueOf(word.toUpperCase());
+                        default -> Scenario.Fault.valueOf(word.toUpperCase(Locale.ROOT));
                     };
             double much =
                     it.fault().NUMBER() == null
--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.TreeSet;
 import java.util.function.DoubleConsumer;
 import java.util.function.ToDoubleFunction;
@@ -48,23 +49,25 @@
     static final class Group {
         final TrafficClass trafficClass;
         final double units;
-        final TreeSet<QueuedRequest> byTarget = sorted(request -> request.targetEnds);
-        final TreeSet<QueuedRequest> byArrival = sorted(request -> request.operation.arrivedAt);
-        final TreeSet<QueuedRequest> byPatience = sorted(request -> request.operation.deadline);
+        final NavigableSet<QueuedRequest> byTarget = sorted(request -> request.targetEnds);
+        final NavigableSet<QueuedRequest> byArrival =
+                sorted(request -> request.operation.arrivedAt);
+        final NavigableSet<QueuedRequest> byPatience =
+                sorted(request -> request.operation.deadline);
 
         Group(TrafficClass trafficClass, double units) {
             this.trafficClass = trafficClass;
             this.units = units;
         }
 
-        private static TreeSet<QueuedRequest> sorted(ToDoubleFunction<QueuedRequest> time) {
+        private static NavigableSet<QueuedRequest> sorted(ToDoubleFunction<QueuedRequest> time) {
             return new TreeSet<>(
                     Comparator.comparingDouble(time).thenComparingLong(request -> request.turn));
         }
 
         /** Adds those that have ended by now, and tells when the next one ends. */
         void first(
-                TreeSet<QueuedRequest> order,
+                NavigableSet<QueuedRequest> order,
                 ToDoubleFunction<QueuedRequest> end,
                 double now,
                 List<Operation> ended,
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeSet;
+import java.util.NavigableSet;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import sagepulley.membership.DiscoverySchedule;
@@ -530,7 +530,7 @@
             // 2: no effect twice.
             if (!mayRepeat(operation, endpoint.node, null, now)
                     || attempts >= policy.maxAttempts()
-                    || !policy.hedgingAllowed() && operation.isInFlight()) {
+                    || (!policy.hedgingAllowed() && operation.isInFlight())) {
                 return false;
             }
             // 6: the budget of further attempts, counted against ourselves where a bucket is cut.
@@ -571,7 +571,8 @@
             return true;
         }
         for (Attempt attempt : operation.attempts) {
-            if (attempt == itself || attempt.outcome != null && attempt.outcome.provesNotExecuted) {
+            if (attempt == itself
+                    || (attempt.outcome != null && attempt.outcome.provesNotExecuted)) {
                 continue;
             }
             if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
@@ -594,9 +595,9 @@
     private boolean mayDecline(Operation operation) {
         TrafficClass trafficClass = operation.trafficClass;
         if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
-                || trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
+                || (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
                         && trafficClass.deduplicationScope()
-                                == TrafficClass.DeduplicationScope.ALL) {
+                                == TrafficClass.DeduplicationScope.ALL)) {
             return true;
         }
         return operation.attempts.stream()
@@ -882,14 +883,14 @@
         boolean each = endpoint != null && now - endpoint.startedAt < policy.slowStartTime();
         Operation best = null;
         int bestTier = -1;
-        for (TreeSet<QueuedRequest> alike : queue.alike()) {
+        for (NavigableSet<QueuedRequest> alike : queue.alike()) {
             for (QueuedRequest request : alike) {
                 Operation operation = request.operation;
                 boolean stands =
                         !each && lateAt(operation) > now && now < operation.deadline - lastCall;
                 if (endpoint == null
-                        || isAllowed(operation, endpoint, now)
-                                && !isHeldBack(operation, endpoint, now)) {
+                        || (isAllowed(operation, endpoint, now)
+                                && !isHeldBack(operation, endpoint, now))) {
                     if (best != null && bestTier < 0) {
                         bestTier = tier(best, endpoint, now);
                     }
@@ -897,7 +898,7 @@
                             best != null || alike.size() > 1 ? tier(operation, endpoint, now) : -1;
                     if (best == null
                             || tier < bestTier
-                            || tier == bestTier && earlier(request, best)) {
+                            || (tier == bestTier && earlier(request, best))) {
                         best = operation;
                         bestTier = tier;
                     }
@@ -912,7 +913,7 @@
 
     private static boolean earlier(QueuedRequest one, Operation other) {
         double apart = one.operation.deadline - other.deadline;
-        return apart < 0 || apart == 0 && one.turn < ((QueuedRequest) other.schedulerState).turn;
+        return apart < 0 || (apart == 0 && one.turn < ((QueuedRequest) other.schedulerState).turn);
     }
 
     /** A queue seen holds back what is late, and past part of the bound what is over its level. */
@@ -1386,8 +1387,8 @@
         }
         for (EndpointState endpoint : seatsByCell.getOrDefault(operation.shard, List.of())) {
             if (request.endpoint == null
-                    || request.endpoint.node.phase != Node.Phase.READY
-                            && endpoint.node.phase == Node.Phase.READY) {
+                    || (request.endpoint.node.phase != Node.Phase.READY
+                            && endpoint.node.phase == Node.Phase.READY)) {
                 request.endpoint = endpoint;
             }
         }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import sagepulley.model.Operation;
@@ -53,7 +54,7 @@
     }
 
     private final TreeMap<Long, Operation> all = new TreeMap<>();
-    private final Map<GroupKey, TreeSet<QueuedRequest>> alike = new LinkedHashMap<>();
+    private final Map<GroupKey, NavigableSet<QueuedRequest>> alike = new LinkedHashMap<>();
     private final Map<Long, TreeMap<Long, Operation>> byExtent = new LinkedHashMap<>();
 
     int size() {
@@ -77,7 +78,7 @@
 
     void remove(QueuedRequest request) {
         all.remove(request.turn);
-        TreeSet<QueuedRequest> like = alike.get((GroupKey) request.alike);
+        NavigableSet<QueuedRequest> like = alike.get((GroupKey) request.alike);
         like.remove(request);
         if (like.isEmpty()) {
             alike.remove((GroupKey) request.alike);
@@ -92,7 +93,7 @@
     }
 
     /** Groups of those alike, each by deadline. */
-    Collection<TreeSet<QueuedRequest>> alike() {
+    Collection<NavigableSet<QueuedRequest>> alike() {
         return alike.values();
     }
 
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -308,6 +308,7 @@
             }
         }
 
+        @SuppressWarnings("ReferenceEquality") // a later registration of the node stays
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             talks.remove(this);
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -501,7 +501,7 @@
 
     private void answer(Work work, StoreMessages.Code code, ByteBuf payload) {
         Link link = work.link;
-        boolean lost = faults.silent || faults.losing > 0 && chance.nextDouble() < faults.losing;
+        boolean lost = faults.silent || (faults.losing > 0 && chance.nextDouble() < faults.losing);
         recorder.answered(
                 profile.id(),
                 link.gateway,
--- a/src/test/java/sagepulley/codec/frame/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -75,7 +75,7 @@
             @ForAll @Size(max = 100) byte[] payload,
             @ForAll @IntRange(min = 0, max = 10_000) int where) {
         byte[] bytes = encode(List.of(payload, payload));
-        bytes[where / 8 % bytes.length] ^= 1 << where % 8;
+        bytes[where / 8 % bytes.length] = (byte) (bytes[where / 8 % bytes.length] ^ 1 << where % 8);
         EmbeddedChannel in = new EmbeddedChannel(new FrameDecoder(100));
         Throwable thrown = null;
         try {
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -1,5 +1,6 @@
 package sagepulley.frontend.nbd;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -93,7 +94,7 @@
                 .putLong(NbdConstants.IHAVEOPT)
                 .putInt(NbdConstants.OPT_EXPORT_NAME)
                 .putInt(4)
-                .put("demo".getBytes())
+                .put("demo".getBytes(UTF_8))
                 .array();
     }
 
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -52,6 +52,7 @@
         DIRECTORY_FAILING((rig, node) -> rig.cluster.directory().failing(true)),
         DIRECTORY_RESTARTED((rig, node) -> NbdTestFixture.await(rig.cluster.directory().restart()));
 
+        @SuppressWarnings("ImmutableEnumChecker") // a lambda without state
         final BiConsumer<NbdTestFixture, StandInNode> begin;
 
         Fault(BiConsumer<NbdTestFixture, StandInNode> begin) {
--- a/src/test/java/sagepulley/persistence/SnapshotFileTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -62,7 +62,7 @@
                     new SnapshotFile(place.resolve("list"), "list", 3, "site", 2).read();
             String found = text(after);
             assertTrue(
-                    found.equals("four") || found.equals("three") && !done,
+                    found.equals("four") || (found.equals("three") && !done),
                     "killed at " + stop + ": " + found);
             assertTrue(after.refused().isEmpty());
             // And the next life writes on.
@@ -99,8 +99,8 @@
             // Leading zeros and letter case of the checksum itself may differ and mean the same.
             assertTrue(
                     found == null
-                            || Arrays.equals(found.body(), body("the first body"))
-                                    && found.writtenAt() == 1,
+                            || (Arrays.equals(found.body(), body("the first body"))
+                                    && found.writtenAt() == 1),
                     "bit " + bit);
         }
     }
--- a/src/test/java/sagepulley/platform/ClientListenerTest.java
+++ b/src/test/java/sagepulley/platform/ClientListenerTest.java
@@ -249,7 +249,7 @@
         String command = Peers.command(Peers.read(1));
         int half = command.length() / 2;
         client.say(command.substring(0, half));
-        awaitPartial(client);
+        awaitPartial();
         passTime(1_900);
         client.say(command.substring(half, half + 1));
         client.say(command.substring(half + 1));
@@ -257,13 +257,13 @@
         onLoop(() -> asked.get(0).answer(RespBytes.simple("DONE")));
         assertEquals("+DONE", client.answer());
         client.say(command.substring(0, half));
-        awaitPartial(client);
+        awaitPartial();
         passTime(2_100);
         assertNull(client.answer());
     }
 
     /** Until the first part has been read and noted. */
-    private void awaitPartial(Peers.Talk client) {
+    private void awaitPartial() {
         await().until(() -> loop.submit(() -> front.isInMiddle()).get());
     }
 
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.FollowUp;
@@ -34,7 +33,7 @@
 
     final List<Node> nodes = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
-    private final Map<Attempt, Double> timeouts = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt, Double> timeouts = new IdentityHashMap<>();
     final List<Operation> declined = new ArrayList<>();
     final List<Operation> scrapped = new ArrayList<>();
     final List<Attempt> calledOff = new ArrayList<>();
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -144,7 +144,7 @@
     void aFleetOfUnevenAndRestartedGatewaysNeverPushesAColdNodeOver(int gateways, double burst) {
         double warm = 100;
         double step = 10;
-        RandomGenerator random = new SplittableRandom(5 * gateways);
+        RandomGenerator random = new SplittableRandom(5L * gateways);
         SchedulerHarness[] hosts = new SchedulerHarness[gateways];
         double[] weight = new double[gateways];
         double weights = 0;
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -20,6 +20,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TimeZone;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
@@ -103,7 +104,7 @@
     }
 
     /** Names, labels, defaults, and the constants that an option of an enum type takes. */
-    private static void collect(CommandLine command, TreeSet<String> lines) {
+    private static void collect(CommandLine command, Set<String> lines) {
         String name = command.getCommandSpec().qualifiedName();
         lines.add(name);
         for (CommandLine.Model.OptionSpec option : command.getCommandSpec().options()) {
