--- a/src/jmh/java/sagepulley/accounts/AccountsBench.java
+++ b/src/jmh/java/sagepulley/accounts/AccountsBench.java
@@ -34,7 +34,7 @@
     @Param({"8", "200"})
     public int nodes;
 
-    private final Accounts accounts = new Accounts(Accounts.Bounds.USUAL, 0);
+    private final Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 0);
     private final TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(1));
     private final OperationTimer[] out = new OperationTimer[OUT];
     private final SplittableRandom random = new SplittableRandom(2);
@@ -54,7 +54,7 @@
     @Benchmark
     public double sampled() {
         now += 0.03;
-        return sampler.keeps(Accounts.End.SATISFIED, false, 0, random.nextDouble() * 10, now);
+        return sampler.sample(Accounts.End.SERVED, false, 0, random.nextDouble() * 10, now);
     }
 
     /** One comes while others are out; the oldest out is answered. */
@@ -63,16 +63,16 @@
         OperationTimer meter = accounts.begin(1 + random.nextInt(volumes), BAND, false, 1, now);
         int node = 1 + random.nextInt(nodes);
         if (waits) {
-            accounts.waits(meter, LatencyComponent.SHARE_FULL, node, now);
-            accounts.waits(meter, LatencyComponent.SHARE_FULL, node, now + 0.01);
+            accounts.waitStarted(meter, LatencyComponent.SHARE_FULL, node, now);
+            accounts.waitStarted(meter, LatencyComponent.SHARE_FULL, node, now + 0.01);
         }
-        accounts.sent(meter, node, QuotaTier.SHARE, now + 0.02);
+        accounts.attemptSent(meter, node, QuotaTier.SHARE, now + 0.02);
         OperationTimer oldest = out[at];
         out[at] = meter;
         at = (at + 1) % OUT;
         if (oldest != null) {
-            accounts.answered(oldest, 0.3 * random.nextDouble(), 0.2 + 0.1 * random.nextDouble(), 2, now + 0.02);
-            accounts.end(oldest, Accounts.End.SATISFIED, Reason.NONE, 1, now + 0.02);
+            accounts.attemptAnswered(oldest, 0.3 * random.nextDouble(), 0.2 + 0.1 * random.nextDouble(), 2, now + 0.02);
+            accounts.end(oldest, Accounts.End.SERVED, Reason.NONE, 1, now + 0.02);
         }
         return meter;
     }
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import sagepulley.model.ExternalName;
 import sagepulley.model.Outcome;
 import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
@@ -21,7 +22,7 @@
      * The most that is kept: volumes with an account of their own, windows of all volumes, nodes.
      */
     public record Bounds(int volumes, int windows, int nodes) {
-        public static final Bounds USUAL = new Bounds(10_000, 40_000, 512);
+        public static final Bounds DEFAULT = new Bounds(10_000, 40_000, 512);
 
         /** Keeps no accounts at all: no operation gets a meter. */
         public static final Bounds NONE = new Bounds(0, 0, 0);
@@ -44,11 +45,22 @@
     private static final double LEAST_DRAIN = 0.5;
 
     /** How an operation ended. */
-    public enum End {
-        SATISFIED,
-        DECLINED,
-        SCRAPPED,
-        LEFT
+    public enum End implements ExternalName {
+        SERVED("satisfied"),
+        REJECTED("declined"),
+        ABANDONED("scrapped"),
+        CANCELLED("left");
+
+        private final String externalName;
+
+        End(String externalName) {
+            this.externalName = externalName;
+        }
+
+        @Override
+        public String externalName() {
+            return externalName;
+        }
     }
 
     private final Bounds bounds;
@@ -77,7 +89,7 @@
 
     private final int[] paced = new int[2];
     private double comparedAt = Double.NEGATIVE_INFINITY;
-    private int windows;
+    private int windowCount;
 
     /** The wall-clock time, in milliseconds, at which the clock that is handed in stood at zero. */
     public Accounts(Bounds bounds, double wallAtZero) {
@@ -94,7 +106,7 @@
     // ---- what happens ----
 
     /** A node that may be sent to; until a time on the clock handed in it counts as cold. */
-    public void node(int id, int zone, double coldUntil) {
+    public void nodeListed(int id, int zone, double coldUntil) {
         NodeActivity node = log(id);
         if (node != null) {
             node.zone = zone;
@@ -113,7 +125,7 @@
     }
 
     /** From now on it waits at this gateway, for a node (0: none). */
-    public void waits(OperationTimer meter, LatencyComponent part, int node, double now) {
+    public void waitStarted(OperationTimer meter, LatencyComponent part, int node, double now) {
         if (meter == null) {
             return;
         }
@@ -122,8 +134,8 @@
         meter.limited |= part == LatencyComponent.LIMIT;
         meter.quotaTier =
                 switch (part) {
-                    case RESERVE_FULL -> QuotaTier.RESERVATION;
-                    case BEYOND_SHARE -> QuotaTier.EXCESS;
+                    case RESERVATION_FULL -> QuotaTier.RESERVATION;
+                    case EXCESS_FULL -> QuotaTier.EXCESS;
                     default -> QuotaTier.SHARE;
                 };
     }
@@ -131,7 +143,7 @@
     /**
      * It has a slot at a node and waits for the claim of its extent: the slot is taken meanwhile.
      */
-    public void claims(OperationTimer meter, int node, double now) {
+    public void claimStarted(OperationTimer meter, int node, double now) {
         if (meter == null) {
             return;
         }
@@ -157,13 +169,13 @@
     }
 
     /** An attempt of it goes to a node, in this part of its plan. */
-    public void sent(OperationTimer meter, int node, QuotaTier quotaTier, double now) {
+    public void attemptSent(OperationTimer meter, int node, QuotaTier quotaTier, double now) {
         if (meter == null) {
             return;
         }
         close(meter, now);
         claimed(meter);
-        start(meter, LatencyComponent.ON_THE_WAY, node);
+        start(meter, LatencyComponent.NETWORK, node);
         meter.quotaTier = quotaTier;
         meter.wasSent = true;
         NodeActivity log = log(node);
@@ -185,7 +197,7 @@
      * Its attempt was answered well: the node told how long it stood in the queue and was worked
      * on, and how many attempts of everybody's were in its queue then (NaN: not told).
      */
-    public void answered(
+    public void attemptAnswered(
             OperationTimer meter, double waited, double worked, double queue, double now) {
         if (meter == null) {
             return;
@@ -197,7 +209,7 @@
         meter.since = now;
         if (!meter.ended) {
             double way = length - stood - work;
-            meter.step(LatencyComponent.ON_THE_WAY, meter.node, way);
+            meter.step(LatencyComponent.NETWORK, meter.node, way);
             meter.step(LatencyComponent.NODE_QUEUE, meter.node, stood);
             if (stood < LEAST_QUEUE) {
                 charge(meter, Cause.Kind.NETWORK, meter.node, way + stood, false);
@@ -214,14 +226,14 @@
             log.flows.at(wallAtZero + now).worked(meter.volume, meter.writes, meter.units);
         }
         letGo(meter);
-        start(meter, LatencyComponent.RANKS_LATER, 0);
+        start(meter, LatencyComponent.LOWER_PRIORITY, 0);
     }
 
     /**
      * A node answered an attempt that had been given up: it stood still, or was long at it, and was
      * not gone.
      */
-    public void late(int node, double waited, double worked) {
+    public void lateAnswer(int node, double waited, double worked) {
         NodeActivity log = nodes.get(node);
         if (log != null && waited + worked > 0) {
             log.late();
@@ -229,7 +241,7 @@
     }
 
     /** Its attempt ended for nothing, in this way. */
-    public void failed(OperationTimer meter, Outcome how, double now) {
+    public void attemptFailed(OperationTimer meter, Outcome how, double now) {
         if (meter == null) {
             return;
         }
@@ -239,21 +251,21 @@
             // It never went out: the claim was lost, or nobody could say.
             close(meter, now);
             claimed(meter);
-            start(meter, LatencyComponent.RANKS_LATER, 0);
+            start(meter, LatencyComponent.LOWER_PRIORITY, 0);
             return;
         }
         if (length > 0 && !meter.ended) {
-            meter.step(LatencyComponent.FUTILE, meter.node, length);
+            meter.step(LatencyComponent.FAILED_ATTEMPT, meter.node, length);
             switch (how) {
                 case TIMED_OUT, CANCELLED -> unanswered(meter, log, length, now);
-                case REJECTED -> held(meter, LatencyComponent.HELD_BACK, length, now);
+                case REJECTED -> held(meter, LatencyComponent.QUEUE_AT_NODE, length, now);
                 case NOT_EXECUTED -> charge(meter, Cause.Kind.DIRECTORY, 0, length, false);
                 default -> charge(meter, Cause.Kind.FAULT, meter.node, length, false);
             }
         }
         meter.since = now;
         letGo(meter);
-        start(meter, LatencyComponent.RANKS_LATER, 0);
+        start(meter, LatencyComponent.LOWER_PRIORITY, 0);
     }
 
     /**
@@ -264,7 +276,7 @@
     private void unanswered(OperationTimer meter, NodeActivity log, double length, double now) {
         double queue = log == null ? 0 : Math.min(length, log.usualSince(now - length));
         if (queue > 0) {
-            held(meter, LatencyComponent.HELD_BACK, queue, now - length + queue);
+            held(meter, LatencyComponent.QUEUE_AT_NODE, queue, now - length + queue);
         }
         quiet(meter, length - queue, now, false);
     }
@@ -308,12 +320,12 @@
         claimed(meter);
         meter.ended = true;
         double took = now - meter.arrivedAt;
-        boolean met = how == End.SATISFIED && took <= meter.trafficClass.latencyObjective();
+        boolean met = how == End.SERVED && took <= meter.trafficClass.latencyObjective();
         double lost =
                 met
                         ? 0
                         : meter.trafficClass.priorityWeight()
-                                * (how == End.SATISFIED
+                                * (how == End.SERVED
                                         ? 1 - meter.trafficClass.lateWeightFraction()
                                         : 1);
         if (lost > 0 && meter.charges.size() == 0) {
@@ -334,12 +346,12 @@
         }
         window.time(part, took);
         switch (how) {
-            case DECLINED -> window.declined++;
-            case SCRAPPED -> window.scrapped++;
-            case LEFT -> window.left++;
-            case SATISFIED -> {}
+            case REJECTED -> window.declined++;
+            case ABANDONED -> window.scrapped++;
+            case CANCELLED -> window.left++;
+            case SERVED -> {}
         }
-        book(window, meter, lost);
+        snapshot(window, meter, lost);
         count(meter, how, part, met, lost);
         if (meter.out == null) {
             giveBack(meter);
@@ -351,21 +363,21 @@
         sum.met += met ? 1 : 0;
         sum.missed += met ? 0 : 1;
         sum.units += meter.units;
-        sum.utilityLost += lost;
+        sum.lostWeight += lost;
         switch (how) {
-            case DECLINED -> sum.declined++;
-            case SCRAPPED -> sum.scrapped++;
-            case LEFT -> sum.left++;
-            case SATISFIED -> {}
+            case REJECTED -> sum.rejected++;
+            case ABANDONED -> sum.abandoned++;
+            case CANCELLED -> sum.cancelled++;
+            case SERVED -> {}
         }
-        sum.waited += waited(meter);
+        sum.waitedMillis += waited(meter);
         totals.ended(part, meter.units);
     }
 
     /** Milliseconds that were no node's work. */
     private static double waited(OperationTimer meter) {
         double waited = 0;
-        for (int i = 0; i < meter.steps(); i++) {
+        for (int i = 0; i < meter.stepCount(); i++) {
             waited += meter.step(i) == LatencyComponent.NODE_WORK ? 0 : meter.stepLength(i);
         }
         return waited;
@@ -377,8 +389,8 @@
     }
 
     /** A lost utility is shared among the causes by what each made it wait. */
-    private void book(AccountWindow window, OperationTimer meter, double lost) {
-        for (int i = 0; i < meter.steps(); i++) {
+    private void snapshot(AccountWindow window, OperationTimer meter, double lost) {
+        for (int i = 0; i < meter.stepCount(); i++) {
             window.parts[meter.step(i).ordinal()] += meter.stepLength(i);
             totals.spent(meter.step(i), meter.stepLength(i));
         }
@@ -407,7 +419,7 @@
                 };
         start(meter, part, node);
         charge(meter, part, 1e-9, now);
-        meter.spends = LatencyComponent.RANKS_LATER;
+        meter.currentComponent = LatencyComponent.LOWER_PRIORITY;
     }
 
     // ---- whose doing it was ----
@@ -415,14 +427,14 @@
     private void close(OperationTimer meter, double now) {
         double length = Math.max(0, now - meter.since);
         if (length > 0 && !meter.ended) {
-            meter.step(meter.spends, meter.node, length);
-            charge(meter, meter.spends, length, now);
+            meter.step(meter.currentComponent, meter.node, length);
+            charge(meter, meter.currentComponent, length, now);
         }
         meter.since = now;
     }
 
     private void start(OperationTimer meter, LatencyComponent part, int node) {
-        meter.spends = part;
+        meter.currentComponent = part;
         if (meter.node != node || meter.log == null) {
             meter.node = node;
             meter.log = node == 0 ? null : nodes.get(node);
@@ -430,9 +442,9 @@
         NodeActivity log = meter.log;
         boolean matters =
                 node == 0
-                        ? part == LatencyComponent.RESERVE_FULL
+                        ? part == LatencyComponent.RESERVATION_FULL
                                 || part == LatencyComponent.SHARE_FULL
-                                || part == LatencyComponent.BEYOND_SHARE
+                                || part == LatencyComponent.EXCESS_FULL
                         : log != null;
         if (!matters) {
             giveBack(meter);
@@ -480,17 +492,19 @@
 
     private void charge(OperationTimer meter, LatencyComponent part, double length, double now) {
         switch (part) {
-            case RESERVE_FULL, SHARE_FULL, BEYOND_SHARE, RANKS_LATER, HELD_BACK ->
+            case RESERVATION_FULL, SHARE_FULL, EXCESS_FULL, LOWER_PRIORITY, QUEUE_AT_NODE ->
                     held(meter, part, length, now);
-            case BUDGET -> charge(meter, Cause.Kind.CAUTION, meter.node, length, false);
+            case RETRY_BUDGET ->
+                    charge(meter, Cause.Kind.LOCAL_THROTTLING, meter.node, length, false);
             case LIMIT -> own(meter, Cause.Kind.OWN_LIMIT, length);
-            case ORDER -> own(meter, Cause.Kind.OWN_LOAD, length);
-            case COLD -> charge(meter, Cause.Kind.COLD_NODE, meter.node, length, false);
-            case SILENT -> silent(meter, length, now);
-            case NOT_READY, FUTILE -> charge(meter, Cause.Kind.FAULT, meter.node, length, false);
+            case KEY_ORDER -> own(meter, Cause.Kind.OWN_LOAD, length);
+            case WARMING_UP -> charge(meter, Cause.Kind.WARMING_UP_NODE, meter.node, length, false);
+            case UNRESPONSIVE -> silent(meter, length, now);
+            case NOT_READY, FAILED_ATTEMPT ->
+                    charge(meter, Cause.Kind.FAULT, meter.node, length, false);
             case DIRECTORY -> charge(meter, Cause.Kind.DIRECTORY, 0, length, false);
-            case ON_THE_WAY -> charge(meter, Cause.Kind.NETWORK, meter.node, length, false);
-            case NODE_QUEUE -> charge(meter, Cause.Kind.CAUTION, meter.node, length, true);
+            case NETWORK -> charge(meter, Cause.Kind.NETWORK, meter.node, length, false);
+            case NODE_QUEUE -> charge(meter, Cause.Kind.LOCAL_THROTTLING, meter.node, length, true);
             case NODE_WORK -> own(meter, Cause.Kind.OWN_WORK, length);
         }
     }
@@ -503,7 +517,7 @@
     private void held(OperationTimer meter, LatencyComponent part, double all, double now) {
         NodeActivity log = meter.log;
         if (meter.ahead == null) {
-            charge(meter, Cause.Kind.CAUTION, meter.node, all, false);
+            charge(meter, Cause.Kind.LOCAL_THROTTLING, meter.node, all, false);
             return;
         }
         // Slots are taken by whoever waits for a claim, too.
@@ -516,7 +530,7 @@
             if (meter.ahead.sum() > 0) {
                 behind(meter, null, length, length, length, true);
             } else {
-                charge(meter, Cause.Kind.CAUTION, 0, length, false);
+                charge(meter, Cause.Kind.LOCAL_THROTTLING, 0, length, false);
             }
             return;
         }
@@ -527,19 +541,24 @@
             return;
         }
         if (now < log.coldUntil) {
-            charge(meter, Cause.Kind.COLD_NODE, log.id, rest, true);
+            charge(meter, Cause.Kind.WARMING_UP_NODE, log.id, rest, true);
             return;
         }
         double paused = rest * log.paused;
         pause(meter, log, paused, now);
         double elsewhere = rest * log.elsewhere;
-        charge(meter, Cause.Kind.ELSEWHERE, log.id, elsewhere, true);
+        charge(meter, Cause.Kind.OTHER_GATEWAYS, log.id, elsewhere, true);
         rest -= paused + elsewhere;
         // The queue that holds it back is known by an answer only: who stands in it is reckoned.
-        boolean seen = part != LatencyComponent.HELD_BACK;
+        boolean seen = part != LatencyComponent.QUEUE_AT_NODE;
         double sum = meter.ahead.sum();
         if (sum <= 0) {
-            charge(meter, seen ? Cause.Kind.CAUTION : Cause.Kind.ELSEWHERE, log.id, rest, !seen);
+            charge(
+                    meter,
+                    seen ? Cause.Kind.LOCAL_THROTTLING : Cause.Kind.OTHER_GATEWAYS,
+                    log.id,
+                    rest,
+                    !seen);
             return;
         }
         double spread = seen ? 1 : 0.5;
@@ -556,7 +575,7 @@
     private void queued(
             OperationTimer meter, NodeActivity log, double length, double attempt, double now) {
         if (log == null) {
-            charge(meter, Cause.Kind.CAUTION, meter.node, length, true);
+            charge(meter, Cause.Kind.LOCAL_THROTTLING, meter.node, length, true);
             return;
         }
         double own = meter.ahead == null ? 0 : meter.ahead.sum();
@@ -577,7 +596,7 @@
         if (elsewhere > 0) {
             double least = length * leastOthers / (own + leastOthers);
             meter.charges.add(
-                    Cause.key(Cause.Kind.ELSEWHERE, 0, log.id, true),
+                    Cause.key(Cause.Kind.OTHER_GATEWAYS, 0, log.id, true),
                     elsewhere,
                     Math.min(least, elsewhere),
                     length,
@@ -703,8 +722,8 @@
         Timeline<AccountWindow> line = line(volume);
         int before = line.size();
         AccountWindow window = line.at(wallAtZero + now);
-        windows += line.size() - before;
-        while (windows > bounds.windows() && giveUpDetail(line)) {
+        windowCount += line.size() - before;
+        while (windowCount > bounds.windows() && giveUpDetail(line)) {
             // once for each window too many
         }
         return window;
@@ -728,7 +747,7 @@
             Timeline<AccountWindow> line = entry.getValue();
             int before = line.size();
             if (line != spared && line.squeeze()) {
-                windows += line.size() - before;
+                windowCount += line.size() - before;
                 return true;
             }
         }
@@ -738,7 +757,7 @@
                 Timeline<AccountWindow> rest = line(0);
                 int before = rest.size();
                 rest.merge(gone, 0);
-                windows += rest.size() - before - gone.size();
+                windowCount += rest.size() - before - gone.size();
                 return true;
             }
         }
@@ -752,22 +771,22 @@
      * kept.
      */
     public LatencyReport report(long volume, double from, double to) {
-        return book().report(volume, wallAtZero + from, wallAtZero + to);
+        return snapshot().report(volume, wallAtZero + from, wallAtZero + to);
     }
 
     /**
      * Begins a copy of all that is kept now, taken piece by piece; on the thread that owns these
      * accounts.
      */
-    public IncrementalCopy copy() {
-        return new IncrementalCopy(book());
+    public IncrementalCopy startCopy() {
+        return new IncrementalCopy(snapshot());
     }
 
     /**
      * All of it, as it stands; shares its parts with these accounts, so that it is for the same
      * thread.
      */
-    public LatencyAccount book() {
+    public LatencyAccount snapshot() {
         LatencyAccount book = new LatencyAccount();
         volumes.forEach(book.volumes::put);
         nodes.forEach(
@@ -782,14 +801,14 @@
      * Goes on with what an earlier life kept, at most as much as fits; later than now nothing can
      * have been.
      */
-    public void goOn(LatencyAccount book, double now) {
+    public void restore(LatencyAccount book, double now) {
         book.noLaterThan(wallAtZero + now);
         book.volumes.forEach(
                 (volume, line) -> {
                     Timeline<AccountWindow> mine = line(volume);
                     int before = mine.size();
                     mine.merge(line, 0);
-                    windows += mine.size() - before;
+                    windowCount += mine.size() - before;
                 });
         book.flows.forEach(
                 (id, line) -> {
@@ -798,7 +817,7 @@
                         log.flows.merge(line, 0);
                     }
                 });
-        while (windows > bounds.windows() && giveUpDetail(null)) {
+        while (windowCount > bounds.windows() && giveUpDetail(null)) {
             // once for each window too many
         }
     }
@@ -809,7 +828,7 @@
     }
 
     /** Windows kept in all. */
-    public int windows() {
-        return windows;
+    public int windowCount() {
+        return windowCount;
     }
 }
--- a/src/main/java/sagepulley/accounts/Cause.java
+++ b/src/main/java/sagepulley/accounts/Cause.java
@@ -1,32 +1,56 @@
 package sagepulley.accounts;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+import sagepulley.model.ExternalName;
+
 /**
  * Who or what made an operation wait: a kind, a volume's number (0: none or several) and the node
  * where it happened (0: none or several). What was reckoned from nodes' answers, and not seen here,
  * is an estimate.
  */
 public record Cause(Kind kind, long volume, int node, boolean estimate) {
-    /** Kinds of causes. */
-    public enum Kind {
-        /** The volume's own load, its plan's limit, and the work that it asked for. */
-        OWN_LOAD,
-        OWN_LIMIT,
-        OWN_WORK,
-        /** Another volume's load through this gateway; any volume's through other gateways. */
-        NEIGHBOUR,
-        ELSEWHERE,
-        /**
-         * A node that works slower than the rest, pauses of its own, started lately, or did not do
-         * its work.
-         */
-        SLOW_NODE,
-        PAUSE,
-        COLD_NODE,
-        FAULT,
-        /** This gateway's caution: a queue seen, the budget of further attempts, a rank. */
-        CAUTION,
-        DIRECTORY,
-        NETWORK
+    /**
+     * Kinds of causes. Stored accounts refer to a kind by its ordinal, so new ones go to the end.
+     */
+    public enum Kind implements ExternalName {
+        /** The volume's own load. */
+        OWN_LOAD("own_load"),
+        /** The rate limit of the volume's plan. */
+        OWN_LIMIT("own_limit"),
+        /** The work that the volume asked for. */
+        OWN_WORK("own_work"),
+        /** Another volume's load through this gateway. */
+        NEIGHBOUR("neighbour"),
+        /** Any volume's load through other gateways. */
+        @JsonProperty("ELSEWHERE")
+        OTHER_GATEWAYS("elsewhere"),
+        /** A node that works slower than the rest. */
+        SLOW_NODE("slow_node"),
+        /** A pause of a node's own, such as a flush of deferred writes. */
+        PAUSE("pause"),
+        /** A node in slow start. */
+        @JsonProperty("COLD_NODE")
+        WARMING_UP_NODE("cold_node"),
+        /** A node that did not do its work, or no ready node. */
+        FAULT("fault"),
+        /** This gateway's own restraint: a queue estimate, the retry budget, a priority. */
+        @JsonProperty("CAUTION")
+        LOCAL_THROTTLING("caution"),
+        /** The directory. */
+        DIRECTORY("directory"),
+        /** The network between gateway and node. */
+        NETWORK("network");
+
+        private final String externalName;
+
+        Kind(String externalName) {
+            this.externalName = externalName;
+        }
+
+        @Override
+        public String externalName() {
+            return externalName;
+        }
     }
 
     private static final Kind[] KINDS = Kind.values();
--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -1,5 +1,6 @@
 package sagepulley.accounts;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -17,16 +18,17 @@
      * A gateway's book, and when, by its own clock, it was told of which versions of the list of
      * nodes.
      */
-    public record Member(String gateway, LatencyAccount book, Map<Long, Double> told) {}
+    public record GatewayAccount(
+            String gateway, LatencyAccount account, Map<Long, Double> versionNotifiedAt) {}
 
     /**
      * By how much a gateway's clock is ahead of the first's, in milliseconds; NaN where nothing
      * shows it.
      */
-    public record Clock(String gateway, double ahead) {}
+    public record ClockOffset(String gateway, @JsonProperty("ahead") double offsetMillis) {}
 
     /** One book for all, and how the clocks were set. */
-    public record Merged(LatencyAccount book, List<Clock> clocks) {}
+    public record Merged(LatencyAccount account, List<ClockOffset> clocks) {}
 
     /** Flows further than this from the time of a wait do not explain it. */
     private static final double NEAR = 10_000;
@@ -35,15 +37,15 @@
 
     /** Puts all together by the clock of the first; names who worked elsewhere, as an estimate. */
     @SuppressWarnings("ReferenceEquality") // the first member itself, not one like it
-    public static Merged merge(List<Member> members) {
-        List<Clock> clocks = new ArrayList<>();
+    public static Merged merge(List<GatewayAccount> members) {
+        List<ClockOffset> clocks = new ArrayList<>();
         LatencyAccount all = new LatencyAccount();
         List<LatencyAccount> aligned = new ArrayList<>();
-        for (Member member : members) {
+        for (GatewayAccount member : members) {
             double ahead = member == members.get(0) ? 0 : ahead(members, member);
-            clocks.add(new Clock(member.gateway, ahead));
+            clocks.add(new ClockOffset(member.gateway, ahead));
             LatencyAccount book = new LatencyAccount();
-            book.merge(member.book, Double.isNaN(ahead) ? 0 : ahead);
+            book.merge(member.account, Double.isNaN(ahead) ? 0 : ahead);
             aligned.add(book);
         }
         for (int i = 0; i < aligned.size(); i++) {
@@ -60,12 +62,12 @@
      * The middle of the differences at common versions, with the first, or over others that know
      * both.
      */
-    private static double ahead(List<Member> members, Member member) {
+    private static double ahead(List<GatewayAccount> members, GatewayAccount member) {
         double direct = difference(members.get(0), member);
         if (!Double.isNaN(direct)) {
             return direct;
         }
-        for (Member between : members) {
+        for (GatewayAccount between : members) {
             double both = difference(members.get(0), between) + difference(between, member);
             if (!Double.isNaN(both)) {
                 return both;
@@ -74,11 +76,14 @@
         return Double.NaN;
     }
 
-    private static double difference(Member one, Member other) {
+    private static double difference(GatewayAccount one, GatewayAccount other) {
         double[] differences =
-                other.told.entrySet().stream()
-                        .filter(entry -> one.told.containsKey(entry.getKey()))
-                        .mapToDouble(entry -> entry.getValue() - one.told.get(entry.getKey()))
+                other.versionNotifiedAt.entrySet().stream()
+                        .filter(entry -> one.versionNotifiedAt.containsKey(entry.getKey()))
+                        .mapToDouble(
+                                entry ->
+                                        entry.getValue()
+                                                - one.versionNotifiedAt.get(entry.getKey()))
                         .sorted()
                         .toArray();
         return differences.length == 0 ? Double.NaN : differences[differences.length / 2];
@@ -116,7 +121,7 @@
         for (int i = 0; i < before.size(); i++) {
             Cause cause = Cause.of(before.key(i));
             Map<Long, Double> units =
-                    cause.kind() == Cause.Kind.ELSEWHERE
+                    cause.kind() == Cause.Kind.OTHER_GATEWAYS
                             ? elsewhere(cause.node(), from, to, all, mine)
                             : Map.of();
             double sum = units.values().stream().mapToDouble(Double::doubleValue).sum();
--- a/src/main/java/sagepulley/accounts/IncrementalCopy.java
+++ b/src/main/java/sagepulley/accounts/IncrementalCopy.java
@@ -21,7 +21,7 @@
     }
 
     /** Copies so many volumes more; the whole once all are there, else null. */
-    public LatencyAccount more(int count) {
+    public LatencyAccount copyNext(int count) {
         for (int i = 0; i < count && left.hasNext(); i++) {
             Map.Entry<Long, Timeline<AccountWindow>> next = left.next();
             Timeline<AccountWindow> line = new Timeline<>(AccountWindow::new);
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -56,7 +56,7 @@
     }
 
     /** When it was last booked into; minus infinity if never. */
-    public double newest() {
+    public double lastBookedAt() {
         double newest = Double.NEGATIVE_INFINITY;
         for (Timeline<AccountWindow> line : volumes.values()) {
             for (int level = 0; level < Timeline.LEVELS; level++) {
@@ -95,7 +95,7 @@
             double wall, double length, long operations, long missed, double waited, double work) {}
 
     /** A volume's course from a time to another, oldest first, as fine as it is kept. */
-    public List<Point> course(long volume, double from, double to) {
+    public List<Point> history(long volume, double from, double to) {
         List<Point> points = new ArrayList<>();
         Timeline<AccountWindow> line = volumes.get(volume);
         if (line == null) {
@@ -146,7 +146,7 @@
                 parts.put(part, sum.parts[part.ordinal()]);
             }
         }
-        List<LatencyReport.PlanLine> plan = new ArrayList<>();
+        List<LatencyReport.TierReport> plan = new ArrayList<>();
         double units = 0;
         double lost = 0;
         long met = 0;
@@ -155,7 +155,7 @@
             int at = part.ordinal();
             if (sum.times[at] != null) {
                 plan.add(
-                        new LatencyReport.PlanLine(
+                        new LatencyReport.TierReport(
                                 part,
                                 sum.met[at],
                                 sum.missed[at],
@@ -202,14 +202,14 @@
         static Who of(Cause cause) {
             boolean ofNode =
                     switch (cause.kind()) {
-                        case SLOW_NODE, COLD_NODE, FAULT, NETWORK -> true;
+                        case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> true;
                         default -> false;
                     };
             return new Who(cause.kind(), cause.volume(), ofNode ? cause.node() : 0);
         }
     }
 
-    private List<LatencyReport.Charged> causes(
+    private List<LatencyReport.CauseReport> causes(
             AccountWindow sum, Timeline<AccountWindow> line, double from, double to) {
         Map<Who, Sum> sums = new LinkedHashMap<>();
         double all = 0;
@@ -228,7 +228,7 @@
         ranked.sort(
                 Comparator.comparingDouble((Map.Entry<Who, Sum> entry) -> -entry.getValue().waited)
                         .thenComparing(entry -> entry.getKey().toString()));
-        List<LatencyReport.Charged> causes = new ArrayList<>();
+        List<LatencyReport.CauseReport> causes = new ArrayList<>();
         double whole = Math.max(1e-9, all);
         for (Map.Entry<Who, Sum> entry : ranked) {
             Who who = entry.getKey();
@@ -244,7 +244,7 @@
             }
             double[] worst = worst(line, who, from, to);
             causes.add(
-                    new LatencyReport.Charged(
+                    new LatencyReport.CauseReport(
                             who.kind(),
                             who.volume(),
                             node.getKey(),
@@ -276,7 +276,7 @@
             return LatencyReport.Confidence.HIGH;
         }
         return share >= MOST_OF_IT || least >= ONE_OF_FEW
-                ? LatencyReport.Confidence.MIDDLE
+                ? LatencyReport.Confidence.MEDIUM
                 : LatencyReport.Confidence.LOW;
     }
 
--- a/src/main/java/sagepulley/accounts/LatencyReport.java
+++ b/src/main/java/sagepulley/accounts/LatencyReport.java
@@ -1,5 +1,6 @@
 package sagepulley.accounts;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 import java.util.Map;
 
@@ -14,58 +15,59 @@
         long operations,
         long met,
         long missed,
-        long declined,
-        long scrapped,
-        long left,
+        @JsonProperty("declined") long rejected,
+        @JsonProperty("scrapped") long abandoned,
+        @JsonProperty("left") long cancelled,
         double units,
-        double utilityLost,
-        Map<LatencyComponent, Double> parts,
-        List<PlanLine> plan,
-        List<Charged> causes) {
+        @JsonProperty("utilityLost") double lostWeight,
+        @JsonProperty("parts") Map<LatencyComponent, Double> components,
+        @JsonProperty("plan") List<TierReport> tiers,
+        List<CauseReport> causes) {
     /**
      * How far a cause's name can be relied on: seen here and most of it; reckoned, or one of
      * several; less.
      */
     public enum Confidence {
         HIGH,
-        MIDDLE,
+        @JsonProperty("MIDDLE")
+        MEDIUM,
         LOW
     }
 
     /** What was served, or held, by one part of the plan; times to the final answer. */
-    public record PlanLine(
-            PlanTier part,
+    public record TierReport(
+            @JsonProperty("part") PlanTier tier,
             long met,
             long missed,
             double units,
-            double utilityLost,
+            @JsonProperty("utilityLost") double lostWeight,
             double p50,
             double p99,
-            double longest) {}
+            @JsonProperty("longest") double max) {}
 
     /**
      * A cause: the waiting charged to it with the least and the most that it can have been, its
      * share of all waiting, the utility lost to it, the node where most of it happened (0: none),
      * and the stretch with most.
      */
-    public record Charged(
+    public record CauseReport(
             Cause.Kind kind,
             long volume,
             int node,
             double nodeShare,
             double waited,
-            double least,
-            double most,
+            @JsonProperty("least") double lowerBound,
+            @JsonProperty("most") double upperBound,
             double share,
-            double utilityLost,
-            double exactShare,
+            @JsonProperty("utilityLost") double lostWeight,
+            @JsonProperty("exactShare") double observedShare,
             double worstFrom,
             double worstTo,
             Confidence confidence) {}
 
     /** The largest cause of waiting that is not the volume's own work; null if there is none. */
-    public Charged main() {
-        for (Charged charged : causes) {
+    public CauseReport mainCause() {
+        for (CauseReport charged : causes) {
             if (charged.kind() != Cause.Kind.OWN_WORK) {
                 return charged;
             }
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -28,7 +28,7 @@
      * What runs now, since when, at which node (0: none), in which part of the plan, and behind
      * whom.
      */
-    LatencyComponent spends = LatencyComponent.RANKS_LATER;
+    LatencyComponent currentComponent = LatencyComponent.LOWER_PRIORITY;
 
     double since;
     int node;
@@ -59,7 +59,7 @@
     boolean limited;
     boolean wasSent;
     boolean ended;
-    private byte[] steps = new byte[FIRST_STEPS];
+    private byte[] stepCount = new byte[FIRST_STEPS];
     private int[] nodes = new int[FIRST_STEPS];
     private double[] lengths = new double[FIRST_STEPS];
     private int count;
@@ -86,12 +86,12 @@
         int like = count - 1;
         if (count == MOST_STEPS) {
             like = 0;
-            while (like < count - 1 && steps[like] != part.ordinal()) {
+            while (like < count - 1 && stepCount[like] != part.ordinal()) {
                 like++;
             }
         }
         if (like >= 0
-                && steps[like] == part.ordinal()
+                && stepCount[like] == part.ordinal()
                 && (nodes[like] == where || count == MOST_STEPS)) {
             lengths[like] += length;
             return;
@@ -101,12 +101,12 @@
             lengths[count - 1] += length;
             return;
         }
-        if (count == steps.length) {
-            steps = Arrays.copyOf(steps, MOST_STEPS);
+        if (count == stepCount.length) {
+            stepCount = Arrays.copyOf(stepCount, MOST_STEPS);
             nodes = Arrays.copyOf(nodes, MOST_STEPS);
             lengths = Arrays.copyOf(lengths, MOST_STEPS);
         }
-        steps[count] = (byte) part.ordinal();
+        stepCount[count] = (byte) part.ordinal();
         nodes[count] = where;
         lengths[count++] = length;
     }
@@ -115,12 +115,12 @@
      * How many steps it took so far, and each one's part, node (0: none) and milliseconds, in order
      * of time.
      */
-    public int steps() {
+    public int stepCount() {
         return count;
     }
 
     public LatencyComponent step(int at) {
-        return SPENT[steps[at]];
+        return SPENT[stepCount[at]];
     }
 
     public int stepNode(int at) {
@@ -132,17 +132,17 @@
     }
 
     /** Milliseconds spent in a part so far. */
-    public double spent(LatencyComponent part) {
+    public double millisIn(LatencyComponent part) {
         double sum = 0;
         for (int i = 0; i < count; i++) {
-            sum += steps[i] == part.ordinal() ? lengths[i] : 0;
+            sum += stepCount[i] == part.ordinal() ? lengths[i] : 0;
         }
         return sum;
     }
 
     /** What runs now. */
-    public LatencyComponent spends() {
-        return spends;
+    public LatencyComponent currentComponent() {
+        return currentComponent;
     }
 
     /** The cause that most of its time so far was charged to; null if none. */
--- a/src/main/java/sagepulley/accounts/PlanTier.java
+++ b/src/main/java/sagepulley/accounts/PlanTier.java
@@ -1,22 +1,36 @@
 package sagepulley.accounts;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+import sagepulley.model.ExternalName;
 import sagepulley.model.QuotaTier;
 
 /**
  * By which part of its plan an operation was served, or held: the plan's limit goes before the
  * others.
  */
-public enum PlanTier {
-    RESERVE,
-    SHARE,
-    EXCESS,
-    LIMIT,
+public enum PlanTier implements ExternalName {
+    @JsonProperty("RESERVE")
+    RESERVATION("reserve"),
+    SHARE("share"),
+    EXCESS("excess"),
+    LIMIT("limit"),
     /** Never sent anywhere. */
-    NONE;
+    NONE("none");
+
+    private final String externalName;
+
+    PlanTier(String externalName) {
+        this.externalName = externalName;
+    }
+
+    @Override
+    public String externalName() {
+        return externalName;
+    }
 
     static PlanTier of(QuotaTier quotaTier) {
         return switch (quotaTier) {
-            case RESERVATION -> RESERVE;
+            case RESERVATION -> RESERVATION;
             case SHARE -> SHARE;
             case EXCESS -> EXCESS;
         };
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -115,7 +115,7 @@
      *
      * @throws IllegalArgumentException if a figure can be no account's
      */
-    public LatencyAccount book() {
+    public LatencyAccount toAccount() {
         LatencyAccount book = new LatencyAccount();
         for (StoredVolume volume : all(volumes)) {
             Timeline<AccountWindow> line = new Timeline<>(AccountWindow::new);
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -16,18 +16,18 @@
     public static final class OfVolume {
         public long met;
         public long missed;
-        public long declined;
-        public long scrapped;
-        public long left;
+        public long rejected;
+        public long abandoned;
+        public long cancelled;
         public double units;
-        public double waited;
-        public double utilityLost;
+        public double waitedMillis;
+        public double lostWeight;
     }
 
     private final Map<Long, OfVolume> volumes = new LinkedHashMap<>();
     private final double[] parts = new double[LatencyComponent.values().length];
-    private final double[] waited = new double[Cause.Kind.values().length];
-    private final double[] lost = new double[Cause.Kind.values().length];
+    private final double[] waitedMillis = new double[Cause.Kind.values().length];
+    private final double[] lostWeight = new double[Cause.Kind.values().length];
     private final double[] units = new double[PlanTier.values().length];
 
     /** With sums of their own for these volumes; all others share number 0. */
@@ -48,17 +48,17 @@
     }
 
     /** Milliseconds that went to a part. */
-    public double part(LatencyComponent part) {
+    public double millisIn(LatencyComponent part) {
         return parts[part.ordinal()];
     }
 
     /** Milliseconds of waiting charged to a kind of cause, and utility lost to it. */
-    public double waited(Cause.Kind kind) {
-        return waited[kind.ordinal()];
+    public double waitedMillis(Cause.Kind kind) {
+        return waitedMillis[kind.ordinal()];
     }
 
-    public double lost(Cause.Kind kind) {
-        return lost[kind.ordinal()];
+    public double lostWeight(Cause.Kind kind) {
+        return lostWeight[kind.ordinal()];
     }
 
     /** Units of operations that ended, by part of the plan. */
@@ -71,8 +71,8 @@
     }
 
     void caused(Cause.Kind kind, double length, double utility) {
-        waited[kind.ordinal()] += length;
-        lost[kind.ordinal()] += utility;
+        waitedMillis[kind.ordinal()] += length;
+        lostWeight[kind.ordinal()] += utility;
     }
 
     void ended(PlanTier part, double amount) {
@@ -86,16 +86,16 @@
                     OfVolume its = copy.volumes.get(volume);
                     its.met = mine.met;
                     its.missed = mine.missed;
-                    its.declined = mine.declined;
-                    its.scrapped = mine.scrapped;
-                    its.left = mine.left;
+                    its.rejected = mine.rejected;
+                    its.abandoned = mine.abandoned;
+                    its.cancelled = mine.cancelled;
                     its.units = mine.units;
-                    its.waited = mine.waited;
-                    its.utilityLost = mine.utilityLost;
+                    its.waitedMillis = mine.waitedMillis;
+                    its.lostWeight = mine.lostWeight;
                 });
         System.arraycopy(parts, 0, copy.parts, 0, parts.length);
-        System.arraycopy(waited, 0, copy.waited, 0, waited.length);
-        System.arraycopy(lost, 0, copy.lost, 0, lost.length);
+        System.arraycopy(waitedMillis, 0, copy.waitedMillis, 0, waitedMillis.length);
+        System.arraycopy(lostWeight, 0, copy.lostWeight, 0, lostWeight.length);
         System.arraycopy(units, 0, copy.units, 0, units.length);
         return copy;
     }
--- a/src/main/java/sagepulley/cli/AccountFormatter.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -16,22 +16,22 @@
 
     static String part(LatencyComponent part) {
         return switch (part) {
-            case RESERVE_FULL -> "held here: node's bound full, in its reserve";
+            case RESERVATION_FULL -> "held here: node's bound full, in its reserve";
             case SHARE_FULL -> "held here: node's bound full, in its share";
-            case BEYOND_SHARE -> "held here: beyond its share";
-            case HELD_BACK -> "held here: a queue seen at the node";
-            case COLD -> "held here: the node started lately";
-            case SILENT -> "held here: the node gives no answers";
+            case EXCESS_FULL -> "held here: beyond its share";
+            case QUEUE_AT_NODE -> "held here: a queue seen at the node";
+            case WARMING_UP -> "held here: the node started lately";
+            case UNRESPONSIVE -> "held here: the node gives no answers";
             case NOT_READY -> "held here: no node that is ready";
             case LIMIT -> "held here: its plan's limit";
-            case BUDGET -> "held here: the budget of further hops";
-            case ORDER -> "held here: the order of its extent";
-            case RANKS_LATER -> "held here: others rank before it";
+            case RETRY_BUDGET -> "held here: the budget of further hops";
+            case KEY_ORDER -> "held here: the order of its extent";
+            case LOWER_PRIORITY -> "held here: others rank before it";
             case DIRECTORY -> "waiting for the directory or a claim";
-            case ON_THE_WAY -> "on the way to the node and back";
+            case NETWORK -> "on the way to the node and back";
             case NODE_QUEUE -> "in the node's queue";
             case NODE_WORK -> "worked on by the node";
-            case FUTILE -> "in hops that ended for nothing";
+            case FAILED_ATTEMPT -> "in hops that ended for nothing";
         };
     }
 
@@ -46,26 +46,26 @@
             case OWN_LIMIT -> "its plan's limit";
             case OWN_WORK -> "its own work";
             case NEIGHBOUR -> "load of " + volume(volume, names) + at;
-            case ELSEWHERE -> "work through other gateways" + at;
+            case OTHER_GATEWAYS -> "work through other gateways" + at;
             case SLOW_NODE -> "node " + node + " works slower than the rest";
             case PAUSE ->
                     "pauses"
                             + at
                             + (volume == 0 ? "" : " after writes of " + volume(volume, names));
-            case COLD_NODE -> "node " + node + " started lately";
+            case WARMING_UP_NODE -> "node " + node + " started lately";
             case FAULT -> node == 0 ? "no node was ready" : "node " + node + " did not do its work";
-            case CAUTION -> "the gateway's caution" + at;
+            case LOCAL_THROTTLING -> "the gateway's caution" + at;
             case DIRECTORY -> "the directory";
             case NETWORK -> "the way to node " + node;
         };
     }
 
-    static String cause(LatencyReport.Charged charged, Map<Long, String> names) {
+    static String cause(LatencyReport.CauseReport charged, Map<Long, String> names) {
         return cause(charged.kind(), charged.volume(), charged.node(), names);
     }
 
     /** What an operator can do. */
-    static String advice(LatencyReport.Charged charged, Map<Long, String> names) {
+    static String advice(LatencyReport.CauseReport charged, Map<Long, String> names) {
         return switch (charged.kind()) {
             case OWN_LOAD ->
                     "It asks for more than its plan owes it: a larger share or reserve, or less at once.";
@@ -79,7 +79,7 @@
                             + "moving extents off node "
                             + charged.node()
                             + " parts them.";
-            case ELSEWHERE ->
+            case OTHER_GATEWAYS ->
                     "Read the other gateways' files together with this one: they tell whose work it was.";
             case SLOW_NODE ->
                     "Look at node "
@@ -91,7 +91,7 @@
                             + charged.node()
                             + " pauses of its own, as nodes do that put writes off: look at "
                             + "its flushing, and at who writes there.";
-            case COLD_NODE ->
+            case WARMING_UP_NODE ->
                     "Node "
                             + charged.node()
                             + " was restarted; this passes. If it restarts often, see why.";
@@ -101,7 +101,7 @@
                             : "See node "
                                     + charged.node()
                                     + " and the way to it: it gave no answer, or an error.";
-            case CAUTION ->
+            case LOCAL_THROTTLING ->
                     "The gateway held it by its own rules (budget of further hops, rank): see the day's "
                             + "declines and the node's state.";
             case DIRECTORY -> "See the directory: its answers come late or not at all.";
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -234,7 +234,7 @@
 
     private static String part(String word) {
         for (LatencyComponent part : LatencyComponent.values()) {
-            if (part.name().equalsIgnoreCase(word)) {
+            if (part.externalName().equalsIgnoreCase(word)) {
                 return AccountFormatter.part(part);
             }
         }
--- a/src/main/java/sagepulley/cli/GatewayCommand.java
+++ b/src/main/java/sagepulley/cli/GatewayCommand.java
@@ -62,13 +62,13 @@
      * the same.
      */
     private static void watch(SiteConfig site, NbdGateway gateway) {
-        if (site.watch() != null) {
+        if (site.monitoring() != null) {
             try {
-                new MonitoringServer(site, gateway, site.watch().socket());
+                new MonitoringServer(site, gateway, site.monitoring().socket());
             } catch (IOException e) {
                 System.err.println(
                         "sagepulley: no figures over HTTP on "
-                                + site.watch()
+                                + site.monitoring()
                                 + ": "
                                 + e.getMessage());
             }
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -9,7 +9,6 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -45,12 +44,14 @@
     }
 
     private static StoredEndpointList believed(Path file) throws IOException {
-        EndpointListFile.Look look = new EndpointListFile(file, "").look();
+        EndpointListFile.ReadResult look = new EndpointListFile(file, "").inspect();
         if (look.list() == null) {
             throw new IOException(
-                    look.refused().isEmpty()
+                    look.rejected().isEmpty()
                             ? file + ": is not there"
-                            : look.refused().get(0).file() + ": " + look.refused().get(0).why());
+                            : look.rejected().get(0).file()
+                                    + ": "
+                                    + look.rejected().get(0).reason());
         }
         return look.list();
     }
@@ -86,14 +87,14 @@
             System.out.printf(
                     "site %s, version %d of history %d, last confirmed %s%n",
                     list.site(), list.version(), list.history(), when(list.confirmedAt()));
-            for (StoredEndpointList.StoredEndpoint kept : list.lines()) {
-                EndpointRecord line = kept.line();
+            for (StoredEndpointList.StoredEndpoint kept : list.endpoints()) {
+                EndpointRecord line = kept.endpoint();
                 System.out.printf(
                         "node %d cell %d zone %d %s %s:%d started %s, from %s%s%n",
                         line.node(),
                         line.cell(),
                         line.zone(),
-                        AccountFormatter.of(line.standing()),
+                        AccountFormatter.of(line.phase()),
                         line.host(),
                         line.port(),
                         when(line.startedAt()),
@@ -123,21 +124,21 @@
 
         @Override
         public Integer call() {
-            EndpointListFile.Look look = new EndpointListFile(file, site).look();
-            for (SnapshotFile.Refused refused : look.refused()) {
-                System.out.println(refused.file() + ": " + refused.why());
+            EndpointListFile.ReadResult look = new EndpointListFile(file, site).inspect();
+            for (SnapshotFile.Rejected refused : look.rejected()) {
+                System.out.println(refused.file() + ": " + refused.reason());
             }
             if (look.list() == null) {
                 System.out.println(file + ": no list that can be believed");
                 return Commands.UNUSABLE_FILE;
             }
             System.out.println(
-                    look.from()
+                    look.file()
                             + ": good, "
-                            + look.list().lines().size()
+                            + look.list().endpoints().size()
                             + " nodes, written "
                             + when(look.writtenAt()));
-            return look.refused().isEmpty() ? Commands.OK : Commands.UNUSABLE_FILE;
+            return look.rejected().isEmpty() ? Commands.OK : Commands.UNUSABLE_FILE;
         }
     }
 
@@ -153,8 +154,8 @@
         @Override
         public Integer call() throws Exception {
             System.out.println("node,cell,zone,kind,standing,host,port");
-            for (StoredEndpointList.StoredEndpoint kept : believed(file).lines()) {
-                EndpointRecord line = kept.line();
+            for (StoredEndpointList.StoredEndpoint kept : believed(file).endpoints()) {
+                EndpointRecord line = kept.endpoint();
                 System.out.println(
                         String.join(
                                 ",",
@@ -162,7 +163,7 @@
                                 "" + line.cell(),
                                 "" + line.zone(),
                                 "" + line.kind(),
-                                line.standing().name().toLowerCase(Locale.ROOT),
+                                line.phase().externalName(),
                                 line.host(),
                                 "" + line.port()));
             }
@@ -240,7 +241,7 @@
                         Integer.parseInt(words[1].trim()),
                         Integer.parseInt(words[2].trim()),
                         Integer.parseInt(words[3].trim()),
-                        EndpointRecord.Phase.valueOf(words[4].trim().toUpperCase(Locale.ROOT)),
+                        EndpointRecord.Phase.ofExternalName(words[4].trim()),
                         0,
                         1,
                         words[5].trim(),
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -79,16 +79,19 @@
 
     @Override
     public Integer call() throws Exception {
-        List<FleetMerger.Member> members = new ArrayList<>();
+        List<FleetMerger.GatewayAccount> members = new ArrayList<>();
         for (Path file : files) {
-            AccountFile.Read read = AccountFile.report(file);
+            AccountFile.Loaded read = AccountFile.report(file);
             members.add(
-                    new FleetMerger.Member(read.head().gateway(), read.book(), read.head().told()));
-            names.putAll(read.head().names());
+                    new FleetMerger.GatewayAccount(
+                            read.stored().gateway(),
+                            read.account(),
+                            read.stored().versionNotifiedAt()));
+            names.putAll(read.stored().volumeNames());
         }
         FleetMerger.Merged merged = FleetMerger.merge(members);
-        LatencyAccount book = merged.book();
-        double newest = book.newest();
+        LatencyAccount book = merged.account();
+        double newest = book.lastBookedAt();
         double to = until == null ? newest : time(until, newest);
         double from = time(since, to);
         List<LatencyReport> reports = new ArrayList<>();
@@ -151,20 +154,20 @@
         page.put("from", clock(from));
         page.put("to", clock(to));
         List<Map<String, Object>> clocks = new ArrayList<>();
-        for (FleetMerger.Clock clock : merged.clocks()) {
+        for (FleetMerger.ClockOffset clock : merged.clocks()) {
             clocks.add(
                     Map.of(
                             "gateway",
                             clock.gateway(),
                             "known",
-                            !Double.isNaN(clock.ahead()),
+                            !Double.isNaN(clock.offsetMillis()),
                             "ahead",
-                            Double.isNaN(clock.ahead()) ? 0 : clock.ahead() / 1000));
+                            Double.isNaN(clock.offsetMillis()) ? 0 : clock.offsetMillis() / 1000));
         }
         page.put("clocks", clocks);
         List<Map<String, Object>> volumes = new ArrayList<>();
         for (LatencyReport report : reports) {
-            volumes.add(volume(merged.book(), report, from, to));
+            volumes.add(volume(merged.account(), report, from, to));
         }
         page.put("volumes", volumes);
         return page;
@@ -183,8 +186,10 @@
         double whole =
                 Math.max(
                         1e-9,
-                        report.parts().values().stream().mapToDouble(Double::doubleValue).sum());
-        report.parts()
+                        report.components().values().stream()
+                                .mapToDouble(Double::doubleValue)
+                                .sum());
+        report.components()
                 .forEach(
                         (part, time) ->
                                 parts.add(
@@ -200,12 +205,13 @@
                         Double.compare((Double) other.get("seconds"), (Double) one.get("seconds")));
         volume.put("parts", parts);
         List<Map<String, Object>> plan = new ArrayList<>();
-        for (LatencyReport.PlanLine line : report.plan()) {
-            plan.add(Map.of("name", AccountFormatter.of(line.part()), "line", line));
+        for (LatencyReport.TierReport line : report.tiers()) {
+            plan.add(Map.of("name", AccountFormatter.of(line.tier()), "line", line));
         }
         volume.put("plan", plan);
         List<Map<String, Object>> causes = new ArrayList<>();
-        for (LatencyReport.Charged charged : report.causes().stream().limit(MOST_CAUSES).toList()) {
+        for (LatencyReport.CauseReport charged :
+                report.causes().stream().limit(MOST_CAUSES).toList()) {
             causes.add(
                     Map.of(
                             "text",
@@ -220,13 +226,13 @@
                             charged.kind() == Cause.Kind.OWN_WORK));
         }
         volume.put("causes", causes);
-        LatencyReport.Charged main = report.main();
+        LatencyReport.CauseReport main = report.mainCause();
         if (main != null) {
             volume.put("main", AccountFormatter.cause(main, names));
             volume.put("confidence", AccountFormatter.of(main.confidence()));
             volume.put("share", main.share());
-            volume.put("least", main.least() / 1000);
-            volume.put("most", main.most() / 1000);
+            volume.put("least", main.lowerBound() / 1000);
+            volume.put("most", main.upperBound() / 1000);
             volume.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
             volume.put("advice", AccountFormatter.advice(main, names));
             List<Integer> zone = zone(book, report, main);
@@ -235,21 +241,21 @@
             }
         }
         if (html != null) {
-            volume.put("plot", Plots.course(book.course(report.volume(), from, to)));
+            volume.put("plot", Plots.course(book.history(report.volume(), from, to)));
         }
         return volume;
     }
 
     /** The nodes of the main fault's zone, where most of them share the fault. */
     private static List<Integer> zone(
-            LatencyAccount book, LatencyReport report, LatencyReport.Charged main) {
+            LatencyAccount book, LatencyReport report, LatencyReport.CauseReport main) {
         if (main.kind() != Cause.Kind.FAULT) {
             return List.of();
         }
         List<Integer> faulty =
                 report.causes().stream()
                         .filter(charged -> charged.kind() == Cause.Kind.FAULT)
-                        .map(LatencyReport.Charged::node)
+                        .map(LatencyReport.CauseReport::node)
                         .toList();
         return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
     }
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -90,13 +90,16 @@
                         "waits mainly for"));
         List<LatencyReport> volumes = new ArrayList<>(view.volumes());
         volumes.sort(
-                Comparator.comparingDouble(LatencyReport::utilityLost)
+                Comparator.comparingDouble(LatencyReport::lostWeight)
                         .thenComparingDouble(LatencyReport::units)
                         .reversed());
         for (LatencyReport report : volumes.stream().limit(rows).toList()) {
             double p99 =
-                    report.plan().stream().mapToDouble(LatencyReport.PlanLine::p99).max().orElse(0);
-            LatencyReport.Charged main = report.main();
+                    report.tiers().stream()
+                            .mapToDouble(LatencyReport.TierReport::p99)
+                            .max()
+                            .orElse(0);
+            LatencyReport.CauseReport main = report.mainCause();
             text.append(
                     String.format(
                             Locale.ROOT,
@@ -106,9 +109,9 @@
                             report.units(),
                             report.met(),
                             report.missed(),
-                            report.declined(),
+                            report.rejected(),
                             p99,
-                            report.utilityLost(),
+                            report.lostWeight(),
                             main == null
                                     ? "-"
                                     : AccountFormatter.cause(main, view.names())
--- a/src/main/java/sagepulley/config/MembershipSettings.java
+++ b/src/main/java/sagepulley/config/MembershipSettings.java
@@ -9,12 +9,12 @@
  * are at a time; and the nodes that the site file itself names.
  */
 public record MembershipSettings(
-        Path list,
-        Path holders,
-        double fresh,
-        double aged,
-        int askedAtOnce,
-        List<FixedNode> nodes) {
+        Path listFile,
+        Path holderFile,
+        double freshMillis,
+        double agedMillis,
+        int maxConcurrentProbes,
+        List<ConfiguredNode> configuredNodes) {
     /** A node that the site file names. */
-    public record FixedNode(int node, int cell, int zone, HostPort address) {}
+    public record ConfiguredNode(int node, int cell, int zone, HostPort address) {}
 }
--- a/src/main/java/sagepulley/config/SiteConfig.java
+++ b/src/main/java/sagepulley/config/SiteConfig.java
@@ -21,20 +21,20 @@
         List<String> zones,
         HostPort nbd,
         HostPort directory,
-        int loops,
-        long clientBytes,
-        long allBytes,
-        int mostClients,
-        double stopWithin,
+        int eventLoops,
+        long maxClientBytes,
+        long maxTotalBytes,
+        int maxClients,
+        double shutdownTimeoutMillis,
         int extentBytes,
         int unitBytes,
-        int mostRequest,
+        int maxRequestBytes,
         Deployment deployment,
         List<VolumeSettings> volumes,
-        AccountsSettings books,
-        TracingSettings traces,
-        HostPort watch,
-        MembershipSettings members,
+        AccountsSettings accounts,
+        TracingSettings tracing,
+        HostPort monitoring,
+        MembershipSettings membership,
         String siteName) {
     private static final double DAY = 86_400_000;
     private static final double MANY = 1e9;
@@ -148,7 +148,7 @@
             if (aged < fresh) {
                 ini.mistake("membership", "aged", "is shorter than fresh");
             }
-            List<MembershipSettings.FixedNode> nodes = new ArrayList<>();
+            List<MembershipSettings.ConfiguredNode> nodes = new ArrayList<>();
             for (String name : ini.named("node")) {
                 String section = "node " + name;
                 if (!name.matches("[1-9][0-9]{0,8}")) {
@@ -159,7 +159,7 @@
                     continue;
                 }
                 nodes.add(
-                        new MembershipSettings.FixedNode(
+                        new MembershipSettings.ConfiguredNode(
                                 Integer.parseInt(name),
                                 ini.whole(section, "cell", null, 0, 1 << 20),
                                 ini.choice(section, "zone", zones.get(0), zones),
--- a/src/main/java/sagepulley/config/TracingSettings.java
+++ b/src/main/java/sagepulley/config/TracingSettings.java
@@ -8,9 +8,14 @@
  * chance.
  */
 public record TracingSettings(
-        Path file, long fileBytes, int files, String otlp, double perSecond, double chance) {
+        Path file,
+        long fileBytes,
+        int files,
+        String otlp,
+        double maxTracesPerSecond,
+        double sampleProbability) {
     /** Whether any trace goes anywhere. */
-    public boolean wanted() {
-        return perSecond > 0 && (file != null || !otlp.isEmpty());
+    public boolean isEnabled() {
+        return maxTracesPerSecond > 0 && (file != null || !otlp.isEmpty());
     }
 }
--- a/src/main/java/sagepulley/config/VolumeSettings.java
+++ b/src/main/java/sagepulley/config/VolumeSettings.java
@@ -8,11 +8,11 @@
         int id,
         String name,
         String description,
-        long size,
+        long sizeBytes,
         int plan,
         int gateways,
         boolean readOnly,
-        int readBand,
-        int writeBand,
-        int bulkBand,
-        long bulkFrom) {}
+        int readTrafficClass,
+        int writeTrafficClass,
+        int bulkTrafficClass,
+        long bulkThresholdBytes) {}
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -195,7 +195,7 @@
 
         @Override
         public void late(StoreMessages.Answer answer) {
-            accounts.late(node.id, answer.waited(), answer.worked());
+            accounts.lateAnswer(node.id, answer.waited(), answer.worked());
         }
 
         @Override
@@ -208,7 +208,7 @@
         public boolean welcomed(StoreMessages.Welcome welcome) {
             startedAt = welcome.startedAt();
             Membership.HandshakeVerdict meaning =
-                    membership.welcomed(
+                    membership.handshakeCompleted(
                             node.id,
                             welcome.node(),
                             welcome.cell(),
@@ -220,24 +220,25 @@
                     .addKeyValue("started", startedAt)
                     .addKeyValue("meaning", meaning)
                     .log("node connected");
-            if (meaning != Membership.HandshakeVerdict.GO
+            if (meaning != Membership.HandshakeVerdict.ACCEPTED
                     || !node.acceptsNewObjects
                     || node.phase != Node.Phase.READY) {
                 adopt();
             }
-            return meaning == Membership.HandshakeVerdict.GO && node.phase == Node.Phase.READY;
+            return meaning == Membership.HandshakeVerdict.ACCEPTED
+                    && node.phase == Node.Phase.READY;
         }
 
         @Override
         public void drains() {
             LOG.atInfo().addKeyValue("node", node.id).log("node says that it drains");
-            membership.drains(node.id);
+            membership.drainAnnounced(node.id);
             adopt();
         }
 
         @Override
         public void lost() {
-            membership.lost(node.id, wall());
+            membership.disconnected(node.id, wall());
         }
     }
 
@@ -258,7 +259,7 @@
         this.scheduler = scheduler;
         this.accounts =
                 new Accounts(
-                        site.books().keep() ? Accounts.Bounds.USUAL : Accounts.Bounds.NONE,
+                        site.accounts().enabled() ? Accounts.Bounds.DEFAULT : Accounts.Bounds.NONE,
                         clock.wall(0),
                         site.volumes().stream()
                                 .limit(NbdGateway.SUMMED_VOLUMES)
@@ -269,7 +270,10 @@
         this.membership = membership;
         this.returning = new ReconnectBackoff(START_AGAIN, START_AGAIN_LONGEST, chance.split());
         this.sampler =
-                new TailSampler(site.traces().perSecond(), site.traces().chance(), chance.split());
+                new TailSampler(
+                        site.tracing().maxTracesPerSecond(),
+                        site.tracing().sampleProbability(),
+                        chance.split());
         this.splitter = new RequestSplitter(site);
         this.hello = new StoreMessages.Hello(seed, site.name());
         this.directory =
@@ -287,20 +291,20 @@
                             new Export(
                                     line.name(),
                                     line.description(),
-                                    line.size(),
+                                    line.sizeBytes(),
                                     line.readOnly(),
                                     true,
                                     LEAST_BLOCK,
                                     PREFERRED_BLOCK,
-                                    site.mostRequest())));
+                                    site.maxRequestBytes())));
         }
     }
 
     /** Asks for the list and the holders; runs the callback once both came. */
     void start(Runnable ready) {
         whenReady = ready;
-        membership.fixed(
-                site.members().nodes().stream()
+        membership.addConfigured(
+                site.membership().configuredNodes().stream()
                         .map(
                                 node ->
                                         new EndpointRecord(
@@ -317,19 +321,19 @@
         membersBeat =
                 loop.scheduleAtFixedRate(
                         this::members, MEMBERS_BEAT_MS, MEMBERS_BEAT_MS, TimeUnit.MILLISECONDS);
-        if (membership.empty()) {
+        if (membership.isEmpty()) {
             directory.fetch();
         } else {
             // Scheduler asks for the list from here on; what is known serves meanwhile.
             LOG.atInfo()
-                    .addKeyValue("trust", membership.trust(wall()))
+                    .addKeyValue("trust", membership.freshness(wall()))
                     .addKeyValue("age", membership.age(wall()))
                     .log("starts with what is known of the nodes");
             listed = true;
             adopt();
             whenReady.run();
         }
-        if (site.books().keep()) {
+        if (site.accounts().enabled()) {
             beat =
                     loop.scheduleAtFixedRate(
                             this::accountForWaiting,
@@ -345,14 +349,14 @@
      */
     void restore(StoredEndpointList list, Map<Integer, int[]> cells) {
         if (list != null) {
-            membership.kept(list, wall());
+            membership.restore(list, wall());
         }
         for (ExportedVolume disk : disks.values()) {
             int[] row = cells.getOrDefault(disk.line.id(), new int[0]);
             for (int i = 0; i < Math.min(row.length, extents(disk)); i++) {
                 if (row[i] >= 0) {
                     long key = ExtentHolders.key(disk.line.id(), i);
-                    holders.learned(key, row[i]);
+                    holders.holderLearned(key, row[i]);
                     unverified.add(key);
                 }
             }
@@ -360,7 +364,7 @@
     }
 
     private long extents(ExportedVolume disk) {
-        return (disk.line.size() - 1) / site.extentBytes() + 1;
+        return (disk.line.sizeBytes() - 1) / site.extentBytes() + 1;
     }
 
     private double wall() {
@@ -377,7 +381,7 @@
                         listChanged = false;
                         listKeptAt = wall();
                     }
-                    told.complete(due ? membership.kept() : null);
+                    told.complete(due ? membership.snapshot() : null);
                 });
         return told;
     }
@@ -399,7 +403,7 @@
                             new LinkedHashMap<>(),
                             new ArrayList<>(disks.values()),
                             0,
-                            HolderFile.MOST_EXTENTS,
+                            HolderFile.MAX_EXTENTS,
                             told);
                 });
         return told;
@@ -441,11 +445,11 @@
                         told.complete(
                                 new NodesView(
                                         site.name(),
-                                        membership.trust(wall()),
+                                        membership.freshness(wall()),
                                         membership.age(wall()),
                                         !directoryDown && directory.isOpen(),
                                         unverified.size(),
-                                        membership.seen(wall()))));
+                                        membership.members(wall()))));
         return told;
     }
 
@@ -455,7 +459,7 @@
         loop.execute(
                 () -> {
                     double now = clock.now();
-                    LatencyAccount book = accounts.book();
+                    LatencyAccount book = accounts.snapshot();
                     Map<String, LatencyReport> reports = new LinkedHashMap<>();
                     disks.forEach(
                             (name, disk) ->
@@ -483,7 +487,7 @@
      */
     CompletableFuture<GatewayAccounts> writtenBook() {
         CompletableFuture<BookAt> copied = new CompletableFuture<>();
-        loop.execute(() -> copyBook(accounts.copy(), copied));
+        loop.execute(() -> copyBook(accounts.startCopy(), copied));
         return copied.thenApplyAsync(
                 at -> {
                     Map<Long, String> names = new LinkedHashMap<>();
@@ -501,7 +505,7 @@
     private record BookAt(LatencyAccount book, Map<Long, Double> told) {}
 
     private void copyBook(IncrementalCopy copy, CompletableFuture<BookAt> copied) {
-        LatencyAccount whole = copy.more(COPIED_AT_ONCE);
+        LatencyAccount whole = copy.copyNext(COPIED_AT_ONCE);
         if (whole != null) {
             copied.complete(new BookAt(whole, Map.copyOf(told)));
         } else {
@@ -511,7 +515,7 @@
 
     /** Goes on with the accounts of an earlier life. On the loop. */
     void goOn(LatencyAccount book) {
-        accounts.goOn(book, clock.now());
+        accounts.restore(book, clock.now());
     }
 
     /** From any thread. */
@@ -680,7 +684,7 @@
         if (part.shown) {
             scheduler.onClientCancelled(part.operation, clock.now());
         }
-        end(part, Accounts.End.LEFT, Reason.NONE);
+        end(part, Accounts.End.CANCELLED, Reason.NONE);
         waiting.remove(part);
         part.payload.release();
     }
@@ -696,7 +700,7 @@
             return;
         }
         seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
-        if (holders.claiming(key)) {
+        if (holders.hasPendingClaim(key)) {
             park(key, part);
         } else if (creates(part)) {
             part.operation.shard = newShard();
@@ -709,8 +713,8 @@
 
     private void park(long key, RequestPart part) {
         double now = clock.now();
-        holders.park(key, part, now);
-        accounts.waits(part.meter, LatencyComponent.DIRECTORY, 0, now);
+        holders.addWaiter(key, part, now);
+        accounts.waitStarted(part.meter, LatencyComponent.DIRECTORY, 0, now);
     }
 
     /** Whether the extent must have a holder afterwards. */
@@ -725,7 +729,7 @@
      */
     private void lookUp(RequestPart part) {
         if (directoryDown) {
-            if (holders.unpark(part.operation.extent, part)) {
+            if (holders.removeWaiter(part.operation.extent, part)) {
                 handOn(part);
             }
             return;
@@ -740,7 +744,7 @@
                     }
                     if (cells == null) {
                         directoryFailed();
-                        if (holders.unpark(part.operation.extent, part)) {
+                        if (holders.removeWaiter(part.operation.extent, part)) {
                             handOn(part);
                         }
                     } else if (cells[0] >= 0) {
@@ -764,7 +768,7 @@
     /** A holder became known: whoever waited for it, here or at Scheduler, goes there. */
     private void found(long key, int cell) {
         Set<RequestPart> all = seeking.remove(key);
-        List<RequestPart> parked = holders.learned(key, cell);
+        List<RequestPart> parked = holders.holderLearned(key, cell);
         int holder = holders.cell(key);
         holdersChanged = true;
         if (all != null) {
@@ -832,12 +836,12 @@
         if (all != null && all.remove(part) && all.isEmpty()) {
             seeking.remove(key);
         }
-        holders.unpark(key, part);
+        holders.removeWaiter(key, part);
     }
 
     private void claim(RequestPart part, Attempt attempt) {
         long key = part.operation.extent;
-        holders.claims(key);
+        holders.claimStarted(key);
         // Other first writes to the extent wait for this claim, or they would lose theirs against
         // it.
         refile(key, NOT_FOUND_YET);
@@ -856,7 +860,7 @@
                             scheduler.onExtentLocated(part.operation, NOT_FOUND_YET);
                         }
                     }
-                    for (RequestPart waiting : holders.claimed(key)) {
+                    for (RequestPart waiting : holders.claimEnded(key)) {
                         handOn(waiting);
                     }
                     if (attempt.outcome != null) {
@@ -903,7 +907,7 @@
                                 Math.max(1, (long) (decision.timeout() * NS)),
                                 TimeUnit.NANOSECONDS);
                 if (operation.shard < 0) {
-                    accounts.claims(part.meter, attempt.node.id, clock.now());
+                    accounts.claimStarted(part.meter, attempt.node.id, clock.now());
                     claim(part, attempt);
                 } else {
                     hand(part, attempt);
@@ -919,7 +923,7 @@
                                 : "";
                 finish(
                         part,
-                        Accounts.End.DECLINED,
+                        Accounts.End.REJECTED,
                         decision.reason(),
                         NbdConstants.ENOMEM,
                         "declined ("
@@ -931,7 +935,7 @@
                 counters.scrapped.increment();
                 finish(
                         part,
-                        Accounts.End.SCRAPPED,
+                        Accounts.End.ABANDONED,
                         decision.reason(),
                         NbdConstants.EIO,
                         "scrapped: it may have taken effect or not");
@@ -951,7 +955,7 @@
         }
         LatencyComponent spent =
                 LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
-        accounts.waits(part.meter, spent, nodeOf(part.operation.shard), now);
+        accounts.waitStarted(part.meter, spent, nodeOf(part.operation.shard), now);
     }
 
     /**
@@ -980,7 +984,7 @@
 
     private void hand(RequestPart part, Attempt attempt) {
         part.handed = true;
-        accounts.sent(part.meter, attempt.node.id, attempt.quotaTier, clock.now());
+        accounts.attemptSent(part.meter, attempt.node.id, attempt.quotaTier, clock.now());
         Place place = places.get(attempt.node.id);
         counters.attempts.increment();
         boolean durable = (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
@@ -1033,7 +1037,7 @@
         }
         if (answer.code() == StoreMessages.Code.SATISFIED) {
             unverified.remove(part.operation.extent);
-            accounts.answered(
+            accounts.attemptAnswered(
                     part.meter,
                     answer.waited(),
                     answer.worked(),
@@ -1103,7 +1107,7 @@
         }
         part.handed = false;
         if (outcome != Outcome.SERVED) {
-            accounts.failed(part.meter, outcome, now);
+            accounts.attemptFailed(part.meter, outcome, now);
         }
         boolean first = !operation.ended && outcome == Outcome.SERVED;
         operation.ended |= first;
@@ -1134,7 +1138,7 @@
     private void satisfied(RequestPart part) {
         part.operation.ended = true;
         counters.satisfied.increment();
-        end(part, Accounts.End.SATISFIED, Reason.NONE);
+        end(part, Accounts.End.SERVED, Reason.NONE);
         over(part);
     }
 
@@ -1147,18 +1151,18 @@
         Operation operation = part.operation;
         double took = now - operation.arrivedAt;
         boolean missed =
-                how != Accounts.End.SATISFIED || took > operation.trafficClass.latencyObjective();
-        double standsFor = sampler.keeps(how, missed, operation.trafficClass.index(), took, now);
+                how != Accounts.End.SERVED || took > operation.trafficClass.latencyObjective();
+        double standsFor = sampler.sample(how, missed, operation.trafficClass.index(), took, now);
         if (standsFor > 0) {
-            tracer.tell(story(part, how, reason, took, standsFor));
+            tracer.submit(story(part, how, reason, took, standsFor));
         }
     }
 
     private OperationTrace story(
             RequestPart part, Accounts.End how, Reason reason, double took, double standsFor) {
         Operation operation = part.operation;
-        List<OperationTrace.Step> steps = new ArrayList<>(part.meter.steps());
-        for (int i = 0; i < part.meter.steps(); i++) {
+        List<OperationTrace.Step> steps = new ArrayList<>(part.meter.stepCount());
+        for (int i = 0; i < part.meter.stepCount(); i++) {
             steps.add(
                     new OperationTrace.Step(
                             part.meter.step(i), part.meter.stepNode(i), part.meter.stepLength(i)));
@@ -1196,7 +1200,7 @@
                 how,
                 reason,
                 named,
-                sampler.why(),
+                sampler.reason(),
                 standsFor,
                 steps,
                 attempts);
@@ -1243,7 +1247,7 @@
     private void settleNow() {
         settleDue = false;
         double now = clock.now();
-        for (RequestPart part : holders.overdue(now)) {
+        for (RequestPart part : holders.takeExpired(now)) {
             handOn(part);
         }
         SchedulerTurn turn = scheduler.nextTurn(now);
@@ -1270,7 +1274,7 @@
             }
             turn = scheduler.nextTurn(now);
         }
-        alarm.by(Math.min(now + turn.delay(), holders.nextOverdue()));
+        alarm.by(Math.min(now + turn.delay(), holders.nextExpiry()));
     }
 
     private static RequestPart partOf(Operation operation) {
@@ -1296,7 +1300,7 @@
     public void listed(DirectoryMessages.EndpointList listing) {
         directoryAnswered();
         Membership.UpdateResult belief =
-                membership.told(
+                membership.applyUpdate(
                         new EndpointListUpdate(
                                 listing.site(),
                                 listing.history(),
@@ -1308,19 +1312,19 @@
                 .addKeyValue("version", listing.version())
                 .addKeyValue("whole", listing.whole())
                 .addKeyValue("lines", listing.lines().size())
-                .addKeyValue("believed", belief.believed())
-                .addKeyValue("why", belief.why())
+                .addKeyValue("believed", belief.accepted())
+                .addKeyValue("why", belief.reason())
                 .log("list of nodes");
-        if (belief.believed() || belief.changed()) {
+        if (belief.accepted() || belief.changed()) {
             adopt();
         }
-        if (!belief.believed()) {
+        if (!belief.accepted()) {
             if (listing.call() != 0) {
                 askAgain();
             }
             return;
         }
-        returning.answered();
+        returning.reset();
         confirmAt = wall() + CONFIRMED_EVERY;
         told.put(listing.version(), wall());
         if (told.size() > MOST_TOLD) {
@@ -1342,7 +1346,7 @@
                 switch (line.standing()) {
                     case READY -> EndpointRecord.Phase.READY;
                     case DRAINING -> EndpointRecord.Phase.DRAINING;
-                    case GONE -> EndpointRecord.Phase.GONE;
+                    case GONE -> EndpointRecord.Phase.REMOVED;
                 },
                 line.startedAt(),
                 line.weight(),
@@ -1354,10 +1358,10 @@
     private void adopt() {
         List<Node> nodes = new ArrayList<>(places.size());
         byCell.clear();
-        for (Membership.MemberView seen : membership.seen(wall())) {
+        for (Membership.MemberView seen : membership.members(wall())) {
             Node node = place(seen);
             nodes.add(node);
-            accounts.node(
+            accounts.nodeListed(
                     node.id,
                     node.zone,
                     node.startedAt + site.deployment().policy().slowStartTime());
@@ -1375,10 +1379,10 @@
      */
     private void members() {
         double wall = wall();
-        if (listed && membership.pass(wall)) {
+        if (listed && membership.advanceTo(wall)) {
             adopt();
         }
-        for (int node : membership.toAsk(wall)) {
+        for (int node : membership.takeProbes(wall)) {
             places.get(node).link.contact();
         }
         if (directory.isSubscribed() && wall >= confirmAt && !disks.isEmpty()) {
@@ -1396,7 +1400,7 @@
     }
 
     private Node place(Membership.MemberView seen) {
-        EndpointRecord line = seen.line();
+        EndpointRecord line = seen.endpoint();
         Place place = places.computeIfAbsent(line.node(), Place::new);
         Node node = place.node;
         node.cell = line.cell();
@@ -1404,12 +1408,12 @@
         node.kind = line.kind();
         node.weight = line.weight();
         node.startedAt = clock.atWall(line.startedAt());
-        node.acceptsNewObjects = seen.takesNew();
+        node.acceptsNewObjects = seen.acceptsNewObjects();
         node.phase =
-                switch (seen.use()) {
+                switch (seen.phase()) {
                     case READY -> Node.Phase.READY;
                     case DRAINING -> Node.Phase.DRAINING;
-                    case GONE -> Node.Phase.REMOVED;
+                    case REMOVED -> Node.Phase.REMOVED;
                 };
         SocketAddress address = new InetSocketAddress(line.host(), line.port());
         if (place.link == null || !place.link.address().equals(address)) {
@@ -1435,7 +1439,8 @@
             scheduler.onPollFailed(clock.now());
             settle();
         } else if (!stopping) {
-            loop.schedule(directory::fetch, (long) returning.next(), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    directory::fetch, (long) returning.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -1449,7 +1454,7 @@
             return;
         }
         ExportedVolume disk = left.get(0);
-        long extents = (disk.line.size() - 1) / site.extentBytes() + 1;
+        long extents = (disk.line.sizeBytes() - 1) / site.extentBytes() + 1;
         int count = (int) Math.min(HOLDERS_AT_ONCE, extents - first);
         directory.lookup(
                 disk.line.id(),
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -78,9 +78,11 @@
     NbdGateway(SiteConfig site, long seed, Scheduler scheduler, Membership membership) {
         this.site = site;
         this.clientGroup =
-                site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : houseGroup;
-        this.bufferBudget = new BufferBudget(site.allBytes());
-        this.tracer = site.traces().wanted() ? new Tracer(site.traces(), site.name()) : null;
+                site.eventLoops() > 1
+                        ? EventLoops.group(site.eventLoops() - 1, "client")
+                        : houseGroup;
+        this.bufferBudget = new BufferBudget(site.maxTotalBytes());
+        this.tracer = site.tracing().isEnabled() ? new Tracer(site.tracing(), site.name()) : null;
         this.engine =
                 new NbdEngine(
                         site,
@@ -94,18 +96,18 @@
     }
 
     static Membership membership(SiteConfig site, long seed) {
-        Membership.Bounds usual = Membership.Bounds.USUAL;
+        Membership.Policy usual = Membership.Policy.DEFAULT;
         return new Membership(
                 site.siteName(),
-                new Membership.Bounds(
-                        site.members().fresh(),
-                        site.members().aged(),
-                        site.members().askedAtOnce(),
-                        usual.askedApart(),
-                        usual.proofHolds(),
-                        usual.doubt(),
-                        usual.firstHold(),
-                        usual.longestHold()),
+                new Membership.Policy(
+                        site.membership().freshMillis(),
+                        site.membership().agedMillis(),
+                        site.membership().maxConcurrentProbes(),
+                        usual.probeIntervalMillis(),
+                        usual.verificationMillis(),
+                        usual.omissionGraceMillis(),
+                        usual.initialHoldDownMillis(),
+                        usual.maxHoldDownMillis()),
                 new SplittableRandom(seed));
     }
 
@@ -115,7 +117,7 @@
      */
     public CompletableFuture<NbdGateway> start() {
         CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
-        AccountFile.Read before = accountsBefore();
+        AccountFile.Loaded before = accountsBefore();
         StoredEndpointList list = listBefore();
         Map<Integer, int[]> cells = holdersBefore();
         houseGroup
@@ -124,7 +126,7 @@
                         () -> {
                             engine.restore(list, cells);
                             if (before != null) {
-                                engine.goOn(before.book());
+                                engine.goOn(before.account());
                             }
                             engine.start(() -> listen(ready));
                         });
@@ -135,19 +137,22 @@
      * What an earlier life kept; null if nothing can be believed. That never keeps a gateway from
      * starting.
      */
-    private AccountFile.Read accountsBefore() {
-        if (!site.books().keep() || site.books().file() == null) {
+    private AccountFile.Loaded accountsBefore() {
+        if (!site.accounts().enabled() || site.accounts().file() == null) {
             return null;
         }
-        AccountFile file = new AccountFile(site.books().file(), site.name());
+        AccountFile file = new AccountFile(site.accounts().file(), site.name());
         keepers.add(
                 new PeriodicWriter<>(
-                        "accounts", site.books().every(), engine::writtenBook, file::write));
+                        "accounts",
+                        site.accounts().writeIntervalMillis(),
+                        engine::writtenBook,
+                        file::write));
         try {
-            return file.goOn();
+            return file.load();
         } catch (IOException e) {
             LOG.atWarn()
-                    .addKeyValue("file", site.books().file())
+                    .addKeyValue("file", site.accounts().file())
                     .addKeyValue("why", e.toString())
                     .log("accounts of the earlier life not read");
             return null;
@@ -155,31 +160,31 @@
     }
 
     private StoredEndpointList listBefore() {
-        if (site.members().list() == null) {
+        if (site.membership().listFile() == null) {
             return null;
         }
-        EndpointListFile file = new EndpointListFile(site.members().list(), site.siteName());
+        EndpointListFile file = new EndpointListFile(site.membership().listFile(), site.siteName());
         keepers.add(
                 new PeriodicWriter<>(
                         "list",
                         LIST_LOOK_MS,
                         engine::keptList,
                         list -> file.write(list, System.currentTimeMillis())));
-        return file.start();
+        return file.load();
     }
 
     private Map<Integer, int[]> holdersBefore() {
-        if (site.members().holders() == null) {
+        if (site.membership().holderFile() == null) {
             return Map.of();
         }
-        HolderFile file = new HolderFile(site.members().holders(), site.siteName());
+        HolderFile file = new HolderFile(site.membership().holderFile(), site.siteName());
         keepers.add(
                 new PeriodicWriter<>(
                         "holders",
                         HOLDERS_LOOK_MS,
                         engine::keptHolders,
                         cells -> file.write(cells, System.currentTimeMillis())));
-        return file.start();
+        return file.load();
     }
 
     private void listen(CompletableFuture<NbdGateway> ready) {
@@ -214,7 +219,7 @@
     }
 
     private void accept(Channel client) {
-        if (clients.size() >= site.mostClients()) {
+        if (clients.size() >= site.maxClients()) {
             LOG.atWarn()
                     .addKeyValue("client", client.remoteAddress())
                     .log("too many clients, turned away");
@@ -224,7 +229,7 @@
         clients.add(client);
         engine.tally().clients.increment();
         client.closeFuture().addListener(done -> engine.tally().clientsEnded.increment());
-        BufferBudget.Client part = bufferBudget.client(site.clientBytes());
+        BufferBudget.Client part = bufferBudget.client(site.maxClientBytes());
         client.pipeline().addLast(new IdleStateHandler(STUCK_SECONDS, STUCK_SECONDS, 0));
         NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(engine, part));
     }
@@ -272,7 +277,7 @@
 
     /** Traces made since the start, and those dropped; 0 where none go anywhere. */
     public long tracesMade() {
-        return tracer == null ? 0 : tracer.made();
+        return tracer == null ? 0 : tracer.exported();
     }
 
     public long tracesDropped() {
@@ -307,7 +312,7 @@
             listener.close();
         }
         engine.stop(() -> empty.complete(null));
-        empty.orTimeout((long) site.stopWithin() + 1, TimeUnit.MILLISECONDS)
+        empty.orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
                 .whenComplete(
                         (done, late) -> {
                             if (late != null) {
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -81,13 +81,13 @@
         if (length == 0) {
             return new PendingRequest.Failed(-1, NbdConstants.EINVAL, "a length of zero");
         }
-        if (offset < 0 || offset > line.size() || length > line.size() - offset) {
+        if (offset < 0 || offset > line.sizeBytes() || length > line.sizeBytes() - offset) {
             int error =
                     command == NbdConstants.CMD_WRITE || command == NbdConstants.CMD_WRITE_ZEROES
                             ? NbdConstants.ENOSPC
                             : NbdConstants.EINVAL;
             return new PendingRequest.Failed(
-                    -1, error, "past the end of the export at " + line.size());
+                    -1, error, "past the end of the export at " + line.sizeBytes());
         }
         if ((offset | length) % disk.export.leastBlock() != 0) {
             return new PendingRequest.Failed(
@@ -123,8 +123,10 @@
         VolumeSettings line = request.disk.line;
         int band =
                 kind.changes()
-                        ? line.writeBand()
-                        : left >= line.bulkFrom() ? line.bulkBand() : line.readBand();
+                        ? line.writeTrafficClass()
+                        : left >= line.bulkThresholdBytes()
+                                ? line.bulkTrafficClass()
+                                : line.readTrafficClass();
         while (left > 0) {
             long extent = offset / extentBytes;
             int inside = (int) (offset % extentBytes);
@@ -145,7 +147,7 @@
                 part(
                         request,
                         StoreMessages.Kind.FLUSH,
-                        request.disk.line.writeBand(),
+                        request.disk.line.writeTrafficClass(),
                         0,
                         0,
                         0,
--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -56,7 +56,7 @@
     }
 
     /** A call was answered, or its watch lives on. */
-    public void answered() {
+    public void pollSucceeded() {
         if (asked) {
             gap = FIRST_GAP;
             nextAt = Double.POSITIVE_INFINITY;
@@ -64,7 +64,7 @@
     }
 
     /** A call failed, or the watch ended. */
-    public void failed(double now) {
+    public void pollFailed(double now) {
         if (site.mustPoll()) {
             nextAt = now + gap * (0.5 + random.nextDouble());
             gap = Math.min(gap * GAP_GROWTH, LONGEST_GAP);
@@ -72,7 +72,7 @@
     }
 
     /** Discovery is elsewhere from now on, and nobody has been asked there. */
-    public void moved(double now) {
+    public void addressChanged(double now) {
         gap = FIRST_GAP;
         nextAt = now + random.nextDouble() * FIRST_GAP;
     }
--- a/src/main/java/sagepulley/membership/EndpointLease.java
+++ b/src/main/java/sagepulley/membership/EndpointLease.java
@@ -70,7 +70,7 @@
      * there yet. Until the configuration has been read nobody knows where that is, and nothing
      * renews the lease.
      */
-    public void reloadTold(double toldAt) {
+    public void reloadNotified(double toldAt) {
         if (isBounded()) {
             currentUntil = Math.min(currentUntil, toldAt + NOTIFIED_AFTER_RELOAD);
             unreadSince = toldAt;
@@ -78,7 +78,7 @@
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
-    public void reloadRead(double readAt) {
+    public void reloadCompleted(double readAt) {
         if (readAt >= unreadSince) {
             unreadSince = Double.POSITIVE_INFINITY;
         }
--- a/src/main/java/sagepulley/membership/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/membership/EndpointListUpdate.java
@@ -7,4 +7,8 @@
  * own, its version in that history, whole or what changed.
  */
 public record EndpointListUpdate(
-        String site, long history, long version, boolean whole, List<EndpointRecord> lines) {}
+        String site,
+        long history,
+        long version,
+        boolean complete,
+        List<EndpointRecord> endpoints) {}
--- a/src/main/java/sagepulley/membership/EndpointPollPolicy.java
+++ b/src/main/java/sagepulley/membership/EndpointPollPolicy.java
@@ -6,21 +6,21 @@
  */
 public final class EndpointPollPolicy {
     /** A connection to discovery has to come up within this time. */
-    public static final int CONNECT_WITHIN = 1_000;
+    public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     /**
      * An empty line is due every 2 s, so that a watch that brings none for this long is overdue,
      * and so is a call whose first list does not come. Both together leave time for one more call
      * before the lease of the list ends.
      */
-    public static final long SILENCE = 2_500;
+    public static final long IDLE_TIMEOUT_MILLIS = 2_500;
 
-    public static final long FIRST_LIST_WITHIN = 2_200;
+    public static final long FIRST_LIST_TIMEOUT_MILLIS = 2_200;
 
     /**
      * Overdue calls that are kept open: discovery may be slow, and what it still answers is taken.
      */
-    public static final int MOST_OVERDUE = 1;
+    public static final int MAX_OVERDUE = 1;
 
     /**
      * One that has brought something gives way after so long without more, one that has brought
@@ -40,7 +40,7 @@
      * @param openFor since it was opened
      * @param quietFor since its last byte; infinite where none has come
      */
-    public static boolean oldestGivesWay(
+    public static boolean shouldDropOldest(
             boolean isAtFormerAddress, double openFor, double quietFor) {
         if (isAtFormerAddress) {
             return true;
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -1,5 +1,6 @@
 package sagepulley.membership;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -24,41 +25,41 @@
      * the pause between two; how long a proof holds without a connection; how long omissions of a
      * doubtful list wait; the first and the longest hold-down of a node that flaps.
      */
-    public record Bounds(
-            double fresh,
-            double aged,
-            int askedAtOnce,
-            double askedApart,
-            double proofHolds,
-            double doubt,
-            double firstHold,
-            double longestHold) {
-        public static final Bounds USUAL =
-                new Bounds(300_000, 86_400_000, 4, 50, 60_000, 30_000, 5_000, 120_000);
+    public record Policy(
+            double freshMillis,
+            double agedMillis,
+            int maxConcurrentProbes,
+            double probeIntervalMillis,
+            double verificationMillis,
+            double omissionGraceMillis,
+            double initialHoldDownMillis,
+            double maxHoldDownMillis) {
+        public static final Policy DEFAULT =
+                new Policy(300_000, 86_400_000, 4, 50, 60_000, 30_000, 5_000, 120_000);
     }
 
     /** What a node's welcome means for what was about to go to it. */
     public enum HandshakeVerdict {
         /** It is who it should be, as it was believed to be. */
-        GO,
+        ACCEPTED,
         /**
          * It is, but drains or has just started: what was decided before it was known is to be
          * decided anew.
          */
-        THINK_AGAIN,
+        REROUTE,
         /** It is another: nothing goes there. */
-        NOT_THIS
+        WRONG_NODE
     }
 
     /** What became of a list that was told. */
-    public record UpdateResult(boolean believed, boolean changed, String why) {}
+    public record UpdateResult(boolean accepted, boolean changed, String reason) {}
 
     /** A node as it is to be used, and why so. */
     public record MemberView(
-            EndpointRecord line,
-            EndpointRecord.Phase use,
-            boolean takesNew,
-            boolean proven,
+            @JsonProperty("line") EndpointRecord endpoint,
+            @JsonProperty("use") EndpointRecord.Phase phase,
+            @JsonProperty("takesNew") boolean acceptsNewObjects,
+            @JsonProperty("proven") boolean verified,
             RecordSource source,
             String reason) {}
 
@@ -110,7 +111,7 @@
     }
 
     private final String site;
-    private final Bounds bounds;
+    private final Policy bounds;
     private final RandomGenerator random;
     private final Map<Integer, Known> nodes = new TreeMap<>();
     private long history;
@@ -119,7 +120,7 @@
     private ListFreshness trustBefore = ListFreshness.OLD;
     private double lastAskedAt = Double.NEGATIVE_INFINITY;
 
-    public Membership(String site, Bounds bounds, RandomGenerator random) {
+    public Membership(String site, Policy bounds, RandomGenerator random) {
         this.site = site;
         this.bounds = bounds;
         this.random = random;
@@ -128,7 +129,7 @@
     // ---- sources ----
 
     /** Starts with what an earlier life kept, or an operator brought. */
-    public void kept(StoredEndpointList list, double now) {
+    public void restore(StoredEndpointList list, double now) {
         history = list.history();
         version = list.version();
         boolean clockSetBack = list.confirmedAt() > now + CLOCK_SLACK;
@@ -136,22 +137,22 @@
                 list.confirmedAt() == 0 || clockSetBack
                         ? Double.NEGATIVE_INFINITY
                         : list.confirmedAt();
-        for (StoredEndpointList.StoredEndpoint kept : list.lines()) {
+        for (StoredEndpointList.StoredEndpoint kept : list.endpoints()) {
             Known known = new Known();
-            known.line = kept.line();
+            known.line = kept.endpoint();
             known.source =
                     kept.source() == RecordSource.DIRECTORY ? RecordSource.DISK : kept.source();
             known.selfDraining = kept.selfDraining();
             nodes.put(known.line.node(), known);
         }
-        trustBefore = trust(now);
+        trustBefore = freshness(now);
     }
 
     /**
      * Nodes of the site file: each proves itself before it is used, and any other source knows
      * better.
      */
-    public void fixed(List<EndpointRecord> lines) {
+    public void addConfigured(List<EndpointRecord> lines) {
         for (EndpointRecord line : lines) {
             nodes.computeIfAbsent(
                     line.node(),
@@ -165,17 +166,17 @@
     }
 
     /** A directory told a list, or what changed in it. */
-    public UpdateResult told(EndpointListUpdate list, double now) {
+    public UpdateResult applyUpdate(EndpointListUpdate list, double now) {
         if (!list.site().isEmpty() && !list.site().equals(site)) {
             return new UpdateResult(false, false, "it is of site '" + list.site() + "'");
         }
-        if (list.whole() && list.lines().isEmpty() && !nodes.isEmpty()) {
+        if (list.complete() && list.endpoints().isEmpty() && !nodes.isEmpty()) {
             return new UpdateResult(false, false, "it is empty, and nodes are known");
         }
         boolean older = list.history() == history && list.version() < version;
         boolean other = history != 0 && list.history() != history;
         boolean changed = false;
-        for (EndpointRecord line : list.lines()) {
+        for (EndpointRecord line : list.endpoints()) {
             changed |= line(line, older, now);
         }
         if (older) {
@@ -183,16 +184,16 @@
             return new UpdateResult(
                     false, changed, "its version " + list.version() + " is older than " + version);
         }
-        if (list.whole()) {
+        if (list.complete()) {
             changed |= omissions(list, other, now);
         }
-        if (list.whole() || !other) {
+        if (list.complete() || !other) {
             history = list.history();
             version = list.version();
             confirmedAt = now;
         }
-        changed |= trust(now) != trustBefore;
-        trustBefore = trust(now);
+        changed |= freshness(now) != trustBefore;
+        trustBefore = freshness(now);
         return new UpdateResult(
                 true,
                 changed,
@@ -209,21 +210,21 @@
             known.line = line;
             known.source = RecordSource.DIRECTORY;
             nodes.put(line.node(), known);
-            known.permitted = line.standing() == EndpointRecord.Phase.READY;
+            known.permitted = line.phase() == EndpointRecord.Phase.READY;
             return true;
         }
         known.missingSince = Double.NaN;
         EndpointRecord before = known.line;
-        boolean permits = line.standing() == EndpointRecord.Phase.READY;
+        boolean permits = line.phase() == EndpointRecord.Phase.READY;
         if (older) {
-            if (!permits && before.standing() == EndpointRecord.Phase.READY) {
-                known.line = before.standing(line.standing());
+            if (!permits && before.phase() == EndpointRecord.Phase.READY) {
+                known.line = before.phase(line.phase());
                 known.permitted = false;
                 return true;
             }
             return false;
         }
-        if (permits && before.standing() != EndpointRecord.Phase.READY) {
+        if (permits && before.phase() != EndpointRecord.Phase.READY) {
             flip(known, now);
         }
         // A node that told of a later start itself knows better than a directory that lags.
@@ -257,8 +258,9 @@
             known.heldUntil =
                     now
                             + Math.min(
-                                    bounds.longestHold(),
-                                    bounds.firstHold() * Math.pow(2, Math.min(over, 20)));
+                                    bounds.maxHoldDownMillis(),
+                                    bounds.initialHoldDownMillis()
+                                            * Math.pow(2, Math.min(over, 20)));
         }
     }
 
@@ -269,10 +271,10 @@
     private boolean omissions(EndpointListUpdate list, boolean other, double now) {
         boolean changed = false;
         Set<Integer> listed =
-                list.lines().stream().map(EndpointRecord::node).collect(Collectors.toSet());
+                list.endpoints().stream().map(EndpointRecord::node).collect(Collectors.toSet());
         for (Known known : nodes.values()) {
             if (listed.contains(known.line.node())
-                    || known.line.standing() == EndpointRecord.Phase.GONE) {
+                    || known.line.phase() == EndpointRecord.Phase.REMOVED) {
                 continue;
             }
             if (known.source == RecordSource.SITE) {
@@ -281,7 +283,7 @@
             if (other && Double.isNaN(known.missingSince)) {
                 known.missingSince = now;
             } else if (!other && Double.isNaN(known.missingSince)) {
-                known.line = known.line.standing(EndpointRecord.Phase.GONE);
+                known.line = known.line.phase(EndpointRecord.Phase.REMOVED);
                 changed = true;
             }
         }
@@ -294,11 +296,11 @@
      * A node answered on connecting: who it is, its cell, whether it drains, when it started (0:
      * long ago).
      */
-    public HandshakeVerdict welcomed(
+    public HandshakeVerdict handshakeCompleted(
             int node, int who, int cell, boolean draining, long startedAt, double now) {
         Known known = nodes.get(node);
         if (known == null) {
-            return HandshakeVerdict.NOT_THIS;
+            return HandshakeVerdict.WRONG_NODE;
         }
         known.asking = false;
         if (who != node || cell != known.line.cell()) {
@@ -308,7 +310,7 @@
                             : "it holds cell " + cell + ", not " + known.line.cell();
             known.connected = false;
             again(known, now);
-            return HandshakeVerdict.NOT_THIS;
+            return HandshakeVerdict.WRONG_NODE;
         }
         boolean restarted = startedAt > known.line.startedAt();
         boolean drainedBefore = known.selfDraining;
@@ -321,12 +323,12 @@
             known.line = known.line.startedAt(startedAt);
         }
         return (draining && !drainedBefore) || restarted
-                ? HandshakeVerdict.THINK_AGAIN
-                : HandshakeVerdict.GO;
+                ? HandshakeVerdict.REROUTE
+                : HandshakeVerdict.ACCEPTED;
     }
 
     /** A connected node says that it drains. */
-    public void drains(int node) {
+    public void drainAnnounced(int node) {
         Known known = nodes.get(node);
         if (known != null) {
             known.selfDraining = true;
@@ -334,7 +336,7 @@
     }
 
     /** The connection to a node ended, or did not come about. */
-    public void lost(int node, double now) {
+    public void disconnected(int node, double now) {
         Known known = nodes.get(node);
         if (known != null) {
             boolean asked = known.asking;
@@ -360,11 +362,11 @@
     // ---- what is to be done ----
 
     /** How far the list is believed now. */
-    public ListFreshness trust(double now) {
+    public ListFreshness freshness(double now) {
         double age = now - confirmedAt;
-        return age <= bounds.fresh()
+        return age <= bounds.freshMillis()
                 ? ListFreshness.FRESH
-                : age <= bounds.aged() ? ListFreshness.AGED : ListFreshness.OLD;
+                : age <= bounds.agedMillis() ? ListFreshness.AGED : ListFreshness.OLD;
     }
 
     /**
@@ -378,13 +380,13 @@
     /** A subscription stands and nothing changed: the list is confirmed as it is. */
     public boolean confirmed(double now) {
         confirmedAt = now;
-        boolean changed = trustBefore != trust(now);
-        trustBefore = trust(now);
+        boolean changed = trustBefore != freshness(now);
+        trustBefore = freshness(now);
         return changed;
     }
 
     /** Which nodes are to be asked who they are, now: few at a time, the longest waiting first. */
-    public List<Integer> toAsk(double now) {
+    public List<Integer> takeProbes(double now) {
         List<Integer> ask = new ArrayList<>(0);
         int asking = 0;
         Known next = null;
@@ -399,8 +401,8 @@
             }
         }
         if (next != null
-                && asking < bounds.askedAtOnce()
-                && now >= lastAskedAt + bounds.askedApart()) {
+                && asking < bounds.maxConcurrentProbes()
+                && now >= lastAskedAt + bounds.probeIntervalMillis()) {
             next.asking = true;
             next.askedAt = now;
             lastAskedAt = now;
@@ -413,32 +415,32 @@
         if (known.asking || known.connected || now < known.askAgainAt) {
             return false;
         }
-        if (known.line.standing() == EndpointRecord.Phase.GONE) {
+        if (known.line.phase() == EndpointRecord.Phase.REMOVED) {
             return false;
         }
         return known.struck != null
                 || (!proven(known, now)
-                        && (trust(now) != ListFreshness.FRESH
+                        && (freshness(now) != ListFreshness.FRESH
                                 || known.source == RecordSource.SITE
-                                || (known.line.standing() != EndpointRecord.Phase.READY
+                                || (known.line.phase() != EndpointRecord.Phase.READY
                                         && known.permitted)));
     }
 
     private boolean proven(Known known, double now) {
-        return known.connected || now - known.provenAt <= bounds.proofHolds();
+        return known.connected || now - known.provenAt <= bounds.verificationMillis();
     }
 
     /**
      * Lets time do its work: omissions that were doubted long enough, trust that fades. Tells
      * whether that changed.
      */
-    public boolean pass(double now) {
-        boolean changed = trust(now) != trustBefore;
-        trustBefore = trust(now);
+    public boolean advanceTo(double now) {
+        boolean changed = freshness(now) != trustBefore;
+        trustBefore = freshness(now);
         for (Known known : nodes.values()) {
-            if (now - known.missingSince > bounds.doubt()) {
+            if (now - known.missingSince > bounds.omissionGraceMillis()) {
                 known.missingSince = Double.NaN;
-                known.line = known.line.standing(EndpointRecord.Phase.GONE);
+                known.line = known.line.phase(EndpointRecord.Phase.REMOVED);
                 changed = true;
             }
             if (known.heldUntil != Double.NEGATIVE_INFINITY && now >= known.heldUntil) {
@@ -450,17 +452,17 @@
     }
 
     /** Every node that is known, and how it is to be used now. */
-    public List<MemberView> seen(double now) {
-        ListFreshness trust = trust(now);
+    public List<MemberView> members(double now) {
+        ListFreshness trust = freshness(now);
         List<MemberView> all = new ArrayList<>(nodes.size());
         for (Known known : nodes.values()) {
             boolean proven = proven(known, now);
-            EndpointRecord.Phase use = known.line.standing();
+            EndpointRecord.Phase use = known.line.phase();
             String reason = "listed as it is";
             if (known.struck != null) {
-                use = EndpointRecord.Phase.GONE;
+                use = EndpointRecord.Phase.REMOVED;
                 reason = known.struck;
-            } else if (use == EndpointRecord.Phase.GONE) {
+            } else if (use == EndpointRecord.Phase.REMOVED) {
                 reason = "listed as gone, or no longer listed";
             } else if (use == EndpointRecord.Phase.DRAINING || known.selfDraining) {
                 use = EndpointRecord.Phase.DRAINING;
@@ -470,7 +472,7 @@
                 reason = "it flaps: held down until it stays";
             } else if (!proven
                     && (trust == ListFreshness.OLD || known.source == RecordSource.SITE)) {
-                use = EndpointRecord.Phase.GONE;
+                use = EndpointRecord.Phase.REMOVED;
                 reason = "not believed before it has proven itself";
             } else if (!proven && trust == ListFreshness.AGED) {
                 reason = "aged list: no new objects before it has proven itself";
@@ -485,12 +487,12 @@
     }
 
     /** Whether any node is known. */
-    public boolean empty() {
+    public boolean isEmpty() {
         return nodes.isEmpty();
     }
 
     /** What is to go to disk. */
-    public StoredEndpointList kept() {
+    public StoredEndpointList snapshot() {
         List<StoredEndpointList.StoredEndpoint> lines = new ArrayList<>(nodes.size());
         for (Known known : nodes.values()) {
             if (known.source != RecordSource.SITE) {
--- a/src/main/java/sagepulley/membership/ReconnectBackoff.java
+++ b/src/main/java/sagepulley/membership/ReconnectBackoff.java
@@ -21,13 +21,13 @@
     }
 
     /** The pause before the next try. */
-    public double next() {
+    public double nextDelayMillis() {
         pause = Math.min(longest, least + random.nextDouble() * Math.max(0, 3 * pause - least));
         return pause;
     }
 
     /** It answered. */
-    public void answered() {
+    public void reset() {
         pause = least;
     }
 }
--- a/src/main/java/sagepulley/membership/StoredEndpointList.java
+++ b/src/main/java/sagepulley/membership/StoredEndpointList.java
@@ -1,5 +1,6 @@
 package sagepulley.membership;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
@@ -7,12 +8,19 @@
  * at, and when a directory last confirmed it (wall-clock milliseconds, 0 for never).
  */
 public record StoredEndpointList(
-        String site, long history, long version, long confirmedAt, List<StoredEndpoint> lines) {
+        String site,
+        long history,
+        long version,
+        long confirmedAt,
+        @JsonProperty("lines") List<StoredEndpoint> endpoints) {
     /**
      * A line, where it came from, and whether the node itself or this gateway knows better than the
      * directory.
      */
-    public record StoredEndpoint(EndpointRecord line, RecordSource source, boolean selfDraining) {}
+    public record StoredEndpoint(
+            @JsonProperty("line") EndpointRecord endpoint,
+            RecordSource source,
+            boolean selfDraining) {}
 
     private static final int MOST_LINES = 1 << 14;
 
@@ -23,17 +31,17 @@
      */
     public StoredEndpointList checked() {
         if (site == null
-                || lines == null
-                || lines.size() > MOST_LINES
+                || endpoints == null
+                || endpoints.size() > MOST_LINES
                 || version < 0
                 || confirmedAt < 0) {
             throw new IllegalArgumentException("no list of nodes");
         }
-        for (StoredEndpoint kept : lines) {
-            EndpointRecord line = kept == null ? null : kept.line;
+        for (StoredEndpoint kept : endpoints) {
+            EndpointRecord line = kept == null ? null : kept.endpoint;
             if (line == null
                     || kept.source == null
-                    || line.standing() == null
+                    || line.phase() == null
                     || line.host() == null
                     || line.host().isEmpty()
                     || line.host().length() > 255
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -137,7 +137,7 @@
     private String view()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         GatewayAccounts written = gateway.writtenBook().get(LONGEST_SECONDS, TimeUnit.SECONDS);
-        LatencyAccount book = written.kept().book();
+        LatencyAccount book = written.accounts().toAccount();
         double now = written.writtenAt();
         List<LatencyReport> reports =
                 book.volumes().stream()
@@ -148,7 +148,7 @@
                         new View(
                                 written.gateway(),
                                 written.writtenAt(),
-                                written.names(),
+                                written.volumeNames(),
                                 reports,
                                 book.flows(now - LATELY, now)));
     }
@@ -171,14 +171,14 @@
         names.forEach(
                 (id, name) -> {
                     volume(id, name, "met", sum -> sum.met);
-                    volume(id, name, "declined", sum -> sum.declined);
-                    volume(id, name, "scrapped", sum -> sum.scrapped);
-                    volume(id, name, "left", sum -> sum.left);
+                    volume(id, name, "declined", sum -> sum.rejected);
+                    volume(id, name, "scrapped", sum -> sum.abandoned);
+                    volume(id, name, "left", sum -> sum.cancelled);
                     volume(
                             id,
                             name,
                             "late",
-                            sum -> sum.missed - sum.declined - sum.scrapped - sum.left);
+                            sum -> sum.missed - sum.rejected - sum.abandoned - sum.cancelled);
                     of(
                             id,
                             "sagepulley.volume.units",
@@ -190,13 +190,13 @@
                             "sagepulley.volume.waited.seconds",
                             "time not worked on by a node",
                             name,
-                            sum -> sum.waited / 1000);
+                            sum -> sum.waitedMillis / 1000);
                     of(
                             id,
                             "sagepulley.volume.utility.lost",
                             "utility of what was not met",
                             name,
-                            sum -> sum.utilityLost);
+                            sum -> sum.lostWeight);
                 });
         for (LatencyComponent part : LatencyComponent.values()) {
             sum(
@@ -204,7 +204,7 @@
                     "where operations' time went",
                     "part",
                     part,
-                    now -> now.part(part) / 1000);
+                    now -> now.millisIn(part) / 1000);
         }
         for (Cause.Kind kind : Cause.Kind.values()) {
             sum(
@@ -212,13 +212,13 @@
                     "waiting by its cause",
                     "cause",
                     kind,
-                    now -> now.waited(kind) / 1000);
+                    now -> now.waitedMillis(kind) / 1000);
             sum(
                     "sagepulley.cause.utility.lost",
                     "utility lost by the cause of the wait",
                     "cause",
                     kind,
-                    now -> now.lost(kind));
+                    now -> now.lostWeight(kind));
         }
         for (PlanTier part : PlanTier.values()) {
             sum(
--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -22,7 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(AccountFile.class);
 
     /** What a file says, and its figures checked. */
-    public record Read(GatewayAccounts head, LatencyAccount book) {}
+    public record Loaded(GatewayAccounts stored, LatencyAccount account) {}
 
     private final SnapshotFile generations;
 
@@ -36,19 +36,19 @@
     }
 
     /** The newest accounts that can be believed, or null; what can't be is logged and set aside. */
-    public Read goOn() throws IOException {
+    public Loaded load() throws IOException {
         while (true) {
-            SnapshotFile.Reading reading = generations.read();
-            for (SnapshotFile.Refused refused : reading.refused()) {
-                setAside(refused.file(), refused.why());
+            SnapshotFile.ReadResult reading = generations.read();
+            for (SnapshotFile.Rejected refused : reading.rejected()) {
+                setAside(refused.file(), refused.reason());
             }
-            if (reading.found() == null) {
+            if (reading.snapshot() == null) {
                 return null;
             }
             try {
-                return read(reading.found());
+                return read(reading.snapshot());
             } catch (IOException e) {
-                setAside(reading.found().file(), e.getMessage());
+                setAside(reading.snapshot().file(), e.getMessage());
             }
         }
     }
@@ -66,30 +66,30 @@
      *
      * @throws IOException if there is none that can be believed
      */
-    public static Read report(Path file) throws IOException {
-        SnapshotFile.Reading reading = new SnapshotFile(file, KIND, FORMAT, "", 1).read();
-        if (reading.found() == null) {
+    public static Loaded report(Path file) throws IOException {
+        SnapshotFile.ReadResult reading = new SnapshotFile(file, KIND, FORMAT, "", 1).read();
+        if (reading.snapshot() == null) {
             throw new IOException(
-                    reading.refused().isEmpty()
+                    reading.rejected().isEmpty()
                             ? file + ": is not there"
-                            : reading.refused().get(0).file()
+                            : reading.rejected().get(0).file()
                                     + ": "
-                                    + reading.refused().get(0).why());
+                                    + reading.rejected().get(0).reason());
         }
-        return read(reading.found());
+        return read(reading.snapshot());
     }
 
-    private static Read read(SnapshotFile.Found found) throws IOException {
+    private static Loaded read(SnapshotFile.Snapshot found) throws IOException {
         try {
             GatewayAccounts head = READER.readValue(found.body());
             if (head == null
                     || head.gateway() == null
-                    || head.names() == null
-                    || head.told() == null
-                    || head.kept() == null) {
+                    || head.volumeNames() == null
+                    || head.versionNotifiedAt() == null
+                    || head.accounts() == null) {
                 throw new IOException(found.file() + ": has no accounts in it");
             }
-            return new Read(head, head.kept().book());
+            return new Loaded(head, head.accounts().toAccount());
         } catch (JsonProcessingException e) {
             throw new IOException(found.file() + ": " + e.getOriginalMessage(), e);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/sagepulley/persistence/EndpointListFile.java
+++ b/src/main/java/sagepulley/persistence/EndpointListFile.java
@@ -22,11 +22,11 @@
      * What a look at the files found: the newest list that can be believed (null: none), and what
      * cannot.
      */
-    public record Look(
+    public record ReadResult(
             StoredEndpointList list,
-            Path from,
+            Path file,
             long writtenAt,
-            List<SnapshotFile.Refused> refused) {}
+            List<SnapshotFile.Rejected> rejected) {}
 
     private final SnapshotFile generations;
     private final Path file;
@@ -42,37 +42,41 @@
     }
 
     /** Looks, and changes nothing on the disk. */
-    public Look look() {
-        SnapshotFile.Reading reading = generations.read();
-        List<SnapshotFile.Refused> refused = new ArrayList<>(reading.refused());
-        if (reading.found() == null) {
-            return new Look(null, file, 0, refused);
+    public ReadResult inspect() {
+        SnapshotFile.ReadResult reading = generations.read();
+        List<SnapshotFile.Rejected> refused = new ArrayList<>(reading.rejected());
+        if (reading.snapshot() == null) {
+            return new ReadResult(null, file, 0, refused);
         }
         try {
             StoredEndpointList list =
-                    JSON.readValue(reading.found().body(), StoredEndpointList.class);
+                    JSON.readValue(reading.snapshot().body(), StoredEndpointList.class);
             if (list == null) {
                 throw new IllegalArgumentException("no list of nodes");
             }
-            return new Look(
-                    list.checked(), reading.found().file(), reading.found().writtenAt(), refused);
+            return new ReadResult(
+                    list.checked(),
+                    reading.snapshot().file(),
+                    reading.snapshot().writtenAt(),
+                    refused);
         } catch (JsonProcessingException e) {
-            refused.add(new SnapshotFile.Refused(reading.found().file(), e.getOriginalMessage()));
+            refused.add(
+                    new SnapshotFile.Rejected(reading.snapshot().file(), e.getOriginalMessage()));
         } catch (IOException | IllegalArgumentException e) {
-            refused.add(new SnapshotFile.Refused(reading.found().file(), e.getMessage()));
+            refused.add(new SnapshotFile.Rejected(reading.snapshot().file(), e.getMessage()));
         }
-        return new Look(null, reading.found().file(), 0, refused);
+        return new ReadResult(null, reading.snapshot().file(), 0, refused);
     }
 
     /** The newest list that can be believed, or null; what can't be is logged and set aside. */
-    public StoredEndpointList start() {
+    public StoredEndpointList load() {
         while (true) {
-            Look look = look();
-            for (SnapshotFile.Refused refused : look.refused()) {
+            ReadResult look = inspect();
+            for (SnapshotFile.Rejected refused : look.rejected()) {
                 try {
                     LOG.atWarn()
                             .addKeyValue("file", refused.file())
-                            .addKeyValue("why", refused.why())
+                            .addKeyValue("why", refused.reason())
                             .addKeyValue("aside", generations.setAside(refused.file()))
                             .log("list of nodes not believed, set aside");
                 } catch (IOException e) {
@@ -83,7 +87,7 @@
                     return look.list();
                 }
             }
-            if (look.list() != null || look.refused().isEmpty()) {
+            if (look.list() != null || look.rejected().isEmpty()) {
                 return look.list();
             }
         }
--- a/src/main/java/sagepulley/persistence/GatewayAccounts.java
+++ b/src/main/java/sagepulley/persistence/GatewayAccounts.java
@@ -1,5 +1,6 @@
 package sagepulley.persistence;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Map;
 import sagepulley.accounts.StoredAccounts;
 
@@ -10,6 +11,6 @@
 public record GatewayAccounts(
         String gateway,
         long writtenAt,
-        Map<Long, String> names,
-        Map<Long, Double> told,
-        StoredAccounts kept) {}
+        @JsonProperty("names") Map<Long, String> volumeNames,
+        @JsonProperty("told") Map<Long, Double> versionNotifiedAt,
+        @JsonProperty("kept") StoredAccounts accounts) {}
--- a/src/main/java/sagepulley/persistence/HolderFile.java
+++ b/src/main/java/sagepulley/persistence/HolderFile.java
@@ -16,7 +16,7 @@
  */
 public final class HolderFile {
     /** Extents of all volumes together that are kept at most. */
-    public static final int MOST_EXTENTS = 1 << 22;
+    public static final int MAX_EXTENTS = 1 << 22;
 
     private static final int MOST_VOLUMES = 1 << 16;
     private static final int LEVEL = 3;
@@ -33,18 +33,18 @@
     }
 
     /** As they were kept; empty if nothing can be believed. */
-    public Map<Integer, int[]> start() {
-        SnapshotFile.Reading reading = generations.read();
-        for (SnapshotFile.Refused refused : reading.refused()) {
-            aside(refused.file(), refused.why());
+    public Map<Integer, int[]> load() {
+        SnapshotFile.ReadResult reading = generations.read();
+        for (SnapshotFile.Rejected refused : reading.rejected()) {
+            aside(refused.file(), refused.reason());
         }
-        if (reading.found() == null) {
+        if (reading.snapshot() == null) {
             return Map.of();
         }
         try {
-            return cells(reading.found().body());
+            return cells(reading.snapshot().body());
         } catch (IOException e) {
-            aside(reading.found().file(), e.getMessage());
+            aside(reading.snapshot().file(), e.getMessage());
             return Map.of();
         }
     }
@@ -95,7 +95,7 @@
 
     static Map<Integer, int[]> cells(byte[] body) throws IOException {
         long size = Zstd.getFrameContentSize(body);
-        if (size < 4 || size > 4 + 12L * MOST_VOLUMES + 8L * MOST_EXTENTS) {
+        if (size < 4 || size > 4 + 12L * MOST_VOLUMES + 8L * MAX_EXTENTS) {
             throw new IOException("holders of " + size + " bytes can be none");
         }
         ByteBuffer from;
@@ -115,7 +115,7 @@
             int length = from.getInt();
             int runs = from.getInt();
             all += length;
-            if (length < 0 || all > MOST_EXTENTS || runs < 0 || from.remaining() < 8L * runs) {
+            if (length < 0 || all > MAX_EXTENTS || runs < 0 || from.remaining() < 8L * runs) {
                 throw new IOException("holders of volume " + volume + " do not fit");
             }
             int[] cells = new int[length];
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -45,13 +45,13 @@
     /**
      * A body that was found whole, when it was written (wall-clock milliseconds), and its number.
      */
-    public record Found(byte[] body, long writtenAt, long number, Path file) {}
+    public record Snapshot(byte[] body, long writtenAt, long number, Path file) {}
 
     /** A file that is not believed, and why. */
-    public record Refused(Path file, String why) {}
+    public record Rejected(Path file, String reason) {}
 
     /** The newest that can be believed (null if none can) and what could not be. */
-    public record Reading(Found found, List<Refused> refused) {}
+    public record ReadResult(Snapshot snapshot, List<Rejected> rejected) {}
 
     private final Path file;
     private final String kind;
@@ -94,8 +94,8 @@
      */
     public synchronized void write(byte[] body, long writtenAt) throws IOException {
         if (number < 0) {
-            Reading before = read();
-            number = before.found == null ? 0 : before.found.number;
+            ReadResult before = read();
+            number = before.snapshot == null ? 0 : before.snapshot.number;
         }
         Files.createDirectories(file.getParent());
         byte[] head = head(body, writtenAt, number + 1);
@@ -171,12 +171,12 @@
     // ---- reading ----
 
     /** Looks at every generation: the newest whole one counts. Nothing is changed on the disk. */
-    public synchronized Reading read() {
-        List<Refused> refused = new ArrayList<>();
-        Found best = null;
+    public synchronized ReadResult read() {
+        List<Rejected> refused = new ArrayList<>();
+        Snapshot best = null;
         for (Path path : candidates()) {
             try {
-                Found found = check(path);
+                Snapshot found = check(path);
                 if (best == null || found.number > best.number) {
                     best = found;
                 }
@@ -184,10 +184,10 @@
                 // none of that age
             } catch (IOException e) {
                 refused.add(
-                        new Refused(path, e.getMessage() == null ? e.toString() : e.getMessage()));
+                        new Rejected(path, e.getMessage() == null ? e.toString() : e.getMessage()));
             }
         }
-        return new Reading(best, refused);
+        return new ReadResult(best, refused);
     }
 
     private List<Path> candidates() {
@@ -209,7 +209,7 @@
         return aside;
     }
 
-    private Found check(Path path) throws IOException {
+    private Snapshot check(Path path) throws IOException {
         long size = Files.size(path);
         if (size > MOST_BODY + MOST_HEAD) {
             throw new IOException("is longer than such a file can be");
@@ -252,7 +252,7 @@
             if (!its.equals(owner) && !owner.isEmpty()) {
                 throw new IOException("belongs to '" + its + "', not to '" + owner + "'");
             }
-            return new Found(body, Long.parseLong(words[4]), Long.parseLong(words[5]), path);
+            return new Snapshot(body, Long.parseLong(words[4]), Long.parseLong(words[5]), path);
         } catch (IllegalArgumentException e) {
             throw new IOException("has a damaged head", e);
         }
--- a/src/main/java/sagepulley/placement/ExtentHolders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -16,7 +16,7 @@
  */
 public final class ExtentHolders<W> {
     /** Who waits so long for the directory is handed on with the holder unknown. */
-    public static final double LONGEST_WAIT = 50;
+    public static final double MAX_WAIT_MILLIS = 50;
 
     private static final int NOBODY = -1;
 
@@ -45,18 +45,18 @@
     }
 
     /** Whether a claim for the extent is out. */
-    public boolean claiming(long key) {
+    public boolean hasPendingClaim(long key) {
         Place<W> place = places.get(key);
         return place != null && place.claims > 0;
     }
 
     /** A claim goes out. */
-    public void claims(long key) {
+    public void claimStarted(long key) {
         places.computeIfAbsent(key, any -> new Place<>()).claims++;
     }
 
     /** A claim is over; tells who waited for it, if it was the last. */
-    public List<W> claimed(long key) {
+    public List<W> claimEnded(long key) {
         Place<W> place = places.get(key);
         if (place == null || --place.claims > 0) {
             return List.of();
@@ -65,7 +65,7 @@
     }
 
     /** The holder was told; tells who waited to learn it. The first that was told stands. */
-    public List<W> learned(long key, int cell) {
+    public List<W> holderLearned(long key, int cell) {
         Place<W> place = places.computeIfAbsent(key, any -> new Place<>());
         if (place.cell == NOBODY) {
             place.cell = cell;
@@ -83,14 +83,14 @@
     }
 
     /** Lets somebody wait. */
-    public void park(long key, W who, double now) {
+    public void addWaiter(long key, W who, double now) {
         Place<W> place = places.computeIfAbsent(key, any -> new Place<>());
-        place.waiting.add(new Waiting<>(who, now + LONGEST_WAIT));
+        place.waiting.add(new Waiting<>(who, now + MAX_WAIT_MILLIS));
         awaited.put(key, place);
     }
 
     /** Takes one out who waits; false if it did not. */
-    public boolean unpark(long key, W who) {
+    public boolean removeWaiter(long key, W who) {
         Place<W> place = awaited.get(key);
         if (place == null || !place.waiting.removeIf(waiting -> waiting.who() == who)) {
             return false;
@@ -100,7 +100,7 @@
     }
 
     /** Takes out everybody who has waited long enough. */
-    public List<W> overdue(double now) {
+    public List<W> takeExpired(double now) {
         List<W> due = new ArrayList<>(0);
         for (Iterator<Map.Entry<Long, Place<W>>> at = awaited.entrySet().iterator();
                 at.hasNext(); ) {
@@ -114,7 +114,7 @@
     }
 
     /** When somebody will have waited long enough; infinity if nobody waits. */
-    public double nextOverdue() {
+    public double nextExpiry() {
         double next = Double.POSITIVE_INFINITY;
         for (Place<W> place : awaited.values()) {
             for (Waiting<W> waiting : place.waiting) {
--- a/src/main/java/sagepulley/platform/DiscoveryClient.java
+++ b/src/main/java/sagepulley/platform/DiscoveryClient.java
@@ -158,10 +158,10 @@
     private void keepOpen(DiscoveryRequest call) {
         call.become(Role.OVERDUE);
         overdue.add(call);
-        if (overdue.size() > EndpointPollPolicy.MOST_OVERDUE) {
+        if (overdue.size() > EndpointPollPolicy.MAX_OVERDUE) {
             DiscoveryRequest oldest = overdue.peekFirst();
             DiscoveryRequest dropped =
-                    EndpointPollPolicy.oldestGivesWay(
+                    EndpointPollPolicy.shouldDropOldest(
                                     oldest.role() == Role.FORMER,
                                     oldest.openFor(),
                                     oldest.quietFor())
--- a/src/main/java/sagepulley/platform/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/platform/DiscoveryRequest.java
@@ -72,7 +72,9 @@
     /** How long a first list, and a sign of life on a watch, are waited for. */
     record Patience(long firstListMs, long silenceMs) {
         static final Patience USUAL =
-                new Patience(EndpointPollPolicy.FIRST_LIST_WITHIN, EndpointPollPolicy.SILENCE);
+                new Patience(
+                        EndpointPollPolicy.FIRST_LIST_TIMEOUT_MILLIS,
+                        EndpointPollPolicy.IDLE_TIMEOUT_MILLIS);
     }
 
     /** Told what happens to a call. */
@@ -175,7 +177,7 @@
                         .connector()
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                EndpointPollPolicy.CONNECT_WITHIN)
+                                EndpointPollPolicy.CONNECT_TIMEOUT_MILLIS)
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.FleetMerger;
@@ -62,10 +61,12 @@
         ScenarioRunner drill = new ScenarioRunner(day);
         ScenarioRunner.Result result = drill.run();
         Map<Long, String> names = new HashMap<>();
-        List<FleetMerger.Member> members = new ArrayList<>();
+        List<FleetMerger.GatewayAccount> members = new ArrayList<>();
         for (GatewayAccounts book : drill.books()) {
-            names.putAll(book.names());
-            members.add(new FleetMerger.Member(book.gateway(), book.kept().book(), book.told()));
+            names.putAll(book.volumeNames());
+            members.add(
+                    new FleetMerger.GatewayAccount(
+                            book.gateway(), book.accounts().toAccount(), book.versionNotifiedAt()));
         }
         FleetMerger.Merged merged = FleetMerger.merge(members);
         List<Row> rows = new ArrayList<>();
@@ -79,17 +80,17 @@
                                             new SiteConfigException(
                                                     "no volume is called " + known.volume()))
                             .getKey();
-            LatencyReport report = merged.book().report(volume, 0, Double.MAX_VALUE / 2);
-            List<LatencyReport.Charged> waits =
+            LatencyReport report = merged.account().report(volume, 0, Double.MAX_VALUE / 2);
+            List<LatencyReport.CauseReport> waits =
                     report.causes().stream()
                             .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
                             .toList();
-            LatencyReport.Charged main = report.main();
+            LatencyReport.CauseReport main = report.mainCause();
             boolean hit = main != null && isOf(known, main, names);
             boolean wrong = wrongly(known, main, names);
-            for (FleetMerger.Member member : members) {
-                LatencyReport.Charged alone =
-                        member.book().report(volume, 0, Double.MAX_VALUE / 2).main();
+            for (FleetMerger.GatewayAccount member : members) {
+                LatencyReport.CauseReport alone =
+                        member.account().report(volume, 0, Double.MAX_VALUE / 2).mainCause();
                 wrong |= wrongly(known, alone, names);
             }
             rows.add(
@@ -110,29 +111,29 @@
     }
 
     private static boolean wrongly(
-            Scenario.Known known, LatencyReport.Charged main, Map<Long, String> names) {
+            Scenario.Known known, LatencyReport.CauseReport main, Map<Long, String> names) {
         return main != null
                 && main.confidence() == LatencyReport.Confidence.HIGH
                 && !isOf(known, main, names);
     }
 
     private static boolean isOf(
-            Scenario.Known known, LatencyReport.Charged main, Map<Long, String> names) {
+            Scenario.Known known, LatencyReport.CauseReport main, Map<Long, String> names) {
         String name = name(main, names);
         return known.causes().stream()
                 .anyMatch(right -> name.equals(right) || name.startsWith(right + ":"));
     }
 
     /** As scripts write causes: the kind, and a volume's name or a node where it has one. */
-    private static String name(LatencyReport.Charged charged, Map<Long, String> names) {
+    private static String name(LatencyReport.CauseReport charged, Map<Long, String> names) {
         if (charged == null) {
             return "nothing";
         }
-        String kind = charged.kind().name().toLowerCase(Locale.ROOT);
+        String kind = charged.kind().externalName();
         return switch (charged.kind()) {
             case NEIGHBOUR, PAUSE ->
                     kind + ":" + names.getOrDefault(charged.volume(), "" + charged.volume());
-            case SLOW_NODE, COLD_NODE, FAULT, NETWORK -> kind + ":" + charged.node();
+            case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> kind + ":" + charged.node();
             default -> kind;
         };
     }
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -75,23 +75,23 @@
             double serviceOfAll) {}
 
     private static final class Blind extends Membership {
-        Blind(String site, Bounds bounds) {
+        Blind(String site, Policy bounds) {
             super(site, bounds, new SplittableRandom(1));
         }
 
         @Override
-        public ListFreshness trust(double now) {
+        public ListFreshness freshness(double now) {
             return ListFreshness.FRESH;
         }
 
         @Override
-        public HandshakeVerdict welcomed(
+        public HandshakeVerdict handshakeCompleted(
                 int node, int who, int cell, boolean draining, long startedAt, double now) {
-            return HandshakeVerdict.GO;
+            return HandshakeVerdict.ACCEPTED;
         }
 
         @Override
-        public void drains(int node) {
+        public void drainAnnounced(int node) {
             // believes its list only
         }
     }
@@ -194,14 +194,14 @@
 
     private static void age(Path path, double by) throws IOException {
         EndpointListFile file = new EndpointListFile(path, "sagepulley");
-        StoredEndpointList list = file.look().list();
+        StoredEndpointList list = file.inspect().list();
         file.write(
                 new StoredEndpointList(
                         list.site(),
                         list.history(),
                         list.version(),
                         list.confirmedAt() - (long) by,
-                        list.lines()),
+                        list.endpoints()),
                 System.currentTimeMillis());
     }
 
@@ -254,7 +254,7 @@
                             ? new NbdGateway(
                                     site,
                                     seed * 1000 + i,
-                                    new Blind(site.siteName(), Membership.Bounds.USUAL))
+                                    new Blind(site.siteName(), Membership.Policy.DEFAULT))
                             : new NbdGateway(site, seed * 1000 + i);
             var ready = gateway.start();
             if (way != Way.WAITING) {
@@ -387,7 +387,7 @@
             if (now >= 1_000) { // the moment at which all lost it is the same either way
                 tenths.merge((long) (now / 100), 1, Integer::sum);
             }
-            double again = spread ? pauses[who].next() : 250;
+            double again = spread ? pauses[who].nextDelayMillis() : 250;
             if (now < downMs) {
                 tries.add(new double[] {now + again, who});
             } else if (busyUntil - now > queue * 1000 / perSecond) {
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -181,15 +181,17 @@
             return;
         }
         Wire wire = up.get(chance.nextInt(up.size()));
-        long extents = Math.min(load.extents(), volume.size() / site.extentBytes());
+        long extents = Math.min(load.extents(), volume.sizeBytes() / site.extentBytes());
         long places = Math.max(1, extents * site.extentBytes() / load.bytes());
         long offset = chance.nextLong(places) * load.bytes();
         boolean reads = chance.nextDouble() < load.reads();
         StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
         int band =
                 !reads
-                        ? volume.writeBand()
-                        : load.bytes() >= volume.bulkFrom() ? volume.bulkBand() : volume.readBand();
+                        ? volume.writeTrafficClass()
+                        : load.bytes() >= volume.bulkThresholdBytes()
+                                ? volume.bulkTrafficClass()
+                                : volume.readTrafficClass();
         long now = System.nanoTime();
         SocketEventLog.Asked asked =
                 eventLog.asks(wire.gateway, volume.id(), kind, band, offset, load.bytes(), now);
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -266,7 +266,7 @@
         } else if (!lease.isBounded()) {
             // On a platform listConfirmed tells it: a list may also come from an address that
             // discovery has left, which answers no call that is due.
-            discovery.answered();
+            discovery.pollSucceeded();
         }
         // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
         queueAnew(homeless);
@@ -303,7 +303,7 @@
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
         state++;
-        discovery.answered();
+        discovery.pollSucceeded();
     }
 
     /** Nobody could reach discovery at a time. */
@@ -313,22 +313,22 @@
 
     /** A list call failed, or the subscription dropped. */
     public void onPollFailed(double now) {
-        discovery.failed(now);
+        discovery.pollFailed(now);
     }
 
     /** A new configuration was told at a time, which may move discovery. */
     public void onReloadNotified(double toldAt) {
-        lease.reloadTold(toldAt);
+        lease.reloadNotified(toldAt);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
     public void onConfigurationRead(double readAt) {
-        lease.reloadRead(readAt);
+        lease.reloadCompleted(readAt);
     }
 
     /** The list is kept elsewhere from now on, and nobody has been asked there. */
     public void onDiscoveryMoved(double now) {
-        discovery.moved(now);
+        discovery.addressChanged(now);
     }
 
     /** What a probe found. */
--- a/src/main/java/sagepulley/tracing/OperationTrace.java
+++ b/src/main/java/sagepulley/tracing/OperationTrace.java
@@ -17,21 +17,21 @@
         long operation,
         long cookie,
         String volume,
-        String band,
+        String trafficClass,
         String kind,
         long extent,
         double units,
-        double arrived,
-        double took,
+        double arrivedAt,
+        double duration,
         Accounts.End end,
         Reason reason,
         String mainCause,
-        TailSampler.SampleReason kept,
-        double standsFor,
+        TailSampler.SampleReason sampleReason,
+        double sampleWeight,
         List<Step> steps,
         List<Attempt> attempts) {
     /** A stretch of time: what it went to, at which node (0: none), and how long. */
-    public record Step(LatencyComponent part, int node, double length) {}
+    public record Step(LatencyComponent component, int node, double duration) {}
 
     /**
      * One sending: whereto, in which part of the plan, how long after the arrival, and how it ended
@@ -41,7 +41,7 @@
             int number,
             int node,
             QuotaTier quotaTier,
-            double after,
-            double took,
+            double sentAfter,
+            double duration,
             Outcome outcome) {}
 }
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -3,6 +3,7 @@
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 import sagepulley.accounts.Accounts;
+import sagepulley.model.ExternalName;
 
 /**
  * Decides after an operation's end whether its trace is kept: what was scrapped, declined, missed
@@ -14,12 +15,23 @@
  */
 public final class TailSampler {
     /** Why an operation's trace is kept. */
-    public enum SampleReason {
-        SCRAPPED,
-        DECLINED,
-        MISSED,
-        SLOWEST,
-        CHANCE
+    public enum SampleReason implements ExternalName {
+        ABANDONED("scrapped"),
+        REJECTED("declined"),
+        MISSED("missed"),
+        SLOWEST("slowest"),
+        RANDOM("chance");
+
+        private final String externalName;
+
+        SampleReason(String externalName) {
+            this.externalName = externalName;
+        }
+
+        @Override
+        public String externalName() {
+            return externalName;
+        }
     }
 
     private static final double[] PARTS = {0.2, 0.2, 0.3, 0.2, 0.1};
@@ -41,8 +53,8 @@
     private double[] slow = new double[0];
 
     private int[] seen = new int[0];
-    private SampleReason why;
-    private long refused;
+    private SampleReason reason;
+    private long overBudget;
 
     /** At most so many a second; an ordinary one with this chance (0 to 1). */
     public TailSampler(double perSecond, double chance, RandomGenerator random) {
@@ -59,22 +71,22 @@
     }
 
     /** For how many operations this one's trace is kept to stand; 0 if it is not kept. */
-    public double keeps(Accounts.End end, boolean missed, int band, double took, double now) {
+    public double sample(Accounts.End end, boolean missed, int band, double took, double now) {
         fill(now);
         boolean slowest = slowest(band, took);
-        why =
+        reason =
                 switch (end) {
-                    case SCRAPPED -> SampleReason.SCRAPPED;
-                    case DECLINED -> SampleReason.DECLINED;
-                    case SATISFIED, LEFT ->
+                    case ABANDONED -> SampleReason.ABANDONED;
+                    case REJECTED -> SampleReason.REJECTED;
+                    case SERVED, CANCELLED ->
                             missed
                                     ? SampleReason.MISSED
-                                    : slowest ? SampleReason.SLOWEST : SampleReason.CHANCE;
+                                    : slowest ? SampleReason.SLOWEST : SampleReason.RANDOM;
                 };
-        int kind = why.ordinal();
+        int kind = reason.ordinal();
         counts[kind]++;
         double rate = counts[kind] * 1000 / RATE_WINDOW;
-        double wanted = why == SampleReason.CHANCE ? chance : 1;
+        double wanted = reason == SampleReason.RANDOM ? chance : 1;
         double bears = (PARTS[kind] * perSecond + spare) / Math.max(1e-9, rate);
         double part = Math.min(wanted, bears);
         if (part < 1 && random.nextDouble() >= part) {
@@ -85,23 +97,23 @@
         } else if (spare >= 1) {
             spare--;
         } else {
-            refused++;
+            overBudget++;
             return 0;
         }
         return 1 / part;
     }
 
     /** Why the latest was kept, or would have been. */
-    public SampleReason why() {
-        return why;
+    public SampleReason reason() {
+        return reason;
     }
 
     /**
      * How many were wanted and not kept since the start, because the budget was spent at that
      * moment.
      */
-    public long refused() {
-        return refused;
+    public long overBudget() {
+        return overBudget;
     }
 
     private void fill(double now) {
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -38,7 +38,7 @@
     private final io.opentelemetry.api.trace.Tracer spans;
     private final BlockingQueue<OperationTrace> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
     private final Thread maker = new Thread(this::work, "traces");
-    private final LongAdder made = new LongAdder();
+    private final LongAdder exported = new LongAdder();
     private final LongAdder dropped = new LongAdder();
     private volatile boolean ending;
 
@@ -75,15 +75,15 @@
     }
 
     /** Takes a story; drops it if too many wait. From any thread, without waiting. */
-    public void tell(OperationTrace trace) {
+    public void submit(OperationTrace trace) {
         if (!waiting.offer(trace)) {
             dropped.increment();
         }
     }
 
     /** Stories made into traces, and dropped, since the start. */
-    public long made() {
-        return made.sum();
+    public long exported() {
+        return exported.sum();
     }
 
     public long dropped() {
@@ -96,7 +96,7 @@
                 OperationTrace trace = waiting.poll(100, TimeUnit.MILLISECONDS);
                 if (trace != null) {
                     make(trace);
-                    made.increment();
+                    exported.increment();
                 }
             }
         } catch (InterruptedException e) {
@@ -113,24 +113,24 @@
     }
 
     private void make(OperationTrace trace) {
-        double end = trace.arrived() + trace.took();
+        double end = trace.arrivedAt() + trace.duration();
         Span root =
                 spans.spanBuilder("operation")
                         .setNoParent()
-                        .setStartTimestamp(at(trace.arrived()), TimeUnit.NANOSECONDS)
+                        .setStartTimestamp(at(trace.arrivedAt()), TimeUnit.NANOSECONDS)
                         .setAttribute("gateway", trace.gateway())
                         .setAttribute("operation", trace.operation())
                         .setAttribute("cookie", trace.cookie())
                         .setAttribute("volume", trace.volume())
-                        .setAttribute("band", trace.band())
+                        .setAttribute("band", trace.trafficClass())
                         .setAttribute("kind", trace.kind())
                         .setAttribute("extent", trace.extent())
                         .setAttribute("units", trace.units())
                         .setAttribute("result", word(trace.end()))
                         .setAttribute("reason", word(trace.reason()))
                         .setAttribute("main_cause", trace.mainCause())
-                        .setAttribute("kept", word(trace.kept()))
-                        .setAttribute("stands_for", trace.standsFor())
+                        .setAttribute("kept", word(trace.sampleReason()))
+                        .setAttribute("stands_for", trace.sampleWeight())
                         .startSpan();
         Context within = Context.root().with(root);
         for (OperationTrace.Attempt attempt : trace.attempts()) {
@@ -138,7 +138,8 @@
                     spans.spanBuilder("hop")
                             .setParent(within)
                             .setStartTimestamp(
-                                    at(trace.arrived() + attempt.after()), TimeUnit.NANOSECONDS)
+                                    at(trace.arrivedAt() + attempt.sentAfter()),
+                                    TimeUnit.NANOSECONDS)
                             .setAttribute("number", attempt.number())
                             .setAttribute("node", attempt.node())
                             .setAttribute(
@@ -150,21 +151,21 @@
             double ended =
                     attempt.outcome() == null
                             ? end
-                            : trace.arrived() + attempt.after() + attempt.took();
+                            : trace.arrivedAt() + attempt.sentAfter() + attempt.duration();
             one.startSpan().end(at(ended), TimeUnit.NANOSECONDS);
         }
-        double at = trace.arrived();
+        double at = trace.arrivedAt();
         for (OperationTrace.Step step : trace.steps()) {
             spans.spanBuilder("step")
                     .setParent(within)
                     .setStartTimestamp(at(at), TimeUnit.NANOSECONDS)
-                    .setAttribute("spent", word(step.part()))
+                    .setAttribute("spent", word(step.component()))
                     .setAttribute("node", step.node())
                     .startSpan()
-                    .end(at(at + step.length()), TimeUnit.NANOSECONDS);
-            at += step.length();
+                    .end(at(at + step.duration()), TimeUnit.NANOSECONDS);
+            at += step.duration();
         }
-        if (trace.end() == Accounts.End.SCRAPPED || trace.end() == Accounts.End.DECLINED) {
+        if (trace.end() == Accounts.End.ABANDONED || trace.end() == Accounts.End.REJECTED) {
             root.setStatus(StatusCode.ERROR, word(trace.reason()));
         }
         root.end(at(end), TimeUnit.NANOSECONDS);
--- a/src/main/resources/templates/report.ftlh
+++ b/src/main/resources/templates/report.ftlh
@@ -8,8 +8,8 @@
 <#list volumes as volume>
 <h2>${volume.name}</h2>
 <p>${volume.report.operations()} operations: ${volume.report.met()} in time, ${volume.report.missed()} not,
-${volume.report.declined()} declined, ${volume.report.scrapped()} scrapped, ${volume.report.left()} left by their
-client. Utility lost: ${volume.report.utilityLost()?string("0.0")}.</p>
+${volume.report.rejected()} declined, ${volume.report.abandoned()} scrapped, ${volume.report.cancelled()} left by their
+client. Utility lost: ${volume.report.lostWeight()?string("0.0")}.</p>
 <#if volume.main??>
 <p class="main">Main cause of its waits: <b>${volume.main}</b>, ${(volume.share * 100)?string("0")} % of its waiting
 (${volume.least?string("0.000")} to ${volume.most?string("0.000")} s), confidence ${volume.confidence}; most of it from
@@ -22,11 +22,11 @@
 <#list volume.plan as plan><tr><td>${plan.name}</td><td class="n">${plan.line.units()?string("0.0")}</td>
 <td class="n">${plan.line.met()?c}</td><td class="n">${plan.line.missed()?c}</td>
 <td class="n">${plan.line.p50()?string("0.0")}</td><td class="n">${plan.line.p99()?string("0.0")}</td>
-<td class="n">${plan.line.utilityLost()?string("0.0")}</td></tr></#list></table>
+<td class="n">${plan.line.lostWeight()?string("0.0")}</td></tr></#list></table>
 <#list [["Where its time went", volume.parts], ["What caused its waits", volume.causes]] as table>
 <h3>${table[0]}</h3>
-<table><#list table[1] as row><tr><td>${row.text}<#if row.charged?? && row.charged.exactShare() lt 0.7> (estimate:
-${(row.charged.least() / 1000)?string("0.000")} to ${(row.charged.most() / 1000)?string("0.000")} s)</#if></td>
+<table><#list table[1] as row><tr><td>${row.text}<#if row.charged?? && row.charged.observedShare() lt 0.7> (estimate:
+${(row.charged.lowerBound() / 1000)?string("0.000")} to ${(row.charged.upperBound() / 1000)?string("0.000")} s)</#if></td>
 <td class="n">${row.seconds?string("0.000")} s</td><td class="n">${(row.share * 100)?string("0.0")} %</td>
 <td style="width:16em"><div class="bar" style="width:${(row.share * 100)?string("0.0")}%"></div></td></tr>
 </#list></table>
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -36,7 +36,7 @@
                     0.2);
     private static final Accounts.Bounds SMALL = new Accounts.Bounds(5, 60, 8);
 
-    private final Accounts accounts = new Accounts(Accounts.Bounds.USUAL, 0);
+    private final Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 0);
 
     /** One attempt to a node and back. */
     private OperationTimer attempt(
@@ -49,9 +49,9 @@
             double worked,
             double queue) {
         OperationTimer meter = of.begin(volume, BAND, false, 1, at);
-        of.sent(meter, node, quotaTier, at);
-        of.answered(meter, waited, worked, queue, at + waited + worked);
-        of.end(meter, Accounts.End.SATISFIED, Reason.NONE, node, at + waited + worked);
+        of.attemptSent(meter, node, quotaTier, at);
+        of.attemptAnswered(meter, waited, worked, queue, at + waited + worked);
+        of.end(meter, Accounts.End.SERVED, Reason.NONE, node, at + waited + worked);
         return meter;
     }
 
@@ -59,8 +59,8 @@
     private void heldUntilDeclined(
             Accounts of, long volume, LatencyComponent why, int node, double from, double to) {
         OperationTimer meter = of.begin(volume, BAND, false, 1, from);
-        of.waits(meter, why, node, from);
-        of.end(meter, Accounts.End.DECLINED, Reason.OBJECTIVE_MISSED, node, to);
+        of.waitStarted(meter, why, node, from);
+        of.end(meter, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, node, to);
     }
 
     /**
@@ -81,16 +81,16 @@
             int step = steps.get(i);
             if (i % 3 == 0) {
                 OperationTimer other = all.begin(step % 9, BAND, true, 1, now);
-                all.sent(other, step % 4, QuotaTier.values()[step % 3], now);
+                all.attemptSent(other, step % 4, QuotaTier.values()[step % 3], now);
                 others.add(other);
             }
             now += length;
             if (step < 16) {
-                all.waits(meter, LatencyComponent.values()[step], step % 3, now);
+                all.waitStarted(meter, LatencyComponent.values()[step], step % 3, now);
             } else if (step < 28) {
-                all.sent(meter, step % 4, QuotaTier.values()[step % 3], now);
+                all.attemptSent(meter, step % 4, QuotaTier.values()[step % 3], now);
                 // A node may tell more than the attempt took.
-                all.answered(
+                all.attemptAnswered(
                         meter,
                         length * (step - 16) / 6,
                         length * (step - 20) / 4,
@@ -98,34 +98,39 @@
                         now + length);
                 now += length;
             } else {
-                all.sent(meter, step % 4, QuotaTier.values()[step % 3], now);
-                all.failed(
+                all.attemptSent(meter, step % 4, QuotaTier.values()[step % 3], now);
+                all.attemptFailed(
                         meter, Outcome.values()[step % Outcome.values().length], now + length / 2);
                 now += length;
             }
         }
-        all.end(meter, Accounts.End.SATISFIED, Reason.NONE, 1, now);
-        all.waits(meter, LatencyComponent.FUTILE, 1, now + 500); // after its end nothing is added
+        all.end(meter, Accounts.End.SERVED, Reason.NONE, 1, now);
+        all.waitStarted(
+                meter,
+                LatencyComponent.FAILED_ATTEMPT,
+                1,
+                now + 500); // after its end nothing is added
         for (OperationTimer other : others) {
-            all.failed(other, Outcome.TIMED_OUT, now + 1);
+            all.attemptFailed(other, Outcome.TIMED_OUT, now + 1);
         }
         double sum = 0;
         for (LatencyComponent part : LatencyComponent.values()) {
-            assertTrue(meter.spent(part) >= 0);
-            sum += meter.spent(part);
+            assertTrue(meter.millisIn(part) >= 0);
+            sum += meter.millisIn(part);
         }
         assertEquals(now - start, sum, 1e-6 * Math.max(1, now));
         LatencyReport report = all.report(7, start, now);
-        double causes = report.causes().stream().mapToDouble(LatencyReport.Charged::waited).sum();
+        double causes =
+                report.causes().stream().mapToDouble(LatencyReport.CauseReport::waited).sum();
         assertEquals(sum, causes, 1e-6 * Math.max(1, now));
         assertEquals(
                 sum,
-                report.parts().values().stream().mapToDouble(Double::doubleValue).sum(),
+                report.components().values().stream().mapToDouble(Double::doubleValue).sum(),
                 1e-6 * now + 1e-6);
-        for (LatencyReport.Charged charged : report.causes()) {
+        for (LatencyReport.CauseReport charged : report.causes()) {
             assertTrue(
-                    charged.least() <= charged.waited() + 1e-6
-                            && charged.waited() <= charged.most() + 1e-6,
+                    charged.lowerBound() <= charged.waited() + 1e-6
+                            && charged.waited() <= charged.upperBound() + 1e-6,
                     charged.toString());
         }
     }
@@ -138,18 +143,18 @@
             }
         }
         OperationTimer flood = accounts.begin(9, BAND, false, 3, 600);
-        accounts.sent(flood, 4, QuotaTier.EXCESS, 600);
+        accounts.attemptSent(flood, 4, QuotaTier.EXCESS, 600);
         OperationTimer waits = accounts.begin(2, BAND, false, 1, 600);
-        accounts.waits(waits, LatencyComponent.SHARE_FULL, 4, 600);
-        accounts.end(waits, Accounts.End.DECLINED, Reason.OBJECTIVE_MISSED, 4, 900);
+        accounts.waitStarted(waits, LatencyComponent.SHARE_FULL, 4, 600);
+        accounts.end(waits, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 4, 900);
         LatencyReport report = accounts.report(2, 0, 2000);
-        assertEquals(Cause.Kind.SLOW_NODE, report.main().kind());
-        assertEquals(4, report.main().node());
-        assertEquals(7.0 / 8, report.main().share(), 0.02);
-        assertEquals(3, report.utilityLost(), 1e-9);
+        assertEquals(Cause.Kind.SLOW_NODE, report.mainCause().kind());
+        assertEquals(4, report.mainCause().node());
+        assertEquals(7.0 / 8, report.mainCause().share(), 0.02);
+        assertEquals(3, report.lostWeight(), 1e-9);
         assertEquals(
                 3,
-                report.causes().stream().mapToDouble(LatencyReport.Charged::utilityLost).sum(),
+                report.causes().stream().mapToDouble(LatencyReport.CauseReport::lostWeight).sum(),
                 1e-6);
         assertTrue(
                 report.causes().stream()
@@ -163,21 +168,21 @@
     @Test
     void whoIsBeyondItsShareWaitsOnItself() {
         for (int i = 0; i < 8; i++) {
-            accounts.sent(accounts.begin(3, BAND, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
+            accounts.attemptSent(accounts.begin(3, BAND, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, LatencyComponent.BEYOND_SHARE, 1, 0, 10);
-            heldUntilDeclined(accounts, 4, LatencyComponent.RESERVE_FULL, 1, 0, 10);
+            heldUntilDeclined(accounts, 2, LatencyComponent.EXCESS_FULL, 1, 0, 10);
+            heldUntilDeclined(accounts, 4, LatencyComponent.RESERVATION_FULL, 1, 0, 10);
         }
-        assertEquals(Cause.Kind.OWN_LOAD, accounts.report(2, 0, 100).main().kind());
+        assertEquals(Cause.Kind.OWN_LOAD, accounts.report(2, 0, 100).mainCause().kind());
         assertTrue(
                 accounts.report(2, 0, 100).causes().stream()
                         .noneMatch(cause -> cause.kind() == Cause.Kind.NEIGHBOUR),
                 "nobody else is named");
         LatencyReport reserved = accounts.report(4, 0, 100);
-        assertEquals(Cause.Kind.NEIGHBOUR, reserved.main().kind());
-        assertEquals(3, reserved.main().volume());
-        assertEquals(LatencyReport.Confidence.HIGH, reserved.main().confidence());
+        assertEquals(Cause.Kind.NEIGHBOUR, reserved.mainCause().kind());
+        assertEquals(3, reserved.mainCause().volume());
+        assertEquals(LatencyReport.Confidence.HIGH, reserved.mainCause().confidence());
     }
 
     @Test
@@ -185,38 +190,39 @@
         for (int i = 0; i < 60; i++) {
             double at = 100 * i;
             OperationTimer small = accounts.begin(5, BAND, false, 1, at);
-            accounts.sent(small, 1, QuotaTier.SHARE, at);
+            accounts.attemptSent(small, 1, QuotaTier.SHARE, at);
             // The node tells of a queue that is not this gateway's.
             attempt(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
-            accounts.answered(small, 60, 5, 30, at + 66);
-            accounts.end(small, Accounts.End.SATISFIED, Reason.NONE, 1, at + 66);
+            accounts.attemptAnswered(small, 60, 5, 30, at + 66);
+            accounts.end(small, Accounts.End.SERVED, Reason.NONE, 1, at + 66);
         }
         for (int i = 0; i < 30; i++) {
             heldUntilDeclined(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
-        assertEquals(Cause.Kind.ELSEWHERE, report.main().kind(), report.causes().toString());
-        assertNotEquals(LatencyReport.Confidence.HIGH, report.main().confidence());
+        assertEquals(
+                Cause.Kind.OTHER_GATEWAYS, report.mainCause().kind(), report.causes().toString());
+        assertNotEquals(LatencyReport.Confidence.HIGH, report.mainCause().confidence());
     }
 
     @Test
     void aPauseIsNotTheReadersDoing() {
         for (int i = 0; i < 100; i++) {
             OperationTimer writer = accounts.begin(8, BAND, true, 1, 20 * i);
-            accounts.sent(writer, 1, QuotaTier.SHARE, 20 * i);
-            accounts.answered(writer, 0, 5, 0, 20 * i + 5);
-            accounts.end(writer, Accounts.End.SATISFIED, Reason.NONE, 1, 20 * i + 5);
+            accounts.attemptSent(writer, 1, QuotaTier.SHARE, 20 * i);
+            accounts.attemptAnswered(writer, 0, 5, 0, 20 * i + 5);
+            accounts.end(writer, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 5);
             OperationTimer before = accounts.begin(3, BAND, false, 1, 20 * i + 6);
-            accounts.sent(before, 1, QuotaTier.SHARE, 20 * i + 6);
+            accounts.attemptSent(before, 1, QuotaTier.SHARE, 20 * i + 6);
             // Usually a unit ahead is waited for 5 ms; once in a while for 300.
             attempt(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
-            accounts.answered(before, 0, 5, 0, 20 * i + 11);
-            accounts.end(before, Accounts.End.SATISFIED, Reason.NONE, 1, 20 * i + 11);
+            accounts.attemptAnswered(before, 0, 5, 0, 20 * i + 11);
+            accounts.end(before, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 11);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
-        assertEquals(Cause.Kind.PAUSE, report.main().kind(), report.causes().toString());
-        assertEquals(8, report.main().volume(), "its writes came before the pauses");
-        assertNotEquals(LatencyReport.Confidence.HIGH, report.main().confidence());
+        assertEquals(Cause.Kind.PAUSE, report.mainCause().kind(), report.causes().toString());
+        assertEquals(8, report.mainCause().volume(), "its writes came before the pauses");
+        assertNotEquals(LatencyReport.Confidence.HIGH, report.mainCause().confidence());
     }
 
     @Test
@@ -225,39 +231,39 @@
             attempt(accounts, 3, 1, QuotaTier.SHARE, 10 * i, 0, 5, 0);
         }
         for (int i = 0; i < 8; i++) {
-            accounts.sent(accounts.begin(3, BAND, false, 1, 200), 1, QuotaTier.SHARE, 200);
+            accounts.attemptSent(accounts.begin(3, BAND, false, 1, 200), 1, QuotaTier.SHARE, 200);
         }
         for (int i = 0; i < 30; i++) {
             heldUntilDeclined(accounts, 2, LatencyComponent.SHARE_FULL, 1, 200, 900);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
-        assertEquals(Cause.Kind.FAULT, report.main().kind());
-        assertEquals(1, report.main().node());
+        assertEquals(Cause.Kind.FAULT, report.mainCause().kind());
+        assertEquals(1, report.mainCause().node());
     }
 
     @Test
     void anAttemptThatTimedOutInALongQueueIsNotTheNodesFault() {
         OperationTimer flood = accounts.begin(9, BAND, false, 20, 0);
-        accounts.sent(flood, 1, QuotaTier.EXCESS, 0);
+        accounts.attemptSent(flood, 1, QuotaTier.EXCESS, 0);
         for (int i = 0; i < 40; i++) {
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 100 * i, 90, 10, 0);
         }
         for (int i = 0; i < 30; i++) {
             OperationTimer late = accounts.begin(2, BAND, false, 1, 3900);
-            accounts.sent(late, 1, QuotaTier.SHARE, 3900);
+            accounts.attemptSent(late, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
-            accounts.failed(late, Outcome.TIMED_OUT, 4100);
-            accounts.end(late, Accounts.End.DECLINED, Reason.OBJECTIVE_MISSED, 1, 4100);
+            accounts.attemptFailed(late, Outcome.TIMED_OUT, 4100);
+            accounts.end(late, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 1, 4100);
             OperationTimer lost = accounts.begin(3, BAND, false, 1, 3900);
-            accounts.sent(lost, 1, QuotaTier.SHARE, 3900);
+            accounts.attemptSent(lost, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
-            accounts.failed(lost, Outcome.TIMED_OUT, 6900);
-            accounts.end(lost, Accounts.End.SCRAPPED, Reason.MAY_HAVE_EXECUTED, 1, 6900);
+            accounts.attemptFailed(lost, Outcome.TIMED_OUT, 6900);
+            accounts.end(lost, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, 6900);
         }
-        assertEquals(Cause.Kind.NEIGHBOUR, accounts.report(2, 0, 9000).main().kind());
+        assertEquals(Cause.Kind.NEIGHBOUR, accounts.report(2, 0, 9000).mainCause().kind());
         assertEquals(
                 Cause.Kind.FAULT,
-                accounts.report(3, 0, 9000).main().kind(),
+                accounts.report(3, 0, 9000).mainCause().kind(),
                 "it answered others, not this one");
     }
 
@@ -267,13 +273,13 @@
         for (int i = 0; i < 100_000; i++) {
             double at = i * 100.0;
             OperationTimer meter = small.begin(i + 1, BAND, i % 2 == 0, 1, at);
-            small.sent(meter, 1 + i % 30, QuotaTier.SHARE, at);
-            small.failed(meter, Outcome.RESET, at + 10);
-            small.waits(meter, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
-            small.end(meter, Accounts.End.SCRAPPED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
+            small.attemptSent(meter, 1 + i % 30, QuotaTier.SHARE, at);
+            small.attemptFailed(meter, Outcome.RESET, at + 10);
+            small.waitStarted(meter, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
+            small.end(meter, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
         }
         assertTrue(small.volumes().size() <= 6, small.volumes().toString());
-        assertTrue(small.windows() <= 60, "windows " + small.windows());
+        assertTrue(small.windowCount() <= 60, "windows " + small.windowCount());
         assertTrue(small.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MOST_CAUSES);
         long operations =
                 small.volumes().stream()
@@ -288,7 +294,7 @@
             attempt(accounts, i, 1 + i % 40, QuotaTier.SHARE, i, 1, 1, 0);
         }
         assertEquals(10_000, accounts.volumes().size());
-        assertEquals(10_000, accounts.windows());
+        assertEquals(10_000, accounts.windowCount());
         assertEquals(1, accounts.report(77, 0, 20_000).operations());
     }
 
@@ -297,27 +303,27 @@
         attempt(accounts, 2, 1, QuotaTier.RESERVATION, 0, 1, 4, 0);
         attempt(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
         OperationTimer limited = accounts.begin(2, BAND, false, 1, 0);
-        accounts.waits(limited, LatencyComponent.LIMIT, 0, 0);
-        accounts.sent(limited, 1, QuotaTier.SHARE, 50);
-        accounts.answered(limited, 0, 5, 0, 55);
-        accounts.end(limited, Accounts.End.SATISFIED, Reason.NONE, 1, 55);
+        accounts.waitStarted(limited, LatencyComponent.LIMIT, 0, 0);
+        accounts.attemptSent(limited, 1, QuotaTier.SHARE, 50);
+        accounts.attemptAnswered(limited, 0, 5, 0, 55);
+        accounts.end(limited, Accounts.End.SERVED, Reason.NONE, 1, 55);
         LatencyReport report = accounts.report(2, 0, 1000);
         assertEquals(
-                List.of(PlanTier.RESERVE, PlanTier.EXCESS, PlanTier.LIMIT),
-                report.plan().stream().map(LatencyReport.PlanLine::part).toList());
-        LatencyReport.PlanLine excess = report.plan().get(1);
+                List.of(PlanTier.RESERVATION, PlanTier.EXCESS, PlanTier.LIMIT),
+                report.tiers().stream().map(LatencyReport.TierReport::tier).toList());
+        LatencyReport.TierReport excess = report.tiers().get(1);
         assertEquals(1, excess.missed());
-        assertEquals(3 * 0.8, excess.utilityLost(), 1e-9);
+        assertEquals(3 * 0.8, excess.lostWeight(), 1e-9);
         assertEquals(310, excess.p50(), 310 * 0.07);
     }
 
     @Test
     void accountsGoOnAfterARestartThoughTheClockWasSetBack() {
-        Accounts before = new Accounts(Accounts.Bounds.USUAL, 5e9);
+        Accounts before = new Accounts(Accounts.Bounds.DEFAULT, 5e9);
         attempt(before, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
-        LatencyAccount kept = StoredAccounts.of(before.book()).book();
-        Accounts after = new Accounts(Accounts.Bounds.USUAL, 5e9 - 7_200_000);
-        after.goOn(kept, 0);
+        LatencyAccount kept = StoredAccounts.of(before.snapshot()).toAccount();
+        Accounts after = new Accounts(Accounts.Bounds.DEFAULT, 5e9 - 7_200_000);
+        after.restore(kept, 0);
         assertEquals(1, after.report(2, -86_400_000, 0).operations());
         attempt(after, 2, 1, QuotaTier.SHARE, 10, 5, 5, 0);
         assertEquals(2, after.report(2, -86_400_000, 1000).operations());
@@ -326,33 +332,33 @@
     @Test
     void otherGatewaysBooksNameWhoWorkedElsewhere() {
         // The second gateway's clock is an hour ahead; both note the list's versions 4 and 5.
-        Accounts flooder = new Accounts(Accounts.Bounds.USUAL, 1e12 + 3_600_000);
+        Accounts flooder = new Accounts(Accounts.Bounds.DEFAULT, 1e12 + 3_600_000);
         for (int i = 0; i < 200; i++) {
             attempt(flooder, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
         }
-        Accounts victims = new Accounts(Accounts.Bounds.USUAL, 1e12);
+        Accounts victims = new Accounts(Accounts.Bounds.DEFAULT, 1e12);
         for (int i = 0; i < 60; i++) {
             attempt(victims, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
         }
-        assertEquals(Cause.Kind.ELSEWHERE, victims.report(2, 0, 10_000).main().kind());
+        assertEquals(Cause.Kind.OTHER_GATEWAYS, victims.report(2, 0, 10_000).mainCause().kind());
         FleetMerger.Merged merged =
                 FleetMerger.merge(
                         List.of(
-                                new FleetMerger.Member(
+                                new FleetMerger.GatewayAccount(
                                         "one",
-                                        victims.book(),
+                                        victims.snapshot(),
                                         Map.of(4L, 1e12 + 1, 5L, 1e12 + 900)),
-                                new FleetMerger.Member(
+                                new FleetMerger.GatewayAccount(
                                         "two",
-                                        flooder.book(),
+                                        flooder.snapshot(),
                                         Map.of(4L, 1e12 + 3_600_003, 5L, 1e12 + 3_600_902))));
-        assertEquals(3_600_002, merged.clocks().get(1).ahead(), 1);
-        LatencyReport report = merged.book().report(2, 1e12, 1e12 + 10_000);
-        assertEquals(Cause.Kind.NEIGHBOUR, report.main().kind(), report.causes().toString());
-        assertEquals(9, report.main().volume());
+        assertEquals(3_600_002, merged.clocks().get(1).offsetMillis(), 1);
+        LatencyReport report = merged.account().report(2, 1e12, 1e12 + 10_000);
+        assertEquals(Cause.Kind.NEIGHBOUR, report.mainCause().kind(), report.causes().toString());
+        assertEquals(9, report.mainCause().volume());
         assertNotEquals(
                 LatencyReport.Confidence.HIGH,
-                report.main().confidence(),
+                report.mainCause().confidence(),
                 "it is reckoned, not seen");
     }
 }
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -19,7 +19,7 @@
     void theDemosFileIsReadWhole() throws SiteConfigException {
         SiteConfig site = SiteConfig.read("demo.ini", GOOD);
         assertEquals(3, site.deployment().gatewayCount());
-        assertEquals(64L << 20, site.volumes().get(0).size());
+        assertEquals(64L << 20, site.volumes().get(0).sizeBytes());
         assertEquals(500, site.deployment().trafficClasses().get(0).latencyObjective());
         assertEquals(8, site.deployment().maxUnits());
     }
--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -109,11 +109,12 @@
             Map<String, LatencyReport> reports = NbdTestFixture.await(gateway.accounts(60_000));
             LatencyReport report = reports.get("demo");
             assertEquals(64, report.operations());
-            assertEquals(Cause.Kind.NEIGHBOUR, report.main().kind(), report.causes().toString());
-            assertEquals(9, report.main().volume());
+            assertEquals(
+                    Cause.Kind.NEIGHBOUR, report.mainCause().kind(), report.causes().toString());
+            assertEquals(9, report.mainCause().volume());
             // The flood itself waited on its own load.
-            assertEquals(Cause.Kind.OWN_LOAD, reports.get("flood").main().kind());
-            assertTrue(reports.get("flood").parts().containsKey(LatencyComponent.NODE_WORK));
+            assertEquals(Cause.Kind.OWN_LOAD, reports.get("flood").mainCause().kind());
+            assertTrue(reports.get("flood").components().containsKey(LatencyComponent.NODE_WORK));
             victim.channel().close();
             neighbour.channel().close();
         }
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -55,14 +55,14 @@
     /** Makes the kept list as if it had last been confirmed so long ago. */
     private void age(double by) throws Exception {
         EndpointListFile file = new EndpointListFile(folder.resolve("nodes"), SITE);
-        StoredEndpointList list = file.look().list();
+        StoredEndpointList list = file.inspect().list();
         file.write(
                 new StoredEndpointList(
                         list.site(),
                         list.history(),
                         list.version(),
                         list.confirmedAt() - (long) by,
-                        list.lines()),
+                        list.endpoints()),
                 System.currentTimeMillis());
     }
 
@@ -117,7 +117,7 @@
             NodesView view = NbdTestFixture.await(again.nodes());
             assertEquals(
                     EndpointRecord.Phase.DRAINING,
-                    view.nodes().get(0).use(),
+                    view.nodes().get(0).phase(),
                     view.nodes().get(0).reason());
             NbdTestFixture.await(again.kill());
         }
@@ -162,7 +162,7 @@
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             HolderFile file = new HolderFile(folder.resolve("holders"), SITE);
-            int[] cells = file.start().get(1);
+            int[] cells = file.load().get(1);
             int[] wrong = cells.clone();
             for (int i = 0; i < 6; i++) {
                 wrong[i] = 1 + cells[i] % 3;
@@ -175,9 +175,7 @@
                     "each was denied once: " + again.tally().moot.sum());
             NbdTestFixture.await(again.stop());
             assertArrayEquals(
-                    Arrays.copyOf(cells, 6),
-                    Arrays.copyOf(file.start().get(1), 6),
-                    "and corrected");
+                    Arrays.copyOf(cells, 6), Arrays.copyOf(file.load().get(1), 6), "and corrected");
         }
     }
 
--- a/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
+++ b/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
@@ -9,18 +9,18 @@
 class EndpointPollPolicyTest {
     @Test
     void theOldestStaysWhileItMayStillBeAnswered() {
-        assertFalse(EndpointPollPolicy.oldestGivesWay(false, 12_000, Double.POSITIVE_INFINITY));
-        assertFalse(EndpointPollPolicy.oldestGivesWay(false, 60_000, 2_500));
+        assertFalse(EndpointPollPolicy.shouldDropOldest(false, 12_000, Double.POSITIVE_INFINITY));
+        assertFalse(EndpointPollPolicy.shouldDropOldest(false, 60_000, 2_500));
     }
 
     @Test
     void oneThatHasStalledOrWasNeverAnsweredGivesWay() {
-        assertTrue(EndpointPollPolicy.oldestGivesWay(false, 12_001, Double.POSITIVE_INFINITY));
-        assertTrue(EndpointPollPolicy.oldestGivesWay(false, 3_000, 2_501));
+        assertTrue(EndpointPollPolicy.shouldDropOldest(false, 12_001, Double.POSITIVE_INFINITY));
+        assertTrue(EndpointPollPolicy.shouldDropOldest(false, 3_000, 2_501));
     }
 
     @Test
     void oneAtAnAddressThatDiscoveryHasLeftGivesWay() {
-        assertTrue(EndpointPollPolicy.oldestGivesWay(true, 1, 1));
+        assertTrue(EndpointPollPolicy.shouldDropOldest(true, 1, 1));
     }
 }
