--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -22,7 +22,7 @@
     private static final double START = 1e12;
 
     private Membership fresh() {
-        return new Membership("site", Membership.Bounds.USUAL, new SplittableRandom(1));
+        return new Membership("site", Membership.Policy.DEFAULT, new SplittableRandom(1));
     }
 
     private static EndpointRecord line(int node, EndpointRecord.Phase standing) {
@@ -38,35 +38,35 @@
     }
 
     private static EndpointRecord.Phase use(Membership of, int node, double now) {
-        return of.seen(now).stream()
-                .filter(seen -> seen.line().node() == node)
+        return of.members(now).stream()
+                .filter(seen -> seen.endpoint().node() == node)
                 .findFirst()
                 .orElseThrow()
-                .use();
+                .phase();
     }
 
     private static Membership.MemberView seen(Membership of, int node, double now) {
-        return of.seen(now).stream()
-                .filter(one -> one.line().node() == node)
+        return of.members(now).stream()
+                .filter(one -> one.endpoint().node() == node)
                 .findFirst()
                 .orElseThrow();
     }
 
     private Membership startedFrom(double age, EndpointRecord... lines) {
         Membership before = fresh();
-        before.told(whole(5, lines), START);
+        before.applyUpdate(whole(5, lines), START);
         Membership after = fresh();
-        after.kept(before.kept(), START + age);
+        after.restore(before.snapshot(), START + age);
         return after;
     }
 
     @Test
     void aFreshListIsUsedAsItIs() {
         Membership after = startedFrom(MINUTE, ready(1), line(2, EndpointRecord.Phase.DRAINING));
-        assertEquals(ListFreshness.FRESH, after.trust(START + MINUTE));
-        assertTrue(seen(after, 1, START + MINUTE).takesNew());
+        assertEquals(ListFreshness.FRESH, after.freshness(START + MINUTE));
+        assertTrue(seen(after, 1, START + MINUTE).acceptsNewObjects());
         assertEquals(EndpointRecord.Phase.DRAINING, use(after, 2, START + MINUTE));
-        assertTrue(after.toAsk(START + MINUTE).isEmpty());
+        assertTrue(after.takeProbes(START + MINUTE).isEmpty());
     }
 
     @Test
@@ -74,9 +74,11 @@
         double now = START + 60 * MINUTE;
         Membership after = startedFrom(60 * MINUTE, ready(1));
         assertEquals(EndpointRecord.Phase.READY, use(after, 1, now));
-        assertFalse(seen(after, 1, now).takesNew());
-        assertEquals(Membership.HandshakeVerdict.GO, after.welcomed(1, 1, 1, false, 0, now));
-        assertTrue(seen(after, 1, now).takesNew());
+        assertFalse(seen(after, 1, now).acceptsNewObjects());
+        assertEquals(
+                Membership.HandshakeVerdict.ACCEPTED,
+                after.handshakeCompleted(1, 1, 1, false, 0, now));
+        assertTrue(seen(after, 1, now).acceptsNewObjects());
     }
 
     @Test
@@ -87,29 +89,34 @@
             many[i] = ready(i + 1);
         }
         Membership after = startedFrom(7 * DAY, many);
-        assertEquals(EndpointRecord.Phase.GONE, use(after, 1, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, use(after, 1, now));
         List<Integer> asked = new ArrayList<>();
         for (double at = now; at < now + 1_000; at += 10) {
-            asked.addAll(after.toAsk(at));
+            asked.addAll(after.takeProbes(at));
         }
         assertEquals(4, asked.size(), "no more until one has answered");
-        after.welcomed(asked.get(0), asked.get(0), asked.get(0), false, 0, now + 1_000);
+        after.handshakeCompleted(asked.get(0), asked.get(0), asked.get(0), false, 0, now + 1_000);
         assertEquals(EndpointRecord.Phase.READY, use(after, asked.get(0), now + 1_000));
-        assertEquals(1, after.toAsk(now + 1_100).size());
+        assertEquals(1, after.takeProbes(now + 1_100).size());
     }
 
     @Test
     void whoAnswersAtAnAddressNowUsedByAnotherIsStruckUntilTheDirectoryKnowsBetter() {
         Membership after = startedFrom(MINUTE, ready(1), ready(2), ready(3));
         double now = START + MINUTE;
-        assertEquals(Membership.HandshakeVerdict.NOT_THIS, after.welcomed(1, 99, 1, false, 0, now));
-        assertEquals(Membership.HandshakeVerdict.NOT_THIS, after.welcomed(2, 2, 17, false, 0, now));
         assertEquals(
-                Membership.HandshakeVerdict.THINK_AGAIN, after.welcomed(3, 3, 3, true, 0, now));
-        assertEquals(EndpointRecord.Phase.GONE, use(after, 1, now));
-        assertEquals(EndpointRecord.Phase.GONE, use(after, 2, now));
+                Membership.HandshakeVerdict.WRONG_NODE,
+                after.handshakeCompleted(1, 99, 1, false, 0, now));
+        assertEquals(
+                Membership.HandshakeVerdict.WRONG_NODE,
+                after.handshakeCompleted(2, 2, 17, false, 0, now));
+        assertEquals(
+                Membership.HandshakeVerdict.REROUTE,
+                after.handshakeCompleted(3, 3, 3, true, 0, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, use(after, 1, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, use(after, 2, now));
         assertEquals(EndpointRecord.Phase.DRAINING, use(after, 3, now));
-        after.told(
+        after.applyUpdate(
                 new EndpointListUpdate(
                         "site",
                         1,
@@ -120,7 +127,7 @@
                                         1, 1, 0, 0, EndpointRecord.Phase.READY, 0, 1, "h9", 7000))),
                 now);
         assertEquals(EndpointRecord.Phase.READY, use(after, 1, now));
-        assertEquals(EndpointRecord.Phase.GONE, use(after, 2, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, use(after, 2, now));
     }
 
     @Test
@@ -128,39 +135,40 @@
         Membership after = startedFrom(MINUTE, ready(1));
         double now = START + MINUTE;
         assertEquals(
-                Membership.HandshakeVerdict.THINK_AGAIN,
-                after.welcomed(1, 1, 1, false, (long) now - 500, now));
-        assertEquals((long) now - 500, seen(after, 1, now).line().startedAt());
+                Membership.HandshakeVerdict.REROUTE,
+                after.handshakeCompleted(1, 1, 1, false, (long) now - 500, now));
+        assertEquals((long) now - 500, seen(after, 1, now).endpoint().startedAt());
         // A directory that lags does not make it warm again.
-        after.told(whole(6, ready(1)), now + 10);
-        assertEquals((long) now - 500, seen(after, 1, now + 10).line().startedAt());
+        after.applyUpdate(whole(6, ready(1)), now + 10);
+        assertEquals((long) now - 500, seen(after, 1, now + 10).endpoint().startedAt());
     }
 
     @Test
     void aListOfAnotherSiteOrAnEmptyOneIsNone() {
         Membership of = fresh();
-        of.told(whole(5, ready(1)), START);
+        of.applyUpdate(whole(5, ready(1)), START);
         assertFalse(
-                of.told(
+                of.applyUpdate(
                                 new EndpointListUpdate(
                                         "other",
                                         1,
                                         9,
                                         true,
-                                        List.of(line(1, EndpointRecord.Phase.GONE))),
+                                        List.of(line(1, EndpointRecord.Phase.REMOVED))),
                                 START)
-                        .believed());
-        assertFalse(of.told(whole(9), START).believed());
+                        .accepted());
+        assertFalse(of.applyUpdate(whole(9), START).accepted());
         assertEquals(EndpointRecord.Phase.READY, use(of, 1, START));
     }
 
     @Test
     void anOlderVersionRestrictsAndPermitsNothing() {
         Membership of = fresh();
-        of.told(whole(5, ready(1), line(2, EndpointRecord.Phase.DRAINING), ready(3)), START);
+        of.applyUpdate(whole(5, ready(1), line(2, EndpointRecord.Phase.DRAINING), ready(3)), START);
         Membership.UpdateResult belief =
-                of.told(whole(4, line(1, EndpointRecord.Phase.DRAINING), ready(2)), START + 1);
-        assertFalse(belief.believed());
+                of.applyUpdate(
+                        whole(4, line(1, EndpointRecord.Phase.DRAINING), ready(2)), START + 1);
+        assertFalse(belief.accepted());
         assertEquals(EndpointRecord.Phase.DRAINING, use(of, 1, START + 1));
         assertEquals(EndpointRecord.Phase.DRAINING, use(of, 2, START + 1));
         assertEquals(
@@ -172,15 +180,17 @@
     @Test
     void aDirectoryBuiltAnewMayLeaveOutNodesForAWhile() {
         Membership of = fresh();
-        of.told(whole(5, ready(1), ready(2)), START);
-        of.told(new EndpointListUpdate("site", 2, 1, true, List.of(ready(1))), START + 1);
+        of.applyUpdate(whole(5, ready(1), ready(2)), START);
+        of.applyUpdate(new EndpointListUpdate("site", 2, 1, true, List.of(ready(1))), START + 1);
         assertEquals(EndpointRecord.Phase.READY, use(of, 2, START + 1));
-        of.told(new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))), START + 5_000);
-        of.pass(START + 40_000);
+        of.applyUpdate(
+                new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))), START + 5_000);
+        of.advanceTo(START + 40_000);
         assertEquals(EndpointRecord.Phase.READY, use(of, 2, START + 40_000), "it registered again");
-        of.told(new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START + 41_000);
-        of.pass(START + 72_000);
-        assertEquals(EndpointRecord.Phase.GONE, use(of, 2, START + 72_000));
+        of.applyUpdate(
+                new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START + 41_000);
+        of.advanceTo(START + 72_000);
+        assertEquals(EndpointRecord.Phase.REMOVED, use(of, 2, START + 72_000));
     }
 
     @Test
@@ -188,38 +198,38 @@
         Membership of = fresh();
         double now = START;
         long version = 1;
-        of.told(whole(version, ready(1), ready(2)), now);
+        of.applyUpdate(whole(version, ready(1), ready(2)), now);
         for (int i = 0; i < 3; i++) {
             now += 100;
-            of.told(whole(++version, line(1, EndpointRecord.Phase.DRAINING), ready(2)), now);
+            of.applyUpdate(whole(++version, line(1, EndpointRecord.Phase.DRAINING), ready(2)), now);
             now += 100;
-            of.told(whole(++version, ready(1), ready(2)), now);
+            of.applyUpdate(whole(++version, ready(1), ready(2)), now);
         }
         assertEquals(EndpointRecord.Phase.DRAINING, use(of, 1, now));
-        assertFalse(of.pass(now + 4_000));
-        assertTrue(of.pass(now + 5_100));
+        assertFalse(of.advanceTo(now + 4_000));
+        assertTrue(of.advanceTo(now + 5_100));
         assertEquals(EndpointRecord.Phase.READY, use(of, 1, now + 5_100));
     }
 
     @Test
     void aClockThatWasSetBackMakesTheListOld() {
         Membership before = fresh();
-        before.told(whole(5, ready(1)), START);
+        before.applyUpdate(whole(5, ready(1)), START);
         Membership after = fresh();
-        after.kept(before.kept(), START - DAY);
-        assertEquals(ListFreshness.OLD, after.trust(START - DAY));
-        assertEquals(EndpointRecord.Phase.GONE, use(after, 1, START - DAY));
+        after.restore(before.snapshot(), START - DAY);
+        assertEquals(ListFreshness.OLD, after.freshness(START - DAY));
+        assertEquals(EndpointRecord.Phase.REMOVED, use(after, 1, START - DAY));
     }
 
     @Test
     void theOneThatWasNeverConfirmedIsAskedAgainEverMoreSeldom() {
         Membership of = fresh();
-        of.fixed(List.of(ready(1)));
+        of.addConfigured(List.of(ready(1)));
         int asked = 0;
         for (double at = START; at < START + 300_000; at += 50) {
-            if (!of.toAsk(at).isEmpty()) {
+            if (!of.takeProbes(at).isEmpty()) {
                 asked++;
-                of.lost(1, at);
+                of.disconnected(1, at);
             }
         }
         assertTrue(asked >= 8 && asked <= 30, "asked " + asked + " times in five minutes");
@@ -252,19 +262,20 @@
                     for (int i = 1; i <= 5; i++) {
                         lines.add(line(i, EndpointRecord.Phase.values()[1 + (much >> i & 1)]));
                     }
-                    of.told(new EndpointListUpdate("site", history, ++version, true, lines), now);
+                    of.applyUpdate(
+                            new EndpointListUpdate("site", history, ++version, true, lines), now);
                     lines.forEach(
                             line ->
                                     listedReady.put(
                                             line.node(),
-                                            line.standing() == EndpointRecord.Phase.READY));
+                                            line.phase() == EndpointRecord.Phase.READY));
                     confirmed = now;
                     any = true;
                 }
                 case 2 -> {
                     if (any) {
                         EndpointRecord.Phase standing = EndpointRecord.Phase.values()[much % 3];
-                        of.told(
+                        of.applyUpdate(
                                 new EndpointListUpdate(
                                         "site",
                                         history,
@@ -277,7 +288,7 @@
                     }
                 }
                 case 3 ->
-                        of.told(
+                        of.applyUpdate(
                                 new EndpointListUpdate(
                                         "elsewhere",
                                         history,
@@ -289,7 +300,7 @@
                     boolean drains = much % 3 == 0;
                     int who = much % 7 == 0 ? 99 : node;
                     int cell = much % 11 == 0 ? 99 : node;
-                    of.welcomed(node, who, cell, drains, 0, now);
+                    of.handshakeCompleted(node, who, cell, drains, 0, now);
                     if (listedReady.containsKey(node)) {
                         boolean wrong = who != node || cell != node;
                         another.put(node, wrong);
@@ -300,22 +311,22 @@
                     }
                 }
                 case 5 -> {
-                    of.lost(node, now);
+                    of.disconnected(node, now);
                     provenNow.put(node, false);
                 }
                 case 6 -> {
-                    of.drains(node);
+                    of.drainAnnounced(node);
                     if (listedReady.containsKey(node)) {
                         self.put(node, true);
                     }
                 }
                 case 7 -> now += much * much * 100.0;
                 case 8 -> {
-                    StoredEndpointList kept = of.kept();
+                    StoredEndpointList kept = of.snapshot();
                     of = fresh();
                     double jump = much % 4 == 0 ? -3 * DAY : much % 4 * DAY;
                     now += jump;
-                    of.kept(kept, now);
+                    of.restore(kept, now);
                     another.clear();
                     provenNow.clear();
                     confirmed =
@@ -324,8 +335,8 @@
                                     : confirmed;
                 }
                 default -> {
-                    of.pass(now);
-                    of.toAsk(now);
+                    of.advanceTo(now);
+                    of.takeProbes(now);
                 }
             }
             assertBelievable(of, now, confirmed, listedReady, self, another, provenNow);
@@ -340,9 +351,9 @@
             Map<Integer, Boolean> self,
             Map<Integer, Boolean> another,
             Map<Integer, Boolean> provenNow) {
-        for (Membership.MemberView seen : of.seen(now)) {
-            int id = seen.line().node();
-            if (seen.use() == EndpointRecord.Phase.READY) {
+        for (Membership.MemberView seen : of.members(now)) {
+            int id = seen.endpoint().node();
+            if (seen.phase() == EndpointRecord.Phase.READY) {
                 assertTrue(
                         listedReady.get(id),
                         "node " + id + " is used though the list restricts it");
@@ -351,16 +362,19 @@
                 assertFalse(
                         another.getOrDefault(id, false),
                         "node " + id + " is used though it is another");
-                boolean old = now - confirmed > Membership.Bounds.USUAL.aged();
+                boolean old = now - confirmed > Membership.Policy.DEFAULT.agedMillis();
                 assertTrue(
-                        !old || seen.proven(), "node " + id + " is used by an old list, unproven");
+                        !old || seen.verified(),
+                        "node " + id + " is used by an old list, unproven");
             }
-            if (seen.takesNew()) {
-                assertEquals(EndpointRecord.Phase.READY, seen.use());
-                assertTrue(now - confirmed <= Membership.Bounds.USUAL.fresh() || seen.proven());
+            if (seen.acceptsNewObjects()) {
+                assertEquals(EndpointRecord.Phase.READY, seen.phase());
+                assertTrue(
+                        now - confirmed <= Membership.Policy.DEFAULT.freshMillis()
+                                || seen.verified());
             }
             if (provenNow.getOrDefault(id, false)) {
-                assertTrue(seen.proven());
+                assertTrue(seen.verified());
             }
         }
     }
--- a/src/test/java/sagepulley/persistence/AccountFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -42,20 +42,20 @@
 
     private static Accounts filled(long seed) {
         Random random = new Random(seed);
-        Accounts accounts = new Accounts(Accounts.Bounds.USUAL, 1e12);
+        Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 1e12);
         double now = 0;
         for (int i = 0; i < 300; i++) {
             now += random.nextInt(20_000);
             OperationTimer meter =
                     accounts.begin(1 + random.nextInt(5), BAND, random.nextBoolean(), 1, now);
-            accounts.waits(
+            accounts.waitStarted(
                     meter,
                     LatencyComponent.values()[random.nextInt(11)],
                     random.nextInt(4),
                     now + 1);
-            accounts.sent(
+            accounts.attemptSent(
                     meter, 1 + random.nextInt(4), QuotaTier.values()[random.nextInt(3)], now + 10);
-            accounts.answered(
+            accounts.attemptAnswered(
                     meter, random.nextInt(50), random.nextInt(50), random.nextInt(9), now + 100);
             accounts.end(
                     meter,
@@ -73,7 +73,7 @@
                 5,
                 Map.of(1L, "exams"),
                 Map.of(3L, 7.5),
-                StoredAccounts.of(accounts.book()));
+                StoredAccounts.of(accounts.snapshot()));
     }
 
     /** What is written is read again, figure by figure. */
@@ -82,12 +82,12 @@
         Path place = Files.createTempDirectory("books");
         Accounts accounts = filled(seed);
         new AccountFile(place.resolve("a"), "gw").write(book("gw", accounts));
-        AccountFile.Read read = AccountFile.report(place.resolve("a"));
-        assertEquals(Map.of(1L, "exams"), read.head().names());
+        AccountFile.Loaded read = AccountFile.report(place.resolve("a"));
+        assertEquals(Map.of(1L, "exams"), read.stored().volumeNames());
         for (long volume : accounts.volumes()) {
             assertEquals(
                     accounts.report(volume, 0, 1e8).toString(),
-                    read.book().report(volume, 1e12, 1e12 + 1e8).toString());
+                    read.account().report(volume, 1e12, 1e12 + 1e8).toString());
         }
         for (String name : new String[] {"a", "a.1"}) {
             Files.deleteIfExists(place.resolve(name));
@@ -103,10 +103,10 @@
         file.write(book("gw", filled(2)));
         byte[] whole = Files.readAllBytes(path);
         Files.write(path, java.util.Arrays.copyOf(whole, whole.length / 2));
-        AccountFile.Read read = new AccountFile(path, "gw").goOn();
+        AccountFile.Loaded read = new AccountFile(path, "gw").load();
         assertEquals(
                 filled(1).report(1, 0, 1e8).toString(),
-                read.book().report(1, 1e12, 1e12 + 1e8).toString());
+                read.account().report(1, 1e12, 1e12 + 1e8).toString());
         assertTrue(Files.exists(folder.resolve("accounts.set-aside")));
     }
 
@@ -118,7 +118,7 @@
                     .write(body.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), 1);
             assertThrows(IOException.class, () -> AccountFile.report(path), body);
         }
-        assertNull(new AccountFile(path, "gw").goOn());
+        assertNull(new AccountFile(path, "gw").load());
         assertTrue(Files.notExists(path));
     }
 
@@ -130,7 +130,7 @@
         Path place = Files.createTempDirectory("books");
         Path path = place.resolve("a");
         new AccountFile(path, "gw").write(book("gw", filled(3)));
-        byte[] body = new SnapshotFile(path, "accounts", 1, "gw", 1).read().found().body();
+        byte[] body = new SnapshotFile(path, "accounts", 1, "gw", 1).read().snapshot().body();
         body[Math.floorMod(at, body.length)] = value;
         new SnapshotFile(path, "accounts", 1, "gw", 1).write(body, 1);
         try {
--- a/src/test/java/sagepulley/persistence/SnapshotFileTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -26,9 +26,9 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String text(SnapshotFile.Reading reading) {
-        assertNotNull(reading.found(), reading.refused().toString());
-        return new String(reading.found().body(), StandardCharsets.UTF_8);
+    private static String text(SnapshotFile.ReadResult reading) {
+        assertNotNull(reading.snapshot(), reading.rejected().toString());
+        return new String(reading.snapshot().body(), StandardCharsets.UTF_8);
     }
 
     @Test
@@ -58,13 +58,13 @@
             } catch (IOException e) {
                 done = false;
             }
-            SnapshotFile.Reading after =
+            SnapshotFile.ReadResult after =
                     new SnapshotFile(place.resolve("list"), "list", 3, "site", 2).read();
             String found = text(after);
             assertTrue(
                     found.equals("four") || (found.equals("three") && !done),
                     "killed at " + stop + ": " + found);
-            assertTrue(after.refused().isEmpty());
+            assertTrue(after.rejected().isEmpty());
             // And the next life writes on.
             SnapshotFile next = new SnapshotFile(place.resolve("list"), "list", 3, "site", 2);
             next.write(body("five"), 3);
@@ -80,9 +80,9 @@
         byte[] whole = Files.readAllBytes(folder.resolve("list"));
         for (int length = 0; length < whole.length; length++) {
             Files.write(folder.resolve("list"), Arrays.copyOf(whole, length));
-            SnapshotFile.Reading reading = open("site").read();
+            SnapshotFile.ReadResult reading = open("site").read();
             assertEquals("the first body", text(reading), "cut to " + length);
-            assertEquals(1, reading.refused().size());
+            assertEquals(1, reading.rejected().size());
         }
     }
 
@@ -95,7 +95,7 @@
             byte[] flipped = whole.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(folder.resolve("list"), flipped);
-            SnapshotFile.Found found = open("site").read().found();
+            SnapshotFile.Snapshot found = open("site").read().snapshot();
             // Leading zeros and letter case of the checksum itself may differ and mean the same.
             assertTrue(
                     found == null
@@ -108,20 +108,20 @@
     @Test
     void foreignFilesAreNamedAndSetAside() throws IOException {
         open("another site").write(body("x"), 1);
-        SnapshotFile.Reading reading = open("site").read();
-        assertNull(reading.found());
-        assertTrue(reading.refused().get(0).why().contains("another site"));
-        Path aside = open("site").setAside(reading.refused().get(0).file());
+        SnapshotFile.ReadResult reading = open("site").read();
+        assertNull(reading.snapshot());
+        assertTrue(reading.rejected().get(0).reason().contains("another site"));
+        Path aside = open("site").setAside(reading.rejected().get(0).file());
         assertTrue(Files.exists(aside));
-        assertTrue(open("site").read().refused().isEmpty());
+        assertTrue(open("site").read().rejected().isEmpty());
         new SnapshotFile(folder.resolve("list"), "list", 4, "site", 2).write(body("y"), 1);
-        assertTrue(open("site").read().refused().get(0).why().contains("format 4"));
+        assertTrue(open("site").read().rejected().get(0).reason().contains("format 4"));
         assertEquals(
                 "y",
                 new String(
                         new SnapshotFile(folder.resolve("list"), "list", 4, "", 2)
                                 .read()
-                                .found()
+                                .snapshot()
                                 .body(),
                         StandardCharsets.UTF_8));
     }
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -295,7 +295,7 @@
                                 108,
                                 9,
                                 List.of(
-                                        new MembershipSettings.FixedNode(
+                                        new MembershipSettings.ConfiguredNode(
                                                 12, 13, 1, new HostPort("127.0.0.1", 104)))),
                         "hall-1");
         assertEquals(expected, SiteConfig.read(FOLDER.resolve("site.ini")));
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -146,7 +146,17 @@
             return site.volumes().stream()
                     .filter(line -> line.name().equals(name))
                     .findFirst()
-                    .map(line -> new Export(name, "", line.size(), false, true, 512, 4096, 1 << 20))
+                    .map(
+                            line ->
+                                    new Export(
+                                            name,
+                                            "",
+                                            line.sizeBytes(),
+                                            false,
+                                            true,
+                                            512,
+                                            4096,
+                                            1 << 20))
                     .orElse(null);
         }
 
@@ -232,7 +242,7 @@
             Peer peer = all.get((int) (extent % all.size()));
             long mark = ++of.ids;
             StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
-            int band = reads ? volume.readBand() : volume.writeBand();
+            int band = reads ? volume.readTrafficClass() : volume.writeTrafficClass();
             int repeat = of.site.deployment().trafficClasses().get(band).idempotency().ordinal();
             ByteBuf payload = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(asked.payload()));
             asked.payload().release();
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -57,8 +57,8 @@
     @Test
     void aNewConfigurationShortensItUntilDiscoveryConfirms() {
         lease.confirmed(0);
-        lease.reloadTold(100);
-        lease.reloadRead(110);
+        lease.reloadNotified(100);
+        lease.reloadCompleted(110);
         assertFalse(lease.holds(100 + 4_000 + GRACE));
         lease.confirmed(300);
         assertTrue(lease.holds(100 + 4_000 + GRACE));
@@ -67,16 +67,16 @@
     @Test
     void nothingRenewsItWhileANewConfigurationIsNotRead() {
         lease.confirmed(0);
-        lease.reloadTold(100);
+        lease.reloadNotified(100);
         lease.confirmed(200);
         lease.unreachable(250);
         assertFalse(lease.holds(100 + 4_000 + GRACE));
-        lease.reloadTold(300);
-        lease.reloadRead(299);
+        lease.reloadNotified(300);
+        lease.reloadCompleted(299);
         lease.confirmed(400);
         assertFalse(
                 lease.holds(100 + 4_000 + GRACE), "what was read is older than what was told last");
-        lease.reloadRead(500);
+        lease.reloadCompleted(500);
         lease.confirmed(600);
         assertTrue(lease.holds(100 + 4_000 + GRACE));
     }
@@ -84,7 +84,7 @@
     @Test
     void whereNothingArrivesLateItAlwaysHolds() {
         EndpointLease unbounded = new EndpointLease(Double.POSITIVE_INFINITY, GRACE);
-        unbounded.reloadTold(5);
+        unbounded.reloadNotified(5);
         assertTrue(unbounded.holds(1e12));
     }
 
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -285,7 +285,7 @@
      */
     @Test
     void accountsOverHttp() throws IOException {
-        LatencyAccount book = AccountFile.report(STORED.resolve("accounts")).book();
+        LatencyAccount book = AccountFile.report(STORED.resolve("accounts")).account();
         MonitoringServer.View view =
                 new MonitoringServer.View(
                         "gw",
@@ -357,7 +357,7 @@
         Path file = folder.resolve("traces");
         try (Tracer tracer = new Tracer(new TracingSettings(file, 1 << 24, 2, "", 20, 1), "gw")) {
             for (int i = 0; i < Reason.values().length; i++) {
-                tracer.tell(story(i));
+                tracer.submit(story(i));
             }
         }
         assertEquals(
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -50,7 +50,7 @@
                 12,
                 1_764_699_999_000L,
                 List.of(
-                        kept(1, EndpointRecord.Phase.GONE, RecordSource.DIRECTORY, false),
+                        kept(1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
                         kept(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
                         kept(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
                         kept(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
@@ -169,26 +169,27 @@
 
     @Test
     void theListOfNodesIsRead() throws IOException {
-        EndpointListFile.Look look = new EndpointListFile(stored("nodes"), "hall-1").look();
-        assertEquals(List.of(), look.refused());
+        EndpointListFile.ReadResult look =
+                new EndpointListFile(stored("nodes"), "hall-1").inspect();
+        assertEquals(List.of(), look.rejected());
         assertEquals(WRITTEN_AT, look.writtenAt());
         assertEquals(nodes(), look.list());
         assertEquals("hall-1", look.list().site());
         assertEquals(77, look.list().history());
         assertEquals(12, look.list().version());
         assertEquals(1_764_699_999_000L, look.list().confirmedAt());
-        EndpointRecord third = look.list().lines().get(2).line();
+        EndpointRecord third = look.list().endpoints().get(2).endpoint();
         assertEquals(3, third.node());
         assertEquals(13, third.cell());
         assertEquals(23, third.zone());
         assertEquals(33, third.kind());
-        assertEquals(EndpointRecord.Phase.DRAINING, third.standing());
+        assertEquals(EndpointRecord.Phase.DRAINING, third.phase());
         assertEquals(1_764_000_000_003L, third.startedAt());
         assertEquals(1.5f, third.weight());
         assertEquals("10.0.0.3", third.host());
         assertEquals(7003, third.port());
-        assertEquals(RecordSource.IMPORT, look.list().lines().get(2).source());
-        assertTrue(look.list().lines().get(1).selfDraining());
+        assertEquals(RecordSource.IMPORT, look.list().endpoints().get(2).source());
+        assertTrue(look.list().endpoints().get(1).selfDraining());
     }
 
     private static String json(int node, String standing, String source, boolean draining) {
@@ -229,7 +230,7 @@
 
     @Test
     void theHoldersAreReadAndWrittenAsBefore() throws IOException {
-        Map<Integer, int[]> read = new HolderFile(stored("holders"), "hall-1").start();
+        Map<Integer, int[]> read = new HolderFile(stored("holders"), "hall-1").load();
         assertEquals(List.of(7, 8, 9), List.copyOf(read.keySet()));
         assertArrayEquals(new int[] {3, 3, -1, 4}, read.get(7));
         assertArrayEquals(new int[] {}, read.get(8));
@@ -250,84 +251,85 @@
 
     @Test
     void theAccountsAreRead() throws IOException {
-        AccountFile.Read read = new AccountFile(stored("accounts"), "gw-1").goOn();
-        assertEquals("gw-1", read.head().gateway());
-        assertEquals(WRITTEN_AT, read.head().writtenAt());
-        assertEquals(Map.of(1L, "exams", 2L, "archive"), read.head().names());
-        assertEquals(Map.of(3L, 7.5, 4L, 1_764_699_990_000.25), read.head().told());
-        assertEquals(List.of(1L, 2L), read.book().volumes());
-        assertEquals(Map.of(5, 2, 6, 1), read.book().zones());
+        AccountFile.Loaded read = new AccountFile(stored("accounts"), "gw-1").load();
+        assertEquals("gw-1", read.stored().gateway());
+        assertEquals(WRITTEN_AT, read.stored().writtenAt());
+        assertEquals(Map.of(1L, "exams", 2L, "archive"), read.stored().volumeNames());
+        assertEquals(Map.of(3L, 7.5, 4L, 1_764_699_990_000.25), read.stored().versionNotifiedAt());
+        assertEquals(List.of(1L, 2L), read.account().volumes());
+        assertEquals(Map.of(5, 2, 6, 1), read.account().zones());
         CBORMapper cbor = new CBORMapper();
         assertEquals(
-                cbor.<JsonNode>valueToTree(accounts().kept()),
-                cbor.<JsonNode>valueToTree(StoredAccounts.of(read.book())),
+                cbor.<JsonNode>valueToTree(accounts().accounts()),
+                cbor.<JsonNode>valueToTree(StoredAccounts.of(read.account())),
                 "the figures, after they went through the book");
-        double[] flow = read.book().flows(0, 1e13).get(5).get(2L);
+        double[] flow = read.account().flows(0, 1e13).get(5).get(2L);
         assertArrayEquals(new double[] {64, 64}, flow, "units and writes at node 5");
     }
 
     /** Parts, parts of the plan and kinds of causes are stored by their order. */
     @Test
     void theOrderOfStoredFiguresStandsForTheSameNames() throws IOException {
-        LatencyReport report = AccountFile.report(stored("accounts")).book().report(2, 0, 1e13);
-        assertEquals(2, report.declined());
-        assertEquals(3, report.scrapped());
-        assertEquals(4, report.left());
+        LatencyReport report = AccountFile.report(stored("accounts")).account().report(2, 0, 1e13);
+        assertEquals(2, report.rejected());
+        assertEquals(3, report.abandoned());
+        assertEquals(4, report.cancelled());
         List<LatencyComponent> parts =
                 List.of(
-                        LatencyComponent.RESERVE_FULL,
+                        LatencyComponent.RESERVATION_FULL,
                         LatencyComponent.SHARE_FULL,
-                        LatencyComponent.BEYOND_SHARE,
-                        LatencyComponent.HELD_BACK,
-                        LatencyComponent.COLD,
-                        LatencyComponent.SILENT,
+                        LatencyComponent.EXCESS_FULL,
+                        LatencyComponent.QUEUE_AT_NODE,
+                        LatencyComponent.WARMING_UP,
+                        LatencyComponent.UNRESPONSIVE,
                         LatencyComponent.NOT_READY,
                         LatencyComponent.LIMIT,
-                        LatencyComponent.BUDGET,
-                        LatencyComponent.ORDER,
-                        LatencyComponent.RANKS_LATER,
+                        LatencyComponent.RETRY_BUDGET,
+                        LatencyComponent.KEY_ORDER,
+                        LatencyComponent.LOWER_PRIORITY,
                         LatencyComponent.DIRECTORY,
-                        LatencyComponent.ON_THE_WAY,
+                        LatencyComponent.NETWORK,
                         LatencyComponent.NODE_QUEUE,
                         LatencyComponent.NODE_WORK,
-                        LatencyComponent.FUTILE);
+                        LatencyComponent.FAILED_ATTEMPT);
         for (int i = 0; i < 16; i++) {
-            assertEquals(1000.5 + i, report.parts().get(parts.get(i)), parts.get(i).toString());
+            assertEquals(
+                    1000.5 + i, report.components().get(parts.get(i)), parts.get(i).toString());
         }
         List<PlanTier> plan =
                 List.of(
-                        PlanTier.RESERVE,
+                        PlanTier.RESERVATION,
                         PlanTier.SHARE,
                         PlanTier.EXCESS,
                         PlanTier.LIMIT,
                         PlanTier.NONE);
-        for (LatencyReport.PlanLine line : report.plan()) {
-            int at = plan.indexOf(line.part());
+        for (LatencyReport.TierReport line : report.tiers()) {
+            int at = plan.indexOf(line.tier());
             assertEquals(11 + at, line.met(), line.toString());
             assertEquals(21 + at, line.missed(), line.toString());
             assertEquals(31.5 + at, line.units(), line.toString());
-            assertEquals(41.5 + at, line.utilityLost(), line.toString());
+            assertEquals(41.5 + at, line.lostWeight(), line.toString());
         }
-        assertEquals(5, report.plan().size());
+        assertEquals(5, report.tiers().size());
         List<Cause.Kind> kinds =
                 List.of(
                         Cause.Kind.OWN_LOAD,
                         Cause.Kind.OWN_LIMIT,
                         Cause.Kind.OWN_WORK,
                         Cause.Kind.NEIGHBOUR,
-                        Cause.Kind.ELSEWHERE,
+                        Cause.Kind.OTHER_GATEWAYS,
                         Cause.Kind.SLOW_NODE,
                         Cause.Kind.PAUSE,
-                        Cause.Kind.COLD_NODE,
+                        Cause.Kind.WARMING_UP_NODE,
                         Cause.Kind.FAULT,
-                        Cause.Kind.CAUTION,
+                        Cause.Kind.LOCAL_THROTTLING,
                         Cause.Kind.DIRECTORY,
                         Cause.Kind.NETWORK);
         assertEquals(12, report.causes().size(), report.causes().toString());
-        for (LatencyReport.Charged charged : report.causes()) {
+        for (LatencyReport.CauseReport charged : report.causes()) {
             int at = kinds.indexOf(charged.kind());
             assertEquals(500 + 4 * at, charged.waited(), charged.toString());
-            assertEquals(0.25 + 4 * at + 3, charged.utilityLost(), charged.toString());
+            assertEquals(0.25 + 4 * at + 3, charged.lostWeight(), charged.toString());
             assertEquals(1 + at, charged.node(), charged.toString());
         }
     }
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -29,9 +29,9 @@
             now += gap * 2 * random.nextDouble();
             End end = End.values()[random.nextInt(4)];
             kept +=
-                    sampler.keeps(
+                    sampler.sample(
                                             end,
-                                            end != End.SATISFIED || random.nextInt(5) == 0,
+                                            end != End.SERVED || random.nextInt(5) == 0,
                                             random.nextInt(3),
                                             random.nextDouble() * 500,
                                             now)
@@ -49,10 +49,10 @@
         int kept = 0;
         for (int i = 0; i < 100_000; i++) {
             if (i % 10_000 == 5_000) {
-                kept += sampler.keeps(End.SCRAPPED, true, 0, 900, i * 0.5) > 0 ? 1 : 0;
-                assertEquals(TailSampler.SampleReason.SCRAPPED, sampler.why());
+                kept += sampler.sample(End.ABANDONED, true, 0, 900, i * 0.5) > 0 ? 1 : 0;
+                assertEquals(TailSampler.SampleReason.ABANDONED, sampler.reason());
             } else {
-                sampler.keeps(End.DECLINED, true, 0, 10, i * 0.5);
+                sampler.sample(End.REJECTED, true, 0, 10, i * 0.5);
             }
         }
         assertEquals(10, kept);
@@ -65,7 +65,7 @@
         int kept = 0;
         int all = 200_000;
         for (int i = 0; i < all; i++) {
-            double one = sampler.keeps(End.DECLINED, true, 0, 10, i);
+            double one = sampler.sample(End.REJECTED, true, 0, 10, i);
             stands += one;
             kept += one > 0 ? 1 : 0;
         }
@@ -82,7 +82,7 @@
         for (int i = 0; i < 20_000; i++) {
             boolean odd = i > 5_000 && i % 500 == 0;
             double took = odd ? 190 : 10 + random.nextDouble();
-            if (sampler.keeps(End.SATISFIED, false, 1, took, i * 5.0) > 0) {
+            if (sampler.sample(End.SERVED, false, 1, took, i * 5.0) > 0) {
                 if (odd) {
                     slow++;
                 } else {
