--- a/src/main/java/sagepulley/codec/frame/Frame.java
+++ b/src/main/java/sagepulley/codec/frame/Frame.java
@@ -19,7 +19,7 @@
     static final int SUFFIX = 4;
 
     /** The longest head that is taken. */
-    public static final int LONGEST_HEAD = 1 << 20;
+    public static final int MAX_HEAD_BYTES = 1 << 20;
 
     public Frame(int type, long id, ByteBuf head) {
         this(type, id, head, Unpooled.EMPTY_BUFFER);
--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -53,12 +53,12 @@
         headLength = piece.getInt(4);
         payloadLength = piece.getInt(8);
         id = piece.getLong(12);
-        if (headLength < 0 || headLength > Frame.LONGEST_HEAD) {
+        if (headLength < 0 || headLength > Frame.MAX_HEAD_BYTES) {
             throw new MalformedMessageException(
                     "frame head of "
                             + Integer.toUnsignedString(headLength)
                             + " bytes, at most "
-                            + Frame.LONGEST_HEAD);
+                            + Frame.MAX_HEAD_BYTES);
         }
         if (payloadLength < 0 || payloadLength > longestPayload) {
             throw new MalformedMessageException(
--- a/src/main/java/sagepulley/codec/frame/FrameFields.java
+++ b/src/main/java/sagepulley/codec/frame/FrameFields.java
@@ -5,12 +5,12 @@
 
 /** Reads and writes the fields of a frame's head that several protocols share. */
 public final class FrameFields {
-    private static final int LONGEST_NAME = 255;
+    private static final int MAX_NAME_BYTES = 255;
 
     private FrameFields() {}
 
     /** The frame's head, of which at least so many bytes must be there. */
-    public static ByteBuf need(Frame frame, int bytes) throws MalformedMessageException {
+    public static ByteBuf requireHead(Frame frame, int bytes) throws MalformedMessageException {
         if (frame.head().readableBytes() < bytes) {
             throw new MalformedMessageException(
                     "message "
@@ -28,7 +28,7 @@
      */
     public static ByteBuf string(ByteBuf to, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(bytes.length, LONGEST_NAME);
+        int length = Math.min(bytes.length, MAX_NAME_BYTES);
         return to.writeByte(length).writeBytes(bytes, 0, length);
     }
 
--- a/src/main/java/sagepulley/codec/nbd/Export.java
+++ b/src/main/java/sagepulley/codec/nbd/Export.java
@@ -11,9 +11,9 @@
         long size,
         boolean readOnly,
         boolean multiConn,
-        int leastBlock,
+        int minBlockSize,
         int preferredBlock,
-        int mostBlock) {
+        int maxBlockSize) {
 
     /** The transmission flags, 'Transmission flags'. */
     public int flags(boolean structured) {
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -194,9 +194,9 @@
                 ctx.alloc()
                         .ioBuffer()
                         .writeShort(NbdConstants.INFO_BLOCK_SIZE)
-                        .writeInt(export.leastBlock())
+                        .writeInt(export.minBlockSize())
                         .writeInt(export.preferredBlock())
-                        .writeInt(export.mostBlock()));
+                        .writeInt(export.maxBlockSize()));
         if (wantsName) {
             reply(
                     ctx,
@@ -278,7 +278,7 @@
 
     private void attach(ChannelHandlerContext ctx, Export export) {
         over = true;
-        decoder.startTransmission(export.mostBlock());
+        decoder.startTransmission(export.maxBlockSize());
         ctx.fireUserEventTriggered(
                 new AttachedExport(export, structured, export.name().equals(metaExport)));
     }
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -35,17 +35,17 @@
     }
 
     /** Told the reply, which it must release, or why there will be none. */
-    public interface Ended extends BiConsumer<NbdReply, Throwable> {}
+    public interface ReplyHandler extends BiConsumer<NbdReply, Throwable> {}
 
-    private record Asked(int dataLength, NbdReply reply, Ended ended) {}
+    private record Asked(int dataLength, NbdReply reply, ReplyHandler ended) {}
 
     private final Channel channel;
     private final Map<Long, Asked> asked = new HashMap<>();
     private long lastCookie;
     private long size;
     private int flags;
-    private int leastBlock = 1;
-    private int mostBlock = 32 << 20;
+    private int minBlockSize = 1;
+    private int maxBlockSize = 32 << 20;
     private boolean baseAllocation;
     private final CompletableFuture<Void> closed = new CompletableFuture<>();
 
@@ -97,12 +97,12 @@
         return flags;
     }
 
-    public int leastBlock() {
-        return leastBlock;
+    public int minBlockSize() {
+        return minBlockSize;
     }
 
-    public int mostBlock() {
-        return mostBlock;
+    public int maxBlockSize() {
+        return maxBlockSize;
     }
 
     public boolean hasBaseAllocation() {
@@ -119,8 +119,13 @@
     }
 
     /** Sends a request; the payload (for writes) changes hands. */
-    public void ask(
-            int command, int commandFlags, long offset, int length, ByteBuf payload, Ended ended) {
+    public void request(
+            int command,
+            int commandFlags,
+            long offset,
+            int length,
+            ByteBuf payload,
+            ReplyHandler ended) {
         if (channel.eventLoop().inEventLoop()) {
             askNow(command, commandFlags, offset, length, payload, ended);
         } else {
@@ -130,10 +135,10 @@
     }
 
     /** The same, with the end as a future. */
-    public CompletableFuture<NbdReply> ask(
+    public CompletableFuture<NbdReply> request(
             int command, int commandFlags, long offset, int length, ByteBuf payload) {
         CompletableFuture<NbdReply> future = new CompletableFuture<>();
-        ask(
+        request(
                 command,
                 commandFlags,
                 offset,
@@ -150,11 +155,12 @@
     }
 
     public CompletableFuture<NbdReply> read(long offset, int length) {
-        return ask(NbdConstants.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
+        return request(NbdConstants.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
     }
 
     public CompletableFuture<NbdReply> write(long offset, byte[] data) {
-        return ask(NbdConstants.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
+        return request(
+                NbdConstants.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
     }
 
     /** Says goodbye (NBD_CMD_DISC) and closes; what is still out gets no reply. */
@@ -169,7 +175,12 @@
     }
 
     private void askNow(
-            int command, int commandFlags, long offset, int length, ByteBuf payload, Ended ended) {
+            int command,
+            int commandFlags,
+            long offset,
+            int length,
+            ByteBuf payload,
+            ReplyHandler ended) {
         if (!channel.isActive()) {
             payload.release();
             ended.accept(null, new IOException("the connection has ended"));
@@ -314,9 +325,9 @@
                 size = data.readLong();
                 flags = data.readUnsignedShort();
             } else if (kind == NbdConstants.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
-                leastBlock = data.readInt();
+                minBlockSize = data.readInt();
                 data.readInt();
-                mostBlock = data.readInt();
+                maxBlockSize = data.readInt();
             } else if (kind == -1
                     || kind == NbdConstants.INFO_EXPORT
                     || kind == NbdConstants.INFO_BLOCK_SIZE) {
--- a/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -39,10 +39,10 @@
     /** Told what the directory says, on the loop. */
     public interface Listener {
         /** A list, pushed or asked for. */
-        void listed(DirectoryMessages.EndpointList listing);
+        void endpointListReceived(DirectoryMessages.EndpointList listing);
 
         /** A subscription dropped with its connection, or a call for the list failed. */
-        void listFailed(String why);
+        void endpointListFailed(String why);
     }
 
     /** Told the end of a call, once. */
@@ -131,7 +131,7 @@
                         ended.accept(
                                 frame == null
                                         ? null
-                                        : (Integer) FrameFields.need(frame, 4).readInt(),
+                                        : (Integer) FrameFields.requireHead(frame, 4).readInt(),
                                 failure));
     }
 
@@ -166,10 +166,10 @@
                 new Frame(type, id),
                 (frame, failure) -> {
                     if (frame == null) {
-                        owner.listFailed(failure);
+                        owner.endpointListFailed(failure);
                     } else {
                         subscribed |= type == DirectoryMessages.SUBSCRIBE;
-                        owner.listed(DirectoryMessages.list(frame));
+                        owner.endpointListReceived(DirectoryMessages.list(frame));
                     }
                 });
     }
@@ -271,7 +271,7 @@
         calls.clear();
         if (subscribed) {
             subscribed = false;
-            owner.listFailed(why);
+            owner.endpointListFailed(why);
         }
         for (ResultHandler<Frame> call : ended) {
             call.accept(null, why);
@@ -303,7 +303,7 @@
 
         private void told(Frame frame) throws MalformedMessageException {
             if (frame.type() == DirectoryMessages.LIST && frame.id() == 0) {
-                owner.listed(DirectoryMessages.list(frame));
+                owner.endpointListReceived(DirectoryMessages.list(frame));
                 return;
             }
             ResultHandler<Frame> call = calls.remove(frame.id());
--- a/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
@@ -27,9 +27,9 @@
     public static final int FAILED = 20;
 
     /** Extents of one look-up at most. */
-    public static final int MOST_LOOKED_UP = 1 << 16;
+    public static final int MAX_LOOKUP_EXTENTS = 1 << 16;
 
-    private static final int MOST_LINES = 1 << 14;
+    private static final int MAX_ENDPOINTS = 1 << 14;
 
     /** What the list says of a node. */
     public enum Phase {
@@ -44,7 +44,7 @@
             int cell,
             int zone,
             int kind,
-            Phase standing,
+            Phase phase,
             long startedAt,
             float weight,
             String host,
@@ -57,7 +57,7 @@
     public record EndpointList(
             long call,
             long version,
-            boolean whole,
+            boolean complete,
             List<EndpointLine> lines,
             long history,
             String site) {}
@@ -74,7 +74,7 @@
         ByteBuf head =
                 Unpooled.buffer(64)
                         .writeLong(it.version())
-                        .writeBoolean(it.whole())
+                        .writeBoolean(it.complete())
                         .writeInt(it.lines().size());
         for (EndpointLine line : it.lines()) {
             line(head, line);
@@ -84,11 +84,11 @@
     }
 
     public static EndpointList list(Frame frame) throws MalformedMessageException {
-        ByteBuf head = FrameFields.need(frame, 13);
+        ByteBuf head = FrameFields.requireHead(frame, 13);
         long version = head.readLong();
         boolean whole = head.readBoolean();
         int count = head.readInt();
-        if (count < 0 || count > MOST_LINES) {
+        if (count < 0 || count > MAX_ENDPOINTS) {
             throw new MalformedMessageException(
                     "a list of " + Integer.toUnsignedString(count) + " lines");
         }
@@ -141,7 +141,7 @@
                 .writeInt(line.cell())
                 .writeShort(line.zone())
                 .writeShort(line.kind())
-                .writeByte(line.standing().ordinal())
+                .writeByte(line.phase().ordinal())
                 .writeLong(line.startedAt())
                 .writeFloat(line.weight())
                 .writeShort(line.port());
@@ -165,9 +165,9 @@
     }
 
     public static int[] holders(Frame frame) throws MalformedMessageException {
-        ByteBuf head = FrameFields.need(frame, 4);
+        ByteBuf head = FrameFields.requireHead(frame, 4);
         int count = head.readInt();
-        if (count < 0 || count > MOST_LOOKED_UP || head.readableBytes() < 4L * count) {
+        if (count < 0 || count > MAX_LOOKUP_EXTENTS || head.readableBytes() < 4L * count) {
             throw new MalformedMessageException(
                     "holders of " + Integer.toUnsignedString(count) + " extents");
         }
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -182,7 +182,7 @@
         }
 
         @Override
-        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
+        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
             RequestPart part = out.remove(attempt);
             if (part != null) {
                 ended(
@@ -194,18 +194,18 @@
         }
 
         @Override
-        public void late(StoreMessages.Answer answer) {
-            accounts.late(node.id, answer.waited(), answer.worked());
+        public void answeredAfterCancel(StoreMessages.Answer answer) {
+            accounts.late(node.id, answer.queuedMillis(), answer.serviceMillis());
         }
 
         @Override
-        public void probed(long id, float[] report) {
+        public void healthReported(long id, float[] report) {
             scheduler.onHealthCheck(node, Outcome.SERVED, 0, widened(report), clock.now());
             settle();
         }
 
         @Override
-        public boolean welcomed(StoreMessages.Welcome welcome) {
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
             startedAt = welcome.startedAt();
             Membership.HandshakeVerdict meaning =
                     membership.welcomed(
@@ -229,14 +229,14 @@
         }
 
         @Override
-        public void drains() {
+        public void draining() {
             LOG.atInfo().addKeyValue("node", node.id).log("node says that it drains");
             membership.drains(node.id);
             adopt();
         }
 
         @Override
-        public void lost() {
+        public void disconnected() {
             membership.lost(node.id, wall());
         }
     }
@@ -261,7 +261,7 @@
                         site.books().keep() ? Accounts.Bounds.USUAL : Accounts.Bounds.NONE,
                         clock.wall(0),
                         site.volumes().stream()
-                                .limit(NbdGateway.SUMMED_VOLUMES)
+                                .limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS)
                                 .map(line -> (long) line.id())
                                 .collect(Collectors.toSet()));
         this.tracer = tracer;
@@ -481,7 +481,7 @@
      * The accounts as they go to disk: copied piece by piece, and written out off this loop. From
      * any thread.
      */
-    CompletableFuture<GatewayAccounts> writtenBook() {
+    CompletableFuture<GatewayAccounts> accountSnapshot() {
         CompletableFuture<BookAt> copied = new CompletableFuture<>();
         loop.execute(() -> copyBook(accounts.copy(), copied));
         return copied.thenApplyAsync(
@@ -515,7 +515,7 @@
     }
 
     /** From any thread. */
-    Counters tally() {
+    Counters counters() {
         return counters;
     }
 
@@ -565,7 +565,7 @@
             }
         }
         request.open = request.parts.size();
-        counters.taken.add(request.open);
+        counters.accepted.add(request.open);
         if (request.open == 0) {
             close(request);
         }
@@ -574,7 +574,7 @@
                     accounts.begin(
                             request.disk.line.id(),
                             part.operation.trafficClass,
-                            part.kind.changes(),
+                            part.kind.modifiesData(),
                             part.operation.units,
                             request.arrivedAt);
         }
@@ -675,7 +675,7 @@
 
     private void leave(RequestPart part) {
         part.operation.ended = true;
-        counters.left.increment();
+        counters.cancelled.increment();
         unseek(part);
         if (part.shown) {
             scheduler.onClientCancelled(part.operation, clock.now());
@@ -910,7 +910,7 @@
                 }
             }
             case REJECT -> {
-                counters.declined.increment();
+                counters.rejected.increment();
                 String when =
                         decision.retryAfter() > 0
                                 ? "; come back in "
@@ -928,7 +928,7 @@
                                 + when);
             }
             case ABANDON -> {
-                counters.scrapped.increment();
+                counters.abandoned.increment();
                 finish(
                         part,
                         Accounts.End.SCRAPPED,
@@ -1013,31 +1013,31 @@
         }
         Outcome outcome =
                 switch (answer.code()) {
-                    case SATISFIED -> Outcome.SERVED;
-                    case FAULT -> Outcome.FAILED;
+                    case SERVED -> Outcome.SERVED;
+                    case FAILED -> Outcome.FAILED;
                     case FULL, DRAINING -> Outcome.REJECTED;
                     // Whose pen was taken by another gateway never ran, and the node is not to
                     // blame.
-                    case MOOT, STALE_PEN -> Outcome.NOT_EXECUTED;
-                    case CALLED_OFF -> Outcome.CANCELLED;
+                    case NOT_EXECUTED, STALE_WRITE_TOKEN -> Outcome.NOT_EXECUTED;
+                    case CANCELLED -> Outcome.CANCELLED;
                 };
         Attempt attempt = lastAttempt(part);
-        attempt.planUsagePercent = answer.used() == 0 ? Double.NaN : answer.used() - 1;
-        attempt.otherGatewaysUnits = answer.others();
-        attempt.report = widened(answer.report());
+        attempt.planUsagePercent = answer.planUsage() == 0 ? Double.NaN : answer.planUsage() - 1;
+        attempt.otherGatewaysUnits = answer.otherGatewaysUnits();
+        attempt.report = widened(answer.loadReport());
         boolean denied =
-                answer.code() == StoreMessages.Code.MOOT
+                answer.code() == StoreMessages.Code.NOT_EXECUTED
                         && unverified.remove(part.operation.extent);
         if (denied) {
             deny(part);
         }
-        if (answer.code() == StoreMessages.Code.SATISFIED) {
+        if (answer.code() == StoreMessages.Code.SERVED) {
             unverified.remove(part.operation.extent);
             accounts.answered(
                     part.meter,
-                    answer.waited(),
-                    answer.worked(),
-                    answer.report().length == 0 ? Double.NaN : answer.report()[0],
+                    answer.queuedMillis(),
+                    answer.serviceMillis(),
+                    answer.loadReport().length == 0 ? Double.NaN : answer.loadReport()[0],
                     clock.now());
         }
         int due = part.kind == StoreMessages.Kind.READ ? part.length : 0;
@@ -1082,7 +1082,7 @@
             ended(part, Outcome.NOT_EXECUTED);
             return;
         }
-        boolean went = places.get(lastAttempt(part).node.id).link.giveUp(attemptId);
+        boolean went = places.get(lastAttempt(part).node.id).link.cancel(attemptId);
         ended(part, went ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
     }
 
@@ -1108,7 +1108,7 @@
         boolean first = !operation.ended && outcome == Outcome.SERVED;
         operation.ended |= first;
         if (outcome == Outcome.NOT_EXECUTED) {
-            counters.moot.increment();
+            counters.notExecuted.increment();
         }
         FollowUp sequel = scheduler.onAttemptEnded(attempt, now);
         if (first) {
@@ -1125,7 +1125,7 @@
         ExportedVolume disk = part.request.disk;
         if (part.kind == StoreMessages.Kind.FLUSH) {
             disk.flushed(attempt.node.cell, part.writesBefore);
-        } else if (part.kind.changes()
+        } else if (part.kind.modifiesData()
                 && (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) == 0) {
             disk.wrote(attempt.node.cell, places.get(attempt.node.id).startedAt);
         }
@@ -1133,7 +1133,7 @@
 
     private void satisfied(RequestPart part) {
         part.operation.ended = true;
-        counters.satisfied.increment();
+        counters.served.increment();
         end(part, Accounts.End.SATISFIED, Reason.NONE);
         over(part);
     }
@@ -1252,7 +1252,7 @@
                 callOff(attempt);
             }
             for (Node node : turn.healthChecks()) {
-                places.get(node.id).link.probe(++attemptIds);
+                places.get(node.id).link.checkHealth(++attemptIds);
             }
             switch (turn.poll()) {
                 case SUBSCRIBE -> directory.subscribe();
@@ -1285,7 +1285,7 @@
         }
         out.remove(part.attempt);
         if (part.handed) {
-            places.get(attempt.node.id).link.giveUp(part.attempt);
+            places.get(attempt.node.id).link.cancel(part.attempt);
         }
         ended(part, Outcome.CANCELLED);
     }
@@ -1293,7 +1293,7 @@
     // ---- the directory ----
 
     @Override
-    public void listed(DirectoryMessages.EndpointList listing) {
+    public void endpointListReceived(DirectoryMessages.EndpointList listing) {
         directoryAnswered();
         Membership.UpdateResult belief =
                 membership.told(
@@ -1301,12 +1301,12 @@
                                 listing.site(),
                                 listing.history(),
                                 listing.version(),
-                                listing.whole(),
+                                listing.complete(),
                                 listing.lines().stream().map(NbdEngine::line).toList()),
                         wall());
         LOG.atInfo()
                 .addKeyValue("version", listing.version())
-                .addKeyValue("whole", listing.whole())
+                .addKeyValue("whole", listing.complete())
                 .addKeyValue("lines", listing.lines().size())
                 .addKeyValue("believed", belief.believed())
                 .addKeyValue("why", belief.why())
@@ -1339,7 +1339,7 @@
                 line.cell(),
                 line.zone(),
                 line.kind(),
-                switch (line.standing()) {
+                switch (line.phase()) {
                     case READY -> EndpointRecord.Phase.READY;
                     case DRAINING -> EndpointRecord.Phase.DRAINING;
                     case GONE -> EndpointRecord.Phase.GONE;
@@ -1379,7 +1379,7 @@
             adopt();
         }
         for (int node : membership.toAsk(wall)) {
-            places.get(node).link.contact();
+            places.get(node).link.ensureConnected();
         }
         if (directory.isSubscribed() && wall >= confirmAt && !disks.isEmpty()) {
             confirmAt = wall + CONFIRMED_EVERY;
@@ -1424,7 +1424,7 @@
     }
 
     @Override
-    public void listFailed(String why) {
+    public void endpointListFailed(String why) {
         LOG.atWarn().addKeyValue("why", why).log("the directory's list failed");
         directoryFailed();
         askAgain();
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -41,7 +41,7 @@
 /** One gateway in service: listens for NBD clients, and serves them by what Scheduler decides. */
 public final class NbdGateway {
     /** So many volumes, the first of the site file, have sums of their own since the start. */
-    public static final int SUMMED_VOLUMES = 100;
+    public static final int MAX_VOLUMES_WITH_TOTALS = 100;
 
     private static final double LIST_LOOK_MS = 500;
     private static final double HOLDERS_LOOK_MS = 10_000;
@@ -142,7 +142,7 @@
         AccountFile file = new AccountFile(site.books().file(), site.name());
         keepers.add(
                 new PeriodicWriter<>(
-                        "accounts", site.books().every(), engine::writtenBook, file::write));
+                        "accounts", site.books().every(), engine::accountSnapshot, file::write));
         try {
             return file.goOn();
         } catch (IOException e) {
@@ -222,8 +222,8 @@
             return;
         }
         clients.add(client);
-        engine.tally().clients.increment();
-        client.closeFuture().addListener(done -> engine.tally().clientsEnded.increment());
+        engine.counters().clients.increment();
+        client.closeFuture().addListener(done -> engine.counters().clientsEnded.increment());
         BufferBudget.Client part = bufferBudget.client(site.clientBytes());
         client.pipeline().addLast(new IdleStateHandler(STUCK_SECONDS, STUCK_SECONDS, 0));
         NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(engine, part));
@@ -251,8 +251,8 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    public Counters tally() {
-        return engine.tally();
+    public Counters counters() {
+        return engine.counters();
     }
 
     /** Each volume's account of latency over the last so many milliseconds, by its name. */
@@ -271,7 +271,7 @@
     }
 
     /** Traces made since the start, and those dropped; 0 where none go anywhere. */
-    public long tracesMade() {
+    public long tracesRecorded() {
         return tracer == null ? 0 : tracer.made();
     }
 
@@ -280,16 +280,16 @@
     }
 
     /** A copy of all accounts as they stand, as they go to disk. */
-    public CompletableFuture<GatewayAccounts> writtenBook() {
-        return engine.writtenBook();
+    public CompletableFuture<GatewayAccounts> accountSnapshot() {
+        return engine.accountSnapshot();
     }
 
     /** Bytes of requests in hand now, and the most there ever were. */
-    public long bytesInHand() {
+    public long bytesInFlight() {
         return bufferBudget.used();
     }
 
-    public long mostBytesInHand() {
+    public long maxBytesInFlight() {
         return bufferBudget.highest();
     }
 
@@ -312,7 +312,7 @@
                         (done, late) -> {
                             if (late != null) {
                                 LOG.atWarn()
-                                        .addKeyValue("open", tally().open())
+                                        .addKeyValue("open", counters().open())
                                         .log("stopped with operations in hand");
                             }
                             // What was answered last still has to leave the sockets.
@@ -365,10 +365,10 @@
                             engine.close();
                             LOG.atInfo()
                                     .addKeyValue("gateway", site.name())
-                                    .addKeyValue("taken", tally().taken.sum())
-                                    .addKeyValue("satisfied", tally().satisfied.sum())
-                                    .addKeyValue("declined", tally().declined.sum())
-                                    .addKeyValue("scrapped", tally().scrapped.sum())
+                                    .addKeyValue("taken", counters().accepted.sum())
+                                    .addKeyValue("satisfied", counters().served.sum())
+                                    .addKeyValue("declined", counters().rejected.sum())
+                                    .addKeyValue("scrapped", counters().abandoned.sum())
                                     .log("stopped");
                             clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
                             houseGroup
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -118,7 +118,7 @@
                     new PendingRequest.Failed(
                             -1,
                             NbdConstants.EINVAL,
-                            "longer than " + disk.export.mostBlock() + " bytes");
+                            "longer than " + disk.export.maxBlockSize() + " bytes");
         }
         inHand++;
         if (wrong != null) {
@@ -246,7 +246,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof MalformedMessageException) {
-            engine.tally().badClients.increment();
+            engine.counters().protocolErrors.increment();
             LOG.atInfo()
                     .addKeyValue("client", channel.remoteAddress())
                     .addKeyValue("why", cause.getMessage())
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -89,18 +89,18 @@
             return new PendingRequest.Failed(
                     -1, error, "past the end of the export at " + line.size());
         }
-        if ((offset | length) % disk.export.leastBlock() != 0) {
+        if ((offset | length) % disk.export.minBlockSize() != 0) {
             return new PendingRequest.Failed(
                     -1,
                     NbdConstants.EINVAL,
-                    "not aligned to " + disk.export.leastBlock() + " bytes");
+                    "not aligned to " + disk.export.minBlockSize() + " bytes");
         }
         if ((command == NbdConstants.CMD_READ || command == NbdConstants.CMD_WRITE)
-                && length > disk.export.mostBlock()) {
+                && length > disk.export.maxBlockSize()) {
             return new PendingRequest.Failed(
                     -1,
                     command == NbdConstants.CMD_READ ? NbdConstants.EOVERFLOW : NbdConstants.EINVAL,
-                    "longer than " + disk.export.mostBlock() + " bytes");
+                    "longer than " + disk.export.maxBlockSize() + " bytes");
         }
         return null;
     }
@@ -122,7 +122,7 @@
                 };
         VolumeSettings line = request.disk.line;
         int band =
-                kind.changes()
+                kind.modifiesData()
                         ? line.writeBand()
                         : left >= line.bulkFrom() ? line.bulkBand() : line.readBand();
         while (left > 0) {
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -136,7 +136,7 @@
 
     private String view()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        GatewayAccounts written = gateway.writtenBook().get(LONGEST_SECONDS, TimeUnit.SECONDS);
+        GatewayAccounts written = gateway.accountSnapshot().get(LONGEST_SECONDS, TimeUnit.SECONDS);
         LatencyAccount book = written.kept().book();
         double now = written.writtenAt();
         List<LatencyReport> reports =
@@ -164,7 +164,7 @@
     private void register(SiteConfig site) {
         Map<Long, String> names = new LinkedHashMap<>();
         for (VolumeSettings line :
-                site.volumes().stream().limit(NbdGateway.SUMMED_VOLUMES).toList()) {
+                site.volumes().stream().limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS).toList()) {
             names.put((long) line.id(), line.name());
         }
         names.put(0L, "others");
@@ -228,31 +228,31 @@
                     part,
                     now -> now.units(part));
         }
-        counter("sagepulley.hops", "hops sent to nodes", gate -> gate.tally().attempts.sum());
+        counter("sagepulley.hops", "hops sent to nodes", gate -> gate.counters().attempts.sum());
         counter(
                 "sagepulley.hops.moot",
                 "hops to a node that does not hold the extent",
-                gate -> gate.tally().moot.sum());
+                gate -> gate.counters().notExecuted.sum());
         counter(
                 "sagepulley.clients.connected",
                 "connections taken",
-                gate -> gate.tally().clients.sum());
+                gate -> gate.counters().clients.sum());
         counter(
                 "sagepulley.clients.bad",
                 "connections ended for what they sent",
-                gate -> gate.tally().badClients.sum());
+                gate -> gate.counters().protocolErrors.sum());
         counter(
                 "sagepulley.traces.made",
                 "operations whose trace was kept",
-                NbdGateway::tracesMade);
+                NbdGateway::tracesRecorded);
         counter(
                 "sagepulley.traces.dropped",
                 "traces dropped because exports were slow",
                 NbdGateway::tracesDropped);
-        Gauge.builder("sagepulley.operations.open", gateway, gate -> gate.tally().open())
+        Gauge.builder("sagepulley.operations.open", gateway, gate -> gate.counters().open())
                 .description("operations without a final answer")
                 .register(registry);
-        Gauge.builder("sagepulley.bytes.in.hand", gateway, NbdGateway::bytesInHand)
+        Gauge.builder("sagepulley.bytes.in.hand", gateway, NbdGateway::bytesInFlight)
                 .description("bytes of requests in hand")
                 .register(registry);
     }
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -294,7 +294,7 @@
             long sent = System.nanoTime();
             open.incrementAndGet();
             clients.get(chance.nextInt(clients.size()))
-                    .ask(
+                    .request(
                             NbdConstants.CMD_READ,
                             0,
                             extent * EXTENT,
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -200,7 +200,7 @@
                         ? Unpooled.EMPTY_BUFFER
                         : BlockHistory.payload(wire.client.channel().alloc(), write, load.bytes());
         open.incrementAndGet();
-        wire.client.ask(
+        wire.client.request(
                 reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                 0,
                 offset,
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -47,7 +47,8 @@
         this.allowance = WAY_MS + still;
         for (SocketEventLog.Came came : eventLog.came) {
             attempts.computeIfAbsent(
-                            new Op(came.gateway(), came.send().mark()), any -> new ArrayList<>())
+                            new Op(came.gateway(), came.send().operationId()),
+                            any -> new ArrayList<>())
                     .add(came);
         }
         for (SocketEventLog.Answered answer : eventLog.answered) {
@@ -141,9 +142,9 @@
             if (!open) {
                 findings.breach(
                         "hop "
-                                + send.number()
+                                + send.attemptNumber()
                                 + " of operation "
-                                + send.mark()
+                                + send.operationId()
                                 + " came to node "
                                 + came.node()
                                 + " with nobody waiting for it");
@@ -165,7 +166,7 @@
         Findings findings = new Findings();
         Map<Op, Integer> runs = new HashMap<>();
         for (SocketEventLog.Ran ran : eventLog.ran) {
-            Op op = new Op(ran.gateway(), ran.send().mark());
+            Op op = new Op(ran.gateway(), ran.send().operationId());
             int count = runs.merge(op, 1, Integer::sum);
             if (count > 1
                     && band(ran.send()).idempotency() != TrafficClass.Idempotency.IDEMPOTENT) {
@@ -194,14 +195,14 @@
     private void again(
             Findings findings, Op op, SocketEventLog.Came before, SocketEventLog.Came came) {
         TrafficClass trafficClass = band(came.send());
-        SocketEventLog.Answered answer = answerTo(op, before.send().number());
+        SocketEventLog.Answered answer = answerTo(op, before.send().attemptNumber());
         boolean neverRan =
                 answer != null
                         && !answer.lost()
                         && answer.at() <= came.at()
-                        && answer.code() != StoreMessages.Code.SATISFIED
-                        && answer.code() != StoreMessages.Code.FAULT
-                        && answer.code() != StoreMessages.Code.CALLED_OFF;
+                        && answer.code() != StoreMessages.Code.SERVED
+                        && answer.code() != StoreMessages.Code.FAILED
+                        && answer.code() != StoreMessages.Code.CANCELLED;
         if (neverRan) {
             return;
         }
@@ -220,7 +221,7 @@
                         || callsOff.getOrDefault(op, List.of()).stream()
                                 .anyMatch(
                                         off ->
-                                                off.number() == before.send().number()
+                                                off.number() == before.send().attemptNumber()
                                                         && off.at() <= came.at() + allowance * NS)
                         || linkEnded(before, came.at());
         if (!over && !site.deployment().policy().hedgingAllowed()) {
@@ -260,7 +261,7 @@
     }
 
     private TrafficClass band(StoreMessages.Send send) {
-        return site.deployment().trafficClasses().get(send.band());
+        return site.deployment().trafficClasses().get(send.trafficClass());
     }
 
     // ---- 3: drains ----
@@ -284,7 +285,7 @@
                 for (DirectoryMessages.EndpointLine line : told.lines()) {
                     nodes.add(line.node());
                     listed.add(line.node());
-                    if (line.standing() == DirectoryMessages.Phase.READY) {
+                    if (line.phase() == DirectoryMessages.Phase.READY) {
                         gone.remove(line.node());
                     } else {
                         gone.putIfAbsent(line.node(), told.at());
@@ -392,7 +393,7 @@
                 SocketEventLog.Came first = attempts.get(ops.get(i)).get(0);
                 for (SocketEventLog.Came earlier : attempts.get(ops.get(i - 1))) {
                     SocketEventLog.Answered answer =
-                            answerTo(ops.get(i - 1), earlier.send().number());
+                            answerTo(ops.get(i - 1), earlier.send().attemptNumber());
                     boolean ended =
                             (answer != null && answer.at() <= first.at())
                                     || callsOff.getOrDefault(ops.get(i - 1), List.of()).stream()
@@ -439,7 +440,7 @@
                                 .filter(
                                         came ->
                                                 came.gateway() == life.gateway
-                                                        && came.send().number() > 0)
+                                                        && came.send().attemptNumber() > 0)
                                 .map(SocketEventLog.Came::at)
                                 .sorted()
                                 .toList();
@@ -494,7 +495,9 @@
             double level = plan.limitBurst();
             long last = Long.MIN_VALUE;
             for (SocketEventLog.Came came : eventLog.came) {
-                if (came.send().volume() != volume.id() || came.send().number() > 0 || moot(came)) {
+                if (came.send().volume() != volume.id()
+                        || came.send().attemptNumber() > 0
+                        || moot(came)) {
                     continue;
                 }
                 if (last != Long.MIN_VALUE) {
@@ -527,10 +530,12 @@
 
     private boolean moot(SocketEventLog.Came came) {
         SocketEventLog.Answered answer =
-                answerTo(new Op(came.gateway(), came.send().mark()), came.send().number());
+                answerTo(
+                        new Op(came.gateway(), came.send().operationId()),
+                        came.send().attemptNumber());
         return answer != null
-                && (answer.code() == StoreMessages.Code.MOOT
-                        || answer.code() == StoreMessages.Code.STALE_PEN);
+                && (answer.code() == StoreMessages.Code.NOT_EXECUTED
+                        || answer.code() == StoreMessages.Code.STALE_WRITE_TOKEN);
     }
 
     // ---- service ----
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -84,7 +84,7 @@
                     return new Opener.Opened(
                             gateway.address(),
                             () -> LocalCluster.await(gateway.kill()),
-                            () -> LocalCluster.await(gateway.writtenBook()));
+                            () -> LocalCluster.await(gateway.accountSnapshot()));
                 });
     }
 
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -127,7 +127,7 @@
         return (number, ended) -> {
             long offset =
                     (number % EXTENTS) * (long) EXTENT + number / EXTENTS % places * (long) bytes;
-            client.ask(
+            client.request(
                     reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                     0,
                     offset,
@@ -392,21 +392,21 @@
         @Override
         public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             payload.release();
-            waiting.remove(attempt).accept(answer.code() == StoreMessages.Code.SATISFIED);
+            waiting.remove(attempt).accept(answer.code() == StoreMessages.Code.SERVED);
         }
 
         @Override
-        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
+        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
             waiting.remove(attempt).accept(false);
         }
 
         @Override
-        public void probed(long id, float[] report) {
+        public void healthReported(long id, float[] report) {
             // none is asked for
         }
 
         @Override
-        public boolean welcomed(StoreMessages.Welcome welcome) {
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
             // nothing hangs on it
             return true;
         }
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -244,7 +244,7 @@
         private void told(Frame frame) throws MalformedMessageException {
             ByteBuf head = frame.head();
             if (frame.type() == DirectoryMessages.HELLO) {
-                gateway = FrameFields.need(frame, 10).skipBytes(2).readLong();
+                gateway = FrameFields.requireHead(frame, 10).skipBytes(2).readLong();
             } else if (frame.type() == DirectoryMessages.REGISTER) {
                 registered = DirectoryMessages.line(head);
                 changed(registered);
@@ -280,11 +280,11 @@
                     list(frame.id(), true, List.copyOf(toldLines.values()));
                 }
                 case DirectoryMessages.LOOKUP -> {
-                    ByteBuf head = FrameFields.need(frame, 16);
+                    ByteBuf head = FrameFields.requireHead(frame, 16);
                     int volume = head.readInt();
                     long first = head.readLong();
                     int count = head.readInt();
-                    if (count < 1 || count > DirectoryMessages.MOST_LOOKED_UP) {
+                    if (count < 1 || count > DirectoryMessages.MAX_LOOKUP_EXTENTS) {
                         throw new MalformedMessageException("a look-up of " + count + " extents");
                     }
                     int[] cells = new int[count];
@@ -294,7 +294,7 @@
                     channel.writeAndFlush(DirectoryMessages.holders(frame.id(), cells));
                 }
                 case DirectoryMessages.CLAIM -> {
-                    ByteBuf head = FrameFields.need(frame, 16);
+                    ByteBuf head = FrameFields.requireHead(frame, 16);
                     Key key = new Key(head.readInt(), head.readLong());
                     int cell = head.readInt();
                     Integer holder = holders.putIfAbsent(key, cell);
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -265,7 +265,7 @@
                         links.forEach(
                                 link ->
                                         link.channel.writeAndFlush(
-                                                new Frame(StoreMessages.DRAINS, 0)));
+                                                new Frame(StoreMessages.DRAINING, 0)));
                     }
                 });
     }
@@ -304,11 +304,11 @@
             refusal = StoreMessages.Code.DRAINING;
         } else if (faults.refusing || queue.size() >= profile.queue()) {
             refusal = StoreMessages.Code.FULL;
-        } else if (work.send.mustBeThere()
+        } else if (work.send.extentMustExist()
                 && !blockStore.has(work.send.volume(), work.send.extent())) {
-            refusal = StoreMessages.Code.MOOT;
-        } else if (work.send.kind().changes() && !holdsPen(work)) {
-            refusal = StoreMessages.Code.STALE_PEN;
+            refusal = StoreMessages.Code.NOT_EXECUTED;
+        } else if (work.send.kind().modifiesData() && !holdsPen(work)) {
+            refusal = StoreMessages.Code.STALE_WRITE_TOKEN;
         }
         if (refusal != null) {
             work.payload.release();
@@ -345,15 +345,19 @@
             pen.next.poll();
             if (taken) {
                 pen.holder.channel.writeAndFlush(
-                        StoreMessages.pen(StoreMessages.PEN_LOST, 0, key.volume(), key.extent()));
+                        StoreMessages.writeToken(
+                                StoreMessages.WRITE_TOKEN_REVOKED, 0, key.volume(), key.extent()));
             }
             pen.holder = call.link();
             pen.since = System.nanoTime();
             call.link()
                     .channel
                     .writeAndFlush(
-                            StoreMessages.pen(
-                                    StoreMessages.PEN, call.id(), key.volume(), key.extent()));
+                            StoreMessages.writeToken(
+                                    StoreMessages.WRITE_TOKEN_GRANTED,
+                                    call.id(),
+                                    key.volume(),
+                                    key.extent()));
         }
     }
 
@@ -383,7 +387,7 @@
             Work work = queue.poll();
             if (work.calledOff || !work.link.channel.isActive()) {
                 work.payload.release();
-                answer(work, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
+                answer(work, StoreMessages.Code.CANCELLED, Unpooled.EMPTY_BUFFER);
                 continue;
             }
             // Work is begun in the order it came, and has its effect when it begins: no later write
@@ -395,24 +399,24 @@
     private void begin(Work work) {
         work.begun = System.nanoTime();
         StoreMessages.Send send = work.send;
-        StoreMessages.Code code = StoreMessages.Code.SATISFIED;
+        StoreMessages.Code code = StoreMessages.Code.SERVED;
         ByteBuf result = Unpooled.EMPTY_BUFFER;
-        if (send.kind().changes() && !holdsPen(work)) {
+        if (send.kind().modifiesData() && !holdsPen(work)) {
             work.payload.release();
-            answer(work, StoreMessages.Code.STALE_PEN, result);
+            answer(work, StoreMessages.Code.STALE_WRITE_TOKEN, result);
             return;
         }
         try {
             result = run(work);
         } catch (IOException e) {
-            code = StoreMessages.Code.FAULT;
+            code = StoreMessages.Code.FAILED;
         } finally {
             work.payload.release();
         }
         if (faults.erring > 0 && chance.nextDouble() < faults.erring) {
-            code = StoreMessages.Code.FAULT;
+            code = StoreMessages.Code.FAILED;
         }
-        if (code == StoreMessages.Code.FAULT) {
+        if (code == StoreMessages.Code.FAILED) {
             result.release();
             result = Unpooled.EMPTY_BUFFER;
         } else {
@@ -443,7 +447,7 @@
     }
 
     private double cost(StoreMessages.Send send) {
-        boolean writes = send.kind().changes();
+        boolean writes = send.kind().modifiesData();
         double cost = send.units() * (writes ? profile.writeCost() : profile.readCost());
         if (writes && profile.deferredShare() > 0) {
             // A part of each write is put off, and falls to whoever comes when its time is up.
@@ -463,8 +467,8 @@
         if (send.offset() + send.length() > profile.extentBytes()) {
             throw new IOException("past the extent's end");
         }
-        if (send.repeat() == TrafficClass.Idempotency.DEDUPLICATED.ordinal()
-                && marks.put(new Mark(work.link.gateway, send.mark()), true) != null) {
+        if (send.idempotency() == TrafficClass.Idempotency.DEDUPLICATED.ordinal()
+                && marks.put(new Mark(work.link.gateway, send.operationId()), true) != null) {
             return Unpooled.EMPTY_BUFFER;
         }
         recorder.ran(profile.id(), work.link.gateway, send, System.nanoTime());
@@ -490,7 +494,7 @@
                             send.durable());
             case FLUSH -> {
                 // Writes acknowledged by an earlier life are gone if the power failed since.
-                if (lostData && send.since() != startedWall) {
+                if (lostData && send.expectedNodeStart() != startedWall) {
                     throw new IOException("writes before the start were lost");
                 }
                 blockStore.flush(send.volume());
@@ -505,8 +509,8 @@
         recorder.answered(
                 profile.id(),
                 link.gateway,
-                work.send.mark(),
-                work.send.number(),
+                work.send.operationId(),
+                work.send.attemptNumber(),
                 code,
                 lost,
                 System.nanoTime());
@@ -646,11 +650,15 @@
                                         frame.payload()));
                 open.put(frame.id(), send);
                 recorder.attemptCame(profile.id(), gateway, send, System.nanoTime());
-            } else if (frame.type() == StoreMessages.CALL_OFF) {
+            } else if (frame.type() == StoreMessages.CANCEL) {
                 StoreMessages.Send send = open.remove(frame.id());
                 if (send != null) {
                     recorder.calledOff(
-                            profile.id(), gateway, send.mark(), send.number(), System.nanoTime());
+                            profile.id(),
+                            gateway,
+                            send.operationId(),
+                            send.attemptNumber(),
+                            System.nanoTime());
                 }
             }
         }
@@ -686,15 +694,15 @@
                     StoreMessages.Send send = StoreMessages.send(frame);
                     take(new Work(this, frame.id(), send, frame.payload().retain()));
                 }
-                case StoreMessages.CALL_OFF -> callOff(frame.id());
-                case StoreMessages.PROBE -> {
+                case StoreMessages.CANCEL -> callOff(frame.id());
+                case StoreMessages.HEALTH_CHECK -> {
                     if (!faults.silent) {
                         channel.writeAndFlush(
-                                StoreMessages.probed(frame.id(), new float[] {queue.size()}));
+                                StoreMessages.healthReport(frame.id(), new float[] {queue.size()}));
                     }
                 }
-                case StoreMessages.TAKE_PEN -> {
-                    ByteBuf head = FrameFields.need(frame, 12);
+                case StoreMessages.ACQUIRE_WRITE_TOKEN -> {
+                    ByteBuf head = FrameFields.requireHead(frame, 12);
                     takePen(
                             new PenKey(head.readInt(), head.readLong()),
                             new PenCall(this, frame.id()));
@@ -717,8 +725,8 @@
                 }
             }
             channel.writeAndFlush(
-                    StoreMessages.welcome(
-                            new StoreMessages.Welcome(
+                    StoreMessages.handshakeReply(
+                            new StoreMessages.HandshakeReply(
                                     profile.id(),
                                     profile.cell(),
                                     profile.zone(),
@@ -734,7 +742,7 @@
                     at.remove();
                     work.calledOff = true;
                     work.payload.release();
-                    answer(work, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
+                    answer(work, StoreMessages.Code.CANCELLED, Unpooled.EMPTY_BUFFER);
                     return;
                 }
             }
--- a/src/main/java/sagepulley/upstream/frame/NodeConnection.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -52,24 +52,24 @@
         /** The payload changes hands. */
         void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload);
 
-        void broken(long attempt, ConnectionFailure how);
+        void failed(long attempt, ConnectionFailure how);
 
         /**
          * An attempt that was given up was answered after all: all that counts is what the node
          * tells of its time.
          */
-        default void late(StoreMessages.Answer answer) {}
+        default void answeredAfterCancel(StoreMessages.Answer answer) {}
 
-        void probed(long id, float[] report);
+        void healthReported(long id, float[] report);
 
         /** A connection stands; false if what waited for it must not go out as it is. */
-        boolean welcomed(StoreMessages.Welcome welcome);
+        boolean handshakeCompleted(StoreMessages.HandshakeReply welcome);
 
         /** The node says that it drains. */
-        default void drains() {}
+        default void draining() {}
 
         /** The connection is gone, or did not come about. */
-        default void lost() {}
+        default void disconnected() {}
     }
 
     private record PenKey(int volume, long extent) {}
@@ -137,7 +137,7 @@
     }
 
     /** Gives an attempt up: it will not be told of any more. Tells whether it may have gone out. */
-    public boolean giveUp(long attempt) {
+    public boolean cancel(long attempt) {
         Parcel parcel = unsent.remove(attempt);
         if (parcel != null) {
             parcel.payload().release();
@@ -145,7 +145,7 @@
         }
         if (Boolean.TRUE.equals(out.get(attempt))) {
             out.put(attempt, false);
-            write(new Frame(StoreMessages.CALL_OFF, attempt));
+            write(new Frame(StoreMessages.CANCEL, attempt));
             if (out.size() > MOST_UNANSWERED) {
                 LOG.atWarn()
                         .addKeyValue("node", node)
@@ -156,9 +156,9 @@
         return true;
     }
 
-    public void probe(long id) {
+    public void checkHealth(long id) {
         if (welcomed) {
-            write(new Frame(StoreMessages.PROBE, id));
+            write(new Frame(StoreMessages.HEALTH_CHECK, id));
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     /** Opens a connection if there is none, so that the node says who it is. */
-    public void contact() {
+    public void ensureConnected() {
         if (channel == null) {
             connect();
         }
@@ -212,7 +212,7 @@
 
     private void forward(long attempt) {
         Parcel parcel = unsent.get(attempt);
-        if (parcel.send().kind().changes()) {
+        if (parcel.send().kind().modifiesData()) {
             PenKey key = new PenKey(parcel.send().volume(), parcel.send().extent());
             Pen pen = pens.get(key);
             if (pen == null) {
@@ -223,8 +223,11 @@
                 pens.put(key, pen);
                 pensAsked.put(++penIds, key);
                 write(
-                        StoreMessages.pen(
-                                StoreMessages.TAKE_PEN, penIds, key.volume(), key.extent()));
+                        StoreMessages.writeToken(
+                                StoreMessages.ACQUIRE_WRITE_TOKEN,
+                                penIds,
+                                key.volume(),
+                                key.extent()));
             }
             if (!pen.granted) {
                 pen.waiting.add(attempt);
@@ -274,9 +277,9 @@
         out.clear();
         returnUnsent();
         for (long attempt : reset) {
-            owner.broken(attempt, ConnectionFailure.RESET);
+            owner.failed(attempt, ConnectionFailure.RESET);
         }
-        owner.lost();
+        owner.disconnected();
     }
 
     private void returnUnsent() {
@@ -284,7 +287,7 @@
         unsent.clear();
         for (Parcel parcel : never) {
             parcel.payload().release();
-            owner.broken(parcel.attempt(), ConnectionFailure.NEVER_SENT);
+            owner.failed(parcel.attempt(), ConnectionFailure.NEVER_SENT);
         }
     }
 
@@ -311,14 +314,14 @@
 
         private void told(Frame frame) throws MalformedMessageException {
             switch (frame.type()) {
-                case StoreMessages.WELCOME -> welcome(StoreMessages.welcome(frame));
+                case StoreMessages.HANDSHAKE_REPLY -> welcome(StoreMessages.handshakeReply(frame));
                 case StoreMessages.ANSWER -> answer(frame);
-                case StoreMessages.PROBED ->
-                        owner.probed(frame.id(), StoreMessages.report(frame.head()));
-                case StoreMessages.PEN -> pen(frame);
-                case StoreMessages.DRAINS -> owner.drains();
-                case StoreMessages.PEN_LOST -> {
-                    ByteBuf head = FrameFields.need(frame, 12);
+                case StoreMessages.HEALTH_REPORT ->
+                        owner.healthReported(frame.id(), StoreMessages.loadReport(frame.head()));
+                case StoreMessages.WRITE_TOKEN_GRANTED -> pen(frame);
+                case StoreMessages.DRAINING -> owner.draining();
+                case StoreMessages.WRITE_TOKEN_REVOKED -> {
+                    ByteBuf head = FrameFields.requireHead(frame, 12);
                     PenKey key = new PenKey(head.readInt(), head.readLong());
                     Pen pen = pens.get(key);
                     if (pen != null && pen.granted) {
@@ -331,8 +334,9 @@
             }
         }
 
-        private void welcome(StoreMessages.Welcome welcome) throws MalformedMessageException {
-            boolean goesOut = owner.welcomed(welcome);
+        private void welcome(StoreMessages.HandshakeReply welcome)
+                throws MalformedMessageException {
+            boolean goesOut = owner.handshakeCompleted(welcome);
             if (welcome.node() != node) {
                 throw new MalformedMessageException(
                         "node " + welcome.node() + " answers where " + node + " is listed");
@@ -356,13 +360,13 @@
                         "an answer to hop " + frame.id() + ", which is not out");
             }
             StoreMessages.Answer answer = StoreMessages.answer(frame);
-            if (answer.code() == StoreMessages.Code.STALE_PEN) {
+            if (answer.code() == StoreMessages.Code.STALE_WRITE_TOKEN) {
                 pens.values().removeIf(any -> any.granted);
             }
             if (wanted) {
                 owner.answered(frame.id(), answer, frame.payload().retain());
             } else {
-                owner.late(answer);
+                owner.answeredAfterCancel(answer);
             }
         }
 
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -12,30 +12,30 @@
     public static final int HELLO = 1;
 
     public static final int SEND = 2;
-    public static final int CALL_OFF = 3;
-    public static final int PROBE = 4;
-    public static final int TAKE_PEN = 5;
+    public static final int CANCEL = 3;
+    public static final int HEALTH_CHECK = 4;
+    public static final int ACQUIRE_WRITE_TOKEN = 5;
 
     /** From the node. */
-    public static final int WELCOME = 17;
+    public static final int HANDSHAKE_REPLY = 17;
 
     public static final int ANSWER = 18;
-    public static final int PROBED = 19;
-    public static final int PEN = 20;
-    public static final int PEN_LOST = 21;
+    public static final int HEALTH_REPORT = 19;
+    public static final int WRITE_TOKEN_GRANTED = 20;
+    public static final int WRITE_TOKEN_REVOKED = 21;
 
     /** From a node: it drains, and takes nothing new. */
-    public static final int DRAINS = 22;
+    public static final int DRAINING = 22;
 
     public static final int VERSION = 1;
-    private static final int SEND_HEAD = 55;
-    private static final int MOST_REPORT = 4;
+    private static final int SEND_HEAD_BYTES = 55;
+    private static final int MAX_REPORT_VALUES = 4;
 
     /** Who calls: the number differs at every start of a gateway. */
     public record Hello(long gateway, String name) {}
 
     /** Who answers; the start is wall-clock milliseconds. */
-    public record Welcome(
+    public record HandshakeReply(
             int node, int cell, int zone, int kind, boolean draining, long startedAt) {}
 
     /** What an operation does at its extent. */
@@ -46,7 +46,7 @@
         TRIM,
         FLUSH;
 
-        public boolean changes() {
+        public boolean modifiesData() {
             return this == WRITE || this == ZERO || this == TRIM;
         }
     }
@@ -59,18 +59,18 @@
      */
     public record Send(
             Kind kind,
-            int band,
+            int trafficClass,
             boolean durable,
-            int repeat,
-            long mark,
-            int number,
+            int idempotency,
+            long operationId,
+            int attemptNumber,
             int volume,
             long extent,
             int offset,
             int length,
             float units,
-            long since,
-            boolean mustBeThere) {
+            long expectedNodeStart,
+            boolean extentMustExist) {
         public Send(
                 Kind kind,
                 int band,
@@ -92,13 +92,13 @@
 
     /** How a node answers. */
     public enum Code {
-        SATISFIED,
-        FAULT,
+        SERVED,
+        FAILED,
         FULL,
         DRAINING,
-        MOOT,
-        STALE_PEN,
-        CALLED_OFF
+        NOT_EXECUTED,
+        STALE_WRITE_TOKEN,
+        CANCELLED
     }
 
     /**
@@ -107,7 +107,12 @@
      * on.
      */
     public record Answer(
-            Code code, int used, float others, float waited, float worked, float[] report) {
+            Code code,
+            int planUsage,
+            float otherGatewaysUnits,
+            float queuedMillis,
+            float serviceMillis,
+            float[] loadReport) {
         public static final float[] NO_REPORT = {};
     }
 
@@ -119,7 +124,7 @@
     }
 
     public static Hello hello(Frame frame) throws MalformedMessageException {
-        ByteBuf head = FrameFields.need(frame, 11);
+        ByteBuf head = FrameFields.requireHead(frame, 11);
         int version = head.readUnsignedShort();
         if (version != VERSION) {
             throw new MalformedMessageException(
@@ -128,9 +133,9 @@
         return new Hello(head.readLong(), FrameFields.string(head));
     }
 
-    public static Frame welcome(Welcome it) {
+    public static Frame handshakeReply(HandshakeReply it) {
         return new Frame(
-                WELCOME,
+                HANDSHAKE_REPLY,
                 0,
                 Unpooled.buffer(32)
                         .writeInt(it.node())
@@ -141,9 +146,9 @@
                         .writeLong(it.startedAt()));
     }
 
-    public static Welcome welcome(Frame frame) throws MalformedMessageException {
-        ByteBuf head = FrameFields.need(frame, 21);
-        return new Welcome(
+    public static HandshakeReply handshakeReply(Frame frame) throws MalformedMessageException {
+        ByteBuf head = FrameFields.requireHead(frame, 21);
+        return new HandshakeReply(
                 head.readInt(),
                 head.readInt(),
                 head.readUnsignedShort(),
@@ -154,24 +159,24 @@
 
     public static Frame send(long attempt, Send it, ByteBuf payload) {
         ByteBuf head =
-                Unpooled.buffer(SEND_HEAD)
+                Unpooled.buffer(SEND_HEAD_BYTES)
                         .writeByte(it.kind().ordinal())
-                        .writeByte(it.band())
-                        .writeByte((it.durable() ? 1 : 0) | (it.mustBeThere() ? 2 : 0))
-                        .writeByte(it.repeat())
-                        .writeLong(it.mark())
-                        .writeByte(it.number())
+                        .writeByte(it.trafficClass())
+                        .writeByte((it.durable() ? 1 : 0) | (it.extentMustExist() ? 2 : 0))
+                        .writeByte(it.idempotency())
+                        .writeLong(it.operationId())
+                        .writeByte(it.attemptNumber())
                         .writeInt(it.volume())
                         .writeLong(it.extent())
                         .writeInt(it.offset())
                         .writeInt(it.length())
                         .writeFloat(it.units())
-                        .writeLong(it.since());
+                        .writeLong(it.expectedNodeStart());
         return new Frame(SEND, attempt, head, payload);
     }
 
     public static Send send(Frame frame) throws MalformedMessageException {
-        ByteBuf head = FrameFields.need(frame, 45);
+        ByteBuf head = FrameFields.requireHead(frame, 45);
         int kind = head.readUnsignedByte();
         if (kind >= Kind.values().length) {
             throw new MalformedMessageException("operation of kind " + kind);
@@ -211,19 +216,19 @@
         ByteBuf head =
                 Unpooled.buffer(32)
                         .writeByte(it.code().ordinal())
-                        .writeShort(it.used())
-                        .writeFloat(it.others())
-                        .writeFloat(it.waited())
-                        .writeFloat(it.worked())
-                        .writeByte(it.report().length);
-        for (float value : it.report()) {
+                        .writeShort(it.planUsage())
+                        .writeFloat(it.otherGatewaysUnits())
+                        .writeFloat(it.queuedMillis())
+                        .writeFloat(it.serviceMillis())
+                        .writeByte(it.loadReport().length);
+        for (float value : it.loadReport()) {
             head.writeFloat(value);
         }
         return new Frame(ANSWER, attempt, head, payload);
     }
 
     public static Answer answer(Frame frame) throws MalformedMessageException {
-        ByteBuf head = FrameFields.need(frame, 16);
+        ByteBuf head = FrameFields.requireHead(frame, 16);
         int code = head.readUnsignedByte();
         int used = head.readUnsignedShort();
         float others = head.readFloat();
@@ -235,26 +240,26 @@
             throw new MalformedMessageException(
                     "answer with code " + code + " and " + others + " units of others");
         }
-        return new Answer(Code.values()[code], used, others, waited, worked, report(head));
+        return new Answer(Code.values()[code], used, others, waited, worked, loadReport(head));
     }
 
-    public static Frame probed(long id, float[] report) {
+    public static Frame healthReport(long id, float[] report) {
         ByteBuf head = Unpooled.buffer(20).writeByte(report.length);
         for (float value : report) {
             head.writeFloat(value);
         }
-        return new Frame(PROBED, id, head);
+        return new Frame(HEALTH_REPORT, id, head);
     }
 
     /** A message about an extent's pen: taking it, having it, or having lost it. */
-    public static Frame pen(int type, long id, int volume, long extent) {
+    public static Frame writeToken(int type, long id, int volume, long extent) {
         return new Frame(type, id, Unpooled.buffer(12).writeInt(volume).writeLong(extent));
     }
 
     /** A report of up to four values, as answers and probes carry it. */
-    public static float[] report(ByteBuf head) throws MalformedMessageException {
+    public static float[] loadReport(ByteBuf head) throws MalformedMessageException {
         int count = head.isReadable() ? head.readUnsignedByte() : -1;
-        if (count < 0 || count > MOST_REPORT || head.readableBytes() < 4 * count) {
+        if (count < 0 || count > MAX_REPORT_VALUES || head.readableBytes() < 4 * count) {
             throw new MalformedMessageException("a load report of " + count + " values");
         }
         float[] report = count == 0 ? Answer.NO_REPORT : new float[count];
--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -38,7 +38,7 @@
 
     /** Keeps so many writes of a client in flight until told to stop. */
     private static void flood(NbdClient client, int number, AtomicBoolean stop) {
-        client.ask(
+        client.request(
                 NbdConstants.CMD_WRITE,
                 0,
                 number % 64 * 131072L,
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -51,10 +51,10 @@
             assertEquals(
                     error,
                     NbdTestFixture.error(
-                            client.ask(command, flags, offset, length, Unpooled.EMPTY_BUFFER)));
+                            client.request(command, flags, offset, length, Unpooled.EMPTY_BUFFER)));
             assertEquals(0, NbdTestFixture.error(client.read(0, 512)));
             // The reply reaches the client before the gateway is told that it was written.
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
         }
     }
 
@@ -83,7 +83,8 @@
             assertEquals(
                     NbdConstants.EPERM,
                     NbdTestFixture.error(
-                            client.ask(NbdConstants.CMD_TRIM, 0, 0, 512, Unpooled.EMPTY_BUFFER)));
+                            client.request(
+                                    NbdConstants.CMD_TRIM, 0, 0, 512, Unpooled.EMPTY_BUFFER)));
         }
     }
 
@@ -123,9 +124,9 @@
             }
             await().until(
                             () ->
-                                    rig.gateway.tally().clients.sum() - 1
-                                            == rig.gateway.tally().clientsEnded.sum());
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+                                    rig.gateway.counters().clients.sum() - 1
+                                            == rig.gateway.counters().clientsEnded.sum());
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
             assertEquals(0, NbdTestFixture.error(good.read(0, 4096)));
         }
     }
@@ -152,7 +153,7 @@
                 }
             }
             assertEquals(0, NbdTestFixture.error(good.read(0, 512)));
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
         }
     }
 
@@ -186,10 +187,10 @@
                 for (int i = 0; i < 50; i++) {
                     assertEquals(0, NbdTestFixture.error(good.read(0, 65536)));
                 }
-                assertTrue(rig.gateway.mostBytesInHand() <= 16L * NbdTestFixture.MIB);
-                assertTrue(rig.gateway.bytesInHand() <= 8L * NbdTestFixture.MIB + 8192);
+                assertTrue(rig.gateway.maxBytesInFlight() <= 16L * NbdTestFixture.MIB);
+                assertTrue(rig.gateway.bytesInFlight() <= 8L * NbdTestFixture.MIB + 8192);
             }
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
         }
     }
 
@@ -214,8 +215,8 @@
                 reply.release();
             }
             writes.forEach(NbdTestFixture::await);
-            assertTrue(rig.gateway.mostBytesInHand() <= 64L * NbdTestFixture.MIB);
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+            assertTrue(rig.gateway.maxBytesInFlight() <= 64L * NbdTestFixture.MIB);
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
         }
     }
 }
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -111,14 +111,14 @@
                         one.join().took() < 2500 + 100 + machine.stoodStill(),
                         "took " + one.join().took());
             }
-            Counters counters = rig.gateway.tally();
+            Counters counters = rig.gateway.counters();
             assertEquals(0, counters.open());
-            assertEquals(0, counters.left.sum());
-            assertEquals(200 + 32, counters.taken.sum());
-            assertEquals(32 + satisfied, counters.satisfied.sum());
-            assertEquals(200 - satisfied, counters.declined.sum() + counters.scrapped.sum());
+            assertEquals(0, counters.cancelled.sum());
+            assertEquals(200 + 32, counters.accepted.sum());
+            assertEquals(32 + satisfied, counters.served.sum());
+            assertEquals(200 - satisfied, counters.rejected.sum() + counters.abandoned.sum());
             assertTrue(satisfied >= 60, "only " + satisfied + " of 200 were satisfied");
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
         }
     }
 
@@ -134,13 +134,13 @@
                 leaver.read(i * 1024L, 1024)
                         .whenComplete((reply, failure) -> ends.incrementAndGet());
             }
-            await().until(() -> rig.gateway.tally().taken.sum() >= 21);
+            await().until(() -> rig.gateway.counters().accepted.sum() >= 21);
             leaver.channel().close().syncUninterruptibly();
-            await().until(() -> rig.gateway.tally().open() == 0 && ends.get() == 20);
-            assertTrue(rig.gateway.tally().left.sum() > 0);
+            await().until(() -> rig.gateway.counters().open() == 0 && ends.get() == 20);
+            assertTrue(rig.gateway.counters().cancelled.sum() > 0);
             rig.cluster.nodes().forEach(node -> node.faults().silent = false);
             await().until(() -> NbdTestFixture.error(other.read(0, 512)) == 0);
-            await().until(() -> rig.gateway.bytesInHand() == 0);
+            await().until(() -> rig.gateway.bytesInFlight() == 0);
         }
     }
 
@@ -282,18 +282,18 @@
             for (int i = 0; i < 10; i++) {
                 asked.add(client.read(0, 4096));
             }
-            await().until(() -> rig.gateway.tally().open() == 10);
+            await().until(() -> rig.gateway.counters().open() == 10);
             CompletableFuture<Void> stopped = rig.gateway.stop();
             // Asked on the gateway's loop behind the stop: what comes after this cannot overtake
             // it.
             NbdTestFixture.await(rig.gateway.nodes());
-            asked.add(client.ask(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
+            asked.add(client.request(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
             for (var one : asked) {
                 assertTrue(NbdTestFixture.await(one).error != 0);
             }
             assertEquals(NbdConstants.ESHUTDOWN, asked.get(10).join().error);
             NbdTestFixture.await(stopped);
-            assertEquals(0, rig.gateway.tally().open());
+            assertEquals(0, rig.gateway.counters().open());
         }
     }
 
--- a/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -54,12 +54,12 @@
             assertEquals(
                     0,
                     NbdTestFixture.error(
-                            client.ask(
+                            client.request(
                                     NbdConstants.CMD_TRIM, 0, 4096, 4096, Unpooled.EMPTY_BUFFER)));
             assertEquals(
                     0,
                     NbdTestFixture.error(
-                            client.ask(
+                            client.request(
                                     NbdConstants.CMD_WRITE_ZEROES,
                                     NbdConstants.CMD_FLAG_FUA,
                                     NbdTestFixture.MIB,
@@ -68,7 +68,8 @@
             assertEquals(
                     0,
                     NbdTestFixture.error(
-                            client.ask(NbdConstants.CMD_FLUSH, 0, 0, 0, Unpooled.EMPTY_BUFFER)));
+                            client.request(
+                                    NbdConstants.CMD_FLUSH, 0, 0, 0, Unpooled.EMPTY_BUFFER)));
             assertArrayEquals(
                     new byte[4096],
                     NbdTestFixture.data(NbdTestFixture.await(client.read(4096, 4096))));
@@ -78,7 +79,7 @@
                             NbdTestFixture.await(client.read(NbdTestFixture.MIB, 8192))));
             NbdReply status =
                     NbdTestFixture.await(
-                            client.ask(
+                            client.request(
                                     NbdConstants.CMD_BLOCK_STATUS,
                                     0,
                                     0,
@@ -98,7 +99,8 @@
             assertEquals(
                     0,
                     NbdTestFixture.error(
-                            client.ask(NbdConstants.CMD_FLUSH, 0, 0, 0, Unpooled.EMPTY_BUFFER)));
+                            client.request(
+                                    NbdConstants.CMD_FLUSH, 0, 0, 0, Unpooled.EMPTY_BUFFER)));
             org.awaitility.Awaitility.await()
                     .until(
                             () -> {
@@ -123,9 +125,9 @@
             for (var one : all) {
                 satisfied += NbdTestFixture.await(one).error == 0 ? 1 : 0;
             }
-            assertEquals(512, rig.gateway.tally().taken.sum());
-            assertEquals(0, rig.gateway.tally().open());
-            assertEquals(satisfied, rig.gateway.tally().satisfied.sum());
+            assertEquals(512, rig.gateway.counters().accepted.sum());
+            assertEquals(0, rig.gateway.counters().open());
+            assertEquals(satisfied, rig.gateway.counters().served.sum());
             assertTrue(satisfied > 0);
         }
     }
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -104,7 +104,7 @@
             rig.cluster.nodes().get(0).drain();
             age(60_000);
             NbdGateway again = start(site, 30);
-            long before = again.tally().attempts.sum();
+            long before = again.counters().attempts.sum();
             NbdClient client = rig.client(again, NbdClient.Style.GO);
             List<CompletableFuture<NbdReply>> all = new java.util.ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -113,7 +113,7 @@
             for (CompletableFuture<NbdReply> one : all) {
                 NbdTestFixture.await(one).release();
             }
-            assertTrue(again.tally().attempts.sum() > before);
+            assertTrue(again.counters().attempts.sum() > before);
             NodesView view = NbdTestFixture.await(again.nodes());
             assertEquals(
                     EndpointRecord.Phase.DRAINING,
@@ -135,12 +135,12 @@
                     NbdTestFixture.error(
                             client.write(
                                     40L * NbdTestFixture.MIB, NbdTestFixture.noise(40, 4096))));
-            long attempts = again.tally().attempts.sum();
+            long attempts = again.counters().attempts.sum();
             assertEquals(
                     0,
                     NbdTestFixture.error(client.write(0, NbdTestFixture.noise(0, 4096))),
                     "a known extent is written");
-            assertEquals(attempts + 1, again.tally().attempts.sum());
+            assertEquals(attempts + 1, again.counters().attempts.sum());
             NbdTestFixture.await(rig.cluster.directory().restart());
             await().until(
                             () -> {
@@ -171,8 +171,8 @@
             NbdGateway again = start(site, 50);
             reads(rig.client(again, NbdClient.Style.GO));
             assertTrue(
-                    again.tally().moot.sum() >= 6,
-                    "each was denied once: " + again.tally().moot.sum());
+                    again.counters().notExecuted.sum() >= 6,
+                    "each was denied once: " + again.counters().notExecuted.sum());
             NbdTestFixture.await(again.stop());
             assertArrayEquals(
                     Arrays.copyOf(cells, 6),
--- a/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -149,7 +149,7 @@
         work(gateway, 5);
         LocalCluster.await(gateway.stop());
         receiver.stop(0);
-        assertTrue(gateway.tracesMade() > 0);
+        assertTrue(gateway.tracesRecorded() > 0);
         String told = printed("explain", file.toString(), "--volume", "demo");
         assertTrue(told.contains("hop 1 goes to node"), told);
         assertTrue(told.contains("worked on by the node"), told);
@@ -168,7 +168,7 @@
                                 "\n[traces]\notlp = http://127.0.0.1:9/v1/traces\nbudget = 100\nchance = 1\n"),
                         1);
         work(gateway, 20);
-        assertEquals(21, gateway.tally().satisfied.sum());
+        assertEquals(21, gateway.counters().served.sum());
         LocalCluster.await(gateway.stop());
     }
 
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -120,7 +120,7 @@
         }
 
         @Override
-        public void listed(DirectoryMessages.EndpointList listing) {
+        public void endpointListReceived(DirectoryMessages.EndpointList listing) {
             for (DirectoryMessages.EndpointLine line : listing.lines()) {
                 peers.computeIfAbsent(
                         line.node(),
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void listFailed(String why) {}
+        public void endpointListFailed(String why) {}
 
         @Override
         public List<Export> all() {
@@ -182,7 +182,7 @@
 
         @Override
         public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
-            boolean good = answer.code() == StoreMessages.Code.SATISFIED;
+            boolean good = answer.code() == StoreMessages.Code.SERVED;
             if (!good) {
                 payload.release();
             }
@@ -190,15 +190,15 @@
         }
 
         @Override
-        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
+        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
             waiting.remove(attempt).accept(null);
         }
 
         @Override
-        public void probed(long id, float[] report) {}
+        public void healthReported(long id, float[] report) {}
 
         @Override
-        public boolean welcomed(StoreMessages.Welcome welcome) {
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
             return true;
         }
     }
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -69,7 +69,7 @@
 
         int read(long attempt) {
             send(attempt, StoreMessages.Kind.READ, Unpooled.EMPTY_BUFFER);
-            assertEquals("SATISFIED", end(attempt));
+            assertEquals(StoreMessages.Code.SERVED.name(), end(attempt));
             return data[0];
         }
 
@@ -81,15 +81,15 @@
         }
 
         @Override
-        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
+        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
             ends.put(attempt, how.name());
         }
 
         @Override
-        public void probed(long id, float[] report) {}
+        public void healthReported(long id, float[] report) {}
 
         @Override
-        public boolean welcomed(StoreMessages.Welcome welcome) {
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
             return true;
         }
     }
@@ -141,13 +141,17 @@
         try (Socket late = new Socket(node.address().getAddress(), node.address().getPort())) {
             late.getOutputStream()
                     .write(bytes(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
-            late.getOutputStream().write(bytes(StoreMessages.pen(StoreMessages.TAKE_PEN, 5, 1, 7)));
+            late.getOutputStream()
+                    .write(
+                            bytes(
+                                    StoreMessages.writeToken(
+                                            StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
             // Its welcome (49 bytes) and its pen (40 bytes).
             DataInputStream in = new DataInputStream(late.getInputStream());
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
             Peer b = peer(2, 3);
             b.write(1, 2);
-            assertEquals("SATISFIED", b.end(1));
+            assertEquals(StoreMessages.Code.SERVED.name(), b.end(1));
             StoreMessages.Send send =
                     new StoreMessages.Send(
                             StoreMessages.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
@@ -160,7 +164,7 @@
             byte[] answer = new byte[25];
             in.readFully(answer);
             assertEquals(StoreMessages.ANSWER, answer[3]);
-            assertEquals(StoreMessages.Code.STALE_PEN.ordinal(), answer[24]);
+            assertEquals(StoreMessages.Code.STALE_WRITE_TOKEN.ordinal(), answer[24]);
             assertEquals(2, b.read(9));
         }
     }
@@ -172,7 +176,7 @@
         for (long attempt = 1; attempt < 9; attempt++) {
             Peer writer = attempt % 2 == 0 ? a : b;
             writer.write(attempt, (int) attempt);
-            assertEquals("SATISFIED", writer.end(attempt));
+            assertEquals(StoreMessages.Code.SERVED.name(), writer.end(attempt));
             assertEquals(attempt, (attempt % 2 == 0 ? b : a).read(100 + attempt));
         }
     }
@@ -181,7 +185,7 @@
     void aNewLinkOfTheSameGatewayEndsTheOlder() {
         Peer old = peer(1, 3);
         old.write(1, 1);
-        assertEquals("SATISFIED", old.end(1));
+        assertEquals(StoreMessages.Code.SERVED.name(), old.end(1));
         node.faults().silent = true;
         old.write(2, 2);
         Peer fresh = peer(1, 3);
@@ -209,7 +213,7 @@
                             new StoreMessages.Send(
                                     StoreMessages.Kind.READ, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0),
                             Unpooled.EMPTY_BUFFER);
-                    went[0] = peer.link.giveUp(1);
+                    went[0] = peer.link.cancel(1);
                 });
         assertEquals(false, went[0]);
         assertEquals(0, peer.read(2));
--- a/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
@@ -27,10 +27,10 @@
     private static final List<Reading> READINGS =
             List.of(
                     StoreMessages::hello,
-                    StoreMessages::welcome,
+                    StoreMessages::handshakeReply,
                     StoreMessages::send,
                     StoreMessages::answer,
-                    frame -> StoreMessages.report(frame.head()),
+                    frame -> StoreMessages.loadReport(frame.head()),
                     DirectoryMessages::list,
                     DirectoryMessages::holders,
                     frame -> DirectoryMessages.line(frame.head()),
