--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -1,3874 +1,1538 @@
-package
-sagepulley.frontend.nbd;
-
-import
-io.netty.buffer.ByteBuf;
-import
-io.netty.channel.Channel;
-import
-io.netty.channel.EventLoop;
-import
-io.netty.util.concurrent.ScheduledFuture;
-import
-java.net.InetSocketAddress;
-import
-java.net.SocketAddress;
-import
-java.util.ArrayList;
-import
-java.util.HashMap;
-import
-java.util.HashSet;
-import
-java.util.Iterator;
-import
-java.util.LinkedHashMap;
-import
-java.util.LinkedHashSet;
-import
-java.util.List;
-import
-java.util.Map;
-import
-java.util.Set;
-import
-java.util.SplittableRandom;
-import
-java.util.concurrent.CompletableFuture;
-import
-java.util.concurrent.TimeUnit;
-import
-java.util.stream.Collectors;
-import
-org.slf4j.Logger;
-import
-org.slf4j.LoggerFactory;
-import
-sagepulley.accounts.Accounts;
-import
-sagepulley.accounts.Cause;
-import
-sagepulley.accounts.IncrementalCopy;
-import
-sagepulley.accounts.LatencyAccount;
-import
-sagepulley.accounts.LatencyComponent;
-import
-sagepulley.accounts.LatencyReport;
-import
-sagepulley.accounts.StoredAccounts;
-import
-sagepulley.accounts.Totals;
-import
-sagepulley.codec.frame.EventLoopTimer;
-import
-sagepulley.codec.nbd.Export;
-import
-sagepulley.codec.nbd.NbdConstants;
-import
-sagepulley.codec.nbd.NbdRequest;
-import
-sagepulley.codec.nbd.NbdServer;
-import
-sagepulley.config.SiteConfig;
-import
-sagepulley.config.VolumeSettings;
-import
-sagepulley.discovery.directory.DirectoryClient;
-import
-sagepulley.discovery.directory.DirectoryMessages;
-import
-sagepulley.engine.Clock;
-import
-sagepulley.membership.EndpointListUpdate;
-import
-sagepulley.membership.EndpointRecord;
-import
-sagepulley.membership.Membership;
-import
-sagepulley.membership.ReconnectBackoff;
-import
-sagepulley.membership.StoredEndpointList;
-import
-sagepulley.model.Attempt;
-import
-sagepulley.model.ExternalName;
-import
-sagepulley.model.FollowUp;
-import
-sagepulley.model.Node;
-import
-sagepulley.model.Operation;
-import
-sagepulley.model.Outcome;
-import
-sagepulley.model.Reason;
-import
-sagepulley.model.RoutingDecision;
-import
-sagepulley.model.SchedulerTurn;
-import
-sagepulley.model.Volume;
-import
-sagepulley.persistence.GatewayAccounts;
-import
-sagepulley.persistence.HolderFile;
-import
-sagepulley.placement.ExtentHolders;
-import
-sagepulley.scheduler.Scheduler;
-import
-sagepulley.scheduler.WaitExplainer;
-import
-sagepulley.tracing.OperationTrace;
-import
-sagepulley.tracing.TailSampler;
-import
-sagepulley.tracing.Tracer;
-import
-sagepulley.upstream.frame.NodeConnection;
-import
-sagepulley.upstream.frame.StoreMessages;
-
-/** Hosts Scheduler in service: tells it what happens and carries out what it answers. Everything here but the methods said otherwise runs on one loop, which also owns the links to nodes and directory. */
-final
-class
-NbdEngine
-implements
-DirectoryClient.Listener
-{
-/** A shard that no node has: Scheduler keeps such an operation until its holder is found. */
-private
-static
-final
-int
-NOT_FOUND_YET
-=
-Integer.MAX_VALUE;
-
-private
-static
-final
-int
-LEAST_BLOCK
-=
-512;
-private
-static
-final
-int
-PREFERRED_BLOCK
-=
-4096;
-
-/** A first list is asked for again after pauses from this on, up to that. */
-private
-static
-final
-double
-START_AGAIN
-=
-100;
-
-private
-static
-final
-double
-START_AGAIN_LONGEST
-=
-5_000;
-private
-static
-final
-long
-MEMBERS_BEAT_MS
-=
-50;
-
-/** A subscription that says nothing is tried this often, so that a list is not believed for a silence. */
-private
-static
-final
-double
-CONFIRMED_EVERY
-=
-30_000;
-
-private
-static
-final
-double
-LIST_KEPT_EVERY
-=
-30_000;
-private
-static
-final
-int
-HOLDERS_AT_ONCE
-=
-1
-<<
-14;
-private
-static
-final
-int
-COPIED_AT_ONCE
-=
-64;
-private
-static
-final
-int
-MOST_TOLD
-=
-64;
-private
-static
-final
-int
-ACCOUNTED_AT_ONCE
-=
-256;
-private
-static
-final
-long
-ACCOUNT_BEAT_MS
-=
-20;
-private
-static
-final
-double
-NS
-=
-1e6;
-private
-static
-final
-Logger
-LOG
-=
-LoggerFactory.getLogger(NbdEngine.class);
-
-private
-final
-SiteConfig
-site;
-private
-final
-EventLoop
-loop;
-private
-final
-Class<?
-extends
-Channel>
-kind;
-private
-final
-Clock
-clock;
-private
-final
-Scheduler
-scheduler;
-private
-final
-RequestSplitter
-splitter;
-private
-final
-StoreMessages.Hello
-hello;
-private
-final
-DirectoryClient
-directory;
-private
-final
-Counters
-counters
-=
-new
-Counters();
-private
-final
-Map<String,
-ExportedVolume>
-disks
-=
-new
-LinkedHashMap<>();
-private
-final
-Map<Integer,
-Place>
-places
-=
-new
-LinkedHashMap<>();
-
-/** The ready node of each cell. */
-private
-final
-Map<Integer,
-Node>
-byCell
-=
-new
-HashMap<>();
-
-private
-final
-ExtentHolders<RequestPart>
-holders
-=
-new
-ExtentHolders<>();
-
-/** Parts whose attempt is out, by the attempt's number on the wire. */
-private
-final
-Map<Long,
-RequestPart>
-out
-=
-new
-HashMap<>();
-
-private
-final
-Map<NbdSession,
-Set<PendingRequest>>
-requests
-=
-new
-HashMap<>();
-
-/** Parts in hand whose holder is not known, by extent. */
-private
-final
-Map<Long,
-Set<RequestPart>>
-seeking
-=
-new
-HashMap<>();
-
-private
-final
-Accounts
-accounts;
-
-/** Null where no trace goes anywhere. */
-private
-final
-Tracer
-tracer;
-
-private
-final
-TailSampler
-sampler;
-
-/** Parts that wait at Scheduler, in the order in which they are asked why. */
-private
-final
-Set<RequestPart>
-waiting
-=
-new
-LinkedHashSet<>();
-
-/** When the latest versions of the list came, by the wall's clock: by these, gateways' books are set together. */
-private
-final
-Map<Long,
-Double>
-told
-=
-new
-LinkedHashMap<>();
-
-private
-final
-Membership
-membership;
-private
-final
-ReconnectBackoff
-returning;
-
-/** Extents whose holder is known from disk only: the first node that is asked says whether it is so. */
-private
-final
-Set<Long>
-unverified
-=
-new
-HashSet<>();
-
-private
-long
-attemptIds;
-private
-boolean
-settleDue;
-private
-final
-EventLoopTimer
-alarm;
-private
-ScheduledFuture<?>
-beat;
-private
-ScheduledFuture<?>
-membersBeat;
-private
-boolean
-listed;
-
-/** The directory cannot be reached: nobody but Scheduler's asking for the list tries it. */
-private
-boolean
-directoryDown;
-
-private
-double
-confirmAt
-=
-Double.NEGATIVE_INFINITY;
-private
-boolean
-listChanged;
-private
-boolean
-holdersChanged;
-private
-double
-listKeptAt
-=
-Double.NEGATIVE_INFINITY;
-private
-boolean
-stopping;
-private
-Runnable
-whenReady
-=
-()
-->
-{};
-private
-Runnable
-whenEmpty;
-
-/** A node of the list with its link, which is opened when an attempt needs it. */
-private
-final
-class
-Place
-implements
-NodeConnection.Listener
-{
-final
-Node
-node;
-NodeConnection
-link;
-long
-startedAt;
-
-Place(int
-id)
-{
-node
-=
-new
-Node(id);
-}
-
-@Override
-public
-void
-answered(long
-attempt,
-StoreMessages.Answer
-answer,
-ByteBuf
-payload)
-{
-NbdEngine.this.answered(attempt,
-answer,
-payload);
-}
-
-@Override
-public
-void
-failed(long
-attempt,
-NodeConnection.ConnectionFailure
-how)
-{
-RequestPart
-part
-=
-out.remove(attempt);
-if
-(part
-!=
-null)
-{
-ended(
-part,
-how
-==
-NodeConnection.ConnectionFailure.RESET
-?
-Outcome.RESET
-:
-Outcome.NO_CONNECTION);
-}
-}
-
-@Override
-public
-void
-answeredAfterCancel(StoreMessages.Answer
-answer)
-{
-accounts.lateAnswer(node.id,
-answer.queuedMillis(),
-answer.serviceMillis());
-}
-
-@Override
-public
-void
-healthReported(long
-id,
-float[]
-report)
-{
-scheduler.onHealthCheck(node,
-Outcome.SERVED,
-0,
-widened(report),
-clock.now());
-settle();
-}
-
-@Override
-public
-boolean
-handshakeCompleted(StoreMessages.HandshakeReply
-welcome)
-{
-startedAt
-=
-welcome.startedAt();
-Membership.HandshakeVerdict
-meaning
-=
-membership.handshakeCompleted(
-node.id,
-welcome.node(),
-welcome.cell(),
-welcome.draining(),
-welcome.startedAt(),
-wall());
-LOG.atInfo()
-.addKeyValue("node",
-node.id)
-.addKeyValue("started",
-startedAt)
-.addKeyValue("meaning",
-meaning)
-.log("node connected");
-if
-(meaning
-!=
-Membership.HandshakeVerdict.ACCEPTED
-||
-!node.acceptsNewObjects
-||
-node.phase
-!=
-Node.Phase.READY)
-{
-adopt();
-}
-return
-meaning
-==
-Membership.HandshakeVerdict.ACCEPTED
-&&
-node.phase
-==
-Node.Phase.READY;
-}
-
-@Override
-public
-void
-draining()
-{
-LOG.atInfo().addKeyValue("node",
-node.id).log("node says that it drains");
-membership.drainAnnounced(node.id);
-adopt();
-}
-
-@Override
-public
-void
-disconnected()
-{
-membership.disconnected(node.id,
-wall());
-}
-}
-
-NbdEngine(
-SiteConfig
-site,
-EventLoop
-loop,
-Class<?
-extends
-Channel>
-kind,
-Clock
-clock,
-long
-seed,
-Scheduler
-scheduler,
-Membership
-membership,
-Tracer
-tracer)
-{
-this.site
-=
-site;
-this.loop
-=
-loop;
-this.alarm
-=
-new
-EventLoopTimer(loop,
-clock::now,
-this::settleNow);
-this.kind
-=
-kind;
-this.clock
-=
-clock;
-this.scheduler
-=
-scheduler;
-this.accounts
-=
-new
-Accounts(
-site.accounts().enabled()
-?
-Accounts.Bounds.DEFAULT
-:
-Accounts.Bounds.NONE,
-clock.wall(0),
-site.volumes().stream()
-.limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS)
-.map(line
-->
-(long)
-line.id())
-.collect(Collectors.toSet()));
-this.tracer
-=
-tracer;
-SplittableRandom
-chance
-=
-new
-SplittableRandom(seed);
-this.membership
-=
-membership;
-this.returning
-=
-new
-ReconnectBackoff(START_AGAIN,
-START_AGAIN_LONGEST,
-chance.split());
-this.sampler
-=
-new
-TailSampler(
-site.tracing().maxTracesPerSecond(),
-site.tracing().sampleProbability(),
-chance.split());
-this.splitter
-=
-new
-RequestSplitter(site);
-this.hello
-=
-new
-StoreMessages.Hello(seed,
-site.name());
-this.directory
-=
-new
-DirectoryClient(loop,
-kind,
-site.directory().socket(),
-seed,
-site.name(),
-this);
-for
-(VolumeSettings
-line
-:
-site.volumes())
-{
-Volume
-volume
-=
-new
-Volume(line.id(),
-site.deployment().plans().get(line.plan()));
-volume.gatewayCount
-=
-line.gateways();
-// A flush reaches every write acknowledged by this gateway, whatever connection it came
-
-// by.
-
-disks.put(
-line.name(),
-new
-ExportedVolume(
-line,
-volume,
-new
-Export(
-line.name(),
-line.description(),
-line.sizeBytes(),
-line.readOnly(),
-true,
-LEAST_BLOCK,
-PREFERRED_BLOCK,
-site.maxRequestBytes())));
-}
-}
-
-/** Asks for the list and the holders; runs the callback once both came. */
-void
-start(Runnable
-ready)
-{
-whenReady
-=
-ready;
-membership.addConfigured(
-site.membership().configuredNodes().stream()
-.map(
-node
-->
-new
-EndpointRecord(
-node.node(),
-node.cell(),
-node.zone(),
-0,
-EndpointRecord.Phase.READY,
-0,
-1,
-node.address().host(),
-node.address().port()))
-.toList());
-membersBeat
-=
-loop.scheduleAtFixedRate(
-this::members,
-MEMBERS_BEAT_MS,
-MEMBERS_BEAT_MS,
-TimeUnit.MILLISECONDS);
-if
-(membership.isEmpty())
-{
-directory.fetch();
-}
-else
-{
-// Scheduler asks for the list from here on; what is known serves meanwhile.
-
-LOG.atInfo()
-.addKeyValue("trust",
-membership.freshness(wall()))
-.addKeyValue("age",
-membership.age(wall()))
-.log("starts with what is known of the nodes");
-listed
-=
-true;
-adopt();
-whenReady.run();
-}
-if
-(site.accounts().enabled())
-{
-beat
-=
-loop.scheduleAtFixedRate(
-this::accountForWaiting,
-ACCOUNT_BEAT_MS,
-ACCOUNT_BEAT_MS,
-TimeUnit.MILLISECONDS);
-}
-}
-
-/** What an earlier life kept: the list (or null), and the cells of volumes' extents. On the loop, before the start. */
-void
-restore(StoredEndpointList
-list,
-Map<Integer,
-int[]>
-cells)
-{
-if
-(list
-!=
-null)
-{
-membership.restore(list,
-wall());
-}
-for
-(ExportedVolume
-disk
-:
-disks.values())
-{
-int[]
-row
-=
-cells.getOrDefault(disk.line.id(),
-new
-int[0]);
-for
-(int
-i
-=
-0;
-i
-<
-Math.min(row.length,
-extents(disk));
-i++)
-{
-if
-(row[i]
->=
-0)
-{
-long
-key
-=
-ExtentHolders.key(disk.line.id(),
-i);
-holders.holderLearned(key,
-row[i]);
-unverified.add(key);
-}
-}
-}
-}
-
-private
-long
-extents(ExportedVolume
-disk)
-{
-return
-(disk.line.sizeBytes()
--
-1)
-/
-site.extentBytes()
-+
-1;
-}
-
-private
-double
-wall()
-{
-return
-clock.wall(clock.now());
-}
-
-/** The list as it goes to disk; null if nothing is new. From any thread. */
-CompletableFuture<StoredEndpointList>
-keptList()
-{
-CompletableFuture<StoredEndpointList>
-told
-=
-new
-CompletableFuture<>();
-loop.execute(
-()
-->
-{
-boolean
-due
-=
-listed
-&&
-(listChanged
-||
-wall()
--
-listKeptAt
->=
-LIST_KEPT_EVERY);
-if
-(due)
-{
-listChanged
-=
-false;
-listKeptAt
-=
-wall();
-}
-told.complete(due
-?
-membership.snapshot()
-:
-null);
-});
-return
-told;
-}
-
-/** The known cells of all volumes' extents, gathered piece by piece; null if nothing is new. From any thread. */
-CompletableFuture<Map<Integer,
-int[]>>
-keptHolders()
-{
-CompletableFuture<Map<Integer,
-int[]>>
-told
-=
-new
-CompletableFuture<>();
-loop.execute(
-()
-->
-{
-if
-(!holdersChanged)
-{
-told.complete(null);
-return;
-}
-holdersChanged
-=
-false;
-gather(
-new
-LinkedHashMap<>(),
-new
-ArrayList<>(disks.values()),
-0,
-HolderFile.MAX_EXTENTS,
-told);
-});
-return
-told;
-}
-
-private
-void
-gather(
-Map<Integer,
-int[]>
-rows,
-List<ExportedVolume>
-left,
-int
-from,
-long
-room,
-CompletableFuture<Map<Integer,
-int[]>>
-told)
-{
-if
-(left.isEmpty()
-||
-room
-<=
-0)
-{
-told.complete(rows);
-return;
-}
-int
-id
-=
-left.get(0).line.id();
-int
-length
-=
-(int)
-Math.min(room,
-extents(left.get(0)));
-int[]
-row
-=
-rows.computeIfAbsent(id,
-any
-->
-new
-int[length]);
-int
-end
-=
-Math.min(length,
-from
-+
-HOLDERS_AT_ONCE);
-for
-(int
-i
-=
-from;
-i
-<
-end;
-i++)
-{
-row[i]
-=
-holders.cell(ExtentHolders.key(id,
-i));
-}
-boolean
-more
-=
-end
-<
-length;
-loop.execute(
-()
-->
-gather(
-rows,
-more
-?
-left
-:
-left.subList(1,
-left.size()),
-more
-?
-end
-:
-0,
-more
-?
-room
-:
-room
--
-length,
-told));
-}
-
-/** The nodes as they are seen, for operators. From any thread. */
-CompletableFuture<NodesView>
-nodesView()
-{
-CompletableFuture<NodesView>
-told
-=
-new
-CompletableFuture<>();
-loop.execute(
-()
-->
-told.complete(
-new
-NodesView(
-site.name(),
-membership.freshness(wall()),
-membership.age(wall()),
-!directoryDown
-&&
-directory.isOpen(),
-unverified.size(),
-membership.members(wall()))));
-return
-told;
-}
-
-/** Each volume's account of the last so many milliseconds, by name. From any thread. */
-CompletableFuture<Map<String,
-LatencyReport>>
-accounts(double
-lately)
-{
-CompletableFuture<Map<String,
-LatencyReport>>
-told
-=
-new
-CompletableFuture<>();
-loop.execute(
-()
-->
-{
-double
-now
-=
-clock.now();
-LatencyAccount
-book
-=
-accounts.snapshot();
-Map<String,
-LatencyReport>
-reports
-=
-new
-LinkedHashMap<>();
-disks.forEach(
-(name,
-disk)
-->
-reports.put(
-name,
-book.report(
-disk.line.id(),
-clock.wall(now
--
-lately),
-clock.wall(now))));
-told.complete(reports);
-});
-return
-told;
-}
-
-/** Sums since the start. From any thread. */
-CompletableFuture<Totals>
-totals()
-{
-CompletableFuture<Totals>
-told
-=
-new
-CompletableFuture<>();
-loop.execute(()
-->
-told.complete(accounts.totals()));
-return
-told;
-}
-
-/** The accounts as they go to disk: copied piece by piece, and written out off this loop. From any thread. */
-CompletableFuture<GatewayAccounts>
-accountSnapshot()
-{
-CompletableFuture<BookAt>
-copied
-=
-new
-CompletableFuture<>();
-loop.execute(()
-->
-copyBook(accounts.startCopy(),
-copied));
-return
-copied.thenApplyAsync(
-at
-->
-{
-Map<Long,
-String>
-names
-=
-new
-LinkedHashMap<>();
-disks.forEach((name,
-disk)
-->
-names.put((long)
-disk.line.id(),
-name));
-return
-new
-GatewayAccounts(
-site.name(),
-(long)
-clock.wall(clock.now()),
-names,
-at.told,
-StoredAccounts.of(at.book));
-});
-}
-
-/** A copy of the accounts, and which versions of the list had been told when it was whole. */
-private
-record
-BookAt(LatencyAccount
-book,
-Map<Long,
-Double>
-told)
-{}
-
-private
-void
-copyBook(IncrementalCopy
-copy,
-CompletableFuture<BookAt>
-copied)
-{
-LatencyAccount
-whole
-=
-copy.copyNext(COPIED_AT_ONCE);
-if
-(whole
-!=
-null)
-{
-copied.complete(new
-BookAt(whole,
-Map.copyOf(told)));
-}
-else
-{
-loop.execute(()
-->
-copyBook(copy,
-copied));
-}
-}
-
-/** Goes on with the accounts of an earlier life. On the loop. */
-void
-goOn(LatencyAccount
-book)
-{
-accounts.restore(book,
-clock.now());
-}
-
-/** From any thread. */
-Counters
-counters()
-{
-return
-counters;
-}
-
-/** From any thread: the volumes do not change in service. */
-ExportedVolume
-disk(String
-name)
-{
-return
-disks.get(name);
-}
-
-Map<String,
-ExportedVolume>
-disks()
-{
-return
-disks;
-}
-
-/** On the client's loop. */
-boolean
-waitsForRest(Channel
-client)
-{
-return
-NbdServer.waitsForRest(client.pipeline());
-}
-
-// ---- requests ----
-
-/** Takes a request that was found to be well-formed. From the client's loop. */
-void
-take(NbdSession
-session,
-NbdRequest
-asked,
-ExportedVolume
-disk)
-{
-if
-(loop.inEventLoop())
-{
-taken(session,
-asked,
-disk);
-}
-else
-{
-loop.execute(()
-->
-taken(session,
-asked,
-disk));
-}
-}
-
-private
-void
-taken(NbdSession
-session,
-NbdRequest
-asked,
-ExportedVolume
-disk)
-{
-PendingRequest
-request
-=
-new
-PendingRequest(session,
-asked,
-disk,
-clock.now());
-if
-(stopping)
-{
-asked.payload().release();
-request.fail(-1,
-NbdConstants.ESHUTDOWN,
-"the gateway is stopping; nothing was done");
-session.answer(request);
-return;
-}
-requests.computeIfAbsent(session,
-any
-->
-new
-HashSet<>()).add(request);
-switch
-(asked.command())
-{
-case
-NbdConstants.CMD_FLUSH
-->
-flush(request);
-case
-NbdConstants.CMD_BLOCK_STATUS
-->
-{
-blockStatus(request);
-return;
-}
-default
-->
-{
-splitter.split(request);
-asked.payload().release();
-}
-}
-request.open
-=
-request.parts.size();
-counters.accepted.add(request.open);
-if
-(request.open
-==
-0)
-{
-close(request);
-}
-for
-(RequestPart
-part
-:
-request.parts)
-{
-part.meter
-=
-accounts.begin(
-request.disk.line.id(),
-part.operation.trafficClass,
-part.kind.modifiesData(),
-part.operation.units,
-request.arrivedAt);
-}
-for
-(RequestPart
-part
-:
-List.copyOf(request.parts))
-{
-if
-(part.kind
-==
-StoreMessages.Kind.FLUSH)
-{
-show(part);
-}
-else
-{
-seek(part);
-}
-}
-settle();
-}
-
-private
-void
-flush(PendingRequest
-request)
-{
-request.disk.unflushed.forEach(
-(cell,
-at)
-->
-{
-RequestPart
-part
-=
-splitter.flush(request,
-cell);
-part.writesBefore
-=
-at.writes;
-part.since
-=
-at.since;
-request.parts.add(part);
-});
-}
-
-/** Extents without a holder are holes; the directory alone knows, for another gateway may have written. */
-private
-void
-blockStatus(PendingRequest
-request)
-{
-long
-offset
-=
-request.asked.offset();
-long
-end
-=
-offset
-+
-Integer.toUnsignedLong(request.asked.length());
-long
-first
-=
-offset
-/
-site.extentBytes();
-int
-count
-=
-(int)
-Math.min(HOLDERS_AT_ONCE,
-(end
--
-1)
-/
-site.extentBytes()
--
-first
-+
-1);
-directory.lookup(
-request.disk.line.id(),
-first,
-count,
-(cells,
-failure)
-->
-{
-if
-(!inHand(request))
-{
-return;
-}
-if
-(cells
-==
-null)
-{
-request.fail(
--1,
-NbdConstants.EIO,
-"the directory did not answer: "
-+
-failure);
-}
-else
-{
-List<Integer>
-blocks
-=
-new
-ArrayList<>();
-long
-at
-=
-offset;
-for
-(int
-i
-=
-0;
-i
-<
-cells.length;
-i++)
-{
-long
-until
-=
-Math.min(end,
-(first
-+
-i
-+
-1)
-*
-site.extentBytes());
-int
-state
-=
-cells[i]
-<
-0
-?
-NbdConstants.STATE_HOLE
-|
-NbdConstants.STATE_ZERO
-:
-0;
-int
-last
-=
-blocks.size()
--
-1;
-if
-(last
->
-0
-&&
-blocks.get(last)
-==
-state)
-{
-blocks.set(last
--
-1,
-blocks.get(last
--
-1)
-+
-(int)
-(until
--
-at));
-}
-else
-{
-blocks.add((int)
-(until
--
-at));
-blocks.add(state);
-}
-at
-=
-until;
-}
-boolean
-one
-=
-(request.asked.flags()
-&
-NbdConstants.CMD_FLAG_REQ_ONE)
-!=
-0;
-request.blocks
-=
-blocks.stream()
-.limit(one
-?
-2
-:
-Long.MAX_VALUE)
-.mapToInt(Integer::intValue)
-.toArray();
-}
-close(request);
-});
-}
-
-private
-boolean
-inHand(PendingRequest
-request)
-{
-Set<PendingRequest>
-all
-=
-requests.get(request.session);
-return
-all
-!=
-null
-&&
-all.contains(request);
-}
-
-/** The client's connection has ended: nothing is owed to it. From the client's loop. */
-void
-left(NbdSession
-session)
-{
-loop.execute(
-()
-->
-{
-Set<PendingRequest>
-gone
-=
-requests.remove(session);
-if
-(gone
-!=
-null)
-{
-for
-(PendingRequest
-request
-:
-gone)
-{
-for
-(RequestPart
-part
-:
-List.copyOf(request.parts))
-{
-if
-(!part.operation.ended)
-{
-leave(part);
-}
-}
-request.release();
-request.session.answer(request);
-}
-settle();
-}
-emptied();
-});
-}
-
-private
-void
-leave(RequestPart
-part)
-{
-part.operation.ended
-=
-true;
-counters.cancelled.increment();
-unseek(part);
-if
-(part.shown)
-{
-scheduler.onClientCancelled(part.operation,
-clock.now());
-}
-end(part,
-Accounts.End.CANCELLED,
-Reason.NONE);
-waiting.remove(part);
-part.payload.release();
-}
-
-// ---- the holder of an extent ----
-
-private
-void
-seek(RequestPart
-part)
-{
-long
-key
-=
-part.operation.extent;
-int
-cell
-=
-holders.cell(key);
-if
-(cell
->=
-0)
-{
-part.operation.shard
-=
-cell;
-show(part);
-return;
-}
-seeking.computeIfAbsent(key,
-any
-->
-new
-HashSet<>()).add(part);
-if
-(holders.hasPendingClaim(key))
-{
-park(key,
-part);
-}
-else
-if
-(creates(part))
-{
-part.operation.shard
-=
-newShard();
-show(part);
-}
-else
-{
-park(key,
-part);
-lookUp(part);
-}
-}
-
-private
-void
-park(long
-key,
-RequestPart
-part)
-{
-double
-now
-=
-clock.now();
-holders.addWaiter(key,
-part,
-now);
-accounts.waitStarted(part.meter,
-LatencyComponent.DIRECTORY,
-0,
-now);
-}
-
-/** Whether the extent must have a holder afterwards. */
-private
-static
-boolean
-creates(RequestPart
-part)
-{
-return
-part.kind
-==
-StoreMessages.Kind.WRITE
-||
-(part.kind
-==
-StoreMessages.Kind.ZERO
-&&
-(part.request.asked.flags()
-&
-NbdConstants.CMD_FLAG_NO_HOLE)
-!=
-0);
-}
-
-/** Asked after the operation came: an older answer could not know of a write acknowledged since. */
-private
-void
-lookUp(RequestPart
-part)
-{
-if
-(directoryDown)
-{
-if
-(holders.removeWaiter(part.operation.extent,
-part))
-{
-handOn(part);
-}
-return;
-}
-directory.lookup(
-part.request.disk.line.id(),
-part.extent,
-1,
-(cells,
-failure)
-->
-{
-if
-(part.operation.ended)
-{
-return;
-}
-if
-(cells
-==
-null)
-{
-directoryFailed();
-if
-(holders.removeWaiter(part.operation.extent,
-part))
-{
-handOn(part);
-}
-}
-else
-if
-(cells[0]
->=
-0)
-{
-found(part.operation.extent,
-cells[0]);
-}
-else
-{
-if
-(part.shown)
-{
-part.operation.ended
-=
-true;
-scheduler.onEndedWithoutNode(part.operation);
-}
-counters.holes.increment();
-if
-(part.kind
-==
-StoreMessages.Kind.READ)
-{
-part.request.found.add(
-new
-PendingRequest.Found(part.at,
-part.length,
-null));
-}
-satisfied(part);
-}
-settle();
-});
-}
-
-/** A holder became known: whoever waited for it, here or at Scheduler, goes there. */
-private
-void
-found(long
-key,
-int
-cell)
-{
-Set<RequestPart>
-all
-=
-seeking.remove(key);
-List<RequestPart>
-parked
-=
-holders.holderLearned(key,
-cell);
-int
-holder
-=
-holders.cell(key);
-holdersChanged
-=
-true;
-if
-(all
-!=
-null)
-{
-for
-(RequestPart
-part
-:
-all)
-{
-if
-(part.shown)
-{
-scheduler.onExtentLocated(part.operation,
-holder);
-}
-}
-}
-for
-(RequestPart
-part
-:
-parked)
-{
-if
-(!part.operation.ended)
-{
-part.operation.shard
-=
-holder;
-show(part);
-}
-}
-}
-
-/** Who waited long enough for the directory is Scheduler's to decide about. */
-private
-void
-handOn(RequestPart
-part)
-{
-if
-(part.operation.ended)
-{
-return;
-}
-part.operation.shard
-=
-creates(part)
-?
-newShard()
-:
-NOT_FOUND_YET;
-show(part);
-}
-
-/** Where a first write goes: to any node, or, while no claim can be made, to none yet. */
-private
-int
-newShard()
-{
-return
-directoryDown
-?
-NOT_FOUND_YET
-:
--1;
-}
-
-private
-void
-directoryFailed()
-{
-directoryDown
-|=
-!directory.isOpen();
-}
-
-/** It answers again: claims can be made, and what was not known can be asked. */
-private
-void
-directoryAnswered()
-{
-if
-(!directoryDown)
-{
-return;
-}
-directoryDown
-=
-false;
-LOG.atInfo().addKeyValue("extents",
-seeking.size()).log("the directory answers again");
-for
-(Map.Entry<Long,
-Set<RequestPart>>
-entry
-:
-List.copyOf(seeking.entrySet()))
-{
-refile(entry.getKey(),
--1);
-for
-(RequestPart
-part
-:
-List.copyOf(entry.getValue()))
-{
-if
-(!creates(part)
-&&
-part.attempt
-==
-0
-&&
-!part.operation.ended)
-{
-lookUp(part);
-}
-}
-}
-}
-
-/** Tells Scheduler anew where the first writes to an extent go that wait with it. */
-private
-void
-refile(long
-key,
-int
-shard)
-{
-for
-(RequestPart
-part
-:
-seeking.getOrDefault(key,
-Set.of()))
-{
-if
-(part.shown
-&&
-part.attempt
-==
-0
-&&
-part.operation.shard
-!=
-shard
-&&
-creates(part))
-{
-scheduler.onExtentLocated(part.operation,
-shard);
-}
-}
-}
-
-private
-void
-unseek(RequestPart
-part)
-{
-long
-key
-=
-part.operation.extent;
-Set<RequestPart>
-all
-=
-seeking.get(key);
-if
-(all
-!=
-null
-&&
-all.remove(part)
-&&
-all.isEmpty())
-{
-seeking.remove(key);
-}
-holders.removeWaiter(key,
-part);
-}
-
-private
-void
-claim(RequestPart
-part,
-Attempt
-attempt)
-{
-long
-key
-=
-part.operation.extent;
-holders.claimStarted(key);
-// Other first writes to the extent wait for this claim, or they would lose theirs against
-
-// it.
-
-refile(key,
-NOT_FOUND_YET);
-directory.claim(
-part.request.disk.line.id(),
-part.extent,
-attempt.node.cell,
-(cell,
-failure)
-->
-{
-if
-(cell
-!=
-null)
-{
-found(key,
-cell);
-}
-if
-(cell
-==
-null)
-{
-directoryFailed();
-refile(key,
-newShard());
-if
-(directoryDown
-&&
-!part.operation.ended)
-{
-scheduler.onExtentLocated(part.operation,
-NOT_FOUND_YET);
-}
-}
-for
-(RequestPart
-waiting
-:
-holders.claimEnded(key))
-{
-handOn(waiting);
-}
-if
-(attempt.outcome
-!=
-null)
-{
-settle();
-return;
-}
-if
-(cell
-!=
-null
-&&
-cell
-==
-attempt.node.cell)
-{
-hand(part,
-attempt);
-}
-else
-{
-// Another node holds it, or nobody can say: the attempt never went out.
-
-out.remove(part.attempt);
-ended(part,
-Outcome.NOT_EXECUTED);
-}
-});
-}
-
-// ---- Scheduler's answers ----
-
-private
-void
-show(RequestPart
-part)
-{
-part.shown
-=
-true;
-carryOut(part,
-scheduler.route(part.operation,
-clock.now()));
-}
-
-private
-void
-carryOut(RequestPart
-part,
-RoutingDecision
-decision)
-{
-Operation
-operation
-=
-part.operation;
-if
-(decision.kind()
-==
-RoutingDecision.Kind.WAIT)
-{
-if
-(!operation.ended)
-{
-waiting.add(part);
-account(part,
-clock.now());
-}
-return;
-}
-waiting.remove(part);
-switch
-(decision.kind())
-{
-case
-SEND
-->
-{
-Attempt
-attempt
-=
-operation.attempts.get(operation.attempts.size()
--
-1);
-part.attempt
-=
-++attemptIds;
-part.handed
-=
-false;
-out.put(part.attempt,
-part);
-long
-number
-=
-part.attempt;
-part.timer
-=
-loop.schedule(
-()
-->
-timedOut(number),
-Math.max(1,
-(long)
-(decision.timeout()
-*
-NS)),
-TimeUnit.NANOSECONDS);
-if
-(operation.shard
-<
-0)
-{
-accounts.claimStarted(part.meter,
-attempt.node.id,
-clock.now());
-claim(part,
-attempt);
-}
-else
-{
-hand(part,
-attempt);
-}
-}
-case
-REJECT
-->
-{
-counters.rejected.increment();
-String
-when
-=
-decision.retryAfter()
->
-0
-?
-"; come back in "
-+
-(long)
-Math.ceil(decision.retryAfter())
-+
-" ms"
-:
-"";
-finish(
-part,
-Accounts.End.REJECTED,
-decision.reason(),
-NbdConstants.ENOMEM,
-"declined ("
-+
-word(decision.reason())
-+
-"): asking again does no harm"
-+
-when);
-}
-case
-ABANDON
-->
-{
-counters.abandoned.increment();
-finish(
-part,
-Accounts.End.ABANDONED,
-decision.reason(),
-NbdConstants.EIO,
-"scrapped: it may have taken effect or not");
-}
-case
-WAIT
-->
-throw
-new
-IllegalStateException("seen above");
-}
-}
-
-private
-static
-String
-word(Enum<?>
-constant)
-{
-return
-ExternalName.of(constant).replace('_',
-' ');
-}
-
-/** States anew why an operation waits, and behind whom. */
-private
-void
-account(RequestPart
-part,
-double
-now)
-{
-if
-(part.meter
-==
-null)
-{
-return;
-// no accounts are kept
-
-}
-LatencyComponent
-spent
-=
-LatencyComponent.of(WaitExplainer.why(scheduler,
-part.operation,
-now));
-accounts.waitStarted(part.meter,
-spent,
-nodeOf(part.operation.shard),
-now);
-}
-
-/** Operations wait for reasons that change without anything happening to them: some are asked at each beat. */
-private
-void
-accountForWaiting()
-{
-double
-now
-=
-clock.now();
-Iterator<RequestPart>
-each
-=
-waiting.iterator();
-List<RequestPart>
-asked
-=
-new
-ArrayList<>();
-while
-(each.hasNext()
-&&
-asked.size()
-<
-ACCOUNTED_AT_ONCE)
-{
-asked.add(each.next());
-each.remove();
-}
-for
-(RequestPart
-part
-:
-asked)
-{
-account(part,
-now);
-waiting.add(part);
-}
-}
-
-/** The id of the node that holds a cell now; 0 if none does. */
-private
-int
-nodeOf(int
-cell)
-{
-Node
-node
-=
-byCell.get(cell);
-return
-node
-==
-null
-?
-0
-:
-node.id;
-}
-
-private
-void
-hand(RequestPart
-part,
-Attempt
-attempt)
-{
-part.handed
-=
-true;
-accounts.attemptSent(part.meter,
-attempt.node.id,
-attempt.quotaTier,
-clock.now());
-Place
-place
-=
-places.get(attempt.node.id);
-counters.attempts.increment();
-boolean
-durable
-=
-(part.request.asked.flags()
-&
-NbdConstants.CMD_FLAG_FUA)
-!=
-0;
-StoreMessages.Send
-send
-=
-new
-StoreMessages.Send(
-part.kind,
-part.operation.trafficClass.index(),
-durable,
-part.operation.trafficClass.idempotency().ordinal(),
-part.operation.id,
-attempt.number,
-part.request.disk.line.id(),
-part.extent,
-part.offset,
-part.length,
-(float)
-part.operation.units,
-part.since,
-part.kind
-!=
-StoreMessages.Kind.FLUSH
-&&
-unverified.contains(part.operation.extent));
-place.link.send(part.attempt,
-send,
-part.payload.retainedDuplicate());
-}
-
-// ---- ends of attempts ----
-
-private
-void
-answered(long
-attemptId,
-StoreMessages.Answer
-answer,
-ByteBuf
-payload)
-{
-RequestPart
-part
-=
-out.remove(attemptId);
-if
-(part
-==
-null)
-{
-payload.release();
-return;
-}
-Outcome
-outcome
-=
-switch
-(answer.code())
-{
-case
-SERVED
-->
-Outcome.SERVED;
-case
-FAILED
-->
-Outcome.FAILED;
-case
-FULL,
-DRAINING
-->
-Outcome.REJECTED;
-// Whose pen was taken by another gateway never ran, and the node is not to
-
-// blame.
-
-case
-NOT_EXECUTED,
-STALE_WRITE_TOKEN
-->
-Outcome.NOT_EXECUTED;
-case
-CANCELLED
-->
-Outcome.CANCELLED;
-};
-Attempt
-attempt
-=
-lastAttempt(part);
-attempt.planUsagePercent
-=
-answer.planUsage()
-==
-0
-?
-Double.NaN
-:
-answer.planUsage()
--
-1;
-attempt.otherGatewaysUnits
-=
-answer.otherGatewaysUnits();
-attempt.report
-=
-widened(answer.loadReport());
-boolean
-denied
-=
-answer.code()
-==
-StoreMessages.Code.NOT_EXECUTED
-&&
-unverified.remove(part.operation.extent);
-if
-(denied)
-{
-deny(part);
-}
-if
-(answer.code()
-==
-StoreMessages.Code.SERVED)
-{
-unverified.remove(part.operation.extent);
-accounts.attemptAnswered(
-part.meter,
-answer.queuedMillis(),
-answer.serviceMillis(),
-answer.loadReport().length
-==
-0
-?
-Double.NaN
-:
-answer.loadReport()[0],
-clock.now());
-}
-int
-due
-=
-part.kind
-==
-StoreMessages.Kind.READ
-?
-part.length
-:
-0;
-if
-(outcome
-==
-Outcome.SERVED
-&&
-payload.readableBytes()
-!=
-due)
-{
-outcome
-=
-Outcome.FAILED;
-}
-if
-(outcome
-==
-Outcome.SERVED
-&&
-!part.operation.ended
-&&
-due
->
-0)
-{
-part.request.found.add(new
-PendingRequest.Found(part.at,
-part.length,
-payload));
-}
-else
-{
-payload.release();
-}
-ended(part,
-outcome);
-if
-(denied
-&&
-!part.operation.ended
-&&
-!creates(part))
-{
-lookUp(part);
-}
-}
-
-/** The holder that the disk named does not hold the extent: nobody is believed to, until it is found. */
-private
-void
-deny(RequestPart
-part)
-{
-long
-key
-=
-part.operation.extent;
-LOG.atInfo()
-.addKeyValue("volume",
-part.request.disk.line.name())
-.addKeyValue("extent",
-part.extent)
-.log("its holder by the disk denies it");
-holders.forget(key);
-holdersChanged
-=
-true;
-seeking.computeIfAbsent(key,
-any
-->
-new
-HashSet<>()).add(part);
-if
-(!part.operation.ended)
-{
-scheduler.onExtentLocated(part.operation,
-creates(part)
-?
-newShard()
-:
-NOT_FOUND_YET);
-}
-}
-
-private
-void
-timedOut(long
-attemptId)
-{
-RequestPart
-part
-=
-out.remove(attemptId);
-if
-(part
-==
-null)
-{
-return;
-}
-if
-(!part.handed)
-{
-ended(part,
-Outcome.NOT_EXECUTED);
-return;
-}
-boolean
-went
-=
-places.get(lastAttempt(part).node.id).link.cancel(attemptId);
-ended(part,
-went
-?
-Outcome.TIMED_OUT
-:
-Outcome.NO_CONNECTION);
-}
-
-private
-static
-Attempt
-lastAttempt(RequestPart
-part)
-{
-return
-part.operation.attempts.get(part.operation.attempts.size()
--
-1);
-}
-
-private
-void
-ended(RequestPart
-part,
-Outcome
-outcome)
-{
-double
-now
-=
-clock.now();
-Operation
-operation
-=
-part.operation;
-Attempt
-attempt
-=
-lastAttempt(part);
-attempt.outcome
-=
-outcome;
-attempt.duration
-=
-now
--
-attempt.sentAt;
-part.attempt
-=
-0;
-if
-(part.timer
-!=
-null)
-{
-part.timer.cancel(false);
-part.timer
-=
-null;
-}
-part.handed
-=
-false;
-if
-(outcome
-!=
-Outcome.SERVED)
-{
-accounts.attemptFailed(part.meter,
-outcome,
-now);
-}
-boolean
-first
-=
-!operation.ended
-&&
-outcome
-==
-Outcome.SERVED;
-operation.ended
-|=
-first;
-if
-(outcome
-==
-Outcome.NOT_EXECUTED)
-{
-counters.notExecuted.increment();
-}
-FollowUp
-sequel
-=
-scheduler.onAttemptEnded(attempt,
-now);
-if
-(first)
-{
-note(part,
-attempt);
-satisfied(part);
-}
-else
-if
-(sequel
-==
-FollowUp.ROUTE_AGAIN)
-{
-carryOut(part,
-scheduler.route(operation,
-now));
-}
-settle();
-}
-
-/** What an acknowledged write or flush means for the next flush. */
-private
-void
-note(RequestPart
-part,
-Attempt
-attempt)
-{
-ExportedVolume
-disk
-=
-part.request.disk;
-if
-(part.kind
-==
-StoreMessages.Kind.FLUSH)
-{
-disk.flushed(attempt.node.cell,
-part.writesBefore);
-}
-else
-if
-(part.kind.modifiesData()
-&&
-(part.request.asked.flags()
-&
-NbdConstants.CMD_FLAG_FUA)
-==
-0)
-{
-disk.wrote(attempt.node.cell,
-places.get(attempt.node.id).startedAt);
-}
-}
-
-private
-void
-satisfied(RequestPart
-part)
-{
-part.operation.ended
-=
-true;
-counters.served.increment();
-end(part,
-Accounts.End.SERVED,
-Reason.NONE);
-over(part);
-}
-
-private
-void
-end(RequestPart
-part,
-Accounts.End
-how,
-Reason
-reason)
-{
-double
-now
-=
-clock.now();
-accounts.end(part.meter,
-how,
-reason,
-nodeOf(part.operation.shard),
-now);
-if
-(tracer
-==
-null
-||
-part.meter
-==
-null)
-{
-return;
-}
-Operation
-operation
-=
-part.operation;
-double
-took
-=
-now
--
-operation.arrivedAt;
-boolean
-missed
-=
-how
-!=
-Accounts.End.SERVED
-||
-took
->
-operation.trafficClass.latencyObjective();
-double
-standsFor
-=
-sampler.sample(how,
-missed,
-operation.trafficClass.index(),
-took,
-now);
-if
-(standsFor
->
-0)
-{
-tracer.submit(story(part,
-how,
-reason,
-took,
-standsFor));
-}
-}
-
-private
-OperationTrace
-story(
-RequestPart
-part,
-Accounts.End
-how,
-Reason
-reason,
-double
-took,
-double
-standsFor)
-{
-Operation
-operation
-=
-part.operation;
-List<OperationTrace.Step>
-steps
-=
-new
-ArrayList<>(part.meter.stepCount());
-for
-(int
-i
-=
-0;
-i
-<
-part.meter.stepCount();
-i++)
-{
-steps.add(
-new
-OperationTrace.Step(
-part.meter.step(i),
-part.meter.stepNode(i),
-part.meter.stepLength(i)));
-}
-List<OperationTrace.Attempt>
-attempts
-=
-new
-ArrayList<>(operation.attempts.size());
-for
-(Attempt
-attempt
-:
-operation.attempts)
-{
-attempts.add(
-new
-OperationTrace.Attempt(
-attempt.number,
-attempt.node.id,
-attempt.quotaTier,
-attempt.sentAt
--
-operation.arrivedAt,
-attempt.duration,
-attempt.outcome));
-}
-Cause
-cause
-=
-part.meter.mainCause();
-String
-named
-=
-cause
-==
-null
-?
-""
-:
-word(cause.kind())
-+
-(cause.volume()
-==
-0
-?
-""
-:
-", volume "
-+
-cause.volume())
-+
-(cause.node()
-==
-0
-?
-""
-:
-", node "
-+
-cause.node())
-+
-(cause.estimate()
-?
-", estimate"
-:
-"");
-return
-new
-OperationTrace(
-site.name(),
-operation.id,
-part.request.asked.cookie(),
-part.request.disk.line.name(),
-operation.trafficClass.name(),
-word(part.kind),
-part.extent,
-operation.units,
-clock.wall(operation.arrivedAt),
-took,
-how,
-reason,
-named,
-sampler.reason(),
-standsFor,
-steps,
-attempts);
-}
-
-private
-void
-finish(RequestPart
-part,
-Accounts.End
-how,
-Reason
-reason,
-int
-error,
-String
-why)
-{
-part.operation.ended
-=
-true;
-end(part,
-how,
-reason);
-part.request.fail(part.at,
-error,
-why);
-over(part);
-}
-
-private
-void
-over(RequestPart
-part)
-{
-waiting.remove(part);
-unseek(part);
-part.payload.release();
-if
-(--part.request.open
-==
-0)
-{
-close(part.request);
-}
-}
-
-private
-void
-close(PendingRequest
-request)
-{
-Set<PendingRequest>
-all
-=
-requests.get(request.session);
-if
-(all
-!=
-null)
-{
-all.remove(request);
-if
-(all.isEmpty())
-{
-requests.remove(request.session);
-}
-}
-request.session.answer(request);
-emptied();
-}
-
-// ---- what is due ----
-
-/** Asks Scheduler what is due, once for all that one turn of the loop brought. */
-private
-void
-settle()
-{
-if
-(!settleDue)
-{
-settleDue
-=
-true;
-loop.execute(this::settleNow);
-}
-}
-
-private
-void
-settleNow()
-{
-settleDue
-=
-false;
-double
-now
-=
-clock.now();
-for
-(RequestPart
-part
-:
-holders.takeExpired(now))
-{
-handOn(part);
-}
-SchedulerTurn
-turn
-=
-scheduler.nextTurn(now);
-while
-(true)
-{
-for
-(Attempt
-attempt
-:
-turn.cancellations())
-{
-callOff(attempt);
-}
-for
-(Node
-node
-:
-turn.healthChecks())
-{
-places.get(node.id).link.checkHealth(++attemptIds);
-}
-switch
-(turn.poll())
-{
-case
-SUBSCRIBE
-->
-directory.subscribe();
-case
-FETCH
-->
-directory.fetch();
-case
-NONE
-->
-{}
-}
-boolean
-moved
-=
-false;
-for
-(Operation
-operation
-:
-turn.due())
-{
-RoutingDecision
-decision
-=
-scheduler.route(operation,
-now);
-moved
-|=
-decision.kind()
-!=
-RoutingDecision.Kind.WAIT;
-carryOut(partOf(operation),
-decision);
-}
-if
-(!moved)
-{
-break;
-// asking again at the same moment would change nothing
-
-}
-turn
-=
-scheduler.nextTurn(now);
-}
-alarm.by(Math.min(now
-+
-turn.delay(),
-holders.nextExpiry()));
-}
-
-private
-static
-RequestPart
-partOf(Operation
-operation)
-{
-return
-(RequestPart)
-operation.engineState;
-}
-
-/** Work for nobody is given up; whether it ran, nobody will know. */
-private
-void
-callOff(Attempt
-attempt)
-{
-RequestPart
-part
-=
-partOf(attempt.operation);
-if
-(attempt.outcome
-!=
-null
-||
-part.attempt
-==
-0)
-{
-return;
-}
-out.remove(part.attempt);
-if
-(part.handed)
-{
-places.get(attempt.node.id).link.cancel(part.attempt);
-}
-ended(part,
-Outcome.CANCELLED);
-}
-
-// ---- the directory ----
-
-@Override
-public
-void
-endpointListReceived(DirectoryMessages.EndpointList
-listing)
-{
-directoryAnswered();
-Membership.UpdateResult
-belief
-=
-membership.applyUpdate(
-new
-EndpointListUpdate(
-listing.site(),
-listing.history(),
-listing.version(),
-listing.complete(),
-listing.lines().stream().map(NbdEngine::line).toList()),
-wall());
-LOG.atInfo()
-.addKeyValue("version",
-listing.version())
-.addKeyValue("whole",
-listing.complete())
-.addKeyValue("lines",
-listing.lines().size())
-.addKeyValue("believed",
-belief.accepted())
-.addKeyValue("why",
-belief.reason())
-.log("list of nodes");
-if
-(belief.accepted()
-||
-belief.changed())
-{
-adopt();
-}
-if
-(!belief.accepted())
-{
-if
-(listing.call()
-!=
-0)
-{
-askAgain();
-}
-return;
-}
-returning.reset();
-confirmAt
-=
-wall()
-+
-CONFIRMED_EVERY;
-told.put(listing.version(),
-wall());
-if
-(told.size()
->
-MOST_TOLD)
-{
-told.remove(told.keySet().iterator().next());
-}
-if
-(!listed)
-{
-listed
-=
-true;
-preload(new
-ArrayList<>(disks.values()),
-0);
-}
-settle();
-}
-
-private
-static
-EndpointRecord
-line(DirectoryMessages.EndpointLine
-line)
-{
-return
-new
-EndpointRecord(
-line.node(),
-line.cell(),
-line.zone(),
-line.kind(),
-switch
-(line.phase())
-{
-case
-READY
-->
-EndpointRecord.Phase.READY;
-case
-DRAINING
-->
-EndpointRecord.Phase.DRAINING;
-case
-GONE
-->
-EndpointRecord.Phase.REMOVED;
-},
-line.startedAt(),
-line.weight(),
-line.host(),
-line.port());
-}
-
-/** Uses the nodes as membership sees them now. */
-private
-void
-adopt()
-{
-List<Node>
-nodes
-=
-new
-ArrayList<>(places.size());
-byCell.clear();
-for
-(Membership.MemberView
-seen
-:
-membership.members(wall()))
-{
-Node
-node
-=
-place(seen);
-nodes.add(node);
-accounts.nodeListed(
-node.id,
-node.zone,
-node.startedAt
-+
-site.deployment().policy().slowStartTime());
-if
-(node.phase
-==
-Node.Phase.READY)
-{
-byCell.put(node.cell,
-node);
-}
-}
-listChanged
-=
-true;
-scheduler.onEndpointList(nodes,
-clock.now());
-settle();
-}
-
-/** What time and the nodes' own words change: a few nodes are asked who they are at each beat. */
-private
-void
-members()
-{
-double
-wall
-=
-wall();
-if
-(listed
-&&
-membership.advanceTo(wall))
-{
-adopt();
-}
-for
-(int
-node
-:
-membership.takeProbes(wall))
-{
-places.get(node).link.ensureConnected();
-}
-if
-(directory.isSubscribed()
-&&
-wall
->=
-confirmAt
-&&
-!disks.isEmpty())
-{
-confirmAt
-=
-wall
-+
-CONFIRMED_EVERY;
-directory.lookup(
-disks.values().iterator().next().line.id(),
-0,
-1,
-(cells,
-failure)
-->
-{
-if
-(cells
-!=
-null
-&&
-membership.confirmed(wall()))
-{
-adopt();
-}
-});
-}
-}
-
-private
-Node
-place(Membership.MemberView
-seen)
-{
-EndpointRecord
-line
-=
-seen.endpoint();
-Place
-place
-=
-places.computeIfAbsent(line.node(),
-Place::new);
-Node
-node
-=
-place.node;
-node.cell
-=
-line.cell();
-node.zone
-=
-line.zone();
-node.kind
-=
-line.kind();
-node.weight
-=
-line.weight();
-node.startedAt
-=
-clock.atWall(line.startedAt());
-node.acceptsNewObjects
-=
-seen.acceptsNewObjects();
-node.phase
-=
-switch
-(seen.phase())
-{
-case
-READY
-->
-Node.Phase.READY;
-case
-DRAINING
-->
-Node.Phase.DRAINING;
-case
-REMOVED
-->
-Node.Phase.REMOVED;
-};
-SocketAddress
-address
-=
-new
-InetSocketAddress(line.host(),
-line.port());
-if
-(place.link
-==
-null
-||
-!place.link.address().equals(address))
-{
-if
-(place.link
-!=
-null)
-{
-place.link.close();
-}
-place.link
-=
-new
-NodeConnection(
-loop,
-kind,
-site.extentBytes(),
-node.id,
-address,
-hello,
-place);
-}
-return
-node;
-}
-
-@Override
-public
-void
-endpointListFailed(String
-why)
-{
-LOG.atWarn().addKeyValue("why",
-why).log("the directory's list failed");
-directoryFailed();
-askAgain();
-}
-
-private
-void
-askAgain()
-{
-if
-(listed)
-{
-scheduler.onPollFailed(clock.now());
-settle();
-}
-else
-if
-(!stopping)
-{
-loop.schedule(
-directory::fetch,
-(long)
-returning.nextDelayMillis(),
-TimeUnit.MILLISECONDS);
-}
-}
-
-/** Learns the holders of all extents of the volumes; what cannot be learned now is asked when needed. */
-private
-void
-preload(List<ExportedVolume>
-left,
-long
-first)
-{
-if
-(left.isEmpty())
-{
-whenReady.run();
-return;
-}
-ExportedVolume
-disk
-=
-left.get(0);
-long
-extents
-=
-(disk.line.sizeBytes()
--
-1)
-/
-site.extentBytes()
-+
-1;
-int
-count
-=
-(int)
-Math.min(HOLDERS_AT_ONCE,
-extents
--
-first);
-directory.lookup(
-disk.line.id(),
-first,
-count,
-(cells,
-failure)
-->
-{
-if
-(cells
-==
-null)
-{
-LOG.atWarn().addKeyValue("why",
-failure).log("holders not told at start");
-whenReady.run();
-return;
-}
-for
-(int
-i
-=
-0;
-i
-<
-cells.length;
-i++)
-{
-if
-(cells[i]
->=
-0)
-{
-found(ExtentHolders.key(disk.line.id(),
-first
-+
-i),
-cells[i]);
-}
-}
-boolean
-more
-=
-first
-+
-count
-<
-extents;
-preload(more
-?
-left
-:
-left.subList(1,
-left.size()),
-more
-?
-first
-+
-count
-:
-0);
-});
-}
-
-// ---- the end ----
-
-/** Takes nothing more, and runs the callback once all that is in hand has its final answer. */
-void
-stop(Runnable
-empty)
-{
-loop.execute(
-()
-->
-{
-stopping
-=
-true;
-whenEmpty
-=
-empty;
-emptied();
-});
-}
-
-private
-void
-emptied()
-{
-if
-(stopping
-&&
-whenEmpty
-!=
-null
-&&
-requests.isEmpty())
-{
-Runnable
-empty
-=
-whenEmpty;
-whenEmpty
-=
-null;
-empty.run();
-}
-}
-
-/** Ends all links. On the loop, once nothing is in hand or wanted. */
-void
-close()
-{
-if
-(beat
-!=
-null)
-{
-beat.cancel(false);
-}
-if
-(membersBeat
-!=
-null)
-{
-membersBeat.cancel(false);
-}
-alarm.cancel();
-for
-(Place
-place
-:
-places.values())
-{
-if
-(place.link
-!=
-null)
-{
-place.link.close();
-}
-}
-directory.close();
-}
-
-private
-static
-double[]
-widened(float[]
-values)
-{
-if
-(values.length
-==
-0)
-{
-return
-null;
-}
-double[]
-wide
-=
-new
-double[values.length];
-for
-(int
-i
-=
-0;
-i
-<
-values.length;
-i++)
-{
-wide[i]
-=
-values[i];
-}
-return
-wide;
-}
+package sagepulley.frontend.nbd;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sagepulley.accounts.Accounts;
+import sagepulley.accounts.Cause;
+import sagepulley.accounts.IncrementalCopy;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.accounts.StoredAccounts;
+import sagepulley.accounts.Totals;
+import sagepulley.codec.frame.EventLoopTimer;
+import sagepulley.codec.nbd.Export;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.codec.nbd.NbdRequest;
+import sagepulley.codec.nbd.NbdServer;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.discovery.directory.DirectoryClient;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.engine.Clock;
+import sagepulley.membership.EndpointListUpdate;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.Membership;
+import sagepulley.membership.ReconnectBackoff;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.model.Attempt;
+import sagepulley.model.ExternalName;
+import sagepulley.model.FollowUp;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+import sagepulley.model.Reason;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.SchedulerTurn;
+import sagepulley.model.Volume;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.persistence.HolderFile;
+import sagepulley.placement.ExtentHolders;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.scheduler.WaitExplainer;
+import sagepulley.tracing.OperationTrace;
+import sagepulley.tracing.TailSampler;
+import sagepulley.tracing.Tracer;
+import sagepulley.upstream.frame.NodeConnection;
+import sagepulley.upstream.frame.StoreMessages;
+
+/**
+ * Hosts Scheduler in service: tells it what happens and carries out what it answers. Everything
+ * here but the methods said otherwise runs on one loop, which also owns the links to nodes and
+ * directory.
+ */
+final class NbdEngine implements DirectoryClient.Listener {
+    /** A shard that no node has: Scheduler keeps such an operation until its holder is found. */
+    private static final int NOT_FOUND_YET = Integer.MAX_VALUE;
+
+    private static final int LEAST_BLOCK = 512;
+    private static final int PREFERRED_BLOCK = 4096;
+
+    /** A first list is asked for again after pauses from this on, up to that. */
+    private static final double START_AGAIN = 100;
+
+    private static final double START_AGAIN_LONGEST = 5_000;
+    private static final long MEMBERS_BEAT_MS = 50;
+
+    /**
+     * A subscription that says nothing is tried this often, so that a list is not believed for a
+     * silence.
+     */
+    private static final double CONFIRMED_EVERY = 30_000;
+
+    private static final double LIST_KEPT_EVERY = 30_000;
+    private static final int HOLDERS_AT_ONCE = 1 << 14;
+    private static final int COPIED_AT_ONCE = 64;
+    private static final int MOST_TOLD = 64;
+    private static final int ACCOUNTED_AT_ONCE = 256;
+    private static final long ACCOUNT_BEAT_MS = 20;
+    private static final double NS = 1e6;
+    private static final Logger LOG = LoggerFactory.getLogger(NbdEngine.class);
+
+    private final SiteConfig site;
+    private final EventLoop loop;
+    private final Class<? extends Channel> kind;
+    private final Clock clock;
+    private final Scheduler scheduler;
+    private final RequestSplitter splitter;
+    private final StoreMessages.Hello hello;
+    private final DirectoryClient directory;
+    private final Counters counters = new Counters();
+    private final Map<String, ExportedVolume> disks = new LinkedHashMap<>();
+    private final Map<Integer, Place> places = new LinkedHashMap<>();
+
+    /** The ready node of each cell. */
+    private final Map<Integer, Node> byCell = new HashMap<>();
+
+    private final ExtentHolders<RequestPart> holders = new ExtentHolders<>();
+
+    /** Parts whose attempt is out, by the attempt's number on the wire. */
+    private final Map<Long, RequestPart> out = new HashMap<>();
+
+    private final Map<NbdSession, Set<PendingRequest>> requests = new HashMap<>();
+
+    /** Parts in hand whose holder is not known, by extent. */
+    private final Map<Long, Set<RequestPart>> seeking = new HashMap<>();
+
+    private final Accounts accounts;
+
+    /** Null where no trace goes anywhere. */
+    private final Tracer tracer;
+
+    private final TailSampler sampler;
+
+    /** Parts that wait at Scheduler, in the order in which they are asked why. */
+    private final Set<RequestPart> waiting = new LinkedHashSet<>();
+
+    /**
+     * When the latest versions of the list came, by the wall's clock: by these, gateways' books are
+     * set together.
+     */
+    private final Map<Long, Double> told = new LinkedHashMap<>();
+
+    private final Membership membership;
+    private final ReconnectBackoff returning;
+
+    /**
+     * Extents whose holder is known from disk only: the first node that is asked says whether it is
+     * so.
+     */
+    private final Set<Long> unverified = new HashSet<>();
+
+    private long attemptIds;
+    private boolean settleDue;
+    private final EventLoopTimer alarm;
+    private ScheduledFuture<?> beat;
+    private ScheduledFuture<?> membersBeat;
+    private boolean listed;
+
+    /** The directory cannot be reached: nobody but Scheduler's asking for the list tries it. */
+    private boolean directoryDown;
+
+    private double confirmAt = Double.NEGATIVE_INFINITY;
+    private boolean listChanged;
+    private boolean holdersChanged;
+    private double listKeptAt = Double.NEGATIVE_INFINITY;
+    private boolean stopping;
+    private Runnable whenReady = () -> {};
+    private Runnable whenEmpty;
+
+    /** A node of the list with its link, which is opened when an attempt needs it. */
+    private final class Place implements NodeConnection.Listener {
+        final Node node;
+        NodeConnection link;
+        long startedAt;
+
+        Place(int id) {
+            node = new Node(id);
+        }
+
+        @Override
+        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
+            NbdEngine.this.answered(attempt, answer, payload);
+        }
+
+        @Override
+        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
+            RequestPart part = out.remove(attempt);
+            if (part != null) {
+                ended(
+                        part,
+                        how == NodeConnection.ConnectionFailure.RESET
+                                ? Outcome.RESET
+                                : Outcome.NO_CONNECTION);
+            }
+        }
+
+        @Override
+        public void answeredAfterCancel(StoreMessages.Answer answer) {
+            accounts.lateAnswer(node.id, answer.queuedMillis(), answer.serviceMillis());
+        }
+
+        @Override
+        public void healthReported(long id, float[] report) {
+            scheduler.onHealthCheck(node, Outcome.SERVED, 0, widened(report), clock.now());
+            settle();
+        }
+
+        @Override
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
+            startedAt = welcome.startedAt();
+            Membership.HandshakeVerdict meaning =
+                    membership.handshakeCompleted(
+                            node.id,
+                            welcome.node(),
+                            welcome.cell(),
+                            welcome.draining(),
+                            welcome.startedAt(),
+                            wall());
+            LOG.atInfo()
+                    .addKeyValue("node", node.id)
+                    .addKeyValue("started", startedAt)
+                    .addKeyValue("meaning", meaning)
+                    .log("node connected");
+            if (meaning != Membership.HandshakeVerdict.ACCEPTED
+                    || !node.acceptsNewObjects
+                    || node.phase != Node.Phase.READY) {
+                adopt();
+            }
+            return meaning == Membership.HandshakeVerdict.ACCEPTED
+                    && node.phase == Node.Phase.READY;
+        }
+
+        @Override
+        public void draining() {
+            LOG.atInfo().addKeyValue("node", node.id).log("node says that it drains");
+            membership.drainAnnounced(node.id);
+            adopt();
+        }
+
+        @Override
+        public void disconnected() {
+            membership.disconnected(node.id, wall());
+        }
+    }
+
+    NbdEngine(
+            SiteConfig site,
+            EventLoop loop,
+            Class<? extends Channel> kind,
+            Clock clock,
+            long seed,
+            Scheduler scheduler,
+            Membership membership,
+            Tracer tracer) {
+        this.site = site;
+        this.loop = loop;
+        this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
+        this.kind = kind;
+        this.clock = clock;
+        this.scheduler = scheduler;
+        this.accounts =
+                new Accounts(
+                        site.accounts().enabled() ? Accounts.Bounds.DEFAULT : Accounts.Bounds.NONE,
+                        clock.wall(0),
+                        site.volumes().stream()
+                                .limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS)
+                                .map(line -> (long) line.id())
+                                .collect(Collectors.toSet()));
+        this.tracer = tracer;
+        SplittableRandom chance = new SplittableRandom(seed);
+        this.membership = membership;
+        this.returning = new ReconnectBackoff(START_AGAIN, START_AGAIN_LONGEST, chance.split());
+        this.sampler =
+                new TailSampler(
+                        site.tracing().maxTracesPerSecond(),
+                        site.tracing().sampleProbability(),
+                        chance.split());
+        this.splitter = new RequestSplitter(site);
+        this.hello = new StoreMessages.Hello(seed, site.name());
+        this.directory =
+                new DirectoryClient(loop, kind, site.directory().socket(), seed, site.name(), this);
+        for (VolumeSettings line : site.volumes()) {
+            Volume volume = new Volume(line.id(), site.deployment().plans().get(line.plan()));
+            volume.gatewayCount = line.gateways();
+            // A flush reaches every write acknowledged by this gateway, whatever connection it came
+
+            // by.
+
+            disks.put(
+                    line.name(),
+                    new ExportedVolume(
+                            line,
+                            volume,
+                            new Export(
+                                    line.name(),
+                                    line.description(),
+                                    line.sizeBytes(),
+                                    line.readOnly(),
+                                    true,
+                                    LEAST_BLOCK,
+                                    PREFERRED_BLOCK,
+                                    site.maxRequestBytes())));
+        }
+    }
+
+    /** Asks for the list and the holders; runs the callback once both came. */
+    void start(Runnable ready) {
+        whenReady = ready;
+        membership.addConfigured(
+                site.membership().configuredNodes().stream()
+                        .map(
+                                node ->
+                                        new EndpointRecord(
+                                                node.node(),
+                                                node.cell(),
+                                                node.zone(),
+                                                0,
+                                                EndpointRecord.Phase.READY,
+                                                0,
+                                                1,
+                                                node.address().host(),
+                                                node.address().port()))
+                        .toList());
+        membersBeat =
+                loop.scheduleAtFixedRate(
+                        this::members, MEMBERS_BEAT_MS, MEMBERS_BEAT_MS, TimeUnit.MILLISECONDS);
+        if (membership.isEmpty()) {
+            directory.fetch();
+        } else {
+            // Scheduler asks for the list from here on; what is known serves meanwhile.
+
+            LOG.atInfo()
+                    .addKeyValue("trust", membership.freshness(wall()))
+                    .addKeyValue("age", membership.age(wall()))
+                    .log("starts with what is known of the nodes");
+            listed = true;
+            adopt();
+            whenReady.run();
+        }
+        if (site.accounts().enabled()) {
+            beat =
+                    loop.scheduleAtFixedRate(
+                            this::accountForWaiting,
+                            ACCOUNT_BEAT_MS,
+                            ACCOUNT_BEAT_MS,
+                            TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /**
+     * What an earlier life kept: the list (or null), and the cells of volumes' extents. On the
+     * loop, before the start.
+     */
+    void restore(StoredEndpointList list, Map<Integer, int[]> cells) {
+        if (list != null) {
+            membership.restore(list, wall());
+        }
+        for (ExportedVolume disk : disks.values()) {
+            int[] row = cells.getOrDefault(disk.line.id(), new int[0]);
+            for (int i = 0; i < Math.min(row.length, extents(disk)); i++) {
+                if (row[i] >= 0) {
+                    long key = ExtentHolders.key(disk.line.id(), i);
+                    holders.holderLearned(key, row[i]);
+                    unverified.add(key);
+                }
+            }
+        }
+    }
+
+    private long extents(ExportedVolume disk) {
+        return (disk.line.sizeBytes() - 1) / site.extentBytes() + 1;
+    }
+
+    private double wall() {
+        return clock.wall(clock.now());
+    }
+
+    /** The list as it goes to disk; null if nothing is new. From any thread. */
+    CompletableFuture<StoredEndpointList> keptList() {
+        CompletableFuture<StoredEndpointList> told = new CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    boolean due = listed && (listChanged || wall() - listKeptAt >= LIST_KEPT_EVERY);
+                    if (due) {
+                        listChanged = false;
+                        listKeptAt = wall();
+                    }
+                    told.complete(due ? membership.snapshot() : null);
+                });
+        return told;
+    }
+
+    /**
+     * The known cells of all volumes' extents, gathered piece by piece; null if nothing is new.
+     * From any thread.
+     */
+    CompletableFuture<Map<Integer, int[]>> keptHolders() {
+        CompletableFuture<Map<Integer, int[]>> told = new CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    if (!holdersChanged) {
+                        told.complete(null);
+                        return;
+                    }
+                    holdersChanged = false;
+                    gather(
+                            new LinkedHashMap<>(),
+                            new ArrayList<>(disks.values()),
+                            0,
+                            HolderFile.MAX_EXTENTS,
+                            told);
+                });
+        return told;
+    }
+
+    private void gather(
+            Map<Integer, int[]> rows,
+            List<ExportedVolume> left,
+            int from,
+            long room,
+            CompletableFuture<Map<Integer, int[]>> told) {
+        if (left.isEmpty() || room <= 0) {
+            told.complete(rows);
+            return;
+        }
+        int id = left.get(0).line.id();
+        int length = (int) Math.min(room, extents(left.get(0)));
+        int[] row = rows.computeIfAbsent(id, any -> new int[length]);
+        int end = Math.min(length, from + HOLDERS_AT_ONCE);
+        for (int i = from; i < end; i++) {
+            row[i] = holders.cell(ExtentHolders.key(id, i));
+        }
+        boolean more = end < length;
+        loop.execute(
+                () ->
+                        gather(
+                                rows,
+                                more ? left : left.subList(1, left.size()),
+                                more ? end : 0,
+                                more ? room : room - length,
+                                told));
+    }
+
+    /** The nodes as they are seen, for operators. From any thread. */
+    CompletableFuture<NodesView> nodesView() {
+        CompletableFuture<NodesView> told = new CompletableFuture<>();
+        loop.execute(
+                () ->
+                        told.complete(
+                                new NodesView(
+                                        site.name(),
+                                        membership.freshness(wall()),
+                                        membership.age(wall()),
+                                        !directoryDown && directory.isOpen(),
+                                        unverified.size(),
+                                        membership.members(wall()))));
+        return told;
+    }
+
+    /** Each volume's account of the last so many milliseconds, by name. From any thread. */
+    CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
+        CompletableFuture<Map<String, LatencyReport>> told = new CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    double now = clock.now();
+                    LatencyAccount book = accounts.snapshot();
+                    Map<String, LatencyReport> reports = new LinkedHashMap<>();
+                    disks.forEach(
+                            (name, disk) ->
+                                    reports.put(
+                                            name,
+                                            book.report(
+                                                    disk.line.id(),
+                                                    clock.wall(now - lately),
+                                                    clock.wall(now))));
+                    told.complete(reports);
+                });
+        return told;
+    }
+
+    /** Sums since the start. From any thread. */
+    CompletableFuture<Totals> totals() {
+        CompletableFuture<Totals> told = new CompletableFuture<>();
+        loop.execute(() -> told.complete(accounts.totals()));
+        return told;
+    }
+
+    /**
+     * The accounts as they go to disk: copied piece by piece, and written out off this loop. From
+     * any thread.
+     */
+    CompletableFuture<GatewayAccounts> accountSnapshot() {
+        CompletableFuture<BookAt> copied = new CompletableFuture<>();
+        loop.execute(() -> copyBook(accounts.startCopy(), copied));
+        return copied.thenApplyAsync(
+                at -> {
+                    Map<Long, String> names = new LinkedHashMap<>();
+                    disks.forEach((name, disk) -> names.put((long) disk.line.id(), name));
+                    return new GatewayAccounts(
+                            site.name(),
+                            (long) clock.wall(clock.now()),
+                            names,
+                            at.told,
+                            StoredAccounts.of(at.book));
+                });
+    }
+
+    /** A copy of the accounts, and which versions of the list had been told when it was whole. */
+    private record BookAt(LatencyAccount book, Map<Long, Double> told) {}
+
+    private void copyBook(IncrementalCopy copy, CompletableFuture<BookAt> copied) {
+        LatencyAccount whole = copy.copyNext(COPIED_AT_ONCE);
+        if (whole != null) {
+            copied.complete(new BookAt(whole, Map.copyOf(told)));
+        } else {
+            loop.execute(() -> copyBook(copy, copied));
+        }
+    }
+
+    /** Goes on with the accounts of an earlier life. On the loop. */
+    void goOn(LatencyAccount book) {
+        accounts.restore(book, clock.now());
+    }
+
+    /** From any thread. */
+    Counters counters() {
+        return counters;
+    }
+
+    /** From any thread: the volumes do not change in service. */
+    ExportedVolume disk(String name) {
+        return disks.get(name);
+    }
+
+    Map<String, ExportedVolume> disks() {
+        return disks;
+    }
+
+    /** On the client's loop. */
+    boolean waitsForRest(Channel client) {
+        return NbdServer.waitsForRest(client.pipeline());
+    }
+
+    // ---- requests ----
+
+    /** Takes a request that was found to be well-formed. From the client's loop. */
+    void take(NbdSession session, NbdRequest asked, ExportedVolume disk) {
+        if (loop.inEventLoop()) {
+            taken(session, asked, disk);
+        } else {
+            loop.execute(() -> taken(session, asked, disk));
+        }
+    }
+
+    private void taken(NbdSession session, NbdRequest asked, ExportedVolume disk) {
+        PendingRequest request = new PendingRequest(session, asked, disk, clock.now());
+        if (stopping) {
+            asked.payload().release();
+            request.fail(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
+            session.answer(request);
+            return;
+        }
+        requests.computeIfAbsent(session, any -> new HashSet<>()).add(request);
+        switch (asked.command()) {
+            case NbdConstants.CMD_FLUSH -> flush(request);
+            case NbdConstants.CMD_BLOCK_STATUS -> {
+                blockStatus(request);
+                return;
+            }
+            default -> {
+                splitter.split(request);
+                asked.payload().release();
+            }
+        }
+        request.open = request.parts.size();
+        counters.accepted.add(request.open);
+        if (request.open == 0) {
+            close(request);
+        }
+        for (RequestPart part : request.parts) {
+            part.meter =
+                    accounts.begin(
+                            request.disk.line.id(),
+                            part.operation.trafficClass,
+                            part.kind.modifiesData(),
+                            part.operation.units,
+                            request.arrivedAt);
+        }
+        for (RequestPart part : List.copyOf(request.parts)) {
+            if (part.kind == StoreMessages.Kind.FLUSH) {
+                show(part);
+            } else {
+                seek(part);
+            }
+        }
+        settle();
+    }
+
+    private void flush(PendingRequest request) {
+        request.disk.unflushed.forEach(
+                (cell, at) -> {
+                    RequestPart part = splitter.flush(request, cell);
+                    part.writesBefore = at.writes;
+                    part.since = at.since;
+                    request.parts.add(part);
+                });
+    }
+
+    /**
+     * Extents without a holder are holes; the directory alone knows, for another gateway may have
+     * written.
+     */
+    private void blockStatus(PendingRequest request) {
+        long offset = request.asked.offset();
+        long end = offset + Integer.toUnsignedLong(request.asked.length());
+        long first = offset / site.extentBytes();
+        int count = (int) Math.min(HOLDERS_AT_ONCE, (end - 1) / site.extentBytes() - first + 1);
+        directory.lookup(
+                request.disk.line.id(),
+                first,
+                count,
+                (cells, failure) -> {
+                    if (!inHand(request)) {
+                        return;
+                    }
+                    if (cells == null) {
+                        request.fail(
+                                -1, NbdConstants.EIO, "the directory did not answer: " + failure);
+                    } else {
+                        List<Integer> blocks = new ArrayList<>();
+                        long at = offset;
+                        for (int i = 0; i < cells.length; i++) {
+                            long until = Math.min(end, (first + i + 1) * site.extentBytes());
+                            int state =
+                                    cells[i] < 0
+                                            ? NbdConstants.STATE_HOLE | NbdConstants.STATE_ZERO
+                                            : 0;
+                            int last = blocks.size() - 1;
+                            if (last > 0 && blocks.get(last) == state) {
+                                blocks.set(last - 1, blocks.get(last - 1) + (int) (until - at));
+                            } else {
+                                blocks.add((int) (until - at));
+                                blocks.add(state);
+                            }
+                            at = until;
+                        }
+                        boolean one = (request.asked.flags() & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
+                        request.blocks =
+                                blocks.stream()
+                                        .limit(one ? 2 : Long.MAX_VALUE)
+                                        .mapToInt(Integer::intValue)
+                                        .toArray();
+                    }
+                    close(request);
+                });
+    }
+
+    private boolean inHand(PendingRequest request) {
+        Set<PendingRequest> all = requests.get(request.session);
+        return all != null && all.contains(request);
+    }
+
+    /** The client's connection has ended: nothing is owed to it. From the client's loop. */
+    void left(NbdSession session) {
+        loop.execute(
+                () -> {
+                    Set<PendingRequest> gone = requests.remove(session);
+                    if (gone != null) {
+                        for (PendingRequest request : gone) {
+                            for (RequestPart part : List.copyOf(request.parts)) {
+                                if (!part.operation.ended) {
+                                    leave(part);
+                                }
+                            }
+                            request.release();
+                            request.session.answer(request);
+                        }
+                        settle();
+                    }
+                    emptied();
+                });
+    }
+
+    private void leave(RequestPart part) {
+        part.operation.ended = true;
+        counters.cancelled.increment();
+        unseek(part);
+        if (part.shown) {
+            scheduler.onClientCancelled(part.operation, clock.now());
+        }
+        end(part, Accounts.End.CANCELLED, Reason.NONE);
+        waiting.remove(part);
+        part.payload.release();
+    }
+
+    // ---- the holder of an extent ----
+
+    private void seek(RequestPart part) {
+        long key = part.operation.extent;
+        int cell = holders.cell(key);
+        if (cell >= 0) {
+            part.operation.shard = cell;
+            show(part);
+            return;
+        }
+        seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
+        if (holders.hasPendingClaim(key)) {
+            park(key, part);
+        } else if (creates(part)) {
+            part.operation.shard = newShard();
+            show(part);
+        } else {
+            park(key, part);
+            lookUp(part);
+        }
+    }
+
+    private void park(long key, RequestPart part) {
+        double now = clock.now();
+        holders.addWaiter(key, part, now);
+        accounts.waitStarted(part.meter, LatencyComponent.DIRECTORY, 0, now);
+    }
+
+    /** Whether the extent must have a holder afterwards. */
+    private static boolean creates(RequestPart part) {
+        return part.kind == StoreMessages.Kind.WRITE
+                || (part.kind == StoreMessages.Kind.ZERO
+                        && (part.request.asked.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0);
+    }
+
+    /**
+     * Asked after the operation came: an older answer could not know of a write acknowledged since.
+     */
+    private void lookUp(RequestPart part) {
+        if (directoryDown) {
+            if (holders.removeWaiter(part.operation.extent, part)) {
+                handOn(part);
+            }
+            return;
+        }
+        directory.lookup(
+                part.request.disk.line.id(),
+                part.extent,
+                1,
+                (cells, failure) -> {
+                    if (part.operation.ended) {
+                        return;
+                    }
+                    if (cells == null) {
+                        directoryFailed();
+                        if (holders.removeWaiter(part.operation.extent, part)) {
+                            handOn(part);
+                        }
+                    } else if (cells[0] >= 0) {
+                        found(part.operation.extent, cells[0]);
+                    } else {
+                        if (part.shown) {
+                            part.operation.ended = true;
+                            scheduler.onEndedWithoutNode(part.operation);
+                        }
+                        counters.holes.increment();
+                        if (part.kind == StoreMessages.Kind.READ) {
+                            part.request.found.add(
+                                    new PendingRequest.Found(part.at, part.length, null));
+                        }
+                        satisfied(part);
+                    }
+                    settle();
+                });
+    }
+
+    /** A holder became known: whoever waited for it, here or at Scheduler, goes there. */
+    private void found(long key, int cell) {
+        Set<RequestPart> all = seeking.remove(key);
+        List<RequestPart> parked = holders.holderLearned(key, cell);
+        int holder = holders.cell(key);
+        holdersChanged = true;
+        if (all != null) {
+            for (RequestPart part : all) {
+                if (part.shown) {
+                    scheduler.onExtentLocated(part.operation, holder);
+                }
+            }
+        }
+        for (RequestPart part : parked) {
+            if (!part.operation.ended) {
+                part.operation.shard = holder;
+                show(part);
+            }
+        }
+    }
+
+    /** Who waited long enough for the directory is Scheduler's to decide about. */
+    private void handOn(RequestPart part) {
+        if (part.operation.ended) {
+            return;
+        }
+        part.operation.shard = creates(part) ? newShard() : NOT_FOUND_YET;
+        show(part);
+    }
+
+    /** Where a first write goes: to any node, or, while no claim can be made, to none yet. */
+    private int newShard() {
+        return directoryDown ? NOT_FOUND_YET : -1;
+    }
+
+    private void directoryFailed() {
+        directoryDown |= !directory.isOpen();
+    }
+
+    /** It answers again: claims can be made, and what was not known can be asked. */
+    private void directoryAnswered() {
+        if (!directoryDown) {
+            return;
+        }
+        directoryDown = false;
+        LOG.atInfo().addKeyValue("extents", seeking.size()).log("the directory answers again");
+        for (Map.Entry<Long, Set<RequestPart>> entry : List.copyOf(seeking.entrySet())) {
+            refile(entry.getKey(), -1);
+            for (RequestPart part : List.copyOf(entry.getValue())) {
+                if (!creates(part) && part.attempt == 0 && !part.operation.ended) {
+                    lookUp(part);
+                }
+            }
+        }
+    }
+
+    /** Tells Scheduler anew where the first writes to an extent go that wait with it. */
+    private void refile(long key, int shard) {
+        for (RequestPart part : seeking.getOrDefault(key, Set.of())) {
+            if (part.shown && part.attempt == 0 && part.operation.shard != shard && creates(part)) {
+                scheduler.onExtentLocated(part.operation, shard);
+            }
+        }
+    }
+
+    private void unseek(RequestPart part) {
+        long key = part.operation.extent;
+        Set<RequestPart> all = seeking.get(key);
+        if (all != null && all.remove(part) && all.isEmpty()) {
+            seeking.remove(key);
+        }
+        holders.removeWaiter(key, part);
+    }
+
+    private void claim(RequestPart part, Attempt attempt) {
+        long key = part.operation.extent;
+        holders.claimStarted(key);
+        // Other first writes to the extent wait for this claim, or they would lose theirs against
+
+        // it.
+
+        refile(key, NOT_FOUND_YET);
+        directory.claim(
+                part.request.disk.line.id(),
+                part.extent,
+                attempt.node.cell,
+                (cell, failure) -> {
+                    if (cell != null) {
+                        found(key, cell);
+                    }
+                    if (cell == null) {
+                        directoryFailed();
+                        refile(key, newShard());
+                        if (directoryDown && !part.operation.ended) {
+                            scheduler.onExtentLocated(part.operation, NOT_FOUND_YET);
+                        }
+                    }
+                    for (RequestPart waiting : holders.claimEnded(key)) {
+                        handOn(waiting);
+                    }
+                    if (attempt.outcome != null) {
+                        settle();
+                        return;
+                    }
+                    if (cell != null && cell == attempt.node.cell) {
+                        hand(part, attempt);
+                    } else {
+                        // Another node holds it, or nobody can say: the attempt never went out.
+
+                        out.remove(part.attempt);
+                        ended(part, Outcome.NOT_EXECUTED);
+                    }
+                });
+    }
+
+    // ---- Scheduler's answers ----
+
+    private void show(RequestPart part) {
+        part.shown = true;
+        carryOut(part, scheduler.route(part.operation, clock.now()));
+    }
+
+    private void carryOut(RequestPart part, RoutingDecision decision) {
+        Operation operation = part.operation;
+        if (decision.kind() == RoutingDecision.Kind.WAIT) {
+            if (!operation.ended) {
+                waiting.add(part);
+                account(part, clock.now());
+            }
+            return;
+        }
+        waiting.remove(part);
+        switch (decision.kind()) {
+            case SEND -> {
+                Attempt attempt = operation.attempts.get(operation.attempts.size() - 1);
+                part.attempt = ++attemptIds;
+                part.handed = false;
+                out.put(part.attempt, part);
+                long number = part.attempt;
+                part.timer =
+                        loop.schedule(
+                                () -> timedOut(number),
+                                Math.max(1, (long) (decision.timeout() * NS)),
+                                TimeUnit.NANOSECONDS);
+                if (operation.shard < 0) {
+                    accounts.claimStarted(part.meter, attempt.node.id, clock.now());
+                    claim(part, attempt);
+                } else {
+                    hand(part, attempt);
+                }
+            }
+            case REJECT -> {
+                counters.rejected.increment();
+                String when =
+                        decision.retryAfter() > 0
+                                ? "; come back in "
+                                        + (long) Math.ceil(decision.retryAfter())
+                                        + " ms"
+                                : "";
+                finish(
+                        part,
+                        Accounts.End.REJECTED,
+                        decision.reason(),
+                        NbdConstants.ENOMEM,
+                        "declined ("
+                                + word(decision.reason())
+                                + "): asking again does no harm"
+                                + when);
+            }
+            case ABANDON -> {
+                counters.abandoned.increment();
+                finish(
+                        part,
+                        Accounts.End.ABANDONED,
+                        decision.reason(),
+                        NbdConstants.EIO,
+                        "scrapped: it may have taken effect or not");
+            }
+            case WAIT -> throw new IllegalStateException("seen above");
+        }
+    }
+
+    private static String word(Enum<?> constant) {
+        return ExternalName.of(constant).replace('_', ' ');
+    }
+
+    /** States anew why an operation waits, and behind whom. */
+    private void account(RequestPart part, double now) {
+        if (part.meter == null) {
+            return;
+            // no accounts are kept
+
+        }
+        LatencyComponent spent =
+                LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
+        accounts.waitStarted(part.meter, spent, nodeOf(part.operation.shard), now);
+    }
+
+    /**
+     * Operations wait for reasons that change without anything happening to them: some are asked at
+     * each beat.
+     */
+    private void accountForWaiting() {
+        double now = clock.now();
+        Iterator<RequestPart> each = waiting.iterator();
+        List<RequestPart> asked = new ArrayList<>();
+        while (each.hasNext() && asked.size() < ACCOUNTED_AT_ONCE) {
+            asked.add(each.next());
+            each.remove();
+        }
+        for (RequestPart part : asked) {
+            account(part, now);
+            waiting.add(part);
+        }
+    }
+
+    /** The id of the node that holds a cell now; 0 if none does. */
+    private int nodeOf(int cell) {
+        Node node = byCell.get(cell);
+        return node == null ? 0 : node.id;
+    }
+
+    private void hand(RequestPart part, Attempt attempt) {
+        part.handed = true;
+        accounts.attemptSent(part.meter, attempt.node.id, attempt.quotaTier, clock.now());
+        Place place = places.get(attempt.node.id);
+        counters.attempts.increment();
+        boolean durable = (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
+        StoreMessages.Send send =
+                new StoreMessages.Send(
+                        part.kind,
+                        part.operation.trafficClass.index(),
+                        durable,
+                        part.operation.trafficClass.idempotency().ordinal(),
+                        part.operation.id,
+                        attempt.number,
+                        part.request.disk.line.id(),
+                        part.extent,
+                        part.offset,
+                        part.length,
+                        (float) part.operation.units,
+                        part.since,
+                        part.kind != StoreMessages.Kind.FLUSH
+                                && unverified.contains(part.operation.extent));
+        place.link.send(part.attempt, send, part.payload.retainedDuplicate());
+    }
+
+    // ---- ends of attempts ----
+
+    private void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
+        RequestPart part = out.remove(attemptId);
+        if (part == null) {
+            payload.release();
+            return;
+        }
+        Outcome outcome =
+                switch (answer.code()) {
+                    case SERVED -> Outcome.SERVED;
+                    case FAILED -> Outcome.FAILED;
+                    case FULL, DRAINING -> Outcome.REJECTED;
+                    // Whose pen was taken by another gateway never ran, and the node is not to
+
+                    // blame.
+
+                    case NOT_EXECUTED, STALE_WRITE_TOKEN -> Outcome.NOT_EXECUTED;
+                    case CANCELLED -> Outcome.CANCELLED;
+                };
+        Attempt attempt = lastAttempt(part);
+        attempt.planUsagePercent = answer.planUsage() == 0 ? Double.NaN : answer.planUsage() - 1;
+        attempt.otherGatewaysUnits = answer.otherGatewaysUnits();
+        attempt.report = widened(answer.loadReport());
+        boolean denied =
+                answer.code() == StoreMessages.Code.NOT_EXECUTED
+                        && unverified.remove(part.operation.extent);
+        if (denied) {
+            deny(part);
+        }
+        if (answer.code() == StoreMessages.Code.SERVED) {
+            unverified.remove(part.operation.extent);
+            accounts.attemptAnswered(
+                    part.meter,
+                    answer.queuedMillis(),
+                    answer.serviceMillis(),
+                    answer.loadReport().length == 0 ? Double.NaN : answer.loadReport()[0],
+                    clock.now());
+        }
+        int due = part.kind == StoreMessages.Kind.READ ? part.length : 0;
+        if (outcome == Outcome.SERVED && payload.readableBytes() != due) {
+            outcome = Outcome.FAILED;
+        }
+        if (outcome == Outcome.SERVED && !part.operation.ended && due > 0) {
+            part.request.found.add(new PendingRequest.Found(part.at, part.length, payload));
+        } else {
+            payload.release();
+        }
+        ended(part, outcome);
+        if (denied && !part.operation.ended && !creates(part)) {
+            lookUp(part);
+        }
+    }
+
+    /**
+     * The holder that the disk named does not hold the extent: nobody is believed to, until it is
+     * found.
+     */
+    private void deny(RequestPart part) {
+        long key = part.operation.extent;
+        LOG.atInfo()
+                .addKeyValue("volume", part.request.disk.line.name())
+                .addKeyValue("extent", part.extent)
+                .log("its holder by the disk denies it");
+        holders.forget(key);
+        holdersChanged = true;
+        seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
+        if (!part.operation.ended) {
+            scheduler.onExtentLocated(part.operation, creates(part) ? newShard() : NOT_FOUND_YET);
+        }
+    }
+
+    private void timedOut(long attemptId) {
+        RequestPart part = out.remove(attemptId);
+        if (part == null) {
+            return;
+        }
+        if (!part.handed) {
+            ended(part, Outcome.NOT_EXECUTED);
+            return;
+        }
+        boolean went = places.get(lastAttempt(part).node.id).link.cancel(attemptId);
+        ended(part, went ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
+    }
+
+    private static Attempt lastAttempt(RequestPart part) {
+        return part.operation.attempts.get(part.operation.attempts.size() - 1);
+    }
+
+    private void ended(RequestPart part, Outcome outcome) {
+        double now = clock.now();
+        Operation operation = part.operation;
+        Attempt attempt = lastAttempt(part);
+        attempt.outcome = outcome;
+        attempt.duration = now - attempt.sentAt;
+        part.attempt = 0;
+        if (part.timer != null) {
+            part.timer.cancel(false);
+            part.timer = null;
+        }
+        part.handed = false;
+        if (outcome != Outcome.SERVED) {
+            accounts.attemptFailed(part.meter, outcome, now);
+        }
+        boolean first = !operation.ended && outcome == Outcome.SERVED;
+        operation.ended |= first;
+        if (outcome == Outcome.NOT_EXECUTED) {
+            counters.notExecuted.increment();
+        }
+        FollowUp sequel = scheduler.onAttemptEnded(attempt, now);
+        if (first) {
+            note(part, attempt);
+            satisfied(part);
+        } else if (sequel == FollowUp.ROUTE_AGAIN) {
+            carryOut(part, scheduler.route(operation, now));
+        }
+        settle();
+    }
+
+    /** What an acknowledged write or flush means for the next flush. */
+    private void note(RequestPart part, Attempt attempt) {
+        ExportedVolume disk = part.request.disk;
+        if (part.kind == StoreMessages.Kind.FLUSH) {
+            disk.flushed(attempt.node.cell, part.writesBefore);
+        } else if (part.kind.modifiesData()
+                && (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) == 0) {
+            disk.wrote(attempt.node.cell, places.get(attempt.node.id).startedAt);
+        }
+    }
+
+    private void satisfied(RequestPart part) {
+        part.operation.ended = true;
+        counters.served.increment();
+        end(part, Accounts.End.SERVED, Reason.NONE);
+        over(part);
+    }
+
+    private void end(RequestPart part, Accounts.End how, Reason reason) {
+        double now = clock.now();
+        accounts.end(part.meter, how, reason, nodeOf(part.operation.shard), now);
+        if (tracer == null || part.meter == null) {
+            return;
+        }
+        Operation operation = part.operation;
+        double took = now - operation.arrivedAt;
+        boolean missed =
+                how != Accounts.End.SERVED || took > operation.trafficClass.latencyObjective();
+        double standsFor = sampler.sample(how, missed, operation.trafficClass.index(), took, now);
+        if (standsFor > 0) {
+            tracer.submit(story(part, how, reason, took, standsFor));
+        }
+    }
+
+    private OperationTrace story(
+            RequestPart part, Accounts.End how, Reason reason, double took, double standsFor) {
+        Operation operation = part.operation;
+        List<OperationTrace.Step> steps = new ArrayList<>(part.meter.stepCount());
+        for (int i = 0; i < part.meter.stepCount(); i++) {
+            steps.add(
+                    new OperationTrace.Step(
+                            part.meter.step(i), part.meter.stepNode(i), part.meter.stepLength(i)));
+        }
+        List<OperationTrace.Attempt> attempts = new ArrayList<>(operation.attempts.size());
+        for (Attempt attempt : operation.attempts) {
+            attempts.add(
+                    new OperationTrace.Attempt(
+                            attempt.number,
+                            attempt.node.id,
+                            attempt.quotaTier,
+                            attempt.sentAt - operation.arrivedAt,
+                            attempt.duration,
+                            attempt.outcome));
+        }
+        Cause cause = part.meter.mainCause();
+        String named =
+                cause == null
+                        ? ""
+                        : word(cause.kind())
+                                + (cause.volume() == 0 ? "" : ", volume " + cause.volume())
+                                + (cause.node() == 0 ? "" : ", node " + cause.node())
+                                + (cause.estimate() ? ", estimate" : "");
+        return new OperationTrace(
+                site.name(),
+                operation.id,
+                part.request.asked.cookie(),
+                part.request.disk.line.name(),
+                operation.trafficClass.name(),
+                word(part.kind),
+                part.extent,
+                operation.units,
+                clock.wall(operation.arrivedAt),
+                took,
+                how,
+                reason,
+                named,
+                sampler.reason(),
+                standsFor,
+                steps,
+                attempts);
+    }
+
+    private void finish(RequestPart part, Accounts.End how, Reason reason, int error, String why) {
+        part.operation.ended = true;
+        end(part, how, reason);
+        part.request.fail(part.at, error, why);
+        over(part);
+    }
+
+    private void over(RequestPart part) {
+        waiting.remove(part);
+        unseek(part);
+        part.payload.release();
+        if (--part.request.open == 0) {
+            close(part.request);
+        }
+    }
+
+    private void close(PendingRequest request) {
+        Set<PendingRequest> all = requests.get(request.session);
+        if (all != null) {
+            all.remove(request);
+            if (all.isEmpty()) {
+                requests.remove(request.session);
+            }
+        }
+        request.session.answer(request);
+        emptied();
+    }
+
+    // ---- what is due ----
+
+    /** Asks Scheduler what is due, once for all that one turn of the loop brought. */
+    private void settle() {
+        if (!settleDue) {
+            settleDue = true;
+            loop.execute(this::settleNow);
+        }
+    }
+
+    private void settleNow() {
+        settleDue = false;
+        double now = clock.now();
+        for (RequestPart part : holders.takeExpired(now)) {
+            handOn(part);
+        }
+        SchedulerTurn turn = scheduler.nextTurn(now);
+        while (true) {
+            for (Attempt attempt : turn.cancellations()) {
+                callOff(attempt);
+            }
+            for (Node node : turn.healthChecks()) {
+                places.get(node.id).link.checkHealth(++attemptIds);
+            }
+            switch (turn.poll()) {
+                case SUBSCRIBE -> directory.subscribe();
+                case FETCH -> directory.fetch();
+                case NONE -> {}
+            }
+            boolean moved = false;
+            for (Operation operation : turn.due()) {
+                RoutingDecision decision = scheduler.route(operation, now);
+                moved |= decision.kind() != RoutingDecision.Kind.WAIT;
+                carryOut(partOf(operation), decision);
+            }
+            if (!moved) {
+                break;
+                // asking again at the same moment would change nothing
+
+            }
+            turn = scheduler.nextTurn(now);
+        }
+        alarm.by(Math.min(now + turn.delay(), holders.nextExpiry()));
+    }
+
+    private static RequestPart partOf(Operation operation) {
+        return (RequestPart) operation.engineState;
+    }
+
+    /** Work for nobody is given up; whether it ran, nobody will know. */
+    private void callOff(Attempt attempt) {
+        RequestPart part = partOf(attempt.operation);
+        if (attempt.outcome != null || part.attempt == 0) {
+            return;
+        }
+        out.remove(part.attempt);
+        if (part.handed) {
+            places.get(attempt.node.id).link.cancel(part.attempt);
+        }
+        ended(part, Outcome.CANCELLED);
+    }
+
+    // ---- the directory ----
+
+    @Override
+    public void endpointListReceived(DirectoryMessages.EndpointList listing) {
+        directoryAnswered();
+        Membership.UpdateResult belief =
+                membership.applyUpdate(
+                        new EndpointListUpdate(
+                                listing.site(),
+                                listing.history(),
+                                listing.version(),
+                                listing.complete(),
+                                listing.lines().stream().map(NbdEngine::line).toList()),
+                        wall());
+        LOG.atInfo()
+                .addKeyValue("version", listing.version())
+                .addKeyValue("whole", listing.complete())
+                .addKeyValue("lines", listing.lines().size())
+                .addKeyValue("believed", belief.accepted())
+                .addKeyValue("why", belief.reason())
+                .log("list of nodes");
+        if (belief.accepted() || belief.changed()) {
+            adopt();
+        }
+        if (!belief.accepted()) {
+            if (listing.call() != 0) {
+                askAgain();
+            }
+            return;
+        }
+        returning.reset();
+        confirmAt = wall() + CONFIRMED_EVERY;
+        told.put(listing.version(), wall());
+        if (told.size() > MOST_TOLD) {
+            told.remove(told.keySet().iterator().next());
+        }
+        if (!listed) {
+            listed = true;
+            preload(new ArrayList<>(disks.values()), 0);
+        }
+        settle();
+    }
+
+    private static EndpointRecord line(DirectoryMessages.EndpointLine line) {
+        return new EndpointRecord(
+                line.node(),
+                line.cell(),
+                line.zone(),
+                line.kind(),
+                switch (line.phase()) {
+                    case READY -> EndpointRecord.Phase.READY;
+                    case DRAINING -> EndpointRecord.Phase.DRAINING;
+                    case GONE -> EndpointRecord.Phase.REMOVED;
+                },
+                line.startedAt(),
+                line.weight(),
+                line.host(),
+                line.port());
+    }
+
+    /** Uses the nodes as membership sees them now. */
+    private void adopt() {
+        List<Node> nodes = new ArrayList<>(places.size());
+        byCell.clear();
+        for (Membership.MemberView seen : membership.members(wall())) {
+            Node node = place(seen);
+            nodes.add(node);
+            accounts.nodeListed(
+                    node.id,
+                    node.zone,
+                    node.startedAt + site.deployment().policy().slowStartTime());
+            if (node.phase == Node.Phase.READY) {
+                byCell.put(node.cell, node);
+            }
+        }
+        listChanged = true;
+        scheduler.onEndpointList(nodes, clock.now());
+        settle();
+    }
+
+    /**
+     * What time and the nodes' own words change: a few nodes are asked who they are at each beat.
+     */
+    private void members() {
+        double wall = wall();
+        if (listed && membership.advanceTo(wall)) {
+            adopt();
+        }
+        for (int node : membership.takeProbes(wall)) {
+            places.get(node).link.ensureConnected();
+        }
+        if (directory.isSubscribed() && wall >= confirmAt && !disks.isEmpty()) {
+            confirmAt = wall + CONFIRMED_EVERY;
+            directory.lookup(
+                    disks.values().iterator().next().line.id(),
+                    0,
+                    1,
+                    (cells, failure) -> {
+                        if (cells != null && membership.confirmed(wall())) {
+                            adopt();
+                        }
+                    });
+        }
+    }
+
+    private Node place(Membership.MemberView seen) {
+        EndpointRecord line = seen.endpoint();
+        Place place = places.computeIfAbsent(line.node(), Place::new);
+        Node node = place.node;
+        node.cell = line.cell();
+        node.zone = line.zone();
+        node.kind = line.kind();
+        node.weight = line.weight();
+        node.startedAt = clock.atWall(line.startedAt());
+        node.acceptsNewObjects = seen.acceptsNewObjects();
+        node.phase =
+                switch (seen.phase()) {
+                    case READY -> Node.Phase.READY;
+                    case DRAINING -> Node.Phase.DRAINING;
+                    case REMOVED -> Node.Phase.REMOVED;
+                };
+        SocketAddress address = new InetSocketAddress(line.host(), line.port());
+        if (place.link == null || !place.link.address().equals(address)) {
+            if (place.link != null) {
+                place.link.close();
+            }
+            place.link =
+                    new NodeConnection(
+                            loop, kind, site.extentBytes(), node.id, address, hello, place);
+        }
+        return node;
+    }
+
+    @Override
+    public void endpointListFailed(String why) {
+        LOG.atWarn().addKeyValue("why", why).log("the directory's list failed");
+        directoryFailed();
+        askAgain();
+    }
+
+    private void askAgain() {
+        if (listed) {
+            scheduler.onPollFailed(clock.now());
+            settle();
+        } else if (!stopping) {
+            loop.schedule(
+                    directory::fetch, (long) returning.nextDelayMillis(), TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /**
+     * Learns the holders of all extents of the volumes; what cannot be learned now is asked when
+     * needed.
+     */
+    private void preload(List<ExportedVolume> left, long first) {
+        if (left.isEmpty()) {
+            whenReady.run();
+            return;
+        }
+        ExportedVolume disk = left.get(0);
+        long extents = (disk.line.sizeBytes() - 1) / site.extentBytes() + 1;
+        int count = (int) Math.min(HOLDERS_AT_ONCE, extents - first);
+        directory.lookup(
+                disk.line.id(),
+                first,
+                count,
+                (cells, failure) -> {
+                    if (cells == null) {
+                        LOG.atWarn().addKeyValue("why", failure).log("holders not told at start");
+                        whenReady.run();
+                        return;
+                    }
+                    for (int i = 0; i < cells.length; i++) {
+                        if (cells[i] >= 0) {
+                            found(ExtentHolders.key(disk.line.id(), first + i), cells[i]);
+                        }
+                    }
+                    boolean more = first + count < extents;
+                    preload(more ? left : left.subList(1, left.size()), more ? first + count : 0);
+                });
+    }
+
+    // ---- the end ----
+
+    /** Takes nothing more, and runs the callback once all that is in hand has its final answer. */
+    void stop(Runnable empty) {
+        loop.execute(
+                () -> {
+                    stopping = true;
+                    whenEmpty = empty;
+                    emptied();
+                });
+    }
+
+    private void emptied() {
+        if (stopping && whenEmpty != null && requests.isEmpty()) {
+            Runnable empty = whenEmpty;
+            whenEmpty = null;
+            empty.run();
+        }
+    }
+
+    /** Ends all links. On the loop, once nothing is in hand or wanted. */
+    void close() {
+        if (beat != null) {
+            beat.cancel(false);
+        }
+        if (membersBeat != null) {
+            membersBeat.cancel(false);
+        }
+        alarm.cancel();
+        for (Place place : places.values()) {
+            if (place.link != null) {
+                place.link.close();
+            }
+        }
+        directory.close();
+    }
+
+    private static double[] widened(float[] values) {
+        if (values.length == 0) {
+            return null;
+        }
+        double[] wide = new double[values.length];
+        for (int i = 0; i < values.length; i++) {
+            wide[i] = values[i];
+        }
+        return wide;
+    }
 }
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -1,564 +1,193 @@
-package
-sagepulley.frontend.nbd;
+package sagepulley.frontend.nbd;
 
-import
-io.netty.buffer.ByteBuf;
-import
-io.netty.buffer.Unpooled;
-import
-sagepulley.codec.nbd.NbdConstants;
-import
-sagepulley.config.SiteConfig;
-import
-sagepulley.config.VolumeSettings;
-import
-sagepulley.model.Deployment;
-import
-sagepulley.model.Operation;
-import
-sagepulley.model.TrafficClass;
-import
-sagepulley.placement.ExtentHolders;
-import
-sagepulley.upstream.frame.StoreMessages;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.model.Deployment;
+import sagepulley.model.Operation;
+import sagepulley.model.TrafficClass;
+import sagepulley.placement.ExtentHolders;
+import sagepulley.upstream.frame.StoreMessages;
 
 /** Checks requests as the protocol text asks, and splits them at extent edges into operations. */
-final
-class
-RequestSplitter
-{
-private
-static
-final
-int
-KNOWN_FLAGS
-=
-NbdConstants.CMD_FLAG_FUA
-|
-NbdConstants.CMD_FLAG_NO_HOLE
-|
-NbdConstants.CMD_FLAG_DF
-|
-NbdConstants.CMD_FLAG_REQ_ONE;
+final class RequestSplitter {
+    private static final int KNOWN_FLAGS =
+            NbdConstants.CMD_FLAG_FUA
+                    | NbdConstants.CMD_FLAG_NO_HOLE
+                    | NbdConstants.CMD_FLAG_DF
+                    | NbdConstants.CMD_FLAG_REQ_ONE;
 
-private
-final
-Deployment
-deployment;
-private
-final
-int
-extentBytes;
-private
-final
-int
-unitBytes;
-private
-long
-ids;
+    private final Deployment deployment;
+    private final int extentBytes;
+    private final int unitBytes;
+    private long ids;
 
-RequestSplitter(SiteConfig
-site)
-{
-this.deployment
-=
-site.deployment();
-this.extentBytes
-=
-site.extentBytes();
-this.unitBytes
-=
-site.unitBytes();
-}
+    RequestSplitter(SiteConfig site) {
+        this.deployment = site.deployment();
+        this.extentBytes = site.extentBytes();
+        this.unitBytes = site.unitBytes();
+    }
 
-/** A request that is answered with an error as it stands, or null if it may go on. */
-static
-PendingRequest.Failed
-wrong(
-int
-command,
-int
-flags,
-long
-offset,
-long
-length,
-ExportedVolume
-disk,
-boolean
-structured,
-boolean
-baseAllocation)
-{
-VolumeSettings
-line
-=
-disk.line;
-if
-(command
->
-NbdConstants.CMD_BLOCK_STATUS
-||
-command
-==
-NbdConstants.CMD_CACHE)
-{
-return
-new
-PendingRequest.Failed(
--1,
-NbdConstants.EINVAL,
-"command "
-+
-command
-+
-" is not served here");
-}
-if
-((flags
-&
-~KNOWN_FLAGS)
-!=
-0)
-{
-return
-new
-PendingRequest.Failed(
--1,
-NbdConstants.EINVAL,
-"command flags 0x"
-+
-Integer.toHexString(flags)
-+
-" are not served here");
-}
-if
-((flags
-&
-NbdConstants.CMD_FLAG_DF)
-!=
-0
-&&
-!(structured
-&&
-command
-==
-NbdConstants.CMD_READ))
-{
-return
-new
-PendingRequest.Failed(
--1,
-NbdConstants.EINVAL,
-"DF is for reads with structured replies");
-}
-if
-(((flags
-&
-NbdConstants.CMD_FLAG_NO_HOLE)
-!=
-0
-&&
-command
-!=
-NbdConstants.CMD_WRITE_ZEROES)
-||
-((flags
-&
-NbdConstants.CMD_FLAG_REQ_ONE)
-!=
-0
-&&
-command
-!=
-NbdConstants.CMD_BLOCK_STATUS))
-{
-return
-new
-PendingRequest.Failed(-1,
-NbdConstants.EINVAL,
-"a flag of another command");
-}
-if
-(command
-==
-NbdConstants.CMD_FLUSH)
-{
-return
-offset
-==
-0
-&&
-length
-==
-0
-?
-null
-:
-new
-PendingRequest.Failed(
--1,
-NbdConstants.EINVAL,
-"a flush has neither offset nor length");
-}
-boolean
-changes
-=
-command
-==
-NbdConstants.CMD_WRITE
-||
-command
-==
-NbdConstants.CMD_TRIM
-||
-command
-==
-NbdConstants.CMD_WRITE_ZEROES;
-if
-(changes
-&&
-line.readOnly())
-{
-return
-new
-PendingRequest.Failed(-1,
-NbdConstants.EPERM,
-"the export is read-only");
-}
-if
-(command
-==
-NbdConstants.CMD_BLOCK_STATUS
-&&
-!baseAllocation)
-{
-return
-new
-PendingRequest.Failed(
--1,
-NbdConstants.EINVAL,
-"no metadata context was chosen");
-}
-if
-(length
-==
-0)
-{
-return
-new
-PendingRequest.Failed(-1,
-NbdConstants.EINVAL,
-"a length of zero");
-}
-if
-(offset
-<
-0
-||
-offset
->
-line.sizeBytes()
-||
-length
->
-line.sizeBytes()
--
-offset)
-{
-int
-error
-=
-command
-==
-NbdConstants.CMD_WRITE
-||
-command
-==
-NbdConstants.CMD_WRITE_ZEROES
-?
-NbdConstants.ENOSPC
-:
-NbdConstants.EINVAL;
-return
-new
-PendingRequest.Failed(
--1,
-error,
-"past the end of the export at "
-+
-line.sizeBytes());
-}
-if
-((offset
-|
-length)
-%
-disk.export.minBlockSize()
-!=
-0)
-{
-return
-new
-PendingRequest.Failed(
--1,
-NbdConstants.EINVAL,
-"not aligned to "
-+
-disk.export.minBlockSize()
-+
-" bytes");
-}
-if
-((command
-==
-NbdConstants.CMD_READ
-||
-command
-==
-NbdConstants.CMD_WRITE)
-&&
-length
->
-disk.export.maxBlockSize())
-{
-return
-new
-PendingRequest.Failed(
--1,
-command
-==
-NbdConstants.CMD_READ
-?
-NbdConstants.EOVERFLOW
-:
-NbdConstants.EINVAL,
-"longer than "
-+
-disk.export.maxBlockSize()
-+
-" bytes");
-}
-return
-null;
-}
+    /** A request that is answered with an error as it stands, or null if it may go on. */
+    static PendingRequest.Failed wrong(
+            int command,
+            int flags,
+            long offset,
+            long length,
+            ExportedVolume disk,
+            boolean structured,
+            boolean baseAllocation) {
+        VolumeSettings line = disk.line;
+        if (command > NbdConstants.CMD_BLOCK_STATUS || command == NbdConstants.CMD_CACHE) {
+            return new PendingRequest.Failed(
+                    -1, NbdConstants.EINVAL, "command " + command + " is not served here");
+        }
+        if ((flags & ~KNOWN_FLAGS) != 0) {
+            return new PendingRequest.Failed(
+                    -1,
+                    NbdConstants.EINVAL,
+                    "command flags 0x" + Integer.toHexString(flags) + " are not served here");
+        }
+        if ((flags & NbdConstants.CMD_FLAG_DF) != 0
+                && !(structured && command == NbdConstants.CMD_READ)) {
+            return new PendingRequest.Failed(
+                    -1, NbdConstants.EINVAL, "DF is for reads with structured replies");
+        }
+        if (((flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0
+                        && command != NbdConstants.CMD_WRITE_ZEROES)
+                || ((flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0
+                        && command != NbdConstants.CMD_BLOCK_STATUS)) {
+            return new PendingRequest.Failed(-1, NbdConstants.EINVAL, "a flag of another command");
+        }
+        if (command == NbdConstants.CMD_FLUSH) {
+            return offset == 0 && length == 0
+                    ? null
+                    : new PendingRequest.Failed(
+                            -1, NbdConstants.EINVAL, "a flush has neither offset nor length");
+        }
+        boolean changes =
+                command == NbdConstants.CMD_WRITE
+                        || command == NbdConstants.CMD_TRIM
+                        || command == NbdConstants.CMD_WRITE_ZEROES;
+        if (changes && line.readOnly()) {
+            return new PendingRequest.Failed(-1, NbdConstants.EPERM, "the export is read-only");
+        }
+        if (command == NbdConstants.CMD_BLOCK_STATUS && !baseAllocation) {
+            return new PendingRequest.Failed(
+                    -1, NbdConstants.EINVAL, "no metadata context was chosen");
+        }
+        if (length == 0) {
+            return new PendingRequest.Failed(-1, NbdConstants.EINVAL, "a length of zero");
+        }
+        if (offset < 0 || offset > line.sizeBytes() || length > line.sizeBytes() - offset) {
+            int error =
+                    command == NbdConstants.CMD_WRITE || command == NbdConstants.CMD_WRITE_ZEROES
+                            ? NbdConstants.ENOSPC
+                            : NbdConstants.EINVAL;
+            return new PendingRequest.Failed(
+                    -1, error, "past the end of the export at " + line.sizeBytes());
+        }
+        if ((offset | length) % disk.export.minBlockSize() != 0) {
+            return new PendingRequest.Failed(
+                    -1,
+                    NbdConstants.EINVAL,
+                    "not aligned to " + disk.export.minBlockSize() + " bytes");
+        }
+        if ((command == NbdConstants.CMD_READ || command == NbdConstants.CMD_WRITE)
+                && length > disk.export.maxBlockSize()) {
+            return new PendingRequest.Failed(
+                    -1,
+                    command == NbdConstants.CMD_READ ? NbdConstants.EOVERFLOW : NbdConstants.EINVAL,
+                    "longer than " + disk.export.maxBlockSize() + " bytes");
+        }
+        return null;
+    }
 
-/** Adds the request's parts, one for each extent that it touches; payloads are slices with owners. */
-void
-split(PendingRequest
-request)
-{
-long
-offset
-=
-request.asked.offset();
-long
-left
-=
-Integer.toUnsignedLong(request.asked.length());
-ByteBuf
-payload
-=
-request.asked.payload();
-StoreMessages.Kind
-kind
-=
-switch
-(request.asked.command())
-{
-case
-NbdConstants.CMD_READ
-->
-StoreMessages.Kind.READ;
-case
-NbdConstants.CMD_WRITE
-->
-StoreMessages.Kind.WRITE;
-case
-NbdConstants.CMD_TRIM
-->
-StoreMessages.Kind.TRIM;
-default
-->
-StoreMessages.Kind.ZERO;
-};
-VolumeSettings
-line
-=
-request.disk.line;
-int
-band
-=
-kind.modifiesData()
-?
-line.writeTrafficClass()
-:
-left
->=
-line.bulkThresholdBytes()
-?
-line.bulkTrafficClass()
-:
-line.readTrafficClass();
-while
-(left
->
-0)
-{
-long
-extent
-=
-offset
-/
-extentBytes;
-int
-inside
-=
-(int)
-(offset
-%
-extentBytes);
-int
-length
-=
-(int)
-Math.min(left,
-extentBytes
--
-inside);
-ByteBuf
-slice
-=
-kind
-==
-StoreMessages.Kind.WRITE
-?
-payload.readRetainedSlice(length)
-:
-Unpooled.EMPTY_BUFFER;
-request.parts.add(part(request,
-kind,
-band,
-extent,
-inside,
-length,
-offset,
-slice));
-offset
-+=
-length;
-left
--=
-length;
-}
-}
+    /**
+     * Adds the request's parts, one for each extent that it touches; payloads are slices with
+     * owners.
+     */
+    void split(PendingRequest request) {
+        long offset = request.asked.offset();
+        long left = Integer.toUnsignedLong(request.asked.length());
+        ByteBuf payload = request.asked.payload();
+        StoreMessages.Kind kind =
+                switch (request.asked.command()) {
+                    case NbdConstants.CMD_READ -> StoreMessages.Kind.READ;
+                    case NbdConstants.CMD_WRITE -> StoreMessages.Kind.WRITE;
+                    case NbdConstants.CMD_TRIM -> StoreMessages.Kind.TRIM;
+                    default -> StoreMessages.Kind.ZERO;
+                };
+        VolumeSettings line = request.disk.line;
+        int band =
+                kind.modifiesData()
+                        ? line.writeTrafficClass()
+                        : left >= line.bulkThresholdBytes()
+                                ? line.bulkTrafficClass()
+                                : line.readTrafficClass();
+        while (left > 0) {
+            long extent = offset / extentBytes;
+            int inside = (int) (offset % extentBytes);
+            int length = (int) Math.min(left, extentBytes - inside);
+            ByteBuf slice =
+                    kind == StoreMessages.Kind.WRITE
+                            ? payload.readRetainedSlice(length)
+                            : Unpooled.EMPTY_BUFFER;
+            request.parts.add(part(request, kind, band, extent, inside, length, offset, slice));
+            offset += length;
+            left -= length;
+        }
+    }
 
-/** A flush of what one cell's node has of the volume. */
-RequestPart
-flush(PendingRequest
-request,
-int
-cell)
-{
-RequestPart
-part
-=
-part(
-request,
-StoreMessages.Kind.FLUSH,
-request.disk.line.writeTrafficClass(),
-0,
-0,
-0,
--1,
-Unpooled.EMPTY_BUFFER);
-part.operation.shard
-=
-cell;
-return
-part;
-}
+    /** A flush of what one cell's node has of the volume. */
+    RequestPart flush(PendingRequest request, int cell) {
+        RequestPart part =
+                part(
+                        request,
+                        StoreMessages.Kind.FLUSH,
+                        request.disk.line.writeTrafficClass(),
+                        0,
+                        0,
+                        0,
+                        -1,
+                        Unpooled.EMPTY_BUFFER);
+        part.operation.shard = cell;
+        return part;
+    }
 
-private
-RequestPart
-part(
-PendingRequest
-request,
-StoreMessages.Kind
-kind,
-int
-bandIndex,
-long
-extent,
-int
-inside,
-int
-length,
-long
-at,
-ByteBuf
-payload)
-{
-TrafficClass
-trafficClass
-=
-deployment.trafficClasses().get(bandIndex);
-// What moves no data still costs the node a look.
+    private RequestPart part(
+            PendingRequest request,
+            StoreMessages.Kind kind,
+            int bandIndex,
+            long extent,
+            int inside,
+            int length,
+            long at,
+            ByteBuf payload) {
+        TrafficClass trafficClass = deployment.trafficClasses().get(bandIndex);
+        // What moves no data still costs the node a look.
 
-double
-units
-=
-kind
-==
-StoreMessages.Kind.READ
-||
-kind
-==
-StoreMessages.Kind.WRITE
-?
-Math.max(1,
-Math.ceil((double)
-length
-/
-unitBytes))
-:
-1;
-long
-key
-=
-kind
-==
-StoreMessages.Kind.FLUSH
-?
-0
-:
-ExtentHolders.key(request.disk.line.id(),
-extent);
-Operation
-operation
-=
-new
-Operation(
-++ids,
-trafficClass,
-request.disk.volume,
-key,
-units,
--1,
-request.arrivedAt,
-request.arrivedAt
-+
-trafficClass.deadline(),
-false);
-return
-new
-RequestPart(request,
-operation,
-kind,
-extent,
-inside,
-length,
-at,
-payload);
-}
+        double units =
+                kind == StoreMessages.Kind.READ || kind == StoreMessages.Kind.WRITE
+                        ? Math.max(1, Math.ceil((double) length / unitBytes))
+                        : 1;
+        long key =
+                kind == StoreMessages.Kind.FLUSH
+                        ? 0
+                        : ExtentHolders.key(request.disk.line.id(), extent);
+        Operation operation =
+                new Operation(
+                        ++ids,
+                        trafficClass,
+                        request.disk.volume,
+                        key,
+                        units,
+                        -1,
+                        request.arrivedAt,
+                        request.arrivedAt + trafficClass.deadline(),
+                        false);
+        return new RequestPart(request, operation, kind, extent, inside, length, at, payload);
+    }
 }
