--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -43,7 +43,7 @@
 public final class Commands implements Runnable {
     public static final int OK = 0;
     public static final int FAILED = 1;
-    public static final int WRONG_WORDS = 2;
+    public static final int USAGE_ERROR = 2;
     public static final int UNUSABLE_FILE = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -82,7 +82,7 @@
     }
 
     /** Runs a command; gives its exit code. */
-    public static int run(String... words) {
+    public static int run(String... arguments) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler(
                         (failure, line, parsed) -> {
@@ -92,6 +92,6 @@
                                     ? UNUSABLE_FILE
                                     : FAILED;
                         })
-                .execute(words);
+                .execute(arguments);
     }
 }
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -43,11 +43,11 @@
 
     @Override
     public Integer call() throws Exception {
-        List<NodeProfile> traits = new ArrayList<>();
+        List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            traits.add(NodeProfile.quick(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
+            profiles.add(NodeProfile.quick(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
         }
-        LocalCluster cluster = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
+        LocalCluster cluster = LocalCluster.start(profiles, TrafficRecorder.NO_OP, 2);
         NbdGateway gateway =
                 cluster.open(
                         LocalCluster.demoSite("demo", 0, 1, port, cluster.directory().address()),
--- a/src/main/java/sagepulley/cli/DirectoryCommand.java
+++ b/src/main/java/sagepulley/cli/DirectoryCommand.java
@@ -34,8 +34,8 @@
     @Override
     public Integer call() {
         StandInDirectory directory =
-                new StandInDirectory(EventLoops.group(1, "directory"), TrafficRecorder.NOBODY);
-        directory.lag(lag);
+                new StandInDirectory(EventLoops.group(1, "directory"), TrafficRecorder.NO_OP);
+        directory.delayNotifications(lag);
         LocalCluster.await(directory.start(listen.socket()));
         System.out.println(
                 "ready: directory on " + listen.host() + ":" + directory.address().getPort());
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -48,7 +48,7 @@
         ScenarioRunner drill = new ScenarioRunner(day);
         ScenarioRunner.Result result = drill.run();
         if (accounts != null) {
-            for (GatewayAccounts book : drill.books()) {
+            for (GatewayAccounts book : drill.accounts()) {
                 new AccountFile(accounts.resolve(book.gateway()), book.gateway()).write(book);
             }
         }
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -31,8 +31,8 @@
                 "Tells an operation's story in time order, from the traces that a gateway keeps ([traces] file); "
                         + "without a number, that of the operation that took longest.")
 final class ExplainCommand implements Callable<Integer> {
-    private static final int MOST_FILES = 100;
-    private static final int MOST_LINE = 1 << 16;
+    private static final int MAX_ROTATED_FILES = 100;
+    private static final int MAX_LINE_CHARS = 1 << 16;
     private static final DateTimeFormatter CLOCK =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
 
@@ -117,7 +117,7 @@
             System.out.println(new JsonMapper().writeValueAsString(children));
             return Commands.OK;
         }
-        tell(roots.get(0), children);
+        print(roots.get(0), children);
         return Commands.OK;
     }
 
@@ -127,7 +127,7 @@
 
     private void read() throws IOException {
         List<Path> files = new ArrayList<>();
-        for (int age = MOST_FILES; age > 0; age--) {
+        for (int age = MAX_ROTATED_FILES; age > 0; age--) {
             Path older = file.resolveSibling(file.getFileName() + "." + age);
             if (Files.exists(older)) {
                 files.add(older);
@@ -145,7 +145,8 @@
                                             .onMalformedInput(CodingErrorAction.REPLACE)))) {
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                     try {
-                        JsonNode span = line.length() > MOST_LINE ? null : mapper.readTree(line);
+                        JsonNode span =
+                                line.length() > MAX_LINE_CHARS ? null : mapper.readTree(line);
                         if (span != null && span.has("trace") && span.has("start")) {
                             spans.add(span);
                         } else {
@@ -177,7 +178,7 @@
                         .atZone(ZoneId.systemDefault()));
     }
 
-    private static void tell(JsonNode root, List<JsonNode> children) {
+    private static void print(JsonNode root, List<JsonNode> children) {
         System.out.printf(
                 Locale.ROOT,
                 "operation %d at gateway %s, %s%n",
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -44,7 +44,7 @@
                 spec.commandLine(), "a command is missing");
     }
 
-    private static StoredEndpointList believed(Path file) throws IOException {
+    private static StoredEndpointList newestValid(Path file) throws IOException {
         EndpointListFile.Look look = new EndpointListFile(file, "").look();
         if (look.list() == null) {
             throw new IOException(
@@ -78,7 +78,7 @@
 
         @Override
         public Integer call() throws Exception {
-            StoredEndpointList list = believed(file);
+            StoredEndpointList list = newestValid(file);
             if (json) {
                 System.out.println(new JsonMapper().writeValueAsString(list));
                 return Commands.OK;
@@ -86,8 +86,8 @@
             System.out.printf(
                     "site %s, version %d of history %d, last confirmed %s%n",
                     list.site(), list.version(), list.history(), when(list.confirmedAt()));
-            for (StoredEndpointList.StoredEndpoint kept : list.lines()) {
-                EndpointRecord line = kept.line();
+            for (StoredEndpointList.StoredEndpoint stored : list.lines()) {
+                EndpointRecord line = stored.line();
                 System.out.printf(
                         "node %d cell %d zone %d %s %s:%d started %s, from %s%s%n",
                         line.node(),
@@ -97,8 +97,8 @@
                         line.host(),
                         line.port(),
                         when(line.startedAt()),
-                        AccountFormatter.of(kept.source()),
-                        kept.selfDraining() ? ", says that it drains" : "");
+                        AccountFormatter.of(stored.source()),
+                        stored.selfDraining() ? ", says that it drains" : "");
             }
             return Commands.OK;
         }
@@ -153,8 +153,8 @@
         @Override
         public Integer call() throws Exception {
             System.out.println("node,cell,zone,kind,standing,host,port");
-            for (StoredEndpointList.StoredEndpoint kept : believed(file).lines()) {
-                EndpointRecord line = kept.line();
+            for (StoredEndpointList.StoredEndpoint stored : newestValid(file).lines()) {
+                EndpointRecord line = stored.line();
                 System.out.println(
                         String.join(
                                 ",",
@@ -228,23 +228,23 @@
         }
 
         private EndpointRecord line(int number, String text) throws IOException {
-            String[] words = text.split(",", -1);
+            String[] fields = text.split(",", -1);
             try {
-                if (words.length != 7
-                        || HostPort.read(words[5].trim() + ":" + words[6].trim()) == null) {
+                if (fields.length != 7
+                        || HostPort.read(fields[5].trim() + ":" + fields[6].trim()) == null) {
                     throw new IllegalArgumentException(
                             "allowed is node,cell,zone,kind,standing,host,port");
                 }
                 return new EndpointRecord(
-                        Integer.parseInt(words[0].trim()),
-                        Integer.parseInt(words[1].trim()),
-                        Integer.parseInt(words[2].trim()),
-                        Integer.parseInt(words[3].trim()),
-                        EndpointRecord.Phase.valueOf(words[4].trim().toUpperCase(Locale.ROOT)),
+                        Integer.parseInt(fields[0].trim()),
+                        Integer.parseInt(fields[1].trim()),
+                        Integer.parseInt(fields[2].trim()),
+                        Integer.parseInt(fields[3].trim()),
+                        EndpointRecord.Phase.valueOf(fields[4].trim().toUpperCase(Locale.ROOT)),
                         0,
                         1,
-                        words[5].trim(),
-                        Integer.parseInt(words[6].trim()));
+                        fields[5].trim(),
+                        Integer.parseInt(fields[6].trim()));
             } catch (IllegalArgumentException e) {
                 throw new IOException(
                         csv + ":" + number + ": '" + text + "': " + e.getMessage(), e);
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -54,7 +54,7 @@
             defaultValue = "BOTH",
             paramLabel = "NEITHER|ACCOUNTS|BOTH",
             description = "with --accounts: what is kept (default: ${DEFAULT-VALUE})")
-    private ThroughputComparison.Kept kept;
+    private ThroughputComparison.RecordKeeping records;
 
     @Override
     public Integer call() throws Exception {
@@ -62,7 +62,7 @@
                 accounts == null
                         ? new ThroughputComparison(seconds, 4).run(6, sizes, depths)
                         : new ThroughputComparison(seconds, 8)
-                                .accounts(6, sizes, depths, kept, accounts);
+                                .accounts(6, sizes, depths, records, accounts);
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(rows));
             return Commands.OK;
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -105,7 +105,7 @@
                         data);
         StandInNode node =
                 LocalCluster.await(
-                        new StandInNode(profile, loops, TrafficRecorder.NOBODY, id)
+                        new StandInNode(profile, loops, TrafficRecorder.NO_OP, id)
                                 .start(listen.socket()));
         DirectoryRegistration registration =
                 new DirectoryRegistration(
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -40,7 +40,7 @@
             "Exit codes: 0 told, 1 a file cannot be believed or has no such volume, 2 wrong words."
         })
 final class ReportCommand implements Callable<Integer> {
-    private static final int MOST_CAUSES = 8;
+    private static final int MAX_CAUSES = 8;
     private static final DateTimeFormatter CLOCK =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss");
 
@@ -180,7 +180,7 @@
                         report.volume() == 0 ? "(all others)" : "" + report.volume()));
         volume.put("report", report);
         List<Map<String, Object>> parts = new ArrayList<>();
-        double whole =
+        double totalMillis =
                 Math.max(
                         1e-9,
                         report.parts().values().stream().mapToDouble(Double::doubleValue).sum());
@@ -194,7 +194,7 @@
                                                 "seconds",
                                                 time / 1000,
                                                 "share",
-                                                time / whole)));
+                                                time / totalMillis)));
         parts.sort(
                 (one, other) ->
                         Double.compare((Double) other.get("seconds"), (Double) one.get("seconds")));
@@ -205,7 +205,7 @@
         }
         volume.put("plan", plan);
         List<Map<String, Object>> causes = new ArrayList<>();
-        for (LatencyReport.Charged charged : report.causes().stream().limit(MOST_CAUSES).toList()) {
+        for (LatencyReport.Charged charged : report.causes().stream().limit(MAX_CAUSES).toList()) {
             causes.add(
                     Map.of(
                             "text",
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -64,7 +64,7 @@
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     /** What came of one seed. */
-    private record Outcome(long seed, List<String> broken, long served, String story) {}
+    private record Outcome(long seed, List<String> violations, long served, String journal) {}
 
     @Override
     public Integer call() throws InterruptedException, ExecutionException {
@@ -89,8 +89,8 @@
     private Outcome run(long seed) throws IOException, InterruptedException {
         Path folder = Files.createDirectories(logs.resolve("seed-" + seed));
         try (SoakRun run = new SoakRun(seed, folder, seconds * 1_000L)) {
-            List<String> broken = run.violations();
-            return new Outcome(seed, broken, run.served(), run.story());
+            List<String> violations = run.violations();
+            return new Outcome(seed, violations, run.served(), run.journalText());
         }
     }
 
@@ -100,14 +100,18 @@
      */
     private int print(Outcome outcome) {
         PrintWriter out = spec.commandLine().getOut();
-        if (outcome.broken().isEmpty()) {
+        if (outcome.violations().isEmpty()) {
             out.println("seed " + outcome.seed() + ": passed, served " + outcome.served());
             return 0;
         }
         out.println(
-                "seed " + outcome.seed() + ": FAILED, " + outcome.broken().size() + " violations");
-        outcome.broken().stream().limit(SHOWN).forEach(each -> out.println("  " + each));
-        out.println(outcome.story());
+                "seed "
+                        + outcome.seed()
+                        + ": FAILED, "
+                        + outcome.violations().size()
+                        + " violations");
+        outcome.violations().stream().limit(SHOWN).forEach(each -> out.println("  " + each));
+        out.println(outcome.journal());
         return 1;
     }
 }
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -59,15 +59,15 @@
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int gateways : new int[] {16, 64, 1000}) {
             for (boolean spread : new boolean[] {false, true}) {
-                ColdStartExperiment.Storm storm =
-                        ColdStartExperiment.storm(gateways, spread, 20_000, 50, 20, seed);
+                ColdStartExperiment.ReconnectStorm storm =
+                        ColdStartExperiment.simulateStorm(gateways, spread, 20_000, 50, 20, seed);
                 System.out.printf(
                         "| %d | %s | %d | %d | %.0f ms |%n",
                         gateways,
                         spread ? "drawn" : "250 ms",
-                        storm.mostInTenth(),
+                        storm.maxCallsInTenthSecond(),
                         storm.calls(),
-                        storm.allListedMs());
+                        storm.allListedMillis());
             }
         }
         return Commands.OK;
@@ -88,10 +88,10 @@
                         ? "nothing"
                         : row.changed() + " of 8 " + AccountFormatter.of(row.since()),
                 row.wrongAttempts(),
-                row.pushedOver(),
-                Double.isNaN(row.firstMs())
+                row.collapsedNodes(),
+                Double.isNaN(row.firstServedMillis())
                         ? "never"
-                        : String.format(java.util.Locale.ROOT, "%.0f ms", row.firstMs()),
+                        : String.format(java.util.Locale.ROOT, "%.0f ms", row.firstServedMillis()),
                 100 * row.service(),
                 100 * row.serviceOfAll());
     }
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -137,7 +137,7 @@
                                     entry.getValue().values().stream()
                                             .mapToDouble(both -> both[1])
                                             .sum();
-                            Map.Entry<Long, double[]> most =
+                            Map.Entry<Long, double[]> largest =
                                     entry.getValue().entrySet().stream()
                                             .max(
                                                     Comparator.comparingDouble(
@@ -150,8 +150,8 @@
                                             entry.getKey(),
                                             sum,
                                             100 * writes / Math.max(1e-9, sum),
-                                            AccountFormatter.volume(most.getKey(), view.names()),
-                                            100 * most.getValue()[0] / Math.max(1e-9, sum)));
+                                            AccountFormatter.volume(largest.getKey(), view.names()),
+                                            100 * largest.getValue()[0] / Math.max(1e-9, sum)));
                         });
         return text.toString();
     }
--- a/src/main/java/sagepulley/cli/WatchClient.java
+++ b/src/main/java/sagepulley/cli/WatchClient.java
@@ -10,7 +10,7 @@
 
 /** Asks a running gateway for its figures ([watch] listen). */
 final class WatchClient {
-    private static final int MOST_BYTES = 64 << 20;
+    private static final int MAX_ANSWER_CHARS = 64 << 20;
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(3)).build();
     private final HostPort address;
@@ -26,7 +26,7 @@
                                 .timeout(Duration.ofSeconds(10))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
-        if (answer.statusCode() != 200 || answer.body().length() > MOST_BYTES) {
+        if (answer.statusCode() != 200 || answer.body().length() > MAX_ANSWER_CHARS) {
             throw new IOException(address + " answers with status " + answer.statusCode());
         }
         return answer.body();
--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -13,37 +13,37 @@
  * for a client that has gone.
  */
 final class AnswerRule {
-    private static final long LATE_MS = 500;
-    private static final long TOLD_DEADLINE_MS = 150;
-    private static final long AFTER_LEAVING_MS = 100;
+    private static final long MAX_LATE_MILLIS = 500;
+    private static final long MAX_EXTRA_DEADLINE_MILLIS = 150;
+    private static final long MAX_AFTER_DISCONNECT_MILLIS = 100;
 
     /** What a busy machine adds between two of this program's own threads. */
-    private static final long SLACK_MS = 150;
+    private static final long SLACK_MILLIS = 150;
 
     /** A request that comes so long after SIGTERM is lost where SIGKILL finds it unanswered. */
-    private static final long STOP_NOTICE_MS = 700;
+    private static final long MIN_STOP_NOTICE_MILLIS = 700;
 
     /**
      * When a gateway process was told to end, when SIGKILL was sent and when it was gone; one that
      * was not told has 0 for the first.
      */
-    record Ending(int gateway, long toldAt, long killedAt, long goneAt) {
+    record Ending(int gateway, long termSentAt, long killSentAt, long goneAt) {
         boolean isPlanned() {
-            return toldAt != 0;
+            return termSentAt != 0;
         }
     }
 
     private final List<Ending> endings;
-    private final boolean crowded;
+    private final boolean descriptorsExhausted;
 
     /** Where idle clients fill the descriptors, a new connection may be shut unread. */
-    AnswerRule(List<Ending> endings, boolean crowded) {
+    AnswerRule(List<Ending> endings, boolean descriptorsExhausted) {
         this.endings = endings;
-        this.crowded = crowded;
+        this.descriptorsExhausted = descriptorsExhausted;
     }
 
     /** Sentences for what broke the rules. */
-    List<String> broken(List<StoreServer.Arrival> arrivals, List<Request> requests) {
+    List<String> violations(List<StoreServer.Arrival> arrivals, List<Request> requests) {
         Map<String, List<StoreServer.Arrival>> attempts = new HashMap<>();
         for (StoreServer.Arrival arrival : arrivals) {
             attempts.computeIfAbsent(arrival.requestId(), any -> new ArrayList<>()).add(arrival);
@@ -55,7 +55,7 @@
             for (StoreServer.Arrival arrival : own) {
                 checkAttempt(request, arrival, broken);
             }
-            if (!request.repeatable && own.size() > 1) {
+            if (!request.idempotent && own.size() > 1) {
                 broken.add(request + " may not run twice, and was sent " + own.size() + " times");
             }
         }
@@ -74,7 +74,7 @@
                     broken.add(
                             request
                                     + " got no answer in "
-                                    + ms(request.endedAt - request.sentAt)
+                                    + toMillis(request.endedAt - request.sentAt)
                                     + " ms");
                 }
             }
@@ -83,21 +83,21 @@
                     broken.add(
                             request
                                     + " was closed without an answer "
-                                    + ms(request.endedAt - request.sentAt)
+                                    + toMillis(request.endedAt - request.sentAt)
                                     + " ms after it was sent, number "
-                                    + request.onConnection
+                                    + request.answeredBeforeOnConnection
                                     + " on its connection, attempts "
                                     + attempts.size()
                                     + endingText(request));
                 }
             }
-            case SERVED, REFUSED, FAILED -> {
-                long late = ms(request.endedAt - request.sentAt) - request.deadlineMs;
-                if (late > LATE_MS + SLACK_MS) {
+            case SERVED, REJECTED, FAILED -> {
+                long late = toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
+                if (late > MAX_LATE_MILLIS + SLACK_MILLIS) {
                     broken.add(request + " was answered " + late + " ms after its deadline");
                 }
             }
-            case LEFT -> {}
+            case CANCELLED -> {}
         }
     }
 
@@ -111,11 +111,13 @@
             return false;
         }
         if (ending != null
-                && request.sentAt - ending.toldAt()
-                        < TimeUnit.MILLISECONDS.toNanos(STOP_NOTICE_MS)) {
+                && request.sentAt - ending.termSentAt()
+                        < TimeUnit.MILLISECONDS.toNanos(MIN_STOP_NOTICE_MILLIS)) {
             return false;
         }
-        return (request.onConnection == 0 && !crowded) || !attempts.isEmpty() || ending != null;
+        return (request.answeredBeforeOnConnection == 0 && !descriptorsExhausted)
+                || !attempts.isEmpty()
+                || ending != null;
     }
 
     /** How its gateway ended by SIGKILL while it was open; null if it did not. */
@@ -125,7 +127,7 @@
                         ending ->
                                 ending.gateway() == request.gateway
                                         && ending.goneAt() >= request.sentAt
-                                        && ending.killedAt() <= request.endedAt)
+                                        && ending.killSentAt() <= request.endedAt)
                 .findFirst()
                 .orElse(null);
     }
@@ -136,13 +138,13 @@
                         ending ->
                                 ending.gateway() == request.gateway
                                         && ending.isPlanned()
-                                        && ending.toldAt() <= request.endedAt
-                                        && ending.killedAt() + TimeUnit.SECONDS.toNanos(1)
+                                        && ending.termSentAt() <= request.endedAt
+                                        && ending.killSentAt() + TimeUnit.SECONDS.toNanos(1)
                                                 >= request.sentAt)
                 .map(
                         ending ->
                                 ", sent "
-                                        + ms(request.sentAt - ending.toldAt())
+                                        + toMillis(request.sentAt - ending.termSentAt())
                                         + " ms after SIGTERM")
                 .findFirst()
                 .orElse("");
@@ -150,27 +152,28 @@
 
     private static void checkAttempt(
             Request request, StoreServer.Arrival arrival, List<String> broken) {
-        long left = request.deadlineMs - ms(arrival.firstByteAt() - request.sentAt);
-        if (arrival.deadlineMs() > left + TOLD_DEADLINE_MS + SLACK_MS) {
+        long left = request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
+        if (arrival.deadlineMillis() > left + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
             broken.add(
                     request
                             + " told a store "
-                            + arrival.deadlineMs()
+                            + arrival.deadlineMillis()
                             + " ms with "
                             + left
                             + " ms left");
         }
-        if (request.end == Request.End.LEFT
-                && ms(arrival.firstByteAt() - request.endedAt) > AFTER_LEAVING_MS + SLACK_MS) {
+        if (request.end == Request.End.CANCELLED
+                && toMillis(arrival.firstByteAt() - request.endedAt)
+                        > MAX_AFTER_DISCONNECT_MILLIS + SLACK_MILLIS) {
             broken.add(
                     request
                             + " was sent "
-                            + ms(arrival.firstByteAt() - request.endedAt)
+                            + toMillis(arrival.firstByteAt() - request.endedAt)
                             + " ms after its client had gone");
         }
     }
 
-    private static long ms(long nanos) {
+    private static long toMillis(long nanos) {
         return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
 }
--- a/src/main/java/sagepulley/faultinjection/Background.java
+++ b/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
@@ -8,8 +8,8 @@
  * Work of the stand-ins on threads of its own, which ends quietly with the connection that it
  * serves.
  */
-final class Background {
-    private Background() {}
+final class BackgroundTasks {
+    private BackgroundTasks() {}
 
     /** What a stand-in does on one thread. */
     interface Work {
--- a/src/main/java/sagepulley/faultinjection/ClientLoad.java
+++ b/src/main/java/sagepulley/faultinjection/ClientLoad.java
@@ -20,64 +20,67 @@
      * What they do: pause between requests, the longest deadline, and the share that leaves before
      * its answer.
      */
-    record ClientBehaviour(long pauseMs, long deadlineMs, double leavingShare) {
+    record ClientBehaviour(long pauseMillis, long maxDeadlineMillis, double disconnectingShare) {
         static final ClientBehaviour STEADY = new ClientBehaviour(40, 1_500, 0);
     }
 
-    private static final long ANSWER_SLACK_MS = 1_500;
-    private static final long RECONNECT_MS = 50;
-    private static final long LEAVES_WITHIN_MS = 30;
+    private static final long ANSWER_SLACK_MILLIS = 1_500;
+    private static final long RECONNECT_DELAY_MILLIS = 50;
+    private static final long MAX_DISCONNECT_DELAY_MILLIS = 30;
     private static final AtomicLong NEXT_ID = new AtomicLong(1);
 
     final Queue<Request> requests = new ConcurrentLinkedQueue<>();
     private final int gateway;
     private final InetSocketAddress address;
     private final int shards;
-    private final ClientBehaviour habits;
+    private final ClientBehaviour behaviour;
     private volatile boolean stopped;
 
     /** Clients that have no connection make none while this is set. */
-    private volatile boolean staysAway;
+    private volatile boolean connectsElsewhere;
 
     ClientLoad(
             int gateway,
             InetSocketAddress address,
             int shards,
             int clients,
-            ClientBehaviour habits,
+            ClientBehaviour behaviour,
             long seed) {
         this.gateway = gateway;
         this.address = address;
         this.shards = shards;
-        this.habits = habits;
+        this.behaviour = behaviour;
         for (int i = 0; i < clients; i++) {
             Random random = new Random(seed * 1_000 + i);
-            Background.run("client", () -> ask(random));
+            BackgroundTasks.run("client", () -> runClient(random));
         }
     }
 
-    private void ask(Random random) throws InterruptedException {
+    private void runClient(Random random) throws InterruptedException {
         while (!stopped) {
-            if (staysAway) {
-                Thread.sleep(RECONNECT_MS);
+            if (connectsElsewhere) {
+                Thread.sleep(RECONNECT_DELAY_MILLIS);
                 continue;
             }
             try (Socket socket = new Socket()) {
                 socket.connect(address, 1_000);
                 RespPeer peer = new RespPeer(socket);
-                for (int asked = 0; !stopped && askOnce(peer, random, asked); asked++) {
-                    Thread.sleep((long) (habits.pauseMs() * (0.5 + random.nextDouble())));
+                for (int answered = 0; !stopped && sendOne(peer, random, answered); answered++) {
+                    Thread.sleep((long) (behaviour.pauseMillis() * (0.5 + random.nextDouble())));
                 }
             } catch (IOException refused) {
-                Thread.sleep(RECONNECT_MS);
+                Thread.sleep(RECONNECT_DELAY_MILLIS);
             }
         }
     }
 
     /** Whether the connection can be used again. */
-    private boolean askOnce(RespPeer peer, Random random, int asked) throws InterruptedException {
+    private boolean sendOne(RespPeer peer, Random random, int answered)
+            throws InterruptedException {
         boolean writes = random.nextInt(4) == 0;
-        long deadline = habits.deadlineMs() - random.nextInt((int) (habits.deadlineMs() / 2));
+        long deadline =
+                behaviour.maxDeadlineMillis()
+                        - random.nextInt((int) (behaviour.maxDeadlineMillis() / 2));
         Request request =
                 new Request(
                         String.format("%016x", NEXT_ID.getAndIncrement()),
@@ -85,17 +88,17 @@
                         random.nextInt(shards),
                         deadline,
                         !writes);
-        request.onConnection = asked;
-        boolean leaves = random.nextDouble() < habits.leavingShare();
+        request.answeredBeforeOnConnection = answered;
+        boolean leaves = random.nextDouble() < behaviour.disconnectingShare();
         try {
-            peer.socket.setSoTimeout((int) (deadline + ANSWER_SLACK_MS));
+            peer.socket.setSoTimeout((int) (deadline + ANSWER_SLACK_MILLIS));
             request.sentAt = System.nanoTime();
             peer.send(text(request));
             requests.add(request);
             if (leaves) {
-                Thread.sleep(random.nextInt((int) LEAVES_WITHIN_MS));
+                Thread.sleep(random.nextInt((int) MAX_DISCONNECT_DELAY_MILLIS));
                 request.endedAt = System.nanoTime();
-                request.end = Request.End.LEFT;
+                request.end = Request.End.CANCELLED;
                 return false;
             }
             String answer = peer.readAnswer();
@@ -119,22 +122,22 @@
         if (answer.startsWith("$")) {
             return answer.equals("$" + request.id) ? Request.End.SERVED : Request.End.WRONG_VALUE;
         }
-        return answer.startsWith("-BUSY") ? Request.End.REFUSED : Request.End.FAILED;
+        return answer.startsWith("-BUSY") ? Request.End.REJECTED : Request.End.FAILED;
     }
 
     private static String text(Request request) {
         String fields =
                 "c="
-                        + (request.repeatable ? "get" : "put")
+                        + (request.idempotent ? "get" : "put")
                         + ",t=any,d="
-                        + request.deadlineMs
+                        + request.deadlineMillis
                         + ",volume=00000000000000"
                         + String.format("%02x", request.shard % 16)
                         + ",units=1,shard="
                         + request.shard
                         + ",hosts=1";
         String extent = String.format("%016x", 1 + request.shard);
-        return request.repeatable
+        return request.idempotent
                 ? RespPeer.command("BLK.READ", extent, request.id, fields)
                 : RespPeer.command("BLK.WRITE", extent, request.id, fields, "bytes");
     }
@@ -143,8 +146,8 @@
      * Whether clients go elsewhere for new connections, as they do soon after a gateway was told to
      * end.
      */
-    void stayAway(boolean away) {
-        staysAway = away;
+    void connectElsewhere(boolean away) {
+        connectsElsewhere = away;
     }
 
     /** Asks nothing new from now on; what was asked is waited for. */
@@ -153,7 +156,7 @@
         long until =
                 System.nanoTime()
                         + TimeUnit.MILLISECONDS.toNanos(
-                                habits.deadlineMs() + ANSWER_SLACK_MS + 500);
+                                behaviour.maxDeadlineMillis() + ANSWER_SLACK_MILLIS + 500);
         while (requests.stream().anyMatch(request -> request.end == null)
                 && System.nanoTime() < until) {
             Thread.sleep(20);
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -31,17 +31,17 @@
 final class DiscoveryServer implements Closeable {
     private static final Pattern WATCH =
             Pattern.compile("GET /v1/endpoints\\?watch=1&after=(-?\\d+) .*");
-    private static final long HEARTBEAT_MS = 2_000;
-    private static final long POLL_MS = 10;
+    private static final long HEARTBEAT_MILLIS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 10;
     private static final int BACKLOG = 200;
 
     /** A backlog of one is full with two connections that nobody accepts. */
     private static final int FULL_BACKLOG = 1;
 
-    private static final int FILLERS = 2;
+    private static final int FILLER_CONNECTIONS = 2;
 
     /** A former address closes the connections that it has so long after the move. */
-    private static final long FORMER_ADDRESS_MS = 1_500;
+    private static final long FORMER_ADDRESS_MILLIS = 1_500;
 
     private enum Reachability {
         REACHABLE,
@@ -146,7 +146,7 @@
      * That a gateway was written all up to a revision, whole, at a time, on a connection made at
      * another.
      */
-    record Written(long at, int gateway, long revision, long connectedAt) {}
+    record WrittenList(long at, int gateway, long revision, long connectedAt) {}
 
     private final Map<Integer, ServerSocket> listeners = new ConcurrentHashMap<>();
     private final Map<Integer, Integer> ports = new ConcurrentHashMap<>();
@@ -154,10 +154,10 @@
     private Reachability reachability = Reachability.REACHABLE;
     private final Map<Integer, List<Socket>> fillers = new ConcurrentHashMap<>();
     private final TreeMap<Long, Change> changes = new TreeMap<>();
-    private final List<Written> written = new ArrayList<>();
+    private final List<WrittenList> written = new ArrayList<>();
 
     /** Pairs of times: from when to when nobody could reach it. The last is open while it lasts. */
-    private final List<long[]> unreachable = new ArrayList<>();
+    private final List<long[]> outages = new ArrayList<>();
 
     private final Semaphore turn = new Semaphore(1, true);
     private final AtomicInteger waiting = new AtomicInteger();
@@ -187,17 +187,17 @@
      * has.
      */
     synchronized InetSocketAddress moveFor(int gateway) throws IOException {
-        Background.close(listeners.get(gateway));
-        fillers.getOrDefault(gateway, List.of()).forEach(Background::reset);
+        BackgroundTasks.close(listeners.get(gateway));
+        fillers.getOrDefault(gateway, List.of()).forEach(BackgroundTasks::reset);
         int former = ports.get(gateway);
         InetSocketAddress fresh = listenFor(gateway);
-        Background.run(
+        BackgroundTasks.run(
                 "discovery-move",
                 () -> {
-                    Thread.sleep(FORMER_ADDRESS_MS);
+                    Thread.sleep(FORMER_ADDRESS_MILLIS);
                     connections.stream()
                             .filter(socket -> socket.getLocalPort() == former)
-                            .forEach(Background::close);
+                            .forEach(BackgroundTasks::close);
                 });
         return fresh;
     }
@@ -205,13 +205,13 @@
     private void bind(int gateway, int port) throws IOException {
         ServerSocket listener = Ports.listen(port, BACKLOG);
         listeners.put(gateway, listener);
-        Background.run("discovery", () -> accept(gateway, listener));
+        BackgroundTasks.run("discovery", () -> accept(gateway, listener));
     }
 
     private void bindUnreachable(int gateway, int port) throws IOException {
         listeners.put(gateway, Ports.listen(port, FULL_BACKLOG));
         List<Socket> filling = new ArrayList<>();
-        for (int i = 0; i < FILLERS; i++) {
+        for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             filling.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         fillers.put(gateway, filling);
@@ -221,7 +221,7 @@
         while (!closed) {
             Socket socket = listener.accept();
             connections.add(socket);
-            Background.run(
+            BackgroundTasks.run(
                     "discovery-call",
                     () -> {
                         try (socket) {
@@ -249,12 +249,12 @@
         return new ArrayList<>(changes.values());
     }
 
-    synchronized List<Written> written() {
+    synchronized List<WrittenList> written() {
         return new ArrayList<>(written);
     }
 
-    synchronized List<long[]> unreachable() {
-        return new ArrayList<>(unreachable);
+    synchronized List<long[]> outages() {
+        return new ArrayList<>(outages);
     }
 
     synchronized Collection<Endpoint> listed() {
@@ -266,9 +266,9 @@
 
     /** The list in the protocol's form: what changed after a revision, or all of it. */
     synchronized String json(long after) {
-        boolean whole = after <= 0 || after > revision();
+        boolean complete = after <= 0 || after > revision();
         Collection<Endpoint> entries = listed();
-        if (!whole) {
+        if (!complete) {
             Map<String, Endpoint> latest = new LinkedHashMap<>();
             changes.tailMap(after, false)
                     .values()
@@ -281,7 +281,7 @@
                         "{\"revision\":"
                                 + revision()
                                 + ",\"complete\":"
-                                + whole
+                                + complete
                                 + ",\"members\":[");
         String separator = "";
         for (Endpoint entry : entries) {
@@ -295,40 +295,40 @@
 
     /** Its process has ended: connections are reset, new ones refused. */
     synchronized void goDown() {
-        unreachable.add(new long[] {System.nanoTime(), Long.MAX_VALUE});
+        outages.add(new long[] {System.nanoTime(), Long.MAX_VALUE});
         reachability = Reachability.DOWN;
-        listeners.values().forEach(Background::close);
-        connections.forEach(Background::reset);
+        listeners.values().forEach(BackgroundTasks::close);
+        connections.forEach(BackgroundTasks::reset);
     }
 
     /** It is cut off: connections stay open and silent, new ones never come up. */
     synchronized void cutOff() throws IOException {
-        unreachable.add(new long[] {System.nanoTime(), Long.MAX_VALUE});
+        outages.add(new long[] {System.nanoTime(), Long.MAX_VALUE});
         reachability = Reachability.CUT_OFF;
         watchesSilent = true;
         for (Map.Entry<Integer, ServerSocket> each : List.copyOf(listeners.entrySet())) {
-            Background.close(each.getValue());
+            BackgroundTasks.close(each.getValue());
             bindUnreachable(each.getKey(), ports.get(each.getKey()));
         }
     }
 
     /** It can be reached again; connections that were cut are reset. */
     synchronized void comeBack() throws IOException {
-        connections.forEach(Background::reset);
+        connections.forEach(BackgroundTasks::reset);
         reachability = Reachability.REACHABLE;
         watchesSilent = false;
         for (Map.Entry<Integer, Integer> each : ports.entrySet()) {
-            Background.close(listeners.get(each.getKey()));
-            fillers.getOrDefault(each.getKey(), List.of()).forEach(Background::reset);
+            BackgroundTasks.close(listeners.get(each.getKey()));
+            fillers.getOrDefault(each.getKey(), List.of()).forEach(BackgroundTasks::reset);
             bind(each.getKey(), each.getValue());
         }
         fillers.clear();
-        unreachable.get(unreachable.size() - 1)[1] = System.nanoTime();
+        outages.get(outages.size() - 1)[1] = System.nanoTime();
     }
 
     /** Ends all connections that stand, and goes on. */
     void resetAll() {
-        connections.forEach(Background::reset);
+        connections.forEach(BackgroundTasks::reset);
     }
 
     // ---- one call ----
@@ -366,12 +366,12 @@
         if (!watches) {
             write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n", 0);
             write(socket, list, now.trickleMs());
-            tell(gateway, revision, connectedAt);
+            recordWritten(gateway, revision, connectedAt);
             return;
         }
         write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", 0);
         chunk(socket, list, now.trickleMs());
-        tell(gateway, revision, connectedAt);
+        recordWritten(gateway, revision, connectedAt);
         follow(gateway, socket, revision, connectedAt);
     }
 
@@ -403,25 +403,26 @@
         long revision = from;
         long lastLine = System.nanoTime();
         while (true) {
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
             if (watchesSilent) {
                 continue;
             }
             if (revision() > revision) {
                 long next = revision();
                 chunk(socket, json(revision), behaviour.trickleMs());
-                tell(gateway, next, connectedAt);
+                recordWritten(gateway, next, connectedAt);
                 revision = next;
                 lastLine = System.nanoTime();
-            } else if (System.nanoTime() - lastLine > TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MS)) {
+            } else if (System.nanoTime() - lastLine
+                    > TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS)) {
                 chunk(socket, "\n", 0);
                 lastLine = System.nanoTime();
             }
         }
     }
 
-    private synchronized void tell(int gateway, long revision, long connectedAt) {
-        written.add(new Written(System.nanoTime(), gateway, revision, connectedAt));
+    private synchronized void recordWritten(int gateway, long revision, long connectedAt) {
+        written.add(new WrittenList(System.nanoTime(), gateway, revision, connectedAt));
     }
 
     private static void chunk(Socket socket, String text, long trickleMs)
@@ -449,8 +450,8 @@
     @Override
     public void close() {
         closed = true;
-        listeners.values().forEach(Background::close);
-        fillers.values().forEach(sockets -> sockets.forEach(Background::close));
-        connections.forEach(Background::close);
+        listeners.values().forEach(BackgroundTasks::close);
+        fillers.values().forEach(sockets -> sockets.forEach(BackgroundTasks::close));
+        connections.forEach(BackgroundTasks::close);
     }
 }
--- a/src/main/java/sagepulley/faultinjection/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -16,13 +16,13 @@
  * discovery had the change already.
  */
 final class DrainRule {
-    private static final long NOTIFIED_MS = 6_000;
-    private static final long RELOAD_NOTIFIED_MS = 4_000;
+    private static final long MAX_NOTIFICATION_MILLIS = 6_000;
+    private static final long MAX_RELOAD_NOTIFICATION_MILLIS = 4_000;
 
     /**
      * What the page allows each time limit, and what a busy machine adds between the two sockets.
      */
-    private static final long SLACK_MS = 50 + 150;
+    private static final long SLACK_MILLIS = 50 + 150;
 
     private final DiscoveryServer discovery;
     private final List<GatewayProcess> processes;
@@ -37,15 +37,15 @@
     }
 
     /** Sentences for the commands that broke it. */
-    List<String> broken(List<StoreServer.Arrival> arrivals, List<Request> requests) {
+    List<String> violations(List<StoreServer.Arrival> arrivals, List<Request> requests) {
         Map<String, Request> byId =
                 requests.stream()
                         .collect(Collectors.toMap(request -> request.id, Function.identity()));
         Map<String, List<DiscoveryServer.Change>> changes =
                 discovery.changes().stream()
                         .collect(Collectors.groupingBy(change -> change.endpoint().id()));
-        List<DiscoveryServer.Written> written = discovery.written();
-        List<long[]> unreachable = discovery.unreachable();
+        List<DiscoveryServer.WrittenList> written = discovery.written();
+        List<long[]> unreachable = discovery.outages();
         List<String> broken = new ArrayList<>();
         for (StoreServer.Arrival arrival : arrivals) {
             Request request = byId.get(arrival.requestId());
@@ -72,7 +72,7 @@
                 long notified =
                         notifiedAt(change, request.gateway, startedAt, written, unreachable);
                 long late = TimeUnit.NANOSECONDS.toMillis(arrival.firstByteAt() - notified);
-                if (late > TestFleet.DRAIN_GRACE_MS + SLACK_MS) {
+                if (late > TestFleet.DRAIN_GRACE_MILLIS + SLACK_MILLIS) {
                     broken.add(
                             request
                                     + " began at "
@@ -105,23 +105,27 @@
                                 change.revision() > from.revision()
                                         && change.endpoint().state() == Endpoint.State.SERVING
                                         && notifiedAt.applyAsLong(change)
-                                                <= until + TimeUnit.MILLISECONDS.toNanos(SLACK_MS));
+                                                <= until
+                                                        + TimeUnit.MILLISECONDS.toNanos(
+                                                                SLACK_MILLIS));
     }
 
     private long notifiedAt(
             DiscoveryServer.Change change,
             int gateway,
             long startedAt,
-            List<DiscoveryServer.Written> written,
+            List<DiscoveryServer.WrittenList> written,
             List<long[]> unreachable) {
-        long notified = reachableFor(change.at(), NOTIFIED_MS, unreachable);
+        long notified = reachableFor(change.at(), MAX_NOTIFICATION_MILLIS, unreachable);
         for (long reload : reloads.getOrDefault(gateway, List.of())) {
             if (change.at() <= reload) {
                 notified =
-                        Math.min(notified, reachableFor(reload, RELOAD_NOTIFIED_MS, unreachable));
+                        Math.min(
+                                notified,
+                                reachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS, unreachable));
             }
         }
-        for (DiscoveryServer.Written each : written) {
+        for (DiscoveryServer.WrittenList each : written) {
             if (each.connectedAt() >= startedAt
                     && each.gateway() == gateway
                     && each.revision() >= change.revision()
--- a/src/main/java/sagepulley/faultinjection/GatewayProcess.java
+++ b/src/main/java/sagepulley/faultinjection/GatewayProcess.java
@@ -14,8 +14,8 @@
 
 /** One `serve` process as it runs in service: its own JVM, a configuration file, signals. */
 final class GatewayProcess implements Closeable {
-    private static final long START_S = 30;
-    private static final long PING_PAUSE_MS = 50;
+    private static final long MAX_START_SECONDS = 30;
+    private static final long PING_INTERVAL_MILLIS = 50;
 
     final int number;
     final Path log;
@@ -61,13 +61,13 @@
     }
 
     GatewayProcess awaitReady() throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_START_SECONDS);
         while (!answersPing()) {
             if (System.nanoTime() > until) {
                 throw new IllegalStateException(
-                        "the gateway is not ready after " + START_S + " s: " + logText());
+                        "the gateway is not ready after " + MAX_START_SECONDS + " s: " + logText());
             }
-            Thread.sleep(PING_PAUSE_MS);
+            Thread.sleep(PING_INTERVAL_MILLIS);
         }
         return this;
     }
@@ -108,7 +108,7 @@
     }
 
     /** Stops it for a while, as a machine does that has no processor for it. */
-    void holdUp(String seconds) throws IOException, InterruptedException {
+    void suspend(String seconds) throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         new ProcessBuilder(
                         "sh",
--- a/src/main/java/sagepulley/faultinjection/Ports.java
+++ b/src/main/java/sagepulley/faultinjection/Ports.java
@@ -16,8 +16,8 @@
 final class Ports {
     private static final int FIRST = 12_000;
     private static final int COUNT = 18_000;
-    private static final int BIND_TRIES = 100;
-    private static final long BIND_PAUSE_MS = 10;
+    private static final int MAX_BIND_ATTEMPTS = 100;
+    private static final long BIND_RETRY_MILLIS = 10;
     private static final Random RANDOM = new Random();
     private static final Set<Integer> TAKEN = new HashSet<>();
 
@@ -37,7 +37,7 @@
      * go.
      */
     static ServerSocket listen(int port, int backlog) throws IOException {
-        for (int tries = 0; ; tries++) {
+        for (int attempts = 0; ; attempts++) {
             ServerSocket listener = new ServerSocket();
             try {
                 listener.setReuseAddress(true);
@@ -46,7 +46,7 @@
                 return listener;
             } catch (BindException inUse) {
                 listener.close();
-                if (tries == BIND_TRIES) {
+                if (attempts == MAX_BIND_ATTEMPTS) {
                     throw inUse;
                 }
                 pause();
@@ -56,7 +56,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(BIND_PAUSE_MS);
+            Thread.sleep(BIND_RETRY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/sagepulley/faultinjection/Request.java
+++ b/src/main/java/sagepulley/faultinjection/Request.java
@@ -10,35 +10,35 @@
         SERVED,
         /** A value that no store made for it. */
         WRONG_VALUE,
-        REFUSED,
+        REJECTED,
         FAILED,
         /** The connection ended without an answer. */
         CLOSED,
         /** No answer came until well after the deadline. */
         SILENT,
         /** The client went away first. */
-        LEFT
+        CANCELLED
     }
 
     final String id;
     final int gateway;
     final int shard;
-    final long deadlineMs;
-    final boolean repeatable;
+    final long deadlineMillis;
+    final boolean idempotent;
     long sentAt;
 
     /** Number of requests answered on its connection before. */
-    int onConnection;
+    int answeredBeforeOnConnection;
 
     volatile long endedAt;
     volatile End end;
 
-    Request(String id, int gateway, int shard, long deadlineMs, boolean repeatable) {
+    Request(String id, int gateway, int shard, long deadlineMillis, boolean idempotent) {
         this.id = id;
         this.gateway = gateway;
         this.shard = shard;
-        this.deadlineMs = deadlineMs;
-        this.repeatable = repeatable;
+        this.deadlineMillis = deadlineMillis;
+        this.idempotent = idempotent;
     }
 
     @Override
--- a/src/main/java/sagepulley/faultinjection/RespPeer.java
+++ b/src/main/java/sagepulley/faultinjection/RespPeer.java
@@ -11,7 +11,7 @@
 
 /** One RESP connection, seen from either end. */
 final class RespPeer {
-    private static final int MOST_WORDS = 64;
+    private static final int MAX_ARGUMENTS = 64;
 
     final Socket socket;
     private final InputStream in;
@@ -30,10 +30,14 @@
         socket.getOutputStream().flush();
     }
 
-    static String command(String... words) {
-        StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
-        for (String word : words) {
-            text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+    static String command(String... arguments) {
+        StringBuilder text = new StringBuilder("*" + arguments.length + "\r\n");
+        for (String argument : arguments) {
+            text.append('$')
+                    .append(argument.length())
+                    .append("\r\n")
+                    .append(argument)
+                    .append("\r\n");
         }
         return text.toString();
     }
@@ -46,14 +50,14 @@
             return null;
         }
         int count = Integer.parseInt(line());
-        if (first != '*' || count > MOST_WORDS) {
+        if (first != '*' || count > MAX_ARGUMENTS) {
             throw new IOException("not a command");
         }
-        List<String> words = new ArrayList<>(count);
+        List<String> arguments = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            words.add(bulk(line()));
+            arguments.add(bulk(line()));
         }
-        return words;
+        return arguments;
     }
 
     /**
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -24,33 +24,33 @@
 public final class SoakRun implements Closeable {
     private static final int SHARDS = 6;
     private static final int CLIENTS = 4;
-    private static final int CROWD = 130;
+    private static final int IDLE_CONNECTIONS_PER_GATEWAY = 130;
     private static final int HANGUPS_IGNORED_ONE_IN = 6;
 
     /** Two list calls at the longest gap, and the time of the first one. */
-    private static final long RECOVERY_MS = 12_000;
+    private static final long MAX_RECOVERY_MILLIS = 12_000;
 
-    private static final long SERVICE_WATCHED_MS = 2_000;
-    private static final long QUIET_MS = 1_500;
-    private static final long LONGEST_OUTAGE_MS = 12_000;
-    private static final String HOLD_UP_SECONDS = "0.1";
-    private static final long HOUR_MS = 3_600_000;
+    private static final long SERVICE_WATCH_MILLIS = 2_000;
+    private static final long QUIET_START_MILLIS = 1_500;
+    private static final long MAX_OUTAGE_MILLIS = 12_000;
+    private static final String SUSPEND_SECONDS = "0.1";
+    private static final long HOUR_MILLIS = 3_600_000;
 
     /** SIGKILL comes no sooner after SIGTERM than the longest deadline and this. */
-    private static final long KILL_AFTER_MS = 700;
+    private static final long KILL_DELAY_MILLIS = 700;
 
     /** So long after SIGTERM new connections keep coming. */
-    private static final long NEW_CONNECTIONS_MS = 400;
+    private static final long NEW_CONNECTIONS_MILLIS = 400;
 
     /** Something that happens at a time of the run. */
-    private record Event(long atMs, long order, String what, Action action) {}
+    private record Event(long atMillis, long order, String description, Action action) {}
 
     private interface Action {
         void run() throws IOException, InterruptedException;
     }
 
     private final long seed;
-    private final long lengthMs;
+    private final long lengthMillis;
     private final int gateways;
     private final Random random;
     private final TestFleet fleet;
@@ -58,21 +58,22 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
                     (a, b) ->
-                            a.atMs() != b.atMs()
-                                    ? Long.compare(a.atMs(), b.atMs())
+                            a.atMillis() != b.atMillis()
+                                    ? Long.compare(a.atMillis(), b.atMillis())
                                     : Long.compare(a.order(), b.order()));
     private final List<String> journal = new CopyOnWriteArrayList<>();
     private final List<AnswerRule.Ending> endings = new CopyOnWriteArrayList<>();
     private final Map<Integer, GatewayProcess> running = new ConcurrentHashMap<>();
     private final Map<Integer, Boolean> busy = new ConcurrentHashMap<>();
-    private final List<Socket> crowd = new CopyOnWriteArrayList<>();
-    private final List<String> troubles = new CopyOnWriteArrayList<>();
+    private final List<Socket> idleConnections = new CopyOnWriteArrayList<>();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
     private long startedAt;
     private long order;
 
-    public SoakRun(long seed, Path folder, long lengthMs) throws IOException, InterruptedException {
+    public SoakRun(long seed, Path folder, long lengthMillis)
+            throws IOException, InterruptedException {
         this.seed = seed;
-        this.lengthMs = lengthMs;
+        this.lengthMillis = lengthMillis;
         this.random = new Random(seed);
         this.gateways = 2 + random.nextInt(3);
         this.fleet = new TestFleet(folder, gateways, SHARDS, random.nextInt(4) == 0);
@@ -80,11 +81,11 @@
         if (shim != null) {
             int failures = random.nextInt(2) == 0 ? 0 : 5 + random.nextInt(40);
             shim.environment(seed, failures).forEach(fleet::environment);
-            note("system calls fail " + failures + " in 10,000");
+            addToJournal("system calls fail " + failures + " in 10,000");
         }
         if (random.nextInt(HANGUPS_IGNORED_ONE_IN) == 0) {
             fleet.launchWithHangupsIgnored();
-            note("gateways are started with SIGHUP ignored");
+            addToJournal("gateways are started with SIGHUP ignored");
         }
     }
 
@@ -97,7 +98,7 @@
             gateway.awaitReady();
         }
         startedAt = System.nanoTime();
-        note(
+        addToJournal(
                 "on the clock of the requests "
                         + startedAt / 1_000_000 % 10_000_000
                         + " ms, wall "
@@ -106,35 +107,35 @@
             fleet.load(
                     i,
                     CLIENTS,
-                    new ClientLoad.ClientBehaviour(45, TestFleet.LONGEST_DEADLINE_MS, 0.08),
+                    new ClientLoad.ClientBehaviour(45, TestFleet.MAX_DEADLINE_MILLIS, 0.08),
                     seed * 10 + i);
         }
         plan();
         while (!events.isEmpty()) {
             Event next = events.poll();
-            long wait = next.atMs() - elapsedMs();
+            long wait = next.atMillis() - elapsedMillis();
             if (wait > 0) {
                 Thread.sleep(wait);
             }
-            note(next.what());
+            addToJournal(next.description());
             next.action().run();
         }
-        Thread.sleep(Math.max(0, lengthMs - elapsedMs()));
+        Thread.sleep(Math.max(0, lengthMillis - elapsedMillis()));
         while (busy.containsValue(true)) {
             Thread.sleep(50);
         }
-        judgeService();
+        checkRecovery();
         for (ClientLoad load : fleet.loads) {
             load.stop();
         }
-        return judge();
+        return checkRules();
     }
 
     /** All trouble is over: after a while each gateway has to serve again. */
-    private void judgeService() throws InterruptedException {
-        Thread.sleep(RECOVERY_MS);
+    private void checkRecovery() throws InterruptedException {
+        Thread.sleep(MAX_RECOVERY_MILLIS);
         long from = System.nanoTime();
-        Thread.sleep(SERVICE_WATCHED_MS);
+        Thread.sleep(SERVICE_WATCH_MILLIS);
         for (int gateway = 0; gateway < gateways; gateway++) {
             boolean serves =
                     loadOf(gateway).requests.stream()
@@ -143,28 +144,29 @@
                                             request.sentAt >= from
                                                     && request.end == Request.End.SERVED);
             if (!serves) {
-                troubles.add(
+                failures.add(
                         "gateway "
                                 + gateway
                                 + " serves nothing "
-                                + RECOVERY_MS
+                                + MAX_RECOVERY_MILLIS
                                 + " ms after the last trouble: "
                                 + tail(running.get(gateway)));
             }
         }
     }
 
-    private List<String> judge() {
+    private List<String> checkRules() {
         List<Request> requests = fleet.requests();
         List<StoreServer.Arrival> arrivals = fleet.arrivals();
-        List<String> broken = new ArrayList<>(troubles);
-        broken.addAll(new DrainRule(fleet).broken(arrivals, requests));
-        broken.addAll(new AnswerRule(endings, !crowd.isEmpty()).broken(arrivals, requests));
+        List<String> broken = new ArrayList<>(failures);
+        broken.addAll(new DrainRule(fleet).violations(arrivals, requests));
+        broken.addAll(
+                new AnswerRule(endings, !idleConnections.isEmpty()).violations(arrivals, requests));
         return broken;
     }
 
     /** What happened when, and how many requests ended how. */
-    public String story() {
+    public String journalText() {
         Map<Request.End, Integer> ends = new HashMap<>();
         fleet.requests()
                 .forEach(
@@ -189,11 +191,11 @@
                 .count();
     }
 
-    private void note(String what) {
-        journal.add((startedAt == 0 ? "start" : elapsedMs() + " ms") + ": " + what);
+    private void addToJournal(String what) {
+        journal.add((startedAt == 0 ? "start" : elapsedMillis() + " ms") + ": " + what);
     }
 
-    private long elapsedMs() {
+    private long elapsedMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
     }
 
@@ -204,40 +206,45 @@
     // ---- the plan ----
 
     private void plan() {
-        for (long at = QUIET_MS; at < lengthMs - 4_000; ) {
+        for (long at = QUIET_START_MILLIS; at < lengthMillis - 4_000; ) {
             long length = 1_000L + random.nextInt(9_000);
-            planDiscoveryTrouble(at, length);
+            planDiscoveryFault(at, length);
             at += length + random.nextInt(3_000);
         }
-        for (long at = QUIET_MS + random.nextInt(2_000);
-                at < lengthMs - 3_000;
+        for (long at = QUIET_START_MILLIS + random.nextInt(2_000);
+                at < lengthMillis - 3_000;
                 at += 700 + random.nextInt(2_500)) {
             planEndpointEvent(at);
         }
-        for (long at = QUIET_MS + random.nextInt(3_000);
-                at < lengthMs - 8_000;
+        for (long at = QUIET_START_MILLIS + random.nextInt(3_000);
+                at < lengthMillis - 8_000;
                 at += 2_000 + random.nextInt(5_000)) {
             planGatewayEvent(at);
         }
-        for (long at = QUIET_MS; at < lengthMs; at += 1_000 + random.nextInt(4_000)) {
+        for (long at = QUIET_START_MILLIS; at < lengthMillis; at += 1_000 + random.nextInt(4_000)) {
             int gateway = random.nextInt(gateways);
-            at(at, "gateway " + gateway + " is held up", () -> holdUp(gateway));
+            at(at, "gateway " + gateway + " is held up", () -> suspend(gateway));
         }
         if (shim != null) {
-            for (long at = QUIET_MS; at < lengthMs; at += 3_000 + random.nextInt(6_000)) {
+            for (long at = QUIET_START_MILLIS;
+                    at < lengthMillis;
+                    at += 3_000 + random.nextInt(6_000)) {
                 long offset =
                         random.nextBoolean()
                                 ? random.nextInt(10_000) - 5_000
-                                : random.nextBoolean() ? HOUR_MS : -HOUR_MS;
+                                : random.nextBoolean() ? HOUR_MILLIS : -HOUR_MILLIS;
                 at(at, "wall clock off by " + offset + " ms", () -> shim.step(offset));
             }
         }
         if (random.nextInt(3) == 0) {
-            at(QUIET_MS + random.nextInt(3_000), "a crowd of idle connections", this::crowd);
+            at(
+                    QUIET_START_MILLIS + random.nextInt(3_000),
+                    "a crowd of idle connections",
+                    this::openIdleConnections);
         }
     }
 
-    private void planDiscoveryTrouble(long at, long length) {
+    private void planDiscoveryFault(long at, long length) {
         DiscoveryServer.Behaviour healthy = DiscoveryServer.Behaviour.HEALTHY;
         long slow = 500L + random.nextInt(4_000);
         boolean cutsWatches = random.nextInt(3) > 0;
@@ -295,14 +302,14 @@
             case 6 -> {
                 at(at, "discovery: down", fleet.discovery::goDown);
                 at(
-                        at + Math.min(length, LONGEST_OUTAGE_MS),
+                        at + Math.min(length, MAX_OUTAGE_MILLIS),
                         "discovery: up",
                         fleet.discovery::comeBack);
             }
             default -> {
                 at(at, "discovery: cut off", fleet.discovery::cutOff);
                 at(
-                        at + Math.min(length, LONGEST_OUTAGE_MS),
+                        at + Math.min(length, MAX_OUTAGE_MILLIS),
                         "discovery: reachable",
                         fleet.discovery::comeBack);
             }
@@ -350,8 +357,8 @@
             }
             case 2 -> {
                 long hang = 500L + random.nextInt(6_000);
-                at(at, store.id + " hangs", () -> store.hangs = true);
-                at(at + hang, store.id + " goes on", () -> store.hangs = false);
+                at(at, store.id + " hangs", () -> store.unresponsive = true);
+                at(at + hang, store.id + " goes on", () -> store.unresponsive = false);
             }
             default -> at(at, store.id + " resets its connections", store::resetAll);
         }
@@ -404,7 +411,7 @@
         if (Boolean.TRUE.equals(busy.put(gateway, true))) {
             return; // it is on its way down already
         }
-        Background.run(
+        BackgroundTasks.run(
                 "operator",
                 () -> {
                     try {
@@ -421,33 +428,35 @@
      */
     private void restart(int gateway, boolean planned) throws IOException, InterruptedException {
         GatewayProcess process = running.get(gateway);
-        long toldAt = 0;
+        long termSentAt = 0;
         if (!process.isAlive()) {
-            troubles.add("gateway " + gateway + " has crashed: " + tail(process));
+            failures.add("gateway " + gateway + " has crashed: " + tail(process));
         } else if (planned) {
-            toldAt = System.nanoTime();
+            termSentAt = System.nanoTime();
             process.signal("TERM");
-            long killAfter = TestFleet.LONGEST_DEADLINE_MS + KILL_AFTER_MS;
+            long killAfter = TestFleet.MAX_DEADLINE_MILLIS + KILL_DELAY_MILLIS;
             if (random(gateway).nextInt(3) == 0) {
                 process.signal("TERM");
             }
-            Thread.sleep(NEW_CONNECTIONS_MS);
-            loadOf(gateway).stayAway(true);
+            Thread.sleep(NEW_CONNECTIONS_MILLIS);
+            loadOf(gateway).connectElsewhere(true);
             Thread.sleep(
                     Math.max(
                             0,
-                            killAfter - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldAt)));
+                            killAfter
+                                    - TimeUnit.NANOSECONDS.toMillis(
+                                            System.nanoTime() - termSentAt)));
         }
-        long killedAt = System.nanoTime();
+        long killSentAt = System.nanoTime();
         process.kill();
-        endings.add(new AnswerRule.Ending(gateway, toldAt, killedAt, System.nanoTime()));
+        endings.add(new AnswerRule.Ending(gateway, termSentAt, killSentAt, System.nanoTime()));
         GatewayProcess fresh = fleet.start(gateway);
         running.put(gateway, fresh);
-        loadOf(gateway).stayAway(false);
+        loadOf(gateway).connectElsewhere(false);
         long since = System.nanoTime();
         while (!fresh.answersPing()) {
             if (TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - since) > 10) {
-                troubles.add(
+                failures.add(
                         "gateway "
                                 + gateway
                                 + " is not ready 10 s after its restart: "
@@ -463,7 +472,7 @@
     }
 
     private Random random(int gateway) {
-        return new Random(seed * 31 + gateway + elapsedMs() / 1_000);
+        return new Random(seed * 31 + gateway + elapsedMillis() / 1_000);
     }
 
     private static String tail(GatewayProcess process) {
@@ -478,7 +487,7 @@
         }
         fleet.moveDiscovery(gateway);
         fleet.makeConfigUnreadable(gateway);
-        fleet.toldToReload(running.get(gateway));
+        fleet.signalReload(running.get(gateway));
     }
 
     private void writeConfig(int gateway) throws IOException {
@@ -494,20 +503,20 @@
         fleet.moveDiscovery(running.get(gateway));
     }
 
-    private void holdUp(int gateway) throws IOException, InterruptedException {
+    private void suspend(int gateway) throws IOException, InterruptedException {
         GatewayProcess process = running.get(gateway);
         if (process.isAlive()) {
-            process.holdUp(HOLD_UP_SECONDS);
+            process.suspend(SUSPEND_SECONDS);
         }
     }
 
     /** Connections to every gateway that ask nothing. */
-    private void crowd() {
+    private void openIdleConnections() {
         for (GatewayProcess process : running.values()) {
-            for (int i = 0; i < CROWD; i++) {
+            for (int i = 0; i < IDLE_CONNECTIONS_PER_GATEWAY; i++) {
                 try {
                     Socket idle = new Socket();
-                    crowd.add(idle);
+                    idleConnections.add(idle);
                     idle.connect(process.listen, 200);
                 } catch (IOException full) {
                     break;
@@ -518,7 +527,7 @@
 
     @Override
     public void close() {
-        crowd.forEach(Background::close);
+        idleConnections.forEach(BackgroundTasks::close);
         fleet.close();
     }
 }
--- a/src/main/java/sagepulley/faultinjection/StoreServer.java
+++ b/src/main/java/sagepulley/faultinjection/StoreServer.java
@@ -28,14 +28,14 @@
             String requestId,
             long firstByteAt,
             long lastByteAt,
-            long deadlineMs) {}
+            long deadlineMillis) {}
 
     final String id;
     final int cell;
     final int port;
     final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-    volatile boolean hangs;
-    volatile long workMs = 2;
+    volatile boolean unresponsive;
+    volatile long workMillis = 2;
     private final ServerSocket listener;
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
@@ -51,13 +51,13 @@
         listener.setReuseAddress(true);
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
         this.port = listener.getLocalPort();
-        Background.run(
+        BackgroundTasks.run(
                 "store-" + id,
                 () -> {
                     while (true) {
                         Socket socket = listener.accept();
                         connections.add(socket);
-                        Background.run(
+                        BackgroundTasks.run(
                                 "store-call",
                                 () -> {
                                     try (socket) {
@@ -75,35 +75,37 @@
     }
 
     private void serve(RespPeer peer) throws IOException, InterruptedException {
-        for (List<String> words = peer.readCommand(); words != null; words = peer.readCommand()) {
-            if (!words.get(0).startsWith("BLK.")) {
+        for (List<String> arguments = peer.readCommand();
+                arguments != null;
+                arguments = peer.readCommand()) {
+            if (!arguments.get(0).startsWith("BLK.")) {
                 peer.send("+PONG\r\n");
                 continue;
             }
-            Matcher deadline = DEADLINE.matcher(words.get(3));
+            Matcher deadline = DEADLINE.matcher(arguments.get(3));
             arrivals.add(
                     new Arrival(
                             id,
-                            words.get(2),
+                            arguments.get(2),
                             peer.firstByteAt,
                             System.nanoTime(),
                             deadline.find() ? Long.parseLong(deadline.group(1)) : -1));
-            while (hangs) {
+            while (unresponsive) {
                 Thread.sleep(20);
             }
-            Thread.sleep(workMs);
-            peer.send("*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n");
+            Thread.sleep(workMillis);
+            peer.send("*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n");
         }
     }
 
     /** Ends all connections that stand by a reset, and goes on. */
     void resetAll() {
-        connections.forEach(Background::reset);
+        connections.forEach(BackgroundTasks::reset);
     }
 
     @Override
     public void close() {
-        Background.close(listener);
-        connections.forEach(Background::reset);
+        BackgroundTasks.close(listener);
+        connections.forEach(BackgroundTasks::reset);
     }
 }
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -16,8 +16,8 @@
  * loopback.
  */
 final class TestFleet implements Closeable {
-    static final long DRAIN_GRACE_MS = 1_000;
-    static final long LONGEST_DEADLINE_MS = 1_500;
+    static final long DRAIN_GRACE_MILLIS = 1_000;
+    static final long MAX_DEADLINE_MILLIS = 1_500;
     private static final int SOCKETS = 256;
 
     final DiscoveryServer discovery = new DiscoveryServer();
@@ -95,14 +95,14 @@
         return gateways;
     }
 
-    ClientLoad load(int gateway, int clients, ClientLoad.ClientBehaviour habits, long seed) {
+    ClientLoad load(int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
         ClientLoad load =
                 new ClientLoad(
                         gateway,
                         listenAddresses.get(gateway),
                         stores.size(),
                         clients,
-                        habits,
+                        behaviour,
                         seed);
         loads.add(load);
         return load;
@@ -117,11 +117,11 @@
     /** The same, and SIGHUP to the process right behind. */
     void moveDiscovery(GatewayProcess gateway) throws IOException, InterruptedException {
         moveDiscovery(gateway.number);
-        toldToReload(gateway);
+        signalReload(gateway);
     }
 
     /** SIGHUP, and the time of it for the rules. */
-    void toldToReload(GatewayProcess gateway) throws IOException, InterruptedException {
+    void signalReload(GatewayProcess gateway) throws IOException, InterruptedException {
         reloads.computeIfAbsent(gateway.number, any -> new ArrayList<>()).add(System.nanoTime());
         gateway.signal("HUP");
     }
@@ -191,9 +191,9 @@
                         number,
                         size,
                         pushed ? "automatic" : "subscribe",
-                        LONGEST_DEADLINE_MS,
-                        LONGEST_DEADLINE_MS,
-                        DRAIN_GRACE_MS,
+                        MAX_DEADLINE_MILLIS,
+                        MAX_DEADLINE_MILLIS,
+                        DRAIN_GRACE_MILLIS,
                         stores.size());
     }
 
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -63,13 +63,13 @@
         ScenarioRunner.Result result = drill.run();
         Map<Long, String> names = new HashMap<>();
         List<FleetMerger.Member> members = new ArrayList<>();
-        for (GatewayAccounts book : drill.books()) {
+        for (GatewayAccounts book : drill.accounts()) {
             names.putAll(book.names());
             members.add(new FleetMerger.Member(book.gateway(), book.kept().book(), book.told()));
         }
         FleetMerger.Merged merged = FleetMerger.merge(members);
         List<Row> rows = new ArrayList<>();
-        for (Scenario.Known known : day.causes()) {
+        for (Scenario.KnownCause known : day.causes()) {
             long volume =
                     names.entrySet().stream()
                             .filter(entry -> entry.getValue().equals(known.volume()))
@@ -85,12 +85,12 @@
                             .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
                             .toList();
             LatencyReport.Charged main = report.main();
-            boolean hit = main != null && isOf(known, main, names);
-            boolean wrong = wrongly(known, main, names);
+            boolean hit = main != null && isExpected(known, main, names);
+            boolean wrong = namesWrongCause(known, main, names);
             for (FleetMerger.Member member : members) {
                 LatencyReport.Charged alone =
                         member.book().report(volume, 0, Double.MAX_VALUE / 2).main();
-                wrong |= wrongly(known, alone, names);
+                wrong |= namesWrongCause(known, alone, names);
             }
             rows.add(
                     new Row(
@@ -109,15 +109,15 @@
         return rows;
     }
 
-    private static boolean wrongly(
-            Scenario.Known known, LatencyReport.Charged main, Map<Long, String> names) {
+    private static boolean namesWrongCause(
+            Scenario.KnownCause known, LatencyReport.Charged main, Map<Long, String> names) {
         return main != null
                 && main.confidence() == LatencyReport.Confidence.HIGH
-                && !isOf(known, main, names);
+                && !isExpected(known, main, names);
     }
 
-    private static boolean isOf(
-            Scenario.Known known, LatencyReport.Charged main, Map<Long, String> names) {
+    private static boolean isExpected(
+            Scenario.KnownCause known, LatencyReport.Charged main, Map<Long, String> names) {
         String name = name(main, names);
         return known.causes().stream()
                 .anyMatch(right -> name.equals(right) || name.startsWith(right + ":"));
--- a/src/main/java/sagepulley/scenario/BlockHistory.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -13,7 +13,7 @@
  * Used on any thread.
  */
 public final class BlockHistory {
-    static final int BLOCK = 4096;
+    static final int BLOCK_BYTES = 4096;
 
     /** One write: its time from asking to its end, and whether it was acknowledged. */
     public static final class Write {
@@ -28,24 +28,25 @@
         }
 
         /** The write ended, with this gateway's last word on it or with the connection. */
-        public void ends(long nanos, boolean good) {
+        public void complete(long nanos, boolean good) {
             acknowledged = good;
             end = nanos;
         }
     }
 
-    private record Place(int volume, long block) {}
+    private record BlockAddress(int volume, long block) {}
 
-    private final Map<Place, List<Write>> writes = new HashMap<>();
+    private final Map<BlockAddress, List<Write>> writes = new HashMap<>();
     private final List<String> breaches = new ArrayList<>();
-    private long stamps;
-    private long checked;
+    private long lastStamp;
+    private long checkedBlocks;
 
     /** A write of whole blocks is about to be asked. */
     public synchronized Write begin(int volume, long offset, int length, long nanos) {
-        Write write = new Write(++stamps, nanos);
-        for (long block = offset / BLOCK; block < (offset + length) / BLOCK; block++) {
-            writes.computeIfAbsent(new Place(volume, block), any -> new ArrayList<>()).add(write);
+        Write write = new Write(++lastStamp, nanos);
+        for (long block = offset / BLOCK_BYTES; block < (offset + length) / BLOCK_BYTES; block++) {
+            writes.computeIfAbsent(new BlockAddress(volume, block), any -> new ArrayList<>())
+                    .add(write);
         }
         return write;
     }
@@ -61,22 +62,22 @@
 
     /** Checks what a read showed that was asked at a time. */
     public synchronized void check(int volume, long offset, ByteBuf data, long begin, long end) {
-        for (int at = 0; at + BLOCK <= data.readableBytes(); at += BLOCK) {
+        for (int at = 0; at + BLOCK_BYTES <= data.readableBytes(); at += BLOCK_BYTES) {
             long stamp = data.getLong(data.readerIndex() + at);
-            long block = (offset + at) / BLOCK;
-            for (int i = 8; i < BLOCK; i += 8) {
+            long block = (offset + at) / BLOCK_BYTES;
+            for (int i = 8; i < BLOCK_BYTES; i += 8) {
                 if (data.getLong(data.readerIndex() + at + i) != stamp) {
                     breach("block " + block + " of volume " + volume + " is torn");
                     break;
                 }
             }
-            checked++;
+            checkedBlocks++;
             judge(volume, block, stamp, begin);
         }
     }
 
     private void judge(int volume, long block, long stamp, long begin) {
-        List<Write> all = writes.getOrDefault(new Place(volume, block), List.of());
+        List<Write> all = writes.getOrDefault(new BlockAddress(volume, block), List.of());
         Write seen = null;
         for (Write write : all) {
             if (write.stamp == stamp) {
@@ -118,8 +119,8 @@
         }
     }
 
-    public synchronized long checked() {
-        return checked;
+    public synchronized long checkedBlocks() {
+        return checkedBlocks;
     }
 
     public synchronized List<String> breaches() {
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -33,12 +33,12 @@
  * since, and tells what went to those, and how soon and how well the gateways serve.
  */
 public final class ColdStartExperiment {
-    private static final int EXTENT = 256 << 10;
+    private static final int EXTENT_BYTES = 256 << 10;
     private static final int EXTENTS = 64;
     private static final int NODES = 8;
     private static final int GATEWAYS = 4;
-    private static final double PER_SECOND = 150;
-    private static final long SERVED_MS = 3_000;
+    private static final double REQUESTS_PER_SECOND = 150;
+    private static final long MEASURED_MILLIS = 3_000;
 
     /** What became of some nodes while the list lay. */
     public enum Since {
@@ -69,13 +69,13 @@
             Since since,
             int changed,
             long wrongAttempts,
-            int pushedOver,
-            double firstMs,
+            int collapsedNodes,
+            double firstServedMillis,
             double service,
             double serviceOfAll) {}
 
-    private static final class Blind extends Membership {
-        Blind(String site, Bounds bounds) {
+    private static final class UncheckedMembership extends Membership {
+        UncheckedMembership(String site, Bounds bounds) {
             super(site, bounds, new SplittableRandom(1));
         }
 
@@ -97,13 +97,13 @@
     }
 
     /** Counts what reaches which node. */
-    private static final class Counter implements TrafficRecorder {
+    private static final class AttemptCounter implements TrafficRecorder {
         final Set<Integer> watched = new HashSet<>();
         final AtomicLong wrong = new AtomicLong();
-        final AtomicInteger fell = new AtomicInteger();
+        final AtomicInteger collapsed = new AtomicInteger();
 
         @Override
-        public void attemptCame(int node, long gateway, StoreMessages.Send send, long nanos) {
+        public void attemptReceived(int node, long gateway, StoreMessages.Send send, long nanos) {
             synchronized (watched) {
                 if (watched.contains(node)) {
                     wrong.incrementAndGet();
@@ -112,8 +112,8 @@
         }
 
         @Override
-        public void fell(int node, long nanos) {
-            fell.incrementAndGet();
+        public void nodeCollapsed(int node, long nanos) {
+            collapsed.incrementAndGet();
         }
     }
 
@@ -126,24 +126,26 @@
     /** One start, with so many of the nodes changed. */
     public Row run(Way way, double ageHours, Since since, int changed, long seed)
             throws SiteConfigException, IOException {
-        Counter counter = new Counter();
-        List<NodeProfile> traits = new ArrayList<>();
+        AttemptCounter counter = new AttemptCounter();
+        List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= NODES; i++) {
-            traits.add(
-                    NodeProfile.quick(i, EXTENT).withCost(1, 1).withCold(0.25, 3_000, 2, 500, 24));
+            profiles.add(
+                    NodeProfile.quick(i, EXTENT_BYTES)
+                            .withCost(1, 1)
+                            .withSlowStart(0.25, 3_000, 2, 500, 24));
         }
-        try (LocalCluster cluster = LocalCluster.start(traits, counter, 3)) {
+        try (LocalCluster cluster = LocalCluster.start(profiles, counter, 3)) {
             List<String> sites = new ArrayList<>();
             Path mine = Files.createDirectories(folder.resolve("start-" + System.nanoTime()));
             for (int i = 0; i < GATEWAYS; i++) {
                 sites.add(site(cluster, i, mine.resolve("gw" + i)));
             }
-            firstLife(cluster, sites, seed);
+            fillVolume(cluster, sites, seed);
             for (int i = 0; i < GATEWAYS; i++) {
-                age(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
+                ageStoredList(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
             }
             LocalCluster.await(cluster.directory().stop());
-            change(cluster, counter, since, changed);
+            changeNodes(cluster, counter, since, changed);
             return serve(cluster, way, ageHours, since, changed, sites, counter, seed);
         }
     }
@@ -165,7 +167,7 @@
                 + "\n";
     }
 
-    private static void firstLife(LocalCluster cluster, List<String> sites, long seed)
+    private static void fillVolume(LocalCluster cluster, List<String> sites, long seed)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
         for (String site : sites) {
@@ -176,7 +178,8 @@
             if (gateways.size() == 1) {
                 NbdClient client = open(cluster.loops(), gateway);
                 for (int i = 0; i < EXTENTS; i++) {
-                    LocalCluster.await(client.write(i * (long) EXTENT, new byte[4096])).release();
+                    LocalCluster.await(client.write(i * (long) EXTENT_BYTES, new byte[4096]))
+                            .release();
                 }
                 client.channel().close().syncUninterruptibly();
             }
@@ -192,7 +195,7 @@
                         loops, EventLoops.socket(), gateway.address(), "demo", NbdClient.Style.GO));
     }
 
-    private static void age(Path path, double by) throws IOException {
+    private static void ageStoredList(Path path, double by) throws IOException {
         EndpointListFile file = new EndpointListFile(path, "sagepulley");
         StoredEndpointList list = file.look().list();
         file.write(
@@ -205,7 +208,8 @@
                 System.currentTimeMillis());
     }
 
-    private static void change(LocalCluster cluster, Counter counter, Since since, int changed) {
+    private static void changeNodes(
+            LocalCluster cluster, AttemptCounter counter, Since since, int changed) {
         for (StandInNode node : cluster.nodes().subList(0, changed)) {
             switch (since) {
                 case NOTHING -> {}
@@ -214,7 +218,8 @@
                     var address = node.address();
                     LocalCluster.await(node.stop());
                     NodeProfile other =
-                            NodeProfile.quick(node.traits().id() + 100, EXTENT).withCost(1, 1);
+                            NodeProfile.quick(node.profile().id() + 100, EXTENT_BYTES)
+                                    .withCost(1, 1);
                     LocalCluster.await(
                             new StandInNode(other, cluster.loops(), counter, other.id())
                                     .start(address));
@@ -223,7 +228,7 @@
             }
             if (since == Since.DRAINED || since == Since.REPLACED) {
                 synchronized (counter.watched) {
-                    counter.watched.add(node.traits().id() + (since == Since.REPLACED ? 100 : 0));
+                    counter.watched.add(node.profile().id() + (since == Since.REPLACED ? 100 : 0));
                 }
             }
         }
@@ -237,7 +242,7 @@
             Since since,
             int changed,
             List<String> sites,
-            Counter counter,
+            AttemptCounter counter,
             long seed)
             throws SiteConfigException {
         long start = System.nanoTime();
@@ -254,7 +259,8 @@
                             ? new NbdGateway(
                                     site,
                                     seed * 1000 + i,
-                                    new Blind(site.siteName(), Membership.Bounds.USUAL))
+                                    new UncheckedMembership(
+                                            site.siteName(), Membership.Bounds.USUAL))
                             : new NbdGateway(site, seed * 1000 + i);
             var ready = gateway.start();
             if (way != Way.WAITING) {
@@ -277,15 +283,15 @@
                                 .latencyObjective()
                         * 1e6;
         Set<Long> lost = new HashSet<>();
-        long end = System.nanoTime() + SERVED_MS * 1_000_000;
+        long end = System.nanoTime() + MEASURED_MILLIS * 1_000_000;
         for (long next = System.nanoTime();
                 next < end;
                 next +=
                         (long)
                                 (-Math.log(1 - chance.nextDouble())
-                                        / (PER_SECOND * GATEWAYS)
+                                        / (REQUESTS_PER_SECOND * GATEWAYS)
                                         * 1e9)) {
-            pause(next);
+            sleepUntil(next);
             long extent = chance.nextInt(EXTENTS);
             asked.incrementAndGet();
             if (clients.isEmpty()) {
@@ -297,7 +303,7 @@
                     .ask(
                             NbdConstants.CMD_READ,
                             0,
-                            extent * EXTENT,
+                            extent * EXTENT_BYTES,
                             4096,
                             io.netty.buffer.Unpooled.EMPTY_BUFFER,
                             (reply, failure) -> {
@@ -319,7 +325,7 @@
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (open.get() > 0 && System.nanoTime() < until) {
-            pause(System.nanoTime() + 1_000_000);
+            sleepUntil(System.nanoTime() + 1_000_000);
         }
         clients.forEach(client -> client.channel().close().syncUninterruptibly());
         gateways.forEach(gateway -> LocalCluster.await(gateway.kill()));
@@ -334,13 +340,13 @@
                 since,
                 changed,
                 counter.wrong.get(),
-                counter.fell.get(),
+                counter.collapsed.get(),
                 first.get() == 0 ? Double.NaN : (first.get() - start) / 1e6,
                 Math.min(1, service / could),
                 service);
     }
 
-    private static void pause(long until) {
+    private static void sleepUntil(long until) {
         try {
             long left = until - System.nanoTime();
             if (left > 0) {
@@ -355,8 +361,12 @@
      * Gateways that come back to one directory: the most calls in a tenth of a second once it was
      * gone for a second, and when all hold a list.
      */
-    public record Storm(
-            int gateways, boolean spread, int mostInTenth, long calls, double allListedMs) {}
+    public record ReconnectStorm(
+            int gateways,
+            boolean spread,
+            int maxCallsInTenthSecond,
+            long calls,
+            double allListedMillis) {}
 
     /**
      * Gateways that lost a directory together and ask it for a list until it answers, played in one
@@ -364,7 +374,7 @@
      * with a queue of so many; the rest get no answer for two seconds. Spread as the gateway does,
      * or every 250 ms.
      */
-    public static Storm storm(
+    public static ReconnectStorm simulateStorm(
             int gateways, boolean spread, double downMs, double perSecond, int queue, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         java.util.PriorityQueue<double[]> tries =
@@ -397,7 +407,7 @@
                 last = Math.max(last, busyUntil);
             }
         }
-        return new Storm(
+        return new ReconnectStorm(
                 gateways,
                 spread,
                 tenths.values().stream().mapToInt(Integer::intValue).max().orElse(0),
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -21,21 +21,21 @@
  * One load of a day: requests at times of their own, over connections that come back after a cut.
  */
 final class LoadGenerator {
-    private static final long AGAIN_MS = 50;
+    private static final long RECONNECT_DELAY_MILLIS = 50;
 
     /** A gateway that may be reached, or not just now. */
-    static final class Door {
+    static final class GatewayTarget {
         volatile InetSocketAddress address;
         volatile long gateway;
     }
 
-    private static final class Wire {
-        final Door door;
+    private static final class ClientConnection {
+        final GatewayTarget target;
         NbdClient client;
         long gateway;
 
-        Wire(Door door) {
-            this.door = door;
+        ClientConnection(GatewayTarget door) {
+            this.target = door;
         }
     }
 
@@ -46,18 +46,18 @@
     private final BlockHistory history;
     private final EventLoopGroup group;
     private final EventLoop loop;
-    private final Random chance;
-    private final List<Wire> wires = new ArrayList<>();
-    private final AtomicLong open = new AtomicLong();
-    private volatile double factor = 1;
+    private final Random random;
+    private final List<ClientConnection> connections = new ArrayList<>();
+    private final AtomicLong openRequests = new AtomicLong();
+    private volatile double rateFactor = 1;
     private volatile boolean stopped;
-    private long nextAt;
+    private long nextRequestAtNanos;
 
     LoadGenerator(
             Scenario.Load load,
             SiteConfig site,
             VolumeSettings volume,
-            List<Door> doors,
+            List<GatewayTarget> targets,
             SocketEventLog eventLog,
             BlockHistory history,
             EventLoopGroup group,
@@ -69,13 +69,13 @@
         this.history = history;
         this.group = group;
         this.loop = group.next();
-        this.chance = new Random(seed);
-        for (int i = 0; i < Math.min(volume.gateways(), doors.size()); i++) {
-            if (load.through() != 0 && load.through() != i + 1) {
+        this.random = new Random(seed);
+        for (int i = 0; i < Math.min(volume.gateways(), targets.size()); i++) {
+            if (load.gateway() != 0 && load.gateway() != i + 1) {
                 continue;
             }
             for (int k = 0; k < load.connections(); k++) {
-                wires.add(new Wire(doors.get(i)));
+                connections.add(new ClientConnection(targets.get(i)));
             }
         }
     }
@@ -84,21 +84,21 @@
         return load;
     }
 
-    void surge(double times) {
-        factor = times;
+    void setRateFactor(double times) {
+        rateFactor = times;
     }
 
     /** Requests without an end. */
-    long open() {
-        return open.get();
+    long openRequests() {
+        return openRequests.get();
     }
 
     void start(long dayStart) {
         loop.execute(
                 () -> {
-                    wires.forEach(this::connect);
-                    nextAt = dayStart + (long) (load.from() * 1e6);
-                    plan(dayStart + (long) (load.to() * 1e6));
+                    connections.forEach(this::connect);
+                    nextRequestAtNanos = dayStart + (long) (load.fromMillis() * 1e6);
+                    scheduleNext(dayStart + (long) (load.toMillis() * 1e6));
                 });
     }
 
@@ -110,22 +110,22 @@
         stopped = true;
         loop.execute(
                 () ->
-                        wires.forEach(
-                                wire -> {
-                                    if (wire.client != null) {
-                                        wire.client.channel().close();
+                        connections.forEach(
+                                connection -> {
+                                    if (connection.client != null) {
+                                        connection.client.channel().close();
                                     }
                                 }));
     }
 
-    private void connect(Wire wire) {
-        InetSocketAddress address = wire.door.address;
-        long gateway = wire.door.gateway;
+    private void connect(ClientConnection connection) {
+        InetSocketAddress address = connection.target.address;
+        long gateway = connection.target.gateway;
         if (stopped) {
             return;
         }
         if (address == null) {
-            loop.schedule(() -> connect(wire), AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> connect(connection), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         NbdClient.open(group, EventLoops.socket(), address, volume.name(), NbdClient.Style.GO)
@@ -135,72 +135,84 @@
                                         () -> {
                                             if (failure != null) {
                                                 loop.schedule(
-                                                        () -> connect(wire),
-                                                        AGAIN_MS,
+                                                        () -> connect(connection),
+                                                        RECONNECT_DELAY_MILLIS,
                                                         TimeUnit.MILLISECONDS);
                                                 return;
                                             }
-                                            wire.client = client;
-                                            wire.gateway = gateway;
+                                            connection.client = client;
+                                            connection.gateway = gateway;
                                             client.closed()
                                                     .thenRun(
                                                             () ->
                                                                     loop.execute(
                                                                             () -> {
-                                                                                wire.client = null;
-                                                                                connect(wire);
+                                                                                connection.client =
+                                                                                        null;
+                                                                                connect(connection);
                                                                             }));
                                         }));
     }
 
-    private void plan(long end) {
-        if (stopped || nextAt >= end) {
+    private void scheduleNext(long end) {
+        if (stopped || nextRequestAtNanos >= end) {
             return;
         }
-        long wait = Math.max(0, nextAt - System.nanoTime());
+        long wait = Math.max(0, nextRequestAtNanos - System.nanoTime());
         loop.schedule(
                 () -> {
-                    while (!stopped && nextAt <= System.nanoTime() && nextAt < end) {
-                        if (factor > 0) {
-                            ask();
+                    while (!stopped
+                            && nextRequestAtNanos <= System.nanoTime()
+                            && nextRequestAtNanos < end) {
+                        if (rateFactor > 0) {
+                            sendRequest();
                         }
                         double gap =
-                                -Math.log(1 - chance.nextDouble())
-                                        / (load.perSecond() * Math.max(factor, 0.01));
-                        nextAt += (long) (gap * 1e9);
+                                -Math.log(1 - random.nextDouble())
+                                        / (load.requestsPerSecond() * Math.max(rateFactor, 0.01));
+                        nextRequestAtNanos += (long) (gap * 1e9);
                     }
-                    plan(end);
+                    scheduleNext(end);
                 },
                 wait,
                 TimeUnit.NANOSECONDS);
     }
 
-    private void ask() {
-        List<Wire> up = wires.stream().filter(wire -> wire.client != null).toList();
+    private void sendRequest() {
+        List<ClientConnection> up =
+                connections.stream().filter(connection -> connection.client != null).toList();
         if (up.isEmpty()) {
             return;
         }
-        Wire wire = up.get(chance.nextInt(up.size()));
+        ClientConnection connection = up.get(random.nextInt(up.size()));
         long extents = Math.min(load.extents(), volume.size() / site.extentBytes());
         long places = Math.max(1, extents * site.extentBytes() / load.bytes());
-        long offset = chance.nextLong(places) * load.bytes();
-        boolean reads = chance.nextDouble() < load.reads();
+        long offset = random.nextLong(places) * load.bytes();
+        boolean reads = random.nextDouble() < load.readShare();
         StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
-        int band =
+        int trafficClass =
                 !reads
                         ? volume.writeBand()
                         : load.bytes() >= volume.bulkFrom() ? volume.bulkBand() : volume.readBand();
         long now = System.nanoTime();
-        SocketEventLog.Asked asked =
-                eventLog.asks(wire.gateway, volume.id(), kind, band, offset, load.bytes(), now);
+        SocketEventLog.ClientRequest request =
+                eventLog.requestSent(
+                        connection.gateway,
+                        volume.id(),
+                        kind,
+                        trafficClass,
+                        offset,
+                        load.bytes(),
+                        now);
         BlockHistory.Write write =
                 reads ? null : history.begin(volume.id(), offset, load.bytes(), now);
         ByteBuf payload =
                 reads
                         ? Unpooled.EMPTY_BUFFER
-                        : BlockHistory.payload(wire.client.channel().alloc(), write, load.bytes());
-        open.incrementAndGet();
-        wire.client.ask(
+                        : BlockHistory.payload(
+                                connection.client.channel().alloc(), write, load.bytes());
+        openRequests.incrementAndGet();
+        connection.client.ask(
                 reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                 0,
                 offset,
@@ -208,12 +220,12 @@
                 payload,
                 (reply, failure) -> {
                     long end = System.nanoTime();
-                    asked.ended = end;
+                    request.endedAt = end;
                     if (failure != null) {
-                        asked.cut = true;
+                        request.connectionLost = true;
                     } else {
-                        asked.replies++;
-                        asked.error = reply.error;
+                        request.replies++;
+                        request.error = reply.error;
                         if (reads && reply.error == 0) {
                             ByteBuf data = reply.data();
                             history.check(volume.id(), offset, data, now, end);
@@ -222,9 +234,9 @@
                         reply.release();
                     }
                     if (write != null) {
-                        write.ends(end, failure == null && reply.error == 0);
+                        write.complete(end, failure == null && reply.error == 0);
                     }
-                    open.decrementAndGet();
+                    openRequests.decrementAndGet();
                 });
     }
 }
--- a/src/main/java/sagepulley/scenario/LocalCluster.java
+++ b/src/main/java/sagepulley/scenario/LocalCluster.java
@@ -37,12 +37,12 @@
 
     /** Starts directory and nodes; gateways are opened one by one. */
     public static LocalCluster start(
-            List<NodeProfile> traits, TrafficRecorder recorder, int loopCount) {
+            List<NodeProfile> profiles, TrafficRecorder recorder, int loopCount) {
         EventLoopGroup loops = EventLoops.group(loopCount, "stand-in");
         StandInDirectory directory = new StandInDirectory(loops, recorder);
         await(directory.start(loopback(0)));
         LocalCluster cluster = new LocalCluster(loops, directory);
-        for (NodeProfile one : traits) {
+        for (NodeProfile one : profiles) {
             StandInNode node = new StandInNode(one, loops, recorder, one.id());
             await(node.start(loopback(0)));
             cluster.nodes.add(node);
@@ -87,14 +87,14 @@
     }
 
     /** Writes a node's line into the directory's list. */
-    public void list(StandInNode node, DirectoryMessages.Phase standing) {
+    public void list(StandInNode node, DirectoryMessages.Phase phase) {
         directory.put(
                 new DirectoryMessages.EndpointLine(
-                        node.traits().id(),
-                        node.traits().cell(),
-                        node.traits().zone(),
-                        node.traits().kind(),
-                        standing,
+                        node.profile().id(),
+                        node.profile().cell(),
+                        node.profile().zone(),
+                        node.profile().kind(),
+                        phase,
                         node.startedAt(),
                         1,
                         "127.0.0.1",
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -24,40 +24,50 @@
  * still is allowed for.
  */
 public final class RuleChecker {
-    private static final double NS = 1e6;
-    private static final double WAY_MS = 60;
-    private static final int BREACHES = 5;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double NETWORK_ALLOWANCE_MILLIS = 60;
+    private static final int MAX_REPORTED_BREACHES = 5;
 
-    private record Op(long gateway, long mark) {}
+    private record OperationKey(long gateway, long mark) {}
 
     private final SocketEventLog eventLog;
     private final SiteConfig site;
-    private final List<NodeProfile> traits;
-    private final double allowance;
-    private final Map<Op, List<SocketEventLog.Came>> attempts = new HashMap<>();
-    private final Map<Op, List<SocketEventLog.Answered>> answers = new HashMap<>();
-    private final Map<Op, List<SocketEventLog.CalledOff>> callsOff = new HashMap<>();
+    private final List<NodeProfile> profiles;
+    private final double allowanceMillis;
+    private final Map<OperationKey, List<SocketEventLog.AttemptReceived>> attempts =
+            new HashMap<>();
+    private final Map<OperationKey, List<SocketEventLog.AttemptAnswered>> answers = new HashMap<>();
+    private final Map<OperationKey, List<SocketEventLog.AttemptCancelled>> cancellations =
+            new HashMap<>();
 
     /** Still is how many milliseconds the machine stood still in all. */
     public RuleChecker(
-            SocketEventLog eventLog, SiteConfig site, List<NodeProfile> traits, double still) {
+            SocketEventLog eventLog,
+            SiteConfig site,
+            List<NodeProfile> profiles,
+            double stallMillis) {
         this.eventLog = eventLog;
         this.site = site;
-        this.traits = traits;
-        this.allowance = WAY_MS + still;
-        for (SocketEventLog.Came came : eventLog.came) {
+        this.profiles = profiles;
+        this.allowanceMillis = NETWORK_ALLOWANCE_MILLIS + stallMillis;
+        for (SocketEventLog.AttemptReceived received : eventLog.received) {
             attempts.computeIfAbsent(
-                            new Op(came.gateway(), came.send().mark()), any -> new ArrayList<>())
-                    .add(came);
+                            new OperationKey(received.gateway(), received.send().mark()),
+                            any -> new ArrayList<>())
+                    .add(received);
         }
-        for (SocketEventLog.Answered answer : eventLog.answered) {
+        for (SocketEventLog.AttemptAnswered answer : eventLog.answered) {
             answers.computeIfAbsent(
-                            new Op(answer.gateway(), answer.mark()), any -> new ArrayList<>())
+                            new OperationKey(answer.gateway(), answer.mark()),
+                            any -> new ArrayList<>())
                     .add(answer);
         }
-        for (SocketEventLog.CalledOff off : eventLog.calledOff) {
-            callsOff.computeIfAbsent(new Op(off.gateway(), off.mark()), any -> new ArrayList<>())
-                    .add(off);
+        for (SocketEventLog.AttemptCancelled cancelled : eventLog.cancelled) {
+            cancellations
+                    .computeIfAbsent(
+                            new OperationKey(cancelled.gateway(), cancelled.mark()),
+                            any -> new ArrayList<>())
+                    .add(cancelled);
         }
     }
 
@@ -72,7 +82,7 @@
 
         void breach(String what) {
             count++;
-            if (breaches.size() < BREACHES) {
+            if (breaches.size() < MAX_REPORTED_BREACHES) {
                 breaches.add(what);
             }
         }
@@ -88,37 +98,39 @@
         Findings findings = new Findings();
         double least = Double.POSITIVE_INFINITY;
         int owed = 0;
-        Map<String, List<SocketEventLog.Asked>> byExtent = new HashMap<>();
-        for (SocketEventLog.Asked asked : eventLog.asked) {
-            double patience = site.deployment().trafficClasses().get(asked.band).deadline();
-            for (long extent = asked.offset / site.extentBytes();
-                    extent <= (asked.offset + asked.length - 1) / site.extentBytes();
+        Map<String, List<SocketEventLog.ClientRequest>> byExtent = new HashMap<>();
+        for (SocketEventLog.ClientRequest request : eventLog.requests) {
+            double patience =
+                    site.deployment().trafficClasses().get(request.trafficClass).deadline();
+            for (long extent = request.offset / site.extentBytes();
+                    extent <= (request.offset + request.length - 1) / site.extentBytes();
                     extent++) {
                 byExtent.computeIfAbsent(
-                                key(asked.gateway, asked.volume, extent), any -> new ArrayList<>())
-                        .add(asked);
+                                key(request.gateway, request.volume, extent),
+                                any -> new ArrayList<>())
+                        .add(request);
             }
-            if (asked.cut) {
+            if (request.connectionLost) {
                 continue;
             }
             owed++;
-            double took = (asked.ended - asked.sent) / NS;
-            if (asked.replies != 1) {
+            double took = (request.endedAt - request.sentAt) / NANOS_PER_MILLI;
+            if (request.replies != 1) {
                 findings.breach(
-                        asked.replies
+                        request.replies
                                 + " final answers to a "
-                                + asked.kind
+                                + request.kind
                                 + " at "
-                                + asked.offset);
+                                + request.offset);
             } else {
                 least = Math.min(least, patience - took);
-                if (took > patience + site.deployment().policy().answerGrace() + allowance) {
+                if (took > patience + site.deployment().policy().answerGrace() + allowanceMillis) {
                     findings.breach("answered after " + round(took) + " ms of " + round(patience));
                 }
             }
         }
-        for (SocketEventLog.Came came : eventLog.came) {
-            StoreMessages.Send send = came.send();
+        for (SocketEventLog.AttemptReceived received : eventLog.received) {
+            StoreMessages.Send send = received.send();
             if (send.kind() == StoreMessages.Kind.FLUSH) {
                 continue;
             }
@@ -126,18 +138,20 @@
             boolean open =
                     byExtent
                             .getOrDefault(
-                                    key(came.gateway(), send.volume(), send.extent()), List.of())
+                                    key(received.gateway(), send.volume(), send.extent()),
+                                    List.of())
                             .stream()
                             .anyMatch(
-                                    asked ->
-                                            asked.kind == send.kind()
-                                                    && asked.offset < at + send.length()
-                                                    && at < asked.offset + asked.length
-                                                    && asked.sent <= came.at()
-                                                    && (asked.replies == 0
-                                                            || came.at()
-                                                                    <= asked.ended
-                                                                            + allowance * NS));
+                                    request ->
+                                            request.kind == send.kind()
+                                                    && request.offset < at + send.length()
+                                                    && at < request.offset + request.length
+                                                    && request.sentAt <= received.at()
+                                                    && (request.replies == 0
+                                                            || received.at()
+                                                                    <= request.endedAt
+                                                                            + allowanceMillis
+                                                                                    * NANOS_PER_MILLI));
             if (!open) {
                 findings.breach(
                         "hop "
@@ -145,7 +159,7 @@
                                 + " of operation "
                                 + send.mark()
                                 + " came to node "
-                                + came.node()
+                                + received.node()
                                 + " with nobody waiting for it");
             }
         }
@@ -163,25 +177,26 @@
 
     private RuleVerdict effects() {
         Findings findings = new Findings();
-        Map<Op, Integer> runs = new HashMap<>();
-        for (SocketEventLog.Ran ran : eventLog.ran) {
-            Op op = new Op(ran.gateway(), ran.send().mark());
+        Map<OperationKey, Integer> runs = new HashMap<>();
+        for (SocketEventLog.OperationExecuted executed : eventLog.executed) {
+            OperationKey op = new OperationKey(executed.gateway(), executed.send().mark());
             int count = runs.merge(op, 1, Integer::sum);
             if (count > 1
-                    && band(ran.send()).idempotency() != TrafficClass.Idempotency.IDEMPOTENT) {
+                    && band(executed.send()).idempotency() != TrafficClass.Idempotency.IDEMPOTENT) {
                 findings.breach(
                         "operation "
                                 + op.mark()
                                 + " of band "
-                                + band(ran.send()).name()
+                                + band(executed.send()).name()
                                 + " ran "
                                 + count
                                 + " times");
             }
         }
         int further = 0;
-        for (Map.Entry<Op, List<SocketEventLog.Came>> entry : attempts.entrySet()) {
-            List<SocketEventLog.Came> sent = entry.getValue();
+        for (Map.Entry<OperationKey, List<SocketEventLog.AttemptReceived>> entry :
+                attempts.entrySet()) {
+            List<SocketEventLog.AttemptReceived> sent = entry.getValue();
             for (int i = 1; i < sent.size(); i++) {
                 further++;
                 again(findings, entry.getKey(), sent.get(i - 1), sent.get(i));
@@ -192,13 +207,16 @@
     }
 
     private void again(
-            Findings findings, Op op, SocketEventLog.Came before, SocketEventLog.Came came) {
-        TrafficClass trafficClass = band(came.send());
-        SocketEventLog.Answered answer = answerTo(op, before.send().number());
+            Findings findings,
+            OperationKey op,
+            SocketEventLog.AttemptReceived before,
+            SocketEventLog.AttemptReceived received) {
+        TrafficClass trafficClass = band(received.send());
+        SocketEventLog.AttemptAnswered answer = answerTo(op, before.send().number());
         boolean neverRan =
                 answer != null
                         && !answer.lost()
-                        && answer.at() <= came.at()
+                        && answer.at() <= received.at()
                         && answer.code() != StoreMessages.Code.SATISFIED
                         && answer.code() != StoreMessages.Code.FAULT
                         && answer.code() != StoreMessages.Code.CALLED_OFF;
@@ -212,17 +230,20 @@
                             + " was sent again though it may have run");
         } else if (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
                 && trafficClass.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
-                && before.node() != came.node()) {
+                && before.node() != received.node()) {
             findings.breach("deduplicated operation " + op.mark() + " was sent to another cell");
         }
         boolean over =
-                (answer != null && answer.at() <= came.at() + allowance * NS)
-                        || callsOff.getOrDefault(op, List.of()).stream()
+                (answer != null && answer.at() <= received.at() + allowanceMillis * NANOS_PER_MILLI)
+                        || cancellations.getOrDefault(op, List.of()).stream()
                                 .anyMatch(
-                                        off ->
-                                                off.number() == before.send().number()
-                                                        && off.at() <= came.at() + allowance * NS)
-                        || linkEnded(before, came.at());
+                                        cancelled ->
+                                                cancelled.number() == before.send().number()
+                                                        && cancelled.at()
+                                                                <= received.at()
+                                                                        + allowanceMillis
+                                                                                * NANOS_PER_MILLI)
+                        || linkEnded(before, received.at());
         if (!over && !site.deployment().policy().hedgingAllowed()) {
             findings.breach("two hops of operation " + op.mark() + " were out at once");
         }
@@ -232,14 +253,14 @@
      * Whether the node of an attempt, before a time, started anew; a cut link shows as an attempt
      * never answered.
      */
-    private boolean linkEnded(SocketEventLog.Came attempt, long until) {
-        for (SocketEventLog.Came other : eventLog.came) {
+    private boolean linkEnded(SocketEventLog.AttemptReceived attempt, long until) {
+        for (SocketEventLog.AttemptReceived other : eventLog.received) {
             if (other.node() == attempt.node()
                     && other.gateway() == attempt.gateway()
                     && other.at() > until) {
                 // The node was still read from by this gateway later, and never heard of a calling
                 // off.
-                return eventLog.started.stream()
+                return eventLog.nodeStarts.stream()
                         .anyMatch(
                                 start ->
                                         start.node() == attempt.node()
@@ -250,8 +271,8 @@
         return true;
     }
 
-    private SocketEventLog.Answered answerTo(Op op, int number) {
-        for (SocketEventLog.Answered answer : answers.getOrDefault(op, List.of())) {
+    private SocketEventLog.AttemptAnswered answerTo(OperationKey op, int number) {
+        for (SocketEventLog.AttemptAnswered answer : answers.getOrDefault(op, List.of())) {
             if (answer.number() == number) {
                 return answer;
             }
@@ -270,40 +291,40 @@
         Map<Long, Map<Integer, Long>> toldAt = new HashMap<>();
         Map<Long, Set<Integer>> known = new HashMap<>();
         List<Object[]> all = new ArrayList<>();
-        eventLog.told.forEach(told -> all.add(new Object[] {told.at(), told}));
-        eventLog.came.forEach(came -> all.add(new Object[] {came.at(), came}));
+        eventLog.listsSent.forEach(list -> all.add(new Object[] {list.at(), list}));
+        eventLog.received.forEach(received -> all.add(new Object[] {received.at(), received}));
         all.sort(Comparator.comparingLong(one -> (long) one[0]));
         double latest = Double.NEGATIVE_INFINITY;
         double grace = site.deployment().policy().drainGrace();
         for (Object[] one : all) {
-            if (one[1] instanceof SocketEventLog.Told told) {
+            if (one[1] instanceof SocketEventLog.EndpointListSent list) {
                 Map<Integer, Long> gone =
-                        toldAt.computeIfAbsent(told.gateway(), any -> new HashMap<>());
-                Set<Integer> nodes = known.computeIfAbsent(told.gateway(), any -> new HashSet<>());
+                        toldAt.computeIfAbsent(list.gateway(), any -> new HashMap<>());
+                Set<Integer> nodes = known.computeIfAbsent(list.gateway(), any -> new HashSet<>());
                 Set<Integer> listed = new HashSet<>();
-                for (DirectoryMessages.EndpointLine line : told.lines()) {
+                for (DirectoryMessages.EndpointLine line : list.lines()) {
                     nodes.add(line.node());
                     listed.add(line.node());
                     if (line.standing() == DirectoryMessages.Phase.READY) {
                         gone.remove(line.node());
                     } else {
-                        gone.putIfAbsent(line.node(), told.at());
+                        gone.putIfAbsent(line.node(), list.at());
                     }
                 }
-                if (told.whole()) {
+                if (list.complete()) {
                     nodes.stream()
                             .filter(node -> !listed.contains(node))
-                            .forEach(node -> gone.putIfAbsent(node, told.at()));
+                            .forEach(node -> gone.putIfAbsent(node, list.at()));
                 }
-            } else if (one[1] instanceof SocketEventLog.Came came) {
-                Long since = toldAt.getOrDefault(came.gateway(), Map.of()).get(came.node());
+            } else if (one[1] instanceof SocketEventLog.AttemptReceived received) {
+                Long since = toldAt.getOrDefault(received.gateway(), Map.of()).get(received.node());
                 if (since != null) {
-                    double after = (came.at() - since) / NS;
+                    double after = (received.at() - since) / NANOS_PER_MILLI;
                     latest = Math.max(latest, after);
-                    if (after > grace + allowance) {
+                    if (after > grace + allowanceMillis) {
                         findings.breach(
                                 "node "
-                                        + came.node()
+                                        + received.node()
                                         + " was sent to "
                                         + round(after)
                                         + " ms after its drain was told");
@@ -325,31 +346,35 @@
         Findings findings = new Findings();
         ServicePolicy policy = site.deployment().policy();
         double most = 0;
-        for (SocketEventLog.Started start : eventLog.started) {
+        for (SocketEventLog.NodeStarted start : eventLog.nodeStarts) {
             if (Double.isNaN(start.unitsPerSecond()) || Double.isInfinite(start.unitsPerSecond())) {
                 continue;
             }
             NodeProfile node =
-                    traits.stream()
+                    profiles.stream()
                             .filter(one -> one.id() == start.node())
                             .findFirst()
                             .orElseThrow();
-            ArrayDeque<SocketEventLog.Came> window = new ArrayDeque<>();
+            ArrayDeque<SocketEventLog.AttemptReceived> window = new ArrayDeque<>();
             double units = 0;
-            for (SocketEventLog.Came came : eventLog.came) {
-                double age = (came.at() - start.at()) / NS;
-                if (came.node() != start.node() || age < 0 || age > policy.slowStartTime()) {
+            for (SocketEventLog.AttemptReceived received : eventLog.received) {
+                double age = (received.at() - start.at()) / NANOS_PER_MILLI;
+                if (received.node() != start.node() || age < 0 || age > policy.slowStartTime()) {
                     continue;
                 }
-                window.add(came);
-                units += came.send().units();
-                while ((came.at() - window.peek().at()) / NS > policy.overloadWindow()) {
+                window.add(received);
+                units += received.send().units();
+                while ((received.at() - window.peek().at()) / NANOS_PER_MILLI
+                        > policy.overloadWindow()) {
                     units -= window.poll().send().units();
                 }
                 double warm =
                         Math.min(
                                 1,
-                                node.coldShare() + (1 - node.coldShare()) * age / node.coldTime());
+                                node.slowStartShare()
+                                        + (1 - node.slowStartShare())
+                                                * age
+                                                / node.slowStartMillis());
                 double borne =
                         Math.max(
                                 policy.slowStartUnits(),
@@ -361,8 +386,8 @@
                 most = Math.max(most, units / borne);
             }
         }
-        for (SocketEventLog.Fell fell : eventLog.fell) {
-            findings.breach("node " + fell.node() + " was pushed over");
+        for (SocketEventLog.NodeCollapsed collapse : eventLog.collapses) {
+            findings.breach("node " + collapse.node() + " was pushed over");
         }
         return findings.verdict(
                 "4 no cold node pushed over",
@@ -374,9 +399,10 @@
 
     private RuleVerdict order() {
         Findings findings = new Findings();
-        Map<String, List<Op>> byKey = new HashMap<>();
+        Map<String, List<OperationKey>> byKey = new HashMap<>();
         int ordered = 0;
-        for (Map.Entry<Op, List<SocketEventLog.Came>> entry : attempts.entrySet()) {
+        for (Map.Entry<OperationKey, List<SocketEventLog.AttemptReceived>> entry :
+                attempts.entrySet()) {
             StoreMessages.Send send = entry.getValue().get(0).send();
             if (band(send).ordered()) {
                 ordered++;
@@ -386,17 +412,19 @@
                         .add(entry.getKey());
             }
         }
-        for (List<Op> ops : byKey.values()) {
-            ops.sort(Comparator.comparingLong(Op::mark));
+        for (List<OperationKey> ops : byKey.values()) {
+            ops.sort(Comparator.comparingLong(OperationKey::mark));
             for (int i = 1; i < ops.size(); i++) {
-                SocketEventLog.Came first = attempts.get(ops.get(i)).get(0);
-                for (SocketEventLog.Came earlier : attempts.get(ops.get(i - 1))) {
-                    SocketEventLog.Answered answer =
+                SocketEventLog.AttemptReceived first = attempts.get(ops.get(i)).get(0);
+                for (SocketEventLog.AttemptReceived earlier : attempts.get(ops.get(i - 1))) {
+                    SocketEventLog.AttemptAnswered answer =
                             answerTo(ops.get(i - 1), earlier.send().number());
                     boolean ended =
                             (answer != null && answer.at() <= first.at())
-                                    || callsOff.getOrDefault(ops.get(i - 1), List.of()).stream()
-                                            .anyMatch(off -> off.at() <= first.at());
+                                    || cancellations
+                                            .getOrDefault(ops.get(i - 1), List.of())
+                                            .stream()
+                                            .anyMatch(cancelled -> cancelled.at() <= first.at());
                     if (earlier.at() > first.at() || (!ended && !linkEnded(earlier, first.at()))) {
                         findings.breach(
                                 "operation "
@@ -421,29 +449,29 @@
         ServicePolicy policy = site.deployment().policy();
         double most = 0;
         if (policy.hasRetryBudget()) {
-            for (SocketEventLog.Life life : eventLog.lives) {
+            for (SocketEventLog.GatewayIncarnation incarnation : eventLog.incarnations) {
                 List<Long> taken = new ArrayList<>();
-                for (SocketEventLog.Asked asked : eventLog.asked) {
-                    if (asked.gateway == life.gateway) {
+                for (SocketEventLog.ClientRequest request : eventLog.requests) {
+                    if (request.gateway == incarnation.gateway) {
                         long parts =
-                                (asked.offset + asked.length - 1) / site.extentBytes()
-                                        - asked.offset / site.extentBytes()
+                                (request.offset + request.length - 1) / site.extentBytes()
+                                        - request.offset / site.extentBytes()
                                         + 1;
                         for (long i = 0; i < parts; i++) {
-                            taken.add(asked.sent);
+                            taken.add(request.sentAt);
                         }
                     }
                 }
                 List<Long> further =
-                        eventLog.came.stream()
+                        eventLog.received.stream()
                                 .filter(
-                                        came ->
-                                                came.gateway() == life.gateway
-                                                        && came.send().number() > 0)
-                                .map(SocketEventLog.Came::at)
+                                        received ->
+                                                received.gateway() == incarnation.gateway
+                                                        && received.send().number() > 0)
+                                .map(SocketEventLog.AttemptReceived::at)
                                 .sorted()
                                 .toList();
-                double window = (policy.retryBudgetWindow() + allowance) * NS;
+                double window = (policy.retryBudgetWindow() + allowanceMillis) * NANOS_PER_MILLI;
                 for (long at : further) {
                     long attemptsIn =
                             further.stream()
@@ -454,7 +482,7 @@
                                                                     > at
                                                                             - policy
                                                                                             .retryBudgetWindow()
-                                                                                    * NS)
+                                                                                    * NANOS_PER_MILLI)
                                     .count();
                     long takenIn =
                             taken.stream().filter(one -> one <= at && one > at - window).count();
@@ -464,7 +492,7 @@
                     if (attemptsIn > allowed) {
                         findings.breach(
                                 "gateway "
-                                        + life.index
+                                        + incarnation.index
                                         + " sent "
                                         + attemptsIn
                                         + " further hops, allowed "
@@ -493,21 +521,27 @@
             }
             double level = plan.limitBurst();
             long last = Long.MIN_VALUE;
-            for (SocketEventLog.Came came : eventLog.came) {
-                if (came.send().volume() != volume.id() || came.send().number() > 0 || moot(came)) {
+            for (SocketEventLog.AttemptReceived received : eventLog.received) {
+                if (received.send().volume() != volume.id()
+                        || received.send().number() > 0
+                        || moot(received)) {
                     continue;
                 }
                 if (last != Long.MIN_VALUE) {
                     level =
                             Math.min(
                                     plan.limitBurst(),
-                                    level + plan.limit() * (came.at() - last) / NS / 1000);
+                                    level
+                                            + plan.limit()
+                                                    * (received.at() - last)
+                                                    / NANOS_PER_MILLI
+                                                    / 1000);
                 }
-                last = came.at();
-                level -= came.send().units();
+                last = received.at();
+                level -= received.send().units();
                 least = Math.min(least, level);
                 // Two attempts that left apart may arrive together.
-                if (level < -plan.limitSlack() - plan.limit() * allowance / 1000) {
+                if (level < -plan.limitSlack() - plan.limit() * allowanceMillis / 1000) {
                     findings.breach(
                             "volume "
                                     + volume.name()
@@ -525,9 +559,11 @@
                 "-slack");
     }
 
-    private boolean moot(SocketEventLog.Came came) {
-        SocketEventLog.Answered answer =
-                answerTo(new Op(came.gateway(), came.send().mark()), came.send().number());
+    private boolean moot(SocketEventLog.AttemptReceived received) {
+        SocketEventLog.AttemptAnswered answer =
+                answerTo(
+                        new OperationKey(received.gateway(), received.send().mark()),
+                        received.send().number());
         return answer != null
                 && (answer.code() == StoreMessages.Code.MOOT
                         || answer.code() == StoreMessages.Code.STALE_PEN);
@@ -541,15 +577,16 @@
         for (VolumeSettings volume : site.volumes()) {
             double due = 0;
             double got = 0;
-            for (SocketEventLog.Asked asked : eventLog.asked) {
-                if (asked.volume == volume.id()) {
-                    TrafficClass trafficClass = site.deployment().trafficClasses().get(asked.band);
+            for (SocketEventLog.ClientRequest request : eventLog.requests) {
+                if (request.volume == volume.id()) {
+                    TrafficClass trafficClass =
+                            site.deployment().trafficClasses().get(request.trafficClass);
                     due += trafficClass.priorityWeight();
-                    boolean good = asked.replies == 1 && asked.error == 0;
+                    boolean good = request.replies == 1 && request.error == 0;
                     got +=
                             !good
                                     ? 0
-                                    : (asked.ended - asked.sent) / NS
+                                    : (request.endedAt - request.sentAt) / NANOS_PER_MILLI
                                                     <= trafficClass.latencyObjective()
                                             ? trafficClass.priorityWeight()
                                             : trafficClass.priorityWeight()
--- a/src/main/java/sagepulley/scenario/Scenario.java
+++ b/src/main/java/sagepulley/scenario/Scenario.java
@@ -11,20 +11,20 @@
         String site,
         List<Load> loads,
         List<Event> events,
-        double end,
+        double endMillis,
         List<Expectation> expectations,
-        List<Known> causes) {
+        List<KnownCause> causes) {
 
     /** The nodes, numbered from 1, by turns in the halls. */
     public record Nodes(
             int count,
             int slots,
             int queue,
-            double readCost,
-            double writeCost,
-            int halls,
+            double readCostMillis,
+            double writeCostMillis,
+            int zones,
             double deferredShare,
-            double deferEvery) {}
+            double deferIntervalMillis) {}
 
     /**
      * Requests that come by chance at a rate, whether or not answers keep up; through one gateway,
@@ -33,14 +33,14 @@
     public record Load(
             String name,
             String volume,
-            double perSecond,
-            double reads,
+            double requestsPerSecond,
+            double readShare,
             int bytes,
-            double from,
-            double to,
+            double fromMillis,
+            double toMillis,
             int extents,
             int connections,
-            int through) {}
+            int gateway) {}
 
     /** What can go wrong. */
     public enum Fault {
@@ -71,14 +71,19 @@
      * good.
      */
     public record Event(
-            double at, Fault fault, List<Integer> whom, double much, String load, double until) {}
+            double atMillis,
+            Fault fault,
+            List<Integer> targets,
+            double magnitude,
+            String load,
+            double untilMillis) {}
 
     /**
      * What makes a volume wait is one of these: a cause's kind, with a volume's name or a node
      * after a colon.
      */
-    public record Known(String volume, List<String> causes) {}
+    public record KnownCause(String volume, List<String> causes) {}
 
     /** A volume's service must be over a share. */
-    public record Expectation(String volume, double over) {}
+    public record Expectation(String volume, double minService) {}
 }
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -21,10 +21,10 @@
 
 /** Reads scripts of days; every mistake is told with line and column. */
 public final class ScenarioReader {
-    private static final double LONGEST = 3_600_000;
-    private static final int MOST_NODES = 64;
-    private static final int MOST_GATEWAYS = 64;
-    private static final double MOST_PER_SECOND = 100_000;
+    private static final double MAX_TIME_MILLIS = 3_600_000;
+    private static final int MAX_NODES = 64;
+    private static final int MAX_GATEWAYS = 64;
+    private static final double MAX_REQUESTS_PER_SECOND = 100_000;
 
     private ScenarioReader() {}
 
@@ -81,7 +81,7 @@
         private int queue = 64;
         private double readCost = 2;
         private double writeCost = 3;
-        private int halls = 2;
+        private int zones = 2;
         private double deferredShare;
         private double deferEvery = 1000;
         private String site = "";
@@ -89,7 +89,7 @@
         private final List<Scenario.Load> loads = new ArrayList<>();
         private final List<Scenario.Event> events = new ArrayList<>();
         private final List<Scenario.Expectation> expectations = new ArrayList<>();
-        private final List<Scenario.Known> causes = new ArrayList<>();
+        private final List<Scenario.KnownCause> causes = new ArrayList<>();
         private double from;
         private double to;
         private double reads;
@@ -107,18 +107,18 @@
             List<Scenario.Load> ending = new ArrayList<>();
             for (Scenario.Load load : loads) {
                 ending.add(
-                        Double.isNaN(load.to())
+                        Double.isNaN(load.toMillis())
                                 ? new Scenario.Load(
                                         load.name(),
                                         load.volume(),
-                                        load.perSecond(),
-                                        load.reads(),
+                                        load.requestsPerSecond(),
+                                        load.readShare(),
                                         load.bytes(),
-                                        load.from(),
+                                        load.fromMillis(),
                                         end,
                                         load.extents(),
                                         load.connections(),
-                                        load.through())
+                                        load.gateway())
                                 : load);
             }
             return new Scenario(
@@ -131,7 +131,7 @@
                             queue,
                             readCost,
                             writeCost,
-                            halls,
+                            zones,
                             deferredShare,
                             deferEvery),
                     site.replace("${gateways}", "" + gateways),
@@ -142,9 +142,9 @@
                     causes);
         }
 
-        private double number(Token token, double least, double most, String what) {
+        private double number(Token token, double min, double max, String what) {
             double value = Double.parseDouble(token.getText());
-            if (value < least || value > most) {
+            if (value < min || value > max) {
                 mistakes.add(
                         file
                                 + ":"
@@ -156,19 +156,20 @@
                                 + " is "
                                 + token.getText()
                                 + ", allowed is "
-                                + least
+                                + min
                                 + " to "
-                                + most);
-                return least;
+                                + max);
+                return min;
             }
             return value;
         }
 
-        private double time(ScenarioParser.DurationContext duration) {
+        private double millis(ScenarioParser.DurationContext duration) {
             String unit = duration.getChild(1).getText();
             double factor = unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000;
             return Math.min(
-                    LONGEST, number(duration.NUMBER().getSymbol(), 0, LONGEST, "a time") * factor);
+                    MAX_TIME_MILLIS,
+                    number(duration.NUMBER().getSymbol(), 0, MAX_TIME_MILLIS, "a time") * factor);
         }
 
         private void mistake(ParserRuleContext where, String what) {
@@ -201,14 +202,14 @@
                             number(
                                     it.NUMBER().getSymbol(),
                                     1,
-                                    MOST_GATEWAYS,
+                                    MAX_GATEWAYS,
                                     "the number of gateways");
             return null;
         }
 
         @Override
         public Void visitNodes(ScenarioParser.NodesContext it) {
-            nodes = (int) number(it.NUMBER().getSymbol(), 1, MOST_NODES, "the number of nodes");
+            nodes = (int) number(it.NUMBER().getSymbol(), 1, MAX_NODES, "the number of nodes");
             return visitChildren(it);
         }
 
@@ -226,26 +227,26 @@
 
         @Override
         public Void visitReadCost(ScenarioParser.ReadCostContext it) {
-            readCost = time(it.duration());
+            readCost = millis(it.duration());
             return null;
         }
 
         @Override
         public Void visitWriteCost(ScenarioParser.WriteCostContext it) {
-            writeCost = time(it.duration());
+            writeCost = millis(it.duration());
             return null;
         }
 
         @Override
         public Void visitHalls(ScenarioParser.HallsContext it) {
-            halls = (int) number(it.NUMBER().getSymbol(), 1, 16, "the number of halls");
+            zones = (int) number(it.NUMBER().getSymbol(), 1, 16, "the number of halls");
             return null;
         }
 
         @Override
         public Void visitDefer(ScenarioParser.DeferContext it) {
             deferredShare = number(it.NUMBER().getSymbol(), 0, 100, "the share") / 100;
-            deferEvery = Math.max(1, time(it.duration()));
+            deferEvery = Math.max(1, millis(it.duration()));
             return null;
         }
 
@@ -259,7 +260,7 @@
         @Override
         public Void visitSiteNamed(ScenarioParser.SiteNamedContext it) {
             try {
-                site = ScenarioRunner.comesWith(it.TEXT().getText().replace("\"", "") + ".site");
+                site = ScenarioRunner.readResource(it.TEXT().getText().replace("\"", "") + ".site");
             } catch (ScenarioException e) {
                 mistake(it, e.getMessage());
             }
@@ -280,7 +281,11 @@
                     new Scenario.Load(
                             it.WORD(0).getText(),
                             it.WORD(1).getText(),
-                            number(it.NUMBER().getSymbol(), 0.01, MOST_PER_SECOND, "the rate"),
+                            number(
+                                    it.NUMBER().getSymbol(),
+                                    0.01,
+                                    MAX_REQUESTS_PER_SECOND,
+                                    "the rate"),
                             reads,
                             bytes,
                             from,
@@ -314,13 +319,13 @@
 
         @Override
         public Void visitFrom(ScenarioParser.FromContext it) {
-            from = time(it.duration());
+            from = millis(it.duration());
             return null;
         }
 
         @Override
         public Void visitTo(ScenarioParser.ToContext it) {
-            to = time(it.duration());
+            to = millis(it.duration());
             return null;
         }
 
@@ -346,7 +351,7 @@
         @Override
         public Void visitCause(ScenarioParser.CauseContext it) {
             causes.add(
-                    new Scenario.Known(
+                    new Scenario.KnownCause(
                             it.WORD().getText(),
                             List.of(it.TEXT().getText().replace("\"", "").split("\\s+or\\s+"))));
             return null;
@@ -354,8 +359,8 @@
 
         @Override
         public Void visitAt(ScenarioParser.AtContext it) {
-            double at = time(it.duration(0));
-            double until = it.duration().size() > 1 ? at + time(it.duration(1)) : Double.NaN;
+            double at = millis(it.duration(0));
+            double until = it.duration().size() > 1 ? at + millis(it.duration(1)) : Double.NaN;
             ScenarioParser.EventContext what = it.event();
             if (what instanceof ScenarioParser.NodeEventContext node) {
                 events.add(nodeEvent(node, at, until));
@@ -365,8 +370,8 @@
                         Scenario.Fault.valueOf(
                                 "DIRECTORY_"
                                         + fault.getChild(0).getText().toUpperCase(Locale.ROOT));
-                double much = fault.duration() == null ? 0 : time(fault.duration());
-                events.add(new Scenario.Event(at, kind, List.of(), much, "", until));
+                double magnitude = fault.duration() == null ? 0 : millis(fault.duration());
+                events.add(new Scenario.Event(at, kind, List.of(), magnitude, "", until));
             } else if (what instanceof ScenarioParser.GatewayKilledContext killed) {
                 int which = (int) number(killed.NUMBER().getSymbol(), 1, gateways, "the gateway");
                 events.add(
@@ -398,26 +403,26 @@
                         case "loses" -> Scenario.Fault.LOSES_POWER;
                         default -> Scenario.Fault.valueOf(word.toUpperCase(Locale.ROOT));
                     };
-            double much =
+            double magnitude =
                     it.fault().NUMBER() == null
                             ? 0
                             : number(it.fault().NUMBER().getSymbol(), 0, 10_000, "how much");
             if (fault == Scenario.Fault.LOSING || fault == Scenario.Fault.ERRING) {
-                much = Math.min(100, much) / 100;
+                magnitude = Math.min(100, magnitude) / 100;
             }
-            return new Scenario.Event(at, fault, whom(it.target()), much, "", until);
+            return new Scenario.Event(at, fault, targets(it.target()), magnitude, "", until);
         }
 
-        private List<Integer> whom(ScenarioParser.TargetContext target) {
+        private List<Integer> targets(ScenarioParser.TargetContext target) {
             if (target instanceof ScenarioParser.NodeNumbersContext numbers) {
                 return numbers.NUMBER().stream()
                         .map(one -> (int) number(one.getSymbol(), 1, nodes, "the node"))
                         .toList();
             }
             if (target instanceof ScenarioParser.HallContext hall) {
-                int which = (int) number(hall.NUMBER().getSymbol(), 1, halls, "the hall");
+                int which = (int) number(hall.NUMBER().getSymbol(), 1, zones, "the hall");
                 return IntStream.rangeClosed(1, nodes)
-                        .filter(node -> (node - 1) % halls == which - 1)
+                        .filter(node -> (node - 1) % zones == which - 1)
                         .boxed()
                         .toList();
             }
@@ -426,7 +431,7 @@
 
         @Override
         public Void visitEnd(ScenarioParser.EndContext it) {
-            end = Math.max(100, time(it.duration()));
+            end = Math.max(100, millis(it.duration()));
             return null;
         }
 
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -31,7 +31,7 @@
  */
 public final class ScenarioRunner {
     private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
-    private static final long END_WAIT_MS = 30_000;
+    private static final long MAX_END_WAIT_MILLIS = 30_000;
 
     /** What a day came to. */
     public record Result(
@@ -61,10 +61,11 @@
     private final Opener opener;
     private final SocketEventLog eventLog = new SocketEventLog();
     private final BlockHistory history = new BlockHistory();
-    private final List<LoadGenerator> loaders = new ArrayList<>();
-    private final List<LoadGenerator.Door> doors = new ArrayList<>();
+    private final List<LoadGenerator> loads = new ArrayList<>();
+    private final List<LoadGenerator.GatewayTarget> targets = new ArrayList<>();
     private final List<Opener.Opened> gateways = new CopyOnWriteArrayList<>();
-    private final List<SocketEventLog.Life> lives = new CopyOnWriteArrayList<>();
+    private final List<SocketEventLog.GatewayIncarnation> incarnations =
+            new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService script =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
@@ -72,7 +73,7 @@
                         thread.setDaemon(true);
                         return thread;
                     });
-    private final List<GatewayAccounts> books = new ArrayList<>();
+    private final List<GatewayAccounts> accounts = new ArrayList<>();
     private LocalCluster cluster;
     private final AtomicLong seeds;
 
@@ -96,20 +97,20 @@
 
     /** Plays the day to its end. */
     public Result run() throws SiteConfigException {
-        List<NodeProfile> traits = new ArrayList<>();
+        List<NodeProfile> profiles = new ArrayList<>();
         SiteConfig first = site(0, new InetSocketAddress("127.0.0.1", 1));
         var policy = first.deployment().policy();
         Scenario.Nodes nodes = day.nodes();
         for (int i = 1; i <= nodes.count(); i++) {
-            traits.add(
+            profiles.add(
                     new NodeProfile(
                             i,
                             i,
-                            (i - 1) % nodes.halls(),
+                            (i - 1) % nodes.zones(),
                             0,
                             nodes.slots(),
-                            nodes.readCost(),
-                            nodes.writeCost(),
+                            nodes.readCostMillis(),
+                            nodes.writeCostMillis(),
                             nodes.queue(),
                             first.extentBytes(),
                             policy.slowStartShare(),
@@ -118,17 +119,17 @@
                             policy.overloadWindow(),
                             policy.slowStartUnits(),
                             nodes.deferredShare(),
-                            nodes.deferEvery(),
+                            nodes.deferIntervalMillis(),
                             null));
         }
-        try (StallDetector machine = new StallDetector();
-                LocalCluster all = LocalCluster.start(traits, eventLog, 3)) {
-            cluster = all;
-            machine.watch(all.loops());
+        try (StallDetector stalls = new StallDetector();
+                LocalCluster started = LocalCluster.start(profiles, eventLog, 3)) {
+            cluster = started;
+            stalls.watch(started.loops());
             for (int i = 0; i < day.gateways(); i++) {
-                doors.add(new LoadGenerator.Door());
+                targets.add(new LoadGenerator.GatewayTarget());
                 gateways.add(null);
-                lives.add(null);
+                incarnations.add(null);
                 open(i);
             }
             for (Scenario.Load load : day.loads()) {
@@ -143,40 +144,41 @@
                                                                 + load.name()
                                                                 + ": no volume is called "
                                                                 + load.volume()));
-                loaders.add(
+                loads.add(
                         new LoadGenerator(
                                 load,
                                 first,
                                 volume,
-                                doors,
+                                targets,
                                 eventLog,
                                 history,
-                                all.loops(),
-                                day.seed() * 31 + loaders.size()));
+                                started.loops(),
+                                day.seed() * 31 + loads.size()));
             }
             play();
             synchronized (eventLog) {
-                RuleChecker judge = new RuleChecker(eventLog, first, traits, machine.stoodStill());
-                List<RuleVerdict> verdicts = new ArrayList<>(judge.verdicts());
+                RuleChecker checker =
+                        new RuleChecker(eventLog, first, profiles, stalls.worstStallMillis());
+                List<RuleVerdict> verdicts = new ArrayList<>(checker.verdicts());
                 verdicts.add(
                         new RuleVerdict(
                                 "reads show the last acknowledged write",
                                 history.breaches().isEmpty(),
-                                history.checked() + " blocks read",
+                                history.checkedBlocks() + " blocks read",
                                 "all of them",
                                 history.breaches()));
-                Map<String, Double> service = judge.service();
+                Map<String, Double> service = checker.service();
                 List<String> unmet = new ArrayList<>();
                 for (Scenario.Expectation wanted : day.expectations()) {
                     double got = service.getOrDefault(wanted.volume(), 0.0);
-                    if (!(got > wanted.over())) {
+                    if (!(got > wanted.minService())) {
                         unmet.add(
                                 "service of "
                                         + wanted.volume()
                                         + " is "
                                         + Math.round(100 * got)
                                         + " %, expected over "
-                                        + Math.round(100 * wanted.over())
+                                        + Math.round(100 * wanted.minService())
                                         + " %");
                     }
                 }
@@ -185,9 +187,9 @@
                         verdicts,
                         service,
                         unmet,
-                        eventLog.asked.size(),
-                        eventLog.came.size(),
-                        machine.stoodStill());
+                        eventLog.requests.size(),
+                        eventLog.received.size(),
+                        stalls.worstStallMillis());
             }
         } finally {
             script.shutdownNow();
@@ -197,18 +199,19 @@
     private void play() {
         long start = System.nanoTime();
         for (Scenario.Event event : day.events()) {
-            script.schedule(() -> begin(event), (long) event.at(), TimeUnit.MILLISECONDS);
-            if (!Double.isNaN(event.until())) {
-                script.schedule(() -> finish(event), (long) event.until(), TimeUnit.MILLISECONDS);
+            script.schedule(() -> begin(event), (long) event.atMillis(), TimeUnit.MILLISECONDS);
+            if (!Double.isNaN(event.untilMillis())) {
+                script.schedule(
+                        () -> finish(event), (long) event.untilMillis(), TimeUnit.MILLISECONDS);
             }
         }
-        loaders.forEach(loader -> loader.start(start));
+        loads.forEach(load -> load.start(start));
         CompletableFuture<Void> over = new CompletableFuture<>();
-        script.schedule(() -> over.complete(null), (long) day.end(), TimeUnit.MILLISECONDS);
+        script.schedule(() -> over.complete(null), (long) day.endMillis(), TimeUnit.MILLISECONDS);
         over.join();
-        loaders.forEach(LoadGenerator::stop);
-        long until = System.nanoTime() + END_WAIT_MS * 1_000_000;
-        while (loaders.stream().anyMatch(loader -> loader.open() > 0)
+        loads.forEach(LoadGenerator::stop);
+        long until = System.nanoTime() + MAX_END_WAIT_MILLIS * 1_000_000;
+        while (loads.stream().anyMatch(load -> load.openRequests() > 0)
                 && System.nanoTime() < until) {
             try {
                 Thread.sleep(10);
@@ -217,28 +220,29 @@
                 break;
             }
         }
-        loaders.forEach(LoadGenerator::close);
+        loads.forEach(LoadGenerator::close);
         for (Opener.Opened gateway : gateways) {
             if (gateway != null) {
-                books.add(gateway.accounts().get());
+                accounts.add(gateway.accounts().get());
                 gateway.kill().run();
             }
         }
     }
 
     /** The accounts of the gateways that stood at the end of the day, as they would go to disk. */
-    public List<GatewayAccounts> books() {
-        return books;
+    public List<GatewayAccounts> accounts() {
+        return accounts;
     }
 
     private void open(int index) throws SiteConfigException {
         long seed = seeds.incrementAndGet();
-        SocketEventLog.Life life = eventLog.opened(index, seed, System.nanoTime());
+        SocketEventLog.GatewayIncarnation incarnation =
+                eventLog.gatewayStarted(index, seed, System.nanoTime());
         Opener.Opened opened = opener.open(site(index, cluster.directory().address()), seed);
         gateways.set(index, opened);
-        lives.set(index, life);
-        doors.get(index).gateway = seed;
-        doors.get(index).address = opened.address();
+        incarnations.set(index, incarnation);
+        targets.get(index).gateway = seed;
+        targets.get(index).address = opened.address();
     }
 
     private SiteConfig site(int index, InetSocketAddress directory) throws SiteConfigException {
@@ -255,17 +259,17 @@
     private void begin(Scenario.Event event) {
         LOG.atInfo()
                 .addKeyValue("fault", event.fault())
-                .addKeyValue("whom", event.whom())
+                .addKeyValue("whom", event.targets())
                 .log("fault begins");
         try {
             switch (event.fault()) {
-                case DIRECTORY_SILENT -> cluster.directory().silent(true);
-                case DIRECTORY_FAILING -> cluster.directory().failing(true);
-                case DIRECTORY_LAGGING -> cluster.directory().lag(event.much());
-                case DIRECTORY_SLOW -> cluster.directory().slow(event.much());
+                case DIRECTORY_SILENT -> cluster.directory().setUnresponsive(true);
+                case DIRECTORY_FAILING -> cluster.directory().setFailing(true);
+                case DIRECTORY_LAGGING -> cluster.directory().delayNotifications(event.magnitude());
+                case DIRECTORY_SLOW -> cluster.directory().delayAnswers(event.magnitude());
                 case DIRECTORY_DOWN -> LocalCluster.await(cluster.directory().stop());
-                case GATEWAY_KILLED -> kill(event.whom().get(0) - 1);
-                case SURGE -> surge(event, event.much());
+                case GATEWAY_KILLED -> kill(event.targets().get(0) - 1);
+                case SURGE -> surge(event, event.magnitude());
                 default -> nodes(event).forEach(node -> begin(event, node));
             }
         } catch (RuntimeException e) {
@@ -276,18 +280,18 @@
     private void finish(Scenario.Event event) {
         LOG.atInfo()
                 .addKeyValue("fault", event.fault())
-                .addKeyValue("whom", event.whom())
+                .addKeyValue("whom", event.targets())
                 .log("fault ends");
         try {
             switch (event.fault()) {
-                case DIRECTORY_SILENT -> cluster.directory().silent(false);
-                case DIRECTORY_FAILING -> cluster.directory().failing(false);
-                case DIRECTORY_LAGGING -> cluster.directory().lag(0);
-                case DIRECTORY_SLOW -> cluster.directory().slow(0);
+                case DIRECTORY_SILENT -> cluster.directory().setUnresponsive(false);
+                case DIRECTORY_FAILING -> cluster.directory().setFailing(false);
+                case DIRECTORY_LAGGING -> cluster.directory().delayNotifications(0);
+                case DIRECTORY_SLOW -> cluster.directory().delayAnswers(0);
                 case DIRECTORY_DOWN -> LocalCluster.await(cluster.directory().restart());
                 // It may take until a directory is back: the script goes on meanwhile.
                 case GATEWAY_KILLED ->
-                        CompletableFuture.runAsync(() -> reopen(event.whom().get(0) - 1));
+                        CompletableFuture.runAsync(() -> reopen(event.targets().get(0) - 1));
                 case SURGE -> surge(event, 1);
                 default -> nodes(event).forEach(node -> finish(event, node));
             }
@@ -305,18 +309,18 @@
     }
 
     private List<StandInNode> nodes(Scenario.Event event) {
-        return event.whom().stream().map(number -> cluster.nodes().get(number - 1)).toList();
+        return event.targets().stream().map(number -> cluster.nodes().get(number - 1)).toList();
     }
 
     private void surge(Scenario.Event event, double times) {
-        loaders.stream()
-                .filter(loader -> loader.load().name().equals(event.load()))
-                .forEach(loader -> loader.surge(times));
+        loads.stream()
+                .filter(load -> load.load().name().equals(event.load()))
+                .forEach(load -> load.setRateFactor(times));
     }
 
     private void kill(int index) {
-        doors.get(index).address = null;
-        lives.get(index).until = System.nanoTime();
+        targets.get(index).address = null;
+        incarnations.get(index).until = System.nanoTime();
         Opener.Opened gateway = gateways.set(index, null);
         if (gateway != null) {
             gateway.kill().run();
@@ -325,22 +329,22 @@
 
     private void begin(Scenario.Event event, StandInNode node) {
         switch (event.fault()) {
-            case SILENT -> node.faults().silent = true;
+            case SILENT -> node.faults().unresponsive = true;
             case PAUSED -> node.pause(true);
-            case REFUSING -> node.faults().refusing = true;
+            case REFUSING -> node.faults().rejecting = true;
             case UNREACHABLE -> {
                 node.faults().unreachable = true;
-                node.cut();
+                node.closeConnections();
             }
-            case CUT -> node.cut();
-            case GARBLES -> node.faults().garble = true;
-            case SLOW -> node.faults().slow = Math.max(1, event.much());
-            case LOSING -> node.faults().losing = event.much();
-            case ERRING -> node.faults().erring = event.much();
+            case CUT -> node.closeConnections();
+            case GARBLES -> node.faults().garbleNextAnswer = true;
+            case SLOW -> node.faults().slowdownFactor = Math.max(1, event.magnitude());
+            case LOSING -> node.faults().lostAnswerShare = event.magnitude();
+            case ERRING -> node.faults().errorShare = event.magnitude();
             case DRAINS -> cluster.drain(node);
             case RESTARTS_COLD -> cluster.restartCold(node);
             case LOSES_POWER -> {
-                LocalCluster.await(node.powerFails());
+                LocalCluster.await(node.failPower());
                 cluster.list(node, DirectoryMessages.Phase.READY);
             }
             case GONE -> {
@@ -353,13 +357,13 @@
 
     private void finish(Scenario.Event event, StandInNode node) {
         switch (event.fault()) {
-            case SILENT -> node.faults().silent = false;
+            case SILENT -> node.faults().unresponsive = false;
             case PAUSED -> node.pause(false);
-            case REFUSING -> node.faults().refusing = false;
+            case REFUSING -> node.faults().rejecting = false;
             case UNREACHABLE -> node.faults().unreachable = false;
-            case SLOW -> node.faults().slow = 1;
-            case LOSING -> node.faults().losing = 0;
-            case ERRING -> node.faults().erring = 0;
+            case SLOW -> node.faults().slowdownFactor = 1;
+            case LOSING -> node.faults().lostAnswerShare = 0;
+            case ERRING -> node.faults().errorShare = 0;
             case GONE -> cluster.restartCold(node);
             default -> {} // over at once, or for good
         }
@@ -367,10 +371,10 @@
 
     /** A day that comes with the program. */
     public static String builtIn(String name) throws ScenarioException {
-        return comesWith(name + ".day");
+        return readResource(name + ".day");
     }
 
-    static String comesWith(String name) throws ScenarioException {
+    static String readResource(String name) throws ScenarioException {
         try (InputStream from = ScenarioRunner.class.getResourceAsStream("/days/" + name)) {
             if (from == null) {
                 throw new ScenarioException(name + ": no such file comes with the program");
--- a/src/main/java/sagepulley/scenario/SocketEventLog.java
+++ b/src/main/java/sagepulley/scenario/SocketEventLog.java
@@ -12,13 +12,13 @@
  */
 public final class SocketEventLog implements TrafficRecorder {
     /** An attempt at a node. */
-    public record Came(int node, long gateway, StoreMessages.Send send, long at) {}
+    public record AttemptReceived(int node, long gateway, StoreMessages.Send send, long at) {}
 
     /** An operation's work began. */
-    public record Ran(int node, long gateway, StoreMessages.Send send, long at) {}
+    public record OperationExecuted(int node, long gateway, StoreMessages.Send send, long at) {}
 
     /** An attempt's answer, which may have been lost by a fault. */
-    public record Answered(
+    public record AttemptAnswered(
             int node,
             long gateway,
             long mark,
@@ -28,26 +28,26 @@
             long at) {}
 
     /** An attempt that its gateway gave up, as the node heard it. */
-    public record CalledOff(int node, long gateway, long mark, int number, long at) {}
+    public record AttemptCancelled(int node, long gateway, long mark, int number, long at) {}
 
     /** A node's start, cold if it has a capacity in units a second. */
-    public record Started(int node, double unitsPerSecond, long at) {}
+    public record NodeStarted(int node, double unitsPerSecond, long at) {}
 
     /** A node ended without notice. */
-    public record Fell(int node, long at) {}
+    public record NodeCollapsed(int node, long at) {}
 
     /** What a gateway was told of the list. */
-    public record Told(
-            long gateway, boolean whole, List<DirectoryMessages.EndpointLine> lines, long at) {}
+    public record EndpointListSent(
+            long gateway, boolean complete, List<DirectoryMessages.EndpointLine> lines, long at) {}
 
     /** A gateway's life, from its opening to its kill. */
-    public static final class Life {
+    public static final class GatewayIncarnation {
         public final int index;
         public final long gateway;
         public final long from;
         public volatile long until = Long.MAX_VALUE;
 
-        Life(int index, long gateway, long from) {
+        GatewayIncarnation(int index, long gateway, long from) {
             this.index = index;
             this.gateway = gateway;
             this.from = from;
@@ -55,62 +55,63 @@
     }
 
     /** A client's request, and what came of it; replies count its final answers. */
-    public static final class Asked {
+    public static final class ClientRequest {
         public final long gateway;
         public final int volume;
         public final StoreMessages.Kind kind;
-        public final int band;
+        public final int trafficClass;
         public final long offset;
         public final int length;
-        public final long sent;
-        public volatile long ended;
+        public final long sentAt;
+        public volatile long endedAt;
         public volatile int error;
         public volatile int replies;
 
         /** Its connection ended: no answer is owed. */
-        public volatile boolean cut;
+        public volatile boolean connectionLost;
 
-        Asked(
+        ClientRequest(
                 long gateway,
                 int volume,
                 StoreMessages.Kind kind,
-                int band,
+                int trafficClass,
                 long offset,
                 int length,
                 long sent) {
             this.gateway = gateway;
             this.volume = volume;
             this.kind = kind;
-            this.band = band;
+            this.trafficClass = trafficClass;
             this.offset = offset;
             this.length = length;
-            this.sent = sent;
+            this.sentAt = sent;
         }
     }
 
-    final List<Came> came = new ArrayList<>();
-    final List<Ran> ran = new ArrayList<>();
-    final List<Answered> answered = new ArrayList<>();
-    final List<CalledOff> calledOff = new ArrayList<>();
-    final List<Started> started = new ArrayList<>();
-    final List<Fell> fell = new ArrayList<>();
-    final List<Told> told = new ArrayList<>();
-    final List<Life> lives = new ArrayList<>();
-    final List<Asked> asked = new ArrayList<>();
+    final List<AttemptReceived> received = new ArrayList<>();
+    final List<OperationExecuted> executed = new ArrayList<>();
+    final List<AttemptAnswered> answered = new ArrayList<>();
+    final List<AttemptCancelled> cancelled = new ArrayList<>();
+    final List<NodeStarted> nodeStarts = new ArrayList<>();
+    final List<NodeCollapsed> collapses = new ArrayList<>();
+    final List<EndpointListSent> listsSent = new ArrayList<>();
+    final List<GatewayIncarnation> incarnations = new ArrayList<>();
+    final List<ClientRequest> requests = new ArrayList<>();
 
     @Override
-    public synchronized void attemptCame(
+    public synchronized void attemptReceived(
             int node, long gateway, StoreMessages.Send send, long nanos) {
-        came.add(new Came(node, gateway, send, nanos));
+        received.add(new AttemptReceived(node, gateway, send, nanos));
     }
 
     @Override
-    public synchronized void ran(int node, long gateway, StoreMessages.Send send, long nanos) {
-        ran.add(new Ran(node, gateway, send, nanos));
+    public synchronized void operationExecuted(
+            int node, long gateway, StoreMessages.Send send, long nanos) {
+        executed.add(new OperationExecuted(node, gateway, send, nanos));
     }
 
     @Override
-    public synchronized void answered(
+    public synchronized void attemptAnswered(
             int node,
             long gateway,
             long mark,
@@ -118,48 +119,53 @@
             StoreMessages.Code code,
             boolean lost,
             long nanos) {
-        answered.add(new Answered(node, gateway, mark, number, code, lost, nanos));
+        answered.add(new AttemptAnswered(node, gateway, mark, number, code, lost, nanos));
     }
 
     @Override
-    public synchronized void calledOff(int node, long gateway, long mark, int number, long nanos) {
-        calledOff.add(new CalledOff(node, gateway, mark, number, nanos));
+    public synchronized void attemptCancelled(
+            int node, long gateway, long mark, int number, long nanos) {
+        cancelled.add(new AttemptCancelled(node, gateway, mark, number, nanos));
     }
 
     @Override
-    public synchronized void started(int node, double unitsPerSecond, long nanos) {
-        started.add(new Started(node, unitsPerSecond, nanos));
+    public synchronized void nodeStarted(int node, double unitsPerSecond, long nanos) {
+        nodeStarts.add(new NodeStarted(node, unitsPerSecond, nanos));
     }
 
     @Override
-    public synchronized void fell(int node, long nanos) {
-        fell.add(new Fell(node, nanos));
+    public synchronized void nodeCollapsed(int node, long nanos) {
+        collapses.add(new NodeCollapsed(node, nanos));
     }
 
     @Override
-    public synchronized void told(
-            long gateway, boolean whole, List<DirectoryMessages.EndpointLine> lines, long nanos) {
-        told.add(new Told(gateway, whole, List.copyOf(lines), nanos));
+    public synchronized void endpointListSent(
+            long gateway,
+            boolean complete,
+            List<DirectoryMessages.EndpointLine> lines,
+            long nanos) {
+        listsSent.add(new EndpointListSent(gateway, complete, List.copyOf(lines), nanos));
     }
 
     /** A gateway was opened. */
-    public synchronized Life opened(int index, long gateway, long nanos) {
-        Life life = new Life(index, gateway, nanos);
-        lives.add(life);
-        return life;
+    public synchronized GatewayIncarnation gatewayStarted(int index, long gateway, long nanos) {
+        GatewayIncarnation incarnation = new GatewayIncarnation(index, gateway, nanos);
+        incarnations.add(incarnation);
+        return incarnation;
     }
 
     /** A client sends a request; the answer is noted into what is given back. */
-    public synchronized Asked asks(
+    public synchronized ClientRequest requestSent(
             long gateway,
             int volume,
             StoreMessages.Kind kind,
-            int band,
+            int trafficClass,
             long offset,
             int length,
             long nanos) {
-        Asked request = new Asked(gateway, volume, kind, band, offset, length, nanos);
-        asked.add(request);
+        ClientRequest request =
+                new ClientRequest(gateway, volume, kind, trafficClass, offset, length, nanos);
+        requests.add(request);
         return request;
     }
 }
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -14,33 +14,33 @@
  * that much, or a loaded machine would be judged instead of a gateway.
  */
 public final class StallDetector implements AutoCloseable {
-    private static final double BEAT = 5;
-    private static final double USUAL_LATE = 2;
+    private static final double TICK_MILLIS = 5;
+    private static final double EXPECTED_DELAY_MILLIS = 2;
 
     /** What is judged takes no longer than this; stalls further apart do not add up. */
-    private static final double WINDOW = 3_000;
+    private static final double WINDOW_MILLIS = 3_000;
 
     /** One who beats. */
-    private static final class Beat {
+    private static final class TickSource {
         private final List<double[]> stalls = new ArrayList<>();
-        private long before = System.nanoTime();
+        private long lastTickNanos = System.nanoTime();
 
-        synchronized void beats() {
+        synchronized void tick() {
             long now = System.nanoTime();
-            double late = (now - before) / 1e6 - BEAT - USUAL_LATE;
+            double late = (now - lastTickNanos) / 1e6 - TICK_MILLIS - EXPECTED_DELAY_MILLIS;
             if (late > 0) {
                 stalls.add(new double[] {now / 1e6, late});
             }
-            before = now;
+            lastTickNanos = now;
         }
 
-        synchronized double worst() {
-            beats();
+        synchronized double worstStallMillis() {
+            tick();
             double worst = 0;
             double sum = 0;
             for (int first = 0, i = 0; i < stalls.size(); i++) {
                 sum += stalls.get(i)[1];
-                while (stalls.get(i)[0] - stalls.get(first)[0] > WINDOW) {
+                while (stalls.get(i)[0] - stalls.get(first)[0] > WINDOW_MILLIS) {
                     sum -= stalls.get(first++)[1];
                 }
                 worst = Math.max(worst, sum);
@@ -49,22 +49,22 @@
         }
     }
 
-    private final List<Beat> beats = new CopyOnWriteArrayList<>();
+    private final List<TickSource> sources = new CopyOnWriteArrayList<>();
     private volatile boolean closed;
 
     public StallDetector() {
-        Beat beat = new Beat();
-        beats.add(beat);
+        TickSource source = new TickSource();
+        sources.add(source);
         Thread thread =
                 new Thread(
                         () -> {
                             while (!closed) {
                                 try {
-                                    Thread.sleep((long) BEAT);
+                                    Thread.sleep((long) TICK_MILLIS);
                                 } catch (InterruptedException e) {
                                     return;
                                 }
-                                beat.beats();
+                                source.tick();
                             }
                         },
                         "metronome");
@@ -75,21 +75,21 @@
     /** Watches the loops of a group as well. */
     public StallDetector watch(EventLoopGroup loops) {
         for (EventExecutor loop : loops) {
-            Beat beat = new Beat();
-            beats.add(beat);
-            again(loop, beat);
+            TickSource source = new TickSource();
+            sources.add(source);
+            scheduleTick(loop, source);
         }
         return this;
     }
 
-    private void again(ScheduledExecutorService loop, Beat beat) {
+    private void scheduleTick(ScheduledExecutorService loop, TickSource source) {
         if (!closed && !loop.isShutdown()) {
             loop.schedule(
                     () -> {
-                        beat.beats();
-                        again(loop, beat);
+                        source.tick();
+                        scheduleTick(loop, source);
                     },
-                    (long) BEAT,
+                    (long) TICK_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
@@ -97,8 +97,8 @@
     /**
      * The most milliseconds of standing still within any three seconds, here or on a watched loop.
      */
-    public double stoodStill() {
-        return beats.stream().mapToDouble(Beat::worst).sum();
+    public double worstStallMillis() {
+        return sources.stream().mapToDouble(TickSource::worstStallMillis).sum();
     }
 
     @Override
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -30,7 +30,7 @@
  * one run, at a fixed number of requests in flight. What counts is the ratio.
  */
 public final class ThroughputComparison {
-    private static final int EXTENT = 1 << 20;
+    private static final int EXTENT_BYTES = 1 << 20;
     private static final int EXTENTS = 48;
 
     /** One way's figures: requests a second, and times in microseconds. */
@@ -49,7 +49,7 @@
             double directBusyMicros) {}
 
     /** What the second of two gateways keeps that the first does not. */
-    public enum Kept {
+    public enum RecordKeeping {
         NEITHER,
         ACCOUNTS,
         BOTH
@@ -65,15 +65,15 @@
     }
 
     /** Asks one request; told whether it went well. */
-    private interface Asker {
-        void ask(int number, java.util.function.Consumer<Boolean> ended);
+    private interface RequestSender {
+        void send(int number, java.util.function.Consumer<Boolean> ended);
     }
 
     /** Runs all kinds, sizes and depths. */
     public List<Row> run(int nodes, int[] sizes, int[] depths) throws SiteConfigException {
         EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
-        try (LocalCluster cluster = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
+        try (LocalCluster cluster = LocalCluster.start(profiles(nodes), TrafficRecorder.NO_OP, 2)) {
             NbdGateway gateway =
                     cluster.open(
                             LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address()), 1);
@@ -86,19 +86,20 @@
                                     "demo",
                                     NbdClient.Style.GO));
             for (int i = 0; i < EXTENTS; i++) {
-                LocalCluster.await(client.write(i * (long) EXTENT, new byte[EXTENT])).release();
+                LocalCluster.await(client.write(i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
+                        .release();
             }
-            Direct direct = new Direct(cluster.nodes(), clients.next());
+            DirectClient direct = new DirectClient(cluster.nodes(), clients.next());
             for (boolean reads : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
                     for (int depth : depths) {
                         ByteBuf data = Unpooled.directBuffer(bytes).writeZero(bytes);
-                        Asker straight =
+                        RequestSender straight =
                                 (number, ended) ->
-                                        direct.ask(
+                                        direct.send(
                                                 reads,
                                                 number % EXTENTS,
-                                                number / EXTENTS % (EXTENT / bytes) * bytes,
+                                                number / EXTENTS % (EXTENT_BYTES / bytes) * bytes,
                                                 bytes,
                                                 data,
                                                 ended);
@@ -122,11 +123,12 @@
     }
 
     /** The way through a gateway. */
-    private static Asker through(NbdClient client, boolean reads, int bytes, ByteBuf data) {
-        int places = EXTENT / bytes;
+    private static RequestSender through(NbdClient client, boolean reads, int bytes, ByteBuf data) {
+        int places = EXTENT_BYTES / bytes;
         return (number, ended) -> {
             long offset =
-                    (number % EXTENTS) * (long) EXTENT + number / EXTENTS % places * (long) bytes;
+                    (number % EXTENTS) * (long) EXTENT_BYTES
+                            + number / EXTENTS % places * (long) bytes;
             client.ask(
                     reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                     0,
@@ -148,20 +150,21 @@
      * place of the direct way; files go to a folder. With neither on both sides it tells what
      * differs by itself.
      */
-    public List<Row> accounts(int nodes, int[] sizes, int[] depths, Kept kept, Path folder)
+    public List<Row> accounts(
+            int nodes, int[] sizes, int[] depths, RecordKeeping records, Path folder)
             throws SiteConfigException {
         EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
-        try (LocalCluster cluster = LocalCluster.start(traits(nodes), TrafficRecorder.NOBODY, 2)) {
+        try (LocalCluster cluster = LocalCluster.start(profiles(nodes), TrafficRecorder.NO_OP, 2)) {
             String site = LocalCluster.demoSite("gw", 0, 2, 0, cluster.directory().address());
             NbdClient[] sides = new NbdClient[2];
             for (int i = 0; i < 2; i++) {
                 String extra =
-                        i == 0 || kept == Kept.NEITHER
+                        i == 0 || records == RecordKeeping.NEITHER
                                 ? "\n[accounts]\nkeep = no\n"
                                 : "\n[accounts]\nfile = "
                                         + folder.resolve("accounts")
-                                        + (kept == Kept.BOTH
+                                        + (records == RecordKeeping.BOTH
                                                 ? "\n[traces]\nfile = " + folder.resolve("traces")
                                                 : "")
                                         + "\n";
@@ -177,8 +180,9 @@
                                         NbdClient.Style.GO));
             }
             for (int i = 0; i < EXTENTS; i++) {
-                LocalCluster.await(sides[0].write(i * (long) EXTENT, new byte[EXTENT])).release();
-                LocalCluster.await(sides[1].read(i * (long) EXTENT, 4096)).release();
+                LocalCluster.await(sides[0].write(i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
+                        .release();
+                LocalCluster.await(sides[1].read(i * (long) EXTENT_BYTES, 4096)).release();
             }
             for (boolean reads : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
@@ -205,11 +209,11 @@
         return rows;
     }
 
-    private static List<NodeProfile> traits(int nodes) {
-        List<NodeProfile> traits = new ArrayList<>();
+    private static List<NodeProfile> profiles(int nodes) {
+        List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            NodeProfile quick = NodeProfile.quick(i, EXTENT);
-            traits.add(
+            NodeProfile quick = NodeProfile.quick(i, EXTENT_BYTES);
+            profiles.add(
                     new NodeProfile(
                             i,
                             i,
@@ -219,21 +223,26 @@
                             0,
                             0,
                             4096,
-                            EXTENT,
-                            quick.coldShare(),
-                            quick.coldTime(),
-                            quick.fallMultiple(),
-                            quick.fallTime(),
-                            quick.coldUnits(),
+                            EXTENT_BYTES,
+                            quick.slowStartShare(),
+                            quick.slowStartMillis(),
+                            quick.overloadMultiple(),
+                            quick.overloadWindowMillis(),
+                            quick.slowStartUnits(),
                             0,
                             1000,
                             null));
         }
-        return traits;
+        return profiles;
     }
 
     private Row row(
-            EventLoop loop, Asker straight, Asker through, boolean reads, int bytes, int depth) {
+            EventLoop loop,
+            RequestSender straight,
+            RequestSender through,
+            boolean reads,
+            int bytes,
+            int depth) {
         Totals a = new Totals();
         Totals b = new Totals();
         phase(loop, straight, depth, seconds / 2, new Totals());
@@ -278,7 +287,8 @@
     }
 
     /** Keeps so many requests in flight for a while. */
-    private void phase(EventLoop loop, Asker asker, int depth, double length, Totals totals) {
+    private void phase(
+            EventLoop loop, RequestSender asker, int depth, double length, Totals totals) {
         CompletableFuture<Void> over = new CompletableFuture<>();
         loop.execute(
                 new Runnable() {
@@ -304,7 +314,7 @@
                             return;
                         }
                         open++;
-                        asker.ask(
+                        asker.send(
                                 number++,
                                 good -> {
                                     totals.times.recordValue(System.nanoTime() - begin);
@@ -333,24 +343,24 @@
     }
 
     /** The client's own links to the nodes. */
-    private static final class Direct {
-        private final List<Peer> peers = new ArrayList<>();
+    private static final class DirectClient {
+        private final List<NodeLink> peers = new ArrayList<>();
         private long attempts;
 
-        Direct(List<StandInNode> nodes, EventLoop loop) {
+        DirectClient(List<StandInNode> nodes, EventLoop loop) {
             for (StandInNode node : nodes) {
-                peers.add(new Peer(node, loop));
+                peers.add(new NodeLink(node, loop));
             }
         }
 
-        void ask(
+        void send(
                 boolean reads,
                 int extent,
                 int offset,
                 int bytes,
                 ByteBuf data,
                 java.util.function.Consumer<Boolean> ended) {
-            Peer peer = peers.get(extent % peers.size());
+            NodeLink peer = peers.get(extent % peers.size());
             long attempt = ++attempts;
             peer.waiting.put(attempt, ended);
             // A volume of its own, so that its pens are not the gateway's.
@@ -373,17 +383,17 @@
         }
     }
 
-    private static final class Peer implements NodeConnection.Listener {
+    private static final class NodeLink implements NodeConnection.Listener {
         final NodeConnection link;
         final Map<Long, java.util.function.Consumer<Boolean>> waiting = new HashMap<>();
 
-        Peer(StandInNode node, EventLoop loop) {
+        NodeLink(StandInNode node, EventLoop loop) {
             link =
                     new NodeConnection(
                             loop,
                             EventLoops.socket(),
-                            EXTENT,
-                            node.traits().id(),
+                            EXTENT_BYTES,
+                            node.profile().id(),
                             node.address(),
                             new StoreMessages.Hello(99, "direct"),
                             this);
