--- a/src/main/java/sagepulley/standin/BlockStore.java
+++ b/src/main/java/sagepulley/standin/BlockStore.java
@@ -19,17 +19,17 @@
  * flushed is lost when the power fails, not when the program ends.
  */
 final class BlockStore {
-    private record Key(int volume, long extent) {}
+    private record ExtentKey(int volume, long extent) {}
 
     private final int extentBytes;
     private final Path folder;
-    private final Map<Key, byte[]> memory = new HashMap<>();
+    private final Map<ExtentKey, byte[]> memory = new HashMap<>();
 
     /** What was durable of the extents that have unflushed writes; null where nothing was. */
-    private final Map<Key, byte[]> durable = new HashMap<>();
+    private final Map<ExtentKey, byte[]> durable = new HashMap<>();
 
-    private final Map<Key, FileChannel> files = new HashMap<>();
-    private final Set<Key> dirtyFiles = new HashSet<>();
+    private final Map<ExtentKey, FileChannel> files = new HashMap<>();
+    private final Set<ExtentKey> dirtyFiles = new HashSet<>();
 
     BlockStore(int extentBytes, Path folder) {
         this.extentBytes = extentBytes;
@@ -38,7 +38,7 @@
 
     /** Whether anything of an extent was ever written here. */
     boolean has(int volume, long extent) {
-        Key key = new Key(volume, extent);
+        ExtentKey key = new ExtentKey(volume, extent);
         try {
             return folder == null ? memory.containsKey(key) : file(key, false) != null;
         } catch (IOException e) {
@@ -47,7 +47,7 @@
     }
 
     ByteBuf read(int volume, long extent, int offset, int length, ByteBuf into) throws IOException {
-        Key key = new Key(volume, extent);
+        ExtentKey key = new ExtentKey(volume, extent);
         if (folder != null) {
             FileChannel file = file(key, false);
             int start = into.writerIndex();
@@ -68,7 +68,7 @@
 
     void write(int volume, long extent, int offset, ByteBuf data, boolean nowDurable)
             throws IOException {
-        Key key = new Key(volume, extent);
+        ExtentKey key = new ExtentKey(volume, extent);
         int length = data.readableBytes();
         if (folder != null) {
             FileChannel file = file(key, true);
@@ -103,7 +103,7 @@
     /** All of a volume that was written is durable from now on. */
     void flush(int volume) throws IOException {
         durable.keySet().removeIf(key -> key.volume() == volume);
-        for (Key key : Set.copyOf(dirtyFiles)) {
+        for (ExtentKey key : Set.copyOf(dirtyFiles)) {
             if (key.volume() == volume) {
                 file(key, true).force(false);
                 dirtyFiles.remove(key);
@@ -112,7 +112,7 @@
     }
 
     /** Forgets what was not durable; tells whether anything was lost. Files lose nothing here. */
-    boolean powerFails() {
+    boolean failPower() {
         boolean lost = !durable.isEmpty();
         memory.putAll(durable);
         durable.clear();
@@ -132,7 +132,7 @@
         files.clear();
     }
 
-    private FileChannel file(Key key, boolean create) throws IOException {
+    private FileChannel file(ExtentKey key, boolean create) throws IOException {
         FileChannel open = files.get(key);
         if (open != null) {
             return open;
--- a/src/main/java/sagepulley/standin/DirectoryRegistration.java
+++ b/src/main/java/sagepulley/standin/DirectoryRegistration.java
@@ -20,7 +20,7 @@
  * off.
  */
 public final class DirectoryRegistration {
-    private static final long AGAIN_MS = 500;
+    private static final long RECONNECT_DELAY_MILLIS = 500;
 
     private final EventLoop loop;
     private final InetSocketAddress directory;
@@ -39,7 +39,7 @@
     }
 
     /** Says the line again, as it is now. */
-    public void again() {
+    public void registerAgain() {
         loop.execute(
                 () -> {
                     if (channel != null && channel.isActive()) {
@@ -73,7 +73,7 @@
                                         .addLast(
                                                 new FrameDecoder(0),
                                                 new FrameEncoder(),
-                                                new Talk());
+                                                new RegistrationHandler());
                             }
                         })
                 .connect(directory)
@@ -81,12 +81,15 @@
                         (ChannelFuture done) -> {
                             channel = done.channel();
                             if (!done.isSuccess()) {
-                                loop.schedule(this::connect, AGAIN_MS, TimeUnit.MILLISECONDS);
+                                loop.schedule(
+                                        this::connect,
+                                        RECONNECT_DELAY_MILLIS,
+                                        TimeUnit.MILLISECONDS);
                             }
                         });
     }
 
-    private final class Talk extends ChannelInboundHandlerAdapter {
+    private final class RegistrationHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ctx.writeAndFlush(DirectoryMessages.register(line.get()));
@@ -94,7 +97,10 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            loop.schedule(DirectoryRegistration.this::connect, AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    DirectoryRegistration.this::connect,
+                    RECONNECT_DELAY_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/sagepulley/standin/NodeProfile.java
+++ b/src/main/java/sagepulley/standin/NodeProfile.java
@@ -13,18 +13,18 @@
         int zone,
         int kind,
         int slots,
-        double readCost,
-        double writeCost,
-        int queue,
+        double readCostMillis,
+        double writeCostMillis,
+        int queueLimit,
         int extentBytes,
-        double coldShare,
-        double coldTime,
-        double fallMultiple,
-        double fallTime,
-        double coldUnits,
+        double slowStartShare,
+        double slowStartMillis,
+        double overloadMultiple,
+        double overloadWindowMillis,
+        double slowStartUnits,
         double deferredShare,
-        double deferEvery,
-        Path data) {
+        double deferIntervalMillis,
+        Path dataFolder) {
 
     /** A quick node in memory: no cost, four slots, a queue of 256. */
     public static NodeProfile quick(int id, int extentBytes) {
@@ -42,37 +42,37 @@
                 slots,
                 read,
                 write,
-                queue,
+                queueLimit,
                 extentBytes,
-                coldShare,
-                coldTime,
-                fallMultiple,
-                fallTime,
-                coldUnits,
+                slowStartShare,
+                slowStartMillis,
+                overloadMultiple,
+                overloadWindowMillis,
+                slowStartUnits,
                 deferredShare,
-                deferEvery,
-                data);
+                deferIntervalMillis,
+                dataFolder);
     }
 
-    public NodeProfile withZone(int where) {
+    public NodeProfile withZone(int newZone) {
         return new NodeProfile(
                 id,
                 cell,
-                where,
+                newZone,
                 kind,
                 slots,
-                readCost,
-                writeCost,
-                queue,
+                readCostMillis,
+                writeCostMillis,
+                queueLimit,
                 extentBytes,
-                coldShare,
-                coldTime,
-                fallMultiple,
-                fallTime,
-                coldUnits,
+                slowStartShare,
+                slowStartMillis,
+                overloadMultiple,
+                overloadWindowMillis,
+                slowStartUnits,
                 deferredShare,
-                deferEvery,
-                data);
+                deferIntervalMillis,
+                dataFolder);
     }
 
     public NodeProfile withData(Path folder) {
@@ -82,45 +82,49 @@
                 zone,
                 kind,
                 slots,
-                readCost,
-                writeCost,
-                queue,
+                readCostMillis,
+                writeCostMillis,
+                queueLimit,
                 extentBytes,
-                coldShare,
-                coldTime,
-                fallMultiple,
-                fallTime,
-                coldUnits,
+                slowStartShare,
+                slowStartMillis,
+                overloadMultiple,
+                overloadWindowMillis,
+                slowStartUnits,
                 deferredShare,
-                deferEvery,
+                deferIntervalMillis,
                 folder);
     }
 
-    public NodeProfile withCold(
-            double share, double time, double multiple, double fall, double units) {
+    public NodeProfile withSlowStart(
+            double startShare,
+            double startMillis,
+            double multiple,
+            double windowMillis,
+            double units) {
         return new NodeProfile(
                 id,
                 cell,
                 zone,
                 kind,
                 slots,
-                readCost,
-                writeCost,
-                queue,
+                readCostMillis,
+                writeCostMillis,
+                queueLimit,
                 extentBytes,
-                share,
-                time,
+                startShare,
+                startMillis,
                 multiple,
-                fall,
+                windowMillis,
                 units,
                 deferredShare,
-                deferEvery,
-                data);
+                deferIntervalMillis,
+                dataFolder);
     }
 
     /** Units a second when warm; infinity without costs. */
     public double unitsPerSecond() {
-        double cost = (readCost + writeCost) / 2;
+        double cost = (readCostMillis + writeCostMillis) / 2;
         return cost > 0 ? slots * 1000 / cost : Double.POSITIVE_INFINITY;
     }
 }
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -32,7 +32,7 @@
  * put in by hand. All on one loop; faults may be set from any thread.
  */
 public final class StandInDirectory {
-    private record Key(int volume, long extent) {}
+    private record ExtentKey(int volume, long extent) {}
 
     private final EventLoop loop;
     private final TrafficRecorder recorder;
@@ -40,21 +40,22 @@
     /** The list as it is, and as it is told. */
     private final Map<Integer, DirectoryMessages.EndpointLine> lines = new LinkedHashMap<>();
 
-    private final Map<Integer, DirectoryMessages.EndpointLine> toldLines = new LinkedHashMap<>();
-    private final Map<Key, Integer> holders = new HashMap<>();
-    private final List<Talk> talks = new ArrayList<>();
+    private final Map<Integer, DirectoryMessages.EndpointLine> notifiedLines =
+            new LinkedHashMap<>();
+    private final Map<ExtentKey, Integer> holders = new HashMap<>();
+    private final List<ClientSession> sessions = new ArrayList<>();
     private Channel listener;
     private InetSocketAddress address;
     private long version;
-    private volatile double lag;
-    private volatile double slow;
+    private volatile double notificationDelayMillis;
+    private volatile double answerDelayMillis;
 
     /** Of which site it says it is; its own history, and the version that it counts from. */
     private volatile String siteName = "";
 
     private volatile long history = 1;
-    private volatile long wholeLists;
-    private volatile boolean silent;
+    private volatile long completeLists;
+    private volatile boolean unresponsive;
     private volatile boolean failing;
     private long claims;
 
@@ -78,7 +79,7 @@
                                         .addLast(
                                                 new FrameDecoder(0),
                                                 new FrameEncoder(),
-                                                new Talk(channel));
+                                                new ClientSession(channel));
                             }
                         })
                 .bind(at)
@@ -100,20 +101,20 @@
     }
 
     /** Changes are told so many milliseconds late. */
-    public void lag(double milliseconds) {
-        lag = milliseconds;
+    public void delayNotifications(double milliseconds) {
+        notificationDelayMillis = milliseconds;
     }
 
     /** Answers calls so many milliseconds late. */
-    public void slow(double milliseconds) {
-        slow = milliseconds;
+    public void delayAnswers(double milliseconds) {
+        answerDelayMillis = milliseconds;
     }
 
     /**
      * From now on it is another directory: of this site, with a history, a version and lines of its
      * own.
      */
-    public CompletableFuture<Void> becomes(
+    public CompletableFuture<Void> replaceWith(
             String site,
             long itsHistory,
             long itsVersion,
@@ -125,10 +126,10 @@
                     history = itsHistory;
                     version = itsVersion;
                     lines.clear();
-                    toldLines.clear();
+                    notifiedLines.clear();
                     for (DirectoryMessages.EndpointLine line : itsLines) {
                         lines.put(line.node(), line);
-                        toldLines.put(line.node(), line);
+                        notifiedLines.put(line.node(), line);
                     }
                     done.complete(null);
                 });
@@ -136,23 +137,23 @@
     }
 
     /** Lists told since the start, whole ones. */
-    public long wholeLists() {
-        return wholeLists;
+    public long completeLists() {
+        return completeLists;
     }
 
     /** Answers nothing, though connections stand. */
-    public void silent(boolean now) {
-        silent = now;
+    public void setUnresponsive(boolean now) {
+        unresponsive = now;
     }
 
     /** Answers every call that it failed. */
-    public void failing(boolean now) {
+    public void setFailing(boolean now) {
         failing = now;
     }
 
     /** A node's line as it now is. */
     public void put(DirectoryMessages.EndpointLine line) {
-        loop.execute(() -> changed(line));
+        loop.execute(() -> update(line));
     }
 
     /** Goes down with every connection; the holders stay. */
@@ -164,7 +165,7 @@
                         listener.close();
                         listener = null;
                     }
-                    List.copyOf(talks).forEach(talk -> talk.channel.close());
+                    List.copyOf(sessions).forEach(session -> session.channel.close());
                     stopped.complete(null);
                 });
         return stopped;
@@ -183,51 +184,52 @@
         return counts;
     }
 
-    private void changed(DirectoryMessages.EndpointLine line) {
+    private void update(DirectoryMessages.EndpointLine line) {
         lines.put(line.node(), line);
-        double late = lag;
-        if (late <= 0) {
-            tell(line);
+        double delayMillis = notificationDelayMillis;
+        if (delayMillis <= 0) {
+            notifyWatchers(line);
         } else {
-            loop.schedule(() -> tell(line), (long) (late * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> notifyWatchers(line), (long) (delayMillis * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void tell(DirectoryMessages.EndpointLine line) {
+    private void notifyWatchers(DirectoryMessages.EndpointLine line) {
         version++;
-        toldLines.put(line.node(), line);
-        if (!silent) {
-            for (Talk talk : talks) {
-                if (talk.subscribed) {
-                    talk.list(0, false, List.of(line));
+        notifiedLines.put(line.node(), line);
+        if (!unresponsive) {
+            for (ClientSession session : sessions) {
+                if (session.subscribed) {
+                    session.sendList(0, false, List.of(line));
                 }
             }
         }
     }
 
     /** One connection, of a gateway or a node. */
-    private final class Talk extends ChannelInboundHandlerAdapter {
+    private final class ClientSession extends ChannelInboundHandlerAdapter {
         final Channel channel;
         private long gateway;
         private boolean subscribed;
         private DirectoryMessages.EndpointLine registered;
 
-        Talk(Channel channel) {
+        ClientSession(Channel channel) {
             this.channel = channel;
         }
 
-        void list(long call, boolean whole, List<DirectoryMessages.EndpointLine> told) {
-            wholeLists += whole ? 1 : 0;
-            recorder.told(gateway, whole, told, System.nanoTime());
+        void sendList(long requestId, boolean complete, List<DirectoryMessages.EndpointLine> sent) {
+            completeLists += complete ? 1 : 0;
+            recorder.endpointListSent(gateway, complete, sent, System.nanoTime());
             channel.writeAndFlush(
                     DirectoryMessages.list(
                             new DirectoryMessages.EndpointList(
-                                    call, version, whole, told, history, siteName)));
+                                    requestId, version, complete, sent, history, siteName)));
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            talks.add(this);
+            sessions.add(this);
         }
 
         @Override
@@ -247,25 +249,28 @@
                 gateway = FrameFields.need(frame, 10).skipBytes(2).readLong();
             } else if (frame.type() == DirectoryMessages.REGISTER) {
                 registered = DirectoryMessages.line(head);
-                changed(registered);
-            } else if (silent) {
+                update(registered);
+            } else if (unresponsive) {
                 return;
             } else if (failing) {
                 channel.writeAndFlush(
                         DirectoryMessages.failed(frame.id(), "the directory is failing"));
-            } else if (slow > 0) {
+            } else if (answerDelayMillis > 0) {
                 frame.head().retain();
                 frame.payload().retain();
                 channel.eventLoop()
-                        .schedule(() -> late(frame), (long) (slow * 1e6), TimeUnit.NANOSECONDS);
+                        .schedule(
+                                () -> handleDelayed(frame),
+                                (long) (answerDelayMillis * 1e6),
+                                TimeUnit.NANOSECONDS);
             } else {
-                call(frame);
+                handleRequest(frame);
             }
         }
 
-        private void late(Frame frame) {
+        private void handleDelayed(Frame frame) {
             try {
-                call(frame);
+                handleRequest(frame);
             } catch (MalformedMessageException e) {
                 channel.close();
             } finally {
@@ -273,11 +278,11 @@
             }
         }
 
-        private void call(Frame frame) throws MalformedMessageException {
+        private void handleRequest(Frame frame) throws MalformedMessageException {
             switch (frame.type()) {
                 case DirectoryMessages.SUBSCRIBE, DirectoryMessages.FETCH -> {
                     subscribed |= frame.type() == DirectoryMessages.SUBSCRIBE;
-                    list(frame.id(), true, List.copyOf(toldLines.values()));
+                    sendList(frame.id(), true, List.copyOf(notifiedLines.values()));
                 }
                 case DirectoryMessages.LOOKUP -> {
                     ByteBuf head = FrameFields.need(frame, 16);
@@ -289,13 +294,13 @@
                     }
                     int[] cells = new int[count];
                     for (int i = 0; i < count; i++) {
-                        cells[i] = holders.getOrDefault(new Key(volume, first + i), -1);
+                        cells[i] = holders.getOrDefault(new ExtentKey(volume, first + i), -1);
                     }
                     channel.writeAndFlush(DirectoryMessages.holders(frame.id(), cells));
                 }
                 case DirectoryMessages.CLAIM -> {
                     ByteBuf head = FrameFields.need(frame, 16);
-                    Key key = new Key(head.readInt(), head.readLong());
+                    ExtentKey key = new ExtentKey(head.readInt(), head.readLong());
                     int cell = head.readInt();
                     Integer holder = holders.putIfAbsent(key, cell);
                     claims++;
@@ -311,9 +316,9 @@
         @SuppressWarnings("ReferenceEquality") // a later registration of the node stays
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            talks.remove(this);
+            sessions.remove(this);
             if (registered != null && lines.get(registered.node()) == registered) {
-                changed(
+                update(
                         new DirectoryMessages.EndpointLine(
                                 registered.node(),
                                 registered.cell(),
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -42,44 +42,44 @@
  * where a band asks for it.
  */
 public final class StandInNode {
-    private static final int MARKS_KEPT = 100_000;
-    private static final int RING_PARTS = 20;
+    private static final int MAX_REMEMBERED_OPERATIONS = 100_000;
+    private static final int WINDOW_SLOTS = 20;
 
     /**
      * A pen is kept this long at least, so that its taker's writes arrive before another's take it
      * away.
      */
-    private static final long PEN_KEPT_NS = 5_000_000;
+    private static final long MIN_WRITE_TOKEN_HOLD_NANOS = 5_000_000;
 
-    private record PenKey(int volume, long extent) {}
+    private record ExtentKey(int volume, long extent) {}
 
     /** Who may write an extent, since when, and who asked to be next. */
-    private static final class Pen {
-        Link holder;
-        long since;
-        final ArrayDeque<PenCall> next = new ArrayDeque<>(1);
+    private static final class WriteToken {
+        GatewaySession holder;
+        long heldSinceNanos;
+        final ArrayDeque<WriteTokenRequest> waiting = new ArrayDeque<>(1);
     }
 
-    private record PenCall(Link link, long id) {}
+    private record WriteTokenRequest(GatewaySession session, long requestId) {}
 
-    private record Mark(long gateway, long number) {}
+    private record OperationKey(long gateway, long number) {}
 
     /** An attempt that waits, or is worked on. */
-    private static final class Work {
-        final Link link;
-        final long attempt;
+    private static final class PendingAttempt {
+        final GatewaySession session;
+        final long id;
         final StoreMessages.Send send;
         final ByteBuf payload;
-        final long came = System.nanoTime();
+        final long receivedAtNanos = System.nanoTime();
 
         /** When work on it began; 0 before. */
-        long begun;
+        long startedAtNanos;
 
-        boolean calledOff;
+        boolean cancelled;
 
-        Work(Link link, long attempt, StoreMessages.Send send, ByteBuf payload) {
-            this.link = link;
-            this.attempt = attempt;
+        PendingAttempt(GatewaySession link, long id, StoreMessages.Send send, ByteBuf payload) {
+            this.session = link;
+            this.id = id;
             this.send = send;
             this.payload = payload;
         }
@@ -88,38 +88,38 @@
     private final NodeProfile profile;
     private final TrafficRecorder recorder;
     private final EventLoop loop;
-    private final Random chance;
+    private final Random random;
     private final BlockStore blockStore;
     private final Faults faults = new Faults();
-    private final List<Link> links = new ArrayList<>();
-    private final ArrayDeque<Work> queue = new ArrayDeque<>();
-    private final Map<PenKey, Pen> pens = new HashMap<>();
+    private final List<GatewaySession> sessions = new ArrayList<>();
+    private final ArrayDeque<PendingAttempt> queue = new ArrayDeque<>();
+    private final Map<ExtentKey, WriteToken> writeTokens = new HashMap<>();
 
     /** Marks of deduplicated operations that ran. */
-    private final Map<Mark, Boolean> marks =
+    private final Map<OperationKey, Boolean> executedOperations =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<Mark, Boolean> eldest) {
-                    return size() > MARKS_KEPT;
+                protected boolean removeEldestEntry(Map.Entry<OperationKey, Boolean> eldest) {
+                    return size() > MAX_REMEMBERED_OPERATIONS;
                 }
             };
 
     /** Units served, by volume; and by gateway and volume. */
-    private final Map<Integer, Double> served = new HashMap<>();
+    private final Map<Integer, Double> servedUnits = new HashMap<>();
 
     private Channel listener;
     private InetSocketAddress address;
-    private int busy;
-    private double deferred;
+    private int busySlots;
+    private double deferredCostMillis;
     private boolean draining;
-    private boolean fallen;
+    private boolean collapsed;
     private boolean lostData;
-    private long startedWall;
+    private long startedAtWallMillis;
     private long startedNanos;
-    private SlidingWindowCounter pressure;
-    private int life;
+    private SlidingWindowCounter recentUnits;
+    private int incarnation;
 
     /** A node on a loop of the group; chance (for shares of faults) comes from the seed. */
     public StandInNode(
@@ -127,11 +127,11 @@
         this.profile = profile;
         this.recorder = recorder;
         this.loop = group.next();
-        this.chance = new Random(seed);
-        this.blockStore = new BlockStore(profile.extentBytes(), profile.data());
+        this.random = new Random(seed);
+        this.blockStore = new BlockStore(profile.extentBytes(), profile.dataFolder());
     }
 
-    public NodeProfile traits() {
+    public NodeProfile profile() {
         return profile;
     }
 
@@ -145,7 +145,7 @@
 
     /** When it last started, wall-clock milliseconds; 0 where it counts as started long ago. */
     public long startedAt() {
-        return startedWall;
+        return startedAtWallMillis;
     }
 
     public boolean isDraining() {
@@ -153,8 +153,8 @@
     }
 
     /** Whether it was pushed over. */
-    public boolean hasFallen() {
-        return fallen;
+    public boolean hasCollapsed() {
+        return collapsed;
     }
 
     /** Starts to listen, warm. */
@@ -166,12 +166,14 @@
         CompletableFuture<StandInNode> ready = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    life++;
-                    fallen = false;
-                    startedWall = warm ? 0 : System.currentTimeMillis();
+                    incarnation++;
+                    collapsed = false;
+                    startedAtWallMillis = warm ? 0 : System.currentTimeMillis();
                     startedNanos =
-                            System.nanoTime() - (warm ? (long) (profile.coldTime() * 2e6) : 0);
-                    pressure = new SlidingWindowCounter(profile.fallTime(), RING_PARTS);
+                            System.nanoTime()
+                                    - (warm ? (long) (profile.slowStartMillis() * 2e6) : 0);
+                    recentUnits =
+                            new SlidingWindowCounter(profile.overloadWindowMillis(), WINDOW_SLOTS);
                     new ServerBootstrap()
                             .group(loop)
                             .channel(EventLoops.server())
@@ -189,7 +191,7 @@
                                                     .addLast(
                                                             new FrameDecoder(profile.extentBytes()),
                                                             new FrameEncoder(),
-                                                            new Link(channel));
+                                                            new GatewaySession(channel));
                                         }
                                     })
                             .bind(at)
@@ -201,7 +203,7 @@
                                         }
                                         listener = bound.channel();
                                         address = (InetSocketAddress) listener.localAddress();
-                                        recorder.started(
+                                        recorder.nodeStarted(
                                                 profile.id(),
                                                 warm ? Double.NaN : profile.unitsPerSecond(),
                                                 System.nanoTime());
@@ -224,17 +226,17 @@
     }
 
     private void goDown() {
-        life++;
+        incarnation++;
         if (listener != null) {
             listener.close();
             listener = null;
         }
-        List.copyOf(links).forEach(link -> link.channel.close());
-        queue.forEach(work -> work.payload.release());
+        List.copyOf(sessions).forEach(link -> link.channel.close());
+        queue.forEach(attempt -> attempt.payload.release());
         queue.clear();
-        pens.clear();
-        busy = 0;
-        deferred = 0;
+        writeTokens.clear();
+        busySlots = 0;
+        deferredCostMillis = 0;
     }
 
     /** Comes back at the same address, cold. */
@@ -244,13 +246,13 @@
     }
 
     /** Loses what was not durable, and comes back cold. */
-    public CompletableFuture<StandInNode> powerFails() {
+    public CompletableFuture<StandInNode> failPower() {
         InetSocketAddress at = address;
         CompletableFuture<Void> lost = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     goDown();
-                    lostData |= blockStore.powerFails();
+                    lostData |= blockStore.failPower();
                     lost.complete(null);
                 });
         return lost.thenCompose(done -> listen(at, false));
@@ -261,8 +263,8 @@
         loop.execute(
                 () -> {
                     draining = true;
-                    if (!faults.silent) {
-                        links.forEach(
+                    if (!faults.unresponsive) {
+                        sessions.forEach(
                                 link ->
                                         link.channel.writeAndFlush(
                                                 new Frame(StoreMessages.DRAINS, 0)));
@@ -271,8 +273,8 @@
     }
 
     /** Cuts every connection. */
-    public void cut() {
-        loop.execute(() -> List.copyOf(links).forEach(link -> link.channel.close()));
+    public void closeConnections() {
+        loop.execute(() -> List.copyOf(sessions).forEach(link -> link.channel.close()));
     }
 
     /** Stands still: looks at nothing that comes and serves nothing, until it goes on. */
@@ -281,7 +283,7 @@
         loop.execute(
                 () -> {
                     if (!faults.paused) {
-                        List.copyOf(links).forEach(Link::wake);
+                        List.copyOf(sessions).forEach(GatewaySession::handleInbox);
                         serve();
                     }
                 });
@@ -289,188 +291,203 @@
 
     // ---- work ----
 
-    private void take(Work work) {
-        double now = nowMs();
-        pressure.add(now, work.send.units());
-        if (overPressed(now)) {
-            fallen = true;
-            work.payload.release();
-            recorder.fell(profile.id(), System.nanoTime());
+    private void accept(PendingAttempt attempt) {
+        double now = nowMillis();
+        recentUnits.add(now, attempt.send.units());
+        if (isOverloaded(now)) {
+            collapsed = true;
+            attempt.payload.release();
+            recorder.nodeCollapsed(profile.id(), System.nanoTime());
             goDown();
             return;
         }
         StoreMessages.Code refusal = null;
         if (draining) {
             refusal = StoreMessages.Code.DRAINING;
-        } else if (faults.refusing || queue.size() >= profile.queue()) {
+        } else if (faults.rejecting || queue.size() >= profile.queueLimit()) {
             refusal = StoreMessages.Code.FULL;
-        } else if (work.send.mustBeThere()
-                && !blockStore.has(work.send.volume(), work.send.extent())) {
+        } else if (attempt.send.mustBeThere()
+                && !blockStore.has(attempt.send.volume(), attempt.send.extent())) {
             refusal = StoreMessages.Code.MOOT;
-        } else if (work.send.kind().changes() && !holdsPen(work)) {
+        } else if (attempt.send.kind().changes() && !holdsWriteToken(attempt)) {
             refusal = StoreMessages.Code.STALE_PEN;
         }
         if (refusal != null) {
-            work.payload.release();
-            answer(work, refusal, Unpooled.EMPTY_BUFFER);
+            attempt.payload.release();
+            answer(attempt, refusal, Unpooled.EMPTY_BUFFER);
             return;
         }
-        queue.add(work);
+        queue.add(attempt);
         serve();
     }
 
-    private boolean holdsPen(Work work) {
-        Pen pen = pens.get(new PenKey(work.send.volume(), work.send.extent()));
-        return pen != null && pen.holder == work.link;
+    private boolean holdsWriteToken(PendingAttempt attempt) {
+        WriteToken token =
+                writeTokens.get(new ExtentKey(attempt.send.volume(), attempt.send.extent()));
+        return token != null && token.holder == attempt.session;
     }
 
-    private void takePen(PenKey key, PenCall call) {
-        Pen pen = pens.computeIfAbsent(key, any -> new Pen());
-        pen.next.add(call);
-        passPen(key, pen);
+    private void requestWriteToken(ExtentKey key, WriteTokenRequest request) {
+        WriteToken token = writeTokens.computeIfAbsent(key, any -> new WriteToken());
+        token.waiting.add(request);
+        passWriteToken(key, token);
     }
 
-    private void passPen(PenKey key, Pen pen) {
-        while (!pen.next.isEmpty()) {
-            PenCall call = pen.next.peek();
-            long kept = System.nanoTime() - pen.since;
+    private void passWriteToken(ExtentKey key, WriteToken token) {
+        while (!token.waiting.isEmpty()) {
+            WriteTokenRequest request = token.waiting.peek();
+            long kept = System.nanoTime() - token.heldSinceNanos;
             boolean taken =
-                    pen.holder != null
-                            && pen.holder != call.link()
-                            && pen.holder.channel.isActive();
-            if (taken && kept < PEN_KEPT_NS) {
-                loop.schedule(() -> passPen(key, pen), PEN_KEPT_NS - kept, TimeUnit.NANOSECONDS);
+                    token.holder != null
+                            && token.holder != request.session()
+                            && token.holder.channel.isActive();
+            if (taken && kept < MIN_WRITE_TOKEN_HOLD_NANOS) {
+                loop.schedule(
+                        () -> passWriteToken(key, token),
+                        MIN_WRITE_TOKEN_HOLD_NANOS - kept,
+                        TimeUnit.NANOSECONDS);
                 return;
             }
-            pen.next.poll();
+            token.waiting.poll();
             if (taken) {
-                pen.holder.channel.writeAndFlush(
+                token.holder.channel.writeAndFlush(
                         StoreMessages.pen(StoreMessages.PEN_LOST, 0, key.volume(), key.extent()));
             }
-            pen.holder = call.link();
-            pen.since = System.nanoTime();
-            call.link()
+            token.holder = request.session();
+            token.heldSinceNanos = System.nanoTime();
+            request.session()
                     .channel
                     .writeAndFlush(
                             StoreMessages.pen(
-                                    StoreMessages.PEN, call.id(), key.volume(), key.extent()));
+                                    StoreMessages.PEN,
+                                    request.requestId(),
+                                    key.volume(),
+                                    key.extent()));
         }
     }
 
-    private double nowMs() {
+    private double nowMillis() {
         return System.nanoTime() / 1e6;
     }
 
     /** What it can do now, as a part of what it can do when warm. */
-    private double warmth() {
+    private double capacityShare() {
         double age = (System.nanoTime() - startedNanos) / 1e6;
         return Math.min(
-                1, profile.coldShare() + (1 - profile.coldShare()) * age / profile.coldTime());
+                1,
+                profile.slowStartShare()
+                        + (1 - profile.slowStartShare()) * age / profile.slowStartMillis());
     }
 
-    private boolean overPressed(double now) {
-        double warm = warmth();
-        double span = profile.fallTime() / 1000;
+    private boolean isOverloaded(double now) {
+        double warm = capacityShare();
+        double span = profile.overloadWindowMillis() / 1000;
         return warm < 1
-                && pressure.sumUnderestimate(now)
+                && recentUnits.sumUnderestimate(now)
                         > Math.max(
-                                profile.coldUnits(),
-                                profile.fallMultiple() * warm * profile.unitsPerSecond() * span);
+                                profile.slowStartUnits(),
+                                profile.overloadMultiple()
+                                        * warm
+                                        * profile.unitsPerSecond()
+                                        * span);
     }
 
     private void serve() {
-        while (busy < profile.slots() && !queue.isEmpty() && !faults.paused) {
-            Work work = queue.poll();
-            if (work.calledOff || !work.link.channel.isActive()) {
-                work.payload.release();
-                answer(work, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
+        while (busySlots < profile.slots() && !queue.isEmpty() && !faults.paused) {
+            PendingAttempt attempt = queue.poll();
+            if (attempt.cancelled || !attempt.session.channel.isActive()) {
+                attempt.payload.release();
+                answer(attempt, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
                 continue;
             }
             // Work is begun in the order it came, and has its effect when it begins: no later write
             // of an extent can be undone by an earlier one.
-            begin(work);
+            begin(attempt);
         }
     }
 
-    private void begin(Work work) {
-        work.begun = System.nanoTime();
-        StoreMessages.Send send = work.send;
+    private void begin(PendingAttempt attempt) {
+        attempt.startedAtNanos = System.nanoTime();
+        StoreMessages.Send send = attempt.send;
         StoreMessages.Code code = StoreMessages.Code.SATISFIED;
         ByteBuf result = Unpooled.EMPTY_BUFFER;
-        if (send.kind().changes() && !holdsPen(work)) {
-            work.payload.release();
-            answer(work, StoreMessages.Code.STALE_PEN, result);
+        if (send.kind().changes() && !holdsWriteToken(attempt)) {
+            attempt.payload.release();
+            answer(attempt, StoreMessages.Code.STALE_PEN, result);
             return;
         }
         try {
-            result = run(work);
+            result = execute(attempt);
         } catch (IOException e) {
             code = StoreMessages.Code.FAULT;
         } finally {
-            work.payload.release();
+            attempt.payload.release();
         }
-        if (faults.erring > 0 && chance.nextDouble() < faults.erring) {
+        if (faults.errorShare > 0 && random.nextDouble() < faults.errorShare) {
             code = StoreMessages.Code.FAULT;
         }
         if (code == StoreMessages.Code.FAULT) {
             result.release();
             result = Unpooled.EMPTY_BUFFER;
         } else {
-            served.merge(send.volume(), (double) send.units(), Double::sum);
-            work.link.own.merge(send.volume(), (double) send.units(), Double::sum);
+            servedUnits.merge(send.volume(), (double) send.units(), Double::sum);
+            attempt.session.ownUnits.merge(send.volume(), (double) send.units(), Double::sum);
         }
-        double cost = cost(send);
+        double cost = costMillis(send);
         if (cost <= 0) {
-            answer(work, code, result);
+            answer(attempt, code, result);
             return;
         }
-        busy++;
-        int then = life;
+        busySlots++;
+        int then = incarnation;
         StoreMessages.Code end = code;
         ByteBuf data = result;
         loop.schedule(
                 () -> {
-                    if (life != then) {
+                    if (incarnation != then) {
                         data.release();
                         return;
                     }
-                    busy--;
-                    answer(work, end, data);
+                    busySlots--;
+                    answer(attempt, end, data);
                     serve();
                 },
                 (long) (cost * 1e6),
                 TimeUnit.NANOSECONDS);
     }
 
-    private double cost(StoreMessages.Send send) {
+    private double costMillis(StoreMessages.Send send) {
         boolean writes = send.kind().changes();
-        double cost = send.units() * (writes ? profile.writeCost() : profile.readCost());
+        double cost =
+                send.units() * (writes ? profile.writeCostMillis() : profile.readCostMillis());
         if (writes && profile.deferredShare() > 0) {
             // A part of each write is put off, and falls to whoever comes when its time is up.
             double late = cost * profile.deferredShare();
             cost -= late;
-            deferred += late;
-            if (Math.floorMod((long) nowMs(), (long) profile.deferEvery()) < 10) {
-                cost += deferred;
-                deferred = 0;
+            deferredCostMillis += late;
+            if (Math.floorMod((long) nowMillis(), (long) profile.deferIntervalMillis()) < 10) {
+                cost += deferredCostMillis;
+                deferredCostMillis = 0;
             }
         }
-        return cost * faults.slow / warmth();
+        return cost * faults.slowdownFactor / capacityShare();
     }
 
-    private ByteBuf run(Work work) throws IOException {
-        StoreMessages.Send send = work.send;
+    private ByteBuf execute(PendingAttempt attempt) throws IOException {
+        StoreMessages.Send send = attempt.send;
         if (send.offset() + send.length() > profile.extentBytes()) {
             throw new IOException("past the extent's end");
         }
         if (send.repeat() == TrafficClass.Idempotency.DEDUPLICATED.ordinal()
-                && marks.put(new Mark(work.link.gateway, send.mark()), true) != null) {
+                && executedOperations.put(
+                                new OperationKey(attempt.session.gateway, send.mark()), true)
+                        != null) {
             return Unpooled.EMPTY_BUFFER;
         }
-        recorder.ran(profile.id(), work.link.gateway, send, System.nanoTime());
+        recorder.operationExecuted(profile.id(), attempt.session.gateway, send, System.nanoTime());
         switch (send.kind()) {
             case READ -> {
-                ByteBuf into = work.link.channel.alloc().ioBuffer(Math.max(1, send.length()));
+                ByteBuf into = attempt.session.channel.alloc().ioBuffer(Math.max(1, send.length()));
                 return blockStore.read(
                         send.volume(), send.extent(), send.offset(), send.length(), into);
             }
@@ -479,7 +496,7 @@
                             send.volume(),
                             send.extent(),
                             send.offset(),
-                            work.payload,
+                            attempt.payload,
                             send.durable());
             case ZERO, TRIM ->
                     blockStore.zero(
@@ -490,7 +507,7 @@
                             send.durable());
             case FLUSH -> {
                 // Writes acknowledged by an earlier life are gone if the power failed since.
-                if (lostData && send.since() != startedWall) {
+                if (lostData && send.since() != startedAtWallMillis) {
                     throw new IOException("writes before the start were lost");
                 }
                 blockStore.flush(send.volume());
@@ -499,14 +516,17 @@
         return Unpooled.EMPTY_BUFFER;
     }
 
-    private void answer(Work work, StoreMessages.Code code, ByteBuf payload) {
-        Link link = work.link;
-        boolean lost = faults.silent || (faults.losing > 0 && chance.nextDouble() < faults.losing);
-        recorder.answered(
+    private void answer(PendingAttempt attempt, StoreMessages.Code code, ByteBuf payload) {
+        GatewaySession link = attempt.session;
+        boolean lost =
+                faults.unresponsive
+                        || (faults.lostAnswerShare > 0
+                                && random.nextDouble() < faults.lostAnswerShare);
+        recorder.attemptAnswered(
                 profile.id(),
                 link.gateway,
-                work.send.mark(),
-                work.send.number(),
+                attempt.send.mark(),
+                attempt.send.number(),
                 code,
                 lost,
                 System.nanoTime());
@@ -514,54 +534,54 @@
             payload.release();
             return;
         }
-        link.open.remove(work.attempt);
+        link.openAttempts.remove(attempt.id);
         float[] report = {queue.size()};
         long now = System.nanoTime();
-        long begun = work.begun == 0 ? now : work.begun;
+        long begun = attempt.startedAtNanos == 0 ? now : attempt.startedAtNanos;
         link.write(
-                work.attempt,
+                attempt.id,
                 new StoreMessages.Answer(
                         code,
                         0,
-                        link.others(work.send.volume()),
-                        (begun - work.came) / 1e6f,
+                        link.unitsOfOthersSinceLastAnswer(attempt.send.volume()),
+                        (begun - attempt.receivedAtNanos) / 1e6f,
                         (now - begun) / 1e6f,
                         report),
                 payload);
     }
 
     /** One gateway's connection. */
-    private final class Link extends ChannelInboundHandlerAdapter {
+    private final class GatewaySession extends ChannelInboundHandlerAdapter {
         final Channel channel;
         long gateway;
         boolean greeted;
 
         /** Units served through this link, and those of all at the last answer, by volume. */
-        final Map<Integer, Double> own = new HashMap<>();
+        final Map<Integer, Double> ownUnits = new HashMap<>();
 
-        final Map<Integer, Double> told = new HashMap<>();
+        final Map<Integer, Double> reportedOtherUnits = new HashMap<>();
 
         /** Attempts without an answer, and what came while the node stood still. */
-        private final Map<Long, StoreMessages.Send> open = new HashMap<>();
+        private final Map<Long, StoreMessages.Send> openAttempts = new HashMap<>();
 
         private final ArrayDeque<Frame> inbox = new ArrayDeque<>();
         private boolean flushDue;
 
-        Link(Channel channel) {
+        GatewaySession(Channel channel) {
             this.channel = channel;
         }
 
-        float others(int volume) {
-            double all = served.getOrDefault(volume, 0.0);
-            double mine = own.getOrDefault(volume, 0.0);
-            double before = told.getOrDefault(volume, all - mine);
-            told.put(volume, all - mine);
+        float unitsOfOthersSinceLastAnswer(int volume) {
+            double all = servedUnits.getOrDefault(volume, 0.0);
+            double mine = ownUnits.getOrDefault(volume, 0.0);
+            double before = reportedOtherUnits.getOrDefault(volume, all - mine);
+            reportedOtherUnits.put(volume, all - mine);
             return (float) Math.max(0, all - mine - before);
         }
 
         void write(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
-            if (faults.garble) {
-                faults.garble = false;
+            if (faults.garbleNextAnswer) {
+                faults.garbleNextAnswer = false;
                 payload.release();
                 channel.pipeline()
                         .firstContext()
@@ -573,17 +593,17 @@
                                         }));
                 return;
             }
-            if (faults.halfClose && payload.isReadable()) {
-                faults.halfClose = false;
+            if (faults.halfCloseNextAnswer && payload.isReadable()) {
+                faults.halfCloseNextAnswer = false;
                 halfClose(attempt, answer, payload);
                 return;
             }
-            if (faults.twice) {
-                faults.twice = false;
+            if (faults.duplicateNextAnswer) {
+                faults.duplicateNextAnswer = false;
                 channel.write(StoreMessages.answer(attempt, answer, payload.copy()));
             }
-            if (faults.invent) {
-                faults.invent = false;
+            if (faults.answerUnknownAttempt) {
+                faults.answerUnknownAttempt = false;
                 channel.write(
                         StoreMessages.answer(attempt + 1_000_000, answer, Unpooled.EMPTY_BUFFER));
             }
@@ -617,7 +637,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            links.add(this);
+            sessions.add(this);
         }
 
         @Override
@@ -625,7 +645,7 @@
                 throws MalformedMessageException {
             Frame frame = (Frame) message;
             if (greeted) {
-                note(frame);
+                record(frame);
             }
             if (faults.paused) {
                 inbox.add(frame);
@@ -635,7 +655,7 @@
         }
 
         /** What passed is noted when it came, though the node may stand still. */
-        private void note(Frame frame) throws MalformedMessageException {
+        private void record(Frame frame) throws MalformedMessageException {
             if (frame.type() == StoreMessages.SEND) {
                 StoreMessages.Send send =
                         StoreMessages.send(
@@ -644,12 +664,12 @@
                                         frame.id(),
                                         frame.head().duplicate(),
                                         frame.payload()));
-                open.put(frame.id(), send);
-                recorder.attemptCame(profile.id(), gateway, send, System.nanoTime());
+                openAttempts.put(frame.id(), send);
+                recorder.attemptReceived(profile.id(), gateway, send, System.nanoTime());
             } else if (frame.type() == StoreMessages.CALL_OFF) {
-                StoreMessages.Send send = open.remove(frame.id());
+                StoreMessages.Send send = openAttempts.remove(frame.id());
                 if (send != null) {
-                    recorder.calledOff(
+                    recorder.attemptCancelled(
                             profile.id(), gateway, send.mark(), send.number(), System.nanoTime());
                 }
             }
@@ -658,14 +678,14 @@
         private void handle(Frame frame) throws MalformedMessageException {
             try {
                 if (channel.isActive()) {
-                    told(frame);
+                    reportedOtherUnits(frame);
                 }
             } finally {
                 frame.release();
             }
         }
 
-        void wake() {
+        void handleInbox() {
             for (Frame frame = inbox.poll(); frame != null; frame = inbox.poll()) {
                 try {
                     handle(frame);
@@ -675,7 +695,7 @@
             }
         }
 
-        private void told(Frame frame) throws MalformedMessageException {
+        private void reportedOtherUnits(Frame frame) throws MalformedMessageException {
             if (!greeted && frame.type() != StoreMessages.HELLO) {
                 throw new MalformedMessageException(
                         "message " + frame.type() + " before the hello");
@@ -684,20 +704,20 @@
                 case StoreMessages.HELLO -> hello(StoreMessages.hello(frame));
                 case StoreMessages.SEND -> {
                     StoreMessages.Send send = StoreMessages.send(frame);
-                    take(new Work(this, frame.id(), send, frame.payload().retain()));
+                    accept(new PendingAttempt(this, frame.id(), send, frame.payload().retain()));
                 }
-                case StoreMessages.CALL_OFF -> callOff(frame.id());
+                case StoreMessages.CALL_OFF -> cancel(frame.id());
                 case StoreMessages.PROBE -> {
-                    if (!faults.silent) {
+                    if (!faults.unresponsive) {
                         channel.writeAndFlush(
                                 StoreMessages.probed(frame.id(), new float[] {queue.size()}));
                     }
                 }
                 case StoreMessages.TAKE_PEN -> {
                     ByteBuf head = FrameFields.need(frame, 12);
-                    takePen(
-                            new PenKey(head.readInt(), head.readLong()),
-                            new PenCall(this, frame.id()));
+                    requestWriteToken(
+                            new ExtentKey(head.readInt(), head.readLong()),
+                            new WriteTokenRequest(this, frame.id()));
                 }
                 default ->
                         throw new MalformedMessageException(
@@ -711,7 +731,7 @@
         private void hello(StoreMessages.Hello hello) {
             gateway = hello.gateway();
             greeted = true;
-            for (Link older : List.copyOf(links)) {
+            for (GatewaySession older : List.copyOf(sessions)) {
                 if (older != this && older.gateway == gateway) {
                     older.channel.close();
                 }
@@ -724,17 +744,17 @@
                                     profile.zone(),
                                     profile.kind(),
                                     draining,
-                                    startedWall)));
+                                    startedAtWallMillis)));
         }
 
-        private void callOff(long attempt) {
-            for (Iterator<Work> at = queue.iterator(); at.hasNext(); ) {
-                Work work = at.next();
-                if (work.link == this && work.attempt == attempt) {
+        private void cancel(long attemptId) {
+            for (Iterator<PendingAttempt> at = queue.iterator(); at.hasNext(); ) {
+                PendingAttempt attempt = at.next();
+                if (attempt.session == this && attempt.id == attemptId) {
                     at.remove();
-                    work.calledOff = true;
-                    work.payload.release();
-                    answer(work, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
+                    attempt.cancelled = true;
+                    attempt.payload.release();
+                    answer(attempt, StoreMessages.Code.CALLED_OFF, Unpooled.EMPTY_BUFFER);
                     return;
                 }
             }
@@ -742,10 +762,10 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            links.remove(this);
+            sessions.remove(this);
             inbox.forEach(Frame::release);
             inbox.clear();
-            pens.values().removeIf(pen -> pen.holder == this && pen.next.isEmpty());
+            writeTokens.values().removeIf(token -> token.holder == this && token.waiting.isEmpty());
         }
 
         @Override
--- a/src/main/java/sagepulley/standin/TrafficRecorder.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -10,16 +10,16 @@
  */
 public interface TrafficRecorder {
     /** Notes nothing. */
-    TrafficRecorder NOBODY = new TrafficRecorder() {};
+    TrafficRecorder NO_OP = new TrafficRecorder() {};
 
     /** An attempt was read from a gateway's link. */
-    default void attemptCame(int node, long gateway, StoreMessages.Send send, long nanos) {}
+    default void attemptReceived(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
     /** An operation's work was begun; its effect is there from now on. */
-    default void ran(int node, long gateway, StoreMessages.Send send, long nanos) {}
+    default void operationExecuted(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
     /** An answer was handed to the socket, or kept back by a fault. */
-    default void answered(
+    default void attemptAnswered(
             int node,
             long gateway,
             long mark,
@@ -29,15 +29,18 @@
             long nanos) {}
 
     /** An attempt was called off by its gateway. */
-    default void calledOff(int node, long gateway, long mark, int number, long nanos) {}
+    default void attemptCancelled(int node, long gateway, long mark, int number, long nanos) {}
 
     /** A node began to serve after a start, with what it can do when warm in units a second. */
-    default void started(int node, double unitsPerSecond, long nanos) {}
+    default void nodeStarted(int node, double unitsPerSecond, long nanos) {}
 
     /** A cold node was sent too much and fell over. */
-    default void fell(int node, long nanos) {}
+    default void nodeCollapsed(int node, long nanos) {}
 
     /** A gateway was told lines of the list. */
-    default void told(
-            long gateway, boolean whole, List<DirectoryMessages.EndpointLine> lines, long nanos) {}
+    default void endpointListSent(
+            long gateway,
+            boolean complete,
+            List<DirectoryMessages.EndpointLine> lines,
+            long nanos) {}
 }
--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -50,7 +50,7 @@
             FleetChecks.drain(fleet, 1);
             Thread.sleep(WATCHED_MS);
             FleetChecks.assertNoSendAfterGrace(fleet);
-            idle.forEach(Background::close);
+            idle.forEach(BackgroundTasks::close);
             Thread.sleep(3_000);
             FleetChecks.assertServedAgain(fleet);
             FleetChecks.drain(fleet, 2);
@@ -58,7 +58,7 @@
             FleetChecks.assertNoSendAfterGrace(fleet);
             assertTrue(gateway.isAlive(), gateway::logText);
         } finally {
-            idle.forEach(Background::close);
+            idle.forEach(BackgroundTasks::close);
         }
     }
 
--- a/src/test/java/sagepulley/faultinjection/FleetChecks.java
+++ b/src/test/java/sagepulley/faultinjection/FleetChecks.java
@@ -20,7 +20,7 @@
 
     static void assertNoSendAfterGrace(TestFleet fleet) {
         List<Request> requests = fleet.requests();
-        List<String> broken = new DrainRule(fleet).broken(fleet.arrivals(), requests);
+        List<String> broken = new DrainRule(fleet).violations(fleet.arrivals(), requests);
         assertTrue(!requests.isEmpty(), "no request was made");
         assertEquals(
                 0,
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -45,7 +45,7 @@
                 if (isDown) {
                     fleet.discovery.goDown();
                 }
-                gateway.holdUp("0.05");
+                gateway.suspend("0.05");
                 fleet.moveDiscovery(gateway);
                 awaitActedOn(fleet, gateway);
                 if (isDown) {
@@ -88,7 +88,7 @@
             FleetChecks.drain(fleet, 0);
             fleet.moveDiscovery(0);
             fleet.makeConfigUnreadable(0);
-            fleet.toldToReload(gateway);
+            fleet.signalReload(gateway);
             FleetChecks.drain(fleet, 1);
             Thread.sleep(WATCHED_MS);
             FleetChecks.assertNoSendAfterGrace(fleet);
@@ -110,7 +110,7 @@
             fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 10);
             Thread.sleep(1_000);
             Files.writeString(fleet.configFile(0), "{\"name\": \"n0\"}");
-            fleet.toldToReload(gateway);
+            fleet.signalReload(gateway);
             Thread.sleep(WATCHED_MS);
             FleetChecks.assertServedAgain(fleet);
             fleet.moveDiscovery(0);
--- a/src/test/java/sagepulley/faultinjection/SoakTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakTest.java
@@ -38,8 +38,8 @@
                                             "\n  ",
                                             broken.subList(0, Math.min(SHOWN, broken.size())))
                                     + "\n"
-                                    + run.story());
-            assertTrue(run.served() > LEAST_SERVED, run::story);
+                                    + run.journalText());
+            assertTrue(run.served() > LEAST_SERVED, run::journalText);
         }
     }
 }
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -17,7 +17,7 @@
  */
 @Timeout(60)
 class StopTest {
-    private static final long KILL_AFTER_MS = TestFleet.LONGEST_DEADLINE_MS + 700;
+    private static final long KILL_AFTER_MS = TestFleet.MAX_DEADLINE_MILLIS + 700;
     private static final String HOLD_UP_SECONDS = "0.14";
 
     /** When no more is taken, and just before the kill. */
@@ -32,15 +32,15 @@
             GatewayProcess gateway = fleet.start(0).awaitReady();
             ClientLoad load = fleet.load(0, 12, ClientLoad.ClientBehaviour.STEADY, 6);
             Thread.sleep(1_500);
-            fleet.stores.get(0).hangs = true;
+            fleet.stores.get(0).unresponsive = true;
             long toldAt = System.nanoTime();
             gateway.signal("TERM");
             Thread.sleep(400);
-            load.stayAway(true);
+            load.connectElsewhere(true);
             for (long beforeKill : HELD_UP_BEFORE_KILL_MS) {
                 sleepUntil(toldAt, KILL_AFTER_MS - beforeKill);
                 if (gateway.isAlive()) {
-                    gateway.holdUp(HOLD_UP_SECONDS);
+                    gateway.suspend(HOLD_UP_SECONDS);
                 }
             }
             sleepUntil(toldAt, KILL_AFTER_MS);
@@ -55,7 +55,7 @@
                                             new AnswerRule.Ending(
                                                     0, toldAt, killedAt, System.nanoTime())),
                                     false)
-                            .broken(fleet.arrivals(), requests);
+                            .violations(fleet.arrivals(), requests);
             assertEquals(List.of(), broken);
             assertFalse(alive, "it had not ended by the earliest kill");
             assertEquals(0, gateway.exitCode(), gateway::logText);
@@ -66,7 +66,7 @@
                             .max()
                             .orElse(0);
             assertTrue(
-                    TimeUnit.NANOSECONDS.toMillis(lastSent) > TestFleet.LONGEST_DEADLINE_MS - 200,
+                    TimeUnit.NANOSECONDS.toMillis(lastSent) > TestFleet.MAX_DEADLINE_MILLIS - 200,
                     "clients were served nearly to the end, the last asked after " + lastSent);
         }
     }
--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -85,7 +85,7 @@
                             1_000,
                             null));
         }
-        try (LocalCluster cluster = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2)) {
+        try (LocalCluster cluster = LocalCluster.start(traits, TrafficRecorder.NO_OP, 2)) {
             NbdGateway gateway =
                     cluster.open(
                             LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address())
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -61,7 +61,7 @@
     @Test
     void writesPastTheEndOrTooLongOrToAReadOnlyExportAreRefused() throws Exception {
         try (NbdTestFixture rig =
-                new NbdTestFixture(1, TrafficRecorder.NOBODY, "most-request", "; most-request")) {
+                new NbdTestFixture(1, TrafficRecorder.NO_OP, "most-request", "; most-request")) {
             NbdClient client = rig.client();
             assertEquals(
                     NbdConstants.ENOSPC,
@@ -74,7 +74,7 @@
         try (NbdTestFixture rig =
                 new NbdTestFixture(
                         1,
-                        TrafficRecorder.NOBODY,
+                        TrafficRecorder.NO_OP,
                         "size = 64 MiB",
                         "size = 64 MiB\nread-only = yes")) {
             NbdClient client = rig.client();
@@ -162,7 +162,7 @@
         try (NbdTestFixture rig =
                 new NbdTestFixture(
                         3,
-                        TrafficRecorder.NOBODY,
+                        TrafficRecorder.NO_OP,
                         "[site]",
                         "client-bytes = 8 MiB\nall-bytes = 16 MiB\nmost-request = 4 MiB\n[site]")) {
             NbdClient good = rig.client();
@@ -198,7 +198,7 @@
         try (NbdTestFixture rig =
                 new NbdTestFixture(
                         3,
-                        TrafficRecorder.NOBODY,
+                        TrafficRecorder.NO_OP,
                         "[site]",
                         "client-bytes = 40 MiB\nall-bytes = 64 MiB\n[site]")) {
             NbdClient good = rig.client();
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -28,28 +28,28 @@
 class FaultsTest {
     /** What may go wrong, on one of three nodes. */
     enum Fault {
-        SILENT((rig, node) -> node.faults().silent = true),
-        SLOW((rig, node) -> node.faults().slow = 50),
+        SILENT((rig, node) -> node.faults().unresponsive = true),
+        SLOW((rig, node) -> node.faults().slowdownFactor = 50),
         PAUSED((rig, node) -> node.pause(true)),
-        REFUSING((rig, node) -> node.faults().refusing = true),
-        ERRING((rig, node) -> node.faults().erring = 0.5),
-        LOSING((rig, node) -> node.faults().losing = 0.7),
+        REFUSING((rig, node) -> node.faults().rejecting = true),
+        ERRING((rig, node) -> node.faults().errorShare = 0.5),
+        LOSING((rig, node) -> node.faults().lostAnswerShare = 0.7),
         COLD((rig, node) -> rig.cluster.restartCold(node)),
         DRAINING((rig, node) -> rig.cluster.drain(node)),
-        CUT((rig, node) -> node.cut()),
-        HALF_CLOSED((rig, node) -> node.faults().halfClose = true),
-        GARBLED((rig, node) -> node.faults().garble = true),
-        TWICE((rig, node) -> node.faults().twice = true),
-        INVENTED((rig, node) -> node.faults().invent = true),
+        CUT((rig, node) -> node.closeConnections()),
+        HALF_CLOSED((rig, node) -> node.faults().halfCloseNextAnswer = true),
+        GARBLED((rig, node) -> node.faults().garbleNextAnswer = true),
+        TWICE((rig, node) -> node.faults().duplicateNextAnswer = true),
+        INVENTED((rig, node) -> node.faults().answerUnknownAttempt = true),
         GONE((rig, node) -> NbdTestFixture.await(node.stop())),
         UNREACHABLE(
                 (rig, node) -> {
                     node.faults().unreachable = true;
-                    node.cut();
+                    node.closeConnections();
                 }),
         DIRECTORY_DOWN((rig, node) -> NbdTestFixture.await(rig.cluster.directory().stop())),
-        DIRECTORY_SILENT((rig, node) -> rig.cluster.directory().silent(true)),
-        DIRECTORY_FAILING((rig, node) -> rig.cluster.directory().failing(true)),
+        DIRECTORY_SILENT((rig, node) -> rig.cluster.directory().setUnresponsive(true)),
+        DIRECTORY_FAILING((rig, node) -> rig.cluster.directory().setFailing(true)),
         DIRECTORY_RESTARTED((rig, node) -> NbdTestFixture.await(rig.cluster.directory().restart()));
 
         @SuppressWarnings("ImmutableEnumChecker") // a lambda without state
@@ -87,7 +87,7 @@
         try (StallDetector machine = new StallDetector();
                 NbdTestFixture rig =
                         new NbdTestFixture(
-                                3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
+                                3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
             machine.watch(rig.cluster.loops());
             NbdClient client = rig.client();
             for (int i = 0; i < 32; i++) {
@@ -108,7 +108,7 @@
                 // Reads have a patience of 2.5 s, writes of 1 s, besides what this machine stood
                 // still.
                 assertTrue(
-                        one.join().took() < 2500 + 100 + machine.stoodStill(),
+                        one.join().took() < 2500 + 100 + machine.worstStallMillis(),
                         "took " + one.join().took());
             }
             Counters counters = rig.gateway.tally();
@@ -127,7 +127,7 @@
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient other = rig.client();
             NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
-            rig.cluster.nodes().forEach(node -> node.faults().silent = true);
+            rig.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
             NbdClient leaver = rig.client();
             AtomicInteger ends = new AtomicInteger();
             for (int i = 0; i < 20; i++) {
@@ -138,7 +138,7 @@
             leaver.channel().close().syncUninterruptibly();
             await().until(() -> rig.gateway.tally().open() == 0 && ends.get() == 20);
             assertTrue(rig.gateway.tally().left.sum() > 0);
-            rig.cluster.nodes().forEach(node -> node.faults().silent = false);
+            rig.cluster.nodes().forEach(node -> node.faults().unresponsive = false);
             await().until(() -> NbdTestFixture.error(other.read(0, 512)) == 0);
             await().until(() -> rig.gateway.bytesInHand() == 0);
         }
@@ -147,7 +147,7 @@
     @Test
     void onePartThatFailsIsToldWithItsOffset() throws Exception {
         try (NbdTestFixture rig =
-                new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
+                new NbdTestFixture(3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
             byte[] old = NbdTestFixture.noise(5, 4 * NbdTestFixture.MIB);
             assertEquals(0, NbdTestFixture.error(client.write(0, old)));
@@ -234,16 +234,16 @@
     @Test
     void withASilentDirectoryFirstWritesAreDeclinedAndTheRestGoesOn() throws Exception {
         try (NbdTestFixture rig =
-                new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
+                new NbdTestFixture(3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
-            rig.cluster.directory().silent(true);
+            rig.cluster.directory().setUnresponsive(true);
             var one = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
             var two = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
             assertEquals(0, NbdTestFixture.error(client.read(0, 4096)));
             assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(one).error);
             assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(two).error);
-            rig.cluster.directory().silent(false);
+            rig.cluster.directory().setUnresponsive(false);
             await().until(
                             () ->
                                     NbdTestFixture.error(
@@ -258,12 +258,12 @@
     @Test
     void aGatewayStartedWhileTheDirectoryIsSilentGetsReadyOnceItSpeaks() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(2)) {
-            rig.cluster.directory().silent(true);
+            rig.cluster.directory().setUnresponsive(true);
             NbdGateway second = new NbdGateway(SiteConfig.read("second", rig.site(1, 2)), 5);
             CompletableFuture<NbdGateway> ready = second.start();
             Thread.sleep(300); // time for its call to be swallowed; what follows holds either way
             assertTrue(!ready.isDone());
-            rig.cluster.directory().silent(false);
+            rig.cluster.directory().setUnresponsive(false);
             NbdTestFixture.await(ready);
             NbdClient client = rig.client(second, NbdClient.Style.GO);
             assertEquals(0, NbdTestFixture.error(client.write(0, new byte[4096])));
@@ -277,7 +277,7 @@
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
-            rig.cluster.nodes().forEach(node -> node.faults().silent = true);
+            rig.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
             List<CompletableFuture<NbdReply>> asked = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 asked.add(client.read(0, 4096));
--- a/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -93,7 +93,7 @@
                     },
                     status.blocks);
             // A power failure after the flush loses nothing.
-            rig.cluster.nodes().forEach(node -> NbdTestFixture.await(node.powerFails()));
+            rig.cluster.nodes().forEach(node -> NbdTestFixture.await(node.failPower()));
             byte[] kept = NbdTestFixture.noise(2, 4096);
             assertEquals(
                     0,
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -21,7 +21,7 @@
     private final List<NbdClient> clients = new ArrayList<>();
 
     NbdTestFixture(int nodes) throws Exception {
-        this(nodes, TrafficRecorder.NOBODY, "", "");
+        this(nodes, TrafficRecorder.NO_OP, "", "");
     }
 
     /** With one piece of the demo's site file put in place of another. */
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -211,10 +211,10 @@
             NbdGateway again = start(site, 70);
             NbdClient client = rig.client(again, NbdClient.Style.GO);
             NbdTestFixture.await(rig.cluster.directory().stop());
-            NbdTestFixture.await(rig.cluster.directory().becomes("another", 9, 1, List.of()));
+            NbdTestFixture.await(rig.cluster.directory().replaceWith("another", 9, 1, List.of()));
             NbdTestFixture.await(rig.cluster.directory().restart());
-            long lists = rig.cluster.directory().wholeLists();
-            await().until(() -> rig.cluster.directory().wholeLists() > lists);
+            long lists = rig.cluster.directory().completeLists();
+            await().until(() -> rig.cluster.directory().completeLists() > lists);
             reads(client);
             NbdTestFixture.await(again.kill());
         }
--- a/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -49,7 +49,7 @@
         for (int i = 1; i <= 2; i++) {
             traits.add(NodeProfile.quick(i, MIB).withCost(2, 2));
         }
-        cluster = LocalCluster.start(traits, TrafficRecorder.NOBODY, 2);
+        cluster = LocalCluster.start(traits, TrafficRecorder.NO_OP, 2);
     }
 
     @AfterEach
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -101,9 +101,9 @@
         BlockHistory.Write first = history.begin(1, 0, 4096, 10);
         BlockHistory.Write second = history.begin(1, 0, 4096, 30);
         ByteBuf old = BlockHistory.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
-        first.ends(20, false);
+        first.complete(20, false);
         history.check(1, 0, old, 35, 36); // the second is not acknowledged yet
-        second.ends(40, true);
+        second.complete(40, true);
         history.check(1, 0, old, 38, 45); // asked before it was
         assertEquals(0, history.breaches().size());
         history.check(1, 0, old, 50, 55); // undone by a late attempt
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -107,7 +107,7 @@
                         new StandInNode(
                                         NodeProfile.quick(3, 1 << 20),
                                         loops,
-                                        TrafficRecorder.NOBODY,
+                                        TrafficRecorder.NO_OP,
                                         1)
                                 .start(new InetSocketAddress("127.0.0.1", 0)));
     }
@@ -182,12 +182,12 @@
         Peer old = peer(1, 3);
         old.write(1, 1);
         assertEquals("SATISFIED", old.end(1));
-        node.faults().silent = true;
+        node.faults().unresponsive = true;
         old.write(2, 2);
         Peer fresh = peer(1, 3);
         fresh.write(1, 5);
         assertEquals("RESET", old.end(2));
-        node.faults().silent = false;
+        node.faults().unresponsive = false;
         assertEquals(5, fresh.read(7));
     }
 
