--- a/src/main/java/sagepulley/cli/AccountFormatter.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -6,14 +6,16 @@
 import sagepulley.accounts.LatencyReport;
 import sagepulley.model.ExternalName;
 
-/** Accounts in words: parts of time, causes, and what an operator can do about them. */
+/** Texts for accounts: where time went, what caused it, and what an operator can do about it. */
 final class AccountFormatter {
     private AccountFormatter() {}
 
+    /** An enum constant by its external name, with spaces. */
     static String of(Enum<?> constant) {
         return ExternalName.of(constant).replace('_', ' ');
     }
 
+    /** Where an operation spent time. */
     static String part(LatencyComponent part) {
         return switch (part) {
             case RESERVE_FULL -> "held here: node's bound full, in its reserve";
@@ -35,10 +37,12 @@
         };
     }
 
+    /** A volume by its name, or its number where the name is not known. */
     static String volume(long number, Map<Long, String> names) {
         return number == 0 ? "other volumes" : "volume " + names.getOrDefault(number, "" + number);
     }
 
+    /** What caused a wait. */
     static String cause(Cause.Kind kind, long volume, int node, Map<Long, String> names) {
         String at = node == 0 ? "" : " at node " + node;
         return switch (kind) {
@@ -64,7 +68,7 @@
         return cause(charged.kind(), charged.volume(), charged.node(), names);
     }
 
-    /** What an operator can do. */
+    /** What an operator can do about a cause. */
     static String advice(LatencyReport.Charged charged, Map<Long, String> names) {
         return switch (charged.kind()) {
             case OWN_LOAD ->
--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -7,10 +7,7 @@
 import sagepulley.config.SiteConfigException;
 import sagepulley.scenario.ScenarioException;
 
-/**
- * The command line. Exit codes: 0 all went well, 1 it failed, 2 the words were wrong, 3 a site file
- * or script cannot be used.
- */
+/** The command line. Each sub-command is a class of its own. */
 @Command(
         name = "sagepulley",
         mixinStandardHelpOptions = true,
@@ -41,9 +38,16 @@
             "  simhost      the decisions on the bench's wire, on standard input and output"
         })
 public final class Commands implements Runnable {
+    /** Exit code: all went well. */
     public static final int OK = 0;
+
+    /** Exit code: the command failed. */
     public static final int FAILED = 1;
+
+    /** Exit code: the arguments were wrong. */
     public static final int USAGE_ERROR = 2;
+
+    /** Exit code: a site file or script cannot be used. */
     public static final int UNUSABLE_FILE = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -11,7 +11,7 @@
 import sagepulley.standin.NodeProfile;
 import sagepulley.standin.TrafficRecorder;
 
-/** Runs the whole on loopback, with nothing to set up. */
+/** Runs a gateway with stand-in nodes and a directory on loopback, with nothing to set up. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -14,7 +14,7 @@
 import sagepulley.scenario.ScenarioReader;
 import sagepulley.scenario.ScenarioRunner;
 
-/** Plays a scripted day. */
+/** Plays one scripted scenario and prints how the rules were kept. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -1,19 +1,13 @@
 package sagepulley.cli;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.nio.charset.CodingErrorAction;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Instant;
 import java.time.ZoneId;
 import java.time.format.DateTimeFormatter;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -22,7 +16,7 @@
 import picocli.CommandLine.Parameters;
 import sagepulley.accounts.LatencyComponent;
 
-/** Tells one operation's story from a traces file. */
+/** Prints what happened to one operation, in time order, from a traces file. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
@@ -31,8 +25,6 @@
                 "Tells an operation's story in time order, from the traces that a gateway keeps ([traces] file); "
                         + "without a number, that of the operation that took longest.")
 final class ExplainCommand implements Callable<Integer> {
-    private static final int MAX_ROTATED_FILES = 100;
-    private static final int MAX_LINE_CHARS = 1 << 16;
     private static final DateTimeFormatter CLOCK =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
 
@@ -57,33 +49,19 @@
     @Option(names = "--json", description = "prints the spans as JSON")
     private boolean json;
 
-    private final List<JsonNode> spans = new ArrayList<>();
-    private long unreadable;
-
-    @SuppressWarnings("ReferenceEquality") // the root span itself, not one like it
     @Override
-    public Integer call() throws Exception {
-        read();
-        List<JsonNode> roots =
-                new ArrayList<>(
-                        spans.stream()
-                                .filter(
-                                        span ->
-                                                span.path("parent").asText().isEmpty()
-                                                        && (operation == null
-                                                                || span.path("operation").asLong()
-                                                                        == operation)
-                                                        && (volume == null
-                                                                || span.path("volume")
-                                                                        .asText()
-                                                                        .equals(volume)))
-                                .toList());
-        roots.sort(Comparator.comparingLong((JsonNode span) -> length(span)).reversed());
-        if (unreadable > 0) {
+    public Integer call() throws IOException {
+        TraceFile traces = TraceFile.read(file);
+        if (traces.unreadableLines() > 0) {
             System.err.println(
-                    "sagepulley: " + unreadable + " lines of " + file + " are no spans, left out");
+                    "sagepulley: "
+                            + traces.unreadableLines()
+                            + " lines of "
+                            + file
+                            + " are no spans, left out");
         }
-        if (roots.isEmpty()) {
+        List<Span> operations = traces.operations(operation, volume);
+        if (operations.isEmpty()) {
             throw new IOException(
                     file
                             + ": has no trace of "
@@ -92,153 +70,103 @@
                             + "; only some are kept, see docs/operate/accounts.md");
         }
         if (list > 0) {
-            roots.stream().limit(list).forEach(this::line);
+            operations.stream().limit(list).forEach(ExplainCommand::printLine);
             return Commands.OK;
         }
-        List<JsonNode> children =
-                new ArrayList<>(
-                        spans.stream()
-                                .filter(
-                                        span ->
-                                                span.path("trace")
-                                                                .asText()
-                                                                .equals(
-                                                                        roots.get(0)
-                                                                                .path("trace")
-                                                                                .asText())
-                                                        && span != roots.get(0))
-                                .toList());
-        // Attempts go before the steps that they brought about.
-        children.sort(
-                Comparator.comparingLong((JsonNode span) -> span.path("start").asLong())
-                        .thenComparing(span -> span.path("name").asText()));
+        Span longest = operations.get(0);
+        List<Span> children = traces.children(longest);
         if (json) {
-            children.add(0, roots.get(0));
-            System.out.println(new JsonMapper().writeValueAsString(children));
-            return Commands.OK;
+            printJson(longest, children);
+        } else {
+            printOperation(longest);
+            children.forEach(child -> printChild(longest, child));
         }
-        print(roots.get(0), children);
         return Commands.OK;
     }
 
-    private static long length(JsonNode span) {
-        return span.path("end").asLong() - span.path("start").asLong();
+    private static void printJson(Span root, List<Span> children) throws IOException {
+        List<JsonNode> nodes = new ArrayList<>();
+        nodes.add(root.json());
+        children.forEach(child -> nodes.add(child.json()));
+        System.out.println(new JsonMapper().writeValueAsString(nodes));
     }
 
-    private void read() throws IOException {
-        List<Path> files = new ArrayList<>();
-        for (int age = MAX_ROTATED_FILES; age > 0; age--) {
-            Path older = file.resolveSibling(file.getFileName() + "." + age);
-            if (Files.exists(older)) {
-                files.add(older);
-            }
-        }
-        files.add(file);
-        JsonMapper mapper = new JsonMapper();
-        for (Path one : files) {
-            try (BufferedReader lines =
-                    new BufferedReader(
-                            new java.io.InputStreamReader(
-                                    Files.newInputStream(one),
-                                    StandardCharsets.UTF_8
-                                            .newDecoder()
-                                            .onMalformedInput(CodingErrorAction.REPLACE)))) {
-                for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    try {
-                        JsonNode span =
-                                line.length() > MAX_LINE_CHARS ? null : mapper.readTree(line);
-                        if (span != null && span.has("trace") && span.has("start")) {
-                            spans.add(span);
-                        } else {
-                            unreadable++;
-                        }
-                    } catch (JsonProcessingException e) {
-                        unreadable++;
-                    }
-                }
-            }
-        }
-    }
-
-    private void line(JsonNode root) {
+    private static void printLine(Span root) {
         System.out.printf(
                 Locale.ROOT,
                 "%10d  %9.1f ms  %-9s  %-16s  %s  %s%n",
-                root.path("operation").asLong(),
-                length(root) / 1e6,
-                root.path("result").asText(),
-                root.path("volume").asText(),
+                root.operation(),
+                root.lengthMillis(),
+                root.text("result"),
+                root.volume(),
                 clock(root),
-                root.path("main_cause").asText());
+                root.text("main_cause"));
     }
 
-    private static String clock(JsonNode span) {
+    private static String clock(Span span) {
         return CLOCK.format(
-                Instant.ofEpochMilli(span.path("start").asLong() / 1_000_000)
-                        .atZone(ZoneId.systemDefault()));
+                Instant.ofEpochMilli(span.start() / 1_000_000).atZone(ZoneId.systemDefault()));
     }
 
-    private static void print(JsonNode root, List<JsonNode> children) {
+    private static void printOperation(Span root) {
         System.out.printf(
                 Locale.ROOT,
                 "operation %d at gateway %s, %s%n",
-                root.path("operation").asLong(),
-                root.path("gateway").asText(),
+                root.operation(),
+                root.text("gateway"),
                 clock(root));
         System.out.printf(
                 Locale.ROOT,
                 "  a %s of %.2f units in extent %d of volume %s, band %s, NBD cookie %d%n",
-                root.path("kind").asText(),
-                root.path("units").asDouble(),
-                root.path("extent").asLong(),
-                root.path("volume").asText(),
-                root.path("band").asText(),
-                root.path("cookie").asLong());
+                root.text("kind"),
+                root.json().path("units").asDouble(),
+                root.json().path("extent").asLong(),
+                root.volume(),
+                root.text("band"),
+                root.json().path("cookie").asLong());
+        String reason = root.text("reason");
         System.out.printf(
                 Locale.ROOT,
                 "  %s after %.3f ms%s; most of it by %s%n",
-                root.path("result").asText(),
-                length(root) / 1e6,
-                root.path("reason").asText().equals("none")
-                        ? ""
-                        : " (" + root.path("reason").asText().replace('_', ' ') + ")",
-                root.path("main_cause").asText());
+                root.text("result"),
+                root.lengthMillis(),
+                reason.equals("none") ? "" : " (" + reason.replace('_', ' ') + ")",
+                root.text("main_cause"));
         System.out.printf(
                 Locale.ROOT,
                 "  kept as %s, for %.0f such%n",
-                root.path("kept").asText(),
-                root.path("stands_for").asDouble());
-        for (JsonNode child : children) {
-            double after = (child.path("start").asLong() - root.path("start").asLong()) / 1e6;
-            if (child.path("name").asText().equals("hop")) {
-                System.out.printf(
-                        Locale.ROOT,
-                        "  +%10.3f ms  hop %d goes to node %d, by its %s: %s after %.3f ms%n",
-                        after,
-                        child.path("number").asInt() + 1,
-                        child.path("node").asInt(),
-                        child.path("owed").asText(),
-                        child.path("result").asText().replace('_', ' '),
-                        length(child) / 1e6);
-            } else {
-                int node = child.path("node").asInt();
-                System.out.printf(
-                        Locale.ROOT,
-                        "  +%10.3f ms    %.3f ms %s%s%n",
-                        after,
-                        length(child) / 1e6,
-                        part(child.path("spent").asText()),
-                        node == 0 ? "" : " (node " + node + ")");
-            }
+                root.text("kept"),
+                root.json().path("stands_for").asDouble());
+    }
+
+    private static void printChild(Span root, Span child) {
+        if (child.isAttempt()) {
+            System.out.printf(
+                    Locale.ROOT,
+                    "  +%10.3f ms  hop %d goes to node %d, by its %s: %s after %.3f ms%n",
+                    child.millisAfter(root),
+                    child.json().path("number").asInt() + 1,
+                    child.node(),
+                    child.text("owed"),
+                    child.text("result").replace('_', ' '),
+                    child.lengthMillis());
+        } else {
+            System.out.printf(
+                    Locale.ROOT,
+                    "  +%10.3f ms    %.3f ms %s%s%n",
+                    child.millisAfter(root),
+                    child.lengthMillis(),
+                    component(child.text("spent")),
+                    child.node() == 0 ? "" : " (node " + child.node() + ")");
         }
     }
 
-    private static String part(String word) {
-        for (LatencyComponent part : LatencyComponent.values()) {
-            if (part.name().equalsIgnoreCase(word)) {
-                return AccountFormatter.part(part);
+    private static String component(String name) {
+        for (LatencyComponent component : LatencyComponent.values()) {
+            if (component.name().equalsIgnoreCase(name)) {
+                return AccountFormatter.part(component);
             }
         }
-        return word;
+        return name;
     }
 }
--- a/src/main/java/sagepulley/cli/GatewayCommand.java
+++ b/src/main/java/sagepulley/cli/GatewayCommand.java
@@ -11,7 +11,7 @@
 import sagepulley.frontend.nbd.NbdGateway;
 import sagepulley.monitoring.MonitoringServer;
 
-/** Runs one gateway by its site file. */
+/** Runs one gateway from its site file. */
 @Command(
         name = "gateway",
         mixinStandardHelpOptions = true,
@@ -38,7 +38,7 @@
                                                 + failure.getMessage());
                                 Runtime.getRuntime().halt(Commands.FAILED);
                             }
-                            watch(site, gateway);
+                            startMonitoring(site, gateway);
                             System.out.println(
                                     "ready: "
                                             + site.name()
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Figures over HTTP, where the site asks for them; a gateway that cannot tell them serves all
-     * the same.
+     * Starts the monitoring server where the site has one; a gateway that cannot listen there
+     * serves all the same.
      */
-    private static void watch(SiteConfig site, NbdGateway gateway) {
+    private static void startMonitoring(SiteConfig site, NbdGateway gateway) {
         if (site.watch() != null) {
             try {
                 new MonitoringServer(site, gateway, site.watch().socket());
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -12,6 +12,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -22,7 +23,7 @@
 import sagepulley.persistence.EndpointListFile;
 import sagepulley.persistence.SnapshotFile;
 
-/** Looks after the file in which a gateway keeps its list of nodes. */
+/** Shows, checks, exports and imports a gateway's stored endpoint list. */
 @Command(
         name = "list-file",
         mixinStandardHelpOptions = true,
@@ -36,12 +37,11 @@
             ListFileCommand.Import.class
         })
 final class ListFileCommand implements Runnable {
-    @picocli.CommandLine.Spec private picocli.CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public void run() {
-        throw new picocli.CommandLine.ParameterException(
-                spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
     private static StoredEndpointList newestValid(Path file) throws IOException {
@@ -55,16 +55,16 @@
         return look.list();
     }
 
-    private static String when(long wall) {
-        return wall == 0
+    private static String when(long wallMillis) {
+        return wallMillis == 0
                 ? "never"
-                : Instant.ofEpochMilli(wall)
+                : Instant.ofEpochMilli(wallMillis)
                         .atZone(ZoneId.systemDefault())
                         .toOffsetDateTime()
                         .toString();
     }
 
-    /** Prints the list. */
+    /** Prints the newest list that is valid. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Checks every generation. */
+    /** Checks every generation of the file. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Prints it as CSV. */
+    /** Prints the list as CSV. */
     @Command(
             name = "export",
             mixinStandardHelpOptions = true,
@@ -170,7 +170,7 @@
         }
     }
 
-    /** Writes a list that an operator has by other means. */
+    /** Writes a CSV list as the next generation of the file. */
     @Command(
             name = "import",
             mixinStandardHelpOptions = true,
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -68,9 +68,14 @@
             return Commands.OK;
         }
         if (accounts != null) {
-            print(rows);
+            printAgainstNoRecords(rows);
             return Commands.OK;
         }
+        printAgainstDirect(rows);
+        return Commands.OK;
+    }
+
+    private static void printAgainstDirect(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | direct/s | through/s | ratio | p50 direct | p50 through | ratio "
                         + "| p99 ratio | failed | heap bytes/op | gateway CPU us/op |");
@@ -94,10 +99,9 @@
                     row.heapBytes(),
                     row.loopBusyMicros());
         }
-        return Commands.OK;
     }
 
-    private static void print(List<ThroughputComparison.Row> rows) {
+    private static void printAgainstNoRecords(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | without/s | with/s | ratio | p99 without | p99 with | ratio "
                         + "| heap bytes/op without | with | CPU us/op without | with |");
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -21,6 +21,8 @@
         sortOptions = false,
         description = "Runs a stand-in storage node until a signal.")
 final class NodeCommand implements Callable<Integer> {
+    private static final double SLOW_START_UNITS = 64;
+
     @Option(names = "--id", required = true, description = "its number in the list")
     private int id;
 
@@ -84,44 +86,13 @@
     @Override
     public Integer call() {
         EventLoopGroup loops = EventLoops.group(1, "node-" + id);
-        NodeProfile profile =
-                new NodeProfile(
-                        id,
-                        cell == null ? id : cell,
-                        zone,
-                        0,
-                        slots,
-                        readCost,
-                        writeCost,
-                        queue,
-                        extentBytes,
-                        0.25,
-                        10_000,
-                        2,
-                        2_000,
-                        64,
-                        0,
-                        1_000,
-                        data);
         StandInNode node =
                 LocalCluster.await(
-                        new StandInNode(profile, loops, TrafficRecorder.NO_OP, id)
+                        new StandInNode(profile(), loops, TrafficRecorder.NO_OP, id)
                                 .start(listen.socket()));
         DirectoryRegistration registration =
                 new DirectoryRegistration(
-                        loops.next(),
-                        directory.socket(),
-                        () ->
-                                new DirectoryMessages.EndpointLine(
-                                        id,
-                                        profile.cell(),
-                                        zone,
-                                        0,
-                                        DirectoryMessages.Phase.READY,
-                                        node.startedAt(),
-                                        1,
-                                        listen.host(),
-                                        node.address().getPort()));
+                        loops.next(), directory.socket(), () -> endpointLine(node));
         System.out.println(
                 "ready: node " + id + " on " + listen.host() + ":" + node.address().getPort());
         return SignalWait.untilSignal(
@@ -130,4 +101,39 @@
                     LocalCluster.await(node.stop());
                 });
     }
+
+    private NodeProfile profile() {
+        NodeProfile quick = NodeProfile.quick(id, extentBytes);
+        return new NodeProfile(
+                id,
+                cell == null ? id : cell,
+                zone,
+                0,
+                slots,
+                readCost,
+                writeCost,
+                queue,
+                extentBytes,
+                quick.slowStartShare(),
+                quick.slowStartMillis(),
+                quick.overloadMultiple(),
+                quick.overloadWindowMillis(),
+                SLOW_START_UNITS,
+                0,
+                quick.deferIntervalMillis(),
+                data);
+    }
+
+    private DirectoryMessages.EndpointLine endpointLine(StandInNode node) {
+        return new DirectoryMessages.EndpointLine(
+                id,
+                node.profile().cell(),
+                zone,
+                0,
+                DirectoryMessages.Phase.READY,
+                node.startedAt(),
+                1,
+                listen.host(),
+                node.address().getPort());
+    }
 }
--- a/src/main/java/sagepulley/cli/NodesCommand.java
+++ b/src/main/java/sagepulley/cli/NodesCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import sagepulley.config.HostPort;
 
-/** Shows what a running gateway knows of its nodes. */
+/** Shows a running gateway's view of its endpoints. */
 @Command(
         name = "nodes",
         mixinStandardHelpOptions = true,
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -6,12 +6,9 @@
 import java.nio.file.Path;
 import java.time.DateTimeException;
 import java.time.Duration;
-import java.time.Instant;
 import java.time.LocalDateTime;
 import java.time.ZoneId;
-import java.time.format.DateTimeFormatter;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -21,13 +18,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.Cause;
 import sagepulley.accounts.FleetMerger;
 import sagepulley.accounts.LatencyAccount;
 import sagepulley.accounts.LatencyReport;
 import sagepulley.persistence.AccountFile;
 
-/** Tells from gateways' accounts who waited behind whom. */
+/** Reports from gateways' accounts which volume waited for what, and caused by whom. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
@@ -40,10 +36,6 @@
             "Exit codes: 0 told, 1 a file cannot be believed or has no such volume, 2 wrong words."
         })
 final class ReportCommand implements Callable<Integer> {
-    private static final int MAX_CAUSES = 8;
-    private static final DateTimeFormatter CLOCK =
-            DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss");
-
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Parameters(
@@ -78,29 +70,13 @@
     private final Map<Long, String> names = new LinkedHashMap<>();
 
     @Override
-    public Integer call() throws Exception {
-        List<FleetMerger.Member> members = new ArrayList<>();
-        for (Path file : files) {
-            AccountFile.Read read = AccountFile.report(file);
-            members.add(
-                    new FleetMerger.Member(read.head().gateway(), read.book(), read.head().told()));
-            names.putAll(read.head().names());
-        }
-        FleetMerger.Merged merged = FleetMerger.merge(members);
-        LatencyAccount book = merged.book();
-        double newest = book.newest();
+    public Integer call() throws IOException {
+        FleetMerger.Merged merged = FleetMerger.merge(readMembers());
+        LatencyAccount account = merged.book();
+        double newest = account.newest();
         double to = until == null ? newest : time(until, newest);
         double from = time(since, to);
-        List<LatencyReport> reports = new ArrayList<>();
-        for (long volume : book.volumes()) {
-            if (only == null || only.equals(names.get(volume))) {
-                reports.add(book.report(volume, from, to));
-            }
-        }
-        if (reports.isEmpty()) {
-            throw new IOException(
-                    files.get(0) + ": has no volume" + (only == null ? "" : " called " + only));
-        }
+        List<LatencyReport> reports = reports(account, from, to);
         if (json) {
             System.out.println(
                     new JsonMapper()
@@ -114,7 +90,8 @@
                                             reports)));
             return Commands.OK;
         }
-        Map<String, Object> page = page(merged, reports, from, to);
+        Map<String, Object> page =
+                new ReportPage(merged, names, html != null).values(reports, from, to);
         System.out.print(TemplateRenderer.fill("report.txt.ftl", page));
         if (html != null) {
             Files.writeString(html, TemplateRenderer.fill("report.ftlh", page));
@@ -122,6 +99,32 @@
         return Commands.OK;
     }
 
+    private List<FleetMerger.Member> readMembers() throws IOException {
+        List<FleetMerger.Member> members = new ArrayList<>();
+        for (Path file : files) {
+            AccountFile.Read read = AccountFile.report(file);
+            members.add(
+                    new FleetMerger.Member(read.head().gateway(), read.book(), read.head().told()));
+            names.putAll(read.head().names());
+        }
+        return members;
+    }
+
+    private List<LatencyReport> reports(LatencyAccount account, double from, double to)
+            throws IOException {
+        List<LatencyReport> reports = new ArrayList<>();
+        for (long volume : account.volumes()) {
+            if (only == null || only.equals(names.get(volume))) {
+                reports.add(account.report(volume, from, to));
+            }
+        }
+        if (reports.isEmpty()) {
+            throw new IOException(
+                    files.get(0) + ": has no volume" + (only == null ? "" : " called " + only));
+        }
+        return reports;
+    }
+
     /** A time on the wall's clock in milliseconds, or so long before another. */
     private double time(String text, double before) {
         String length = text.toLowerCase(Locale.ROOT);
@@ -139,118 +142,4 @@
                     "'" + text + "' is no time: allowed are 90s, 10m, 6h or 2026-11-30T18:00");
         }
     }
-
-    private static String clock(double wall) {
-        return CLOCK.format(Instant.ofEpochMilli((long) wall).atZone(ZoneId.systemDefault()));
-    }
-
-    private Map<String, Object> page(
-            FleetMerger.Merged merged, List<LatencyReport> reports, double from, double to)
-            throws IOException {
-        Map<String, Object> page = new HashMap<>();
-        page.put("from", clock(from));
-        page.put("to", clock(to));
-        List<Map<String, Object>> clocks = new ArrayList<>();
-        for (FleetMerger.Clock clock : merged.clocks()) {
-            clocks.add(
-                    Map.of(
-                            "gateway",
-                            clock.gateway(),
-                            "known",
-                            !Double.isNaN(clock.ahead()),
-                            "ahead",
-                            Double.isNaN(clock.ahead()) ? 0 : clock.ahead() / 1000));
-        }
-        page.put("clocks", clocks);
-        List<Map<String, Object>> volumes = new ArrayList<>();
-        for (LatencyReport report : reports) {
-            volumes.add(volume(merged.book(), report, from, to));
-        }
-        page.put("volumes", volumes);
-        return page;
-    }
-
-    private Map<String, Object> volume(
-            LatencyAccount book, LatencyReport report, double from, double to) throws IOException {
-        Map<String, Object> volume = new HashMap<>();
-        volume.put(
-                "name",
-                names.getOrDefault(
-                        report.volume(),
-                        report.volume() == 0 ? "(all others)" : "" + report.volume()));
-        volume.put("report", report);
-        List<Map<String, Object>> parts = new ArrayList<>();
-        double totalMillis =
-                Math.max(
-                        1e-9,
-                        report.parts().values().stream().mapToDouble(Double::doubleValue).sum());
-        report.parts()
-                .forEach(
-                        (part, time) ->
-                                parts.add(
-                                        Map.of(
-                                                "text",
-                                                AccountFormatter.part(part),
-                                                "seconds",
-                                                time / 1000,
-                                                "share",
-                                                time / totalMillis)));
-        parts.sort(
-                (one, other) ->
-                        Double.compare((Double) other.get("seconds"), (Double) one.get("seconds")));
-        volume.put("parts", parts);
-        List<Map<String, Object>> plan = new ArrayList<>();
-        for (LatencyReport.PlanLine line : report.plan()) {
-            plan.add(Map.of("name", AccountFormatter.of(line.part()), "line", line));
-        }
-        volume.put("plan", plan);
-        List<Map<String, Object>> causes = new ArrayList<>();
-        for (LatencyReport.Charged charged : report.causes().stream().limit(MAX_CAUSES).toList()) {
-            causes.add(
-                    Map.of(
-                            "text",
-                            AccountFormatter.cause(charged, names),
-                            "charged",
-                            charged,
-                            "seconds",
-                            charged.waited() / 1000,
-                            "share",
-                            charged.kind() == Cause.Kind.OWN_WORK ? 0 : charged.share(),
-                            "work",
-                            charged.kind() == Cause.Kind.OWN_WORK));
-        }
-        volume.put("causes", causes);
-        LatencyReport.Charged main = report.main();
-        if (main != null) {
-            volume.put("main", AccountFormatter.cause(main, names));
-            volume.put("confidence", AccountFormatter.of(main.confidence()));
-            volume.put("share", main.share());
-            volume.put("least", main.least() / 1000);
-            volume.put("most", main.most() / 1000);
-            volume.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
-            volume.put("advice", AccountFormatter.advice(main, names));
-            List<Integer> zone = zone(book, report, main);
-            if (!zone.isEmpty()) {
-                volume.put("zone", zone);
-            }
-        }
-        if (html != null) {
-            volume.put("plot", Plots.course(book.course(report.volume(), from, to)));
-        }
-        return volume;
-    }
-
-    /** The nodes of the main fault's zone, where most of them share the fault. */
-    private static List<Integer> zone(
-            LatencyAccount book, LatencyReport report, LatencyReport.Charged main) {
-        if (main.kind() != Cause.Kind.FAULT) {
-            return List.of();
-        }
-        List<Integer> faulty =
-                report.causes().stream()
-                        .filter(charged -> charged.kind() == Cause.Kind.FAULT)
-                        .map(LatencyReport.Charged::node)
-                        .toList();
-        return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
-    }
 }
--- /dev/null
+++ b/src/main/java/sagepulley/cli/ReportPage.java
@@ -0,0 +1,164 @@
+package sagepulley.cli;
+
+import java.io.IOException;
+import java.time.Instant;
+import java.time.ZoneId;
+import java.time.format.DateTimeFormatter;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import sagepulley.accounts.Cause;
+import sagepulley.accounts.FleetMerger;
+import sagepulley.accounts.LatencyAccount;
+import sagepulley.accounts.LatencyReport;
+
+/** The values that the templates of the latency report fill in, by the names they have there. */
+final class ReportPage {
+    private static final int MAX_CAUSES = 8;
+    private static final double MILLIS_PER_SECOND = 1000;
+    private static final DateTimeFormatter CLOCK =
+            DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss");
+
+    private final FleetMerger.Merged merged;
+    private final Map<Long, String> names;
+    private final boolean plots;
+
+    /**
+     * A report of merged accounts.
+     *
+     * @param names the volumes' names by number
+     * @param plots whether each volume gets a plot over time
+     */
+    ReportPage(FleetMerger.Merged merged, Map<Long, String> names, boolean plots) {
+        this.merged = merged;
+        this.names = names;
+        this.plots = plots;
+    }
+
+    /** The values for reports of a span of time, wall-clock milliseconds. */
+    Map<String, Object> values(List<LatencyReport> reports, double from, double to)
+            throws IOException {
+        Map<String, Object> page = new HashMap<>();
+        page.put("from", clock(from));
+        page.put("to", clock(to));
+        page.put("clocks", merged.clocks().stream().map(ReportPage::clockValues).toList());
+        List<Map<String, Object>> volumes = new ArrayList<>();
+        for (LatencyReport report : reports) {
+            volumes.add(volume(report, from, to));
+        }
+        page.put("volumes", volumes);
+        return page;
+    }
+
+    private static String clock(double wallMillis) {
+        return CLOCK.format(Instant.ofEpochMilli((long) wallMillis).atZone(ZoneId.systemDefault()));
+    }
+
+    private static Map<String, Object> clockValues(FleetMerger.Clock clock) {
+        boolean known = !Double.isNaN(clock.ahead());
+        return Map.of(
+                "gateway",
+                clock.gateway(),
+                "known",
+                known,
+                "ahead",
+                known ? clock.ahead() / MILLIS_PER_SECOND : 0);
+    }
+
+    private Map<String, Object> volume(LatencyReport report, double from, double to)
+            throws IOException {
+        Map<String, Object> volume = new HashMap<>();
+        volume.put("name", volumeName(report.volume()));
+        volume.put("report", report);
+        volume.put("parts", parts(report));
+        volume.put(
+                "plan",
+                report.plan().stream()
+                        .map(line -> Map.of("name", AccountFormatter.of(line.part()), "line", line))
+                        .toList());
+        volume.put("causes", report.causes().stream().limit(MAX_CAUSES).map(this::cause).toList());
+        if (report.main() != null) {
+            volume.putAll(mainCause(report));
+        }
+        if (plots) {
+            volume.put("plot", Plots.course(merged.book().course(report.volume(), from, to)));
+        }
+        return volume;
+    }
+
+    private String volumeName(long volume) {
+        return names.getOrDefault(volume, volume == 0 ? "(all others)" : "" + volume);
+    }
+
+    private static List<Map<String, Object>> parts(LatencyReport report) {
+        double totalMillis =
+                Math.max(
+                        1e-9,
+                        report.parts().values().stream().mapToDouble(Double::doubleValue).sum());
+        List<Map<String, Object>> parts = new ArrayList<>();
+        report.parts()
+                .forEach(
+                        (part, millis) ->
+                                parts.add(
+                                        Map.of(
+                                                "text",
+                                                AccountFormatter.part(part),
+                                                "seconds",
+                                                millis / MILLIS_PER_SECOND,
+                                                "share",
+                                                millis / totalMillis)));
+        parts.sort(
+                Comparator.comparing(
+                        (Map<String, Object> part) -> (Double) part.get("seconds"),
+                        Comparator.reverseOrder()));
+        return parts;
+    }
+
+    private Map<String, Object> cause(LatencyReport.Charged charged) {
+        boolean ownWork = charged.kind() == Cause.Kind.OWN_WORK;
+        return Map.of(
+                "text",
+                AccountFormatter.cause(charged, names),
+                "charged",
+                charged,
+                "seconds",
+                charged.waited() / MILLIS_PER_SECOND,
+                "share",
+                ownWork ? 0 : charged.share(),
+                "work",
+                ownWork);
+    }
+
+    private Map<String, Object> mainCause(LatencyReport report) {
+        LatencyReport.Charged main = report.main();
+        Map<String, Object> values = new HashMap<>();
+        values.put("main", AccountFormatter.cause(main, names));
+        values.put("confidence", AccountFormatter.of(main.confidence()));
+        values.put("share", main.share());
+        values.put("least", main.least() / MILLIS_PER_SECOND);
+        values.put("most", main.most() / MILLIS_PER_SECOND);
+        values.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
+        values.put("advice", AccountFormatter.advice(main, names));
+        List<Integer> zone = zone(merged.book(), report, main);
+        if (!zone.isEmpty()) {
+            values.put("zone", zone);
+        }
+        return values;
+    }
+
+    /** The nodes of the main fault's zone, where most of them share the fault. */
+    private static List<Integer> zone(
+            LatencyAccount book, LatencyReport report, LatencyReport.Charged main) {
+        if (main.kind() != Cause.Kind.FAULT) {
+            return List.of();
+        }
+        List<Integer> faulty =
+                report.causes().stream()
+                        .filter(charged -> charged.kind() == Cause.Kind.FAULT)
+                        .map(LatencyReport.Charged::node)
+                        .toList();
+        return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
+    }
+}
--- a/src/main/java/sagepulley/cli/SignalWait.java
+++ b/src/main/java/sagepulley/cli/SignalWait.java
@@ -2,31 +2,32 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Keeps a command running until a signal, then ends it well. */
+/** Keeps a command running until a signal, then shuts it down. */
 final class SignalWait {
     private SignalWait() {}
 
     /**
-     * Blocks for good; at SIGTERM or SIGINT runs the end and exits with 0, or with 1 if it fails.
+     * Blocks for good; at SIGTERM or SIGINT runs the shutdown and exits with 0, or with 1 if that
+     * fails.
      */
-    static int untilSignal(Runnable end) {
+    static int untilSignal(Runnable shutdown) {
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
                                 () -> {
                                     int code = Commands.OK;
                                     try {
-                                        end.run();
+                                        shutdown.run();
                                     } catch (RuntimeException e) {
                                         System.err.println("sagepulley: " + e.getMessage());
                                         code = Commands.FAILED;
                                     }
                                     System.out.flush();
-                                    // Left alone, the exit code would be the signal's, though the
-                                    // end was a good one.
+                                    // Without halt the exit code would be the signal's even after a
+                                    // clean shutdown.
                                     Runtime.getRuntime().halt(code);
                                 },
-                                "end"));
+                                "shutdown"));
         try {
             new CountDownLatch(1).await();
         } catch (InterruptedException e) {
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import sagepulley.faultinjection.SoakRun;
 
-/** Runs the seeded soak by hand. */
+/** Runs the seeded soak. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
                 "Runs small fleets of 'serve' processes on loopback under overlapping faults that follow from a "
                         + "seed, and judges the rules by what passed on the sockets; exits with 1 if one was broken.")
 final class SoakCommand implements Callable<Integer> {
-    private static final int SHOWN = 5;
+    private static final int MAX_PRINTED_VIOLATIONS = 5;
 
     @Option(
             names = "--first",
@@ -63,7 +63,7 @@
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** What came of one seed. */
+    /** The result of one seed. */
     private record Outcome(long seed, List<String> violations, long served, String journal) {}
 
     @Override
@@ -110,7 +110,9 @@
                         + ": FAILED, "
                         + outcome.violations().size()
                         + " violations");
-        outcome.violations().stream().limit(SHOWN).forEach(each -> out.println("  " + each));
+        outcome.violations().stream()
+                .limit(MAX_PRINTED_VIOLATIONS)
+                .forEach(each -> out.println("  " + each));
         out.println(outcome.journal());
         return 1;
     }
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -1,12 +1,15 @@
 package sagepulley.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
+import java.util.Locale;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import sagepulley.config.SiteConfigException;
 import sagepulley.scenario.ColdStartExperiment;
 
-/** Measures starts without discovery. */
+/** Measures how gateways start from a stored endpoint list while discovery is down. */
 @Command(
         name = "starts",
         mixinStandardHelpOptions = true,
@@ -16,8 +19,13 @@
                         + "changed since, against believing the list blindly and waiting for discovery; and plays the return of "
                         + "many gateways to one directory.")
 final class StartsCommand implements Callable<Integer> {
-    private static final double[] AGES = {1.0 / 60, 1, 23, 7 * 24, 30 * 24};
-    private static final int HALF = 4;
+    private static final double WEEK_HOURS = 7 * 24;
+    private static final double[] AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
+    private static final int HALF_OF_THE_NODES = 4;
+    private static final int[] STORM_GATEWAYS = {16, 64, 1000};
+    private static final double STORM_OUTAGE_MILLIS = 20_000;
+    private static final double STORM_CALLS_PER_SECOND = 50;
+    private static final int STORM_QUEUE = 20;
 
     @Option(
             names = "--folder",
@@ -30,37 +38,54 @@
     private long seed;
 
     @Override
-    public Integer call() throws Exception {
-        ColdStartExperiment starts = new ColdStartExperiment(folder);
+    public Integer call() throws SiteConfigException, IOException {
+        measureStarts();
+        System.out.println();
+        simulateStorms();
+        return Commands.OK;
+    }
+
+    private void measureStarts() throws SiteConfigException, IOException {
+        ColdStartExperiment experiment = new ColdStartExperiment(folder);
         System.out.println(
                 "| way | age | changed since | hops to drained or replaced | pushed over | first satisfied "
                         + "| service of what is left | of all |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (ColdStartExperiment.Since since : ColdStartExperiment.Since.values()) {
-            int changed = since == ColdStartExperiment.Since.NOTHING ? 0 : HALF;
-            for (double age : AGES) {
-                row(starts.run(ColdStartExperiment.Way.BY_AGE, age, since, changed, seed));
+            int changed = since == ColdStartExperiment.Since.NOTHING ? 0 : HALF_OF_THE_NODES;
+            for (double age : AGES_HOURS) {
+                print(experiment.run(ColdStartExperiment.Way.BY_AGE, age, since, changed, seed));
             }
             if (since != ColdStartExperiment.Since.NOTHING) {
-                row(starts.run(ColdStartExperiment.Way.BY_AGE, AGES[3], since, 2, seed));
+                print(experiment.run(ColdStartExperiment.Way.BY_AGE, WEEK_HOURS, since, 2, seed));
             }
-            row(starts.run(ColdStartExperiment.Way.BLINDLY, AGES[3], since, changed, seed));
+            print(
+                    experiment.run(
+                            ColdStartExperiment.Way.BLINDLY, WEEK_HOURS, since, changed, seed));
         }
-        row(
-                starts.run(
+        print(
+                experiment.run(
                         ColdStartExperiment.Way.WAITING,
-                        AGES[3],
+                        WEEK_HOURS,
                         ColdStartExperiment.Since.NOTHING,
                         0,
                         seed));
-        System.out.println();
+    }
+
+    private void simulateStorms() {
         System.out.println(
                 "| gateways | pauses | most calls in 100 ms | calls | all hold a list after |");
         System.out.println("| --- | --- | --- | --- | --- |");
-        for (int gateways : new int[] {16, 64, 1000}) {
+        for (int gateways : STORM_GATEWAYS) {
             for (boolean spread : new boolean[] {false, true}) {
                 ColdStartExperiment.ReconnectStorm storm =
-                        ColdStartExperiment.simulateStorm(gateways, spread, 20_000, 50, 20, seed);
+                        ColdStartExperiment.simulateStorm(
+                                gateways,
+                                spread,
+                                STORM_OUTAGE_MILLIS,
+                                STORM_CALLS_PER_SECOND,
+                                STORM_QUEUE,
+                                seed);
                 System.out.printf(
                         "| %d | %s | %d | %d | %.0f ms |%n",
                         gateways,
@@ -70,20 +95,13 @@
                         storm.allListedMillis());
             }
         }
-        return Commands.OK;
     }
 
-    private static void row(ColdStartExperiment.Row row) {
-        String age =
-                row.ageHours() < 1
-                        ? Math.round(row.ageHours() * 60) + " min"
-                        : row.ageHours() < 24
-                                ? Math.round(row.ageHours()) + " h"
-                                : Math.round(row.ageHours() / 24) + " d";
+    private static void print(ColdStartExperiment.Row row) {
         System.out.printf(
                 "| %s | %s | %s | %d | %d | %s | %.0f %% | %.0f %% |%n",
                 AccountFormatter.of(row.way()),
-                age,
+                ageText(row.ageHours()),
                 row.since() == ColdStartExperiment.Since.NOTHING
                         ? "nothing"
                         : row.changed() + " of 8 " + AccountFormatter.of(row.since()),
@@ -91,8 +109,15 @@
                 row.collapsedNodes(),
                 Double.isNaN(row.firstServedMillis())
                         ? "never"
-                        : String.format(java.util.Locale.ROOT, "%.0f ms", row.firstServedMillis()),
+                        : String.format(Locale.ROOT, "%.0f ms", row.firstServedMillis()),
                 100 * row.service(),
                 100 * row.serviceOfAll());
     }
+
+    private static String ageText(double hours) {
+        if (hours < 1) {
+            return Math.round(hours * 60) + " min";
+        }
+        return hours < 24 ? Math.round(hours) + " h" : Math.round(hours / 24) + " d";
+    }
 }
--- a/src/main/java/sagepulley/cli/TemplateRenderer.java
+++ b/src/main/java/sagepulley/cli/TemplateRenderer.java
@@ -7,10 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Pages and texts by the templates in the program. */
+/** Renders the FreeMarker templates that the program contains. */
 final class TemplateRenderer {
     private TemplateRenderer() {}
 
+    /** The template of a name with its values filled in. */
     static String fill(String template, Map<String, Object> values) throws IOException {
         Configuration templates = new Configuration(Configuration.VERSION_2_3_34);
         templates.setClassLoaderForTemplateLoading(
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -2,16 +2,10 @@
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.LatencyReport;
 import sagepulley.config.HostPort;
 import sagepulley.monitoring.MonitoringServer;
 
@@ -24,7 +18,8 @@
                 "Shows a running gateway's volumes (those that lost most utility first) and nodes in the terminal, "
                         + "by its accounts of the last ten minutes ([watch] listen).")
 final class TopCommand implements Callable<Integer> {
-    private static final String CLEAR = "\u001b[H\u001b[2J";
+    private static final String CLEAR_SCREEN = "\u001b[H\u001b[2J";
+    private static final double MILLIS_PER_SECOND = 1000;
 
     @Parameters(
             paramLabel = "HOST:PORT",
@@ -65,94 +60,11 @@
                             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                             .build()
                             .readValue(answer, MonitoringServer.View.class);
-            System.out.print((once ? "" : CLEAR) + text(view));
+            System.out.print((once ? "" : CLEAR_SCREEN) + new TopText(view, rows).text());
             if (once) {
                 return Commands.OK;
             }
-            Thread.sleep((long) (every * 1000));
+            Thread.sleep((long) (every * MILLIS_PER_SECOND));
         }
     }
-
-    private String text(MonitoringServer.View view) {
-        StringBuilder text = new StringBuilder();
-        text.append(
-                String.format(
-                        Locale.ROOT,
-                        "gateway %s, the last ten minutes%n%n%-20s %9s %9s %9s %9s %9s %9s  %s%n",
-                        view.gateway(),
-                        "volume",
-                        "units",
-                        "in time",
-                        "not",
-                        "declined",
-                        "p99 ms",
-                        "lost",
-                        "waits mainly for"));
-        List<LatencyReport> volumes = new ArrayList<>(view.volumes());
-        volumes.sort(
-                Comparator.comparingDouble(LatencyReport::utilityLost)
-                        .thenComparingDouble(LatencyReport::units)
-                        .reversed());
-        for (LatencyReport report : volumes.stream().limit(rows).toList()) {
-            double p99 =
-                    report.plan().stream().mapToDouble(LatencyReport.PlanLine::p99).max().orElse(0);
-            LatencyReport.Charged main = report.main();
-            text.append(
-                    String.format(
-                            Locale.ROOT,
-                            "%-20s %9.0f %9d %9d %9d %9.1f %9.1f  %s%n",
-                            AccountFormatter.volume(report.volume(), view.names())
-                                    .replaceFirst("^volume ", ""),
-                            report.units(),
-                            report.met(),
-                            report.missed(),
-                            report.declined(),
-                            p99,
-                            report.utilityLost(),
-                            main == null
-                                    ? "-"
-                                    : AccountFormatter.cause(main, view.names())
-                                            + ", "
-                                            + Math.round(100 * main.share())
-                                            + " %, confidence "
-                                            + AccountFormatter.of(main.confidence())));
-        }
-        text.append(
-                String.format(
-                        Locale.ROOT,
-                        "%n%-20s %9s %9s  %s%n",
-                        "node",
-                        "units",
-                        "writes",
-                        "most of it from"));
-        view.nodes().entrySet().stream()
-                .limit(rows)
-                .forEach(
-                        entry -> {
-                            double sum =
-                                    entry.getValue().values().stream()
-                                            .mapToDouble(both -> both[0])
-                                            .sum();
-                            double writes =
-                                    entry.getValue().values().stream()
-                                            .mapToDouble(both -> both[1])
-                                            .sum();
-                            Map.Entry<Long, double[]> largest =
-                                    entry.getValue().entrySet().stream()
-                                            .max(
-                                                    Comparator.comparingDouble(
-                                                            one -> one.getValue()[0]))
-                                            .orElseThrow();
-                            text.append(
-                                    String.format(
-                                            Locale.ROOT,
-                                            "%-20d %9.0f %8.0f%%  %s, %.0f %%%n",
-                                            entry.getKey(),
-                                            sum,
-                                            100 * writes / Math.max(1e-9, sum),
-                                            AccountFormatter.volume(largest.getKey(), view.names()),
-                                            100 * largest.getValue()[0] / Math.max(1e-9, sum)));
-                        });
-        return text.toString();
-    }
 }
--- /dev/null
+++ b/src/main/java/sagepulley/cli/TraceFile.java
@@ -0,0 +1,97 @@
+package sagepulley.cli;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.json.JsonMapper;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.InputStreamReader;
+import java.nio.charset.CodingErrorAction;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/** The spans of a traces file and of the rotated files beside it, oldest file first. */
+final class TraceFile {
+    private static final int MAX_ROTATED_FILES = 100;
+    private static final int MAX_LINE_CHARS = 1 << 16;
+
+    private final JsonMapper mapper = new JsonMapper();
+    private final List<Span> spans = new ArrayList<>();
+    private long unreadableLines;
+
+    private TraceFile() {}
+
+    /** Reads all of it; lines that are no spans are counted and left out. */
+    static TraceFile read(Path file) throws IOException {
+        TraceFile traces = new TraceFile();
+        for (int age = MAX_ROTATED_FILES; age > 0; age--) {
+            Path rotated = file.resolveSibling(file.getFileName() + "." + age);
+            if (Files.exists(rotated)) {
+                traces.readOne(rotated);
+            }
+        }
+        traces.readOne(file);
+        return traces;
+    }
+
+    long unreadableLines() {
+        return unreadableLines;
+    }
+
+    /**
+     * The operations, longest first.
+     *
+     * @param operation only the one of this number; null for any
+     * @param volume only those of this volume; null for any
+     */
+    List<Span> operations(Long operation, String volume) {
+        return spans.stream()
+                .filter(Span::isRoot)
+                .filter(span -> operation == null || span.operation() == operation)
+                .filter(span -> volume == null || span.volume().equals(volume))
+                .sorted(Comparator.comparingLong(Span::lengthNanos).reversed())
+                .toList();
+    }
+
+    /** The attempts and waits of an operation in time order, attempts before what they caused. */
+    @SuppressWarnings("ReferenceEquality") // the root span itself, not one like it
+    List<Span> children(Span root) {
+        return spans.stream()
+                .filter(span -> span.trace().equals(root.trace()) && span != root)
+                .sorted(
+                        Comparator.comparingLong(Span::start)
+                                .thenComparing(span -> span.text("name")))
+                .toList();
+    }
+
+    private void readOne(Path file) throws IOException {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(
+                                Files.newInputStream(file),
+                                StandardCharsets.UTF_8
+                                        .newDecoder()
+                                        .onMalformedInput(CodingErrorAction.REPLACE)))) {
+            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
+                add(line);
+            }
+        }
+    }
+
+    private void add(String line) {
+        try {
+            JsonNode span = line.length() > MAX_LINE_CHARS ? null : mapper.readTree(line);
+            if (span != null && span.has("trace") && span.has("start")) {
+                spans.add(new Span(span));
+            } else {
+                unreadableLines++;
+            }
+        } catch (JsonProcessingException e) {
+            unreadableLines++;
+        }
+    }
+}
--- a/src/main/java/sagepulley/cli/TruthCommand.java
+++ b/src/main/java/sagepulley/cli/TruthCommand.java
@@ -1,14 +1,18 @@
 package sagepulley.cli;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.config.SiteConfigException;
 import sagepulley.scenario.AttributionExperiment;
+import sagepulley.scenario.ScenarioException;
 
-/** Holds the accounts against days whose causes are known. */
+/** Compares what the accounts name as causes with scenarios whose causes are known. */
 @Command(
         name = "truth",
         mixinStandardHelpOptions = true,
@@ -35,34 +39,17 @@
     private boolean json;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws ScenarioException, SiteConfigException, JsonProcessingException {
         List<AttributionExperiment.Row> rows = new ArrayList<>();
         if (!json) {
-            System.out.println(
-                    "| day | seed | volume | right | named first | share | confidence | second | hit | false blame | rules |");
-            System.out.println(
-                    "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+            printHeader();
         }
         for (String kind : kinds) {
             for (int seed = 1; seed <= seeds; seed++) {
                 for (AttributionExperiment.Row row : AttributionExperiment.play(kind, seed)) {
                     rows.add(row);
                     if (!json) {
-                        System.out.printf(
-                                "| %s | %d | %s | %s | %s | %.0f %% | %s | %s | %s | %s | %s |%n",
-                                row.day(),
-                                row.seed(),
-                                row.volume(),
-                                String.join(" or ", row.right()),
-                                row.named(),
-                                100 * row.share(),
-                                row.confidence() == null
-                                        ? "-"
-                                        : AccountFormatter.of(row.confidence()),
-                                row.second(),
-                                row.hit() ? "yes" : "NO",
-                                row.falseBlame() ? "YES" : "no",
-                                row.rulesKept() ? "kept" : "BROKEN");
+                        print(row);
                     }
                 }
             }
@@ -70,22 +57,44 @@
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(rows));
         } else {
-            System.out.printf(
-                    "%d of %d hit, %d of them with high confidence, false blame %d%n",
-                    rows.stream().filter(AttributionExperiment.Row::hit).count(),
-                    rows.size(),
-                    rows.stream()
-                            .filter(
-                                    row ->
-                                            row.hit()
-                                                    && row.confidence()
-                                                            == sagepulley.accounts.LatencyReport
-                                                                    .Confidence.HIGH)
-                            .count(),
-                    rows.stream().filter(AttributionExperiment.Row::falseBlame).count());
+            printSummary(rows);
         }
         return rows.stream().anyMatch(AttributionExperiment.Row::falseBlame)
                 ? Commands.FAILED
                 : Commands.OK;
     }
+
+    private static void printHeader() {
+        System.out.println(
+                "| day | seed | volume | right | named first | share | confidence | second | hit | false blame | rules |");
+        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    }
+
+    private static void print(AttributionExperiment.Row row) {
+        System.out.printf(
+                "| %s | %d | %s | %s | %s | %.0f %% | %s | %s | %s | %s | %s |%n",
+                row.day(),
+                row.seed(),
+                row.volume(),
+                String.join(" or ", row.right()),
+                row.named(),
+                100 * row.share(),
+                row.confidence() == null ? "-" : AccountFormatter.of(row.confidence()),
+                row.second(),
+                row.hit() ? "yes" : "NO",
+                row.falseBlame() ? "YES" : "no",
+                row.rulesKept() ? "kept" : "BROKEN");
+    }
+
+    private static void printSummary(List<AttributionExperiment.Row> rows) {
+        System.out.printf(
+                "%d of %d hit, %d of them with high confidence, false blame %d%n",
+                rows.stream().filter(AttributionExperiment.Row::hit).count(),
+                rows.size(),
+                rows.stream()
+                        .filter(AttributionExperiment.Row::hit)
+                        .filter(row -> row.confidence() == LatencyReport.Confidence.HIGH)
+                        .count(),
+                rows.stream().filter(AttributionExperiment.Row::falseBlame).count());
+    }
 }
--- a/src/main/java/sagepulley/cli/WatchClient.java
+++ b/src/main/java/sagepulley/cli/WatchClient.java
@@ -8,22 +8,26 @@
 import java.time.Duration;
 import sagepulley.config.HostPort;
 
-/** Asks a running gateway for its figures ([watch] listen). */
+/** HTTP client of a running gateway's monitoring server ([watch] listen). */
 final class WatchClient {
     private static final int MAX_ANSWER_CHARS = 64 << 20;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
+
     private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(3)).build();
+            HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
     private final HostPort address;
 
     WatchClient(HostPort address) {
         this.address = address;
     }
 
+    /** The body of the answer for a path; any status but 200 is an error. */
     String get(String path) throws IOException, InterruptedException {
         HttpResponse<String> answer =
                 client.send(
                         HttpRequest.newBuilder(URI.create("http://" + address + path))
-                                .timeout(Duration.ofSeconds(10))
+                                .timeout(REQUEST_TIMEOUT)
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
         if (answer.statusCode() != 200 || answer.body().length() > MAX_ANSWER_CHARS) {
