--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -7,10 +7,7 @@
 import sagepulley.config.SiteConfigException;
 import sagepulley.scenario.ScenarioException;
 
-/**
- * The command line. Exit codes: 0 all went well, 1 it failed, 2 the words were wrong, 3 a site file
- * or script cannot be used.
- */
+/** The command line. Each sub-command is a class of its own. */
 @Command(
         name = "sagepulley",
         mixinStandardHelpOptions = true,
@@ -41,9 +38,16 @@
             "  simhost      the decisions on the bench's wire, on standard input and output"
         })
 public final class Commands implements Runnable {
+    /** Exit code: all went well. */
     public static final int OK = 0;
+
+    /** Exit code: the command failed. */
     public static final int FAILED = 1;
-    public static final int WRONG_WORDS = 2;
+
+    /** Exit code: the arguments were wrong. */
+    public static final int USAGE_ERROR = 2;
+
+    /** Exit code: a site file or script cannot be used. */
     public static final int UNUSABLE_FILE = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -82,7 +86,7 @@
     }
 
     /** Runs a command; gives its exit code. */
-    public static int run(String... words) {
+    public static int run(String... arguments) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler(
                         (failure, line, parsed) -> {
@@ -92,6 +96,6 @@
                                     ? UNUSABLE_FILE
                                     : FAILED;
                         })
-                .execute(words);
+                .execute(arguments);
     }
 }
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -14,7 +14,7 @@
 import sagepulley.scenario.ScenarioReader;
 import sagepulley.scenario.ScenarioRunner;
 
-/** Plays a scripted day. */
+/** Plays one scripted scenario and prints how the rules were kept. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
@@ -48,7 +48,7 @@
         ScenarioRunner drill = new ScenarioRunner(day);
         ScenarioRunner.Result result = drill.run();
         if (accounts != null) {
-            for (GatewayAccounts book : drill.books()) {
+            for (GatewayAccounts book : drill.accounts()) {
                 new AccountFile(accounts.resolve(book.gateway()), book.gateway()).write(book);
             }
         }
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -54,7 +54,7 @@
             defaultValue = "BOTH",
             paramLabel = "NEITHER|ACCOUNTS|BOTH",
             description = "with --accounts: what is kept (default: ${DEFAULT-VALUE})")
-    private ThroughputComparison.Kept kept;
+    private ThroughputComparison.RecordKeeping records;
 
     @Override
     public Integer call() throws Exception {
@@ -62,15 +62,20 @@
                 accounts == null
                         ? new ThroughputComparison(seconds, 4).run(6, sizes, depths)
                         : new ThroughputComparison(seconds, 8)
-                                .accounts(6, sizes, depths, kept, accounts);
+                                .accounts(6, sizes, depths, records, accounts);
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(rows));
             return Commands.OK;
         }
         if (accounts != null) {
-            print(rows);
+            printAgainstNoRecords(rows);
             return Commands.OK;
         }
+        printAgainstDirect(rows);
+        return Commands.OK;
+    }
+
+    private static void printAgainstDirect(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | direct/s | through/s | ratio | p50 direct | p50 through | ratio "
                         + "| p99 ratio | failed | heap bytes/op | gateway CPU us/op |");
@@ -94,10 +99,9 @@
                     row.heapBytes(),
                     row.loopBusyMicros());
         }
-        return Commands.OK;
     }
 
-    private static void print(List<ThroughputComparison.Row> rows) {
+    private static void printAgainstNoRecords(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | without/s | with/s | ratio | p99 without | p99 with | ratio "
                         + "| heap bytes/op without | with | CPU us/op without | with |");
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -6,12 +6,9 @@
 import java.nio.file.Path;
 import java.time.DateTimeException;
 import java.time.Duration;
-import java.time.Instant;
 import java.time.LocalDateTime;
 import java.time.ZoneId;
-import java.time.format.DateTimeFormatter;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -21,13 +18,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.Cause;
 import sagepulley.accounts.FleetMerger;
 import sagepulley.accounts.LatencyAccount;
 import sagepulley.accounts.LatencyReport;
 import sagepulley.persistence.AccountFile;
 
-/** Tells from gateways' accounts who waited behind whom. */
+/** Reports from gateways' accounts which volume waited for what, and caused by whom. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
@@ -40,10 +36,6 @@
             "Exit codes: 0 told, 1 a file cannot be believed or has no such volume, 2 wrong words."
         })
 final class ReportCommand implements Callable<Integer> {
-    private static final int MOST_CAUSES = 8;
-    private static final DateTimeFormatter CLOCK =
-            DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss");
-
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Parameters(
@@ -78,6 +70,7 @@
     private final Map<Long, String> names = new LinkedHashMap<>();
 
     @Override
+<<<<<<< .merge_file_lbP18m
     public Integer call() throws Exception {
         List<FleetMerger.GatewayAccount> members = new ArrayList<>();
         for (Path file : files) {
@@ -92,18 +85,15 @@
         FleetMerger.Merged merged = FleetMerger.merge(members);
         LatencyAccount book = merged.account();
         double newest = book.lastBookedAt();
+=======
+    public Integer call() throws IOException {
+        FleetMerger.Merged merged = FleetMerger.merge(readMembers());
+        LatencyAccount account = merged.book();
+        double newest = account.newest();
+>>>>>>> .merge_file_biasLO
         double to = until == null ? newest : time(until, newest);
         double from = time(since, to);
-        List<LatencyReport> reports = new ArrayList<>();
-        for (long volume : book.volumes()) {
-            if (only == null || only.equals(names.get(volume))) {
-                reports.add(book.report(volume, from, to));
-            }
-        }
-        if (reports.isEmpty()) {
-            throw new IOException(
-                    files.get(0) + ": has no volume" + (only == null ? "" : " called " + only));
-        }
+        List<LatencyReport> reports = reports(account, from, to);
         if (json) {
             System.out.println(
                     new JsonMapper()
@@ -117,7 +107,8 @@
                                             reports)));
             return Commands.OK;
         }
-        Map<String, Object> page = page(merged, reports, from, to);
+        Map<String, Object> page =
+                new ReportPage(merged, names, html != null).values(reports, from, to);
         System.out.print(TemplateRenderer.fill("report.txt.ftl", page));
         if (html != null) {
             Files.writeString(html, TemplateRenderer.fill("report.ftlh", page));
@@ -125,6 +116,32 @@
         return Commands.OK;
     }
 
+    private List<FleetMerger.Member> readMembers() throws IOException {
+        List<FleetMerger.Member> members = new ArrayList<>();
+        for (Path file : files) {
+            AccountFile.Read read = AccountFile.report(file);
+            members.add(
+                    new FleetMerger.Member(read.head().gateway(), read.book(), read.head().told()));
+            names.putAll(read.head().names());
+        }
+        return members;
+    }
+
+    private List<LatencyReport> reports(LatencyAccount account, double from, double to)
+            throws IOException {
+        List<LatencyReport> reports = new ArrayList<>();
+        for (long volume : account.volumes()) {
+            if (only == null || only.equals(names.get(volume))) {
+                reports.add(account.report(volume, from, to));
+            }
+        }
+        if (reports.isEmpty()) {
+            throw new IOException(
+                    files.get(0) + ": has no volume" + (only == null ? "" : " called " + only));
+        }
+        return reports;
+    }
+
     /** A time on the wall's clock in milliseconds, or so long before another. */
     private double time(String text, double before) {
         String length = text.toLowerCase(Locale.ROOT);
@@ -142,6 +159,7 @@
                     "'" + text + "' is no time: allowed are 90s, 10m, 6h or 2026-11-30T18:00");
         }
     }
+<<<<<<< .merge_file_lbP18m
 
     private static String clock(double wall) {
         return CLOCK.format(Instant.ofEpochMilli((long) wall).atZone(ZoneId.systemDefault()));
@@ -259,4 +277,6 @@
                         .toList();
         return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
     }
+=======
+>>>>>>> .merge_file_biasLO
 }
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -2,16 +2,10 @@
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sagepulley.accounts.LatencyReport;
 import sagepulley.config.HostPort;
 import sagepulley.monitoring.MonitoringServer;
 
@@ -24,7 +18,8 @@
                 "Shows a running gateway's volumes (those that lost most utility first) and nodes in the terminal, "
                         + "by its accounts of the last ten minutes ([watch] listen).")
 final class TopCommand implements Callable<Integer> {
-    private static final String CLEAR = "\u001b[H\u001b[2J";
+    private static final String CLEAR_SCREEN = "\u001b[H\u001b[2J";
+    private static final double MILLIS_PER_SECOND = 1000;
 
     @Parameters(
             paramLabel = "HOST:PORT",
@@ -65,13 +60,14 @@
                             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                             .build()
                             .readValue(answer, MonitoringServer.View.class);
-            System.out.print((once ? "" : CLEAR) + text(view));
+            System.out.print((once ? "" : CLEAR_SCREEN) + new TopText(view, rows).text());
             if (once) {
                 return Commands.OK;
             }
-            Thread.sleep((long) (every * 1000));
+            Thread.sleep((long) (every * MILLIS_PER_SECOND));
         }
     }
+<<<<<<< .merge_file_qnzeWF
 
     private String text(MonitoringServer.View view) {
         StringBuilder text = new StringBuilder();
@@ -158,4 +154,6 @@
                         });
         return text.toString();
     }
+=======
+>>>>>>> .merge_file_OJjaoS
 }
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -1,407 +1,1233 @@
-package sagepulley.scenario;
+package
+sagepulley.scenario;
 
-import io.netty.channel.EventLoopGroup;
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
-import sagepulley.codec.frame.EventLoops;
-import sagepulley.codec.nbd.NbdClient;
-import sagepulley.codec.nbd.NbdConstants;
-import sagepulley.config.SiteConfig;
-import sagepulley.config.SiteConfigException;
-import sagepulley.frontend.nbd.NbdGateway;
-import sagepulley.membership.ListFreshness;
-import sagepulley.membership.Membership;
-import sagepulley.membership.ReconnectBackoff;
-import sagepulley.membership.StoredEndpointList;
-import sagepulley.persistence.EndpointListFile;
-import sagepulley.standin.NodeProfile;
-import sagepulley.standin.StandInNode;
-import sagepulley.standin.TrafficRecorder;
-import sagepulley.upstream.frame.StoreMessages;
+import
+io.netty.channel.EventLoopGroup;
+import
+java.io.IOException;
+import
+java.nio.file.Files;
+import
+java.nio.file.Path;
+import
+java.util.ArrayList;
+import
+java.util.HashSet;
+import
+java.util.List;
+import
+java.util.Set;
+import
+java.util.SplittableRandom;
+import
+java.util.concurrent.TimeUnit;
+import
+java.util.concurrent.atomic.AtomicInteger;
+import
+java.util.concurrent.atomic.AtomicLong;
+import
+sagepulley.codec.frame.EventLoops;
+import
+sagepulley.codec.nbd.NbdClient;
+import
+sagepulley.codec.nbd.NbdConstants;
+import
+sagepulley.config.SiteConfig;
+import
+sagepulley.config.SiteConfigException;
+import
+sagepulley.frontend.nbd.NbdGateway;
+import
+sagepulley.membership.ListFreshness;
+import
+sagepulley.membership.Membership;
+import
+sagepulley.membership.ReconnectBackoff;
+import
+sagepulley.membership.StoredEndpointList;
+import
+sagepulley.persistence.EndpointListFile;
+import
+sagepulley.standin.NodeProfile;
+import
+sagepulley.standin.StandInNode;
+import
+sagepulley.standin.TrafficRecorder;
+import
+sagepulley.upstream.frame.StoreMessages;
 
-/**
- * Starts gateways with discovery down and lists of several ages, of which some nodes have changed
- * since, and tells what went to those, and how soon and how well the gateways serve.
- */
-public final class ColdStartExperiment {
-    private static final int EXTENT = 256 << 10;
-    private static final int EXTENTS = 64;
-    private static final int NODES = 8;
-    private static final int GATEWAYS = 4;
-    private static final double PER_SECOND = 150;
-    private static final long SERVED_MS = 3_000;
+/** Starts gateways with discovery down and lists of several ages, of which some nodes have changed since, and tells what went to those, and how soon and how well the gateways serve. */
+public
+final
+class
+ColdStartExperiment
+{
+private
+static
+final
+int
+EXTENT_BYTES
+=
+256
+<<
+10;
+private
+static
+final
+int
+EXTENTS
+=
+64;
+private
+static
+final
+int
+NODES
+=
+8;
+private
+static
+final
+int
+GATEWAYS
+=
+4;
+private
+static
+final
+double
+REQUESTS_PER_SECOND
+=
+150;
+private
+static
+final
+long
+MEASURED_MILLIS
+=
+3_000;
 
-    /** What became of some nodes while the list lay. */
-    public enum Since {
-        NOTHING,
-        DRAINED,
-        REPLACED,
-        COLD
-    }
+/** What became of some nodes while the list lay. */
+public
+enum
+Since
+{
+NOTHING,
+DRAINED,
+REPLACED,
+COLD
+}
+
+/** How the gateway believes its list: by its age, blindly, or not at all (it waits for discovery). */
+public
+enum
+Way
+{
+BY_AGE,
+BLINDLY,
+WAITING
+}
+
+/** One start: attempts that reached nodes that drain or have been replaced, and cold nodes pushed over; milliseconds to the first operation satisfied (NaN: none); the share of reads in their target time in the first seconds, among those of extents whose nodes still hold them. */
+public
+record
+Row(
+Way
+way,
+double
+ageHours,
+Since
+since,
+int
+changed,
+long
+wrongAttempts,
+int
+collapsedNodes,
+double
+firstServedMillis,
+double
+service,
+double
+serviceOfAll)
+{}
 
-    /**
-     * How the gateway believes its list: by its age, blindly, or not at all (it waits for
-     * discovery).
-     */
-    public enum Way {
-        BY_AGE,
-        BLINDLY,
-        WAITING
-    }
+private
+static
+final
+class
+UncheckedMembership
+extends
+Membership
+{
+UncheckedMembership(String
+site,
+Policy
+bounds)
+{
+super(site,
+bounds,
+new
+SplittableRandom(1));
+}
+
+@Override
+public
+ListFreshness
+freshness(double
+now)
+{
+return
+ListFreshness.FRESH;
+}
 
-    /**
-     * One start: attempts that reached nodes that drain or have been replaced, and cold nodes
-     * pushed over; milliseconds to the first operation satisfied (NaN: none); the share of reads in
-     * their target time in the first seconds, among those of extents whose nodes still hold them.
-     */
-    public record Row(
-            Way way,
-            double ageHours,
-            Since since,
-            int changed,
-            long wrongAttempts,
-            int pushedOver,
-            double firstMs,
-            double service,
-            double serviceOfAll) {}
+@Override
+public
+HandshakeVerdict
+handshakeCompleted(
+int
+node,
+int
+who,
+int
+cell,
+boolean
+draining,
+long
+startedAt,
+double
+now)
+{
+return
+HandshakeVerdict.ACCEPTED;
+}
 
-    private static final class Blind extends Membership {
-        Blind(String site, Policy bounds) {
-            super(site, bounds, new SplittableRandom(1));
-        }
+@Override
+public
+void
+drainAnnounced(int
+node)
+{
+// believes its list only
 
-        @Override
-        public ListFreshness freshness(double now) {
-            return ListFreshness.FRESH;
-        }
+}
+}
 
-        @Override
-        public HandshakeVerdict handshakeCompleted(
-                int node, int who, int cell, boolean draining, long startedAt, double now) {
-            return HandshakeVerdict.ACCEPTED;
-        }
+/** Counts what reaches which node. */
+private
+static
+final
+class
+AttemptCounter
+implements
+TrafficRecorder
+{
+final
+Set<Integer>
+watched
+=
+new
+HashSet<>();
+final
+AtomicLong
+wrong
+=
+new
+AtomicLong();
+final
+AtomicInteger
+collapsed
+=
+new
+AtomicInteger();
 
-        @Override
-        public void drainAnnounced(int node) {
-            // believes its list only
-        }
-    }
+@Override
+public
+void
+attemptReceived(int
+node,
+long
+gateway,
+StoreMessages.Send
+send,
+long
+nanos)
+{
+synchronized
+(watched)
+{
+if
+(watched.contains(node))
+{
+wrong.incrementAndGet();
+}
+}
+}
 
-    /** Counts what reaches which node. */
-    private static final class Counter implements TrafficRecorder {
-        final Set<Integer> watched = new HashSet<>();
-        final AtomicLong wrong = new AtomicLong();
-        final AtomicInteger fell = new AtomicInteger();
+@Override
+public
+void
+nodeCollapsed(int
+node,
+long
+nanos)
+{
+collapsed.incrementAndGet();
+}
+}
 
-        @Override
-        public void attemptCame(int node, long gateway, StoreMessages.Send send, long nanos) {
-            synchronized (watched) {
-                if (watched.contains(node)) {
-                    wrong.incrementAndGet();
-                }
-            }
-        }
+private
+final
+Path
+folder;
 
-        @Override
-        public void fell(int node, long nanos) {
-            fell.incrementAndGet();
-        }
-    }
+public
+ColdStartExperiment(Path
+folder)
+{
+this.folder
+=
+folder;
+}
 
-    private final Path folder;
+/** One start, with so many of the nodes changed. */
+public
+Row
+run(Way
+way,
+double
+ageHours,
+Since
+since,
+int
+changed,
+long
+seed)
+throws
+SiteConfigException,
+IOException
+{
+AttemptCounter
+counter
+=
+new
+AttemptCounter();
+List<NodeProfile>
+profiles
+=
+new
+ArrayList<>();
+for
+(int
+i
+=
+1;
+i
+<=
+NODES;
+i++)
+{
+profiles.add(
+NodeProfile.quick(i,
+EXTENT_BYTES)
+.withCost(1,
+1)
+.withSlowStart(0.25,
+3_000,
+2,
+500,
+24));
+}
+try
+(LocalCluster
+cluster
+=
+LocalCluster.start(profiles,
+counter,
+3))
+{
+List<String>
+sites
+=
+new
+ArrayList<>();
+Path
+mine
+=
+Files.createDirectories(folder.resolve("start-"
++
+System.nanoTime()));
+for
+(int
+i
+=
+0;
+i
+<
+GATEWAYS;
+i++)
+{
+sites.add(site(cluster,
+i,
+mine.resolve("gw"
++
+i)));
+}
+fillVolume(cluster,
+sites,
+seed);
+for
+(int
+i
+=
+0;
+i
+<
+GATEWAYS;
+i++)
+{
+ageStoredList(mine.resolve("gw"
++
+i).resolve("nodes"),
+ageHours
+*
+3_600_000);
+}
+LocalCluster.await(cluster.directory().stop());
+changeNodes(cluster,
+counter,
+since,
+changed);
+return
+serve(cluster,
+way,
+ageHours,
+since,
+changed,
+sites,
+counter,
+seed);
+}
+}
 
-    public ColdStartExperiment(Path folder) {
-        this.folder = folder;
-    }
+private
+static
+String
+site(LocalCluster
+cluster,
+int
+number,
+Path
+files)
+{
+return
+LocalCluster.demoSite(
+"gw-"
++
+number,
+number,
+GATEWAYS,
+0,
+cluster.directory().address())
+.replace("extent = 1 MiB",
+"extent = 256 KiB\nask-within = 2 s")
+.replace("unit = 128 KiB",
+"unit = 16 KiB")
+.replace("cold-time = 10 s",
+"cold-time = 3 s")
+.replace("fall-time = 2 s",
+"fall-time = 500 ms")
+.replace("cold-units = 64",
+"cold-units = 24")
++
+"gateways = "
++
+GATEWAYS
++
+"\n\n[membership]\nlist = "
++
+files.resolve("nodes")
++
+"\nholders = "
++
+files.resolve("holders")
++
+"\n";
+}
 
-    /** One start, with so many of the nodes changed. */
-    public Row run(Way way, double ageHours, Since since, int changed, long seed)
-            throws SiteConfigException, IOException {
-        Counter counter = new Counter();
-        List<NodeProfile> traits = new ArrayList<>();
-        for (int i = 1; i <= NODES; i++) {
-            traits.add(
-                    NodeProfile.quick(i, EXTENT).withCost(1, 1).withCold(0.25, 3_000, 2, 500, 24));
-        }
-        try (LocalCluster cluster = LocalCluster.start(traits, counter, 3)) {
-            List<String> sites = new ArrayList<>();
-            Path mine = Files.createDirectories(folder.resolve("start-" + System.nanoTime()));
-            for (int i = 0; i < GATEWAYS; i++) {
-                sites.add(site(cluster, i, mine.resolve("gw" + i)));
-            }
-            firstLife(cluster, sites, seed);
-            for (int i = 0; i < GATEWAYS; i++) {
-                age(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
-            }
-            LocalCluster.await(cluster.directory().stop());
-            change(cluster, counter, since, changed);
-            return serve(cluster, way, ageHours, since, changed, sites, counter, seed);
-        }
-    }
+private
+static
+void
+fillVolume(LocalCluster
+cluster,
+List<String>
+sites,
+long
+seed)
+throws
+SiteConfigException
+{
+List<NbdGateway>
+gateways
+=
+new
+ArrayList<>();
+for
+(String
+site
+:
+sites)
+{
+NbdGateway
+gateway
+=
+LocalCluster.await(
+new
+NbdGateway(SiteConfig.read("site",
+site),
+++seed
+*
+100).start());
+gateways.add(gateway);
+if
+(gateways.size()
+==
+1)
+{
+NbdClient
+client
+=
+open(cluster.loops(),
+gateway);
+for
+(int
+i
+=
+0;
+i
+<
+EXTENTS;
+i++)
+{
+LocalCluster.await(client.write(i
+*
+(long)
+EXTENT_BYTES,
+new
+byte[4096]))
+.release();
+}
+client.channel().close().syncUninterruptibly();
+}
+}
+for
+(NbdGateway
+gateway
+:
+gateways)
+{
+LocalCluster.await(gateway.stop());
+}
+}
 
-    private static String site(LocalCluster cluster, int number, Path files) {
-        return LocalCluster.demoSite(
-                                "gw-" + number, number, GATEWAYS, 0, cluster.directory().address())
-                        .replace("extent = 1 MiB", "extent = 256 KiB\nask-within = 2 s")
-                        .replace("unit = 128 KiB", "unit = 16 KiB")
-                        .replace("cold-time = 10 s", "cold-time = 3 s")
-                        .replace("fall-time = 2 s", "fall-time = 500 ms")
-                        .replace("cold-units = 64", "cold-units = 24")
-                + "gateways = "
-                + GATEWAYS
-                + "\n\n[membership]\nlist = "
-                + files.resolve("nodes")
-                + "\nholders = "
-                + files.resolve("holders")
-                + "\n";
-    }
+private
+static
+NbdClient
+open(EventLoopGroup
+loops,
+NbdGateway
+gateway)
+{
+return
+LocalCluster.await(
+NbdClient.open(
+loops,
+EventLoops.socket(),
+gateway.address(),
+"demo",
+NbdClient.Style.GO));
+}
 
-    private static void firstLife(LocalCluster cluster, List<String> sites, long seed)
-            throws SiteConfigException {
-        List<NbdGateway> gateways = new ArrayList<>();
-        for (String site : sites) {
-            NbdGateway gateway =
-                    LocalCluster.await(
-                            new NbdGateway(SiteConfig.read("site", site), ++seed * 100).start());
-            gateways.add(gateway);
-            if (gateways.size() == 1) {
-                NbdClient client = open(cluster.loops(), gateway);
-                for (int i = 0; i < EXTENTS; i++) {
-                    LocalCluster.await(client.write(i * (long) EXTENT, new byte[4096])).release();
-                }
-                client.channel().close().syncUninterruptibly();
-            }
-        }
-        for (NbdGateway gateway : gateways) {
-            LocalCluster.await(gateway.stop());
-        }
-    }
+private
+static
+void
+ageStoredList(Path
+path,
+double
+by)
+throws
+IOException
+{
+EndpointListFile
+file
+=
+new
+EndpointListFile(path,
+"sagepulley");
+StoredEndpointList
+list
+=
+file.inspect().list();
+file.write(
+new
+StoredEndpointList(
+list.site(),
+list.history(),
+list.version(),
+list.confirmedAt()
+-
+(long)
+by,
+list.endpoints()),
+System.currentTimeMillis());
+}
 
-    private static NbdClient open(EventLoopGroup loops, NbdGateway gateway) {
-        return LocalCluster.await(
-                NbdClient.open(
-                        loops, EventLoops.socket(), gateway.address(), "demo", NbdClient.Style.GO));
-    }
+private
+static
+void
+changeNodes(
+LocalCluster
+cluster,
+AttemptCounter
+counter,
+Since
+since,
+int
+changed)
+{
+for
+(StandInNode
+node
+:
+cluster.nodes().subList(0,
+changed))
+{
+switch
+(since)
+{
+case
+NOTHING
+->
+{}
+case
+DRAINED
+->
+node.drain();
+case
+REPLACED
+->
+{
+var
+address
+=
+node.address();
+LocalCluster.await(node.stop());
+NodeProfile
+other
+=
+NodeProfile.quick(node.profile().id()
++
+100,
+EXTENT_BYTES)
+.withCost(1,
+1);
+LocalCluster.await(
+new
+StandInNode(other,
+cluster.loops(),
+counter,
+other.id())
+.start(address));
+}
+case
+COLD
+->
+LocalCluster.await(node.restartCold());
+}
+if
+(since
+==
+Since.DRAINED
+||
+since
+==
+Since.REPLACED)
+{
+synchronized
+(counter.watched)
+{
+counter.watched.add(node.profile().id()
++
+(since
+==
+Since.REPLACED
+?
+100
+:
+0));
+}
+}
+}
+}
 
-    private static void age(Path path, double by) throws IOException {
-        EndpointListFile file = new EndpointListFile(path, "sagepulley");
-        StoredEndpointList list = file.inspect().list();
-        file.write(
-                new StoredEndpointList(
-                        list.site(),
-                        list.history(),
-                        list.version(),
-                        list.confirmedAt() - (long) by,
-                        list.endpoints()),
-                System.currentTimeMillis());
-    }
+@SuppressWarnings("UnnecessaryAsync")
+// counted on the event loops of the clients
 
-    private static void change(LocalCluster cluster, Counter counter, Since since, int changed) {
-        for (StandInNode node : cluster.nodes().subList(0, changed)) {
-            switch (since) {
-                case NOTHING -> {}
-                case DRAINED -> node.drain();
-                case REPLACED -> {
-                    var address = node.address();
-                    LocalCluster.await(node.stop());
-                    NodeProfile other =
-                            NodeProfile.quick(node.traits().id() + 100, EXTENT).withCost(1, 1);
-                    LocalCluster.await(
-                            new StandInNode(other, cluster.loops(), counter, other.id())
-                                    .start(address));
-                }
-                case COLD -> LocalCluster.await(node.restartCold());
-            }
-            if (since == Since.DRAINED || since == Since.REPLACED) {
-                synchronized (counter.watched) {
-                    counter.watched.add(node.traits().id() + (since == Since.REPLACED ? 100 : 0));
-                }
-            }
-        }
-    }
+private
+static
+Row
+serve(
+LocalCluster
+cluster,
+Way
+way,
+double
+ageHours,
+Since
+since,
+int
+changed,
+List<String>
+sites,
+AttemptCounter
+counter,
+long
+seed)
+throws
+SiteConfigException
+{
+long
+start
+=
+System.nanoTime();
+List<NbdClient>
+clients
+=
+new
+ArrayList<>();
+List<NbdGateway>
+gateways
+=
+new
+ArrayList<>();
+for
+(int
+i
+=
+0;
+i
+<
+GATEWAYS;
+i++)
+{
+String
+text
+=
+way
+==
+Way.WAITING
+?
+sites.get(i).substring(0,
+sites.get(i).indexOf("[membership]"))
+:
+sites.get(i);
+SiteConfig
+site
+=
+SiteConfig.read("site",
+text);
+NbdGateway
+gateway
+=
+way
+==
+Way.BLINDLY
+?
+new
+NbdGateway(
+site,
+seed
+*
+1000
++
+i,
+new
+UncheckedMembership(
+site.siteName(),
+Membership.Policy.DEFAULT))
+:
+new
+NbdGateway(site,
+seed
+*
+1000
++
+i);
+var
+ready
+=
+gateway.start();
+if
+(way
+!=
+Way.WAITING)
+{
+LocalCluster.await(ready);
+clients.add(open(cluster.loops(),
+gateway));
+}
+gateways.add(gateway);
+}
+AtomicLong
+first
+=
+new
+AtomicLong();
+AtomicLong
+asked
+=
+new
+AtomicLong();
+AtomicLong
+intact
+=
+new
+AtomicLong();
+AtomicLong
+inTime
+=
+new
+AtomicLong();
+AtomicLong
+open
+=
+new
+AtomicLong();
+SplittableRandom
+chance
+=
+new
+SplittableRandom(seed);
+double
+target
+=
+SiteConfig.read("site",
+sites.get(0))
+.deployment()
+.trafficClasses()
+.get(0)
+.latencyObjective()
+*
+1e6;
+Set<Long>
+lost
+=
+new
+HashSet<>();
+long
+end
+=
+System.nanoTime()
++
+MEASURED_MILLIS
+*
+1_000_000;
+for
+(long
+next
+=
+System.nanoTime();
+next
+<
+end;
+next
++=
+(long)
+(-Math.log(1
+-
+chance.nextDouble())
+/
+(REQUESTS_PER_SECOND
+*
+GATEWAYS)
+*
+1e9))
+{
+sleepUntil(next);
+long
+extent
+=
+chance.nextInt(EXTENTS);
+asked.incrementAndGet();
+if
+(clients.isEmpty())
+{
+continue;
+}
+long
+sent
+=
+System.nanoTime();
+open.incrementAndGet();
+clients.get(chance.nextInt(clients.size()))
+.request(
+NbdConstants.CMD_READ,
+0,
+extent
+*
+EXTENT_BYTES,
+4096,
+io.netty.buffer.Unpooled.EMPTY_BUFFER,
+(reply,
+failure)
+->
+{
+long
+now
+=
+System.nanoTime();
+if
+(failure
+==
+null
+&&
+reply.error
+==
+0)
+{
+first.compareAndSet(0,
+now);
+inTime.addAndGet(now
+-
+sent
+<=
+target
+?
+1
+:
+0);
+intact.incrementAndGet();
+}
+else
+if
+(failure
+==
+null)
+{
+synchronized
+(lost)
+{
+lost.add(extent);
+}
+}
+if
+(reply
+!=
+null)
+{
+reply.release();
+}
+open.decrementAndGet();
+});
+}
+long
+until
+=
+System.nanoTime()
++
+TimeUnit.SECONDS.toNanos(10);
+while
+(open.get()
+>
+0
+&&
+System.nanoTime()
+<
+until)
+{
+sleepUntil(System.nanoTime()
++
+1_000_000);
+}
+clients.forEach(client
+->
+client.channel().close().syncUninterruptibly());
+gateways.forEach(gateway
+->
+LocalCluster.await(gateway.kill()));
+double
+could
+=
+since
+==
+Since.DRAINED
+||
+since
+==
+Since.REPLACED
+?
+1
+-
+(double)
+changed
+/
+NODES
+:
+1;
+double
+service
+=
+(double)
+inTime.get()
+/
+Math.max(1,
+asked.get());
+return
+new
+Row(
+way,
+ageHours,
+since,
+changed,
+counter.wrong.get(),
+counter.collapsed.get(),
+first.get()
+==
+0
+?
+Double.NaN
+:
+(first.get()
+-
+start)
+/
+1e6,
+Math.min(1,
+service
+/
+could),
+service);
+}
 
-    @SuppressWarnings("UnnecessaryAsync") // counted on the event loops of the clients
-    private static Row serve(
-            LocalCluster cluster,
-            Way way,
-            double ageHours,
-            Since since,
-            int changed,
-            List<String> sites,
-            Counter counter,
-            long seed)
-            throws SiteConfigException {
-        long start = System.nanoTime();
-        List<NbdClient> clients = new ArrayList<>();
-        List<NbdGateway> gateways = new ArrayList<>();
-        for (int i = 0; i < GATEWAYS; i++) {
-            String text =
-                    way == Way.WAITING
-                            ? sites.get(i).substring(0, sites.get(i).indexOf("[membership]"))
-                            : sites.get(i);
-            SiteConfig site = SiteConfig.read("site", text);
-            NbdGateway gateway =
-                    way == Way.BLINDLY
-                            ? new NbdGateway(
-                                    site,
-                                    seed * 1000 + i,
-                                    new Blind(site.siteName(), Membership.Policy.DEFAULT))
-                            : new NbdGateway(site, seed * 1000 + i);
-            var ready = gateway.start();
-            if (way != Way.WAITING) {
-                LocalCluster.await(ready);
-                clients.add(open(cluster.loops(), gateway));
-            }
-            gateways.add(gateway);
-        }
-        AtomicLong first = new AtomicLong();
-        AtomicLong asked = new AtomicLong();
-        AtomicLong intact = new AtomicLong();
-        AtomicLong inTime = new AtomicLong();
-        AtomicLong open = new AtomicLong();
-        SplittableRandom chance = new SplittableRandom(seed);
-        double target =
-                SiteConfig.read("site", sites.get(0))
-                                .deployment()
-                                .trafficClasses()
-                                .get(0)
-                                .latencyObjective()
-                        * 1e6;
-        Set<Long> lost = new HashSet<>();
-        long end = System.nanoTime() + SERVED_MS * 1_000_000;
-        for (long next = System.nanoTime();
-                next < end;
-                next +=
-                        (long)
-                                (-Math.log(1 - chance.nextDouble())
-                                        / (PER_SECOND * GATEWAYS)
-                                        * 1e9)) {
-            pause(next);
-            long extent = chance.nextInt(EXTENTS);
-            asked.incrementAndGet();
-            if (clients.isEmpty()) {
-                continue;
-            }
-            long sent = System.nanoTime();
-            open.incrementAndGet();
-            clients.get(chance.nextInt(clients.size()))
-                    .request(
-                            NbdConstants.CMD_READ,
-                            0,
-                            extent * EXTENT,
-                            4096,
-                            io.netty.buffer.Unpooled.EMPTY_BUFFER,
-                            (reply, failure) -> {
-                                long now = System.nanoTime();
-                                if (failure == null && reply.error == 0) {
-                                    first.compareAndSet(0, now);
-                                    inTime.addAndGet(now - sent <= target ? 1 : 0);
-                                    intact.incrementAndGet();
-                                } else if (failure == null) {
-                                    synchronized (lost) {
-                                        lost.add(extent);
-                                    }
-                                }
-                                if (reply != null) {
-                                    reply.release();
-                                }
-                                open.decrementAndGet();
-                            });
-        }
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (open.get() > 0 && System.nanoTime() < until) {
-            pause(System.nanoTime() + 1_000_000);
-        }
-        clients.forEach(client -> client.channel().close().syncUninterruptibly());
-        gateways.forEach(gateway -> LocalCluster.await(gateway.kill()));
-        double could =
-                since == Since.DRAINED || since == Since.REPLACED
-                        ? 1 - (double) changed / NODES
-                        : 1;
-        double service = (double) inTime.get() / Math.max(1, asked.get());
-        return new Row(
-                way,
-                ageHours,
-                since,
-                changed,
-                counter.wrong.get(),
-                counter.fell.get(),
-                first.get() == 0 ? Double.NaN : (first.get() - start) / 1e6,
-                Math.min(1, service / could),
-                service);
-    }
+private
+static
+void
+sleepUntil(long
+until)
+{
+try
+{
+long
+left
+=
+until
+-
+System.nanoTime();
+if
+(left
+>
+0)
+{
+TimeUnit.NANOSECONDS.sleep(left);
+}
+}
+catch
+(InterruptedException
+e)
+{
+Thread.currentThread().interrupt();
+}
+}
 
-    private static void pause(long until) {
-        try {
-            long left = until - System.nanoTime();
-            if (left > 0) {
-                TimeUnit.NANOSECONDS.sleep(left);
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
+/** Gateways that come back to one directory: the most calls in a tenth of a second once it was gone for a second, and when all hold a list. */
+public
+record
+ReconnectStorm(
+int
+gateways,
+boolean
+spread,
+int
+maxCallsInTenthSecond,
+long
+calls,
+double
+allListedMillis)
+{}
 
-    /**
-     * Gateways that come back to one directory: the most calls in a tenth of a second once it was
-     * gone for a second, and when all hold a list.
-     */
-    public record Storm(
-            int gateways, boolean spread, int mostInTenth, long calls, double allListedMs) {}
+/** Gateways that lost a directory together and ask it for a list until it answers, played in one thread: it is down for so long and then serves so many calls a second, one after another, with a queue of so many; the rest get no answer for two seconds. Spread as the gateway does, or every 250 ms. */
+public
+static
+ReconnectStorm
+simulateStorm(
+int
+gateways,
+boolean
+spread,
+double
+downMs,
+double
+perSecond,
+int
+queue,
+long
+seed)
+{
+SplittableRandom
+random
+=
+new
+SplittableRandom(seed);
+java.util.PriorityQueue<double[]>
+tries
+=
+new
+java.util.PriorityQueue<>(
+java.util.Comparator.comparingDouble((double[]
+one)
+->
+one[0]));
+ReconnectBackoff[]
+pauses
+=
+new
+ReconnectBackoff[gateways];
+for
+(int
+i
+=
+0;
+i
+<
+gateways;
+i++)
+{
+pauses[i]
+=
+new
+ReconnectBackoff(100,
+5_000,
+random.split());
+tries.add(new
+double[]
+{random.nextDouble(),
+i});
+}
+java.util.Map<Long,
+Integer>
+tenths
+=
+new
+java.util.HashMap<>();
+double
+busyUntil
+=
+downMs;
+double
+last
+=
+0;
+long
+calls
+=
+0;
+while
+(!tries.isEmpty())
+{
+double[]
+one
+=
+tries.poll();
+double
+now
+=
+one[0];
+int
+who
+=
+(int)
+one[1];
+calls++;
+if
+(now
+>=
+1_000)
+{
+// the moment at which all lost it is the same either way
 
-    /**
-     * Gateways that lost a directory together and ask it for a list until it answers, played in one
-     * thread: it is down for so long and then serves so many calls a second, one after another,
-     * with a queue of so many; the rest get no answer for two seconds. Spread as the gateway does,
-     * or every 250 ms.
-     */
-    public static Storm storm(
-            int gateways, boolean spread, double downMs, double perSecond, int queue, long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        java.util.PriorityQueue<double[]> tries =
-                new java.util.PriorityQueue<>(
-                        java.util.Comparator.comparingDouble((double[] one) -> one[0]));
-        ReconnectBackoff[] pauses = new ReconnectBackoff[gateways];
-        for (int i = 0; i < gateways; i++) {
-            pauses[i] = new ReconnectBackoff(100, 5_000, random.split());
-            tries.add(new double[] {random.nextDouble(), i});
-        }
-        java.util.Map<Long, Integer> tenths = new java.util.HashMap<>();
-        double busyUntil = downMs;
-        double last = 0;
-        long calls = 0;
-        while (!tries.isEmpty()) {
-            double[] one = tries.poll();
-            double now = one[0];
-            int who = (int) one[1];
-            calls++;
-            if (now >= 1_000) { // the moment at which all lost it is the same either way
-                tenths.merge((long) (now / 100), 1, Integer::sum);
-            }
-            double again = spread ? pauses[who].nextDelayMillis() : 250;
-            if (now < downMs) {
-                tries.add(new double[] {now + again, who});
-            } else if (busyUntil - now > queue * 1000 / perSecond) {
-                tries.add(new double[] {now + 2_000 + again, who});
-            } else {
-                busyUntil = Math.max(busyUntil, now) + 1000 / perSecond;
-                last = Math.max(last, busyUntil);
-            }
-        }
-        return new Storm(
-                gateways,
-                spread,
-                tenths.values().stream().mapToInt(Integer::intValue).max().orElse(0),
-                calls,
-                last - downMs);
-    }
+tenths.merge((long)
+(now
+/
+100),
+1,
+Integer::sum);
+}
+double
+again
+=
+spread
+?
+pauses[who].nextDelayMillis()
+:
+250;
+if
+(now
+<
+downMs)
+{
+tries.add(new
+double[]
+{now
++
+again,
+who});
+}
+else
+if
+(busyUntil
+-
+now
+>
+queue
+*
+1000
+/
+perSecond)
+{
+tries.add(new
+double[]
+{now
++
+2_000
++
+again,
+who});
+}
+else
+{
+busyUntil
+=
+Math.max(busyUntil,
+now)
++
+1000
+/
+perSecond;
+last
+=
+Math.max(last,
+busyUntil);
+}
+}
+return
+new
+ReconnectStorm(
+gateways,
+spread,
+tenths.values().stream().mapToInt(Integer::intValue).max().orElse(0),
+calls,
+last
+-
+downMs);
+}
 }
