--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -14,73 +14,73 @@
  * CorruptedFrameException}, the rest is dropped unread.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
-    private static final int NONE = -1;
-    private static final int MOST_DIGITS = 10;
+    private static final int NO_BULK = -1;
+    private static final int MAX_DIGITS = 10;
 
     private final RespLimits limits;
     private List<Resp> items;
-    private int missing;
-    private int held;
+    private int remainingItems;
+    private int arrayBytes;
 
     /** The length of the bulk string under way. */
-    private int bulk = NONE;
+    private int bulkLength = NO_BULK;
 
-    private boolean broken;
+    private boolean failed;
 
     public RespDecoder(RespLimits limits) {
         this.limits = limits;
     }
 
     /** Whether some of a value has come, but not all of it. */
-    public boolean inMiddle() {
-        return items != null || bulk != NONE || actualReadableBytes() > 0;
+    public boolean isMidValue() {
+        return items != null || bulkLength != NO_BULK || actualReadableBytes() > 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        if (broken) {
+        if (failed) {
             in.skipBytes(in.readableBytes());
             return;
         }
         try {
-            Resp value = bulk != NONE ? bulkString(in) : headed(in);
+            Resp value = bulkLength != NO_BULK ? decodeBulk(in) : decodeHeader(in);
             if (value != null) {
-                add(value, out);
+                emit(value, out);
             }
-        } catch (CorruptedFrameException bad) {
-            broken = true;
+        } catch (CorruptedFrameException failure) {
+            failed = true;
             in.skipBytes(in.readableBytes());
-            throw bad;
+            throw failure;
         }
     }
 
-    private void add(Resp value, List<Object> out) {
+    private void emit(Resp value, List<Object> out) {
         if (items == null) {
             out.add(value);
             return;
         }
         items.add(value);
-        if (--missing == 0) {
+        if (--remainingItems == 0) {
             out.add(new Resp.Array(items));
             items = null;
         }
     }
 
-    private Resp bulkString(ByteBuf in) {
-        if (in.readableBytes() < bulk + 2) {
+    private Resp decodeBulk(ByteBuf in) {
+        if (in.readableBytes() < bulkLength + 2) {
             return null;
         }
-        byte[] bytes = new byte[bulk];
+        byte[] bytes = new byte[bulkLength];
         in.readBytes(bytes);
         if (in.readByte() != '\r' || in.readByte() != '\n') {
             throw new CorruptedFrameException("a bulk string does not end where its length says");
         }
-        bulk = NONE;
+        bulkLength = NO_BULK;
         return new Resp.Bulk(bytes);
     }
 
     /** Reads a line, and what it heads if that is there at once; null if more must come. */
-    private Resp headed(ByteBuf in) {
+    private Resp decodeHeader(ByteBuf in) {
         if (!in.isReadable()) {
             return null;
         }
@@ -90,30 +90,30 @@
                 : "+-:$*".indexOf(kind) < 0) {
             throw new CorruptedFrameException("a value starts with byte " + (int) kind);
         }
-        String text = line(in);
+        String text = readLine(in);
         if (text == null) {
             return null;
         }
         return switch (kind) {
             case '$' -> {
-                bulk = length(text, limits.bulk());
-                held += Math.max(0, bulk);
-                if (held > limits.array()) {
+                bulkLength = parseLength(text, limits.maxBulkBytes());
+                arrayBytes += Math.max(0, bulkLength);
+                if (arrayBytes > limits.maxArrayBytes()) {
                     throw new CorruptedFrameException(
-                            "an array of over " + limits.array() + " bytes");
+                            "an array of over " + limits.maxArrayBytes() + " bytes");
                 }
-                yield bulk == NONE ? new Resp.Bulk(null) : bulkString(in);
+                yield bulkLength == NO_BULK ? new Resp.Bulk(null) : decodeBulk(in);
             }
-            case '*' -> array(length(text, limits.items()));
+            case '*' -> beginArray(parseLength(text, limits.maxItems()));
             case ':' -> {
-                number(text);
+                parseNumber(text);
                 yield new Resp.Line(kind, text);
             }
             default -> new Resp.Line(kind, text);
         };
     }
 
-    private Resp array(int count) {
+    private Resp beginArray(int count) {
         if (items != null) {
             throw new CorruptedFrameException("an array inside an array");
         }
@@ -124,21 +124,22 @@
             return new Resp.Array(count < 0 ? null : List.of());
         }
         items = new ArrayList<>(count);
-        missing = count;
-        held = 0;
+        remainingItems = count;
+        arrayBytes = 0;
         return null;
     }
 
     /** The line behind the first byte, without its end; null if the end has not come. */
-    private String line(ByteBuf in) {
+    private String readLine(ByteBuf in) {
         int end =
                 in.indexOf(
                         in.readerIndex(),
-                        in.readerIndex() + Math.min(in.readableBytes(), limits.line() + 3),
+                        in.readerIndex() + Math.min(in.readableBytes(), limits.maxLineBytes() + 3),
                         (byte) '\n');
         if (end < 0) {
-            if (in.readableBytes() > limits.line() + 2) {
-                throw new CorruptedFrameException("a line of over " + limits.line() + " bytes");
+            if (in.readableBytes() > limits.maxLineBytes() + 2) {
+                throw new CorruptedFrameException(
+                        "a line of over " + limits.maxLineBytes() + " bytes");
             }
             return null;
         }
@@ -154,24 +155,24 @@
         return text;
     }
 
-    private int length(String text, int most) {
-        long value = number(text);
-        if (value > most || (value < 0 && (limits.commandsOnly() || value != NONE))) {
-            throw new CorruptedFrameException("a length of " + text + ", at most " + most);
+    private int parseLength(String text, int max) {
+        long value = parseNumber(text);
+        if (value > max || (value < 0 && (limits.commandsOnly() || value != NO_BULK))) {
+            throw new CorruptedFrameException("a length of " + text + ", at most " + max);
         }
         if (items == null) {
-            held = 0;
+            arrayBytes = 0;
         }
         return (int) value;
     }
 
-    private static long number(String text) {
+    private static long parseNumber(String text) {
         int start = text.startsWith("-") ? 1 : 0;
-        boolean plain = text.length() > start && text.length() <= MOST_DIGITS + start;
-        for (int i = start; plain && i < text.length(); i++) {
-            plain = text.charAt(i) >= '0' && text.charAt(i) <= '9';
+        boolean valid = text.length() > start && text.length() <= MAX_DIGITS + start;
+        for (int i = start; valid && i < text.length(); i++) {
+            valid = text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
-        if (!plain) {
+        if (!valid) {
             throw new CorruptedFrameException("a number that cannot be read");
         }
         return Long.parseLong(text);
--- a/src/main/java/sagepulley/codec/resp/RespBytes.java
+++ b/src/main/java/sagepulley/codec/resp/RespEncoder.java
@@ -6,30 +6,30 @@
 import java.util.List;
 
 /** Writes RESP2. */
-public final class RespBytes {
+public final class RespEncoder {
     private static final byte[] CRLF = {'\r', '\n'};
-    private static final int HEAD = 16;
+    private static final int MAX_HEADER_BYTES = 16;
 
-    private RespBytes() {}
+    private RespEncoder() {}
 
     /** A command of these words. */
-    public static ByteBuf command(List<byte[]> words) {
-        int size = HEAD;
-        for (byte[] word : words) {
-            size += HEAD + word.length;
+    public static ByteBuf command(List<byte[]> arguments) {
+        int size = MAX_HEADER_BYTES;
+        for (byte[] argument : arguments) {
+            size += MAX_HEADER_BYTES + argument.length;
         }
-        ByteBuf to = Unpooled.buffer(size);
-        head(to, '*', words.size());
-        for (byte[] word : words) {
-            bulk(to, word);
+        ByteBuf out = Unpooled.buffer(size);
+        writeHeader(out, '*', arguments.size());
+        for (byte[] argument : arguments) {
+            bulk(out, argument);
         }
-        return to;
+        return out;
     }
 
     /** A bulk string; the bytes are not copied and must not change any more. */
     public static ByteBuf bulk(byte[] bytes) {
-        ByteBuf first = Unpooled.buffer(HEAD);
-        head(first, '$', bytes.length);
+        ByteBuf first = Unpooled.buffer(MAX_HEADER_BYTES);
+        writeHeader(first, '$', bytes.length);
         return Unpooled.wrappedBuffer(
                 first, Unpooled.wrappedBuffer(bytes), Unpooled.wrappedBuffer(CRLF));
     }
@@ -49,13 +49,13 @@
         return Unpooled.buffer(bytes.length + 3).writeByte(kind).writeBytes(bytes).writeBytes(CRLF);
     }
 
-    private static void bulk(ByteBuf to, byte[] bytes) {
-        head(to, '$', bytes.length);
-        to.writeBytes(bytes).writeBytes(CRLF);
+    private static void bulk(ByteBuf out, byte[] bytes) {
+        writeHeader(out, '$', bytes.length);
+        out.writeBytes(bytes).writeBytes(CRLF);
     }
 
-    private static void head(ByteBuf to, char kind, int count) {
-        to.writeByte(kind).writeCharSequence(Integer.toString(count), StandardCharsets.US_ASCII);
-        to.writeBytes(CRLF);
+    private static void writeHeader(ByteBuf out, char kind, int count) {
+        out.writeByte(kind).writeCharSequence(Integer.toString(count), StandardCharsets.US_ASCII);
+        out.writeBytes(CRLF);
     }
 }
--- a/src/main/java/sagepulley/codec/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -5,7 +5,8 @@
  * items of an array. With commandsOnly, nothing but arrays of bulk strings is taken, as clients
  * send them.
  */
-public record RespLimits(int line, int bulk, int array, int items, boolean commandsOnly) {
+public record RespLimits(
+        int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems, boolean commandsOnly) {
     public static RespLimits commands(int line, int bulk, int array, int items) {
         return new RespLimits(line, bulk, array, items, true);
     }
--- a/src/main/java/sagepulley/platform/AcceptErrorHandler.java
+++ b/src/main/java/sagepulley/platform/AcceptErrorHandler.java
@@ -11,13 +11,13 @@
  * the machine has accepted wait and the listener could close over them.
  */
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
-    private static final long PAUSE_MS = 10;
-    private static final int LOGGED_EVERY = 100;
+    private static final long PAUSE_MILLIS = 10;
+    private static final int FAILURES_PER_LOG_LINE = 100;
     private int failures;
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (failures++ % LOGGED_EVERY == 0) {
+        if (failures++ % FAILURES_PER_LOG_LINE == 0) {
             LogWriter.warn(
                     "a connection could not be accepted",
                     "why",
@@ -29,6 +29,6 @@
         config.setAutoRead(false);
         ctx.channel()
                 .eventLoop()
-                .schedule(() -> config.setAutoRead(true), PAUSE_MS, TimeUnit.MILLISECONDS);
+                .schedule(() -> config.setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/platform/AddressParser.java
+++ b/src/main/java/sagepulley/platform/AddressParser.java
@@ -7,19 +7,19 @@
 
 /** Addresses as HOST:PORT, numeric ones only: there are no names to look up here. */
 final class AddressParser {
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     private AddressParser() {}
 
     /** The address that a text names; null if it names none. */
-    static InetSocketAddress read(String text) {
+    static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
             return null;
         }
         byte[] host = NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (host == null || port == 0 || port > MOST_PORT) {
+        if (host == null || port == 0 || port > MAX_PORT) {
             return null;
         }
         try {
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/platform/BlockCommand.java
@@ -19,55 +19,56 @@
     static final String WRITE = "BLK.WRITE";
 
     /** Bytes of the longest list of fields. */
-    static final int LONGEST_FIELDS = 1024;
+    static final int MAX_FIELDS_BYTES = 1024;
 
-    private static final int MOST_FIELDS = 32;
-    private static final int READ_WORDS = 4;
-    private static final double LONGEST_PATIENCE = 24 * 3_600_000;
+    private static final int MAX_FIELDS = 32;
+    private static final int READ_ARGUMENTS = 4;
+    private static final double MAX_DEADLINE_MILLIS = 24 * 3_600_000;
 
     final long id;
     final long extent;
     final TrafficClass trafficClass;
     final TenantPlan plan;
-    final double patience;
+    final double deadlineMillis;
     final long volume;
     final double units;
     final int shard;
-    final int gateways;
-    final boolean repeat;
-    private final List<byte[]> words;
+    final int gatewayCount;
+    final boolean clientRetry;
+    private final List<byte[]> arguments;
 
     /** The fields as they came, less the patience, whose place is known. */
-    private final String beforePatience;
-
-    private final String afterPatience;
-
-    private BlockCommand(List<byte[]> words, Deployment deployment) throws BadCommandException {
-        this.words = words;
-        this.extent = hex(text(words.get(1)), "the piece");
-        this.id = hex(text(words.get(2)), "the id");
-        String list = text(words.get(3));
-        Map<String, String> fields = fields(list);
-        this.trafficClass = band(need(fields, "c"), deployment);
-        this.plan = plan(need(fields, "t"), deployment);
-        this.patience = number(need(fields, "d"), "d", LONGEST_PATIENCE);
-        this.volume = hex(need(fields, "volume"), "volume");
-        this.units = number(need(fields, "units"), "units", deployment.maxUnits());
-        this.shard = shard(need(fields, "shard"), deployment.shards());
-        this.gateways = (int) number(need(fields, "hosts"), "hosts", 1e6);
-        this.repeat = "1".equals(fields.get("r"));
+    private final String fieldsBeforeDeadline;
+
+    private final String fieldsAfterDeadline;
+
+    private BlockCommand(List<byte[]> arguments, Deployment deployment) throws BadCommandException {
+        this.arguments = arguments;
+        this.extent = parseId(text(arguments.get(1)), "the piece");
+        this.id = parseId(text(arguments.get(2)), "the id");
+        String list = text(arguments.get(3));
+        Map<String, String> fields = parseFields(list);
+        this.trafficClass = findTrafficClass(required(fields, "c"), deployment);
+        this.plan = plan(required(fields, "t"), deployment);
+        this.deadlineMillis = parsePositive(required(fields, "d"), "d", MAX_DEADLINE_MILLIS);
+        this.volume = parseId(required(fields, "volume"), "volume");
+        this.units = parsePositive(required(fields, "units"), "units", deployment.maxUnits());
+        this.shard = shard(required(fields, "shard"), deployment.shards());
+        this.gatewayCount = (int) parsePositive(required(fields, "hosts"), "hosts", 1e6);
+        this.clientRetry = "1".equals(fields.get("r"));
         int at = list.startsWith("d=") ? 0 : list.indexOf(",d=") + 1;
-        this.beforePatience = list.substring(0, at + 2);
-        this.afterPatience = list.substring(at + 2 + fields.get("d").length());
+        this.fieldsBeforeDeadline = list.substring(0, at + 2);
+        this.fieldsAfterDeadline = list.substring(at + 2 + fields.get("d").length());
     }
 
     /** Checks a command whose first word is one of the two. */
-    static BlockCommand read(List<byte[]> words, Deployment deployment) throws BadCommandException {
-        boolean writes = text(words.get(0)).equals(WRITE);
-        if (words.size() != (writes ? READ_WORDS + 1 : READ_WORDS)) {
+    static BlockCommand parse(List<byte[]> arguments, Deployment deployment)
+            throws BadCommandException {
+        boolean writes = text(arguments.get(0)).equals(WRITE);
+        if (arguments.size() != (writes ? READ_ARGUMENTS + 1 : READ_ARGUMENTS)) {
             throw new BadCommandException("wrong number of words");
         }
-        BlockCommand command = new BlockCommand(words, deployment);
+        BlockCommand command = new BlockCommand(arguments, deployment);
         if (command.trafficClass.writes() != writes) {
             throw new BadCommandException(
                     "c=" + command.trafficClass.name() + " does not go with the command");
@@ -75,42 +76,42 @@
         return command;
     }
 
-    static List<byte[]> words(Resp.Array command) {
-        List<byte[]> words = new ArrayList<>(command.items().size());
+    static List<byte[]> arguments(Resp.Array command) {
+        List<byte[]> arguments = new ArrayList<>(command.items().size());
         for (Resp item : command.items()) {
-            words.add(((Resp.Bulk) item).bytes());
+            arguments.add(((Resp.Bulk) item).bytes());
         }
-        return words;
+        return arguments;
     }
 
-    static String text(byte[] word) {
-        return new String(word, StandardCharsets.ISO_8859_1);
+    static String text(byte[] argument) {
+        return new String(argument, StandardCharsets.ISO_8859_1);
     }
 
-    int bytes() {
+    int sizeBytes() {
         int bytes = 0;
-        for (byte[] word : words) {
-            bytes += word.length;
+        for (byte[] argument : arguments) {
+            bytes += argument.length;
         }
         return bytes;
     }
 
     /** The same command for a node that is given so many milliseconds. */
-    List<byte[]> forNode(double timeout) {
-        List<byte[]> out = new ArrayList<>(words);
-        String list = beforePatience + Math.max(1, (long) timeout) + afterPatience;
+    List<byte[]> withTimeout(double timeout) {
+        List<byte[]> out = new ArrayList<>(arguments);
+        String list = fieldsBeforeDeadline + Math.max(1, (long) timeout) + fieldsAfterDeadline;
         out.set(3, list.getBytes(StandardCharsets.ISO_8859_1));
         return out;
     }
 
-    private static Map<String, String> fields(String list) throws BadCommandException {
-        if (list.length() > LONGEST_FIELDS) {
-            throw new BadCommandException("fields of over " + LONGEST_FIELDS + " bytes");
+    private static Map<String, String> parseFields(String list) throws BadCommandException {
+        if (list.length() > MAX_FIELDS_BYTES) {
+            throw new BadCommandException("fields of over " + MAX_FIELDS_BYTES + " bytes");
         }
         Map<String, String> fields = new HashMap<>();
         String[] parts = list.split(",", -1);
-        if (parts.length > MOST_FIELDS) {
-            throw new BadCommandException("over " + MOST_FIELDS + " fields");
+        if (parts.length > MAX_FIELDS) {
+            throw new BadCommandException("over " + MAX_FIELDS + " fields");
         }
         for (String part : parts) {
             int sign = part.indexOf('=');
@@ -133,7 +134,8 @@
         return true;
     }
 
-    private static String need(Map<String, String> fields, String name) throws BadCommandException {
+    private static String required(Map<String, String> fields, String name)
+            throws BadCommandException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
             throw new BadCommandException(name + " is missing");
@@ -141,19 +143,20 @@
         return value;
     }
 
-    private static long hex(String text, String what) throws BadCommandException {
+    private static long parseId(String text, String what) throws BadCommandException {
         if (!NumberParser.isId(text)) {
             throw new BadCommandException(what + " has not 16 hex digits");
         }
         return Long.parseUnsignedLong(text, 16);
     }
 
-    private static double number(String text, String name, double most) throws BadCommandException {
-        double value = NumberParser.number(text);
+    private static double parsePositive(String text, String name, double max)
+            throws BadCommandException {
+        double value = NumberParser.parseDecimal(text);
         if (Double.isNaN(value)) {
             throw new BadCommandException(name + " is no number");
         }
-        if (!(value > 0) || value > most) {
+        if (!(value > 0) || value > max) {
             throw new BadCommandException(name + " is out of range");
         }
         return value;
@@ -163,14 +166,14 @@
         if (text.equals("-1")) {
             return -1;
         }
-        int shard = NumberParser.whole(text);
+        int shard = NumberParser.parseInteger(text);
         if (shard < 0 || (shards > 0 && shard >= shards)) {
             throw new BadCommandException("there is no such shard");
         }
         return shard;
     }
 
-    private static TrafficClass band(String name, Deployment deployment)
+    private static TrafficClass findTrafficClass(String name, Deployment deployment)
             throws BadCommandException {
         for (TrafficClass trafficClass : deployment.trafficClasses()) {
             if (trafficClass.name().equals(name)) {
--- a/src/main/java/sagepulley/platform/ClientConnection.java
+++ b/src/main/java/sagepulley/platform/ClientConnection.java
@@ -11,8 +11,8 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import sagepulley.codec.resp.Resp;
-import sagepulley.codec.resp.RespBytes;
 import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespEncoder;
 
 /**
  * One client's connection: its commands in, its answers out in the order of the commands. However
@@ -33,112 +33,113 @@
     }
 
     /** Commands unanswered on one connection; with more, nothing is read from it. */
-    private static final int MOST_UNANSWERED = 64;
+    private static final int MAX_UNANSWERED_COMMANDS = 64;
 
     /** Told what the clients want. */
-    interface Owner {
+    interface Handler {
         /** A read or write; its answer goes to the slot, now or later. */
-        void asked(ClientConnection connection, Slot slot, List<byte[]> words);
+        void onRequest(
+                ClientConnection connection, PendingReply pendingReply, List<byte[]> arguments);
 
         /** The client is gone before this slot was answered. */
-        void left(Slot slot);
+        void onClientCancelled(PendingReply pendingReply);
 
-        void closed(ClientConnection connection);
+        void onClosed(ClientConnection connection);
 
         double now();
     }
 
     /** The place of one answer in the order of answers. */
-    static final class Slot {
+    static final class PendingReply {
         private final ClientConnection connection;
-        private ByteBuf answer;
+        private ByteBuf reply;
 
         /** What the answer is to; null once it is answered. */
-        Object held;
+        Object attachment;
 
-        private Slot(ClientConnection connection) {
+        private PendingReply(ClientConnection connection) {
             this.connection = connection;
         }
 
         /** The one answer; on a connection that is gone it is dropped. */
-        void answer(ByteBuf bytes) {
-            held = null;
-            answer = bytes;
-            connection.advance();
+        void reply(ByteBuf bytes) {
+            attachment = null;
+            reply = bytes;
+            connection.writeReadyReplies();
         }
     }
 
-    private final Owner owner;
+    private final Handler handler;
     private final RespDecoder decoder;
-    private final ArrayDeque<Slot> unanswered = new ArrayDeque<>();
+    private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
     private Channel channel;
-    private ClientWriter output;
+    private ClientWriter writer;
     private Phase phase = Phase.OPEN;
-    private boolean shutting;
+    private boolean shuttingOutput;
 
     /** When it connected, when it last asked or was answered, and when it last sent a byte. */
     double connectedAt;
 
-    double activeAt;
-    double heardAt;
+    double lastActiveAt;
+    double lastReadAt;
 
     /** Since when a command has been under way. */
-    double partialSince = Double.POSITIVE_INFINITY;
+    double partialCommandSince = Double.POSITIVE_INFINITY;
 
     /**
      * Since when it has read nothing of what waits, and since when all is answered on a connection
      * that ends.
      */
-    double stuckSince = Double.POSITIVE_INFINITY;
+    double unwritableSince = Double.POSITIVE_INFINITY;
 
-    double doneSince = Double.POSITIVE_INFINITY;
+    double drainedSince = Double.POSITIVE_INFINITY;
 
     /** Whether a whole command that could be read has come. */
-    boolean asked;
+    boolean hasSentCommand;
 
     /** Why this side ended it; null while it has not. */
-    private String endReason;
+    private String closeReason;
 
-    ClientConnection(Owner owner, RespDecoder decoder) {
-        this.owner = owner;
+    ClientConnection(Handler handler, RespDecoder decoder) {
+        this.handler = handler;
         this.decoder = decoder;
     }
 
     /** Whether some of a command has come, but not all of it. */
-    boolean inMiddle() {
-        return decoder.inMiddle();
+    boolean isReadingCommand() {
+        return decoder.isMidValue();
     }
 
-    boolean hasOpen() {
-        return !unanswered.isEmpty();
+    boolean hasPendingReplies() {
+        return !pendingReplies.isEmpty();
     }
 
-    boolean isEnding() {
+    boolean isDraining() {
         return phase != Phase.OPEN;
     }
 
     /** How long ago the command that is being read came. */
-    double cameAgo(KernelReceiveTime arrival) {
-        return arrival.ago(channel, activeAt - connectedAt);
+    double millisSinceReceived(KernelReceiveTime arrival) {
+        return arrival.millisSinceReceived(channel, lastActiveAt - connectedAt);
     }
 
-    String endReason() {
-        return endReason;
+    String closeReason() {
+        return closeReason;
     }
 
     /** Answers what was taken, then shuts the output, and closes with the peer's end. */
-    void end(String why) {
+    void drain(String why) {
         if (phase == Phase.OPEN) {
-            endReason = why;
+            closeReason = why;
             phase = Phase.DRAINING;
-            advance();
+            writeReadyReplies();
         }
     }
 
     /** Ends without waiting for anybody. */
     void close(String why) {
         if (channel != null) {
-            endReason = endReason == null ? why : endReason + ", " + why;
+            closeReason = closeReason == null ? why : closeReason + ", " + why;
             channel.close();
         }
     }
@@ -146,70 +147,74 @@
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        output = new ClientWriter(channel, this::pace);
-        connectedAt = owner.now();
-        activeAt = connectedAt;
-        heardAt = connectedAt;
-        channel.closeFuture().addListener(closed -> gone());
+        writer = new ClientWriter(channel, this::updateAutoRead);
+        connectedAt = handler.now();
+        lastActiveAt = connectedAt;
+        lastReadAt = connectedAt;
+        channel.closeFuture().addListener(closed -> onChannelClosed());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (phase == Phase.HALF_CLOSED || shutting) {
+        if (phase == Phase.HALF_CLOSED || shuttingOutput) {
             return; // read after the end was said: never sent on
         }
-        activeAt = owner.now();
-        Slot slot = new Slot(this);
-        unanswered.add(slot);
-        List<byte[]> words = BlockCommand.words((Resp.Array) message);
-        String verb = BlockCommand.text(words.get(0));
-        switch (verb) {
-            case BlockCommand.READ, BlockCommand.WRITE -> owner.asked(this, slot, words);
+        lastActiveAt = handler.now();
+        PendingReply pendingReply = new PendingReply(this);
+        pendingReplies.add(pendingReply);
+        List<byte[]> arguments = BlockCommand.arguments((Resp.Array) message);
+        String name = BlockCommand.text(arguments.get(0));
+        switch (name) {
+            case BlockCommand.READ, BlockCommand.WRITE ->
+                    handler.onRequest(this, pendingReply, arguments);
             case "PING" -> {
-                asked = true;
-                slot.answer(
-                        words.size() == 1
-                                ? RespBytes.simple("PONG")
-                                : RespBytes.error("ERR wrong number of words"));
+                hasSentCommand = true;
+                pendingReply.reply(
+                        arguments.size() == 1
+                                ? RespEncoder.simple("PONG")
+                                : RespEncoder.error("ERR wrong number of words"));
             }
-            default -> slot.answer(RespBytes.error("ERR unknown command"));
+            default -> pendingReply.reply(RespEncoder.error("ERR unknown command"));
         }
-        pace();
+        updateAutoRead();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        heardAt = owner.now();
-        partialSince = !inMiddle() ? Double.POSITIVE_INFINITY : Math.min(partialSince, heardAt);
+        lastReadAt = handler.now();
+        partialCommandSince =
+                !isReadingCommand()
+                        ? Double.POSITIVE_INFINITY
+                        : Math.min(partialCommandSince, lastReadAt);
     }
 
-    private void advance() {
-        boolean wrote = false;
-        while (!unanswered.isEmpty() && unanswered.peek().answer != null) {
-            ByteBuf bytes = unanswered.poll().answer;
+    private void writeReadyReplies() {
+        boolean hasWritten = false;
+        while (!pendingReplies.isEmpty() && pendingReplies.peek().reply != null) {
+            ByteBuf bytes = pendingReplies.poll().reply;
             if (phase == Phase.CLOSED) {
                 bytes.release();
             } else {
-                output.write(bytes);
-                wrote = true;
+                writer.write(bytes);
+                hasWritten = true;
             }
         }
         if (phase == Phase.CLOSED) {
             return;
         }
-        if (wrote) {
-            activeAt = owner.now();
-            output.flush();
+        if (hasWritten) {
+            lastActiveAt = handler.now();
+            writer.flush();
         }
-        if (phase == Phase.DRAINING && unanswered.isEmpty() && !shutting) {
-            shutting = true;
-            doneSince = owner.now();
-            output.afterAll(
+        if (phase == Phase.DRAINING && pendingReplies.isEmpty() && !shuttingOutput) {
+            shuttingOutput = true;
+            drainedSince = handler.now();
+            writer.runAfterAll(
                     () ->
                             channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                                     .addListener(flushed -> shutOutput()));
         }
-        pace();
+        updateAutoRead();
     }
 
     /** All is written: says so to the peer, whose own end closes the connection. */
@@ -225,62 +230,62 @@
         }
     }
 
-    private void pace() {
+    private void updateAutoRead() {
         if (phase != Phase.CLOSED) {
             channel.config()
                     .setAutoRead(
-                            shutting
-                                    || (unanswered.size() < MOST_UNANSWERED
+                            shuttingOutput
+                                    || (pendingReplies.size() < MAX_UNANSWERED_COMMANDS
                                             && channel.isWritable()
-                                            && !output.isWaiting()));
+                                            && !writer.hasQueued()));
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        stuckSince = ctx.channel().isWritable() ? Double.POSITIVE_INFINITY : owner.now();
-        pace();
+        unwritableSince = ctx.channel().isWritable() ? Double.POSITIVE_INFINITY : handler.now();
+        updateAutoRead();
     }
 
     /**
      * Told by the close itself: the pipeline's word comes a task later, after what this turn of the
      * loop has read was sent on.
      */
-    private void gone() {
+    private void onChannelClosed() {
         phase = Phase.CLOSED;
-        for (Slot slot : List.copyOf(unanswered)) {
-            if (slot.answer == null && slot.held != null) {
-                owner.left(slot);
+        for (PendingReply pendingReply : List.copyOf(pendingReplies)) {
+            if (pendingReply.reply == null && pendingReply.attachment != null) {
+                handler.onClientCancelled(pendingReply);
             }
         }
-        for (Slot slot : unanswered) {
-            if (slot.answer != null) {
-                slot.answer.release();
+        for (PendingReply pendingReply : pendingReplies) {
+            if (pendingReply.reply != null) {
+                pendingReply.reply.release();
             }
         }
-        unanswered.clear();
-        output.release();
-        owner.closed(this);
+        pendingReplies.clear();
+        writer.release();
+        handler.onClosed(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof DecoderException && phase == Phase.OPEN) {
-            Slot slot = new Slot(this);
-            unanswered.add(slot);
+            PendingReply pendingReply = new PendingReply(this);
+            pendingReplies.add(pendingReply);
             phase = Phase.DRAINING;
-            endReason = "protocol error";
-            slot.answer(RespBytes.error("ERR protocol error: " + cause.getMessage()));
+            closeReason = "protocol error";
+            pendingReply.reply(RespEncoder.error("ERR protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof DecoderException)) {
             // A reset is how many clients leave; anything else is worth a line.
-            endReason = String.valueOf(cause.getMessage());
+            closeReason = String.valueOf(cause.getMessage());
             if (!(cause instanceof IOException)) {
                 LogWriter.warn(
                         "a client's connection failed",
                         "why",
                         cause,
                         "unanswered",
-                        unanswered.size());
+                        pendingReplies.size());
             }
             ctx.close();
         }
--- a/src/main/java/sagepulley/platform/ClientListener.java
+++ b/src/main/java/sagepulley/platform/ClientListener.java
@@ -22,99 +22,104 @@
  */
 final class ClientListener {
     /** Bytes of a value, as the protocol allows. */
-    static final int LONGEST_VALUE = 65_536;
+    static final int MAX_VALUE_BYTES = 65_536;
 
-    private static final int LONGEST_LINE = 64;
-    private static final int MOST_WORDS = 8;
-    private static final int WORDS_BESIDE_VALUE = 4096;
-    private static final int BACKLOG = 1024;
-    private static final int UNREAD_LOW = 65_536;
-    private static final int UNREAD_HIGH = 262_144;
+    private static final int MAX_LINE_BYTES = 64;
+    private static final int MAX_ARGUMENTS = 8;
+    private static final int MAX_OTHER_ARGUMENTS_BYTES = 4096;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int WRITE_BUFFER_LOW_BYTES = 65_536;
+    private static final int WRITE_BUFFER_HIGH_BYTES = 262_144;
 
     /**
      * A connection that owes bytes, of a command or of its first one, is ended after this long
      * without any.
      */
-    private static final double SILENT_TIME = 2_000;
+    private static final double READ_TIMEOUT_MILLIS = 2_000;
 
     /** A client that means to ask has done so by then. */
-    private static final double FIRST_COMMAND_TIME = 100;
+    private static final double FIRST_COMMAND_GRACE_MILLIS = 100;
 
-    private static final double STUCK_TIME = 5_000;
+    private static final double WRITE_TIMEOUT_MILLIS = 5_000;
 
     /**
      * A connection that has said its end waits so long for the peer's, and at most so many wait.
      */
-    private static final double LINGER_TIME = 1_000;
+    private static final double LINGER_TIMEOUT_MILLIS = 1_000;
 
-    private static final int MOST_LINGERING = 16;
+    private static final int MAX_LINGERING_CONNECTIONS = 16;
 
     /**
      * One that nobody uses may go after this long where room is short, and goes after that long
      * anyway.
      */
-    private static final double UNUSED_TIME = 2_000;
+    private static final double BUSY_IDLE_TIMEOUT_MILLIS = 2_000;
 
-    private static final double LONG_UNUSED_TIME = 15_000;
+    private static final double IDLE_TIMEOUT_MILLIS = 15_000;
 
     private final Transport transport;
-    private final int most;
-    private final double slowest;
+    private final int maxConnections;
+    private final double maxCommandMillis;
     private final EventLoop loop;
-    private final ClientConnection.Owner owner;
+    private final ClientConnection.Handler handler;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private Channel listener;
-    private boolean keeping;
-    private boolean ending;
+    private boolean keepIdle;
+    private boolean draining;
     long accepted;
-    long turnedAway;
+    long rejected;
 
     /**
      * So many connections at most; a command that takes longer than the slowest time to come is of
      * no use.
      */
-    ClientListener(Transport transport, int most, double slowest, ClientConnection.Owner owner) {
+    ClientListener(
+            Transport transport,
+            int maxConnections,
+            double maxCommandMillis,
+            ClientConnection.Handler handler) {
         this.transport = transport;
-        this.loop = transport.loops().next();
-        this.most = most - MOST_LINGERING;
-        this.slowest = Math.max(slowest, SILENT_TIME);
-        this.owner = owner;
+        this.loop = transport.eventLoops().next();
+        this.maxConnections = maxConnections - MAX_LINGERING_CONNECTIONS;
+        this.maxCommandMillis = Math.max(maxCommandMillis, READ_TIMEOUT_MILLIS);
+        this.handler = handler;
     }
 
     ChannelFuture listen(SocketAddress address) {
         RespLimits limits =
                 RespLimits.commands(
-                        LONGEST_LINE,
-                        LONGEST_VALUE,
-                        LONGEST_VALUE + WORDS_BESIDE_VALUE,
-                        MOST_WORDS);
+                        MAX_LINE_BYTES,
+                        MAX_VALUE_BYTES,
+                        MAX_VALUE_BYTES + MAX_OTHER_ARGUMENTS_BYTES,
+                        MAX_ARGUMENTS);
         ServerBootstrap server =
                 new ServerBootstrap()
-                        .group(transport.loops())
+                        .group(transport.eventLoops())
                         .channel(transport.server())
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                                new WriteBufferWaterMark(UNREAD_LOW, UNREAD_HIGH))
+                                new WriteBufferWaterMark(
+                                        WRITE_BUFFER_LOW_BYTES, WRITE_BUFFER_HIGH_BYTES))
                         .handler(new AcceptErrorHandler())
                         .childHandler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
                                         accepted++;
-                                        if (!hasRoom()) {
-                                            turnedAway++;
+                                        if (!hasCapacity()) {
+                                            rejected++;
                                             channel.close();
                                             return;
                                         }
                                         RespDecoder decoder = new RespDecoder(limits);
                                         ClientConnection connection =
-                                                new ClientConnection(owner, decoder);
+                                                new ClientConnection(handler, decoder);
                                         connections.add(connection);
                                         channel.pipeline().addLast(decoder, connection);
                                     }
                                 });
         if (address instanceof InetSocketAddress) {
-            server.option(ChannelOption.SO_BACKLOG, BACKLOG)
+            server.option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
                     .childOption(ChannelOption.TCP_NODELAY, true);
         }
@@ -123,36 +128,36 @@
         return bound;
     }
 
-    void closed(ClientConnection connection) {
+    void remove(ClientConnection connection) {
         connections.remove(connection);
     }
 
     /** Whether some connection has a command under way. */
-    boolean isInMiddle() {
-        return connections.stream().anyMatch(ClientConnection::inMiddle);
+    boolean isReadingCommand() {
+        return connections.stream().anyMatch(ClientConnection::isReadingCommand);
     }
 
-    int size() {
+    int connectionCount() {
         return connections.size();
     }
 
     /** Whether one more can be held, if need be by ending another. */
-    private boolean hasRoom() {
+    private boolean hasCapacity() {
         ClientConnection oldestLingering = null;
         int lingering = 0;
         for (ClientConnection connection : connections) {
-            if (connection.isEnding() && !connection.hasOpen()) {
+            if (connection.isDraining() && !connection.hasPendingReplies()) {
                 oldestLingering = oldestLingering == null ? connection : oldestLingering;
                 lingering++;
             }
         }
-        if (connections.size() - lingering < most) {
+        if (connections.size() - lingering < maxConnections) {
             return true;
         }
-        if (lingering >= MOST_LINGERING) {
+        if (lingering >= MAX_LINGERING_CONNECTIONS) {
             oldestLingering.close("room");
         }
-        return makeRoom();
+        return drainLeastUseful();
     }
 
     /**
@@ -160,69 +165,75 @@
      * ask must have come by now, else whoever was unused longest, and of those rather one that has
      * begun no command.
      */
-    private boolean makeRoom() {
-        ClientConnection worst = null;
-        double now = owner.now();
+    private boolean drainLeastUseful() {
+        ClientConnection candidate = null;
+        double now = handler.now();
         for (ClientConnection connection : connections) {
-            if (connection.hasOpen() || connection.isEnding()) {
+            if (connection.hasPendingReplies() || connection.isDraining()) {
                 continue;
             }
-            if (!connection.asked && now - connection.heardAt > FIRST_COMMAND_TIME) {
-                worst = connection;
+            if (!connection.hasSentCommand
+                    && now - connection.lastReadAt > FIRST_COMMAND_GRACE_MILLIS) {
+                candidate = connection;
                 break;
             }
-            if (worst == null
-                    || (worst.inMiddle() && !connection.inMiddle())
-                    || (worst.inMiddle() == connection.inMiddle()
-                            && connection.activeAt < worst.activeAt)) {
-                worst = connection;
+            if (candidate == null
+                    || (candidate.isReadingCommand() && !connection.isReadingCommand())
+                    || (candidate.isReadingCommand() == connection.isReadingCommand()
+                            && connection.lastActiveAt < candidate.lastActiveAt)) {
+                candidate = connection;
             }
         }
-        if (worst != null) {
-            worst.end("room");
+        if (candidate != null) {
+            candidate.drain("room");
         }
-        return worst != null;
+        return candidate != null;
     }
 
     /** Ends connections that nobody uses, that stop inside a command, or that read nothing. */
-    void sweep() {
-        double now = owner.now();
-        boolean crowded = connections.size() > most / 2;
+    void closeExpired() {
+        double now = handler.now();
+        boolean isBusy = connections.size() > maxConnections / 2;
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            double quiet = now - connection.activeAt;
-            double silent = now - connection.heardAt;
-            if (now - connection.stuckSince > STUCK_TIME
-                    || now - connection.doneSince > LINGER_TIME) {
+            double idleMillis = now - connection.lastActiveAt;
+            double silentMillis = now - connection.lastReadAt;
+            if (now - connection.unwritableSince > WRITE_TIMEOUT_MILLIS
+                    || now - connection.drainedSince > LINGER_TIMEOUT_MILLIS) {
                 connection.close(
-                        now - connection.stuckSince > STUCK_TIME
+                        now - connection.unwritableSince > WRITE_TIMEOUT_MILLIS
                                 ? "reads nothing"
                                 : "peer never ends");
-            } else if (connection.hasOpen()) {
+            } else if (connection.hasPendingReplies()) {
                 continue;
-            } else if (connection.inMiddle()
-                    ? silent > SILENT_TIME || now - connection.partialSince > slowest
-                    : !connection.asked
-                            ? now - connection.connectedAt > SILENT_TIME
-                            : !keeping && quiet > (crowded ? UNUSED_TIME : LONG_UNUSED_TIME)) {
-                connection.end("unused");
-            } else if (ending && now - connection.connectedAt > FIRST_COMMAND_TIME) {
-                connection.end("stop");
+            } else if (connection.isReadingCommand()
+                    ? silentMillis > READ_TIMEOUT_MILLIS
+                            || now - connection.partialCommandSince > maxCommandMillis
+                    : !connection.hasSentCommand
+                            ? now - connection.connectedAt > READ_TIMEOUT_MILLIS
+                            : !keepIdle
+                                    && idleMillis
+                                            > (isBusy
+                                                    ? BUSY_IDLE_TIMEOUT_MILLIS
+                                                    : IDLE_TIMEOUT_MILLIS)) {
+                connection.drain("unused");
+            } else if (draining && now - connection.connectedAt > FIRST_COMMAND_GRACE_MILLIS) {
+                connection.drain("stop");
             }
         }
     }
 
     /** Connections stay open from now on, however long they are not used. */
-    void keepUnused() {
-        keeping = true;
+    void keepIdleConnections() {
+        keepIdle = true;
     }
 
     /** Whether it has been ended, and the last connection is closed. */
-    boolean hasEnded() {
-        return ending && listener == null && connections.isEmpty();
+    boolean isDrained() {
+        return draining && listener == null && connections.isEmpty();
     }
 
-    boolean isEnding() {
-        return ending;
+    boolean isDraining() {
+        return draining;
     }
 
     /**
@@ -230,13 +241,14 @@
      * answered. What the kernel has accepted by now is taken first, and may still ask: the sweep
      * ends it.
      */
-    void end() {
-        ending = true;
-        closeListener(-1);
-        double now = owner.now();
+    void drain() {
+        draining = true;
+        closeOnceBacklogIsEmpty(-1);
+        double now = handler.now();
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            if (connection.asked || now - connection.connectedAt > FIRST_COMMAND_TIME) {
-                connection.end("stop");
+            if (connection.hasSentCommand
+                    || now - connection.connectedAt > FIRST_COMMAND_GRACE_MILLIS) {
+                connection.drain("stop");
             }
         }
     }
@@ -245,7 +257,7 @@
      * Closes it in a turn of the loop in which it was asked for connections and nobody was there to
      * be accepted.
      */
-    private void closeListener(long acceptedBefore) {
+    private void closeOnceBacklogIsEmpty(long acceptedBefore) {
         if (listener == null) {
             return;
         }
@@ -257,6 +269,6 @@
         long acceptedNow = accepted;
         // Not executed but scheduled: the loop looks at its sockets before it runs what was
         // scheduled meanwhile.
-        loop.schedule(() -> closeListener(acceptedNow), 1, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> closeOnceBacklogIsEmpty(acceptedNow), 1, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/platform/ClientWriter.java
+++ b/src/main/java/sagepulley/platform/ClientWriter.java
@@ -18,42 +18,42 @@
  * the loop.
  */
 final class ClientWriter {
-    private static final long RETRY_MS = 1;
+    private static final long RETRY_DELAY_MILLIS = 1;
     private static final int ENOMEM = -12;
     private static final int ENOBUFS = -105;
 
     private final Channel channel;
-    private final Runnable resumed;
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
-    private Runnable whenPassed = () -> {};
-    private boolean retries;
+    private final Runnable onResumed;
+    private final ArrayDeque<ByteBuf> queued = new ArrayDeque<>();
+    private Runnable onAllPassed = () -> {};
+    private boolean retryScheduled;
 
     /** The task runs when what had to wait has been passed on. */
     ClientWriter(Channel channel, Runnable resumed) {
         this.channel = channel;
-        this.resumed = resumed;
+        this.onResumed = resumed;
     }
 
     /** Whether some answer could be given neither to the system nor to Netty yet. */
-    boolean isWaiting() {
-        return !waiting.isEmpty();
+    boolean hasQueued() {
+        return !queued.isEmpty();
     }
 
     void write(ByteBuf bytes) {
-        waiting.add(bytes);
+        queued.add(bytes);
     }
 
     /** Runs the task once all that was written by now has been passed on. */
-    void afterAll(Runnable task) {
-        whenPassed = task;
+    void runAfterAll(Runnable task) {
+        onAllPassed = task;
         flush();
     }
 
     void flush() {
-        if (retries) {
+        if (retryScheduled) {
             return;
         }
-        while (!waiting.isEmpty()) {
+        while (!queued.isEmpty()) {
             if (!isNettyIdle() || !(channel instanceof UnixChannel socket)) {
                 passToNetty();
                 break;
@@ -75,15 +75,15 @@
                 break;
             }
         }
-        Runnable task = whenPassed;
-        whenPassed = () -> {};
+        Runnable task = onAllPassed;
+        onAllPassed = () -> {};
         task.run();
     }
 
     /** Drops what waits: the connection is gone. */
     void release() {
-        waiting.forEach(ByteBuf::release);
-        waiting.clear();
+        queued.forEach(ByteBuf::release);
+        queued.clear();
     }
 
     private boolean isNettyIdle() {
@@ -93,13 +93,13 @@
 
     /** Whether the system took all of the first answer. */
     private boolean passToSystem(FileDescriptor socket) throws IOException {
-        ByteBuf first = waiting.peek();
+        ByteBuf first = queued.peek();
         if (!first.isDirect() || first.nioBufferCount() != 1) {
             ByteBuf direct = channel.alloc().directBuffer(first.readableBytes());
             direct.writeBytes(first);
             first.release();
-            waiting.poll();
-            waiting.addFirst(direct);
+            queued.poll();
+            queued.addFirst(direct);
             first = direct;
         }
         while (first.isReadable()) {
@@ -110,29 +110,29 @@
             }
             first.skipBytes(taken); // less than asked for is no sign that there is no room
         }
-        waiting.poll().release();
+        queued.poll().release();
         return true;
     }
 
     private void passToNetty() {
-        for (ByteBuf next = waiting.poll(); next != null; next = waiting.poll()) {
+        for (ByteBuf next = queued.poll(); next != null; next = queued.poll()) {
             channel.write(next, channel.voidPromise());
         }
         channel.flush();
     }
 
     private void retryLater() {
-        retries = true;
+        retryScheduled = true;
         channel.eventLoop()
                 .schedule(
                         () -> {
-                            retries = false;
+                            retryScheduled = false;
                             if (channel.isOpen()) {
                                 flush();
-                                resumed.run();
+                                onResumed.run();
                             }
                         },
-                        RETRY_MS,
+                        RETRY_DELAY_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/platform/ConfigReloader.java
+++ b/src/main/java/sagepulley/platform/ConfigReloader.java
@@ -21,8 +21,8 @@
  */
 final class ConfigReloader implements Closeable {
     private static final String HANG_UP = "HUP";
-    private static final long RETRY_MS = 500;
-    private static final long LOOK_MS = 500;
+    private static final long RETRY_DELAY_MILLIS = 500;
+    private static final long FILE_CHECK_INTERVAL_MILLIS = 500;
 
     private final Map<String, String> environment;
     private final RespGateway gateway;
@@ -35,12 +35,12 @@
      */
     private byte[] contents = {};
 
-    private double lookedAt;
+    private double checkedAt;
 
     /** Why the file could not be used, as it was last logged; null if it could. */
-    private String failure;
+    private String lastFailure;
 
-    private boolean retries;
+    private boolean retryScheduled;
 
     ConfigReloader(Map<String, String> environment, RespGateway gateway) {
         this.environment = environment;
@@ -48,35 +48,39 @@
     }
 
     /** From now on new configurations are acted on. */
-    void begin() {
+    void start() {
         if (!SignalHandlers.isIgnored(HANG_UP)) {
-            SignalHandlers.on(HANG_UP, () -> told(gateway.now()));
+            SignalHandlers.on(HANG_UP, () -> onReloadRequested(gateway.now()));
             return;
         }
         LogWriter.warn(
                 "SIGHUP has been ignored since before the start, the configuration file is looked at instead");
         contents = contents();
-        lookedAt = gateway.now();
-        told(lookedAt); // the file may have changed since the start read it
-        executor.scheduleWithFixedDelay(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        checkedAt = gateway.now();
+        onReloadRequested(checkedAt); // the file may have changed since the start read it
+        executor.scheduleWithFixedDelay(
+                this::checkFile,
+                FILE_CHECK_INTERVAL_MILLIS,
+                FILE_CHECK_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void told(double at) {
-        gateway.reloadTold(at);
+    private void onReloadRequested(double at) {
+        gateway.onReloadNotified(at);
         try {
-            executor.execute(this::read);
+            executor.execute(this::reload);
         } catch (RejectedExecutionException ended) {
             LogWriter.info("a new configuration is told to a gateway that has ended");
         }
     }
 
-    private void look() {
-        double before = lookedAt;
-        lookedAt = gateway.now();
+    private void checkFile() {
+        double before = checkedAt;
+        checkedAt = gateway.now();
         byte[] fresh = contents();
         if (!Arrays.equals(fresh, contents)) {
             contents = fresh;
-            told(before);
+            onReloadRequested(before);
         }
     }
 
@@ -91,34 +95,34 @@
     /**
      * Reads the file now; one that cannot be used leaves all as it was, and is read again later.
      */
-    void read() {
+    void reload() {
         double readAt = gateway.now();
         try {
-            gateway.reload(Config.read(environment), readAt);
-            failure = null;
+            gateway.onConfigurationRead(GatewayConfig.read(environment), readAt);
+            lastFailure = null;
         } catch (UnreadableConfigException unknown) {
             retryAfter(unknown);
         } catch (ConfigException bad) {
-            gateway.reloadUnusable(readAt);
+            gateway.onConfigurationUnusable(readAt);
             retryAfter(bad);
         }
     }
 
     private void retryAfter(ConfigException bad) {
-        if (!bad.getMessage().equals(failure)) {
-            failure = bad.getMessage();
-            LogWriter.warn("the new configuration cannot be used", "why", failure);
+        if (!bad.getMessage().equals(lastFailure)) {
+            lastFailure = bad.getMessage();
+            LogWriter.warn("the new configuration cannot be used", "why", lastFailure);
         }
-        if (!retries) {
-            retries = true;
-            executor.schedule(this::retry, RETRY_MS, TimeUnit.MILLISECONDS);
+        if (!retryScheduled) {
+            retryScheduled = true;
+            executor.schedule(this::retry, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void retry() {
-        retries = false;
-        if (failure != null) {
-            read();
+        retryScheduled = false;
+        if (lastFailure != null) {
+            reload();
         }
     }
 
--- a/src/main/java/sagepulley/platform/DiscoveryClient.java
+++ b/src/main/java/sagepulley/platform/DiscoveryClient.java
@@ -5,8 +5,8 @@
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
 import sagepulley.membership.EndpointPollPolicy;
-import sagepulley.platform.DiscoveryRequest.Patience;
 import sagepulley.platform.DiscoveryRequest.Role;
+import sagepulley.platform.DiscoveryRequest.Timeouts;
 
 /**
  * The calls to discovery: one watch, and now and then the whole list. It asks nothing again by
@@ -14,45 +14,45 @@
  * is kept open beside the next one: discovery may be slow, and what it still answers is taken. All
  * on one loop.
  */
-final class DiscoveryClient implements DiscoveryRequest.Owner {
+final class DiscoveryClient implements DiscoveryRequest.Listener {
     /** Told what discovery says, on the loop. */
-    interface Owner {
-        void listed(EndpointListUpdate listing);
+    interface Listener {
+        void onEndpointList(EndpointListUpdate listing);
 
         /** What has been listed by now was all that discovery had at this time. */
-        void listConfirmed(double asOf);
+        void onListConfirmed(double asOf);
 
         /**
          * A call that began at this time was refused: no process listens where discovery should be.
          */
-        void discoveryUnreachable(double at);
+        void onDiscoveryUnreachable(double at);
 
         /** A call failed or is overdue, or the watch has ended. */
-        void listFailed(String why);
+        void onPollFailed(String why);
     }
 
     private final Transport transport;
-    private final Owner owner;
+    private final Listener listener;
     private final DoubleSupplier clock;
-    private final Patience patience;
-    private final KernelReceiveTime arrival = new KernelReceiveTime();
+    private final Timeouts timeouts;
+    private final KernelReceiveTime receiveTime = new KernelReceiveTime();
     private SocketAddress address;
     private long revision;
     private DiscoveryRequest watch;
-    private DiscoveryRequest fetch;
+    private DiscoveryRequest poll;
 
     /** Calls that are kept open beside the watch, the oldest first. */
-    private final Deque<DiscoveryRequest> overdue = new ArrayDeque<>();
+    private final Deque<DiscoveryRequest> overdueRequests = new ArrayDeque<>();
 
-    private int calls;
+    private int requestCount;
 
     DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
-            Owner owner,
+            Listener listener,
             DoubleSupplier clock) {
-        this(transport, address, revision, owner, clock, Patience.USUAL);
+        this(transport, address, revision, listener, clock, Timeouts.DEFAULT);
     }
 
     /** The same with another patience. */
@@ -60,15 +60,15 @@
             Transport transport,
             SocketAddress address,
             long revision,
-            Owner owner,
+            Listener listener,
             DoubleSupplier clock,
-            Patience patience) {
+            Timeouts timeouts) {
         this.transport = transport;
         this.address = address;
         this.revision = revision;
-        this.owner = owner;
+        this.listener = listener;
         this.clock = clock;
-        this.patience = patience;
+        this.timeouts = timeouts;
     }
 
     long revision() {
@@ -87,25 +87,33 @@
      * Opens a watch in place of one that stands; that one goes on until one of the two has told a
      * list.
      */
-    void subscribe() {
+    void openWatch() {
         if (watch != null) {
             keepOpen(watch);
         }
-        watch = call(true);
+        watch = newRequest(true);
         watch.open();
     }
 
-    void fetch() {
-        if (fetch != null) {
-            fetch.drop("replaced");
+    void poll() {
+        if (poll != null) {
+            poll.close("replaced");
         }
-        fetch = call(false);
-        fetch.open();
+        poll = newRequest(false);
+        poll.open();
     }
 
-    private DiscoveryRequest call(boolean watches) {
+    private DiscoveryRequest newRequest(boolean isWatch) {
         return new DiscoveryRequest(
-                transport, address, ++calls, watches, revision, patience, arrival, clock, this);
+                transport,
+                address,
+                ++requestCount,
+                isWatch,
+                revision,
+                timeouts,
+                receiveTime,
+                clock,
+                this);
     }
 
     /**
@@ -121,8 +129,8 @@
         DiscoveryRequest former = takeAnswered();
         close();
         if (former != null) {
-            former.become(Role.FORMER);
-            overdue.add(former);
+            former.setRole(Role.FORMER);
+            overdueRequests.add(former);
         }
         return true;
     }
@@ -135,100 +143,103 @@
             return taken;
         }
         DiscoveryRequest taken =
-                overdue.stream().filter(DiscoveryRequest::isAnswered).findFirst().orElse(null);
-        overdue.remove(taken);
+                overdueRequests.stream()
+                        .filter(DiscoveryRequest::isAnswered)
+                        .findFirst()
+                        .orElse(null);
+        overdueRequests.remove(taken);
         return taken;
     }
 
     void close() {
-        overdue.forEach(call -> call.drop("closed"));
-        overdue.clear();
+        overdueRequests.forEach(request -> request.close("closed"));
+        overdueRequests.clear();
         if (watch != null) {
-            watch.drop("closed");
+            watch.close("closed");
             watch = null;
         }
-        if (fetch != null) {
-            fetch.drop("closed");
-            fetch = null;
+        if (poll != null) {
+            poll.close("closed");
+            poll = null;
         }
     }
 
     // ---- overdue calls ----
 
-    private void keepOpen(DiscoveryRequest call) {
-        call.become(Role.OVERDUE);
-        overdue.add(call);
-        if (overdue.size() > EndpointPollPolicy.MOST_OVERDUE) {
-            DiscoveryRequest oldest = overdue.peekFirst();
+    private void keepOpen(DiscoveryRequest request) {
+        request.setRole(Role.OVERDUE);
+        overdueRequests.add(request);
+        if (overdueRequests.size() > EndpointPollPolicy.MOST_OVERDUE) {
+            DiscoveryRequest oldest = overdueRequests.peekFirst();
             DiscoveryRequest dropped =
                     EndpointPollPolicy.oldestGivesWay(
                                     oldest.role() == Role.FORMER,
-                                    oldest.openFor(),
-                                    oldest.quietFor())
+                                    oldest.openMillis(),
+                                    oldest.idleMillis())
                             ? oldest
-                            : overdue.peekLast();
-            overdue.remove(dropped);
-            dropped.drop("overdue");
+                            : overdueRequests.peekLast();
+            overdueRequests.remove(dropped);
+            dropped.close("overdue");
         }
     }
 
     /** A call has told a list, or lives on: it is the watch, and all others are needless. */
-    private void relyOn(DiscoveryRequest call) {
-        if (watch != null && watch != call) {
-            watch.drop("another call was answered");
+    private void useAsWatch(DiscoveryRequest request) {
+        if (watch != null && watch != request) {
+            watch.close("another call was answered");
         }
-        overdue.remove(call);
-        overdue.forEach(each -> each.drop("another call was answered"));
-        overdue.clear();
-        call.become(Role.CURRENT);
-        watch = call;
+        overdueRequests.remove(request);
+        overdueRequests.forEach(each -> each.close("another call was answered"));
+        overdueRequests.clear();
+        request.setRole(Role.CURRENT);
+        watch = request;
     }
 
-    private void remove(DiscoveryRequest call) {
-        if (watch == call) {
+    private void remove(DiscoveryRequest request) {
+        if (watch == request) {
             watch = null;
         }
-        if (fetch == call) {
-            fetch = null;
+        if (poll == request) {
+            poll = null;
         }
-        overdue.remove(call);
+        overdueRequests.remove(request);
     }
 
     // ---- what calls tell ----
 
     @Override
-    public void refused(DiscoveryRequest call) {
-        owner.discoveryUnreachable(call.beganAt());
+    public void onRefused(DiscoveryRequest request) {
+        listener.onDiscoveryUnreachable(request.startedAt());
     }
 
     @Override
-    public void listed(DiscoveryRequest call, EndpointListUpdate listing, double asOf) {
-        boolean isFormer = call.role() == Role.FORMER;
-        if (call.watches() && !isFormer) {
-            relyOn(call);
+    public void onEndpointList(DiscoveryRequest request, EndpointListUpdate update, double asOf) {
+        boolean isFormerAddress = request.role() == Role.FORMER;
+        if (request.isWatch() && !isFormerAddress) {
+            useAsWatch(request);
         }
         // Lower numbers come from a discovery that started anew, which a new call's first list
         // tells; or from an answer that something newer has overtaken.
-        boolean startedAnew = call.hasOneList() && call.after() == revision;
-        if (listing.revision() < revision && !startedAnew) {
+        boolean startedAnew = request.hasOneList() && request.afterRevision() == revision;
+        if (update.revision() < revision && !startedAnew) {
             return;
         }
-        revision = listing.revision();
-        owner.listed(listing);
-        if (!isFormer) {
-            owner.listConfirmed(asOf);
+        revision = update.revision();
+        listener.onEndpointList(update);
+        if (!isFormerAddress) {
+            listener.onListConfirmed(asOf);
         }
     }
 
     @Override
-    public void livesOn(DiscoveryRequest call, double asOf) {
-        if (call.role() == Role.FORMER) {
+    public void onHeartbeat(DiscoveryRequest request, double asOf) {
+        if (request.role() == Role.FORMER) {
             return;
         }
-        if (call.watches()) {
-            relyOn(call);
+        if (request.isWatch()) {
+            useAsWatch(request);
         }
-        owner.listConfirmed(asOf);
+        listener.onListConfirmed(asOf);
     }
 
     /**
@@ -236,33 +247,33 @@
      * list was current.
      */
     @Override
-    public void endsAtRest(DiscoveryRequest call, double asOf) {
-        if (call == watch) {
-            owner.listConfirmed(asOf);
+    public void onCleanClose(DiscoveryRequest request, double asOf) {
+        if (request == watch) {
+            listener.onListConfirmed(asOf);
         }
     }
 
     @Override
-    public void overdue(DiscoveryRequest call, String why) {
-        if (call.role() != Role.CURRENT) {
+    public void onOverdue(DiscoveryRequest request, String why) {
+        if (request.role() != Role.CURRENT) {
             return;
         }
-        remove(call);
-        keepOpen(call);
-        owner.listFailed(why);
+        remove(request);
+        keepOpen(request);
+        listener.onPollFailed(why);
     }
 
     @Override
-    public void failed(DiscoveryRequest call, String why) {
-        boolean counts = call.role() == Role.CURRENT;
-        remove(call);
+    public void onFailed(DiscoveryRequest request, String why) {
+        boolean counts = request.role() == Role.CURRENT;
+        remove(request);
         if (counts) {
-            owner.listFailed(why);
+            listener.onPollFailed(why);
         }
     }
 
     @Override
-    public void answered(DiscoveryRequest call) {
-        remove(call);
+    public void onCompleted(DiscoveryRequest request) {
+        remove(request);
     }
 }
--- a/src/main/java/sagepulley/platform/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/platform/DiscoveryRequest.java
@@ -42,16 +42,16 @@
     private static final String PATH = "/v1/endpoints";
 
     /** A list of 3,200 endpoints, indented, takes a little over 1 MB. */
-    private static final int LONGEST_LIST = 8 << 20;
+    private static final int MAX_LIST_BYTES = 8 << 20;
 
     /**
      * A line on a watch was written at most so long before it came, or as long as the watch's first
      * list took.
      */
-    private static final double LONGEST_LINE_DELAY = 1_000;
+    private static final double MAX_DELIVERY_DELAY_MILLIS = 1_000;
 
     /** A line's end that comes so soon behind a list belongs to that list, and is no empty line. */
-    private static final double LIST_END = 500;
+    private static final double LIST_TERMINATOR_MILLIS = 500;
 
     /** What a call is to its owner. */
     enum Role {
@@ -70,65 +70,65 @@
     }
 
     /** How long a first list, and a sign of life on a watch, are waited for. */
-    record Patience(long firstListMs, long silenceMs) {
-        static final Patience USUAL =
-                new Patience(EndpointPollPolicy.FIRST_LIST_WITHIN, EndpointPollPolicy.SILENCE);
+    record Timeouts(long firstListMillis, long silenceMillis) {
+        static final Timeouts DEFAULT =
+                new Timeouts(EndpointPollPolicy.FIRST_LIST_WITHIN, EndpointPollPolicy.SILENCE);
     }
 
     /** Told what happens to a call. */
-    interface Owner {
+    interface Listener {
         /** The connection was refused: no process listens there. */
-        void refused(DiscoveryRequest call);
+        void onRefused(DiscoveryRequest request);
 
         /** A list has come, which was all that discovery had at a time. */
-        void listed(DiscoveryRequest call, EndpointListUpdate listing, double asOf);
+        void onEndpointList(DiscoveryRequest request, EndpointListUpdate listing, double asOf);
 
         /** An empty line of a watch: nothing had changed at a time. */
-        void livesOn(DiscoveryRequest call, double asOf);
+        void onHeartbeat(DiscoveryRequest request, double asOf);
 
         /**
          * The connection ends with no list under way: all that discovery had to tell at a time has
          * come.
          */
-        void endsAtRest(DiscoveryRequest call, double asOf);
+        void onCleanClose(DiscoveryRequest request, double asOf);
 
         /** Nothing came in time; the call goes on. */
-        void overdue(DiscoveryRequest call, String why);
+        void onOverdue(DiscoveryRequest request, String why);
 
         /** The call is over without what it was for. */
-        void failed(DiscoveryRequest call, String why);
+        void onFailed(DiscoveryRequest request, String why);
 
         /** The call is over, and was answered in whole. */
-        void answered(DiscoveryRequest call);
+        void onCompleted(DiscoveryRequest request);
     }
 
     private final Transport transport;
     private final EventLoop loop;
-    private final Owner owner;
+    private final Listener listener;
     private final DoubleSupplier clock;
-    private final KernelReceiveTime arrival;
-    private final Patience patience;
+    private final KernelReceiveTime receiveTime;
+    private final Timeouts timeouts;
     private final SocketAddress address;
-    private final int number;
-    private final boolean watches;
-    private final long after;
-    private final Values values = new Values();
-    private final double beganAt;
+    private final int requestNumber;
+    private final boolean isWatch;
+    private final long afterRevision;
+    private final JsonValueDecoder valueDecoder = new JsonValueDecoder();
+    private final double startedAt;
     private double requestedAt = Double.NaN;
 
     /** How long the first list took. */
-    private double firstListTook;
+    private double firstListMillis;
 
     /** When the first bytes of the list under way came, and when the last list was whole. */
-    private double listBeganAt = Double.NaN;
+    private double listStartedAt = Double.NaN;
 
     private double listEndedAt = Double.NEGATIVE_INFINITY;
     private double lastByteAt = Double.NEGATIVE_INFINITY;
     private Channel channel;
-    private ScheduledFuture<?> silence;
-    private long bytes;
-    private int lists;
-    private boolean announces;
+    private ScheduledFuture<?> timeoutTask;
+    private long receivedBytes;
+    private int receivedLists;
+    private boolean informational;
     private Progress progress = Progress.WAITING;
     private Role role = Role.CURRENT;
 
@@ -139,35 +139,35 @@
     DiscoveryRequest(
             Transport transport,
             SocketAddress address,
-            int number,
-            boolean watches,
-            long after,
-            Patience patience,
-            KernelReceiveTime arrival,
+            int requestNumber,
+            boolean isWatch,
+            long afterRevision,
+            Timeouts timeouts,
+            KernelReceiveTime receiveTime,
             DoubleSupplier clock,
-            Owner owner) {
+            Listener listener) {
         this.transport = transport;
-        this.loop = transport.loops().next();
+        this.loop = transport.eventLoops().next();
         this.address = address;
-        this.number = number;
-        this.watches = watches;
-        this.after = after;
-        this.patience = patience;
-        this.arrival = arrival;
+        this.requestNumber = requestNumber;
+        this.isWatch = isWatch;
+        this.afterRevision = afterRevision;
+        this.timeouts = timeouts;
+        this.receiveTime = receiveTime;
         this.clock = clock;
-        this.owner = owner;
-        this.beganAt = clock.getAsDouble();
+        this.listener = listener;
+        this.startedAt = clock.getAsDouble();
     }
 
     void open() {
         LogWriter.info(
                 "list call begins",
                 "call",
-                number,
+                requestNumber,
                 "watches",
-                watches,
+                isWatch,
                 "after",
-                after,
+                afterRevision,
                 "address",
                 address);
         ChannelFuture connecting =
@@ -184,64 +184,64 @@
                                                 .addLast(
                                                         new HttpClientCodec(),
                                                         DiscoveryRequest.this,
-                                                        values,
-                                                        new Reader());
+                                                        valueDecoder,
+                                                        new JsonValueHandler());
                                     }
                                 })
                         .connect(address);
         channel = Transport.channelOf(connecting);
-        overdueIn(patience.firstListMs());
-        Transport.whenFailed(
+        scheduleTimeout(timeouts.firstListMillis());
+        Transport.onConnectFailure(
                 connecting,
                 loop,
                 cause -> {
                     if (!isOver() && isRefused(cause)) {
-                        owner.refused(this);
+                        listener.onRefused(this);
                     }
-                    fail("no connection: " + rootOf(cause).getMessage());
+                    fail("no connection: " + rootCause(cause).getMessage());
                 });
     }
 
     /** Ends the call, and nobody is told. */
-    void drop(String why) {
+    void close(String why) {
         LogWriter.info(
                 "list call ends",
                 "call",
-                number,
+                requestNumber,
                 "after-ms",
-                openMs(),
+                roundedOpenMillis(),
                 "bytes",
-                bytes,
+                receivedBytes,
                 "lists",
-                lists,
+                receivedLists,
                 "why",
                 why);
         progress = Progress.OVER;
-        silence.cancel(false);
+        timeoutTask.cancel(false);
         if (channel != null) {
             channel.close();
         }
     }
 
-    double beganAt() {
-        return beganAt;
+    double startedAt() {
+        return startedAt;
     }
 
-    boolean watches() {
-        return watches;
+    boolean isWatch() {
+        return isWatch;
     }
 
     /** The revision that was held when this call was opened. */
-    long after() {
-        return after;
+    long afterRevision() {
+        return afterRevision;
     }
 
     Role role() {
         return role;
     }
 
-    void become(Role fresh) {
-        role = fresh;
+    void setRole(Role newRole) {
+        role = newRole;
     }
 
     /** Whether a list has come, and more may. */
@@ -251,15 +251,15 @@
 
     /** Whether the list that came last is the only one so far. */
     boolean hasOneList() {
-        return lists == 1;
+        return receivedLists == 1;
     }
 
-    double openFor() {
-        return clock.getAsDouble() - beganAt;
+    double openMillis() {
+        return clock.getAsDouble() - startedAt;
     }
 
     /** Since its last byte; infinite where none has come. */
-    double quietFor() {
+    double idleMillis() {
         return clock.getAsDouble() - lastByteAt;
     }
 
@@ -267,8 +267,8 @@
         return progress == Progress.OVER;
     }
 
-    private long openMs() {
-        return Math.round(openFor());
+    private long roundedOpenMillis() {
+        return Math.round(openMillis());
     }
 
     private static boolean isRefused(Throwable cause) {
@@ -278,7 +278,7 @@
     }
 
     /** What the system said, below what Netty makes of it. */
-    private static Throwable rootOf(Throwable failure) {
+    private static Throwable rootCause(Throwable failure) {
         Throwable root = failure;
         while (root.getCause() != null) {
             root = root.getCause();
@@ -288,34 +288,37 @@
 
     private void fail(String why) {
         if (!isOver()) {
-            String described = described(why);
-            drop(why);
-            owner.failed(this, described);
+            String described = describe(why);
+            close(why);
+            listener.onFailed(this, described);
         }
     }
 
-    private String described(String why) {
-        return isAnswered() ? why : why + ", called for " + openMs() + " ms";
+    private String describe(String why) {
+        return isAnswered() ? why : why + ", called for " + roundedOpenMillis() + " ms";
     }
 
     /**
      * Nothing came in time: that counts as a failure, but the answer is taken if it comes after
      * all.
      */
-    private void overdueIn(long most) {
-        if (silence != null) {
-            silence.cancel(false);
+    private void scheduleTimeout(long timeoutMillis) {
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
-        silence =
+        timeoutTask =
                 loop.schedule(
-                        () -> owner.overdue(this, described("nothing came for " + most + " ms")),
-                        most,
+                        () ->
+                                listener.onOverdue(
+                                        this,
+                                        describe("nothing came for " + timeoutMillis + " ms")),
+                        timeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
 
     private void connectionEnded(String why) {
-        if (isAnswered() && !values.inMiddle()) {
-            owner.endsAtRest(this, writtenAt(clock.getAsDouble()));
+        if (isAnswered() && !valueDecoder.isMidValue()) {
+            listener.onCleanClose(this, estimateWrittenAt(clock.getAsDouble()));
         }
         fail(why);
     }
@@ -324,8 +327,8 @@
      * A time at which a line had not been written yet whose first bytes came then, as far as that
      * can be told.
      */
-    private double writtenAt(double cameAt) {
-        return cameAt - Math.min(firstListTook, LONGEST_LINE_DELAY);
+    private double estimateWrittenAt(double receivedAt) {
+        return receivedAt - Math.min(firstListMillis, MAX_DELIVERY_DELAY_MILLIS);
     }
 
     // ---- what comes ----
@@ -333,7 +336,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         requestedAt = clock.getAsDouble();
-        String query = watches ? "?watch=1&after=" + after : "";
+        String query = isWatch ? "?watch=1&after=" + afterRevision : "";
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, PATH + query);
         request.headers().set(HttpHeaderNames.HOST, hostOf(address));
@@ -356,81 +359,89 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            announces = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!announces && !response.status().equals(HttpResponseStatus.OK)) {
+            informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (!informational && !response.status().equals(HttpResponseStatus.OK)) {
                 fail("answered " + response.status().code());
                 return;
             }
         }
-        if (announces) {
+        if (informational) {
             return; // the answer itself is yet to come
         }
         if (message instanceof HttpContent content) {
-            contentCame(ctx, content.content());
+            onContent(ctx, content.content());
         }
         if (message instanceof LastHttpContent && !isOver()) {
-            bodyEnded();
+            onBodyEnd();
         }
     }
 
-    private void contentCame(ChannelHandlerContext ctx, ByteBuf content) {
-        bytes += content.readableBytes();
+    private void onContent(ChannelHandlerContext ctx, ByteBuf content) {
+        receivedBytes += content.readableBytes();
         lastByteAt = clock.getAsDouble();
         boolean endsLine =
                 content.indexOf(content.readerIndex(), content.writerIndex(), (byte) '\n') >= 0;
-        double cameAt = lastByteAt - arrival.ago(channel, (double) patience.silenceMs());
-        if (!values.inMiddle()) {
-            listBeganAt = cameAt;
+        double receivedAt =
+                lastByteAt
+                        - receiveTime.millisSinceReceived(
+                                channel, (double) timeouts.silenceMillis());
+        if (!valueDecoder.isMidValue()) {
+            listStartedAt = receivedAt;
         }
-        int listsBefore = lists;
+        int listsBefore = receivedLists;
         ctx.fireChannelRead(content.retain());
-        if (lists > listsBefore) {
-            listBeganAt = cameAt; // of the next one, if it is under way
+        if (receivedLists > listsBefore) {
+            listStartedAt = receivedAt; // of the next one, if it is under way
         }
         // Only a whole list or an empty line is a sign of life: half a list that trickles is
         // silence too.
-        if (isAnswered() && endsLine && !values.inMiddle() && cameAt - listEndedAt > LIST_END) {
-            signOfLife();
-            owner.livesOn(this, writtenAt(cameAt));
+        if (isAnswered()
+                && endsLine
+                && !valueDecoder.isMidValue()
+                && receivedAt - listEndedAt > LIST_TERMINATOR_MILLIS) {
+            restartSilenceTimeout();
+            listener.onHeartbeat(this, estimateWrittenAt(receivedAt));
         }
     }
 
-    private void signOfLife() {
-        if (watches && role != Role.FORMER) {
-            overdueIn(patience.silenceMs());
+    private void restartSilenceTimeout() {
+        if (isWatch && role != Role.FORMER) {
+            scheduleTimeout(timeouts.silenceMillis());
         }
     }
 
-    private void bodyEnded() {
-        if (watches) {
+    private void onBodyEnd() {
+        if (isWatch) {
             fail("the watch ended");
-        } else if (!isAnswered() || values.inMiddle()) {
+        } else if (!isAnswered() || valueDecoder.isMidValue()) {
             fail("an answer without a whole list");
         } else {
-            drop("answered");
-            owner.answered(this);
+            close("answered");
+            listener.onCompleted(this);
         }
     }
 
-    private void valueCame(ByteBuf text) {
-        EndpointListUpdate listing;
+    private void onValue(ByteBuf text) {
+        EndpointListUpdate update;
         try {
-            listing = EndpointListUpdate.read(JsonReader.object(ByteBufUtil.getBytes(text)));
+            update = EndpointListUpdate.parse(JsonReader.readObject(ByteBufUtil.getBytes(text)));
         } catch (IOException bad) {
             fail("a list that cannot be read: " + bad.getMessage());
             return;
         }
-        lists++;
+        receivedLists++;
         listEndedAt = clock.getAsDouble();
         if (!isAnswered()) {
-            LogWriter.info("discovery answers", "call", number, "after-ms", openMs());
-            firstListTook = listEndedAt - requestedAt;
+            LogWriter.info(
+                    "discovery answers", "call", requestNumber, "after-ms", roundedOpenMillis());
+            firstListMillis = listEndedAt - requestedAt;
             progress = Progress.ANSWERED;
         }
-        signOfLife();
+        restartSilenceTimeout();
         // The first list is what discovery had at some time after it was asked, however long it was
         // on its way.
-        owner.listed(this, listing, hasOneList() ? requestedAt : writtenAt(listBeganAt));
+        listener.onEndpointList(
+                this, update, hasOneList() ? requestedAt : estimateWrittenAt(listStartedAt));
     }
 
     @Override
@@ -448,11 +459,11 @@
     }
 
     /** Takes each value that is whole. */
-    private final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class JsonValueHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf value) {
             if (!isOver()) {
-                valueCame(value);
+                onValue(value);
             }
         }
 
@@ -463,12 +474,12 @@
     }
 
     /** Cuts the bytes into JSON values. */
-    private static final class Values extends JsonObjectDecoder {
-        Values() {
-            super(LONGEST_LIST);
+    private static final class JsonValueDecoder extends JsonObjectDecoder {
+        JsonValueDecoder() {
+            super(MAX_LIST_BYTES);
         }
 
-        boolean inMiddle() {
+        boolean isMidValue() {
             return actualReadableBytes() > 0;
         }
     }
--- a/src/main/java/sagepulley/platform/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/platform/EndpointConnectionPool.java
@@ -24,8 +24,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.DoubleSupplier;
 import sagepulley.codec.resp.Resp;
-import sagepulley.codec.resp.RespBytes;
 import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespEncoder;
 import sagepulley.codec.resp.RespLimits;
 import sagepulley.model.Attempt;
 import sagepulley.model.Outcome;
@@ -36,86 +36,86 @@
  * loop.
  */
 final class EndpointConnectionPool {
-    private static final int LONGEST_LINE = 512;
-    private static final int MOST_ITEMS = 3;
-    private static final int BESIDE_VALUE = 2048;
+    private static final int MAX_LINE_BYTES = 512;
+    private static final int REPLY_ITEMS = 3;
+    private static final int MAX_OTHER_ITEMS_BYTES = 2048;
 
     /**
      * What comes some milliseconds late behind an answer must meet a connection that carries
      * nothing.
      */
-    private static final double REST = 25;
+    private static final double REUSE_DELAY_MILLIS = 25;
 
     /** A time that a command tells is in whole milliseconds: with less left, nothing is sent. */
-    private static final double LEAST_LEFT = 1;
+    private static final double MIN_TIMEOUT_MILLIS = 1;
 
-    private static final double NS = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     /**
      * The words of a command to a node that is given so many milliseconds; null if it may not begin
      * any more.
      */
-    interface Command {
-        List<byte[]> words(double left);
+    interface CommandSource {
+        List<byte[]> arguments(double left);
     }
 
     /**
      * Told the end of a call, once: the answer if one could be read, else null, and when it came to
      * the machine.
      */
-    interface Ended {
-        void accept(Outcome outcome, Resp answer, double at);
+    interface ResultListener {
+        void onResult(Outcome outcome, Resp answer, double at);
     }
 
     private final Transport transport;
     private final EventLoop loop;
-    private final int most;
-    private final double connectTimeout;
-    private final double idleTime;
-    private final double stallTime;
+    private final int maxConnections;
+    private final double connectTimeoutMillis;
+    private final double idleTimeoutMillis;
+    private final double stallTimeoutMillis;
     private final DoubleSupplier clock;
     private final RespLimits limits =
             RespLimits.replies(
-                    LONGEST_LINE,
-                    ClientListener.LONGEST_VALUE,
-                    ClientListener.LONGEST_VALUE + BESIDE_VALUE,
-                    MOST_ITEMS);
+                    MAX_LINE_BYTES,
+                    ClientListener.MAX_VALUE_BYTES,
+                    ClientListener.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
+                    REPLY_ITEMS);
 
     /** Free connections, the one used last first. */
-    private final Map<SocketAddress, ArrayDeque<Link>> free = new HashMap<>();
+    private final Map<SocketAddress, ArrayDeque<Connection>> idle = new HashMap<>();
 
-    private final KernelReceiveTime arrival = new KernelReceiveTime();
+    private final KernelReceiveTime receiveTime = new KernelReceiveTime();
     private final ByteBuffer oneByte = ByteBuffer.allocateDirect(1);
-    private final IdentityHashMap<Attempt, Link> out = new IdentityHashMap<>();
-    private final Map<SocketAddress, Integer> openTo = new HashMap<>();
-    private int open;
+    private final IdentityHashMap<Attempt, Connection> inFlight = new IdentityHashMap<>();
+    private final Map<SocketAddress, Integer> openByAddress = new HashMap<>();
+    private int openConnections;
     private BiConsumer<SocketAddress, String> closeListener = (address, why) -> {};
     long opened;
-    long refusedForRoom;
+    long rejectedAtLimit;
 
     /**
      * Free connections that were found to have ended, or to have brought something, when they were
      * wanted.
      */
-    long foundSpent;
+    long staleConnections;
 
     /** Answers that were no use, by what was wrong with them. */
-    final Map<String, Integer> spoilt = new TreeMap<>();
+    final Map<String, Integer> invalidResponses = new TreeMap<>();
 
     /** An answer that has begun and brings nothing more for the stall time is spoilt. */
     EndpointConnectionPool(
             Transport transport,
-            int most,
-            double connectTimeout,
-            double idleTime,
-            double stallTime,
+            int maxConnections,
+            double connectTimeoutMillis,
+            double idleTimeoutMillis,
+            double stallTimeoutMillis,
             DoubleSupplier clock) {
         this.transport = transport;
-        this.loop = transport.loops().next();
-        this.most = most;
-        this.connectTimeout = connectTimeout;
-        this.idleTime = idleTime;
-        this.stallTime = stallTime;
+        this.loop = transport.eventLoops().next();
+        this.maxConnections = maxConnections;
+        this.connectTimeoutMillis = connectTimeoutMillis;
+        this.idleTimeoutMillis = idleTimeoutMillis;
+        this.stallTimeoutMillis = stallTimeoutMillis;
         this.clock = clock;
     }
 
@@ -124,99 +124,111 @@
         closeListener = listener;
     }
 
-    int open() {
-        return open;
+    int openConnections() {
+        return openConnections;
     }
 
     /** Connections to an address, free ones and others. */
-    int open(SocketAddress address) {
-        return openTo.getOrDefault(address, 0);
+    int openConnections(SocketAddress address) {
+        return openByAddress.getOrDefault(address, 0);
     }
 
-    int attemptsOut() {
-        return out.size();
+    int attemptsInFlight() {
+        return inFlight.size();
     }
 
     /** Sends an attempt's command, and waits so many milliseconds for its answer. */
     void send(
-            Attempt attempt, SocketAddress address, Command command, double timeout, Ended ended) {
-        Link link =
-                call(
+            Attempt attempt,
+            SocketAddress address,
+            CommandSource command,
+            double timeoutMillis,
+            ResultListener listener) {
+        Connection connection =
+                start(
                         address,
                         command,
-                        timeout,
+                        timeoutMillis,
                         (outcome, answer, at) -> {
-                            out.remove(attempt);
-                            ended.accept(outcome, answer, at);
+                            inFlight.remove(attempt);
+                            listener.onResult(outcome, answer, at);
                         });
-        if (link != null) {
-            out.put(attempt, link);
+        if (connection != null) {
+            inFlight.put(attempt, connection);
         }
     }
 
     /** Asks a node something that no client sent. */
-    void probe(SocketAddress address, List<byte[]> words, double timeout, Ended ended) {
-        call(address, left -> words, timeout, ended);
+    void sendHealthCheck(
+            SocketAddress address,
+            List<byte[]> words,
+            double timeoutMillis,
+            ResultListener listener) {
+        start(address, left -> words, timeoutMillis, listener);
     }
 
     /**
      * Nobody waits for this attempt any longer: its connection ends with it at once; its outcome is
      * told later.
      */
-    void callOff(Attempt attempt) {
-        Link link = out.get(attempt);
-        if (link != null) {
-            link.end(Outcome.CANCELLED);
+    void cancel(Attempt attempt) {
+        Connection connection = inFlight.get(attempt);
+        if (connection != null) {
+            connection.end(Outcome.CANCELLED);
         }
     }
 
     /** The same, if the node has not been sent the whole of it. */
-    void callOffUnwritten(Attempt attempt) {
-        Link link = out.get(attempt);
-        if (link != null && !link.written) {
-            link.end(Outcome.CANCELLED);
+    void cancelUnwritten(Attempt attempt) {
+        Connection connection = inFlight.get(attempt);
+        if (connection != null && !connection.commandWritten) {
+            connection.end(Outcome.CANCELLED);
         }
     }
 
-    private Link call(SocketAddress address, Command command, double timeout, Ended ended) {
-        Link link = takeFree(address);
-        if (link == null && (open < most || closeOneFree())) {
-            link = new Link(address);
+    private Connection start(
+            SocketAddress address,
+            CommandSource command,
+            double timeoutMillis,
+            ResultListener listener) {
+        Connection connection = takeIdle(address);
+        if (connection == null && (openConnections < maxConnections || closeOldestIdle())) {
+            connection = new Connection(address);
         }
-        if (link == null) {
-            refusedForRoom++;
-            loop.execute(() -> ended.accept(Outcome.NO_CONNECTION, null, clock.getAsDouble()));
+        if (connection == null) {
+            rejectedAtLimit++;
+            loop.execute(() -> listener.onResult(Outcome.NO_CONNECTION, null, clock.getAsDouble()));
             return null;
         }
-        link.start(command, timeout, ended);
-        return link;
+        connection.start(command, timeoutMillis, listener);
+        return connection;
     }
 
-    private Link takeFree(SocketAddress address) {
-        ArrayDeque<Link> links = free.get(address);
-        if (links == null) {
+    private Connection takeIdle(SocketAddress address) {
+        ArrayDeque<Connection> idleConnections = idle.get(address);
+        if (idleConnections == null) {
             return null;
         }
         double now = clock.getAsDouble();
-        for (Iterator<Link> each = links.iterator(); each.hasNext(); ) {
-            Link link = each.next();
-            if (now - link.freeSince >= REST) {
+        for (Iterator<Connection> each = idleConnections.iterator(); each.hasNext(); ) {
+            Connection connection = each.next();
+            if (now - connection.idleSince >= REUSE_DELAY_MILLIS) {
                 each.remove();
-                if (!link.isSpent()) {
-                    return link;
+                if (!connection.isStale()) {
+                    return connection;
                 }
-                foundSpent++;
-                link.close("ended by the endpoint while free");
+                staleConnections++;
+                connection.close("ended by the endpoint while free");
             }
         }
         return null;
     }
 
-    private boolean closeOneFree() {
-        Link oldest = null;
-        for (ArrayDeque<Link> links : free.values()) {
-            Link last = links.peekLast();
-            if (last != null && (oldest == null || last.freeSince < oldest.freeSince)) {
+    private boolean closeOldestIdle() {
+        Connection oldest = null;
+        for (ArrayDeque<Connection> idleConnections : idle.values()) {
+            Connection last = idleConnections.peekLast();
+            if (last != null && (oldest == null || last.idleSince < oldest.idleSince)) {
                 oldest = last;
             }
         }
@@ -227,53 +239,60 @@
     }
 
     /** Closes what has been free for long, well before the machine would. */
-    void sweep() {
+    void closeExpired() {
         double now = clock.getAsDouble();
-        for (ArrayDeque<Link> links : List.copyOf(free.values())) {
-            while (!links.isEmpty() && now - links.peekLast().freeSince > idleTime) {
-                links.peekLast().close("idle");
+        for (ArrayDeque<Connection> idleConnections : List.copyOf(idle.values())) {
+            while (!idleConnections.isEmpty()
+                    && now - idleConnections.peekLast().idleSince > idleTimeoutMillis) {
+                idleConnections.peekLast().close("idle");
             }
         }
-        free.values().removeIf(ArrayDeque::isEmpty);
+        idle.values().removeIf(ArrayDeque::isEmpty);
     }
 
     /** Closes all connections; attempts that are out are called off. */
     void close() {
-        List.copyOf(out.keySet()).forEach(this::callOff);
-        List.copyOf(free.values())
-                .forEach(links -> List.copyOf(links).forEach(link -> link.close("stop")));
+        List.copyOf(inFlight.keySet()).forEach(this::cancel);
+        List.copyOf(idle.values())
+                .forEach(
+                        idleConnections ->
+                                List.copyOf(idleConnections)
+                                        .forEach(connection -> connection.close("stop")));
     }
 
     /** One connection. */
-    private final class Link extends ChannelInboundHandlerAdapter {
+    private final class Connection extends ChannelInboundHandlerAdapter {
         private final SocketAddress address;
         private final RespDecoder decoder = new RespDecoder(limits);
         private Channel channel;
-        private Command command;
-        private double until;
-        private Ended ended;
-        private ScheduledFuture<?> timer;
-        private ScheduledFuture<?> stall;
+        private CommandSource command;
+        private double deadline;
+        private ResultListener listener;
+        private ScheduledFuture<?> timeoutTask;
+        private ScheduledFuture<?> stallTask;
         private boolean connected;
-        private boolean written;
+        private boolean commandWritten;
         private boolean closed;
-        private double freeSince = Double.NaN;
+        private double idleSince = Double.NaN;
         private double startedAt;
 
-        Link(SocketAddress address) {
+        Connection(SocketAddress address) {
             this.address = address;
         }
 
-        void start(Command toSend, double timeout, Ended whenEnded) {
-            command = toSend;
+        void start(
+                CommandSource commandToSend, double timeoutMillis, ResultListener resultListener) {
+            command = commandToSend;
             startedAt = clock.getAsDouble();
-            until = startedAt + timeout;
-            ended = whenEnded;
-            written = false;
-            freeSince = Double.NaN;
-            timer =
+            deadline = startedAt + timeoutMillis;
+            listener = resultListener;
+            commandWritten = false;
+            idleSince = Double.NaN;
+            timeoutTask =
                     loop.schedule(
-                            this::timedOut, (long) Math.max(1, timeout * NS), TimeUnit.NANOSECONDS);
+                            this::onTimeout,
+                            (long) Math.max(1, timeoutMillis * NANOS_PER_MILLI),
+                            TimeUnit.NANOSECONDS);
             if (connected) {
                 write();
             } else {
@@ -282,40 +301,46 @@
         }
 
         private void connect() {
-            open++;
-            openTo.merge(address, 1, Integer::sum);
+            openConnections++;
+            openByAddress.merge(address, 1, Integer::sum);
             opened++;
             ChannelFuture connecting =
                     transport
                             .connector()
                             .option(
                                     ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                    (int) Math.max(1, connectTimeout))
+                                    (int) Math.max(1, connectTimeoutMillis))
                             .handler(
                                     new ChannelInitializer<Channel>() {
                                         @Override
                                         protected void initChannel(Channel fresh) {
-                                            fresh.pipeline().addLast(decoder, Link.this);
+                                            fresh.pipeline().addLast(decoder, Connection.this);
                                         }
                                     })
                             .connect(address);
             channel = Transport.channelOf(connecting);
-            Transport.whenFailed(connecting, loop, cause -> end(Outcome.NO_CONNECTION));
+            Transport.onConnectFailure(connecting, loop, cause -> end(Outcome.NO_CONNECTION));
         }
 
         /** The node is told what is left now, however long the connection took to come up. */
         private void write() {
-            double left = until - clock.getAsDouble();
-            List<byte[]> words = left < LEAST_LEFT ? null : command.words(left);
-            if (words == null) {
-                end(left < LEAST_LEFT ? Outcome.NO_CONNECTION : Outcome.NOT_EXECUTED);
+            double remainingMillis = deadline - clock.getAsDouble();
+            List<byte[]> arguments =
+                    remainingMillis < MIN_TIMEOUT_MILLIS
+                            ? null
+                            : command.arguments(remainingMillis);
+            if (arguments == null) {
+                end(
+                        remainingMillis < MIN_TIMEOUT_MILLIS
+                                ? Outcome.NO_CONNECTION
+                                : Outcome.NOT_EXECUTED);
                 return;
             }
-            channel.writeAndFlush(RespBytes.command(words))
+            channel.writeAndFlush(RespEncoder.command(arguments))
                     .addListener(
                             done -> {
                                 if (done.isSuccess()) {
-                                    written = true;
+                                    commandWritten = true;
                                 }
                             });
         }
@@ -324,7 +349,7 @@
          * Whether the kernel holds what has not been read here: its end, or bytes that nobody asked
          * for.
          */
-        boolean isSpent() {
+        boolean isStale() {
             if (!(channel instanceof UnixChannel socket)) {
                 return false;
             }
@@ -338,74 +363,79 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connected = true;
-            if (ended != null) {
+            if (listener != null) {
                 write();
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if (ended == null) {
+            if (listener == null) {
                 // More than belongs to an answer: nothing of it may meet the next call.
                 close("bytes that belong to no answer");
                 return;
             }
             Resp answer = (Resp) message;
-            Outcome outcome = outcome(answer);
-            Ended call = finish();
+            Outcome outcome = outcomeOf(answer);
+            ResultListener finished = takeListener();
             // Offered again once all that came with the answer is read.
-            freeSince = clock.getAsDouble();
-            call.accept(outcome, answer, freeSince - arrival.ago(channel, freeSince - startedAt));
+            idleSince = clock.getAsDouble();
+            finished.onResult(
+                    outcome,
+                    answer,
+                    idleSince - receiveTime.millisSinceReceived(channel, idleSince - startedAt));
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (ended != null && !closed && decoder.inMiddle()) {
-                watchStall();
+            if (listener != null && !closed && decoder.isMidValue()) {
+                restartStallTimeout();
             }
-            if (ended != null || closed || Double.isNaN(freeSince)) {
+            if (listener != null || closed || Double.isNaN(idleSince)) {
                 return;
             }
-            if (decoder.inMiddle()) {
+            if (decoder.isMidValue()) {
                 close("bytes behind an answer");
-            } else if (!isOffered()) {
-                free.computeIfAbsent(address, any -> new ArrayDeque<>()).addFirst(this);
+            } else if (!isIdle()) {
+                idle.computeIfAbsent(address, any -> new ArrayDeque<>()).addFirst(this);
             }
         }
 
         /** An answer that stops inside will not go on; one that comes slowly does. */
-        private void watchStall() {
-            if (stall != null) {
-                stall.cancel(false);
+        private void restartStallTimeout() {
+            if (stallTask != null) {
+                stallTask.cancel(false);
             }
-            stall =
+            stallTask =
                     loop.schedule(
-                            this::stoppedInside, (long) (stallTime * NS), TimeUnit.NANOSECONDS);
+                            this::onStalled,
+                            (long) (stallTimeoutMillis * NANOS_PER_MILLI),
+                            TimeUnit.NANOSECONDS);
         }
 
-        private void stoppedInside() {
-            spoilt("stopped inside");
+        private void onStalled() {
+            countInvalidResponse("stopped inside");
             end(Outcome.FAILED);
         }
 
         /** Whoever has begun to answer is not silent. */
-        private void timedOut() {
-            if (decoder.inMiddle()) {
-                stoppedInside();
+        private void onTimeout() {
+            if (decoder.isMidValue()) {
+                onStalled();
             } else {
-                end(written ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
+                end(commandWritten ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
             }
         }
 
-        private boolean isOffered() {
-            ArrayDeque<Link> links = free.get(address);
+        private boolean isIdle() {
+            ArrayDeque<Connection> links = idle.get(address);
             return links != null && links.contains(this);
         }
 
-        private Outcome outcome(Resp answer) {
+        private Outcome outcomeOf(Resp answer) {
             if (answer instanceof Resp.Array array
                     && array.items() != null
-                    && array.items().size() == MOST_ITEMS
+                    && array.items().size() == REPLY_ITEMS
                     && array.items().get(0) instanceof Resp.Bulk value
                     && !value.isNull()) {
                 return Outcome.SERVED;
@@ -413,33 +443,33 @@
             if (answer instanceof Resp.Line line && line.isError()) {
                 return line.text().startsWith("BUSY") ? Outcome.REJECTED : Outcome.FAILED;
             }
-            spoilt("is no answer");
+            countInvalidResponse("is no answer");
             return Outcome.FAILED;
         }
 
         /** Counted by kind, of which there are only as many as the codec has sentences. */
-        private void spoilt(String how) {
-            spoilt.merge(how.replaceAll("[0-9]+", "N"), 1, Integer::sum);
+        private void countInvalidResponse(String what) {
+            invalidResponses.merge(what.replaceAll("[0-9]+", "N"), 1, Integer::sum);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            broken();
+            onConnectionLost();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof DecoderException) {
-                spoilt("cannot be read: " + cause.getMessage());
+                countInvalidResponse("cannot be read: " + cause.getMessage());
                 end(Outcome.FAILED);
             } else {
-                broken();
+                onConnectionLost();
             }
         }
 
         /** What was not wholly written has never run. */
-        private void broken() {
-            end(written ? Outcome.RESET : Outcome.NO_CONNECTION);
+        private void onConnectionLost() {
+            end(commandWritten ? Outcome.RESET : Outcome.NO_CONNECTION);
         }
 
         /**
@@ -447,27 +477,27 @@
          * is told a task later, never from within the call that ends it.
          */
         void end(Outcome outcome) {
-            Ended call = finish();
+            ResultListener finished = takeListener();
             close(outcome.name());
-            if (call != null) {
+            if (finished != null) {
                 double at = clock.getAsDouble();
-                loop.execute(() -> call.accept(outcome, null, at));
+                loop.execute(() -> finished.onResult(outcome, null, at));
             }
         }
 
-        private Ended finish() {
-            Ended call = ended;
-            ended = null;
+        private ResultListener takeListener() {
+            ResultListener finished = listener;
+            listener = null;
             command = null;
-            if (timer != null) {
-                timer.cancel(false);
-                timer = null;
+            if (timeoutTask != null) {
+                timeoutTask.cancel(false);
+                timeoutTask = null;
             }
-            if (stall != null) {
-                stall.cancel(false);
-                stall = null;
+            if (stallTask != null) {
+                stallTask.cancel(false);
+                stallTask = null;
             }
-            return call;
+            return finished;
         }
 
         void close(String why) {
@@ -476,9 +506,9 @@
             }
             closed = true;
             closeListener.accept(address, why);
-            open--;
-            openTo.computeIfPresent(address, (any, count) -> count == 1 ? null : count - 1);
-            ArrayDeque<Link> links = free.get(address);
+            openConnections--;
+            openByAddress.computeIfPresent(address, (any, count) -> count == 1 ? null : count - 1);
+            ArrayDeque<Connection> links = idle.get(address);
             if (links != null) {
                 links.remove(this);
             }
--- a/src/main/java/sagepulley/platform/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/platform/EndpointListUpdate.java
@@ -11,7 +11,7 @@
 
 /** A list of nodes, or changes of it, in discovery's form. */
 record EndpointListUpdate(
-        long revision, boolean whole, List<Member> members, List<String> unreadable) {
+        long revision, boolean complete, List<Member> members, List<String> unreadable) {
     /** One entry; started is wall-clock milliseconds, 0 for long ago. */
     record Member(
             String id,
@@ -21,13 +21,13 @@
             int cell,
             Node.Phase phase,
             double weight,
-            long started) {}
+            long startedAtMillis) {}
 
     /** The same list with all its nodes at one address. */
-    EndpointListUpdate at(SocketAddress address) {
+    EndpointListUpdate withAddress(SocketAddress address) {
         return new EndpointListUpdate(
                 revision,
-                whole,
+                complete,
                 members.stream()
                         .map(
                                 member ->
@@ -39,32 +39,32 @@
                                                 member.cell(),
                                                 member.phase(),
                                                 member.weight(),
-                                                member.started()))
+                                                member.startedAtMillis()))
                         .toList(),
                 unreadable);
     }
 
     /** Reads a list; an entry that cannot be read is left out and named. */
-    static EndpointListUpdate read(Map<String, Object> object) throws IOException {
+    static EndpointListUpdate parse(Map<String, Object> object) throws IOException {
         if (!(object.get("revision") instanceof Number revision)
-                || !(object.get("complete") instanceof Boolean whole)
+                || !(object.get("complete") instanceof Boolean complete)
                 || !(object.get("members") instanceof List<?> entries)) {
             throw new IOException("a list without revision, complete or members");
         }
         List<Member> members = new ArrayList<>(entries.size());
         List<String> unreadable = new ArrayList<>(0);
         for (Object entry : entries) {
-            Member member = entry instanceof Map<?, ?> fields ? member(fields) : null;
+            Member member = entry instanceof Map<?, ?> fields ? parseMember(fields) : null;
             if (member != null) {
                 members.add(member);
             } else {
                 unreadable.add(String.valueOf(entry));
             }
         }
-        return new EndpointListUpdate(revision.longValue(), whole, members, unreadable);
+        return new EndpointListUpdate(revision.longValue(), complete, members, unreadable);
     }
 
-    private static Member member(Map<?, ?> fields) {
+    private static Member parseMember(Map<?, ?> fields) {
         Node.Phase phase =
                 switch (String.valueOf(fields.get("phase")).toUpperCase(Locale.ROOT)) {
                     case "SERVING" -> Node.Phase.READY;
@@ -73,7 +73,7 @@
                     default -> null;
                 };
         InetSocketAddress address =
-                fields.get("host_port") instanceof String text ? AddressParser.read(text) : null;
+                fields.get("host_port") instanceof String text ? AddressParser.parse(text) : null;
         if (phase == null || !(fields.get("id") instanceof String id) || id.isEmpty()) {
             return null;
         }
@@ -93,9 +93,9 @@
                 (long) number(fields.get("up_since_ms"), 0));
     }
 
-    private static double number(Object value, double without) {
+    private static double number(Object value, double defaultValue) {
         return value instanceof Number number && Double.isFinite(number.doubleValue())
                 ? number.doubleValue()
-                : without;
+                : defaultValue;
     }
 }
--- a/src/main/java/sagepulley/platform/EndpointRegistry.java
+++ b/src/main/java/sagepulley/platform/EndpointRegistry.java
@@ -29,8 +29,8 @@
     }
 
     /** The entries as the host takes them; starts are turned into its clock's time. */
-    List<EndpointEntry> entries(EndpointListUpdate listing) {
-        return listing.members().stream()
+    List<EndpointEntry> entries(EndpointListUpdate update) {
+        return update.members().stream()
                 .filter(
                         member ->
                                 member.phase() != Node.Phase.REMOVED
@@ -40,9 +40,9 @@
     }
 
     /** What of a list differs from what is known of these endpoints, for the log. */
-    List<String> changes(EndpointListUpdate listing, Function<Integer, Node> known) {
+    List<String> changes(EndpointListUpdate update, Function<Integer, Node> known) {
         List<String> changes = new ArrayList<>();
-        for (EndpointListUpdate.Member member : listing.members()) {
+        for (EndpointListUpdate.Member member : update.members()) {
             Integer number = numbers.get(member.id());
             Node node = number == null ? null : known.apply(number);
             Object before = node == null ? "unknown" : node.phase;
@@ -64,7 +64,7 @@
                 member.cell(),
                 number,
                 member.phase(),
-                clock.atWall(member.started()),
+                clock.atWall(member.startedAtMillis()),
                 kinds.indexOf(member.flavor()),
                 member.weight());
     }
@@ -78,7 +78,7 @@
     }
 
     /** A node that is gone for good; should it come back it is a new one. */
-    void forget(Node node) {
+    void remove(Node node) {
         numbers.remove(names.remove(node.id));
         addresses.remove(node.id);
     }
--- a/src/main/java/sagepulley/platform/EndpointResponse.java
+++ b/src/main/java/sagepulley/platform/EndpointResponse.java
@@ -6,57 +6,57 @@
 
 /** What a node's answer holds beside its value: figures on use, and a report of its load. */
 final class EndpointResponse {
-    private static final int VALUE = 0;
-    private static final int USE = 1;
-    private static final int REPORT = 2;
-    private static final double MOST_FIGURE = 1e9;
+    private static final int VALUE_ITEM = 0;
+    private static final int USAGE_ITEM = 1;
+    private static final int REPORT_ITEM = 2;
+    private static final double MAX_FIGURE = 1e9;
 
     private EndpointResponse() {}
 
     /** The value of an answer that satisfied. */
     static byte[] value(Resp answer) {
-        return ((Resp.Bulk) ((Resp.Array) answer).items().get(VALUE)).bytes();
+        return ((Resp.Bulk) ((Resp.Array) answer).items().get(VALUE_ITEM)).bytes();
     }
 
     /** Notes with the attempt what its answer tells; what cannot be read of it was not told. */
-    static void tell(Attempt attempt, Resp answer, List<String> reportFields) {
+    static void recordIn(Attempt attempt, Resp answer, List<String> reportFields) {
         if (answer instanceof Resp.Array array
                 && array.items() != null
-                && array.items().size() > REPORT) {
-            use(attempt, text(array.items().get(USE)));
-            attempt.report = report(array.items().get(REPORT), reportFields);
+                && array.items().size() > REPORT_ITEM) {
+            recordUsage(attempt, text(array.items().get(USAGE_ITEM)));
+            attempt.report = parseReport(array.items().get(REPORT_ITEM), reportFields);
         } else if (answer instanceof Resp.Line line && line.isError()) {
             for (String word : line.text().split(" ")) {
-                use(attempt, word);
-                double[] report = report(word, reportFields);
+                recordUsage(attempt, word);
+                double[] report = parseReport(word, reportFields);
                 attempt.report = report != null ? report : attempt.report;
             }
         }
     }
 
-    private static void use(Attempt attempt, String text) {
-        double used = figure(text, "used");
+    private static void recordUsage(Attempt attempt, String text) {
+        double used = parseFigure(text, "used");
         if (used >= 0) {
             attempt.planUsagePercent = used;
         }
-        double cost = figure(text, "cost");
+        double cost = parseFigure(text, "cost");
         if (cost >= 0) {
             attempt.otherGatewaysUnits = cost;
         }
     }
 
     /** A load report in the order of its fields; null if it does not tell them all. */
-    static double[] report(Resp item, List<String> fields) {
-        return report(text(item), fields);
+    static double[] parseReport(Resp item, List<String> fields) {
+        return parseReport(text(item), fields);
     }
 
-    private static double[] report(String text, List<String> fields) {
+    private static double[] parseReport(String text, List<String> fields) {
         if (fields.isEmpty() || text.isEmpty()) {
             return null;
         }
         double[] values = new double[fields.size()];
         for (int i = 0; i < values.length; i++) {
-            values[i] = figure(text, fields.get(i));
+            values[i] = parseFigure(text, fields.get(i));
             if (!(values[i] >= 0)) {
                 return null;
             }
@@ -72,11 +72,11 @@
      * The figure of this name in a list of names and values; NaN if it is not there or cannot be
      * read.
      */
-    private static double figure(String text, String name) {
+    private static double parseFigure(String text, String name) {
         for (String part : text.split(",")) {
             if (part.startsWith(name + "=")) {
-                double figure = NumberParser.number(part.substring(name.length() + 1));
-                return figure <= MOST_FIGURE ? figure : Double.NaN;
+                double figure = NumberParser.parseDecimal(part.substring(name.length() + 1));
+                return figure <= MAX_FIGURE ? figure : Double.NaN;
             }
         }
         return Double.NaN;
--- a/src/main/java/sagepulley/platform/Config.java
+++ b/src/main/java/sagepulley/platform/GatewayConfig.java
@@ -18,89 +18,89 @@
  * What a gateway is told at its start, and again at SIGHUP: the file named by GW_CONFIG, and GW_*
  * beside it.
  */
-record Config(
+record GatewayConfig(
         String name,
         SocketAddress listen,
         SocketAddress discovery,
         long seed,
-        int sockets,
+        int maxSockets,
         double memoryMb,
-        EndpointListUpdate known,
+        EndpointListUpdate initialEndpoints,
         Deployment deployment,
         List<String> zones,
         List<String> kinds,
-        double connectTimeout,
-        double idleTime,
-        int mostOpen) {
-    private static final long LARGEST_FILE = 16 << 20;
+        double connectTimeoutMillis,
+        double idleTimeoutMillis,
+        int maxInFlight) {
+    private static final long MAX_FILE_BYTES = 16 << 20;
 
     /**
      * A change of the endpoint list counts as notified so long after discovery had it, arrived or
      * not.
      */
-    private static final double NOTIFIED_WITHIN_MS = 6_000;
+    private static final double NOTIFICATION_DELAY_MILLIS = 6_000;
 
-    private static final int LEAST_SOCKETS = 64;
-    private static final int LEAST_MEMORY_MB = 16;
+    private static final int MIN_SOCKETS = 64;
+    private static final int MIN_MEMORY_MB = 16;
 
-    static Config read(Map<String, String> environment) throws ConfigException {
+    static GatewayConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
         }
         byte[] bytes = bytes(file);
         try {
-            return of(JsonReader.object(bytes), environment);
-        } catch (ConfigException bad) {
-            throw new ConfigException(file + ": " + bad.getMessage());
-        } catch (IOException | RuntimeException bad) {
-            throw new ConfigException(file + ": " + oneLine(bad));
+            return parse(JsonReader.readObject(bytes), environment);
+        } catch (ConfigException failure) {
+            throw new ConfigException(file + ": " + failure.getMessage());
+        } catch (IOException | RuntimeException failure) {
+            throw new ConfigException(file + ": " + firstLine(failure));
         }
     }
 
     private static byte[] bytes(String file) throws ConfigException {
         try {
             Path path = Path.of(file);
-            if (Files.size(path) > LARGEST_FILE) {
-                throw new ConfigException(file + ": over " + LARGEST_FILE + " bytes");
+            if (Files.size(path) > MAX_FILE_BYTES) {
+                throw new ConfigException(file + ": over " + MAX_FILE_BYTES + " bytes");
             }
             return Files.readAllBytes(path);
-        } catch (NoSuchFileException | InvalidPathException bad) {
-            throw new ConfigException(file + ": " + oneLine(bad));
-        } catch (IOException bad) {
-            throw new UnreadableConfigException(file + ": " + oneLine(bad));
+        } catch (NoSuchFileException | InvalidPathException failure) {
+            throw new ConfigException(file + ": " + firstLine(failure));
+        } catch (IOException failure) {
+            throw new UnreadableConfigException(file + ": " + firstLine(failure));
         }
     }
 
-    private static String oneLine(Exception bad) {
+    private static String firstLine(Exception failure) {
         String text =
-                bad instanceof NoSuchFileException
+                failure instanceof NoSuchFileException
                         ? "there is no such file"
-                        : bad.getMessage() == null
-                                ? bad.getClass().getSimpleName()
-                                : bad.getMessage();
+                        : failure.getMessage() == null
+                                ? failure.getClass().getSimpleName()
+                                : failure.getMessage();
         return text.lines().findFirst().orElse("cannot be read");
     }
 
     /** The same at other addresses, with all nodes known at one. */
-    Config at(SocketAddress front, SocketAddress list, SocketAddress node) {
-        return new Config(
+    GatewayConfig withAddresses(SocketAddress front, SocketAddress list, SocketAddress node) {
+        return new GatewayConfig(
                 name,
                 front,
                 list,
                 seed,
-                sockets,
+                maxSockets,
                 memoryMb,
-                known.at(node),
+                initialEndpoints.withAddress(node),
                 deployment,
                 zones,
                 kinds,
-                connectTimeout,
-                idleTime,
-                mostOpen);
+                connectTimeoutMillis,
+                idleTimeoutMillis,
+                maxInFlight);
     }
 
-    static Config of(Map<String, Object> file, Map<String, String> environment)
+    static GatewayConfig parse(Map<String, Object> file, Map<String, String> environment)
             throws ConfigException, IOException {
         String name = text(file, "name", environment.get("GW_NAME"));
         InetSocketAddress listen = address(file, "listen", environment.get("GW_LISTEN"));
@@ -110,19 +110,19 @@
         Map<String, String> pairs = new HashMap<>();
         flatten("", settings, pairs);
         SettingsReader first = new SettingsReader(pairs);
-        return new Config(
+        return new GatewayConfig(
                 name,
                 listen,
                 discovery,
                 seed(file.get("seed")),
-                (int) atLeast(limits, "sockets", LEAST_SOCKETS),
-                atLeast(limits, "memory_mb", LEAST_MEMORY_MB),
+                (int) numberAtLeast(limits, "sockets", MIN_SOCKETS),
+                numberAtLeast(limits, "memory_mb", MIN_MEMORY_MB),
                 file.get("known") instanceof Map<?, ?> known
-                        ? EndpointListUpdate.read(named(known))
+                        ? EndpointListUpdate.parse(withStringKeys(known))
                         : new EndpointListUpdate(0, true, List.of(), List.of()),
-                first.deployment().onWatch(NOTIFIED_WITHIN_MS),
-                names(settings.get("zones")),
-                names(settings.get("kinds")),
+                first.deployment().onWatch(NOTIFICATION_DELAY_MILLIS),
+                strings(settings.get("zones")),
+                strings(settings.get("kinds")),
                 first.time("limits.dialTimeoutNs", 250),
                 first.time("limits.connIdleNs", 15_000),
                 (int) Math.min(Integer.MAX_VALUE, first.optionalNumber("limits.maxOpen", 20_000)));
@@ -149,19 +149,19 @@
         }
     }
 
-    private static String text(Map<String, Object> file, String key, String without)
+    private static String text(Map<String, Object> file, String key, String defaultValue)
             throws ConfigException {
-        Object value = file.getOrDefault(key, without);
+        Object value = file.getOrDefault(key, defaultValue);
         if (!(value instanceof String text) || text.isEmpty()) {
             throw new ConfigException(key + " is missing");
         }
         return text;
     }
 
-    private static InetSocketAddress address(Map<String, Object> file, String key, String without)
-            throws ConfigException {
-        String text = text(file, key, without);
-        InetSocketAddress address = AddressParser.read(text);
+    private static InetSocketAddress address(
+            Map<String, Object> file, String key, String defaultValue) throws ConfigException {
+        String text = text(file, key, defaultValue);
+        InetSocketAddress address = AddressParser.parse(text);
         if (address == null) {
             throw new ConfigException(key + "=" + text + " is no numeric HOST:PORT");
         }
@@ -175,16 +175,16 @@
         throw new ConfigException(key + " is missing");
     }
 
-    private static double atLeast(Map<?, ?> limits, String key, double least)
+    private static double numberAtLeast(Map<?, ?> limits, String key, double min)
             throws ConfigException {
-        if (!(limits.get(key) instanceof Number number) || !(number.doubleValue() >= least)) {
+        if (!(limits.get(key) instanceof Number number) || !(number.doubleValue() >= min)) {
             throw new ConfigException(
                     "limits."
                             + key
                             + "="
                             + limits.get(key)
                             + ", at least "
-                            + (int) least
+                            + (int) min
                             + " are needed");
         }
         return number.doubleValue();
@@ -200,13 +200,13 @@
         throw new ConfigException("seed=" + value + " is no hex number of up to 16 digits");
     }
 
-    private static List<String> names(Object value) {
+    private static List<String> strings(Object value) {
         return value instanceof List<?> names
                 ? names.stream().map(String::valueOf).toList()
                 : List.of();
     }
 
-    private static Map<String, Object> named(Map<?, ?> object) {
+    private static Map<String, Object> withStringKeys(Map<?, ?> object) {
         Map<String, Object> named = new HashMap<>();
         object.forEach((name, value) -> named.put((String) name, value));
         return named;
--- a/src/main/java/sagepulley/platform/GatewayMetrics.java
+++ b/src/main/java/sagepulley/platform/GatewayMetrics.java
@@ -12,29 +12,29 @@
 
 /** What has happened since the start, for the log. */
 final class GatewayMetrics {
-    long taken;
-    long badCommands;
-    long noRoom;
-    long left;
+    long accepted;
+    long invalidCommands;
+    long rejectedAtCapacity;
+    long cancelled;
     long attempts;
-    private long onTime;
-    private long late;
+    private long withinObjective;
+    private long beyondObjective;
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-    private final Map<String, Long> givenUp = new TreeMap<>();
+    private final Map<String, Long> unserved = new TreeMap<>();
     private final Map<Reason, Long> waits = new EnumMap<>(Reason.class);
     private final Map<Integer, Map<Outcome, Integer>> lately = new HashMap<>();
 
-    void ended(Outcome outcome, Node node) {
+    void onAttemptEnded(Outcome outcome, Node node) {
         outcomes.merge(outcome, 1L, Long::sum);
         lately.computeIfAbsent(node.id, any -> new EnumMap<>(Outcome.class))
                 .merge(outcome, 1, Integer::sum);
     }
 
-    void satisfied(Operation operation, double now) {
+    void onServed(Operation operation, double now) {
         if (now - operation.arrivedAt <= operation.trafficClass.latencyObjective()) {
-            onTime++;
+            withinObjective++;
         } else {
-            late++;
+            beyondObjective++;
         }
     }
 
@@ -43,8 +43,8 @@
         waiting.forEach((reason, count) -> waits.merge(reason, (long) count, Long::sum));
     }
 
-    void gaveUp(TrafficClass trafficClass, Reason reason) {
-        givenUp.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
+    void onUnserved(TrafficClass trafficClass, Reason reason) {
+        unserved.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
     }
 
     /** How attempts to a node have ended since this was last asked. */
@@ -56,23 +56,23 @@
     @Override
     public String toString() {
         return "taken="
-                + taken
+                + accepted
                 + " on-time="
-                + onTime
+                + withinObjective
                 + " late="
-                + late
+                + beyondObjective
                 + " left="
-                + left
+                + cancelled
                 + " bad="
-                + badCommands
+                + invalidCommands
                 + " no-room="
-                + noRoom
+                + rejectedAtCapacity
                 + " hops="
                 + attempts
                 + " outcomes="
                 + outcomes
                 + " given-up="
-                + givenUp
+                + unserved
                 + " waits="
                 + waits;
     }
--- a/src/main/java/sagepulley/platform/GatewayServer.java
+++ b/src/main/java/sagepulley/platform/GatewayServer.java
@@ -9,9 +9,9 @@
 
 /** Runs one gateway on the platform in the foreground, until SIGTERM. */
 public final class GatewayServer {
-    private static final long LAST_LINES_MS = 200;
-    private static final int REHEARSED = 60;
-    private static final long REHEARSAL_MS = 1_200;
+    private static final long LOG_FLUSH_TIMEOUT_MILLIS = 200;
+    private static final int WARM_UP_OPERATIONS = 60;
+    private static final long WARM_UP_TIMEOUT_MILLIS = 1_200;
 
     private GatewayServer() {}
 
@@ -24,14 +24,14 @@
     static void run(Map<String, String> environment, Consumer<RespGateway> whenReady)
             throws ConfigException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        Config config = Config.read(environment);
+        GatewayConfig config = GatewayConfig.read(environment);
         RespGateway gateway = new RespGateway(config, Transport.sockets());
         SignalHandlers.on("TERM", gateway::stop);
         SignalHandlers.on("INT", gateway::stop);
-        ConfigReloader reloads = new ConfigReloader(environment, gateway);
-        gateway.begin();
-        reloads.begin();
-        WarmUpRun.inside(REHEARSED, REHEARSAL_MS);
+        ConfigReloader reloader = new ConfigReloader(environment, gateway);
+        gateway.connectToDiscovery();
+        reloader.start();
+        WarmUpRun.inProcess(WARM_UP_OPERATIONS, WARM_UP_TIMEOUT_MILLIS);
         try {
             gateway.start().join();
         } catch (CompletionException e) {
@@ -45,28 +45,29 @@
                 "listen",
                 config.listen(),
                 "bands",
-                bands(config),
+                describeTrafficClasses(config),
                 "idle-time",
-                config.idleTime(),
+                config.idleTimeoutMillis(),
                 "connect-timeout",
-                config.connectTimeout());
+                config.connectTimeoutMillis());
         whenReady.accept(gateway);
-        gateway.ended().join();
-        reloads.close();
-        LogWriter.flush(LAST_LINES_MS);
+        gateway.stopped().join();
+        reloader.close();
+        LogWriter.flush(LOG_FLUSH_TIMEOUT_MILLIS);
     }
 
     /** Each with its target time and patience. */
-    private static String bands(Config config) {
-        StringBuilder all = new StringBuilder();
+    private static String describeTrafficClasses(GatewayConfig config) {
+        StringBuilder description = new StringBuilder();
         for (TrafficClass trafficClass : config.deployment().trafficClasses()) {
-            all.append(all.isEmpty() ? "" : ",")
+            description
+                    .append(description.isEmpty() ? "" : ",")
                     .append(trafficClass.name())
                     .append(':')
                     .append(trafficClass.latencyObjective())
                     .append('/')
                     .append(trafficClass.deadline());
         }
-        return all.toString();
+        return description.toString();
     }
 }
--- a/src/main/java/sagepulley/platform/JsonReader.java
+++ b/src/main/java/sagepulley/platform/JsonReader.java
@@ -15,26 +15,26 @@
  * it.
  */
 final class JsonReader {
-    private static final int DEPTH = 50;
-    private static final int TEXT = 100_000;
+    private static final int MAX_DEPTH = 50;
+    private static final int MAX_STRING_CHARS = 100_000;
     private static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(DEPTH)
-                                    .maxStringLength(TEXT)
+                                    .maxNestingDepth(MAX_DEPTH)
+                                    .maxStringLength(MAX_STRING_CHARS)
                                     .build())
                     .build();
 
     private JsonReader() {}
 
     /** Reads the one object that the bytes hold. */
-    static Map<String, Object> object(byte[] bytes) throws IOException {
+    static Map<String, Object> readObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
             }
-            Map<String, Object> object = objectOf(parser);
+            Map<String, Object> object = readFields(parser);
             if (parser.nextToken() != null) {
                 throw new IOException("something follows the JSON object");
             }
@@ -42,23 +42,23 @@
         }
     }
 
-    private static Map<String, Object> objectOf(JsonParser parser) throws IOException {
+    private static Map<String, Object> readFields(JsonParser parser) throws IOException {
         Map<String, Object> object = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            object.put(name, value(parser));
+            object.put(name, readValue(parser));
         }
         return object;
     }
 
-    private static Object value(JsonParser parser) throws IOException {
+    private static Object readValue(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
-            case START_OBJECT -> objectOf(parser);
+            case START_OBJECT -> readFields(parser);
             case START_ARRAY -> {
                 List<Object> items = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    items.add(value(parser));
+                    items.add(readValue(parser));
                 }
                 yield items;
             }
--- a/src/main/java/sagepulley/platform/KernelReceiveTime.java
+++ b/src/main/java/sagepulley/platform/KernelReceiveTime.java
@@ -14,12 +14,12 @@
      * The kernel counts in ticks of 4 ms mostly and tells a figure that is half of one too long on
      * average.
      */
-    private static final double HALF_TICK = 2;
+    private static final double HALF_TICK_MILLIS = 2;
 
     private final EpollTcpInfo info = new EpollTcpInfo();
 
     /** Milliseconds, and no more than are possible; 0 where the kernel does not tell. */
-    double ago(Channel channel, double most) {
+    double millisSinceReceived(Channel channel, double maxMillis) {
         if (!(channel instanceof EpollSocketChannel socket)) {
             return 0;
         }
@@ -28,6 +28,6 @@
         } catch (ChannelException closed) {
             return 0;
         }
-        return Math.max(0, Math.min(info.lastDataRecv() - HALF_TICK, most));
+        return Math.max(0, Math.min(info.lastDataRecv() - HALF_TICK_MILLIS, maxMillis));
     }
 }
--- a/src/main/java/sagepulley/platform/LogWriter.java
+++ b/src/main/java/sagepulley/platform/LogWriter.java
@@ -12,9 +12,9 @@
  * start were its own.
  */
 final class LogWriter {
-    private static final int MOST_WAITING = 1000;
-    private static final int LONGEST_VALUE = 4000;
-    private static final BlockingQueue<String> LINES = new ArrayBlockingQueue<>(MOST_WAITING);
+    private static final int MAX_QUEUED_LINES = 1000;
+    private static final int MAX_VALUE_CHARS = 4000;
+    private static final BlockingQueue<String> LINES = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private static final AtomicLong DROPPED = new AtomicLong();
     private static final AtomicLong UNWRITTEN = new AtomicLong();
 
@@ -26,31 +26,31 @@
 
     private LogWriter() {}
 
-    static void info(String what, Object... namesAndValues) {
-        if (!isRehearsal()) {
-            offer("INFO", what, namesAndValues);
+    static void info(String event, Object... namesAndValues) {
+        if (!isWarmUpThread()) {
+            offer("INFO", event, namesAndValues);
         }
     }
 
-    static void warn(String what, Object... namesAndValues) {
-        if (!isRehearsal()) {
-            offer("WARN", what, namesAndValues);
+    static void warn(String event, Object... namesAndValues) {
+        if (!isWarmUpThread()) {
+            offer("WARN", event, namesAndValues);
         }
     }
 
     /** A gateway that rehearses inside the program is quiet; the real one beside it is not. */
-    private static boolean isRehearsal() {
-        return Thread.currentThread().getName().startsWith(Transport.REHEARSAL_THREADS);
+    private static boolean isWarmUpThread() {
+        return Thread.currentThread().getName().startsWith(Transport.WARM_UP_THREAD_PREFIX);
     }
 
-    private static void offer(String level, String what, Object... namesAndValues) {
+    private static void offer(String level, String event, Object... namesAndValues) {
         StringBuilder line =
                 new StringBuilder(200)
                         .append(Instant.now())
                         .append(' ')
                         .append(level)
                         .append(' ')
-                        .append(what);
+                        .append(event);
         for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
             line.append(' ')
                     .append(namesAndValues[i])
@@ -67,8 +67,8 @@
     /** A value on one line, quoted where it has blanks. */
     private static String value(Object value) {
         String text = String.valueOf(value);
-        if (text.length() > LONGEST_VALUE) {
-            text = text.substring(0, LONGEST_VALUE);
+        if (text.length() > MAX_VALUE_CHARS) {
+            text = text.substring(0, MAX_VALUE_CHARS);
         }
         StringBuilder clean = new StringBuilder(text.length());
         boolean quoted = text.isEmpty();
@@ -96,9 +96,9 @@
     }
 
     /** Waits until what was logged is written, at most so many milliseconds. */
-    static void flush(long most) {
-        long until = System.nanoTime() + most * 1_000_000;
-        while (UNWRITTEN.get() > 0 && System.nanoTime() < until) {
+    static void flush(long timeoutMillis) {
+        long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
+        while (UNWRITTEN.get() > 0 && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
             try {
                 Thread.sleep(1);
--- a/src/main/java/sagepulley/platform/RateLimitedLog.java
+++ b/src/main/java/sagepulley/platform/RateLimitedLog.java
@@ -8,11 +8,11 @@
  * next second's first line.
  */
 final class RateLimitedLog {
-    private static final int MOST_A_SECOND = 100;
-    private static final double SECOND = 1_000;
+    private static final int MAX_LINES_PER_SECOND = 100;
+    private static final double WINDOW_MILLIS = 1_000;
 
     private final DoubleSupplier clock;
-    private double secondBegan = Double.NEGATIVE_INFINITY;
+    private double windowStart = Double.NEGATIVE_INFINITY;
     private int written;
     private long suppressed;
 
@@ -20,21 +20,21 @@
         this.clock = clock;
     }
 
-    void line(String what, Object... namesAndValues) {
+    void info(String event, Object... namesAndValues) {
         double now = clock.getAsDouble();
-        if (now - secondBegan >= SECOND) {
-            secondBegan = now;
+        if (now - windowStart >= WINDOW_MILLIS) {
+            windowStart = now;
             written = 0;
             if (suppressed > 0) {
                 LogWriter.info("event lines suppressed", "count", suppressed);
                 suppressed = 0;
             }
         }
-        if (written >= MOST_A_SECOND) {
+        if (written >= MAX_LINES_PER_SECOND) {
             suppressed++;
             return;
         }
         written++;
-        LogWriter.info(what, namesAndValues);
+        LogWriter.info(event, namesAndValues);
     }
 }
--- a/src/main/java/sagepulley/platform/RespGateway.java
+++ b/src/main/java/sagepulley/platform/RespGateway.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import sagepulley.codec.frame.EventLoopTimer;
 import sagepulley.codec.resp.Resp;
-import sagepulley.codec.resp.RespBytes;
+import sagepulley.codec.resp.RespEncoder;
 import sagepulley.engine.Clock;
 import sagepulley.engine.DecisionSink;
 import sagepulley.engine.GatewayEngine;
@@ -29,7 +29,8 @@
  * One gateway on the platform: clients, nodes and discovery on one event loop, round the host of
  * Scheduler. It tells the host what happens and carries out what comes back.
  */
-final class RespGateway implements DecisionSink, ClientConnection.Owner, DiscoveryClient.Owner {
+final class RespGateway
+        implements DecisionSink, ClientConnection.Handler, DiscoveryClient.Listener {
     private static final long SWEEP_MS = 200;
     private static final long REPORT_MS = 5_000;
 
@@ -76,24 +77,24 @@
      */
     private static final long FIRST_LIST_MS = 4_000;
 
-    private final Config config;
+    private final GatewayConfig config;
     private final Clock clock = new Clock();
     private final EventLoop loop;
-    private final EventLoopTimer alarm;
+    private final EventLoopTimer wakeUpTimer;
     private final GatewayEngine engine;
-    private final EndpointRegistry book;
-    private final ClientListener front;
-    private final EndpointConnectionPool nodes;
+    private final EndpointRegistry endpoints;
+    private final ClientListener clients;
+    private final EndpointConnectionPool connections;
     private final DiscoveryClient discovery;
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final GatewayMetrics counts = new GatewayMetrics();
-    private final KernelReceiveTime arrival = new KernelReceiveTime();
-    private final RateLimitedLog events = new RateLimitedLog(clock::now);
-    private final long mostBytes;
-    private long bytesInHand;
-    private boolean settleDue;
-    private double sweepDue = Double.POSITIVE_INFINITY;
-    private double worstLag;
+    private final CompletableFuture<Void> stopped = new CompletableFuture<>();
+    private final GatewayMetrics metrics = new GatewayMetrics();
+    private final KernelReceiveTime receiveTime = new KernelReceiveTime();
+    private final RateLimitedLog eventLog = new RateLimitedLog(clock::now);
+    private final long maxBytesInFlight;
+    private long bytesInFlight;
+    private boolean dueWorkScheduled;
+    private double sweepDueAt = Double.POSITIVE_INFINITY;
+    private double maxLagMillis;
     private volatile int reloads;
     private boolean listening;
     private boolean stopping;
@@ -107,42 +108,47 @@
     private double stopAt = Double.POSITIVE_INFINITY;
 
     /** What is kept of an operation in hand: its command, and where its answer goes. */
-    private record Held(BlockCommand command, ClientConnection.Slot slot) {}
+    private record Held(BlockCommand command, ClientConnection.PendingReply pendingReply) {}
 
-    RespGateway(Config config, Transport transport) {
-        this.loop = transport.loops().next();
-        this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
+    RespGateway(GatewayConfig config, Transport transport) {
+        this.loop = transport.eventLoops().next();
+        this.wakeUpTimer = new EventLoopTimer(loop, clock::now, this::runDueWork);
         this.config = config;
         this.engine = new GatewayEngine(config.deployment(), config.seed(), this);
-        this.book = new EndpointRegistry(config.zones(), config.kinds(), clock);
-        int sockets = config.sockets() - OWN_SOCKETS;
+        this.endpoints = new EndpointRegistry(config.zones(), config.kinds(), clock);
+        int sockets = config.maxSockets() - OWN_SOCKETS;
         int clients = (int) (sockets * CLIENT_PART);
-        this.front = new ClientListener(transport, clients, longestPatience(config), this);
-        this.nodes =
+        this.clients = new ClientListener(transport, clients, maxDeadline(config), this);
+        this.connections =
                 new EndpointConnectionPool(
                         transport,
                         sockets - clients,
-                        config.connectTimeout(),
-                        config.idleTime() * IDLE_PART,
-                        shortestTarget(config) * STALL_PART,
+                        config.connectTimeoutMillis(),
+                        config.idleTimeoutMillis() * IDLE_PART,
+                        minLatencyObjective(config) * STALL_PART,
                         clock::now);
-        this.nodes.onClose(
+        this.connections.onClose(
                 (address, why) ->
-                        events.line("endpoint connection closed", "address", address, "why", why));
+                        eventLog.info(
+                                "endpoint connection closed", "address", address, "why", why));
         this.discovery =
                 new DiscoveryClient(
-                        transport, config.discovery(), config.known().revision(), this, clock::now);
-        this.mostBytes = (long) (config.memoryMb() * (1 << 20) * BYTES_PART);
+                        transport,
+                        config.discovery(),
+                        config.initialEndpoints().revision(),
+                        this,
+                        clock::now);
+        this.maxBytesInFlight = (long) (config.memoryMb() * (1 << 20) * BYTES_PART);
     }
 
-    private static double shortestTarget(Config config) {
+    private static double minLatencyObjective(GatewayConfig config) {
         return config.deployment().trafficClasses().stream()
                 .mapToDouble(TrafficClass::latencyObjective)
                 .min()
                 .orElse(0);
     }
 
-    private static double longestPatience(Config config) {
+    private static double maxDeadline(GatewayConfig config) {
         return config.deployment().trafficClasses().stream()
                 .mapToDouble(TrafficClass::deadline)
                 .max()
@@ -150,11 +156,11 @@
     }
 
     /** Asks for the list, and nothing else yet. */
-    void begin() {
+    void connectToDiscovery() {
         loop.execute(
                 () -> {
-                    listed(config.known());
-                    settleNow();
+                    onEndpointList(config.initialEndpoints());
+                    runDueWork();
                     loop.schedule(
                             () -> firstList.complete(null), FIRST_LIST_MS, TimeUnit.MILLISECONDS);
                 });
@@ -177,11 +183,11 @@
     private void listen(CompletableFuture<SocketAddress> ready) {
         if (stopping) {
             ready.complete(config.listen()); // nobody was told that it is there
-            finish();
+            stopNow();
             return;
         }
         listening = true;
-        ChannelFuture bound = front.listen(config.listen());
+        ChannelFuture bound = clients.listen(config.listen());
         bound.addListener(
                 done -> {
                     if (done.isSuccess()) {
@@ -193,8 +199,8 @@
     }
 
     /** Completes once the gateway has stopped, with all that it took answered. */
-    CompletableFuture<Void> ended() {
-        return ended;
+    CompletableFuture<Void> stopped() {
+        return stopped;
     }
 
     @Override
@@ -205,38 +211,43 @@
     // ---- clients ----
 
     @Override
-    public void asked(ClientConnection connection, ClientConnection.Slot slot, List<byte[]> words) {
+    public void onRequest(
+            ClientConnection connection,
+            ClientConnection.PendingReply pendingReply,
+            List<byte[]> words) {
         double now = clock.now();
         BlockCommand command;
         try {
-            command = BlockCommand.read(words, config.deployment());
+            command = BlockCommand.parse(words, config.deployment());
             if (engine.operation(command.id) != null) {
                 throw new BadCommandException("an operation with this id is in hand");
             }
         } catch (BadCommandException bad) {
-            counts.badCommands++;
-            slot.answer(RespBytes.error("ERR " + bad.getMessage()));
+            metrics.invalidCommands++;
+            pendingReply.reply(RespEncoder.error("ERR " + bad.getMessage()));
             return;
         }
-        connection.asked = true;
-        if (connection.isEnding() || front.isEnding()) {
-            events.line("request refused", "id", NumberParser.id(command.id), "why", "STOPPING");
-            slot.answer(RespBytes.error("BUSY"));
+        connection.hasSentCommand = true;
+        if (connection.isDraining() || clients.isDraining()) {
+            eventLog.info(
+                    "request refused", "id", NumberParser.formatId(command.id), "why", "STOPPING");
+            pendingReply.reply(RespEncoder.error("BUSY"));
             return;
         }
-        if (bytesInHand + command.bytes() > mostBytes
-                || engine.inFlight().size() >= config.mostOpen()) {
-            counts.noRoom++;
-            events.line("request refused", "id", NumberParser.id(command.id), "why", "NO_ROOM");
-            slot.answer(RespBytes.error("BUSY"));
+        if (bytesInFlight + command.sizeBytes() > maxBytesInFlight
+                || engine.inFlight().size() >= config.maxInFlight()) {
+            metrics.rejectedAtCapacity++;
+            eventLog.info(
+                    "request refused", "id", NumberParser.formatId(command.id), "why", "NO_ROOM");
+            pendingReply.reply(RespEncoder.error("BUSY"));
             return;
         }
-        bytesInHand += command.bytes();
-        counts.taken++;
+        bytesInFlight += command.sizeBytes();
+        metrics.accepted++;
         Volume volume = engine.volume(command.volume, command.plan.index());
-        volume.gatewayCount = command.gateways;
-        double cameAt = now - connection.cameAgo(arrival);
-        double deadline = Math.min(cameAt + command.patience, Math.max(now + 1, stopAt));
+        volume.gatewayCount = command.gatewayCount;
+        double cameAt = now - connection.millisSinceReceived(receiveTime);
+        double deadline = Math.min(cameAt + command.deadlineMillis, Math.max(now + 1, stopAt));
         Operation operation =
                 new Operation(
                         command.id,
@@ -247,47 +258,47 @@
                         command.shard,
                         cameAt,
                         deadline,
-                        command.repeat);
-        operation.engineState = new Held(command, slot);
-        slot.held = operation;
+                        command.clientRetry);
+        operation.engineState = new Held(command, pendingReply);
+        pendingReply.attachment = operation;
         engine.onArrival(operation);
-        settle();
+        scheduleDueWork();
     }
 
     @Override
-    public void left(ClientConnection.Slot slot) {
-        Operation operation = (Operation) slot.held;
-        slot.held = null;
-        counts.left++;
+    public void onClientCancelled(ClientConnection.PendingReply pendingReply) {
+        Operation operation = (Operation) pendingReply.attachment;
+        pendingReply.attachment = null;
+        metrics.cancelled++;
         release(operation);
         engine.onClientCancelled(operation.id, clock.now());
-        operation.attempts.forEach(nodes::callOffUnwritten);
-        settle();
+        operation.attempts.forEach(connections::cancelUnwritten);
+        scheduleDueWork();
     }
 
     @Override
-    public void closed(ClientConnection connection) {
-        if (connection.endReason() != null) {
-            events.line(
+    public void onClosed(ClientConnection connection) {
+        if (connection.closeReason() != null) {
+            eventLog.info(
                     "client connection closed",
                     "why",
-                    connection.endReason(),
+                    connection.closeReason(),
                     "age-ms",
                     Math.round(clock.now() - connection.connectedAt),
                     "asked",
-                    connection.asked);
+                    connection.hasSentCommand);
         }
-        front.closed(connection);
+        clients.remove(connection);
         checkEnd();
     }
 
     @Override
     public void endUnserved(Operation operation, RoutingDecision decision) {
         boolean declined = decision.kind() == RoutingDecision.Kind.REJECT;
-        events.line(
+        eventLog.info(
                 declined ? "request refused" : "request failed",
                 "id",
-                NumberParser.id(operation.id),
+                NumberParser.formatId(operation.id),
                 "band",
                 operation.trafficClass.name(),
                 "why",
@@ -296,13 +307,13 @@
                 Math.round(clock.now() - operation.arrivedAt),
                 "attempts",
                 attempts(operation));
-        counts.gaveUp(operation.trafficClass, decision.reason());
+        metrics.onUnserved(operation.trafficClass, decision.reason());
         if (!declined) {
-            answer(operation, RespBytes.error("ERR failed"));
+            answer(operation, RespEncoder.error("ERR failed"));
         } else if (decision.retryAfter() > 0) {
-            answer(operation, RespBytes.error("BUSY " + (long) Math.ceil(decision.retryAfter())));
+            answer(operation, RespEncoder.error("BUSY " + (long) Math.ceil(decision.retryAfter())));
         } else {
-            answer(operation, RespBytes.error("BUSY"));
+            answer(operation, RespEncoder.error("BUSY"));
         }
     }
 
@@ -311,7 +322,7 @@
         StringBuilder text = new StringBuilder();
         for (Attempt attempt : operation.attempts) {
             text.append(text.isEmpty() ? "" : ",")
-                    .append(book.name(attempt.node))
+                    .append(endpoints.name(attempt.node))
                     .append(':')
                     .append(attempt.outcome == null ? "OUT" : attempt.outcome);
         }
@@ -320,14 +331,14 @@
 
     private void answer(Operation operation, ByteBuf bytes) {
         Held held = release(operation);
-        held.slot().answer(bytes);
+        held.pendingReply().reply(bytes);
         checkEnd();
     }
 
     private Held release(Operation operation) {
         Held held = (Held) operation.engineState;
         operation.engineState = null;
-        bytesInHand -= held.command().bytes();
+        bytesInFlight -= held.command().sizeBytes();
         return held;
     }
 
@@ -335,21 +346,21 @@
 
     @Override
     public void send(Attempt attempt, double timeout) {
-        counts.attempts++;
+        metrics.attempts++;
         if (attempt.number > 0) {
-            events.line(
+            eventLog.info(
                     "request retried",
                     "id",
-                    NumberParser.id(attempt.operation.id),
+                    NumberParser.formatId(attempt.operation.id),
                     "attempts",
                     attempts(attempt.operation));
         }
-        SocketAddress address = book.address(attempt.node);
+        SocketAddress address = endpoints.address(attempt.node);
         BlockCommand command = ((Held) attempt.operation.engineState).command();
-        nodes.send(
+        connections.send(
                 attempt,
                 address,
-                left -> engine.mayStart(attempt, clock.now()) ? command.forNode(left) : null,
+                left -> engine.mayStart(attempt, clock.now()) ? command.withTimeout(left) : null,
                 timeout,
                 (outcome, answer, at) -> attemptEnded(attempt, outcome, answer, at));
     }
@@ -358,22 +369,22 @@
         double now = clock.now();
         attempt.outcome = outcome;
         attempt.duration = at - attempt.sentAt;
-        counts.ended(outcome, attempt.node);
-        EndpointResponse.tell(attempt, answer, config.deployment().reportFields());
+        metrics.onAttemptEnded(outcome, attempt.node);
+        EndpointResponse.recordIn(attempt, answer, config.deployment().reportFields());
         boolean settled = attempt.operation.ended;
         if (outcome == Outcome.SERVED && !settled) {
             settled = true;
-            counts.satisfied(attempt.operation, now);
+            metrics.onServed(attempt.operation, now);
             attempt.operation.ended = true;
-            answer(attempt.operation, RespBytes.bulk(EndpointResponse.value(answer)));
+            answer(attempt.operation, RespEncoder.bulk(EndpointResponse.value(answer)));
         }
         engine.onAttemptEnded(attempt, settled, now);
-        settle();
+        scheduleDueWork();
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        nodes.callOff(attempt);
+        connections.cancel(attempt);
     }
 
     @Override
@@ -383,8 +394,8 @@
                 (load ? List.of("INFO", "load") : List.of("PING"))
                         .stream().map(word -> word.getBytes(StandardCharsets.US_ASCII)).toList();
         double sentAt = clock.now();
-        nodes.probe(
-                book.address(node),
+        connections.sendHealthCheck(
+                endpoints.address(node),
                 words,
                 PROBE_TIMEOUT,
                 (outcome, answer, at) -> {
@@ -393,7 +404,7 @@
                                     || (answer instanceof Resp.Line line && !line.isError());
                     double[] report =
                             answer instanceof Resp.Bulk bulk
-                                    ? EndpointResponse.report(
+                                    ? EndpointResponse.parseReport(
                                             bulk, config.deployment().reportFields())
                                     : null;
                     engine.onHealthCheck(
@@ -402,7 +413,7 @@
                             at - sentAt,
                             report,
                             clock.now());
-                    settle();
+                    scheduleDueWork();
                 });
     }
 
@@ -410,87 +421,87 @@
 
     @Override
     public void openWatch() {
-        discovery.subscribe();
+        discovery.openWatch();
     }
 
     @Override
     public void pollEndpointList() {
-        discovery.fetch();
+        discovery.poll();
     }
 
     @Override
-    public void listed(EndpointListUpdate listing) {
+    public void onEndpointList(EndpointListUpdate listing) {
         LogWriter.info(
                 "list of nodes",
                 "revision",
                 listing.revision(),
                 "whole",
-                listing.whole(),
+                listing.complete(),
                 "entries",
                 listing.members().size());
-        List<String> changes = book.changes(listing, engine::node);
+        List<String> changes = endpoints.changes(listing, engine::node);
         if (!changes.isEmpty()) {
             LogWriter.info("endpoint states", "revision", listing.revision(), "changes", changes);
         }
         for (String entry : listing.unreadable()) {
             LogWriter.warn("an entry of the list cannot be read", "entry", entry);
         }
-        engine.onEndpointList(book.entries(listing), listing.whole(), clock.now())
-                .forEach(book::forget);
-        settle();
+        engine.onEndpointList(endpoints.entries(listing), listing.complete(), clock.now())
+                .forEach(endpoints::remove);
+        scheduleDueWork();
     }
 
     @Override
-    public void listConfirmed(double asOf) {
+    public void onListConfirmed(double asOf) {
         engine.onListConfirmed(asOf);
         firstList.complete(null);
-        settle();
+        scheduleDueWork();
     }
 
     @Override
-    public void discoveryUnreachable(double at) {
+    public void onDiscoveryUnreachable(double at) {
         engine.onDiscoveryUnreachable(at);
     }
 
     @Override
-    public void listFailed(String why) {
+    public void onPollFailed(String why) {
         LogWriter.warn("the list of nodes failed", "why", why);
         engine.onPollFailed(clock.now());
-        settle();
+        scheduleDueWork();
     }
 
     // ---- what is due ----
 
     /** Asks what is due, once for all that one turn of the loop brought. */
-    private void settle() {
-        if (!settleDue) {
-            settleDue = true;
+    private void scheduleDueWork() {
+        if (!dueWorkScheduled) {
+            dueWorkScheduled = true;
             loop.execute(
                     () -> {
-                        settleDue = false;
-                        settleNow();
+                        dueWorkScheduled = false;
+                        runDueWork();
                     });
         }
     }
 
-    private void settleNow() {
+    private void runDueWork() {
         engine.runDueWork(clock.now());
     }
 
     @Override
     public void scheduleWakeUp(double pause, double now) {
-        alarm.by(now + pause);
+        wakeUpTimer.by(now + pause);
     }
 
     private void sweep() {
-        double late = clock.now() - sweepDue;
-        sweepDue = clock.now() + SWEEP_MS;
-        worstLag = Math.max(worstLag, late);
-        front.sweep();
-        nodes.sweep();
+        double late = clock.now() - sweepDueAt;
+        sweepDueAt = clock.now() + SWEEP_MS;
+        maxLagMillis = Math.max(maxLagMillis, late);
+        clients.closeExpired();
+        connections.closeExpired();
         checkEnd();
         double now = clock.now();
-        counts.waits(engine.waitingByReason(now));
+        metrics.waits(engine.waitingByReason(now));
     }
 
     private void report() {
@@ -500,45 +511,45 @@
                 "in-hand",
                 engine.inFlight().size(),
                 "bytes",
-                bytesInHand,
+                bytesInFlight,
                 "hops-out",
-                nodes.attemptsOut(),
+                connections.attemptsInFlight(),
                 "node-connections",
-                nodes.open(),
+                connections.openConnections(),
                 "opened",
-                nodes.opened,
+                connections.opened,
                 "no-room-for-hop",
-                nodes.refusedForRoom,
+                connections.rejectedAtLimit,
                 "found-spent",
-                nodes.foundSpent,
+                connections.staleConnections,
                 "spoilt",
-                nodes.spoilt,
+                connections.invalidResponses,
                 "clients",
-                front.size(),
+                clients.connectionCount(),
                 "accepted",
-                front.accepted,
+                clients.accepted,
                 "turned-away",
-                front.turnedAway,
+                clients.rejected,
                 "revision",
                 discovery.revision(),
                 "watching",
                 discovery.isWatching(),
                 "lag-ms",
-                Math.round(worstLag),
+                Math.round(maxLagMillis),
                 "heap-kb",
                 (runtime.totalMemory() - runtime.freeMemory()) >> 10,
                 "counts",
-                counts,
+                metrics,
                 "bands",
                 engine.trafficClassViews());
-        worstLag = 0;
+        maxLagMillis = 0;
         for (Node node : engine.nodes()) {
-            Map<Outcome, Integer> ended = counts.lately(node);
+            Map<Outcome, Integer> ended = metrics.lately(node);
             if (node.phase != Node.Phase.REMOVED || !ended.isEmpty()) {
                 LogWriter.info(
                         "node",
                         "id",
-                        book.name(node),
+                        endpoints.name(node),
                         "standing",
                         node.phase,
                         "cell",
@@ -548,7 +559,7 @@
                         "ended",
                         ended,
                         "connections",
-                        nodes.open(book.address(node)));
+                        connections.openConnections(endpoints.address(node)));
             }
         }
     }
@@ -560,7 +571,7 @@
         return reloads;
     }
 
-    SocketAddress discoveryAt() {
+    SocketAddress discoveryAddress() {
         return discovery.address();
     }
 
@@ -568,7 +579,7 @@
      * A new configuration was told at a time. What discovery has counts as notified some seconds
      * after that, however long the file takes to read.
      */
-    void reloadTold(double toldAt) {
+    void onReloadNotified(double toldAt) {
         loop.execute(
                 () -> {
                     LogWriter.info(
@@ -583,7 +594,7 @@
      * The file was read, beginning at a time: discovery moves; what else differs holds from the
      * next start on.
      */
-    void reload(Config fresh, double readAt) {
+    void onConfigurationRead(GatewayConfig fresh, double readAt) {
         loop.execute(
                 () -> {
                     LogWriter.info(
@@ -596,14 +607,14 @@
                     engine.onConfigurationRead(readAt);
                     if (moved) {
                         engine.onDiscoveryMoved(clock.now());
-                        settle();
+                        scheduleDueWork();
                     }
                     reloads++;
                 });
     }
 
     /** The file was read, beginning at a time, and cannot be used: all stays as it was. */
-    void reloadUnusable(double readAt) {
+    void onConfigurationUnusable(double readAt) {
         loop.execute(() -> engine.onConfigurationRead(readAt));
     }
 
@@ -621,16 +632,16 @@
                         return;
                     }
                     double left =
-                            Math.min(longestPatience(config), LONGEST_STOP)
+                            Math.min(maxDeadline(config), LONGEST_STOP)
                                     + KILL_AFTER
                                     - ANSWERED_BEFORE;
                     stopAt = toldAt + left;
                     double now = clock.now();
-                    front.keepUnused();
+                    clients.keepIdleConnections();
                     LogWriter.info("stopping", "in-hand", engine.inFlight().size());
                     loop.schedule(
                             () -> {
-                                front.end();
+                                clients.drain();
                                 checkEnd();
                             },
                             (long) (stopAt - LAST_TAKEN - now),
@@ -643,37 +654,37 @@
     private void giveUpAll() {
         for (Operation operation : new ArrayList<>(engine.inFlight())) {
             if (operation.engineState != null) {
-                events.line(
+                eventLog.info(
                         "request failed",
                         "id",
-                        NumberParser.id(operation.id),
+                        NumberParser.formatId(operation.id),
                         "why",
                         "STOPPING",
                         "attempts",
                         attempts(operation));
-                answer(operation, RespBytes.error("ERR the gateway stops"));
+                answer(operation, RespEncoder.error("ERR the gateway stops"));
                 engine.onClientCancelled(operation.id, clock.now());
             }
         }
-        loop.schedule(this::finish, SWEEP_MS / 2, TimeUnit.MILLISECONDS);
+        loop.schedule(this::stopNow, SWEEP_MS / 2, TimeUnit.MILLISECONDS);
     }
 
     private void checkEnd() {
-        if (stopping && front.hasEnded() && !ended.isDone()) {
-            finish();
+        if (stopping && clients.isDrained() && !stopped.isDone()) {
+            stopNow();
         }
     }
 
     /** Ends at once. */
-    void finish() {
+    void stopNow() {
         loop.execute(
                 () -> {
                     LogWriter.info(
-                            "stopped", "in-hand", engine.inFlight().size(), "counts", counts);
-                    front.end();
+                            "stopped", "in-hand", engine.inFlight().size(), "counts", metrics);
+                    clients.drain();
                     discovery.close();
-                    nodes.close();
-                    ended.complete(null);
+                    connections.close();
+                    stopped.complete(null);
                 });
     }
 }
--- a/src/main/java/sagepulley/platform/Transport.java
+++ b/src/main/java/sagepulley/platform/Transport.java
@@ -18,11 +18,11 @@
 
 /** One loop, and the channels that a gateway opens on it: sockets, or pipes inside the program. */
 record Transport(
-        EventLoopGroup loops,
+        EventLoopGroup eventLoops,
         Class<? extends Channel> socket,
         Class<? extends ServerChannel> server) {
     /** How the names of the threads begin on which a gateway rehearses inside the program. */
-    static final String REHEARSAL_THREADS = "rehearsal";
+    static final String WARM_UP_THREAD_PREFIX = "rehearsal";
 
     static Transport sockets() {
         return new Transport(
@@ -31,7 +31,7 @@
 
     /** For connections out of the program or inside it. */
     Bootstrap connector() {
-        Bootstrap connector = new Bootstrap().group(loops).channel(socket);
+        Bootstrap connector = new Bootstrap().group(eventLoops).channel(socket);
         return SocketChannel.class.isAssignableFrom(socket)
                 ? connector.option(ChannelOption.TCP_NODELAY, true)
                 : connector;
@@ -51,7 +51,8 @@
      * Tells a connection's failure on the loop. Where the system grants no socket, the future
      * belongs to another thread and its channel cannot even be closed.
      */
-    static void whenFailed(ChannelFuture connecting, EventLoop loop, Consumer<Throwable> task) {
+    static void onConnectFailure(
+            ChannelFuture connecting, EventLoop loop, Consumer<Throwable> task) {
         connecting.addListener(
                 done -> {
                     if (done.isSuccess()) {
@@ -65,11 +66,11 @@
                 });
     }
 
-    static Transport local() {
+    static Transport inProcess() {
         return new Transport(
                 new MultiThreadIoEventLoopGroup(
                         1,
-                        new DefaultThreadFactory(REHEARSAL_THREADS, true),
+                        new DefaultThreadFactory(WARM_UP_THREAD_PREFIX, true),
                         LocalIoHandler.newFactory()),
                 LocalChannel.class,
                 LocalServerChannel.class);
--- a/src/main/java/sagepulley/platform/WarmUpRun.java
+++ b/src/main/java/sagepulley/platform/WarmUpRun.java
@@ -25,8 +25,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import sagepulley.codec.resp.Resp;
-import sagepulley.codec.resp.RespBytes;
 import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespEncoder;
 import sagepulley.codec.resp.RespLimits;
 
 /**
@@ -37,29 +37,29 @@
 public final class WarmUpRun {
     private static final int CLIENTS = 4;
     private static final int OPERATIONS = 300;
-    private static final long QUIET_MS = 100;
-    private static final long END_MS = 1_000;
-    private static final byte[] NODE_ANSWER =
+    private static final long SHUTDOWN_QUIET_MILLIS = 100;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
+    private static final byte[] ENDPOINT_REPLY =
             "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] LIST_ANSWER =
+    private static final byte[] ENDPOINT_LIST_RESPONSE =
             ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + "2e\r\n{\"revision\":2,\"complete\":false,\"members\":[]}\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
 
     private final Transport transport;
     private final SocketAddress listen;
-    private final CountDownLatch left;
-    private long asked;
+    private final CountDownLatch remaining;
+    private long requestCount;
 
     private WarmUpRun(Transport transport, SocketAddress listen, int operations) {
         this.transport = transport;
         this.listen = listen;
-        this.left = new CountDownLatch(operations);
+        this.remaining = new CountDownLatch(operations);
     }
 
     /** On loopback, for the build, and inside the program as at each start. */
     public static void onLoopback() throws IOException, ConfigException {
-        inside(OPERATIONS, 10_000);
+        inProcess(OPERATIONS, 10_000);
         run(
                 Transport.sockets(),
                 Transport.sockets(),
@@ -68,15 +68,15 @@
                 loopback(),
                 OPERATIONS,
                 10_000);
-        aStart();
+        serveFromFile();
     }
 
     /** One start as in service, from a file, at a port that was free just now. */
-    private static void aStart() throws IOException, ConfigException {
+    private static void serveFromFile() throws IOException, ConfigException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try {
             Files.writeString(file, listeningAt(freePort()));
-            GatewayServer.run(Map.of("GW_CONFIG", file.toString()), RespGateway::finish);
+            GatewayServer.run(Map.of("GW_CONFIG", file.toString()), RespGateway::stopNow);
         } finally {
             Files.delete(file);
         }
@@ -102,16 +102,16 @@
     }
 
     /** Inside the program, for so many operations or milliseconds. */
-    static void inside(int operations, long most) {
+    static void inProcess(int operations, long timeoutMillis) {
         try {
             run(
-                    Transport.local(),
-                    Transport.local(),
+                    Transport.inProcess(),
+                    Transport.inProcess(),
                     new LocalAddress("rehearsal-gateway"),
                     new LocalAddress("rehearsal-node"),
                     new LocalAddress("rehearsal-discovery"),
                     operations,
-                    most);
+                    timeoutMillis);
         } catch (IOException | ConfigException e) {
             LogWriter.warn("the rehearsal failed", "why", e.getMessage());
         }
@@ -129,34 +129,39 @@
             SocketAddress node,
             SocketAddress discovery,
             int operations,
-            long most)
+            long timeoutMillis)
             throws IOException, ConfigException {
         try {
-            SocketAddress nodeAt = server(others, node, WarmUpRun::node);
-            SocketAddress discoveryAt = server(others, discovery, WarmUpRun::discovery);
+            SocketAddress nodeAt = server(others, node, WarmUpRun::serveEndpoint);
+            SocketAddress discoveryAt = server(others, discovery, WarmUpRun::serveDiscovery);
             RespGateway gateway = new RespGateway(config(listen, discoveryAt, nodeAt), own);
-            gateway.begin();
-            WarmUpRun rehearsal = new WarmUpRun(others, gateway.start().join(), operations);
+            gateway.connectToDiscovery();
+            WarmUpRun warmUp = new WarmUpRun(others, gateway.start().join(), operations);
             for (int i = 0; i < CLIENTS; i++) {
-                rehearsal.client();
+                warmUp.connectClient();
             }
-            rehearsal.left.await(most, TimeUnit.MILLISECONDS);
+            warmUp.remaining.await(timeoutMillis, TimeUnit.MILLISECONDS);
             // Whoever is called closes last: a loop that has ended hears of nothing any more.
-            gateway.finish();
-            gateway.ended().join();
+            gateway.stopNow();
+            gateway.stopped().join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            others.loops().shutdownGracefully(QUIET_MS, END_MS, TimeUnit.MILLISECONDS);
-            own.loops().shutdownGracefully(QUIET_MS, END_MS, TimeUnit.MILLISECONDS);
+            others.eventLoops()
+                    .shutdownGracefully(
+                            SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            own.eventLoops()
+                    .shutdownGracefully(
+                            SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** The configuration that is rehearsed, at these addresses. */
-    static Config config(SocketAddress listen, SocketAddress discovery, SocketAddress node)
+    static GatewayConfig config(SocketAddress listen, SocketAddress discovery, SocketAddress node)
             throws IOException, ConfigException {
-        return Config.of(JsonReader.object(text().getBytes(StandardCharsets.UTF_8)), Map.of())
-                .at(listen, discovery, node);
+        return GatewayConfig.parse(
+                        JsonReader.readObject(text().getBytes(StandardCharsets.UTF_8)), Map.of())
+                .withAddresses(listen, discovery, node);
     }
 
     private interface Pipeline {
@@ -166,7 +171,7 @@
     private static SocketAddress server(
             Transport transport, SocketAddress address, Pipeline pipeline) {
         return new ServerBootstrap()
-                .group(transport.loops())
+                .group(transport.eventLoops())
                 .channel(transport.server())
                 .childHandler(initializer(pipeline))
                 .bind(address)
@@ -184,19 +189,19 @@
         };
     }
 
-    private static void node(Channel channel) {
+    private static void serveEndpoint(Channel channel) {
         channel.pipeline()
                 .addLast(
                         new RespDecoder(RespLimits.commands(64, 2048, 4096, 8)),
                         new SimpleChannelInboundHandler<Resp>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, Resp command) {
-                                ctx.writeAndFlush(Unpooled.wrappedBuffer(NODE_ANSWER));
+                                ctx.writeAndFlush(Unpooled.wrappedBuffer(ENDPOINT_REPLY));
                             }
                         });
     }
 
-    private static void discovery(Channel channel) {
+    private static void serveDiscovery(Channel channel) {
         channel.pipeline()
                 .addLast(
                         new HttpServerCodec(),
@@ -209,14 +214,15 @@
                                     ctx.channel()
                                             .pipeline()
                                             .firstContext()
-                                            .writeAndFlush(Unpooled.wrappedBuffer(LIST_ANSWER));
+                                            .writeAndFlush(
+                                                    Unpooled.wrappedBuffer(ENDPOINT_LIST_RESPONSE));
                                 }
                             }
                         });
     }
 
     /** Asks one thing after the other, and now and then what nobody can answer. */
-    private void client() {
+    private void connectClient() {
         transport
                 .connector()
                 .handler(
@@ -231,44 +237,45 @@
                                                             @Override
                                                             public void channelActive(
                                                                     ChannelHandlerContext ctx) {
-                                                                ask(ctx);
+                                                                sendRequest(ctx);
                                                             }
 
                                                             @Override
                                                             protected void channelRead0(
                                                                     ChannelHandlerContext ctx,
                                                                     Resp answer) {
-                                                                left.countDown();
-                                                                ask(ctx);
+                                                                remaining.countDown();
+                                                                sendRequest(ctx);
                                                             }
                                                         })))
                 .connect(listen);
     }
 
-    private void ask(ChannelHandlerContext ctx) {
-        long number = ++asked;
+    private void sendRequest(ChannelHandlerContext ctx) {
+        long number = ++requestCount;
         boolean writes = number % 3 == 0;
         String fields =
                 "c="
                         + (number % 20 == 0 ? "none" : writes ? "put" : "get")
                         + ",t=any,d=900,volume="
-                        + NumberParser.id(number % 7)
+                        + NumberParser.formatId(number % 7)
                         + ",units=1,shard="
                         + (writes ? -1 : 0)
                         + ",hosts=1";
-        List<byte[]> words = new ArrayList<>();
-        for (String word :
+        List<byte[]> arguments = new ArrayList<>();
+        for (String argument :
                 number % 50 == 0
                         ? List.of("PING")
                         : List.of(
                                 writes ? BlockCommand.WRITE : BlockCommand.READ,
-                                NumberParser.id(number % 30),
-                                NumberParser.id(number),
+                                NumberParser.formatId(number % 30),
+                                NumberParser.formatId(number),
                                 fields,
                                 "value")) {
-            words.add(word.getBytes(StandardCharsets.US_ASCII));
+            arguments.add(argument.getBytes(StandardCharsets.US_ASCII));
         }
         ctx.writeAndFlush(
-                RespBytes.command(writes || words.size() == 1 ? words : words.subList(0, 4)));
+                RespEncoder.command(
+                        writes || arguments.size() == 1 ? arguments : arguments.subList(0, 4)));
     }
 }
--- a/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -33,7 +33,7 @@
             @ForAll @Size(max = 40) List<@IntRange(min = 1, max = 50) Integer> splits) {
         ByteBuf bytes = Unpooled.buffer();
         for (List<byte[]> command : commands) {
-            bytes.writeBytes(RespBytes.command(command));
+            bytes.writeBytes(RespEncoder.command(command));
         }
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(COMMANDS));
         for (int split : splits) {
