--- a/src/test/java/sagepulley/platform/ClientListenerTest.java
+++ b/src/test/java/sagepulley/platform/ClientListenerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import sagepulley.codec.resp.RespBytes;
+import sagepulley.codec.resp.RespEncoder;
 
 /**
  * Clients' connections on real sockets while they end. The loop is held by hand, so that what a
@@ -32,49 +32,50 @@
  */
 @Timeout(60)
 class ClientListenerTest {
-    private static final int ROOM = 40;
-    private static final int BIG = 60_000;
+    private static final int MAX_CONNECTIONS = 40;
+    private static final int BIG_VALUE_BYTES = 60_000;
 
     private final Transport transport = Transport.sockets();
-    private final EventLoop loop = transport.loops().next();
+    private final EventLoop loop = transport.eventLoops().next();
     private final List<ClientConnection> connections = new CopyOnWriteArrayList<>();
-    private final List<ClientConnection.Slot> asked = new CopyOnWriteArrayList<>();
-    private final AtomicInteger left = new AtomicInteger();
+    private final List<ClientConnection.PendingReply> requests = new CopyOnWriteArrayList<>();
+    private final AtomicInteger cancelled = new AtomicInteger();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile double now;
-    private ClientListener front;
+    private ClientListener listener;
     private SocketAddress address;
 
     @BeforeEach
     void listen() throws Exception {
-        front =
+        listener =
                 new ClientListener(
                         transport,
-                        ROOM,
+                        MAX_CONNECTIONS,
                         5_000,
-                        new ClientConnection.Owner() {
+                        new ClientConnection.Handler() {
                             @Override
-                            public void asked(
+                            public void onRequest(
                                     ClientConnection connection,
-                                    ClientConnection.Slot slot,
+                                    ClientConnection.PendingReply pendingReply,
                                     List<byte[]> words) {
-                                connection.asked = true;
-                                slot.held = words;
+                                connection.hasSentCommand = true;
+                                pendingReply.attachment = words;
                                 connections.add(connection);
-                                asked.add(slot);
-                                if (connection.isEnding() || front.isEnding()) {
-                                    slot.answer(RespBytes.error("BUSY"));
+                                requests.add(pendingReply);
+                                if (connection.isDraining() || listener.isDraining()) {
+                                    pendingReply.reply(RespEncoder.error("BUSY"));
                                 }
                             }
 
                             @Override
-                            public void left(ClientConnection.Slot slot) {
-                                left.incrementAndGet();
+                            public void onClientCancelled(
+                                    ClientConnection.PendingReply pendingReply) {
+                                cancelled.incrementAndGet();
                             }
 
                             @Override
-                            public void closed(ClientConnection connection) {
-                                front.closed(connection);
+                            public void onClosed(ClientConnection connection) {
+                                listener.remove(connection);
                             }
 
                             @Override
@@ -83,7 +84,7 @@
                             }
                         });
         address =
-                front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                         .sync()
                         .channel()
                         .localAddress();
@@ -94,14 +95,14 @@
         for (Socket socket : sockets) {
             socket.close();
         }
-        transport.loops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private Peers.Talk client() throws IOException {
+    private ScriptedPeers.Connection client() throws IOException {
         Socket socket = new Socket();
         sockets.add(socket);
         socket.connect(address);
-        return new Peers.Talk(socket);
+        return new ScriptedPeers.Connection(socket);
     }
 
     private interface Step {
@@ -112,7 +113,7 @@
      * The first step is done while the loop stands still, the second then on the loop before it
      * reads.
      */
-    private void crossing(Step meanwhile, Step then) throws Exception {
+    private void whileLoopIsHeld(Step meanwhile, Step then) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         var done =
@@ -133,82 +134,82 @@
     }
 
     private void onLoop(Step step) throws Exception {
-        crossing(() -> {}, step);
+        whileLoopIsHeld(() -> {}, step);
     }
 
     private void passTime(double length) throws Exception {
         now += length;
-        onLoop(front::sweep);
+        onLoop(listener::closeExpired);
     }
 
     @Test
     void theLastAnswerArrivesWholeThoughBytesLieUnreadWhenItsConnectionEnds() throws Exception {
-        Peers.Talk client = client();
-        client.ask(Peers.read(1));
-        await().until(() -> asked.size() == 1);
-        crossing(
-                () -> client.say("*4\r\n$8\r\nBLK.RE"),
+        ScriptedPeers.Connection client = client();
+        client.sendCommand(ScriptedPeers.read(1));
+        await().until(() -> requests.size() == 1);
+        whileLoopIsHeld(
+                () -> client.send("*4\r\n$8\r\nBLK.RE"),
                 () -> {
-                    asked.get(0).answer(RespBytes.bulk(new byte[BIG]));
-                    front.end();
+                    requests.get(0).reply(RespEncoder.bulk(new byte[BIG_VALUE_BYTES]));
+                    listener.drain();
                 });
-        assertEquals("$" + BIG, client.line());
-        assertEquals(BIG, client.in.readNBytes(BIG).length);
-        assertEquals("", client.line());
-        assertNull(client.line(), "an end, and no reset");
+        assertEquals("$" + BIG_VALUE_BYTES, client.readLine());
+        assertEquals(BIG_VALUE_BYTES, client.in.readNBytes(BIG_VALUE_BYTES).length);
+        assertEquals("", client.readLine());
+        assertNull(client.readLine(), "an end, and no reset");
         client.socket.close();
-        await().until(() -> front.hasEnded());
-        assertEquals(1, asked.size());
+        await().until(() -> listener.isDrained());
+        assertEquals(1, requests.size());
     }
 
     @Test
     void whatComesAfterTheEndWasSaidIsDropped() throws Exception {
-        Peers.Talk client = client();
-        client.ask("PING");
-        assertEquals("+PONG", client.answer());
-        onLoop(front::end);
-        assertNull(client.answer(), "an end");
-        client.ask(Peers.read(1));
-        client.ask(Peers.read(2));
+        ScriptedPeers.Connection client = client();
+        client.sendCommand("PING");
+        assertEquals("+PONG", client.readReply());
+        onLoop(listener::drain);
+        assertNull(client.readReply(), "an end");
+        client.sendCommand(ScriptedPeers.read(1));
+        client.sendCommand(ScriptedPeers.read(2));
         client.socket.shutdownOutput();
-        await().until(() -> front.hasEnded());
-        assertEquals(0, asked.size());
+        await().until(() -> listener.isDrained());
+        assertEquals(0, requests.size());
     }
 
     @Test
     void whatIsReadBehindAnOpenCommandWhileTheConnectionEndsIsAnsweredToo() throws Exception {
-        Peers.Talk client = client();
-        client.ask(Peers.read(1));
-        await().until(() -> asked.size() == 1);
-        crossing(() -> client.ask(Peers.read(2)), front::end);
-        await().until(() -> asked.size() == 2);
-        onLoop(() -> asked.get(0).answer(RespBytes.simple("FIRST")));
-        assertEquals("+FIRST", client.answer());
-        assertEquals("-BUSY", client.answer());
-        assertNull(client.answer());
+        ScriptedPeers.Connection client = client();
+        client.sendCommand(ScriptedPeers.read(1));
+        await().until(() -> requests.size() == 1);
+        whileLoopIsHeld(() -> client.sendCommand(ScriptedPeers.read(2)), listener::drain);
+        await().until(() -> requests.size() == 2);
+        onLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
+        assertEquals("+FIRST", client.readReply());
+        assertEquals("-BUSY", client.readReply());
+        assertNull(client.readReply());
     }
 
     @Test
     void whomTheKernelAcceptedBeforeTheListenerClosesIsAnswered() throws Exception {
-        List<Peers.Talk> clients = new ArrayList<>();
-        crossing(
+        List<ScriptedPeers.Connection> clients = new ArrayList<>();
+        whileLoopIsHeld(
                 () -> {
                     for (int i = 0; i < 20; i++) {
-                        Peers.Talk client = client();
-                        client.ask(Peers.read(i));
+                        ScriptedPeers.Connection client = client();
+                        client.sendCommand(ScriptedPeers.read(i));
                         clients.add(client);
                     }
                 },
-                front::end);
-        for (Peers.Talk client : clients) {
-            assertEquals("-BUSY", client.answer());
+                listener::drain);
+        for (ScriptedPeers.Connection client : clients) {
+            assertEquals("-BUSY", client.readReply());
         }
         passTime(200);
-        for (Peers.Talk client : clients) {
-            assertNull(client.answer(), "an end");
+        for (ScriptedPeers.Connection client : clients) {
+            assertNull(client.readReply(), "an end");
             client.socket.close();
         }
-        await().until(() -> front.hasEnded());
+        await().until(() -> listener.isDrained());
     }
 
     /** How a client ends its connection. */
@@ -221,13 +222,13 @@
     @ParameterizedTest
     @EnumSource(Way.class)
     void aCloseIsSeenWhileReadingIsPausedForManyOpenCommands(Way way) throws Exception {
-        Peers.Talk client = client();
+        ScriptedPeers.Connection client = client();
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 100; i++) {
-            many.append(Peers.command(Peers.read(i)));
+            many.append(ScriptedPeers.command(ScriptedPeers.read(i)));
         }
-        client.say(many.toString());
-        await().until(() -> asked.size() >= 64);
+        client.send(many.toString());
+        await().until(() -> requests.size() >= 64);
         switch (way) {
             case FIN -> client.socket.close();
             case HALF_CLOSE -> client.socket.shutdownOutput();
@@ -236,72 +237,72 @@
                 client.socket.close();
             }
         }
-        await().until(() -> front.size() == 0);
-        assertEquals(asked.size(), left.get(), "all that was asked has left");
+        await().until(() -> listener.connectionCount() == 0);
+        assertEquals(requests.size(), cancelled.get(), "all that was asked has left");
     }
 
     @Test
     void aCommandThatComesSlowlyAfterARestIsWaitedForAndOneThatStopsIsNot() throws Exception {
-        Peers.Talk client = client();
-        client.ask("PING");
-        assertEquals("+PONG", client.answer());
+        ScriptedPeers.Connection client = client();
+        client.sendCommand("PING");
+        assertEquals("+PONG", client.readReply());
         passTime(3_000);
-        String command = Peers.command(Peers.read(1));
+        String command = ScriptedPeers.command(ScriptedPeers.read(1));
         int half = command.length() / 2;
-        client.say(command.substring(0, half));
+        client.send(command.substring(0, half));
         awaitPartial();
         passTime(1_900);
-        client.say(command.substring(half, half + 1));
-        client.say(command.substring(half + 1));
-        await().until(() -> asked.size() == 1);
-        onLoop(() -> asked.get(0).answer(RespBytes.simple("DONE")));
-        assertEquals("+DONE", client.answer());
-        client.say(command.substring(0, half));
+        client.send(command.substring(half, half + 1));
+        client.send(command.substring(half + 1));
+        await().until(() -> requests.size() == 1);
+        onLoop(() -> requests.get(0).reply(RespEncoder.simple("DONE")));
+        assertEquals("+DONE", client.readReply());
+        client.send(command.substring(0, half));
         awaitPartial();
         passTime(2_100);
-        assertNull(client.answer());
+        assertNull(client.readReply());
     }
 
     /** Until the first part has been read and noted. */
     private void awaitPartial() {
-        await().until(() -> loop.submit(() -> front.isInMiddle()).get());
+        await().until(() -> loop.submit(() -> listener.isReadingCommand()).get());
     }
 
     @Test
     void whoeverNeverAnswersTheEndIsClosedInTheEnd() throws Exception {
-        Peers.Talk client = client();
-        client.ask("PING");
-        assertEquals("+PONG", client.answer());
-        onLoop(front::end);
-        assertNull(client.answer());
+        ScriptedPeers.Connection client = client();
+        client.sendCommand("PING");
+        assertEquals("+PONG", client.readReply());
+        onLoop(listener::drain);
+        assertNull(client.readReply());
         passTime(900);
-        assertEquals(1, front.size());
+        assertEquals(1, listener.connectionCount());
         passTime(200);
-        await().until(() -> front.hasEnded());
+        await().until(() -> listener.isDrained());
     }
 
     @Test
     void roomIsMadeByAnEndAndNotByAReset() throws Exception {
-        List<Peers.Talk> clients = new ArrayList<>();
-        for (int i = 0; i < ROOM * 2; i++) {
-            Peers.Talk client = client();
-            client.ask("PING");
-            assertEquals("+PONG", client.answer());
+        List<ScriptedPeers.Connection> clients = new ArrayList<>();
+        for (int i = 0; i < MAX_CONNECTIONS * 2; i++) {
+            ScriptedPeers.Connection client = client();
+            client.sendCommand("PING");
+            assertEquals("+PONG", client.readReply());
             clients.add(client);
             now += 10;
         }
-        await().until(() -> front.size() <= ROOM);
+        await().until(() -> listener.connectionCount() <= MAX_CONNECTIONS);
         int ended = 0;
         // The oldest of those that wait for the peer's end is closed for good, with nothing unread
         // on it.
-        for (Peers.Talk client : clients.subList(0, ROOM)) {
-            assertNull(client.answer());
+        for (ScriptedPeers.Connection client : clients.subList(0, MAX_CONNECTIONS)) {
+            assertNull(client.readReply());
             ended++;
         }
-        assertEquals(ROOM, ended);
-        Peers.Talk last = clients.get(clients.size() - 1);
-        last.ask("PING");
-        assertEquals("+PONG", last.answer());
-        assertTrue(front.turnedAway == 0, "nobody was turned away");
+        assertEquals(MAX_CONNECTIONS, ended);
+        ScriptedPeers.Connection last = clients.get(clients.size() - 1);
+        last.sendCommand("PING");
+        assertEquals("+PONG", last.readReply());
+        assertTrue(listener.rejected == 0, "nobody was turned away");
     }
 }
--- a/src/test/java/sagepulley/platform/ConfigTest.java
+++ b/src/test/java/sagepulley/platform/ConfigTest.java
@@ -20,14 +20,14 @@
 
     @Test
     void nestedSettingsAreReadAsTheFirstMessageIs() throws Exception {
-        Config config = Config.read(write(WarmUpRun.text()));
+        GatewayConfig config = GatewayConfig.read(write(WarmUpRun.text()));
         assertEquals("put", config.deployment().trafficClasses().get(1).name());
         assertTrue(config.deployment().trafficClasses().get(1).writes());
         assertFalse(config.deployment().trafficClasses().get(0).writes());
         assertEquals(5000, config.deployment().trafficClasses().get(0).latencyObjective());
         assertEquals(4, config.deployment().maxUnits());
-        assertEquals(1, config.known().members().size());
-        assertEquals(250, config.connectTimeout());
+        assertEquals(1, config.initialEndpoints().members().size());
+        assertEquals(250, config.connectTimeoutMillis());
     }
 
     @ParameterizedTest
@@ -48,7 +48,8 @@
         assertTrue(text.contains(good));
         ConfigException error =
                 assertThrows(
-                        ConfigException.class, () -> Config.read(write(text.replace(good, bad))));
+                        ConfigException.class,
+                        () -> GatewayConfig.read(write(text.replace(good, bad))));
         assertTrue(error.getMessage().contains(what), error.getMessage());
         assertTrue(error.getMessage().contains("config.json"), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
@@ -58,12 +59,13 @@
     void aMissingFileOrVariableIsNamed() {
         assertEquals(
                 "GW_CONFIG is not set",
-                assertThrows(ConfigException.class, () -> Config.read(Map.of())).getMessage());
+                assertThrows(ConfigException.class, () -> GatewayConfig.read(Map.of()))
+                        .getMessage());
         ConfigException error =
                 assertThrows(
                         ConfigException.class,
                         () ->
-                                Config.read(
+                                GatewayConfig.read(
                                         Map.of(
                                                 "GW_CONFIG",
                                                 folder.resolve("none.json").toString())));
--- a/src/test/java/sagepulley/platform/DiscoveryTest.java
+++ b/src/test/java/sagepulley/platform/DiscoveryTest.java
@@ -29,7 +29,7 @@
 class DiscoveryTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
     private static final long NEVER = 600_000;
-    private final List<EndpointListUpdate> told = new CopyOnWriteArrayList<>();
+    private final List<EndpointListUpdate> updates = new CopyOnWriteArrayList<>();
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private final List<Double> confirmations = new CopyOnWriteArrayList<>();
     private final List<Double> refusals = new CopyOnWriteArrayList<>();
@@ -39,66 +39,72 @@
     /** Where the link asks; the gateway of the peers has a discovery of its own. */
     private SocketAddress discovery;
 
-    private DiscoveryClient link(Peers peers) throws Exception {
-        return link(peers, NEVER, NEVER);
+    private DiscoveryClient openClient(ScriptedPeers peers) throws Exception {
+        return openClient(peers, NEVER, NEVER);
     }
 
-    private DiscoveryClient link(Peers peers, long answerMs, long silenceMs) throws Exception {
+    private DiscoveryClient openClient(ScriptedPeers peers, long answerMs, long silenceMs)
+            throws Exception {
         Transport transport = Transport.sockets();
         discovery = peers.discovery();
-        DiscoveryClient link =
+        DiscoveryClient client =
                 new DiscoveryClient(
                         transport,
                         discovery,
                         41,
-                        new DiscoveryClient.Owner() {
+                        new DiscoveryClient.Listener() {
                             @Override
-                            public void listed(EndpointListUpdate listing) {
-                                told.add(listing);
+                            public void onEndpointList(EndpointListUpdate listing) {
+                                updates.add(listing);
                             }
 
                             @Override
-                            public void listConfirmed(double asOf) {
+                            public void onListConfirmed(double asOf) {
                                 confirmations.add(asOf);
                             }
 
                             @Override
-                            public void discoveryUnreachable(double at) {
+                            public void onDiscoveryUnreachable(double at) {
                                 refusals.add(at);
                             }
 
                             @Override
-                            public void listFailed(String why) {
+                            public void onPollFailed(String why) {
                                 failures.add(why);
                             }
                         },
                         clock::now,
-                        new DiscoveryRequest.Patience(answerMs, silenceMs));
-        loop = transport.loops().next();
-        loop.submit(link::subscribe).get(10, TimeUnit.SECONDS);
-        return link;
+                        new DiscoveryRequest.Timeouts(answerMs, silenceMs));
+        loop = transport.eventLoops().next();
+        loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
+        return client;
     }
 
     @Test
     void aWatchTellsEachChangeAndSkipsEmptyLinesAndEntriesThatCannotBeRead() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             await().until(() -> peers.watches.size() == 1);
-            link(peers);
-            await().until(() -> told.size() == 1);
-            assertTrue(peers.calls.get(1).startsWith("GET /v1/endpoints?watch=1&after=41 "));
-            Peers.Talk watch = peers.watches.get(1);
-            Peers.tell(watch, "");
-            Peers.tell(
+            openClient(peers);
+            await().until(() -> updates.size() == 1);
+            assertTrue(
+                    peers.discoveryRequests
+                            .get(1)
+                            .startsWith("GET /v1/endpoints?watch=1&after=41 "));
+            ScriptedPeers.Connection watch = peers.watches.get(1);
+            ScriptedPeers.sendChunk(watch, "");
+            ScriptedPeers.sendChunk(
                     watch,
                     CHANGE.formatted(
                             43,
                             "{\"id\":\"a\",\"host_port\":\"127.0.0.1:7\",\"locality\":\"here\","
                                     + "\"flavor\":\"plain\",\"cell\":0,\"phase\":\"DRAINING\",\"size\":1,\"up_since_ms\":0},"
                                     + "{\"id\":7},{\"id\":\"b\",\"phase\":\"DELETED\"}"));
-            await().until(() -> told.size() == 2);
-            assertEquals(2, told.get(1).members().size());
-            assertEquals(1, told.get(1).unreadable().size());
-            assertEquals(43, told.get(1).revision());
+            await().until(() -> updates.size() == 2);
+            assertEquals(2, updates.get(1).members().size());
+            assertEquals(1, updates.get(1).unreadable().size());
+            assertEquals(43, updates.get(1).revision());
             assertEquals(List.of(), failures);
             watch.socket.close();
             await().until(() -> failures.size() == 1);
@@ -114,40 +120,46 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n"
             })
     void aCallThatFailsIsToldOnce(String answer) throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            peers.listing = answer;
-            link(peers);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList = answer;
+            openClient(peers);
             await().until(() -> !failures.isEmpty());
-            peers.gateway.finish();
-            peers.gateway.ended().join();
+            peers.gateway.stopNow();
+            peers.gateway.stopped().join();
             assertEquals(1, failures.size());
-            assertEquals(List.of(), told);
+            assertEquals(List.of(), updates);
         }
     }
 
     @Test
     void aDiscoveryThatSaysNothingHasFailedAfterAWhile() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            peers.listing = null;
-            link(peers, 100, NEVER);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList = null;
+            openClient(peers, 100, NEVER);
             await().atMost(20, TimeUnit.SECONDS).until(() -> failures.size() == 1);
         }
     }
 
     @Test
     void aNewAddressIsAskedFromThenOnAndTheOldWatchsEndIsNoFailure() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryClient link = link(peers);
-            await().until(() -> told.size() == 1);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            DiscoveryClient client = openClient(peers);
+            await().until(() -> updates.size() == 1);
             var second = peers.discovery();
             loop.submit(
                             () -> {
-                                assertTrue(link.moveTo(second));
-                                assertFalse(link.moveTo(second), "it is there already");
-                                link.subscribe();
+                                assertTrue(client.moveTo(second));
+                                assertFalse(client.moveTo(second), "it is there already");
+                                client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
-            await().until(() -> told.size() == 2);
+            await().until(() -> updates.size() == 2);
             assertEquals(List.of(), failures);
         }
     }
@@ -158,18 +170,20 @@
      */
     @Test
     void aSlowAnswerIsTakenThoughASilentWatchStands() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryClient link = link(peers, 300, 200);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            DiscoveryClient client = openClient(peers, 300, 200);
             await().until(() -> failures.size() == 1);
-            peers.listing = null;
+            peers.endpointList = null;
             Thread.sleep(2_600);
-            loop.submit(link::subscribe).get(10, TimeUnit.SECONDS);
+            loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
             await().until(() -> failures.size() == 2);
-            Peers.Talk slow = last(peers.silent);
-            loop.submit(link::subscribe).get(10, TimeUnit.SECONDS);
-            slow.say("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
-            await().until(() -> told.size() == 2);
-            assertEquals(44, link.revision());
+            ScriptedPeers.Connection slow = last(peers.unansweredRequests);
+            loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
+            slow.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
+            await().until(() -> updates.size() == 2);
+            assertEquals(44, client.revision());
         }
     }
 
@@ -178,12 +192,14 @@
     @ValueSource(booleans = {false, true})
     void aWatchThatIsResetWasCurrentUpToItsEndUnlessAListWasUnderWay(boolean underWay)
             throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            link(peers);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            openClient(peers);
             await().until(() -> confirmations.size() == 1);
-            Peers.Talk watch = lastWatch(peers);
+            ScriptedPeers.Connection watch = lastWatch(peers);
             if (underWay) {
-                watch.say("4\r\n{\"re\r\n");
+                watch.send("4\r\n{\"re\r\n");
             }
             Thread.sleep(1_500);
             double reset = clock.now();
@@ -200,33 +216,37 @@
      */
     @Test
     void theOldAddressIsHeardAndConfirmsNothingUntilTheNewOneHasToldAList() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryClient link = link(peers);
-            await().until(() -> told.size() == 1);
-            Peers.Talk former = lastWatch(peers);
-            peers.listing = null;
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            DiscoveryClient client = openClient(peers);
+            await().until(() -> updates.size() == 1);
+            ScriptedPeers.Connection former = lastWatch(peers);
+            peers.endpointList = null;
             var second = peers.discovery();
             loop.submit(
                             () -> {
-                                assertTrue(link.moveTo(second));
-                                link.subscribe();
+                                assertTrue(client.moveTo(second));
+                                client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
             int confirmed = confirmations.size();
-            Peers.tell(former, CHANGE.formatted(60, ""));
-            await().until(() -> told.size() == 2);
+            ScriptedPeers.sendChunk(former, CHANGE.formatted(60, ""));
+            await().until(() -> updates.size() == 2);
             assertEquals(confirmed, confirmations.size());
             await().until(
                             () ->
-                                    peers.silent.stream()
+                                    peers.unansweredRequests.stream()
                                             .anyMatch(
-                                                    talk ->
-                                                            talk.socket
+                                                    connection ->
+                                                            connection
+                                                                    .socket
                                                                     .getLocalSocketAddress()
                                                                     .equals(second)));
-            Peers.Talk fresh = peers.silent.get(peers.silent.size() - 1);
-            fresh.say("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
-            await().until(() -> told.size() == 3);
+            ScriptedPeers.Connection fresh =
+                    peers.unansweredRequests.get(peers.unansweredRequests.size() - 1);
+            fresh.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
+            await().until(() -> updates.size() == 3);
             assertTrue(confirmations.size() > confirmed);
             assertEquals(-1, former.in.read(), "the old watch is needless now");
             assertEquals(List.of(), failures);
@@ -236,16 +256,18 @@
     /** A gateway whose calls fail asks the new address soon. */
     @Test
     void aGatewayAsksTheNewAddressSoonThoughNoCallWasOut() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             await().until(() -> peers.watches.size() == 1);
-            peers.listing = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+            peers.endpointList = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
             peers.watches.get(0).socket.close();
-            await().until(() -> peers.calls.size() >= 2);
-            peers.listing = "{\"revision\":7,\"complete\":false,\"members\":[]}";
+            await().until(() -> peers.discoveryRequests.size() >= 2);
+            peers.endpointList = "{\"revision\":7,\"complete\":false,\"members\":[]}";
             var first = peers.discovery();
             var second = peers.discovery();
-            peers.gateway.reload(peers.configAt(first), peers.gateway.now());
-            peers.gateway.reload(peers.configAt(second), peers.gateway.now());
+            peers.gateway.onConfigurationRead(peers.configAt(first), peers.gateway.now());
+            peers.gateway.onConfigurationRead(peers.configAt(second), peers.gateway.now());
             await().until(
                             () ->
                                     peers.watches.stream()
@@ -259,22 +281,24 @@
 
     @Test
     void aListIsReadInWhateverPiecesAndWhiteSpaceItComes() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            link(peers);
-            await().until(() -> told.size() == 1);
-            Peers.Talk watch = lastWatch(peers);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            openClient(peers);
+            await().until(() -> updates.size() == 1);
+            ScriptedPeers.Connection watch = lastWatch(peers);
             String indented =
                     "\n{\n  \"revision\": 50,\r\n\n  \"complete\": false,\n  \"members\": [\n"
                             + "    {\n      \"id\": \"br}ace\\\"{\",\n      \"phase\": \"DELETED\"\n    }\n  ]\n}\n\n";
             for (char each : indented.toCharArray()) {
-                watch.say("1\r\n" + each + "\r\n");
+                watch.send("1\r\n" + each + "\r\n");
             }
-            await().until(() -> told.size() == 2);
-            assertEquals(50, told.get(1).revision());
-            assertEquals("br}ace\"{", told.get(1).members().get(0).id());
+            await().until(() -> updates.size() == 2);
+            assertEquals(50, updates.get(1).revision());
+            assertEquals("br}ace\"{", updates.get(1).members().get(0).id());
             String two = CHANGE.formatted(51, "") + CHANGE.formatted(52, "") + "\n";
-            watch.say(Integer.toHexString(two.length()) + "\r\n" + two + "\r\n");
-            await().until(() -> told.size() == 4);
+            watch.send(Integer.toHexString(two.length()) + "\r\n" + two + "\r\n");
+            await().until(() -> updates.size() == 4);
             assertEquals(List.of(), failures);
         }
     }
@@ -288,31 +312,35 @@
                 "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
             })
     void anAnswerWithoutLengthOrBehindAnAnnouncementIsRead(String ahead) throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            peers.listing = null;
-            link(peers);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList = null;
+            openClient(peers);
             await().until(() -> isSilent(peers));
             String answer =
                     ahead + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n" + CHANGE.formatted(44, "") + "\n";
             for (char each : answer.toCharArray()) {
-                last(peers.silent).say(String.valueOf(each));
+                last(peers.unansweredRequests).send(String.valueOf(each));
             }
-            await().until(() -> told.size() == 1);
+            await().until(() -> updates.size() == 1);
             assertEquals(List.of(), failures);
         }
     }
 
     @Test
     void halfAListThatTricklesIsSilence() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            link(peers, NEVER, 500);
-            await().until(() -> told.size() == 1);
-            Peers.Talk watch = lastWatch(peers);
-            watch.say("1\r\n{\r\n");
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            openClient(peers, NEVER, 500);
+            await().until(() -> updates.size() == 1);
+            ScriptedPeers.Connection watch = lastWatch(peers);
+            watch.send("1\r\n{\r\n");
             // It goes on for as long as it is taken for life.
             while (failures.isEmpty()) {
                 try {
-                    watch.say("1\r\n\n\r\n");
+                    watch.send("1\r\n\n\r\n");
                 } catch (IOException closed) {
                     break;
                 }
@@ -337,15 +365,18 @@
                                             + "%s\"phase\":\"SERVING\",%s\"size\":1.0,%s\"up_since_ms\":0}")
                                     .formatted(space, space, space, i, space, space, space));
         }
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            peers.listing = "{\"revision\":44,\"complete\":true,\"members\":[" + members + "]}";
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList =
+                    "{\"revision\":44,\"complete\":true,\"members\":[" + members + "]}";
             assertEquals(
                     space.isEmpty(),
-                    peers.listing.length() < 1 << 20,
-                    "bytes " + peers.listing.length());
-            link(peers);
-            await().until(() -> told.size() == 1);
-            assertEquals(3_200, told.get(0).members().size());
+                    peers.endpointList.length() < 1 << 20,
+                    "bytes " + peers.endpointList.length());
+            openClient(peers);
+            await().until(() -> updates.size() == 1);
+            assertEquals(3_200, updates.get(0).members().size());
             assertEquals(List.of(), failures);
         }
     }
@@ -356,59 +387,64 @@
      */
     @Test
     void aListThatComesSlowlyConfirmsNoMoreThanWhatWasKnownWhenItWasBegun() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            peers.listing = null;
-            link(peers);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList = null;
+            openClient(peers);
             await().until(() -> isSilent(peers));
             double asked = clock.now();
-            Peers.Talk talk = last(peers.silent);
-            slowly(talk, "HTTP/1.1 200 OK\r\n\r\n", CHANGE.formatted(44, "") + "\n");
-            await().until(() -> told.size() == 1);
+            ScriptedPeers.Connection connection = last(peers.unansweredRequests);
+            slowly(connection, "HTTP/1.1 200 OK\r\n\r\n", CHANGE.formatted(44, "") + "\n");
+            await().until(() -> updates.size() == 1);
             Thread.sleep(100);
             assertTrue(
                     confirmations.stream().allMatch(asOf -> asOf <= asked),
                     "as of " + confirmations);
             double begun = clock.now();
-            slowly(talk, "", CHANGE.formatted(45, "") + "\n\n");
-            await().until(() -> told.size() == 2);
+            slowly(connection, "", CHANGE.formatted(45, "") + "\n\n");
+            await().until(() -> updates.size() == 2);
             assertTrue(
                     confirmations.stream().allMatch(asOf -> asOf <= begun + 100),
                     "as of " + confirmations);
             Thread.sleep(700);
             double resting = clock.now();
-            talk.say("\n");
+            connection.send("\n");
             await().until(() -> confirmations.stream().anyMatch(asOf -> asOf > resting - 1_100));
         }
     }
 
     /** Half of a list, a pause, and the rest with its line's end by itself. */
-    private static void slowly(Peers.Talk talk, String head, String list) throws Exception {
+    private static void slowly(ScriptedPeers.Connection connection, String head, String list)
+            throws Exception {
         int middle = list.length() / 2;
         int end = list.lastIndexOf('}') + 1;
-        talk.say(head + list.substring(0, middle));
+        connection.send(head + list.substring(0, middle));
         Thread.sleep(1_500);
-        talk.say(list.substring(middle, end));
+        connection.send(list.substring(middle, end));
         Thread.sleep(50);
-        talk.say(list.substring(end));
+        connection.send(list.substring(end));
     }
 
     @Test
     void whatIsOlderThanWhatIsHeldIsNotToldAndADiscoveryThatStartsAnewIs() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryClient link = link(peers);
-            await().until(() -> told.size() == 1);
-            Peers.tell(lastWatch(peers), CHANGE.formatted(60, ""));
-            Peers.tell(lastWatch(peers), CHANGE.formatted(59, ""));
-            Peers.tell(lastWatch(peers), CHANGE.formatted(61, ""));
-            await().until(() -> told.size() >= 3);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            DiscoveryClient client = openClient(peers);
+            await().until(() -> updates.size() == 1);
+            ScriptedPeers.sendChunk(lastWatch(peers), CHANGE.formatted(60, ""));
+            ScriptedPeers.sendChunk(lastWatch(peers), CHANGE.formatted(59, ""));
+            ScriptedPeers.sendChunk(lastWatch(peers), CHANGE.formatted(61, ""));
+            await().until(() -> updates.size() >= 3);
             assertEquals(
                     List.of(2L, 60L, 61L),
-                    told.stream().map(EndpointListUpdate::revision).toList());
-            peers.listing = "{\"revision\":5,\"complete\":true,\"members\":[]}";
-            loop.submit(link::subscribe).get(10, TimeUnit.SECONDS);
-            await().until(() -> told.size() == 4);
-            Peers.tell(lastWatch(peers), CHANGE.formatted(6, ""));
-            await().until(() -> told.size() == 5);
+                    updates.stream().map(EndpointListUpdate::revision).toList());
+            peers.endpointList = "{\"revision\":5,\"complete\":true,\"members\":[]}";
+            loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
+            await().until(() -> updates.size() == 4);
+            ScriptedPeers.sendChunk(lastWatch(peers), CHANGE.formatted(6, ""));
+            await().until(() -> updates.size() == 5);
             assertEquals(List.of(), failures);
         }
     }
@@ -416,40 +452,45 @@
     /** A fetch that was answered late, behind a newer line of the watch. */
     @Test
     void aWholeListThatSomethingNewerHasOvertakenIsNotTold() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryClient link = link(peers);
-            await().until(() -> told.size() == 1);
-            Peers.Talk watch = lastWatch(peers);
-            peers.listing = null;
-            loop.submit(link::fetch).get(10, TimeUnit.SECONDS);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            DiscoveryClient client = openClient(peers);
+            await().until(() -> updates.size() == 1);
+            ScriptedPeers.Connection watch = lastWatch(peers);
+            peers.endpointList = null;
+            loop.submit(client::poll).get(10, TimeUnit.SECONDS);
             await().until(() -> isSilent(peers));
-            Peers.tell(watch, CHANGE.formatted(70, ""));
-            await().until(() -> told.size() == 2);
-            Peers.Talk late = last(peers.silent);
+            ScriptedPeers.sendChunk(watch, CHANGE.formatted(70, ""));
+            await().until(() -> updates.size() == 2);
+            ScriptedPeers.Connection late = last(peers.unansweredRequests);
             String whole = "{\"revision\":8,\"complete\":true,\"members\":[]}";
-            late.say("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
+            late.send("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
             assertEquals(-1, late.in.read(), "the call is over");
-            Peers.tell(watch, CHANGE.formatted(71, ""));
-            await().until(() -> told.size() == 3);
-            assertEquals(71, link.revision());
-            assertEquals(71, told.get(2).revision());
+            ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
+            await().until(() -> updates.size() == 3);
+            assertEquals(71, client.revision());
+            assertEquals(71, updates.get(2).revision());
         }
     }
 
     @Test
     void anAnswerWithoutLengthThatIsResetInsideIsNoList() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
-            DiscoveryClient link = link(peers);
-            await().until(() -> told.size() == 1);
-            peers.listing = null;
-            loop.submit(link::fetch).get(10, TimeUnit.SECONDS);
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            DiscoveryClient client = openClient(peers);
+            await().until(() -> updates.size() == 1);
+            peers.endpointList = null;
+            loop.submit(client::poll).get(10, TimeUnit.SECONDS);
             await().until(() -> isSilent(peers));
-            Peers.Talk talk = last(peers.silent);
-            talk.say("HTTP/1.1 200 OK\r\n\r\n{\"revision\":90,\"complete\":true,\"members\":[");
-            talk.socket.setSoLinger(true, 0);
-            talk.socket.close();
+            ScriptedPeers.Connection connection = last(peers.unansweredRequests);
+            connection.send(
+                    "HTTP/1.1 200 OK\r\n\r\n{\"revision\":90,\"complete\":true,\"members\":[");
+            connection.socket.setSoLinger(true, 0);
+            connection.socket.close();
             await().until(() -> failures.size() == 1);
-            assertEquals(1, told.size());
+            assertEquals(1, updates.size());
         }
     }
 
@@ -462,61 +503,64 @@
     void nobodyIsServedBeforeTheFirstList(String how) throws Exception {
         Transport transport = Transport.sockets();
         try (ServerSocket late = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Config config =
-                    Config.of(
-                                    JsonReader.object(
+            GatewayConfig config =
+                    GatewayConfig.parse(
+                                    JsonReader.readObject(
                                             WarmUpRun.text()
                                                     .replace("\"subscribe\"", "\"" + how + "\"")
                                                     .getBytes(StandardCharsets.UTF_8)),
                                     Map.of())
-                            .at(
+                            .withAddresses(
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                     late.getLocalSocketAddress(),
                                     late.getLocalSocketAddress());
             RespGateway gateway = new RespGateway(config, transport);
-            gateway.begin();
+            gateway.connectToDiscovery();
             CompletableFuture<SocketAddress> ready = gateway.start();
-            Peers.Talk call = new Peers.Talk(late.accept());
-            assertTrue(call.line().contains("watch=1"));
+            ScriptedPeers.Connection call = new ScriptedPeers.Connection(late.accept());
+            assertTrue(call.readLine().contains("watch=1"));
             assertFalse(ready.isDone());
-            call.say("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
+            call.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
             new Socket().connect(ready.get());
-            gateway.finish();
-            gateway.ended().join();
+            gateway.stopNow();
+            gateway.stopped().join();
         } finally {
-            transport.loops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+            transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
     }
 
     @Test
     void aListThatIsPushedIsWatchedAndKnownBeforeAnybodyIsServed() throws Exception {
-        try (Peers peers =
-                new Peers(
-                        (words, talk) -> talk.say(Peers.VALUE),
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY),
                         text ->
                                 text.replace(
                                         "\"discovery\": \"subscribe\"",
                                         "\"discovery\": \"automatic\""))) {
-            assertEquals(1, peers.calls.size());
-            assertTrue(peers.calls.get(0).contains("watch=1"));
+            assertEquals(1, peers.discoveryRequests.size());
+            assertTrue(peers.discoveryRequests.get(0).contains("watch=1"));
         }
     }
 
-    private Peers.Talk lastWatch(Peers peers) {
+    private ScriptedPeers.Connection lastWatch(ScriptedPeers peers) {
         return last(peers.watches);
     }
 
     /** The last that the link opened. */
-    private Peers.Talk last(List<Peers.Talk> talks) {
-        List<Peers.Talk> own =
+    private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> talks) {
+        List<ScriptedPeers.Connection> own =
                 talks.stream()
-                        .filter(talk -> talk.socket.getLocalSocketAddress().equals(discovery))
+                        .filter(
+                                connection ->
+                                        connection.socket.getLocalSocketAddress().equals(discovery))
                         .toList();
         return own.get(own.size() - 1);
     }
 
-    private boolean isSilent(Peers peers) {
-        return peers.silent.stream()
-                .anyMatch(talk -> talk.socket.getLocalSocketAddress().equals(discovery));
+    private boolean isSilent(ScriptedPeers peers) {
+        return peers.unansweredRequests.stream()
+                .anyMatch(
+                        connection -> connection.socket.getLocalSocketAddress().equals(discovery));
     }
 }
--- a/src/test/java/sagepulley/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/platform/EndpointConnectionPoolTest.java
@@ -23,11 +23,11 @@
 
 /** How a call to a node ends, by what its connection does. */
 class EndpointConnectionPoolTest {
-    private static final long NEVER = 600_000;
-    private static final long HELD_UP = 300;
+    private static final long NEVER_MILLIS = 600_000;
+    private static final long HELD_MILLIS = 300;
 
     private final Transport transport = Transport.sockets();
-    private final List<Socket> taken = new CopyOnWriteArrayList<>();
+    private final List<Socket> accepted = new CopyOnWriteArrayList<>();
     private ServerSocket node;
 
     /** A node that says this to whoever connects, and then nothing more. */
@@ -41,7 +41,7 @@
                                     Socket socket = node.accept();
                                     socket.getOutputStream()
                                             .write(says.getBytes(StandardCharsets.US_ASCII));
-                                    taken.add(socket);
+                                    accepted.add(socket);
                                 }
                             } catch (IOException closed) {
                                 // The test is over.
@@ -53,19 +53,19 @@
         return node.getLocalSocketAddress();
     }
 
-    private EndpointConnectionPool links(double stallTime) {
+    private EndpointConnectionPool pool(double stallTime) {
         return new EndpointConnectionPool(
-                transport, 100, 5_000, NEVER, stallTime, new Clock()::now);
+                transport, 100, 5_000, NEVER_MILLIS, stallTime, new Clock()::now);
     }
 
-    private Outcome call(EndpointConnectionPool links, SocketAddress address, double timeout) {
+    private Outcome call(EndpointConnectionPool pool, SocketAddress address, double timeout) {
         CompletableFuture<Outcome> ended = new CompletableFuture<>();
         transport
-                .loops()
+                .eventLoops()
                 .next()
                 .execute(
                         () ->
-                                links.probe(
+                                pool.sendHealthCheck(
                                         address,
                                         List.of("PING".getBytes(StandardCharsets.US_ASCII)),
                                         timeout,
@@ -76,21 +76,21 @@
     @Test
     void whoeverHasBegunToAnswerByTheTimeOutIsAtFaultAndNotSilent() throws IOException {
         SocketAddress address = node("*3\r\n$5\r\nva");
-        EndpointConnectionPool links = links(NEVER);
+        EndpointConnectionPool pool = pool(NEVER_MILLIS);
         // The first bytes may come after a time-out, on a slow machine; not after every one.
-        await().until(() -> call(links, address, 50) == Outcome.FAILED);
+        await().until(() -> call(pool, address, 50) == Outcome.FAILED);
     }
 
     @Test
     void whoeverSaysNothingTimesOut() throws IOException {
         SocketAddress address = node("");
-        EndpointConnectionPool links = links(1);
-        await().until(() -> call(links, address, 50) == Outcome.TIMED_OUT);
+        EndpointConnectionPool pool = pool(1);
+        await().until(() -> call(pool, address, 50) == Outcome.TIMED_OUT);
     }
 
     @Test
     void anAnswerThatPausesForTheStallTimeIsAFault() throws IOException {
-        assertEquals(Outcome.FAILED, call(links(20), node("*3\r\n$5\r\nva"), NEVER));
+        assertEquals(Outcome.FAILED, call(pool(20), node("*3\r\n$5\r\nva"), NEVER_MILLIS));
     }
 
     /**
@@ -102,30 +102,30 @@
         assumeTrue(
                 transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
         SocketAddress address = node("+PONG\r\n");
-        EndpointConnectionPool links = links(NEVER);
+        EndpointConnectionPool pool = pool(NEVER_MILLIS);
         Clock clock = new Clock();
         CompletableFuture<Double> late = new CompletableFuture<>();
         transport
-                .loops()
+                .eventLoops()
                 .next()
                 .execute(
                         () -> {
-                            links.probe(
+                            pool.sendHealthCheck(
                                     address,
                                     List.of("PING".getBytes(StandardCharsets.US_ASCII)),
-                                    NEVER,
+                                    NEVER_MILLIS,
                                     (outcome, answer, at) -> late.complete(clock.now() - at));
-                            transport.loops().next().execute(() -> holdUp());
+                            transport.eventLoops().next().execute(() -> holdLoop());
                         });
-        assertTrue(late.join() >= HELD_UP / 2, "told " + late.join() + " ms ago");
+        assertTrue(late.join() >= HELD_MILLIS / 2, "told " + late.join() + " ms ago");
     }
 
-    private void holdUp() {
+    private void holdLoop() {
         try {
-            while (taken.isEmpty()) {
+            while (accepted.isEmpty()) {
                 Thread.sleep(1);
             }
-            Thread.sleep(HELD_UP);
+            Thread.sleep(HELD_MILLIS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -134,9 +134,9 @@
     @AfterEach
     void close() throws IOException {
         node.close();
-        for (Socket socket : taken) {
+        for (Socket socket : accepted) {
             socket.close();
         }
-        transport.loops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/sagepulley/platform/Kernel.java
+++ b/src/test/java/sagepulley/platform/KernelTcpTable.java
@@ -13,15 +13,15 @@
  * What the kernel's book of TCP connections says of the reading end, so that a test knows what lies
  * unread there.
  */
-final class Kernel {
-    private static final List<Path> BOOKS =
+final class KernelTcpTable {
+    private static final List<Path> TABLES =
             List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
     private static final int CLOSE_WAIT = 8;
 
-    private Kernel() {}
+    private KernelTcpTable() {}
 
     /** Until the end that the far port sent lies unread at the near one. */
-    static void awaitEnd(int near, int far) {
+    static void awaitFin(int near, int far) {
         await().until(
                         () ->
                                 lines(near, far).stream()
@@ -43,14 +43,14 @@
     }
 
     /** Until the near one's connection has been reset, or is gone. */
-    static void awaitNone(int near, int far) {
+    static void awaitGone(int near, int far) {
         await().until(() -> lines(near, far).isEmpty());
     }
 
     private static List<String[]> lines(int near, int far) throws IOException {
-        assumeTrue(Files.isReadable(BOOKS.get(0)), "only Linux has this book");
+        assumeTrue(Files.isReadable(TABLES.get(0)), "only Linux has this book");
         List<String[]> found = new ArrayList<>();
-        for (Path book : BOOKS) {
+        for (Path book : TABLES) {
             if (!Files.isReadable(book)) {
                 continue;
             }
--- a/src/test/java/sagepulley/platform/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/platform/NodeCrossingsTest.java
@@ -36,14 +36,15 @@
  */
 @Timeout(60)
 class NodeCrossingsTest {
-    private static final double LONG = 600_000;
-    private static final int HELD_MS = 300;
+    private static final double LONG_MILLIS = 600_000;
+    private static final int HELD_MILLIS = 300;
 
     private final Transport transport = Transport.sockets();
-    private final EventLoop loop = transport.loops().next();
-    private final BlockingQueue<Peers.Talk> taken = new LinkedBlockingQueue<>();
-    private final EndpointConnectionPool links =
-            new EndpointConnectionPool(transport, 100, 5_000, LONG, LONG, new Clock()::now);
+    private final EventLoop loop = transport.eventLoops().next();
+    private final BlockingQueue<ScriptedPeers.Connection> accepted = new LinkedBlockingQueue<>();
+    private final EndpointConnectionPool pool =
+            new EndpointConnectionPool(
+                    transport, 100, 5_000, LONG_MILLIS, LONG_MILLIS, new Clock()::now);
     private ServerSocket node;
     private SocketAddress address;
 
@@ -60,7 +61,7 @@
                                 while (true) {
                                     Socket socket = node.accept();
                                     try {
-                                        taken.add(new Peers.Talk(socket));
+                                        accepted.add(new ScriptedPeers.Connection(socket));
                                     } catch (SocketException reset) {
                                         continue; // before anything could come on it
                                     }
@@ -77,13 +78,13 @@
     @AfterEach
     void close() throws IOException {
         node.close();
-        transport.loops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
     /** On the loop; the command tells the time that is left. */
     private CompletableFuture<End> call(Attempt attempt, double timeout) {
         CompletableFuture<End> end = new CompletableFuture<>();
-        links.send(
+        pool.send(
                 attempt,
                 address,
                 left -> List.of(Long.toString((long) left).getBytes(StandardCharsets.US_ASCII)),
@@ -105,20 +106,21 @@
     }
 
     private CompletableFuture<End> call() throws Exception {
-        return loop.submit(() -> call(attempt(), LONG)).get();
+        return loop.submit(() -> call(attempt(), LONG_MILLIS)).get();
     }
 
     private static Attempt attempt() {
         return new Attempt(null, null, 0, 0);
     }
 
-    private static void serve(Peers.Talk talk, String value) throws IOException {
-        talk.say("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
+    private static void serve(ScriptedPeers.Connection connection, String value)
+            throws IOException {
+        connection.send("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
     }
 
-    private static void hold() {
+    private static void holdLoop() {
         try {
-            Thread.sleep(HELD_MS);
+            Thread.sleep(HELD_MILLIS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -127,42 +129,43 @@
     @Test
     void aSecondAnswerThatLiesUnreadIsNotTakenForTheNextOne() throws Exception {
         assertServedOnAnotherConnectionAfter(
-                talk -> {
-                    serve(talk, "stale");
-                    Kernel.awaitUnread(talk.socket.getPort(), talk.socket.getLocalPort());
+                connection -> {
+                    serve(connection, "stale");
+                    KernelTcpTable.awaitUnread(
+                            connection.socket.getPort(), connection.socket.getLocalPort());
                 });
     }
 
     @Test
     void aConnectionThatTheNodeHasClosedIsNotUsedAgain() throws Exception {
         assertServedOnAnotherConnectionAfter(
-                talk -> {
-                    int port = talk.socket.getPort();
-                    talk.socket.close();
-                    Kernel.awaitEnd(port, node.getLocalPort());
+                connection -> {
+                    int port = connection.socket.getPort();
+                    connection.socket.close();
+                    KernelTcpTable.awaitFin(port, node.getLocalPort());
                 });
     }
 
     @Test
     void aConnectionThatTheNodeHasResetIsNotUsedAgain() throws Exception {
         assertServedOnAnotherConnectionAfter(
-                talk -> {
-                    int port = talk.socket.getPort();
-                    talk.socket.setSoLinger(true, 0);
-                    talk.socket.close();
-                    Kernel.awaitNone(port, node.getLocalPort());
+                connection -> {
+                    int port = connection.socket.getPort();
+                    connection.socket.setSoLinger(true, 0);
+                    connection.socket.close();
+                    KernelTcpTable.awaitGone(port, node.getLocalPort());
                 });
     }
 
     private interface Step {
-        void run(Peers.Talk talk) throws IOException;
+        void run(ScriptedPeers.Connection connection) throws IOException;
     }
 
     /** What the step does to the free connection must not reach the second call. */
     private void assertServedOnAnotherConnectionAfter(Step step) throws Exception {
         CompletableFuture<End> second = secondCallOn(new ArrayList<>(), step);
-        Peers.Talk fresh = taken.take();
-        fresh.command();
+        ScriptedPeers.Connection fresh = accepted.take();
+        fresh.readCommand();
         serve(fresh, "two");
         assertEquals(new End(Outcome.SERVED, "two"), second.get());
     }
@@ -171,32 +174,33 @@
      * One call is served and its connection free; then, before the loop looks again, the step and a
      * second call.
      */
-    private CompletableFuture<End> secondCallOn(List<Peers.Talk> kept, Step step) throws Exception {
+    private CompletableFuture<End> secondCallOn(List<ScriptedPeers.Connection> kept, Step step)
+            throws Exception {
         CompletableFuture<End> first = call();
-        Peers.Talk talk = taken.take();
-        kept.add(talk);
-        talk.command();
-        serve(talk, "one");
+        ScriptedPeers.Connection connection = accepted.take();
+        kept.add(connection);
+        connection.readCommand();
+        serve(connection, "one");
         assertEquals("one", first.get().value());
         assumeTrue(
                 transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
         return loop.submit(
                         () -> {
-                            hold();
-                            step.run(talk);
-                            return call(attempt(), LONG);
+                            holdLoop();
+                            step.run(connection);
+                            return call(attempt(), LONG_MILLIS);
                         })
                 .get();
     }
 
     @Test
     void aFreeConnectionOnWhichNothingHappenedIsUsedAgain() throws Exception {
-        List<Peers.Talk> first = new ArrayList<>();
-        CompletableFuture<End> second = secondCallOn(first, talk -> {});
-        first.get(0).command();
+        List<ScriptedPeers.Connection> first = new ArrayList<>();
+        CompletableFuture<End> second = secondCallOn(first, connection -> {});
+        first.get(0).readCommand();
         serve(first.get(0), "two");
         assertEquals("two", second.get().value());
-        assertEquals(1, links.opened);
+        assertEquals(1, pool.opened);
     }
 
     @Test
@@ -205,14 +209,14 @@
                 loop.submit(
                                 () -> {
                                     CompletableFuture<End> called = call(attempt(), 5_000);
-                                    hold();
+                                    holdLoop();
                                     return called;
                                 })
                         .get();
-        Peers.Talk talk = taken.take();
-        long told = Long.parseLong(talk.command().get(0));
-        assertTrue(told <= 5_000 - HELD_MS, "told " + told);
-        serve(talk, "value");
+        ScriptedPeers.Connection connection = accepted.take();
+        long told = Long.parseLong(connection.readCommand().get(0));
+        assertTrue(told <= 5_000 - HELD_MILLIS, "told " + told);
+        serve(connection, "value");
         assertEquals("value", end.get().value());
     }
 
@@ -221,13 +225,14 @@
         CompletableFuture<End> end =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<End> called = call(attempt(), HELD_MS / 2);
-                                    hold();
+                                    CompletableFuture<End> called =
+                                            call(attempt(), HELD_MILLIS / 2);
+                                    holdLoop();
                                     return called;
                                 })
                         .get();
         assertEquals(Outcome.NO_CONNECTION, end.get().outcome());
-        assertNull(taken.take().command(), "closed with nothing sent");
+        assertNull(accepted.take().readCommand(), "closed with nothing sent");
     }
 
     @Test
@@ -235,14 +240,14 @@
         CompletableFuture<Outcome> end = new CompletableFuture<>();
         loop.execute(
                 () ->
-                        links.send(
+                        pool.send(
                                 attempt(),
                                 address,
                                 left -> null,
-                                LONG,
+                                LONG_MILLIS,
                                 (outcome, answer, at) -> end.complete(outcome)));
         assertEquals(Outcome.NOT_EXECUTED, end.get());
-        assertNull(taken.take().command(), "closed with nothing sent");
+        assertNull(accepted.take().readCommand(), "closed with nothing sent");
     }
 
     @Test
@@ -251,24 +256,24 @@
         CompletableFuture<End> end =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<End> called = call(attempt, LONG);
-                                    hold();
-                                    links.callOffUnwritten(attempt);
+                                    CompletableFuture<End> called = call(attempt, LONG_MILLIS);
+                                    holdLoop();
+                                    pool.cancelUnwritten(attempt);
                                     return called;
                                 })
                         .get();
         assertEquals(Outcome.CANCELLED, end.get().outcome());
-        CompletableFuture<End> next = loop.submit(() -> call(attempt(), HELD_MS * 100)).get();
+        CompletableFuture<End> next = loop.submit(() -> call(attempt(), HELD_MILLIS * 100)).get();
         List<String> sent = null;
         while (sent == null) {
-            Peers.Talk talk = taken.take();
-            sent = talk.command();
+            ScriptedPeers.Connection connection = accepted.take();
+            sent = connection.readCommand();
             if (sent != null) {
-                serve(talk, "next");
+                serve(connection, "next");
             }
         }
         assertTrue(
-                Long.parseLong(sent.get(0)) <= HELD_MS * 100,
+                Long.parseLong(sent.get(0)) <= HELD_MILLIS * 100,
                 "the first that was sent is the next call");
         assertEquals("next", next.get().value());
     }
@@ -276,29 +281,29 @@
     @Test
     void whatIsWrittenIsLeftToWhoeverMayCallItOff() throws Exception {
         Attempt attempt = attempt();
-        CompletableFuture<End> end = loop.submit(() -> call(attempt, LONG)).get();
-        Peers.Talk talk = taken.take();
-        talk.command();
-        loop.submit(() -> links.callOffUnwritten(attempt)).get();
-        serve(talk, "value");
+        CompletableFuture<End> end = loop.submit(() -> call(attempt, LONG_MILLIS)).get();
+        ScriptedPeers.Connection connection = accepted.take();
+        connection.readCommand();
+        loop.submit(() -> pool.cancelUnwritten(attempt)).get();
+        serve(connection, "value");
         assertEquals("value", end.get().value());
     }
 
     @Test
     void anAnswerAndTheTimeOutInOneTurnAreOneEnd() throws Exception {
-        CompletableFuture<End> end = loop.submit(() -> call(attempt(), 2 * HELD_MS)).get();
-        Peers.Talk talk = taken.take();
-        talk.command();
+        CompletableFuture<End> end = loop.submit(() -> call(attempt(), 2 * HELD_MILLIS)).get();
+        ScriptedPeers.Connection connection = accepted.take();
+        connection.readCommand();
         loop.submit(
                         () -> {
-                            serve(talk, "value");
-                            hold();
-                            hold();
-                            hold();
+                            serve(connection, "value");
+                            holdLoop();
+                            holdLoop();
+                            holdLoop();
                             return null;
                         })
                 .get();
         assertEquals("value", end.get().value());
-        await().until(() -> loop.submit(links::attemptsOut).get() == 0);
+        await().until(() -> loop.submit(pool::attemptsInFlight).get() == 0);
     }
 }
--- a/src/test/java/sagepulley/platform/PlatformPathTest.java
+++ b/src/test/java/sagepulley/platform/PlatformPathTest.java
@@ -24,27 +24,28 @@
 /** The whole way on sockets: a client, the gateway, a scripted node and a scripted discovery. */
 @Timeout(60)
 class PlatformPathTest {
-    private static final Peers.Script SERVES = (words, talk) -> talk.say(Peers.VALUE);
+    private static final ScriptedPeers.Script SERVES =
+            (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
 
     @Test
     void readsAndWritesAreServedAndGoOnAsTheyCameButForThePatience() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk client = peers.client();
-            client.ask("PING");
-            assertEquals("+PONG", client.answer());
-            client.ask(Peers.read(1));
-            assertEquals("$5 value", client.answer());
-            client.ask(
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand("PING");
+            assertEquals("+PONG", client.readReply());
+            client.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", client.readReply());
+            client.sendCommand(
                     "BLK.WRITE",
-                    NumberParser.id(7),
-                    NumberParser.id(2),
-                    Peers.fields("put", 9000, -1) + ",k=9",
+                    NumberParser.formatId(7),
+                    NumberParser.formatId(2),
+                    ScriptedPeers.fields("put", 9000, -1) + ",k=9",
                     "bytes");
-            assertEquals("$5 value", client.answer());
+            assertEquals("$5 value", client.readReply());
             assertEquals("BLK.READ", peers.commands.get(0).get(0));
             String sent = peers.commands.get(1).get(3);
             assertEquals(
-                    Peers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
+                    ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
                     sent.replaceAll(",d=\\d+", ""));
             int patience = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1"));
             assertTrue(patience > 0 && patience < 9000, "told " + patience);
@@ -55,25 +56,25 @@
     @Test
     void answersKeepTheOrderOfTheCommandsThoughALaterOneIsReadyFirst() throws Exception {
         CountDownLatch later = new CountDownLatch(1);
-        try (Peers peers =
-                new Peers(
-                        (words, talk) -> {
-                            if (words.get(2).equals(NumberParser.id(1))) {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> {
+                            if (words.get(2).equals(NumberParser.formatId(1))) {
                                 awaitQuietly(later);
                             }
-                            talk.say("*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n");
-                            if (words.get(2).equals(NumberParser.id(2))) {
+                            connection.send("*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n");
+                            if (words.get(2).equals(NumberParser.formatId(2))) {
                                 later.countDown();
                             }
                         })) {
-            Peers.Talk client = peers.client();
-            client.say(
-                    Peers.command(Peers.read(1))
-                            + Peers.command(Peers.read(2))
-                            + Peers.command("PING"));
-            assertEquals("$16 " + NumberParser.id(1), client.answer());
-            assertEquals("$16 " + NumberParser.id(2), client.answer());
-            assertEquals("+PONG", client.answer());
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.send(
+                    ScriptedPeers.command(ScriptedPeers.read(1))
+                            + ScriptedPeers.command(ScriptedPeers.read(2))
+                            + ScriptedPeers.command("PING"));
+            assertEquals("$16 " + NumberParser.formatId(1), client.readReply());
+            assertEquals("$16 " + NumberParser.formatId(2), client.readReply());
+            assertEquals("+PONG", client.readReply());
         }
     }
 
@@ -94,26 +95,31 @@
                 "c=get,,t=any"
             })
     void aCommandWithWrongFieldsGetsAnErrorAndNothingGoesToANode(String fields) throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk client = peers.client();
-            client.ask("BLK.READ", NumberParser.id(7), NumberParser.id(1), fields);
-            assertTrue(client.answer().startsWith("-ERR"));
-            client.ask("BLK.READ", NumberParser.id(7), "no id", Peers.fields("get", 900, 0));
-            assertTrue(client.answer().startsWith("-ERR"));
-            client.ask("BLK.READ", NumberParser.id(7), NumberParser.id(1));
-            assertTrue(client.answer().startsWith("-ERR"));
-            client.ask("FLUSHALL");
-            assertTrue(client.answer().startsWith("-ERR"));
-            client.ask(Peers.read(5));
-            assertEquals("$5 value", client.answer(), "the connection goes on");
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(
+                    "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(1), fields);
+            assertTrue(client.readReply().startsWith("-ERR"));
+            client.sendCommand(
+                    "BLK.READ",
+                    NumberParser.formatId(7),
+                    "no id",
+                    ScriptedPeers.fields("get", 900, 0));
+            assertTrue(client.readReply().startsWith("-ERR"));
+            client.sendCommand("BLK.READ", NumberParser.formatId(7), NumberParser.formatId(1));
+            assertTrue(client.readReply().startsWith("-ERR"));
+            client.sendCommand("FLUSHALL");
+            assertTrue(client.readReply().startsWith("-ERR"));
+            client.sendCommand(ScriptedPeers.read(5));
+            assertEquals("$5 value", client.readReply(), "the connection goes on");
             assertEquals(1, peers.commands.size());
         }
     }
 
     @Test
     void bytesThatAreNoCommandGetAnErrorAndTheEndAndHarmNobodyElse() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk good = peers.client();
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection good = peers.connectClient();
             for (String bad :
                     new String[] {
                         "GET / HTTP/1.1\r\n",
@@ -121,50 +127,50 @@
                         "*5\r\n$62914560\r\n",
                         "*1\r\n$4\r\nPINGPING"
                     }) {
-                Peers.Talk client = peers.client();
-                client.say(bad);
-                assertTrue(client.answer().startsWith("-ERR protocol error"));
-                assertNull(client.answer(), "closed");
+                ScriptedPeers.Connection client = peers.connectClient();
+                client.send(bad);
+                assertTrue(client.readReply().startsWith("-ERR protocol error"));
+                assertNull(client.readReply(), "closed");
             }
-            good.ask(Peers.read(5));
-            assertEquals("$5 value", good.answer());
+            good.sendCommand(ScriptedPeers.read(5));
+            assertEquals("$5 value", good.readReply());
         }
     }
 
     @Test
     void anIdThatIsInHandIsRefusedAndTheFirstIsServed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Peers peers =
-                new Peers(
-                        (words, talk) -> {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> {
                             awaitQuietly(go);
-                            talk.say(Peers.VALUE);
+                            connection.send(ScriptedPeers.VALUE_REPLY);
                         })) {
-            Peers.Talk first = peers.client();
-            first.ask(Peers.read(1));
+            ScriptedPeers.Connection first = peers.connectClient();
+            first.sendCommand(ScriptedPeers.read(1));
             await().until(() -> peers.commands.size() == 1);
-            Peers.Talk second = peers.client();
-            second.ask(Peers.read(1));
-            assertTrue(second.answer().startsWith("-ERR"));
+            ScriptedPeers.Connection second = peers.connectClient();
+            second.sendCommand(ScriptedPeers.read(1));
+            assertTrue(second.readReply().startsWith("-ERR"));
             go.countDown();
-            assertEquals("$5 value", first.answer());
+            assertEquals("$5 value", first.readReply());
             assertEquals(1, peers.commands.size());
         }
     }
 
     @Test
     void aConnectionThatNeverAsksIsClosedAndOneThatAskedStays() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk asked = peers.client();
-            asked.ask(Peers.read(1));
-            assertEquals("$5 value", asked.answer());
-            Peers.Talk silent = peers.client();
-            Peers.Talk half = peers.client();
-            half.say("*4\r\n$8\r\nBLK.RE");
-            assertNull(silent.answer());
-            assertNull(half.answer());
-            asked.ask(Peers.read(2));
-            assertEquals("$5 value", asked.answer());
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection asked = peers.connectClient();
+            asked.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", asked.readReply());
+            ScriptedPeers.Connection silent = peers.connectClient();
+            ScriptedPeers.Connection half = peers.connectClient();
+            half.send("*4\r\n$8\r\nBLK.RE");
+            assertNull(silent.readReply());
+            assertNull(half.readReply());
+            asked.sendCommand(ScriptedPeers.read(2));
+            assertEquals("$5 value", asked.readReply());
         }
     }
 
@@ -183,13 +189,16 @@
             })
     void aSpoiltAnswerIsNeverServedAndItsConnectionNeverUsedAgain(String spoilt) throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (Peers peers =
-                new Peers(
-                        (words, talk) ->
-                                talk.say(asked.getAndIncrement() == 0 ? spoilt : Peers.VALUE))) {
-            Peers.Talk client = peers.client();
-            client.ask(Peers.read(1));
-            assertEquals("$5 value", client.answer(), "by a second hop");
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) ->
+                                connection.send(
+                                        asked.getAndIncrement() == 0
+                                                ? spoilt
+                                                : ScriptedPeers.VALUE_REPLY))) {
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", client.readReply(), "by a second hop");
             assertEquals(2, peers.commands.size());
         }
     }
@@ -197,61 +206,61 @@
     @Test
     void anAnswerThatStopsInsideIsNotWaitedForToTheEnd() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (Peers peers =
-                new Peers(
-                        (words, talk) ->
-                                talk.say(
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) ->
+                                connection.send(
                                         asked.getAndIncrement() == 0
-                                                ? Peers.VALUE.substring(0, 9)
-                                                : Peers.VALUE))) {
-            Peers.Talk client = peers.client();
-            client.ask(Peers.read(1));
-            assertEquals("$5 value", client.answer());
+                                                ? ScriptedPeers.VALUE_REPLY.substring(0, 9)
+                                                : ScriptedPeers.VALUE_REPLY))) {
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", client.readReply());
             assertEquals(2, peers.commands.size());
         }
     }
 
     @Test
     void aSecondCopyBehindAnAnswerIsNotTakenForTheNext() throws Exception {
-        try (Peers peers =
-                new Peers(
-                        (words, talk) -> {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> {
                             String answer = "*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n";
-                            talk.say(answer + answer);
+                            connection.send(answer + answer);
                         })) {
-            Peers.Talk client = peers.client();
+            ScriptedPeers.Connection client = peers.connectClient();
             for (long id = 1; id <= 20; id++) {
-                client.ask(Peers.read(id));
-                assertEquals("$16 " + NumberParser.id(id), client.answer());
+                client.sendCommand(ScriptedPeers.read(id));
+                assertEquals("$16 " + NumberParser.formatId(id), client.readReply());
             }
         }
     }
 
     @Test
     void figuresThatCannotBeReadLeaveAGoodAnswerGood() throws Exception {
-        try (Peers peers =
-                new Peers(
-                        (words, talk) ->
-                                talk.say(
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) ->
+                                connection.send(
                                         "*3\r\n$5\r\nvalue\r\n$12\r\ncost=,used=x\r\n$3\r\n???\r\n"))) {
-            Peers.Talk client = peers.client();
-            client.ask(Peers.read(1));
-            assertEquals("$5 value", client.answer());
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", client.readReply());
         }
     }
 
     @Test
     void aClientThatClosesHasItsAttemptCalledOff() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        try (Peers peers =
-                new Peers(
-                        (words, talk) -> {
-                            if (talk.line() == null) {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> {
+                            if (connection.readLine() == null) {
                                 ended.countDown();
                             }
                         })) {
-            Peers.Talk client = peers.client();
-            client.ask(Peers.read(1));
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(ScriptedPeers.read(1));
             await().until(() -> peers.commands.size() == 1);
             client.socket.close();
             ended.await();
@@ -263,16 +272,16 @@
      */
     @Test
     void whatAClientAskedThatHasGoneIsNotSent() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk good = peers.client();
-            good.ask(Peers.read(1));
-            assertEquals("$5 value", good.answer());
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection good = peers.connectClient();
+            good.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", good.readReply());
             for (int id = 10; id < 20; id++) {
-                Peers.Talk gone = peers.client();
+                ScriptedPeers.Connection gone = peers.connectClient();
                 CountDownLatch held = new CountDownLatch(1);
                 CountDownLatch go = new CountDownLatch(1);
                 peers.transport
-                        .loops()
+                        .eventLoops()
                         .next()
                         .execute(
                                 () -> {
@@ -285,15 +294,15 @@
                                 });
                 held.await();
                 int port = gone.socket.getLocalPort();
-                gone.ask(Peers.read(id));
+                gone.sendCommand(ScriptedPeers.read(id));
                 gone.socket.close();
-                Kernel.awaitEnd(gone.socket.getPort(), port);
+                KernelTcpTable.awaitFin(gone.socket.getPort(), port);
                 go.countDown();
             }
-            good.ask(Peers.read(2));
-            assertEquals("$5 value", good.answer());
+            good.sendCommand(ScriptedPeers.read(2));
+            assertEquals("$5 value", good.readReply());
             assertEquals(
-                    List.of(NumberParser.id(1), NumberParser.id(2)),
+                    List.of(NumberParser.formatId(1), NumberParser.formatId(2)),
                     peers.commands.stream().map(words -> words.get(2)).toList());
         }
     }
@@ -308,12 +317,12 @@
             RespGateway gateway =
                     new RespGateway(WarmUpRun.config(front, nobody, nobody), transport);
             gateway.stop();
-            gateway.begin();
+            gateway.connectToDiscovery();
             gateway.start().join();
-            gateway.ended().join();
+            gateway.stopped().join();
             assertThrows(ConnectException.class, () -> new Socket().connect(front));
         } finally {
-            transport.loops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+            transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -331,16 +340,19 @@
     void aProbeIsWrittenAsTheSettingsSayAndItsAnswerIsNotTakenForAnother(String answer)
             throws Exception {
         for (String fields : List.of("[]", "[\"mean_ms\"]")) {
-            try (Peers peers =
-                    new Peers(
-                            (words, talk) ->
-                                    talk.say(words.get(0).startsWith("BLK") ? Peers.VALUE : answer),
+            try (ScriptedPeers peers =
+                    new ScriptedPeers(
+                            (words, connection) ->
+                                    connection.send(
+                                            words.get(0).startsWith("BLK")
+                                                    ? ScriptedPeers.VALUE_REPLY
+                                                    : answer),
                             text ->
                                     text.replace(
                                             "\"how\": \"silent\", \"fields\": []",
                                             "\"how\": \"pull\", \"fields\": " + fields))) {
                 peers.transport
-                        .loops()
+                        .eventLoops()
                         .next()
                         .submit(() -> peers.gateway.checkHealth(new Node(1)))
                         .get();
@@ -348,9 +360,9 @@
                 assertEquals(
                         fields.equals("[]") ? List.of("PING") : List.of("INFO", "load"),
                         peers.commands.get(0));
-                Peers.Talk client = peers.client();
-                client.ask(Peers.read(1));
-                assertEquals("$5 value", client.answer());
+                ScriptedPeers.Connection client = peers.connectClient();
+                client.sendCommand(ScriptedPeers.read(1));
+                assertEquals("$5 value", client.readReply());
             }
         }
     }
@@ -358,48 +370,48 @@
     @Test
     void aNodeThatClosesMidwayGetsTheOperationOnceMore() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (Peers peers =
-                new Peers(
-                        (words, talk) -> {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> {
                             if (asked.getAndIncrement() == 0) {
-                                talk.socket.close();
+                                connection.socket.close();
                             } else {
-                                talk.say(Peers.VALUE);
+                                connection.send(ScriptedPeers.VALUE_REPLY);
                             }
                         })) {
-            Peers.Talk client = peers.client();
-            client.ask(Peers.read(1));
-            assertEquals("$5 value", client.answer());
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", client.readReply());
         }
     }
 
     @Test
     void afterTheStopClientsAreServedOnTheirConnectionsUntilThoseEnd() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk client = peers.client();
-            client.ask(Peers.read(1));
-            assertEquals("$5 value", client.answer());
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection client = peers.connectClient();
+            client.sendCommand(ScriptedPeers.read(1));
+            assertEquals("$5 value", client.readReply());
             peers.gateway.stop();
-            client.ask(Peers.read(2));
-            assertEquals("$5 value", client.answer());
-            assertNull(client.answer(), "closed when the time is up");
-            peers.gateway.ended().join();
+            client.sendCommand(ScriptedPeers.read(2));
+            assertEquals("$5 value", client.readReply());
+            assertNull(client.readReply(), "closed when the time is up");
+            peers.gateway.stopped().join();
         }
     }
 
     @Test
     void whoConnectsAndSaysNothingLeavesRoomForThoseWhoAsk() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
             // The configuration has 256 descriptors for all.
             for (int i = 0; i < 400; i++) {
-                peers.client();
+                peers.connectClient();
             }
             await().until(
                             () -> {
-                                Peers.Talk client = peers.client();
+                                ScriptedPeers.Connection client = peers.connectClient();
                                 try {
-                                    client.ask(Peers.read(1));
-                                    return "$5 value".equals(client.answer());
+                                    client.sendCommand(ScriptedPeers.read(1));
+                                    return "$5 value".equals(client.readReply());
                                 } catch (IOException turnedAway) {
                                     return false;
                                 }
@@ -409,16 +421,16 @@
 
     @Test
     void sixtyMegabytesAtFullSpeedEndTheirOwnConnectionOnly() throws Exception {
-        try (Peers peers = new Peers(SERVES)) {
-            Peers.Talk good = peers.client();
-            Peers.Talk bad = peers.client();
+        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+            ScriptedPeers.Connection good = peers.connectClient();
+            ScriptedPeers.Connection bad = peers.connectClient();
             byte[] chunk = new byte[1 << 20];
             try {
-                bad.say(
+                bad.send(
                         "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n"
-                                + NumberParser.id(7)
+                                + NumberParser.formatId(7)
                                 + "\r\n$16\r\n"
-                                + NumberParser.id(1)
+                                + NumberParser.formatId(1)
                                 + "\r\n$1\r\nx\r\n$62914560\r\n");
                 for (int i = 0; i < 60; i++) {
                     bad.socket.getOutputStream().write(chunk);
@@ -429,8 +441,8 @@
             } catch (IOException closed) {
                 // What is left unread makes the close a reset.
             }
-            good.ask(Peers.read(5));
-            assertEquals("$5 value", good.answer());
+            good.sendCommand(ScriptedPeers.read(5));
+            assertEquals("$5 value", good.readReply());
             assertEquals(1, peers.commands.size());
         }
     }
@@ -438,12 +450,13 @@
     @Test
     void aClientThatReadsNothingIsHeldUpAndThenClosed() throws Exception {
         String value = "*3\r\n$60000\r\n" + "v".repeat(60_000) + "\r\n$-1\r\n$-1\r\n";
-        try (Peers peers = new Peers((words, talk) -> talk.say(value))) {
-            Peers.Talk deaf = peers.client();
+        try (ScriptedPeers peers =
+                new ScriptedPeers((words, connection) -> connection.send(value))) {
+            ScriptedPeers.Connection deaf = peers.connectClient();
             int asked = 0;
             try {
                 while (true) {
-                    deaf.ask(Peers.read(++asked));
+                    deaf.sendCommand(ScriptedPeers.read(++asked));
                     if (asked % 64 == 0) {
                         deaf.socket.getOutputStream().flush();
                     }
@@ -452,9 +465,9 @@
                 // By the gateway, for it read nothing for long.
             }
             assertTrue(peers.commands.size() < asked, peers.commands.size() + " of " + asked);
-            Peers.Talk good = peers.client();
-            good.ask(Peers.read(Long.MAX_VALUE));
-            assertTrue(good.answer().startsWith("$60000 "));
+            ScriptedPeers.Connection good = peers.connectClient();
+            good.sendCommand(ScriptedPeers.read(Long.MAX_VALUE));
+            assertTrue(good.readReply().startsWith("$60000 "));
         }
     }
 
--- a/src/test/java/sagepulley/platform/Peers.java
+++ b/src/test/java/sagepulley/platform/ScriptedPeers.java
@@ -19,36 +19,37 @@
 import java.util.function.UnaryOperator;
 
 /** A gateway on loopback with one node and a discovery that do as a test's script says. */
-final class Peers implements Closeable {
-    private static final int PATIENCE_MS = 20_000;
-    static final String VALUE = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
-    private static final String LIST = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+final class ScriptedPeers implements Closeable {
+    private static final int TIMEOUT_MILLIS = 20_000;
+    static final String VALUE_REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
+    private static final String LIST_RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** What a node does with one command. */
     interface Script {
-        void answer(List<String> words, Talk talk) throws IOException;
+        void answer(List<String> words, Connection connection) throws IOException;
     }
 
     /** One connection to a peer. */
-    static final class Talk {
+    static final class Connection {
         final Socket socket;
         final InputStream in;
 
-        Talk(Socket socket) throws IOException {
-            socket.setSoTimeout(PATIENCE_MS);
+        Connection(Socket socket) throws IOException {
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
             this.socket = socket;
             this.in = new BufferedInputStream(socket.getInputStream());
         }
 
-        void say(String text) throws IOException {
+        void send(String text) throws IOException {
             OutputStream out = socket.getOutputStream();
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
         }
 
         /** A line without its end; null where the connection has ended. */
-        String line() throws IOException {
+        String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = in.read(); next != '\n'; next = in.read()) {
                 if (next < 0) {
@@ -63,23 +64,23 @@
          * The first line of an HTTP request, read to its end; null where the caller left before
          * that.
          */
-        String requestLine() throws IOException {
-            String request = line();
+        String readRequestLine() throws IOException {
+            String request = readLine();
             String header = request;
             while (header != null && !header.isEmpty()) {
-                header = line();
+                header = readLine();
             }
             return header == null ? null : request;
         }
 
-        List<String> command() throws IOException {
-            String head = line();
+        List<String> readCommand() throws IOException {
+            String head = readLine();
             if (head == null) {
                 return null;
             }
             List<String> words = new ArrayList<>();
             for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
-                int length = Integer.parseInt(line().substring(1));
+                int length = Integer.parseInt(readLine().substring(1));
                 words.add(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
                 in.readNBytes(2);
             }
@@ -87,106 +88,106 @@
         }
 
         /** One answer: its line, and its value behind a blank where there is one. */
-        String answer() throws IOException {
-            String head = line();
-            return head != null && head.startsWith("$") ? head + " " + line() : head;
+        String readReply() throws IOException {
+            String head = readLine();
+            return head != null && head.startsWith("$") ? head + " " + readLine() : head;
         }
 
-        void ask(String... words) throws IOException {
-            say(Peers.command(words));
+        void sendCommand(String... words) throws IOException {
+            send(ScriptedPeers.command(words));
         }
     }
 
     final List<List<String>> commands = new CopyOnWriteArrayList<>();
-    final List<String> calls = new CopyOnWriteArrayList<>();
-    final List<Talk> watches = new CopyOnWriteArrayList<>();
+    final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
+    final List<Connection> watches = new CopyOnWriteArrayList<>();
 
     /** Calls to discovery that were not answered. */
-    final List<Talk> silent = new CopyOnWriteArrayList<>();
+    final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
 
     final RespGateway gateway;
     final Transport transport = Transport.sockets();
 
     /** What discovery answers a call with; null: it says nothing. */
-    volatile String listing = "{\"revision\":2,\"complete\":false,\"members\":[]}";
+    volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
 
     private final List<Closeable> open = new CopyOnWriteArrayList<>();
-    private final SocketAddress front;
-    private final Config config;
+    private final SocketAddress clientAddress;
+    private final GatewayConfig config;
 
-    Peers(Script script) throws Exception {
+    ScriptedPeers(Script script) throws Exception {
         this(script, text -> text);
     }
 
     /** The same with another configuration file. */
-    Peers(Script script, UnaryOperator<String> change) throws Exception {
+    ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
         ServerSocket node =
                 serve(
-                        talk -> {
-                            for (List<String> words = talk.command();
+                        connection -> {
+                            for (List<String> words = connection.readCommand();
                                     words != null;
-                                    words = talk.command()) {
+                                    words = connection.readCommand()) {
                                 commands.add(words);
-                                script.answer(words, talk);
+                                script.answer(words, connection);
                             }
                         });
         SocketAddress discovery = discovery();
         config =
-                Config.of(
-                        JsonReader.object(
+                GatewayConfig.parse(
+                        JsonReader.readObject(
                                 change.apply(WarmUpRun.text()).getBytes(StandardCharsets.UTF_8)),
                         Map.of());
         gateway =
                 new RespGateway(
-                        config.at(
+                        config.withAddresses(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 discovery,
                                 node.getLocalSocketAddress()),
                         transport);
-        gateway.begin();
-        front = gateway.start().get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        gateway.connectToDiscovery();
+        clientAddress = gateway.start().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** One more discovery; it answers as the listing says, and keeps the watch open. */
     SocketAddress discovery() throws IOException {
         return serve(
-                        talk -> {
-                            String call = talk.requestLine();
+                        connection -> {
+                            String call = connection.readRequestLine();
                             if (call == null) {
                                 return;
                             }
-                            if (listing == null) {
-                                silent.add(talk);
+                            if (endpointList == null) {
+                                unansweredRequests.add(connection);
                             }
-                            calls.add(call);
-                            if (listing == null) {
-                                talk.in.read();
-                            } else if (listing.startsWith("HTTP")) {
-                                talk.say(listing);
+                            discoveryRequests.add(call);
+                            if (endpointList == null) {
+                                connection.in.read();
+                            } else if (endpointList.startsWith("HTTP")) {
+                                connection.send(endpointList);
                             } else {
-                                talk.say(LIST);
-                                watches.add(talk);
-                                tell(talk, listing);
-                                talk.in.read();
+                                connection.send(LIST_RESPONSE_HEAD);
+                                watches.add(connection);
+                                sendChunk(connection, endpointList);
+                                connection.in.read();
                             }
                         })
                 .getLocalSocketAddress();
     }
 
-    static void tell(Talk talk, String line) throws IOException {
-        talk.say(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+    static void sendChunk(Connection connection, String line) throws IOException {
+        connection.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
     /** The gateway's configuration with discovery at this address. */
-    Config configAt(SocketAddress discovery) {
-        return config.at(front, discovery, front);
+    GatewayConfig configAt(SocketAddress discovery) {
+        return config.withAddresses(clientAddress, discovery, clientAddress);
     }
 
-    Talk client() throws IOException {
+    Connection connectClient() throws IOException {
         Socket socket = new Socket();
-        socket.connect(front);
+        socket.connect(clientAddress);
         open.add(socket);
-        return new Talk(socket);
+        return new Connection(socket);
     }
 
     static String command(String... words) {
@@ -200,7 +201,7 @@
     /** Words of a read with this id. */
     static String[] read(long id) {
         return new String[] {
-            "BLK.READ", NumberParser.id(7), NumberParser.id(id), fields("get", 9000, 0)
+            "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(id), fields("get", 9000, 0)
         };
     }
 
@@ -210,14 +211,14 @@
                 + ",t=any,d="
                 + patience
                 + ",volume="
-                + NumberParser.id(3)
+                + NumberParser.formatId(3)
                 + ",units=2,shard="
                 + shard
                 + ",hosts=1";
     }
 
     private interface Task {
-        void with(Talk talk) throws IOException;
+        void with(Connection connection) throws IOException;
     }
 
     private ServerSocket serve(Task task) throws IOException {
@@ -231,7 +232,7 @@
                         daemon(
                                 () -> {
                                     try (socket) {
-                                        task.with(new Talk(socket));
+                                        task.with(new Connection(socket));
                                     }
                                 });
                     }
@@ -260,8 +261,8 @@
 
     @Override
     public void close() {
-        gateway.finish();
-        gateway.ended().join();
+        gateway.stopNow();
+        gateway.stopped().join();
         for (Closeable each : open) {
             try {
                 each.close();
@@ -269,6 +270,6 @@
                 continue;
             }
         }
-        transport.loops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -33,7 +33,7 @@
         for (String each : more) {
             words.add(each.getBytes(StandardCharsets.US_ASCII));
         }
-        return BlockCommand.read(words, deployment);
+        return BlockCommand.parse(words, deployment);
     }
 
     @Test
@@ -43,17 +43,17 @@
         assertEquals(11, read.id);
         assertEquals("get", read.trafficClass.name());
         assertEquals("any", read.plan.name());
-        assertEquals(900, read.patience);
+        assertEquals(900, read.deadlineMillis);
         assertEquals(7, read.volume);
         assertEquals(1, read.units);
         assertEquals(0, read.shard);
-        assertEquals(3, read.gateways);
-        assertTrue(read.repeat);
+        assertEquals(3, read.gatewayCount);
+        assertTrue(read.clientRetry);
         assertEquals(
                 "put", command("BLK.WRITE", FIELDS.replace("get", "put"), "x").trafficClass.name());
         assertEquals(
                 FIELDS.replace("d=900", "d=42"),
-                new String(read.forNode(42).get(3), StandardCharsets.US_ASCII));
+                new String(read.withTimeout(42).get(3), StandardCharsets.US_ASCII));
     }
 
     @Test
@@ -62,7 +62,7 @@
                 WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
         Operation operation = new Operation(1, trafficClass, null, 0, 1, 0, 0, 900, false);
         Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
-        EndpointResponse.tell(
+        EndpointResponse.recordIn(
                 attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
         assertEquals(5, attempt.planUsagePercent);
         assertEquals(6, attempt.otherGatewaysUnits);
@@ -75,14 +75,14 @@
         TrafficClass trafficClass =
                 WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
         for (Outcome outcome : Outcome.values()) {
-            counts.ended(outcome, new Node(1));
+            counts.onAttemptEnded(outcome, new Node(1));
         }
         Map<Reason, Integer> waits = new EnumMap<>(Reason.class);
         for (Reason reason : Reason.values()) {
             waits.put(reason, 1);
         }
         counts.waits(waits);
-        counts.gaveUp(trafficClass, Reason.OBJECTIVE_MISSED);
+        counts.onUnserved(trafficClass, Reason.OBJECTIVE_MISSED);
         assertEquals(
                 "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SERVED=1,"
                         + " FAILED=1, REJECTED=1, TIMED_OUT=1, NO_CONNECTION=1, RESET=1,"
--- a/src/test/java/sagepulley/platform/ServeTest.java
+++ b/src/test/java/sagepulley/platform/ServeTest.java
@@ -25,7 +25,9 @@
     /** The first file is a pipe whose reading is held up until the second signal is on its way. */
     @Test
     void theFileOfTheLastHangUpHoldsThoughAnEarlierOneIsReadSlowly() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpRun.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
@@ -50,9 +52,9 @@
                 pipe.write(config(port, early).getBytes(StandardCharsets.UTF_8));
             }
             await().until(() -> gateway.reloads() == 2);
-            assertEquals(late, gateway.discoveryAt());
+            assertEquals(late, gateway.discoveryAddress());
             await().until(() -> watched(peers, late));
-            gateway.finish();
+            gateway.stopNow();
             ended.get();
         }
     }
@@ -70,14 +72,16 @@
                 });
     }
 
-    private static boolean watched(Peers peers, SocketAddress discovery) {
+    private static boolean watched(ScriptedPeers peers, SocketAddress discovery) {
         return peers.watches.stream()
                 .anyMatch(watch -> watch.socket.getLocalSocketAddress().equals(discovery));
     }
 
     @Test
     void atHangUpDiscoveryMovesAndABadFileLeavesAllAsItWas() throws Exception {
-        try (Peers peers = new Peers((words, talk) -> talk.say(Peers.VALUE))) {
+        try (ScriptedPeers peers =
+                new ScriptedPeers(
+                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpRun.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
@@ -92,15 +96,17 @@
             await().until(() -> peers.watches.size() == 3);
 
             Files.writeString(file, "{\"listen\":");
-            try (ConfigReloader reloads = new ConfigReloader(environment, gateway)) {
-                reloads.read();
+            try (ConfigReloader reloader = new ConfigReloader(environment, gateway)) {
+                reloader.reload();
             }
-            Peers.Talk client = new Peers.Talk(new Socket(InetAddress.getLoopbackAddress(), port));
-            client.ask("PING");
-            assertEquals("+PONG", client.answer());
+            ScriptedPeers.Connection client =
+                    new ScriptedPeers.Connection(
+                            new Socket(InetAddress.getLoopbackAddress(), port));
+            client.sendCommand("PING");
+            assertEquals("+PONG", client.readReply());
             assertEquals(3, peers.watches.size());
             client.socket.close();
-            gateway.finish();
+            gateway.stopNow();
             ended.get();
         }
     }
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/platform/SettingNamesTest.java
@@ -133,10 +133,10 @@
         assertEquals(told(), SettingsReader.ofLines(text).deployment());
     }
 
-    private static Config config(String name, String listen, int discoveryPort) {
-        return new Config(
+    private static GatewayConfig config(String name, String listen, int discoveryPort) {
+        return new GatewayConfig(
                 name,
-                AddressParser.read(listen),
+                AddressParser.parse(listen),
                 new InetSocketAddress("127.0.0.1", discoveryPort),
                 0xabc,
                 300,
@@ -173,7 +173,7 @@
     void keysOfTheConfiguration() throws Exception {
         Map<String, String> environment =
                 Map.of("GW_CONFIG", FOLDER.resolve("config.json").toString());
-        assertEquals(config("gw-1", "127.0.0.1:101", 102), Config.read(environment));
+        assertEquals(config("gw-1", "127.0.0.1:101", 102), GatewayConfig.read(environment));
     }
 
     @Test
@@ -193,7 +193,7 @@
                         "127.0.0.1:201",
                         "GW_DISCOVERY",
                         "127.0.0.1:202");
-        assertEquals(config("gw-2", "127.0.0.1:201", 202), Config.read(environment));
+        assertEquals(config("gw-2", "127.0.0.1:201", 202), GatewayConfig.read(environment));
     }
 
     @Test
