--- /dev/null
+++ b/src/main/java/sagepulley/platform/AttemptDispatcher.java
@@ -0,0 +1,136 @@
+package sagepulley.platform;
+
+import java.net.SocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import sagepulley.codec.resp.Resp;
+import sagepulley.engine.Clock;
+import sagepulley.engine.GatewayEngine;
+import sagepulley.model.Attempt;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+
+/**
+ * Sends the attempts and health checks that the engine decides on to their endpoints, and reports
+ * how each ended to the engine. Runs on the event loop; times are milliseconds.
+ */
+final class AttemptDispatcher {
+    private static final double HEALTH_CHECK_TIMEOUT_MILLIS = 250;
+
+    private final Deployment deployment;
+    private final Clock clock;
+    private final GatewayEngine engine;
+    private final EndpointRegistry endpoints;
+    private final EndpointConnectionPool connections;
+    private final RequestHandler requests;
+    private final GatewayMetrics metrics;
+    private final RateLimitedLog eventLog;
+    private final Runnable onEngineEvent;
+
+    /**
+     * @param onEngineEvent is run when the engine has been given something
+     */
+    AttemptDispatcher(
+            Deployment deployment,
+            Clock clock,
+            GatewayEngine engine,
+            EndpointRegistry endpoints,
+            EndpointConnectionPool connections,
+            RequestHandler requests,
+            GatewayMetrics metrics,
+            RateLimitedLog eventLog,
+            Runnable onEngineEvent) {
+        this.deployment = deployment;
+        this.clock = clock;
+        this.engine = engine;
+        this.endpoints = endpoints;
+        this.connections = connections;
+        this.requests = requests;
+        this.metrics = metrics;
+        this.eventLog = eventLog;
+        this.onEngineEvent = onEngineEvent;
+    }
+
+    /** Sends an attempt, which ends after the timeout at the latest. */
+    void send(Attempt attempt, double timeoutMillis) {
+        metrics.attempts++;
+        if (attempt.number > 0) {
+            eventLog.info(
+                    "request retried",
+                    "id",
+                    NumberParser.formatId(attempt.operation.id),
+                    "attempts",
+                    endpoints.describeAttempts(attempt.operation));
+        }
+        SocketAddress address = endpoints.address(attempt.node);
+        BlockCommand command = requests.command(attempt.operation);
+        connections.send(
+                attempt,
+                address,
+                remainingMillis ->
+                        engine.mayStart(attempt, clock.now())
+                                ? command.withTimeout(remainingMillis)
+                                : null,
+                timeoutMillis,
+                (outcome, reply, receivedAt) ->
+                        onAttemptEnded(attempt, outcome, reply, receivedAt));
+    }
+
+    private void onAttemptEnded(Attempt attempt, Outcome outcome, Resp reply, double receivedAt) {
+        double now = clock.now();
+        Operation operation = attempt.operation;
+        attempt.outcome = outcome;
+        attempt.duration = receivedAt - attempt.sentAt;
+        metrics.onAttemptEnded(outcome, attempt.node);
+        EndpointResponse.recordIn(attempt, reply, deployment.reportFields());
+        boolean settled = operation.ended;
+        if (outcome == Outcome.SERVED && !settled) {
+            settled = true;
+            metrics.onServed(operation, now);
+            operation.ended = true;
+            requests.replyServed(operation, EndpointResponse.value(reply));
+        }
+        engine.onAttemptEnded(attempt, settled, now);
+        onEngineEvent.run();
+    }
+
+    /** Cancels an attempt that nobody waits for any longer. */
+    void cancel(Attempt attempt) {
+        connections.cancel(attempt);
+    }
+
+    /** Cancels those of an operation's attempts that have not been written to their endpoint. */
+    void cancelUnwritten(Operation operation) {
+        operation.attempts.forEach(connections::cancelUnwritten);
+    }
+
+    /** Checks an endpoint's health; asks for its load report where the deployment has one. */
+    void checkHealth(Node node) {
+        boolean hasLoadReport = !deployment.reportFields().isEmpty();
+        List<byte[]> arguments =
+                (hasLoadReport ? List.of("INFO", "load") : List.of("PING"))
+                        .stream().map(word -> word.getBytes(StandardCharsets.US_ASCII)).toList();
+        double sentAt = clock.now();
+        connections.sendHealthCheck(
+                endpoints.address(node),
+                arguments,
+                HEALTH_CHECK_TIMEOUT_MILLIS,
+                (outcome, reply, receivedAt) ->
+                        onHealthCheckEnded(node, outcome, reply, receivedAt - sentAt));
+    }
+
+    private void onHealthCheckEnded(Node node, Outcome outcome, Resp reply, double duration) {
+        boolean healthy =
+                (reply instanceof Resp.Bulk bulk && !bulk.isNull())
+                        || (reply instanceof Resp.Line line && !line.isError());
+        double[] report =
+                reply instanceof Resp.Bulk bulk
+                        ? EndpointResponse.parseReport(bulk, deployment.reportFields())
+                        : null;
+        engine.onHealthCheck(
+                node.id, healthy ? Outcome.SERVED : outcome, duration, report, clock.now());
+        onEngineEvent.run();
+    }
+}
--- a/src/main/java/sagepulley/platform/ClientListener.java
+++ b/src/main/java/sagepulley/platform/ClientListener.java
@@ -66,8 +66,8 @@
     private Channel listener;
     private boolean keepIdle;
     private boolean draining;
-    long accepted;
-    long rejected;
+    private long accepted;
+    private long rejected;
 
     /**
      * So many connections at most; a command that takes longer than the slowest time to come is of
@@ -137,6 +137,17 @@
         return connections.stream().anyMatch(ClientConnection::isReadingCommand);
     }
 
+    /** Connections accepted since the start, with those that were closed at once. */
+    long accepted() {
+        return accepted;
+    }
+
+    /** Connections closed at once since the limit was reached and none could give way. */
+    long rejected() {
+        return rejected;
+    }
+
+    /** Connections that are open. */
     int connectionCount() {
         return connections.size();
     }
--- a/src/main/java/sagepulley/platform/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/platform/EndpointConnectionPool.java
@@ -14,6 +14,7 @@
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Iterator;
@@ -90,17 +91,17 @@
     private final Map<SocketAddress, Integer> openByAddress = new HashMap<>();
     private int openConnections;
     private BiConsumer<SocketAddress, String> closeListener = (address, why) -> {};
-    long opened;
-    long rejectedAtLimit;
+    private long connectionsOpened;
+    private long rejectedAtLimit;
 
     /**
      * Free connections that were found to have ended, or to have brought something, when they were
      * wanted.
      */
-    long staleConnections;
+    private long staleConnections;
 
     /** Answers that were no use, by what was wrong with them. */
-    final Map<String, Integer> invalidResponses = new TreeMap<>();
+    private final Map<String, Integer> invalidReplies = new TreeMap<>();
 
     /** An answer that has begun and brings nothing more for the stall time is spoilt. */
     EndpointConnectionPool(
@@ -133,6 +134,27 @@
         return openByAddress.getOrDefault(address, 0);
     }
 
+    /** Connections opened since the start. */
+    long connectionsOpened() {
+        return connectionsOpened;
+    }
+
+    /** Attempts that found no connection since the limit was reached. */
+    long rejectedAtLimit() {
+        return rejectedAtLimit;
+    }
+
+    /** Idle connections that were found closed, or with unread bytes, when they were wanted. */
+    long staleConnections() {
+        return staleConnections;
+    }
+
+    /** Replies that could not be used, by what was wrong with them. */
+    Map<String, Integer> invalidReplies() {
+        return Collections.unmodifiableMap(invalidReplies);
+    }
+
+    /** Attempts whose outcome is not known yet. */
     int attemptsInFlight() {
         return inFlight.size();
     }
@@ -303,7 +325,7 @@
         private void connect() {
             openConnections++;
             openByAddress.merge(address, 1, Integer::sum);
-            opened++;
+            connectionsOpened++;
             ChannelFuture connecting =
                     transport
                             .connector()
@@ -449,7 +471,7 @@
 
         /** Counted by kind, of which there are only as many as the codec has sentences. */
         private void countInvalidResponse(String what) {
-            invalidResponses.merge(what.replaceAll("[0-9]+", "N"), 1, Integer::sum);
+            invalidReplies.merge(what.replaceAll("[0-9]+", "N"), 1, Integer::sum);
         }
 
         @Override
--- a/src/main/java/sagepulley/platform/EndpointRegistry.java
+++ b/src/main/java/sagepulley/platform/EndpointRegistry.java
@@ -8,7 +8,9 @@
 import java.util.function.Function;
 import sagepulley.engine.Clock;
 import sagepulley.engine.EndpointEntry;
+import sagepulley.model.Attempt;
 import sagepulley.model.Node;
+import sagepulley.model.Operation;
 
 /**
  * Discovery's names of nodes against the numbers that nodes have inside, and where each listens.
@@ -77,6 +79,18 @@
         return names.getOrDefault(node.id, "node " + node.id);
     }
 
+    /** Where an operation was sent and how each attempt ended, for the log. */
+    String describeAttempts(Operation operation) {
+        StringBuilder text = new StringBuilder();
+        for (Attempt attempt : operation.attempts) {
+            text.append(text.isEmpty() ? "" : ",")
+                    .append(name(attempt.node))
+                    .append(':')
+                    .append(attempt.outcome == null ? "IN_FLIGHT" : attempt.outcome);
+        }
+        return text.toString();
+    }
+
     /** A node that is gone for good; should it come back it is a new one. */
     void remove(Node node) {
         numbers.remove(names.remove(node.id));
--- a/src/main/java/sagepulley/platform/GatewayMetrics.java
+++ b/src/main/java/sagepulley/platform/GatewayMetrics.java
@@ -21,12 +21,13 @@
     private long beyondObjective;
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
     private final Map<String, Long> unserved = new TreeMap<>();
-    private final Map<Reason, Long> waits = new EnumMap<>(Reason.class);
-    private final Map<Integer, Map<Outcome, Integer>> lately = new HashMap<>();
+    private final Map<Reason, Long> waiting = new EnumMap<>(Reason.class);
+    private final Map<Integer, Map<Outcome, Integer>> recentOutcomes = new HashMap<>();
 
     void onAttemptEnded(Outcome outcome, Node node) {
         outcomes.merge(outcome, 1L, Long::sum);
-        lately.computeIfAbsent(node.id, any -> new EnumMap<>(Outcome.class))
+        recentOutcomes
+                .computeIfAbsent(node.id, any -> new EnumMap<>(Outcome.class))
                 .merge(outcome, 1, Integer::sum);
     }
 
@@ -39,8 +40,8 @@
     }
 
     /** Adds what waits at one moment. */
-    void waits(Map<Reason, Integer> waiting) {
-        waiting.forEach((reason, count) -> waits.merge(reason, (long) count, Long::sum));
+    void addWaiting(Map<Reason, Integer> waitingByReason) {
+        waitingByReason.forEach((reason, count) -> waiting.merge(reason, (long) count, Long::sum));
     }
 
     void onUnserved(TrafficClass trafficClass, Reason reason) {
@@ -48,8 +49,8 @@
     }
 
     /** How attempts to a node have ended since this was last asked. */
-    Map<Outcome, Integer> lately(Node node) {
-        Map<Outcome, Integer> outcomes = lately.remove(node.id);
+    Map<Outcome, Integer> takeRecentOutcomes(Node node) {
+        Map<Outcome, Integer> outcomes = recentOutcomes.remove(node.id);
         return outcomes == null ? Map.of() : outcomes;
     }
 
@@ -74,6 +75,6 @@
                 + " given-up="
                 + unserved
                 + " waits="
-                + waits;
+                + waiting;
     }
 }
--- /dev/null
+++ b/src/main/java/sagepulley/platform/RequestHandler.java
@@ -0,0 +1,252 @@
+package sagepulley.platform;
+
+import io.netty.buffer.ByteBuf;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Function;
+import sagepulley.codec.resp.RespEncoder;
+import sagepulley.engine.Clock;
+import sagepulley.engine.GatewayEngine;
+import sagepulley.model.Operation;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.Volume;
+
+/**
+ * Clients' requests on their way into the engine and its answers on their way back: parses and
+ * admits each command, and writes exactly one reply to it. Owns the bytes of the commands in
+ * flight. Runs on the event loop; times are milliseconds of the gateway's clock.
+ */
+final class RequestHandler implements ClientConnection.Handler {
+    /** What is kept with an operation in flight. */
+    private record PendingRequest(
+            BlockCommand command, ClientConnection.PendingReply pendingReply) {}
+
+    /** What a request handler tells the gateway around it. */
+    interface Listener {
+        /** The engine has been given something: its due work is to be run. */
+        void onEngineEvent();
+
+        /** A client cancelled an operation whose attempts may still be under way. */
+        void onCancelled(Operation operation);
+
+        /** A reply was written or a connection closed, which may have been the last one. */
+        void onReplyOrClose();
+    }
+
+    private final GatewayConfig config;
+    private final Clock clock;
+    private final GatewayEngine engine;
+    private final GatewayMetrics metrics;
+    private final RateLimitedLog eventLog;
+    private final Function<Operation, String> attemptsDescription;
+    private final Listener listener;
+    private final ClientListener clients;
+    private final KernelReceiveTime receiveTime = new KernelReceiveTime();
+    private final long maxBytesInFlight;
+    private long bytesInFlight;
+
+    /** No operation's deadline lies behind this time; infinite while the gateway is not stopped. */
+    private double latestDeadline = Double.POSITIVE_INFINITY;
+
+    /**
+     * @param attemptsDescription describes an operation's attempts for the log
+     * @param clientsFactory opens the client side with this handler
+     */
+    RequestHandler(
+            GatewayConfig config,
+            Clock clock,
+            GatewayEngine engine,
+            GatewayMetrics metrics,
+            RateLimitedLog eventLog,
+            long maxBytesInFlight,
+            Function<Operation, String> attemptsDescription,
+            Function<ClientConnection.Handler, ClientListener> clientsFactory,
+            Listener listener) {
+        this.config = config;
+        this.clock = clock;
+        this.engine = engine;
+        this.metrics = metrics;
+        this.eventLog = eventLog;
+        this.maxBytesInFlight = maxBytesInFlight;
+        this.attemptsDescription = attemptsDescription;
+        this.listener = listener;
+        this.clients = clientsFactory.apply(this);
+    }
+
+    /** The clients' connections. */
+    ClientListener clients() {
+        return clients;
+    }
+
+    /** Bytes of all commands whose reply is outstanding. */
+    long bytesInFlight() {
+        return bytesInFlight;
+    }
+
+    /** Caps the deadline of the operations that are accepted from now on. */
+    void limitDeadlines(double time) {
+        latestDeadline = time;
+    }
+
+    @Override
+    public double now() {
+        return clock.now();
+    }
+
+    @Override
+    public void onRequest(
+            ClientConnection connection,
+            ClientConnection.PendingReply pendingReply,
+            List<byte[]> arguments) {
+        double now = clock.now();
+        BlockCommand command;
+        try {
+            command = BlockCommand.parse(arguments, config.deployment());
+            if (engine.operation(command.id) != null) {
+                throw new BadCommandException("an operation with this id is in hand");
+            }
+        } catch (BadCommandException invalid) {
+            metrics.invalidCommands++;
+            pendingReply.reply(RespEncoder.error("ERR " + invalid.getMessage()));
+            return;
+        }
+        connection.hasSentCommand = true;
+        if (connection.isDraining() || clients.isDraining()) {
+            reject(command, pendingReply, "SHUTTING_DOWN");
+        } else if (bytesInFlight + command.sizeBytes() > maxBytesInFlight
+                || engine.inFlight().size() >= config.maxInFlight()) {
+            metrics.rejectedAtCapacity++;
+            reject(command, pendingReply, "AT_CAPACITY");
+        } else {
+            double receivedAt = now - connection.millisSinceReceived(receiveTime);
+            accept(command, pendingReply, receivedAt, now);
+        }
+    }
+
+    private void reject(
+            BlockCommand command, ClientConnection.PendingReply pendingReply, String reason) {
+        eventLog.info(
+                "request rejected", "id", NumberParser.formatId(command.id), "reason", reason);
+        pendingReply.reply(RespEncoder.error("BUSY"));
+    }
+
+    private void accept(
+            BlockCommand command,
+            ClientConnection.PendingReply pendingReply,
+            double receivedAt,
+            double now) {
+        bytesInFlight += command.sizeBytes();
+        metrics.accepted++;
+        Volume volume = engine.volume(command.volume, command.plan.index());
+        volume.gatewayCount = command.gatewayCount;
+        double deadline =
+                Math.min(receivedAt + command.deadlineMillis, Math.max(now + 1, latestDeadline));
+        Operation operation =
+                new Operation(
+                        command.id,
+                        command.trafficClass,
+                        volume,
+                        command.extent,
+                        command.units,
+                        command.shard,
+                        receivedAt,
+                        deadline,
+                        command.clientRetry);
+        operation.engineState = new PendingRequest(command, pendingReply);
+        pendingReply.attachment = operation;
+        engine.onArrival(operation);
+        listener.onEngineEvent();
+    }
+
+    @Override
+    public void onClientCancelled(ClientConnection.PendingReply pendingReply) {
+        Operation operation = (Operation) pendingReply.attachment;
+        pendingReply.attachment = null;
+        metrics.cancelled++;
+        release(operation);
+        engine.onClientCancelled(operation.id, clock.now());
+        listener.onCancelled(operation);
+        listener.onEngineEvent();
+    }
+
+    @Override
+    public void onClosed(ClientConnection connection) {
+        if (connection.closeReason() != null) {
+            eventLog.info(
+                    "client connection closed",
+                    "reason",
+                    connection.closeReason(),
+                    "age-ms",
+                    Math.round(clock.now() - connection.connectedAt),
+                    "sent-command",
+                    connection.hasSentCommand);
+        }
+        clients.remove(connection);
+        listener.onReplyOrClose();
+    }
+
+    /** The command of an operation whose reply is outstanding. */
+    BlockCommand command(Operation operation) {
+        return ((PendingRequest) operation.engineState).command();
+    }
+
+    /** Replies to an operation that an endpoint has served. */
+    void replyServed(Operation operation, byte[] value) {
+        reply(operation, RespEncoder.bulk(value));
+    }
+
+    /** Replies to an operation that the engine rejected or abandoned. */
+    void replyUnserved(Operation operation, RoutingDecision decision) {
+        boolean rejected = decision.kind() == RoutingDecision.Kind.REJECT;
+        eventLog.info(
+                rejected ? "request rejected" : "request failed",
+                "id",
+                NumberParser.formatId(operation.id),
+                "traffic-class",
+                operation.trafficClass.name(),
+                "reason",
+                decision.reason(),
+                "elapsed-ms",
+                Math.round(clock.now() - operation.arrivedAt),
+                "attempts",
+                attemptsDescription.apply(operation));
+        metrics.onUnserved(operation.trafficClass, decision.reason());
+        if (!rejected) {
+            reply(operation, RespEncoder.error("ERR failed"));
+        } else if (decision.retryAfter() > 0) {
+            reply(operation, RespEncoder.error("BUSY " + (long) Math.ceil(decision.retryAfter())));
+        } else {
+            reply(operation, RespEncoder.error("BUSY"));
+        }
+    }
+
+    /** Fails each operation in flight with the reply that leaves its outcome open. */
+    void failAll() {
+        for (Operation operation : new ArrayList<>(engine.inFlight())) {
+            if (operation.engineState != null) {
+                eventLog.info(
+                        "request failed",
+                        "id",
+                        NumberParser.formatId(operation.id),
+                        "reason",
+                        "SHUTTING_DOWN",
+                        "attempts",
+                        attemptsDescription.apply(operation));
+                reply(operation, RespEncoder.error("ERR the gateway stops"));
+                engine.onClientCancelled(operation.id, clock.now());
+            }
+        }
+    }
+
+    private void reply(Operation operation, ByteBuf bytes) {
+        release(operation).pendingReply().reply(bytes);
+        listener.onReplyOrClose();
+    }
+
+    private PendingRequest release(Operation operation) {
+        PendingRequest request = (PendingRequest) operation.engineState;
+        operation.engineState = null;
+        bytesInFlight -= request.command().sizeBytes();
+        return request;
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/platform/ShutdownSchedule.java
@@ -0,0 +1,33 @@
+package sagepulley.platform;
+
+/**
+ * When a graceful shutdown takes its steps, in milliseconds of the gateway's clock.
+ *
+ * @param drainAt connections are drained, and no new command is accepted, from this time on
+ * @param failAt operations still in flight are failed at this time
+ */
+record ShutdownSchedule(double drainAt, double failAt) {
+    /**
+     * SIGKILL follows SIGTERM no sooner than the longest deadline, capped at this, and the grace
+     * period after it. Clients keep using the connections that they have and find no other gateway,
+     * so they are served for as long as that.
+     */
+    private static final double MAX_SERVING_MILLIS = 3_000;
+
+    private static final double KILL_GRACE_MILLIS = 700;
+
+    /** The process may be held up at each of the two steps, hence some room after both. */
+    private static final double REPLY_MARGIN_MILLIS = 350;
+
+    private static final double DRAIN_MILLIS = 250;
+
+    /** The schedule after a signal at a time, where no request has a longer deadline than this. */
+    static ShutdownSchedule after(double signalledAt, double maxDeadlineMillis) {
+        double remaining =
+                Math.min(maxDeadlineMillis, MAX_SERVING_MILLIS)
+                        + KILL_GRACE_MILLIS
+                        - REPLY_MARGIN_MILLIS;
+        double failAt = signalledAt + remaining;
+        return new ShutdownSchedule(failAt - DRAIN_MILLIS, failAt);
+    }
+}
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -121,7 +121,7 @@
 
     private static void awaitActedOn(TestFleet fleet, GatewayProcess gateway) {
         String line =
-                "configuration read anew discovery=/127.0.0.1:"
+                "configuration reloaded discovery=/127.0.0.1:"
                         + fleet.discoveryAddress(0).getPort();
         await().atMost(ACTED_ON_WITHIN_S, TimeUnit.SECONDS)
                 .untilAsserted(
--- a/src/test/java/sagepulley/platform/ClientListenerTest.java
+++ b/src/test/java/sagepulley/platform/ClientListenerTest.java
@@ -303,6 +303,6 @@
         ScriptedPeers.Connection last = clients.get(clients.size() - 1);
         last.sendCommand("PING");
         assertEquals("+PONG", last.readReply());
-        assertTrue(listener.rejected == 0, "nobody was turned away");
+        assertTrue(listener.rejected() == 0, "nobody was turned away");
     }
 }
--- a/src/test/java/sagepulley/platform/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/platform/NodeCrossingsTest.java
@@ -200,7 +200,7 @@
         first.get(0).readCommand();
         serve(first.get(0), "two");
         assertEquals("two", second.get().value());
-        assertEquals(1, pool.opened);
+        assertEquals(1, pool.connectionsOpened());
     }
 
     @Test
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/platform/ServeNamesTest.java
@@ -81,7 +81,7 @@
         for (Reason reason : Reason.values()) {
             waits.put(reason, 1);
         }
-        counts.waits(waits);
+        counts.addWaiting(waits);
         counts.onUnserved(trafficClass, Reason.OBJECTIVE_MISSED);
         assertEquals(
                 "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SERVED=1,"
