--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -1,631 +1,255 @@
-package
-sagepulley.cli;
-
-import
-com.fasterxml.jackson.databind.json.JsonMapper;
-import
-java.io.IOException;
-import
-java.nio.file.Files;
-import
-java.nio.file.Path;
-import
-java.time.Instant;
-import
-java.time.ZoneId;
-import
-java.util.ArrayList;
-import
-java.util.HashSet;
-import
-java.util.List;
-import
-java.util.Set;
-import
-java.util.concurrent.Callable;
-import
-picocli.CommandLine;
-import
-picocli.CommandLine.Command;
-import
-picocli.CommandLine.Option;
-import
-picocli.CommandLine.Parameters;
-import
-sagepulley.config.HostPort;
-import
-sagepulley.membership.EndpointRecord;
-import
-sagepulley.membership.RecordSource;
-import
-sagepulley.membership.StoredEndpointList;
-import
-sagepulley.persistence.EndpointListFile;
-import
-sagepulley.persistence.SnapshotFile;
+package sagepulley.cli;
+
+import com.fasterxml.jackson.databind.json.JsonMapper;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.time.ZoneId;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+import sagepulley.config.HostPort;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.RecordSource;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.persistence.EndpointListFile;
+import sagepulley.persistence.SnapshotFile;
 
 /** Shows, checks, exports and imports a gateway's stored endpoint list. */
 @Command(
-name
-=
-"list-file",
-mixinStandardHelpOptions
-=
-true,
-description
-=
-"Shows, checks, exports or brings the file in which a gateway keeps its list of nodes "
-+
-"([membership] list).",
-subcommands
-=
-{
-ListFileCommand.Show.class,
-ListFileCommand.Verify.class,
-ListFileCommand.Export.class,
-ListFileCommand.Import.class
-})
-final
-class
-ListFileCommand
-implements
-Runnable
-{
-@CommandLine.Spec
-private
-CommandLine.Model.CommandSpec
-spec;
-
-@Override
-public
-void
-run()
-{
-throw
-new
-CommandLine.ParameterException(spec.commandLine(),
-"a command is missing");
-}
-
-private
-static
-StoredEndpointList
-newestValid(Path
-file)
-throws
-IOException
-{
-EndpointListFile.ReadResult
-look
-=
-new
-EndpointListFile(file,
-"").inspect();
-if
-(look.list()
-==
-null)
-{
-throw
-new
-IOException(
-look.rejected().isEmpty()
-?
-file
-+
-": is not there"
-:
-look.rejected().get(0).file()
-+
-": "
-+
-look.rejected().get(0).reason());
-}
-return
-look.list();
-}
-
-private
-static
-String
-when(long
-wallMillis)
-{
-return
-wallMillis
-==
-0
-?
-"never"
-:
-Instant.ofEpochMilli(wallMillis)
-.atZone(ZoneId.systemDefault())
-.toOffsetDateTime()
-.toString();
-}
-
-/** Prints the newest list that is valid. */
-@Command(
-name
-=
-"show",
-mixinStandardHelpOptions
-=
-true,
-description
-=
-"Prints the newest list that can be believed.")
-static
-final
-class
-Show
-implements
-Callable<Integer>
-{
-@Parameters(paramLabel
-=
-"FILE")
-private
-Path
-file;
-
-@Option(names
-=
-"--json",
-description
-=
-"prints it as JSON")
-private
-boolean
-json;
-
-@Override
-public
-Integer
-call()
-throws
-Exception
-{
-StoredEndpointList
-list
-=
-newestValid(file);
-if
-(json)
-{
-System.out.println(new
-JsonMapper().writeValueAsString(list));
-return
-Commands.OK;
-}
-System.out.printf(
-"site %s, version %d of history %d, last confirmed %s%n",
-list.site(),
-list.version(),
-list.history(),
-when(list.confirmedAt()));
-for
-(StoredEndpointList.StoredEndpoint
-stored
-:
-list.endpoints())
-{
-EndpointRecord
-line
-=
-stored.endpoint();
-System.out.printf(
-"node %d cell %d zone %d %s %s:%d started %s, from %s%s%n",
-line.node(),
-line.cell(),
-line.zone(),
-AccountFormatter.of(line.phase()),
-line.host(),
-line.port(),
-when(line.startedAt()),
-AccountFormatter.of(stored.source()),
-stored.selfDraining()
-?
-", says that it drains"
-:
-"");
-}
-return
-Commands.OK;
-}
-}
-
-/** Checks every generation of the file. */
-@Command(
-name
-=
-"verify",
-mixinStandardHelpOptions
-=
-true,
-description
-=
-"Checks every generation; exits with 0 if all can be believed, with 3 and the reasons if not.")
-static
-final
-class
-Verify
-implements
-Callable<Integer>
-{
-@Parameters(paramLabel
-=
-"FILE")
-private
-Path
-file;
-
-@Option(
-names
-=
-"--site",
-defaultValue
-=
-"",
-paramLabel
-=
-"NAME",
-description
-=
-"whose it must be (default: any)")
-private
-String
-site;
-
-@Override
-public
-Integer
-call()
-{
-EndpointListFile.ReadResult
-look
-=
-new
-EndpointListFile(file,
-site).inspect();
-for
-(SnapshotFile.Rejected
-refused
-:
-look.rejected())
-{
-System.out.println(refused.file()
-+
-": "
-+
-refused.reason());
-}
-if
-(look.list()
-==
-null)
-{
-System.out.println(file
-+
-": no list that can be believed");
-return
-Commands.UNUSABLE_FILE;
-}
-System.out.println(
-look.file()
-+
-": good, "
-+
-look.list().endpoints().size()
-+
-" nodes, written "
-+
-when(look.writtenAt()));
-return
-look.rejected().isEmpty()
-?
-Commands.OK
-:
-Commands.UNUSABLE_FILE;
-}
-}
-
-/** Prints the list as CSV. */
-@Command(
-name
-=
-"export",
-mixinStandardHelpOptions
-=
-true,
-description
-=
-"Prints the list as CSV: node,cell,zone,kind,standing,host,port.")
-static
-final
-class
-Export
-implements
-Callable<Integer>
-{
-@Parameters(paramLabel
-=
-"FILE")
-private
-Path
-file;
-
-@Override
-public
-Integer
-call()
-throws
-Exception
-{
-System.out.println("node,cell,zone,kind,standing,host,port");
-for
-(StoredEndpointList.StoredEndpoint
-stored
-:
-newestValid(file).endpoints())
-{
-EndpointRecord
-line
-=
-stored.endpoint();
-System.out.println(
-String.join(
-",",
-""
-+
-line.node(),
-""
-+
-line.cell(),
-""
-+
-line.zone(),
-""
-+
-line.kind(),
-line.phase().externalName(),
-line.host(),
-""
-+
-line.port()));
-}
-return
-Commands.OK;
-}
-}
-
-/** Writes a CSV list as the next generation of the file. */
-@Command(
-name
-=
-"import",
-mixinStandardHelpOptions
-=
-true,
-description
-=
-"Writes a list that was come by in another way as the file's next generation. It counts as never "
-+
-"confirmed: every node is asked who it is before it is used.")
-static
-final
-class
-Import
-implements
-Callable<Integer>
-{
-@Parameters(
-paramLabel
-=
-"FILE",
-description
-=
-"the list file to write; no gateway may be running on it")
-private
-Path
-file;
-
-@Option(
-names
-=
-"--site",
-required
-=
-true,
-paramLabel
-=
-"NAME",
-description
-=
-"[site] name of its gateway")
-private
-String
-site;
-
-@Option(
-names
-=
-"--csv",
-required
-=
-true,
-paramLabel
-=
-"LIST",
-description
-=
-"as 'export' prints it")
-private
-Path
-csv;
-
-@Override
-public
-Integer
-call()
-throws
-Exception
-{
-List<StoredEndpointList.StoredEndpoint>
-lines
-=
-new
-ArrayList<>();
-Set<Integer>
-seen
-=
-new
-HashSet<>();
-List<String>
-text
-=
-Files.readAllLines(csv);
-for
-(int
-i
-=
-0;
-i
-<
-text.size();
-i++)
-{
-if
-(!text.get(i).isBlank()
-&&
-!text.get(i).startsWith("node,"))
-{
-EndpointRecord
-line
-=
-line(i
-+
-1,
-text.get(i));
-if
-(!seen.add(line.node()))
-{
-throw
-new
-IOException(
-csv
-+
-":"
-+
-(i
-+
-1)
-+
-": node "
-+
-line.node()
-+
-" stands there twice");
-}
-lines.add(
-new
-StoredEndpointList.StoredEndpoint(
-line,
-RecordSource.IMPORT,
-false));
-}
-}
-new
-EndpointListFile(file,
-site)
-.write(
-new
-StoredEndpointList(site,
-0,
-0,
-0,
-lines).checked(),
-System.currentTimeMillis());
-System.out.println(file
-+
-": "
-+
-lines.size()
-+
-" nodes");
-return
-Commands.OK;
-}
-
-private
-EndpointRecord
-line(int
-number,
-String
-text)
-throws
-IOException
-{
-String[]
-fields
-=
-text.split(",",
--1);
-try
-{
-if
-(fields.length
-!=
-7
-||
-HostPort.read(fields[5].trim()
-+
-":"
-+
-fields[6].trim())
-==
-null)
-{
-throw
-new
-IllegalArgumentException(
-"allowed is node,cell,zone,kind,standing,host,port");
-}
-return
-new
-EndpointRecord(
-Integer.parseInt(fields[0].trim()),
-Integer.parseInt(fields[1].trim()),
-Integer.parseInt(fields[2].trim()),
-Integer.parseInt(fields[3].trim()),
-EndpointRecord.Phase.ofExternalName(fields[4].trim()),
-0,
-1,
-fields[5].trim(),
-Integer.parseInt(fields[6].trim()));
-}
-catch
-(IllegalArgumentException
-e)
-{
-throw
-new
-IOException(
-csv
-+
-":"
-+
-number
-+
-": '"
-+
-text
-+
-"': "
-+
-e.getMessage(),
-e);
-}
-}
-}
+        name = "list-file",
+        mixinStandardHelpOptions = true,
+        description =
+                "Shows, checks, exports or brings the file in which a gateway keeps its list of nodes "
+                        + "([membership] list).",
+        subcommands = {
+            ListFileCommand.Show.class,
+            ListFileCommand.Verify.class,
+            ListFileCommand.Export.class,
+            ListFileCommand.Import.class
+        })
+final class ListFileCommand implements Runnable {
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
+
+    @Override
+    public void run() {
+        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+    }
+
+    private static StoredEndpointList newestValid(Path file) throws IOException {
+        EndpointListFile.ReadResult look = new EndpointListFile(file, "").inspect();
+        if (look.list() == null) {
+            throw new IOException(
+                    look.rejected().isEmpty()
+                            ? file + ": is not there"
+                            : look.rejected().get(0).file()
+                                    + ": "
+                                    + look.rejected().get(0).reason());
+        }
+        return look.list();
+    }
+
+    private static String when(long wallMillis) {
+        return wallMillis == 0
+                ? "never"
+                : Instant.ofEpochMilli(wallMillis)
+                        .atZone(ZoneId.systemDefault())
+                        .toOffsetDateTime()
+                        .toString();
+    }
+
+    /** Prints the newest list that is valid. */
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Prints the newest list that can be believed.")
+    static final class Show implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE")
+        private Path file;
+
+        @Option(names = "--json", description = "prints it as JSON")
+        private boolean json;
+
+        @Override
+        public Integer call() throws Exception {
+            StoredEndpointList list = newestValid(file);
+            if (json) {
+                System.out.println(new JsonMapper().writeValueAsString(list));
+                return Commands.OK;
+            }
+            System.out.printf(
+                    "site %s, version %d of history %d, last confirmed %s%n",
+                    list.site(), list.version(), list.history(), when(list.confirmedAt()));
+            for (StoredEndpointList.StoredEndpoint stored : list.endpoints()) {
+                EndpointRecord line = stored.endpoint();
+                System.out.printf(
+                        "node %d cell %d zone %d %s %s:%d started %s, from %s%s%n",
+                        line.node(),
+                        line.cell(),
+                        line.zone(),
+                        AccountFormatter.of(line.phase()),
+                        line.host(),
+                        line.port(),
+                        when(line.startedAt()),
+                        AccountFormatter.of(stored.source()),
+                        stored.selfDraining() ? ", says that it drains" : "");
+            }
+            return Commands.OK;
+        }
+    }
+
+    /** Checks every generation of the file. */
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Checks every generation; exits with 0 if all can be believed, with 3 and the reasons if not.")
+    static final class Verify implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE")
+        private Path file;
+
+        @Option(
+                names = "--site",
+                defaultValue = "",
+                paramLabel = "NAME",
+                description = "whose it must be (default: any)")
+        private String site;
+
+        @Override
+        public Integer call() {
+            EndpointListFile.ReadResult look = new EndpointListFile(file, site).inspect();
+            for (SnapshotFile.Rejected refused : look.rejected()) {
+                System.out.println(refused.file() + ": " + refused.reason());
+            }
+            if (look.list() == null) {
+                System.out.println(file + ": no list that can be believed");
+                return Commands.UNUSABLE_FILE;
+            }
+            System.out.println(
+                    look.file()
+                            + ": good, "
+                            + look.list().endpoints().size()
+                            + " nodes, written "
+                            + when(look.writtenAt()));
+            return look.rejected().isEmpty() ? Commands.OK : Commands.UNUSABLE_FILE;
+        }
+    }
+
+    /** Prints the list as CSV. */
+    @Command(
+            name = "export",
+            mixinStandardHelpOptions = true,
+            description = "Prints the list as CSV: node,cell,zone,kind,standing,host,port.")
+    static final class Export implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE")
+        private Path file;
+
+        @Override
+        public Integer call() throws Exception {
+            System.out.println("node,cell,zone,kind,standing,host,port");
+            for (StoredEndpointList.StoredEndpoint stored : newestValid(file).endpoints()) {
+                EndpointRecord line = stored.endpoint();
+                System.out.println(
+                        String.join(
+                                ",",
+                                "" + line.node(),
+                                "" + line.cell(),
+                                "" + line.zone(),
+                                "" + line.kind(),
+                                line.phase().externalName(),
+                                line.host(),
+                                "" + line.port()));
+            }
+            return Commands.OK;
+        }
+    }
+
+    /** Writes a CSV list as the next generation of the file. */
+    @Command(
+            name = "import",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Writes a list that was come by in another way as the file's next generation. It counts as never "
+                            + "confirmed: every node is asked who it is before it is used.")
+    static final class Import implements Callable<Integer> {
+        @Parameters(
+                paramLabel = "FILE",
+                description = "the list file to write; no gateway may be running on it")
+        private Path file;
+
+        @Option(
+                names = "--site",
+                required = true,
+                paramLabel = "NAME",
+                description = "[site] name of its gateway")
+        private String site;
+
+        @Option(
+                names = "--csv",
+                required = true,
+                paramLabel = "LIST",
+                description = "as 'export' prints it")
+        private Path csv;
+
+        @Override
+        public Integer call() throws Exception {
+            List<StoredEndpointList.StoredEndpoint> lines = new ArrayList<>();
+            Set<Integer> seen = new HashSet<>();
+            List<String> text = Files.readAllLines(csv);
+            for (int i = 0; i < text.size(); i++) {
+                if (!text.get(i).isBlank() && !text.get(i).startsWith("node,")) {
+                    EndpointRecord line = line(i + 1, text.get(i));
+                    if (!seen.add(line.node())) {
+                        throw new IOException(
+                                csv
+                                        + ":"
+                                        + (i + 1)
+                                        + ": node "
+                                        + line.node()
+                                        + " stands there twice");
+                    }
+                    lines.add(
+                            new StoredEndpointList.StoredEndpoint(
+                                    line, RecordSource.IMPORT, false));
+                }
+            }
+            new EndpointListFile(file, site)
+                    .write(
+                            new StoredEndpointList(site, 0, 0, 0, lines).checked(),
+                            System.currentTimeMillis());
+            System.out.println(file + ": " + lines.size() + " nodes");
+            return Commands.OK;
+        }
+
+        private EndpointRecord line(int number, String text) throws IOException {
+            String[] fields = text.split(",", -1);
+            try {
+                if (fields.length != 7
+                        || HostPort.read(fields[5].trim() + ":" + fields[6].trim()) == null) {
+                    throw new IllegalArgumentException(
+                            "allowed is node,cell,zone,kind,standing,host,port");
+                }
+                return new EndpointRecord(
+                        Integer.parseInt(fields[0].trim()),
+                        Integer.parseInt(fields[1].trim()),
+                        Integer.parseInt(fields[2].trim()),
+                        Integer.parseInt(fields[3].trim()),
+                        EndpointRecord.Phase.ofExternalName(fields[4].trim()),
+                        0,
+                        1,
+                        fields[5].trim(),
+                        Integer.parseInt(fields[6].trim()));
+            } catch (IllegalArgumentException e) {
+                throw new IOException(
+                        csv + ":" + number + ": '" + text + "': " + e.getMessage(), e);
+            }
+        }
+    }
 }
--- a/src/main/java/sagepulley/platform/EndpointRegistry.java
+++ b/src/main/java/sagepulley/platform/EndpointRegistry.java
@@ -8,7 +8,9 @@
 import java.util.function.Function;
 import sagepulley.engine.Clock;
 import sagepulley.engine.EndpointEntry;
+import sagepulley.model.Attempt;
 import sagepulley.model.Node;
+import sagepulley.model.Operation;
 
 /**
  * Discovery's names of nodes against the numbers that nodes have inside, and where each listens.
@@ -29,8 +31,8 @@
     }
 
     /** The entries as the host takes them; starts are turned into its clock's time. */
-    List<EndpointEntry> entries(EndpointListUpdate listing) {
-        return listing.members().stream()
+    List<EndpointEntry> entries(EndpointListUpdate update) {
+        return update.members().stream()
                 .filter(
                         member ->
                                 member.phase() != Node.Phase.REMOVED
@@ -40,9 +42,9 @@
     }
 
     /** What of a list differs from what is known of these endpoints, for the log. */
-    List<String> changes(EndpointListUpdate listing, Function<Integer, Node> known) {
+    List<String> changes(EndpointListUpdate update, Function<Integer, Node> known) {
         List<String> changes = new ArrayList<>();
-        for (EndpointListUpdate.Member member : listing.members()) {
+        for (EndpointListUpdate.Member member : update.members()) {
             Integer number = numbers.get(member.id());
             Node node = number == null ? null : known.apply(number);
             Object before = node == null ? "unknown" : node.phase;
@@ -64,7 +66,7 @@
                 member.cell(),
                 number,
                 member.phase(),
-                clock.atWall(member.started()),
+                clock.atWall(member.startedAtMillis()),
                 kinds.indexOf(member.flavor()),
                 member.weight());
     }
@@ -77,8 +79,20 @@
         return names.getOrDefault(node.id, "node " + node.id);
     }
 
+    /** Where an operation was sent and how each attempt ended, for the log. */
+    String describeAttempts(Operation operation) {
+        StringBuilder text = new StringBuilder();
+        for (Attempt attempt : operation.attempts) {
+            text.append(text.isEmpty() ? "" : ",")
+                    .append(name(attempt.node))
+                    .append(':')
+                    .append(attempt.outcome == null ? "IN_FLIGHT" : attempt.outcome);
+        }
+        return text.toString();
+    }
+
     /** A node that is gone for good; should it come back it is a new one. */
-    void forget(Node node) {
+    void remove(Node node) {
         numbers.remove(names.remove(node.id));
         addresses.remove(node.id);
     }
--- a/src/main/java/sagepulley/platform/GatewayMetrics.java
+++ b/src/main/java/sagepulley/platform/GatewayMetrics.java
@@ -12,68 +12,69 @@
 
 /** What has happened since the start, for the log. */
 final class GatewayMetrics {
-    long taken;
-    long badCommands;
-    long noRoom;
-    long left;
+    long accepted;
+    long invalidCommands;
+    long rejectedAtCapacity;
+    long cancelled;
     long attempts;
-    private long onTime;
-    private long late;
+    private long withinObjective;
+    private long beyondObjective;
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-    private final Map<String, Long> givenUp = new TreeMap<>();
-    private final Map<Reason, Long> waits = new EnumMap<>(Reason.class);
-    private final Map<Integer, Map<Outcome, Integer>> lately = new HashMap<>();
+    private final Map<String, Long> unserved = new TreeMap<>();
+    private final Map<Reason, Long> waiting = new EnumMap<>(Reason.class);
+    private final Map<Integer, Map<Outcome, Integer>> recentOutcomes = new HashMap<>();
 
-    void ended(Outcome outcome, Node node) {
+    void onAttemptEnded(Outcome outcome, Node node) {
         outcomes.merge(outcome, 1L, Long::sum);
-        lately.computeIfAbsent(node.id, any -> new EnumMap<>(Outcome.class))
+        recentOutcomes
+                .computeIfAbsent(node.id, any -> new EnumMap<>(Outcome.class))
                 .merge(outcome, 1, Integer::sum);
     }
 
-    void satisfied(Operation operation, double now) {
+    void onServed(Operation operation, double now) {
         if (now - operation.arrivedAt <= operation.trafficClass.latencyObjective()) {
-            onTime++;
+            withinObjective++;
         } else {
-            late++;
+            beyondObjective++;
         }
     }
 
     /** Adds what waits at one moment. */
-    void waits(Map<Reason, Integer> waiting) {
-        waiting.forEach((reason, count) -> waits.merge(reason, (long) count, Long::sum));
+    void addWaiting(Map<Reason, Integer> waitingByReason) {
+        waitingByReason.forEach((reason, count) -> waiting.merge(reason, (long) count, Long::sum));
     }
 
-    void gaveUp(TrafficClass trafficClass, Reason reason) {
-        givenUp.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
+    void onUnserved(TrafficClass trafficClass, Reason reason) {
+        unserved.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
     }
 
     /** How attempts to a node have ended since this was last asked. */
-    Map<Outcome, Integer> lately(Node node) {
-        Map<Outcome, Integer> outcomes = lately.remove(node.id);
+    Map<Outcome, Integer> takeRecentOutcomes(Node node) {
+        Map<Outcome, Integer> outcomes = recentOutcomes.remove(node.id);
         return outcomes == null ? Map.of() : outcomes;
     }
 
     @Override
     public String toString() {
         return "taken="
-                + taken
+                + accepted
                 + " on-time="
-                + onTime
+                + withinObjective
                 + " late="
-                + late
+                + beyondObjective
                 + " left="
-                + left
+                + cancelled
                 + " bad="
-                + badCommands
+                + invalidCommands
                 + " no-room="
-                + noRoom
+                + rejectedAtCapacity
                 + " hops="
                 + attempts
                 + " outcomes="
                 + outcomes
                 + " given-up="
-                + givenUp
+                + unserved
                 + " waits="
-                + waits;
+                + waiting;
     }
 }
--- a/src/main/java/sagepulley/platform/RespGateway.java
+++ b/src/main/java/sagepulley/platform/RespGateway.java
@@ -1,187 +1,197 @@
 package sagepulley.platform;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.codec.frame.EventLoopTimer;
-import sagepulley.codec.resp.Resp;
-import sagepulley.codec.resp.RespBytes;
 import sagepulley.engine.Clock;
 import sagepulley.engine.DecisionSink;
 import sagepulley.engine.GatewayEngine;
 import sagepulley.model.Attempt;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
-import sagepulley.model.Outcome;
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.TrafficClass;
-import sagepulley.model.Volume;
-import sagepulley.scheduler.EndpointView;
 
 /**
- * One gateway on the platform: clients, nodes and discovery on one event loop, round the host of
- * Scheduler. It tells the host what happens and carries out what comes back.
+ * One RESP gateway: clients, endpoints and discovery round the engine, on one event loop. Composes
+ * the parts, carries the engine's decisions to them, and starts and stops them. Its public methods
+ * may be called from any thread; those of {@link DecisionSink} are called on the loop.
  */
-final class RespGateway implements DecisionSink, ClientConnection.Owner, DiscoveryClient.Owner {
-    private static final long SWEEP_MS = 200;
-    private static final long REPORT_MS = 5_000;
+final class RespGateway implements DecisionSink, RequestHandler.Listener {
+    private static final long MAINTENANCE_INTERVAL_MILLIS = 200;
+    private static final long REPORT_INTERVAL_MILLIS = 5_000;
 
-    /**
-     * SIGKILL comes no sooner after SIGTERM than the longest patience, at most this, and a little
-     * more. Clients go on using the connections that they have, and find nobody else: they are
-     * served for as long as that.
-     */
-    private static final double LONGEST_STOP = 3_000;
-
-    private static final double KILL_AFTER = 700;
-
-    /**
-     * Before that, by so much, all is answered, and before that, by so much, nothing more is taken.
-     * A process may be held up for 0.15 s at each of the two moments.
-     */
-    private static final double ANSWERED_BEFORE = 350;
+    /** Clients still connected after the last operation failed have this long to read. */
+    private static final long STOP_DELAY_MILLIS = MAINTENANCE_INTERVAL_MILLIS / 2;
 
-    private static final double LAST_TAKEN = 250;
-
-    /** The part of the idle time told after which a free connection to a node is closed. */
-    private static final double IDLE_PART = 0.4;
+    /** Endpoints close idle connections after the configured time; the gateway closes sooner. */
+    private static final double IDLE_TIMEOUT_FRACTION = 0.4;
 
     /**
-     * The part of the shortest target time that an answer may pause inside: it leaves time for
+     * A reply may pause for this part of the shortest latency objective, which leaves time for
      * another attempt.
      */
-    private static final double STALL_PART = 0.3;
+    private static final double STALL_TIMEOUT_FRACTION = 0.3;
 
-    /** Descriptors: some for the program itself, and of the rest this part for clients. */
-    private static final int OWN_SOCKETS = 40;
+    /** Descriptors that the program itself needs; the rest is split between the two sides. */
+    private static final int RESERVED_SOCKETS = 40;
 
-    private static final double CLIENT_PART = 0.7;
+    private static final double CLIENT_SOCKETS_FRACTION = 0.7;
 
-    /** The part of the memory that clients' bytes in hand may take. */
-    private static final double BYTES_PART = 0.1;
+    /** The part of the memory that commands in flight may take. */
+    private static final double COMMAND_MEMORY_FRACTION = 0.1;
 
-    private static final double PROBE_TIMEOUT = 250;
+    private static final int BYTES_PER_MB = 1 << 20;
 
     /**
-     * A first list is waited for so long, while nobody is served: what could be had 6 s ago counts
-     * as told from the first moment. A fleet's first calls come within 2.5 s, and a call waits for
-     * a second or two.
+     * How long serving waits for the first list. Within the time in which a change counts as
+     * notified, so that a list this old is still current.
      */
-    private static final long FIRST_LIST_MS = 4_000;
+    private static final long FIRST_LIST_TIMEOUT_MILLIS = 4_000;
 
-    private final Config config;
+    private final GatewayConfig config;
     private final Clock clock = new Clock();
     private final EventLoop loop;
-    private final EventLoopTimer alarm;
     private final GatewayEngine engine;
-    private final EndpointRegistry book;
-    private final ClientListener front;
-    private final EndpointConnectionPool nodes;
+    private final DueWorkScheduler dueWork;
+    private final EndpointRegistry endpoints;
+    private final EndpointConnectionPool connections;
+    private final RequestHandler requests;
+    private final AttemptDispatcher attempts;
+    private final EndpointListHandler endpointLists;
     private final DiscoveryClient discovery;
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private final GatewayMetrics counts = new GatewayMetrics();
-    private final KernelReceiveTime arrival = new KernelReceiveTime();
-    private final RateLimitedLog events = new RateLimitedLog(clock::now);
-    private final long mostBytes;
-    private long bytesInHand;
-    private boolean settleDue;
-    private double sweepDue = Double.POSITIVE_INFINITY;
-    private double worstLag;
+    private final StateReporter reporter;
+    private final GatewayMetrics metrics = new GatewayMetrics();
+    private final RateLimitedLog eventLog = new RateLimitedLog(clock::now);
+    private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private volatile int reloads;
     private boolean listening;
     private boolean stopping;
 
-    /**
-     * Completes with the first list that discovery tells, or when it has been waited for long
-     * enough.
-     */
-    private final CompletableFuture<Void> firstList = new CompletableFuture<>();
-
-    private double stopAt = Double.POSITIVE_INFINITY;
-
-    /** What is kept of an operation in hand: its command, and where its answer goes. */
-    private record Held(BlockCommand command, ClientConnection.Slot slot) {}
-
-    RespGateway(Config config, Transport transport) {
-        this.loop = transport.loops().next();
-        this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
+    RespGateway(GatewayConfig config, Transport transport) {
         this.config = config;
+        this.loop = transport.eventLoops().next();
         this.engine = new GatewayEngine(config.deployment(), config.seed(), this);
-        this.book = new EndpointRegistry(config.zones(), config.kinds(), clock);
-        int sockets = config.sockets() - OWN_SOCKETS;
-        int clients = (int) (sockets * CLIENT_PART);
-        this.front = new ClientListener(transport, clients, longestPatience(config), this);
-        this.nodes =
+        this.dueWork = new DueWorkScheduler(loop, clock, engine);
+        this.endpoints = new EndpointRegistry(config.zones(), config.kinds(), clock);
+        int sockets = config.maxSockets() - RESERVED_SOCKETS;
+        int clientSockets = (int) (sockets * CLIENT_SOCKETS_FRACTION);
+        this.requests =
+                new RequestHandler(
+                        config,
+                        clock,
+                        engine,
+                        metrics,
+                        eventLog,
+                        (long) (config.memoryMb() * BYTES_PER_MB * COMMAND_MEMORY_FRACTION),
+                        endpoints::describeAttempts,
+                        handler ->
+                                new ClientListener(
+                                        transport, clientSockets, maxDeadline(config), handler),
+                        this);
+        this.connections =
                 new EndpointConnectionPool(
                         transport,
-                        sockets - clients,
-                        config.connectTimeout(),
-                        config.idleTime() * IDLE_PART,
-                        shortestTarget(config) * STALL_PART,
+                        sockets - clientSockets,
+                        config.connectTimeoutMillis(),
+                        config.idleTimeoutMillis() * IDLE_TIMEOUT_FRACTION,
+                        minLatencyObjective(config) * STALL_TIMEOUT_FRACTION,
                         clock::now);
-        this.nodes.onClose(
-                (address, why) ->
-                        events.line("endpoint connection closed", "address", address, "why", why));
+        this.connections.onClose(
+                (address, reason) ->
+                        eventLog.info(
+                                "endpoint connection closed",
+                                "address",
+                                address,
+                                "reason",
+                                reason));
+        this.attempts =
+                new AttemptDispatcher(
+                        config.deployment(),
+                        clock,
+                        engine,
+                        endpoints,
+                        connections,
+                        requests,
+                        metrics,
+                        eventLog,
+                        dueWork::schedule);
+        this.endpointLists = new EndpointListHandler(clock, engine, endpoints, dueWork::schedule);
         this.discovery =
                 new DiscoveryClient(
-                        transport, config.discovery(), config.known().revision(), this, clock::now);
-        this.mostBytes = (long) (config.memoryMb() * (1 << 20) * BYTES_PART);
+                        transport,
+                        config.discovery(),
+                        config.initialEndpoints().revision(),
+                        endpointLists,
+                        clock::now);
+        this.reporter =
+                new StateReporter(
+                        clock, engine, metrics, requests, connections, endpoints, discovery);
     }
 
-    private static double shortestTarget(Config config) {
+    private static double minLatencyObjective(GatewayConfig config) {
         return config.deployment().trafficClasses().stream()
                 .mapToDouble(TrafficClass::latencyObjective)
                 .min()
                 .orElse(0);
     }
 
-    private static double longestPatience(Config config) {
+    private static double maxDeadline(GatewayConfig config) {
         return config.deployment().trafficClasses().stream()
                 .mapToDouble(TrafficClass::deadline)
                 .max()
                 .orElse(0);
     }
 
-    /** Asks for the list, and nothing else yet. */
-    void begin() {
+    /** Milliseconds of the gateway's own clock, which only moves forward. */
+    double now() {
+        return clock.now();
+    }
+
+    // ---- start ----
+
+    /** Requests the endpoint list, and listens for nobody yet. */
+    void connectToDiscovery() {
         loop.execute(
                 () -> {
-                    listed(config.known());
-                    settleNow();
+                    endpointLists.onEndpointList(config.initialEndpoints());
+                    dueWork.runNow();
                     loop.schedule(
-                            () -> firstList.complete(null), FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+                            () -> endpointLists.firstList().complete(null),
+                            FIRST_LIST_TIMEOUT_MILLIS,
+                            TimeUnit.MILLISECONDS);
                 });
     }
 
-    /** Completes with the address once clients can connect there; it has begun. */
+    /**
+     * Listens once the first endpoint list is there or has timed out; {@link #connectToDiscovery}
+     * has been called. Completes with the address that clients can connect to.
+     */
     CompletableFuture<SocketAddress> start() {
         CompletableFuture<SocketAddress> ready = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    loop.scheduleWithFixedDelay(
-                            this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-                    loop.scheduleWithFixedDelay(
-                            this::report, REPORT_MS, REPORT_MS, TimeUnit.MILLISECONDS);
-                    firstList.thenRun(() -> listen(ready));
+                    runPeriodically(this::maintain, MAINTENANCE_INTERVAL_MILLIS);
+                    runPeriodically(reporter::report, REPORT_INTERVAL_MILLIS);
+                    endpointLists.firstList().thenRun(() -> listen(ready));
                 });
         return ready;
     }
 
+    private void runPeriodically(Runnable task, long intervalMillis) {
+        loop.scheduleWithFixedDelay(task, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
+    }
+
     private void listen(CompletableFuture<SocketAddress> ready) {
         if (stopping) {
-            ready.complete(config.listen()); // nobody was told that it is there
-            finish();
+            ready.complete(config.listen()); // no client has learned that the gateway is there
+            stopNow();
             return;
         }
         listening = true;
-        ChannelFuture bound = front.listen(config.listen());
+        ChannelFuture bound = requests.clients().listen(config.listen());
         bound.addListener(
                 done -> {
                     if (done.isSuccess()) {
@@ -192,488 +202,183 @@
                 });
     }
 
-    /** Completes once the gateway has stopped, with all that it took answered. */
-    CompletableFuture<Void> ended() {
-        return ended;
+    private void maintain() {
+        reporter.sampleLag(MAINTENANCE_INTERVAL_MILLIS);
+        requests.clients().closeExpired();
+        connections.closeExpired();
+        stopIfDrained();
+        metrics.addWaiting(engine.waitingByReason(clock.now()));
     }
 
-    @Override
-    public double now() {
-        return clock.now();
-    }
-
-    // ---- clients ----
+    // ---- the engine's decisions ----
 
     @Override
-    public void asked(ClientConnection connection, ClientConnection.Slot slot, List<byte[]> words) {
-        double now = clock.now();
-        BlockCommand command;
-        try {
-            command = BlockCommand.read(words, config.deployment());
-            if (engine.operation(command.id) != null) {
-                throw new BadCommandException("an operation with this id is in hand");
-            }
-        } catch (BadCommandException bad) {
-            counts.badCommands++;
-            slot.answer(RespBytes.error("ERR " + bad.getMessage()));
-            return;
-        }
-        connection.asked = true;
-        if (connection.isEnding() || front.isEnding()) {
-            events.line("request refused", "id", NumberParser.id(command.id), "why", "STOPPING");
-            slot.answer(RespBytes.error("BUSY"));
-            return;
-        }
-        if (bytesInHand + command.bytes() > mostBytes
-                || engine.inFlight().size() >= config.mostOpen()) {
-            counts.noRoom++;
-            events.line("request refused", "id", NumberParser.id(command.id), "why", "NO_ROOM");
-            slot.answer(RespBytes.error("BUSY"));
-            return;
-        }
-        bytesInHand += command.bytes();
-        counts.taken++;
-        Volume volume = engine.volume(command.volume, command.plan.index());
-        volume.gatewayCount = command.gateways;
-        double cameAt = now - connection.cameAgo(arrival);
-        double deadline = Math.min(cameAt + command.patience, Math.max(now + 1, stopAt));
-        Operation operation =
-                new Operation(
-                        command.id,
-                        command.trafficClass,
-                        volume,
-                        command.extent,
-                        command.units,
-                        command.shard,
-                        cameAt,
-                        deadline,
-                        command.repeat);
-        operation.engineState = new Held(command, slot);
-        slot.held = operation;
-        engine.onArrival(operation);
-        settle();
-    }
-
-    @Override
-    public void left(ClientConnection.Slot slot) {
-        Operation operation = (Operation) slot.held;
-        slot.held = null;
-        counts.left++;
-        release(operation);
-        engine.onClientCancelled(operation.id, clock.now());
-        operation.attempts.forEach(nodes::callOffUnwritten);
-        settle();
-    }
-
-    @Override
-    public void closed(ClientConnection connection) {
-        if (connection.endReason() != null) {
-            events.line(
-                    "client connection closed",
-                    "why",
-                    connection.endReason(),
-                    "age-ms",
-                    Math.round(clock.now() - connection.connectedAt),
-                    "asked",
-                    connection.asked);
-        }
-        front.closed(connection);
-        checkEnd();
+    public void send(Attempt attempt, double timeout) {
+        attempts.send(attempt, timeout);
     }
 
     @Override
     public void endUnserved(Operation operation, RoutingDecision decision) {
-        boolean declined = decision.kind() == RoutingDecision.Kind.REJECT;
-        events.line(
-                declined ? "request refused" : "request failed",
-                "id",
-                NumberParser.id(operation.id),
-                "band",
-                operation.trafficClass.name(),
-                "why",
-                decision.reason(),
-                "after-ms",
-                Math.round(clock.now() - operation.arrivedAt),
-                "attempts",
-                attempts(operation));
-        counts.gaveUp(operation.trafficClass, decision.reason());
-        if (!declined) {
-            answer(operation, RespBytes.error("ERR failed"));
-        } else if (decision.retryAfter() > 0) {
-            answer(operation, RespBytes.error("BUSY " + (long) Math.ceil(decision.retryAfter())));
-        } else {
-            answer(operation, RespBytes.error("BUSY"));
-        }
-    }
-
-    /** Where an operation was sent and how that ended, for the log. */
-    private String attempts(Operation operation) {
-        StringBuilder text = new StringBuilder();
-        for (Attempt attempt : operation.attempts) {
-            text.append(text.isEmpty() ? "" : ",")
-                    .append(book.name(attempt.node))
-                    .append(':')
-                    .append(attempt.outcome == null ? "OUT" : attempt.outcome);
-        }
-        return text.toString();
-    }
-
-    private void answer(Operation operation, ByteBuf bytes) {
-        Held held = release(operation);
-        held.slot().answer(bytes);
-        checkEnd();
-    }
-
-    private Held release(Operation operation) {
-        Held held = (Held) operation.engineState;
-        operation.engineState = null;
-        bytesInHand -= held.command().bytes();
-        return held;
-    }
-
-    // ---- nodes ----
-
-    @Override
-    public void send(Attempt attempt, double timeout) {
-        counts.attempts++;
-        if (attempt.number > 0) {
-            events.line(
-                    "request retried",
-                    "id",
-                    NumberParser.id(attempt.operation.id),
-                    "attempts",
-                    attempts(attempt.operation));
-        }
-        SocketAddress address = book.address(attempt.node);
-        BlockCommand command = ((Held) attempt.operation.engineState).command();
-        nodes.send(
-                attempt,
-                address,
-                left -> engine.mayStart(attempt, clock.now()) ? command.forNode(left) : null,
-                timeout,
-                (outcome, answer, at) -> attemptEnded(attempt, outcome, answer, at));
-    }
-
-    private void attemptEnded(Attempt attempt, Outcome outcome, Resp answer, double at) {
-        double now = clock.now();
-        attempt.outcome = outcome;
-        attempt.duration = at - attempt.sentAt;
-        counts.ended(outcome, attempt.node);
-        EndpointResponse.tell(attempt, answer, config.deployment().reportFields());
-        boolean settled = attempt.operation.ended;
-        if (outcome == Outcome.SERVED && !settled) {
-            settled = true;
-            counts.satisfied(attempt.operation, now);
-            attempt.operation.ended = true;
-            answer(attempt.operation, RespBytes.bulk(EndpointResponse.value(answer)));
-        }
-        engine.onAttemptEnded(attempt, settled, now);
-        settle();
+        requests.replyUnserved(operation, decision);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        nodes.callOff(attempt);
+        attempts.cancel(attempt);
     }
 
     @Override
     public void checkHealth(Node node) {
-        boolean load = !config.deployment().reportFields().isEmpty();
-        List<byte[]> words =
-                (load ? List.of("INFO", "load") : List.of("PING"))
-                        .stream().map(word -> word.getBytes(StandardCharsets.US_ASCII)).toList();
-        double sentAt = clock.now();
-        nodes.probe(
-                book.address(node),
-                words,
-                PROBE_TIMEOUT,
-                (outcome, answer, at) -> {
-                    boolean well =
-                            (answer instanceof Resp.Bulk bulk && !bulk.isNull())
-                                    || (answer instanceof Resp.Line line && !line.isError());
-                    double[] report =
-                            answer instanceof Resp.Bulk bulk
-                                    ? EndpointResponse.report(
-                                            bulk, config.deployment().reportFields())
-                                    : null;
-                    engine.onHealthCheck(
-                            node.id,
-                            well ? Outcome.SERVED : outcome,
-                            at - sentAt,
-                            report,
-                            clock.now());
-                    settle();
-                });
+        attempts.checkHealth(node);
     }
 
-    // ---- discovery ----
-
     @Override
     public void openWatch() {
-        discovery.subscribe();
+        discovery.openWatch();
     }
 
     @Override
     public void pollEndpointList() {
-        discovery.fetch();
+        discovery.poll();
     }
 
     @Override
-    public void listed(EndpointListUpdate listing) {
-        LogWriter.info(
-                "list of nodes",
-                "revision",
-                listing.revision(),
-                "whole",
-                listing.whole(),
-                "entries",
-                listing.members().size());
-        List<String> changes = book.changes(listing, engine::node);
-        if (!changes.isEmpty()) {
-            LogWriter.info("endpoint states", "revision", listing.revision(), "changes", changes);
-        }
-        for (String entry : listing.unreadable()) {
-            LogWriter.warn("an entry of the list cannot be read", "entry", entry);
-        }
-        engine.onEndpointList(book.entries(listing), listing.whole(), clock.now())
-                .forEach(book::forget);
-        settle();
+    public void scheduleWakeUp(double pause, double now) {
+        dueWork.wakeUpAt(now + pause);
     }
 
-    @Override
-    public void listConfirmed(double asOf) {
-        engine.onListConfirmed(asOf);
-        firstList.complete(null);
-        settle();
-    }
+    // ---- what happens to clients' requests ----
 
     @Override
-    public void discoveryUnreachable(double at) {
-        engine.onDiscoveryUnreachable(at);
+    public void onEngineEvent() {
+        dueWork.schedule();
     }
 
     @Override
-    public void listFailed(String why) {
-        LogWriter.warn("the list of nodes failed", "why", why);
-        engine.onPollFailed(clock.now());
-        settle();
-    }
-
-    // ---- what is due ----
-
-    /** Asks what is due, once for all that one turn of the loop brought. */
-    private void settle() {
-        if (!settleDue) {
-            settleDue = true;
-            loop.execute(
-                    () -> {
-                        settleDue = false;
-                        settleNow();
-                    });
-        }
-    }
-
-    private void settleNow() {
-        engine.runDueWork(clock.now());
+    public void onCancelled(Operation operation) {
+        attempts.cancelUnwritten(operation);
     }
 
     @Override
-    public void scheduleWakeUp(double pause, double now) {
-        alarm.by(now + pause);
+    public void onReplyOrClose() {
+        stopIfDrained();
     }
 
-    private void sweep() {
-        double late = clock.now() - sweepDue;
-        sweepDue = clock.now() + SWEEP_MS;
-        worstLag = Math.max(worstLag, late);
-        front.sweep();
-        nodes.sweep();
-        checkEnd();
-        double now = clock.now();
-        counts.waits(engine.waitingByReason(now));
-    }
+    // ---- configuration ----
 
-    private void report() {
-        Runtime runtime = Runtime.getRuntime();
-        LogWriter.info(
-                "state",
-                "in-hand",
-                engine.inFlight().size(),
-                "bytes",
-                bytesInHand,
-                "hops-out",
-                nodes.attemptsOut(),
-                "node-connections",
-                nodes.open(),
-                "opened",
-                nodes.opened,
-                "no-room-for-hop",
-                nodes.refusedForRoom,
-                "found-spent",
-                nodes.foundSpent,
-                "spoilt",
-                nodes.spoilt,
-                "clients",
-                front.size(),
-                "accepted",
-                front.accepted,
-                "turned-away",
-                front.turnedAway,
-                "revision",
-                discovery.revision(),
-                "watching",
-                discovery.isWatching(),
-                "lag-ms",
-                Math.round(worstLag),
-                "heap-kb",
-                (runtime.totalMemory() - runtime.freeMemory()) >> 10,
-                "counts",
-                counts,
-                "bands",
-                engine.trafficClassViews());
-        worstLag = 0;
-        for (Node node : engine.nodes()) {
-            Map<Outcome, Integer> ended = counts.lately(node);
-            if (node.phase != Node.Phase.REMOVED || !ended.isEmpty()) {
-                LogWriter.info(
-                        "node",
-                        "id",
-                        book.name(node),
-                        "standing",
-                        node.phase,
-                        "cell",
-                        node.cell,
-                        "view",
-                        EndpointView.of(node),
-                        "ended",
-                        ended,
-                        "connections",
-                        nodes.open(book.address(node)));
-            }
-        }
-    }
-
-    // ---- signals ----
-
-    /** How many configurations were read anew, and where discovery is by the last of them. */
+    /** How many configurations have been read since the start. */
     int reloads() {
         return reloads;
     }
 
-    SocketAddress discoveryAt() {
+    /** Where discovery is by the last configuration that was read. */
+    SocketAddress discoveryAddress() {
         return discovery.address();
     }
 
     /**
-     * A new configuration was told at a time. What discovery has counts as notified some seconds
+     * A new configuration was announced at a time. Discovery's list counts as notified some seconds
      * after that, however long the file takes to read.
      */
-    void reloadTold(double toldAt) {
+    void onReloadNotified(double notifiedAt) {
         loop.execute(
                 () -> {
                     LogWriter.info(
-                            "a new configuration is told",
-                            "ago-ms",
-                            Math.round(clock.now() - toldAt));
-                    engine.onReloadNotified(toldAt);
+                            "configuration reload requested",
+                            "age-ms",
+                            Math.round(clock.now() - notifiedAt));
+                    engine.onReloadNotified(notifiedAt);
                 });
     }
 
     /**
-     * The file was read, beginning at a time: discovery moves; what else differs holds from the
-     * next start on.
+     * A configuration whose reading began at a time: discovery moves; what else differs applies
+     * from the next start on.
      */
-    void reload(Config fresh, double readAt) {
+    void onConfigurationRead(GatewayConfig newConfig, double readAt) {
         loop.execute(
                 () -> {
                     LogWriter.info(
-                            "configuration read anew",
+                            "configuration reloaded",
                             "discovery",
-                            fresh.discovery(),
-                            "after-ms",
+                            newConfig.discovery(),
+                            "duration-ms",
                             Math.round(clock.now() - readAt));
-                    boolean moved = discovery.moveTo(fresh.discovery());
+                    boolean moved = discovery.moveTo(newConfig.discovery());
                     engine.onConfigurationRead(readAt);
                     if (moved) {
                         engine.onDiscoveryMoved(clock.now());
-                        settle();
+                        dueWork.schedule();
                     }
                     reloads++;
                 });
     }
 
-    /** The file was read, beginning at a time, and cannot be used: all stays as it was. */
-    void reloadUnusable(double readAt) {
+    /** A configuration whose reading began at a time is invalid: the last one stays. */
+    void onConfigurationUnusable(double readAt) {
         loop.execute(() -> engine.onConfigurationRead(readAt));
     }
 
-    /** Goes on serving while clients still come, then answers what it has and ends. */
+    // ---- stop ----
+
+    /** Begins a graceful shutdown: serves on for a while, then replies to what is in flight. */
     void stop() {
-        double toldAt = clock.now();
+        double signalledAt = clock.now();
         loop.execute(
                 () -> {
                     if (stopping) {
                         return;
                     }
                     stopping = true;
-                    if (!listening) {
-                        firstList.complete(null);
-                        return;
+                    if (listening) {
+                        beginShutdown(ShutdownSchedule.after(signalledAt, maxDeadline(config)));
+                    } else {
+                        endpointLists.firstList().complete(null);
                     }
-                    double left =
-                            Math.min(longestPatience(config), LONGEST_STOP)
-                                    + KILL_AFTER
-                                    - ANSWERED_BEFORE;
-                    stopAt = toldAt + left;
-                    double now = clock.now();
-                    front.keepUnused();
-                    LogWriter.info("stopping", "in-hand", engine.inFlight().size());
-                    loop.schedule(
-                            () -> {
-                                front.end();
-                                checkEnd();
-                            },
-                            (long) (stopAt - LAST_TAKEN - now),
-                            TimeUnit.MILLISECONDS);
-                    loop.schedule(this::giveUpAll, (long) (stopAt - now), TimeUnit.MILLISECONDS);
                 });
     }
 
-    /** The time is up: whatever is still in hand gets the answer that promises nothing. */
-    private void giveUpAll() {
-        for (Operation operation : new ArrayList<>(engine.inFlight())) {
-            if (operation.engineState != null) {
-                events.line(
-                        "request failed",
-                        "id",
-                        NumberParser.id(operation.id),
-                        "why",
-                        "STOPPING",
-                        "attempts",
-                        attempts(operation));
-                answer(operation, RespBytes.error("ERR the gateway stops"));
-                engine.onClientCancelled(operation.id, clock.now());
-            }
-        }
-        loop.schedule(this::finish, SWEEP_MS / 2, TimeUnit.MILLISECONDS);
+    private void beginShutdown(ShutdownSchedule schedule) {
+        requests.limitDeadlines(schedule.failAt());
+        double now = clock.now();
+        requests.clients().keepIdleConnections();
+        LogWriter.info("graceful shutdown started", "in-flight", engine.inFlight().size());
+        loop.schedule(
+                () -> {
+                    requests.clients().drain();
+                    stopIfDrained();
+                },
+                (long) (schedule.drainAt() - now),
+                TimeUnit.MILLISECONDS);
+        loop.schedule(this::failAll, (long) (schedule.failAt() - now), TimeUnit.MILLISECONDS);
+    }
+
+    private void failAll() {
+        requests.failAll();
+        loop.schedule(this::stopNow, STOP_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void checkEnd() {
-        if (stopping && front.hasEnded() && !ended.isDone()) {
-            finish();
+    private void stopIfDrained() {
+        if (stopping && requests.clients().isDrained() && !stopped.isDone()) {
+            stopNow();
         }
     }
 
-    /** Ends at once. */
-    void finish() {
+    /** Stops without waiting for anybody. */
+    void stopNow() {
         loop.execute(
                 () -> {
                     LogWriter.info(
-                            "stopped", "in-hand", engine.inFlight().size(), "counts", counts);
-                    front.end();
+                            "stopped", "in-flight", engine.inFlight().size(), "counters", metrics);
+                    requests.clients().drain();
                     discovery.close();
-                    nodes.close();
-                    ended.complete(null);
+                    connections.close();
+                    stopped.complete(null);
                 });
     }
+
+    /** Completes once the gateway has stopped, with a reply to all that it accepted. */
+    CompletableFuture<Void> stopped() {
+        return stopped;
+    }
 }
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -1,638 +1,244 @@
-package
-sagepulley.scenario;
-
-import
-io.netty.buffer.ByteBuf;
-import
-io.netty.buffer.Unpooled;
-import
-io.netty.channel.EventLoop;
-import
-io.netty.channel.EventLoopGroup;
-import
-java.net.InetSocketAddress;
-import
-java.util.ArrayList;
-import
-java.util.List;
-import
-java.util.Random;
-import
-java.util.concurrent.TimeUnit;
-import
-java.util.concurrent.atomic.AtomicLong;
-import
-sagepulley.codec.frame.EventLoops;
-import
-sagepulley.codec.nbd.NbdClient;
-import
-sagepulley.codec.nbd.NbdConstants;
-import
-sagepulley.config.SiteConfig;
-import
-sagepulley.config.VolumeSettings;
-import
-sagepulley.upstream.frame.StoreMessages;
-
-/** One load of a day: requests at times of their own, over connections that come back after a cut. */
-final
-class
-LoadGenerator
-{
-private
-static
-final
-long
-RECONNECT_DELAY_MILLIS
-=
-50;
-
-/** A gateway that may be reached, or not just now. */
-static
-final
-class
-GatewayTarget
-{
-volatile
-InetSocketAddress
-address;
-volatile
-long
-gateway;
-}
-
-private
-static
-final
-class
-ClientConnection
-{
-final
-GatewayTarget
-target;
-NbdClient
-client;
-long
-gateway;
-
-ClientConnection(GatewayTarget
-door)
-{
-this.target
-=
-door;
-}
-}
-
-private
-final
-Scenario.Load
-load;
-private
-final
-SiteConfig
-site;
-private
-final
-VolumeSettings
-volume;
-private
-final
-SocketEventLog
-eventLog;
-private
-final
-BlockHistory
-history;
-private
-final
-EventLoopGroup
-group;
-private
-final
-EventLoop
-loop;
-private
-final
-Random
-random;
-private
-final
-List<ClientConnection>
-connections
-=
-new
-ArrayList<>();
-private
-final
-AtomicLong
-openRequests
-=
-new
-AtomicLong();
-private
-volatile
-double
-rateFactor
-=
-1;
-private
-volatile
-boolean
-stopped;
-private
-long
-nextRequestAtNanos;
-
-LoadGenerator(
-Scenario.Load
-load,
-SiteConfig
-site,
-VolumeSettings
-volume,
-List<GatewayTarget>
-targets,
-SocketEventLog
-eventLog,
-BlockHistory
-history,
-EventLoopGroup
-group,
-long
-seed)
-{
-this.load
-=
-load;
-this.site
-=
-site;
-this.volume
-=
-volume;
-this.eventLog
-=
-eventLog;
-this.history
-=
-history;
-this.group
-=
-group;
-this.loop
-=
-group.next();
-this.random
-=
-new
-Random(seed);
-for
-(int
-i
-=
-0;
-i
-<
-Math.min(volume.gateways(),
-targets.size());
-i++)
-{
-if
-(load.gateway()
-!=
-0
-&&
-load.gateway()
-!=
-i
-+
-1)
-{
-continue;
-}
-for
-(int
-k
-=
-0;
-k
-<
-load.connections();
-k++)
-{
-connections.add(new
-ClientConnection(targets.get(i)));
-}
-}
-}
-
-Scenario.Load
-load()
-{
-return
-load;
-}
-
-void
-setRateFactor(double
-times)
-{
-rateFactor
-=
-times;
-}
-
-/** Requests without an end. */
-long
-openRequests()
-{
-return
-openRequests.get();
-}
-
-void
-start(long
-dayStart)
-{
-loop.execute(
-()
-->
-{
-connections.forEach(this::connect);
-nextRequestAtNanos
-=
-dayStart
-+
-(long)
-(load.fromMillis()
-*
-1e6);
-scheduleNext(dayStart
-+
-(long)
-(load.toMillis()
-*
-1e6));
-});
-}
-
-void
-stop()
-{
-stopped
-=
-true;
-}
-
-void
-close()
-{
-stopped
-=
-true;
-loop.execute(
-()
-->
-connections.forEach(
-connection
-->
-{
-if
-(connection.client
-!=
-null)
-{
-connection.client.channel().close();
-}
-}));
-}
-
-private
-void
-connect(ClientConnection
-connection)
-{
-InetSocketAddress
-address
-=
-connection.target.address;
-long
-gateway
-=
-connection.target.gateway;
-if
-(stopped)
-{
-return;
-}
-if
-(address
-==
-null)
-{
-loop.schedule(()
-->
-connect(connection),
-RECONNECT_DELAY_MILLIS,
-TimeUnit.MILLISECONDS);
-return;
-}
-NbdClient.open(group,
-EventLoops.socket(),
-address,
-volume.name(),
-NbdClient.Style.GO)
-.whenComplete(
-(client,
-failure)
-->
-loop.execute(
-()
-->
-{
-if
-(failure
-!=
-null)
-{
-loop.schedule(
-()
-->
-connect(connection),
-RECONNECT_DELAY_MILLIS,
-TimeUnit.MILLISECONDS);
-return;
-}
-connection.client
-=
-client;
-connection.gateway
-=
-gateway;
-client.closed()
-.thenRun(
-()
-->
-loop.execute(
-()
-->
-{
-connection.client
-=
-null;
-connect(connection);
-}));
-}));
-}
-
-private
-void
-scheduleNext(long
-end)
-{
-if
-(stopped
-||
-nextRequestAtNanos
->=
-end)
-{
-return;
-}
-long
-wait
-=
-Math.max(0,
-nextRequestAtNanos
--
-System.nanoTime());
-loop.schedule(
-()
-->
-{
-while
-(!stopped
-&&
-nextRequestAtNanos
-<=
-System.nanoTime()
-&&
-nextRequestAtNanos
-<
-end)
-{
-if
-(rateFactor
->
-0)
-{
-sendRequest();
-}
-double
-gap
-=
--Math.log(1
--
-random.nextDouble())
-/
-(load.requestsPerSecond()
-*
-Math.max(rateFactor,
-0.01));
-nextRequestAtNanos
-+=
-(long)
-(gap
-*
-1e9);
-}
-scheduleNext(end);
-},
-wait,
-TimeUnit.NANOSECONDS);
-}
-
-private
-void
-sendRequest()
-{
-List<ClientConnection>
-up
-=
-connections.stream().filter(connection
-->
-connection.client
-!=
-null).toList();
-if
-(up.isEmpty())
-{
-return;
-}
-ClientConnection
-connection
-=
-up.get(random.nextInt(up.size()));
-long
-extents
-=
-Math.min(load.extents(),
-volume.sizeBytes()
-/
-site.extentBytes());
-long
-places
-=
-Math.max(1,
-extents
-*
-site.extentBytes()
-/
-load.bytes());
-long
-offset
-=
-random.nextLong(places)
-*
-load.bytes();
-boolean
-reads
-=
-random.nextDouble()
-<
-load.readShare();
-StoreMessages.Kind
-kind
-=
-reads
-?
-StoreMessages.Kind.READ
-:
-StoreMessages.Kind.WRITE;
-int
-trafficClass
-=
-!reads
-?
-volume.writeTrafficClass()
-:
-load.bytes()
->=
-volume.bulkThresholdBytes()
-?
-volume.bulkTrafficClass()
-:
-volume.readTrafficClass();
-long
-now
-=
-System.nanoTime();
-SocketEventLog.ClientRequest
-request
-=
-eventLog.requestSent(
-connection.gateway,
-volume.id(),
-kind,
-trafficClass,
-offset,
-load.bytes(),
-now);
-BlockHistory.Write
-write
-=
-reads
-?
-null
-:
-history.begin(volume.id(),
-offset,
-load.bytes(),
-now);
-ByteBuf
-payload
-=
-reads
-?
-Unpooled.EMPTY_BUFFER
-:
-BlockHistory.payload(
-connection.client.channel().alloc(),
-write,
-load.bytes());
-openRequests.incrementAndGet();
-connection.client.request(
-reads
-?
-NbdConstants.CMD_READ
-:
-NbdConstants.CMD_WRITE,
-0,
-offset,
-load.bytes(),
-payload,
-(reply,
-failure)
-->
-{
-long
-end
-=
-System.nanoTime();
-request.endedAt
-=
-end;
-if
-(failure
-!=
-null)
-{
-request.connectionLost
-=
-true;
-}
-else
-{
-request.replies++;
-request.error
-=
-reply.error;
-if
-(reads
-&&
-reply.error
-==
-0)
-{
-ByteBuf
-data
-=
-reply.data();
-history.check(volume.id(),
-offset,
-data,
-now,
-end);
-data.release();
-}
-reply.release();
-}
-if
-(write
-!=
-null)
-{
-write.complete(end,
-failure
-==
-null
-&&
-reply.error
-==
-0);
-}
-openRequests.decrementAndGet();
-});
-}
+package sagepulley.scenario;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import sagepulley.codec.frame.EventLoops;
+import sagepulley.codec.nbd.NbdClient;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.VolumeSettings;
+import sagepulley.upstream.frame.StoreMessages;
+
+/**
+ * One load of a day: requests at times of their own, over connections that come back after a cut.
+ */
+final class LoadGenerator {
+    private static final long RECONNECT_DELAY_MILLIS = 50;
+
+    /** A gateway that may be reached, or not just now. */
+    static final class GatewayTarget {
+        volatile InetSocketAddress address;
+        volatile long gateway;
+    }
+
+    private static final class ClientConnection {
+        final GatewayTarget target;
+        NbdClient client;
+        long gateway;
+
+        ClientConnection(GatewayTarget door) {
+            this.target = door;
+        }
+    }
+
+    private final Scenario.Load load;
+    private final SiteConfig site;
+    private final VolumeSettings volume;
+    private final SocketEventLog eventLog;
+    private final BlockHistory history;
+    private final EventLoopGroup group;
+    private final EventLoop loop;
+    private final Random random;
+    private final List<ClientConnection> connections = new ArrayList<>();
+    private final AtomicLong openRequests = new AtomicLong();
+    private volatile double rateFactor = 1;
+    private volatile boolean stopped;
+    private long nextRequestAtNanos;
+
+    LoadGenerator(
+            Scenario.Load load,
+            SiteConfig site,
+            VolumeSettings volume,
+            List<GatewayTarget> targets,
+            SocketEventLog eventLog,
+            BlockHistory history,
+            EventLoopGroup group,
+            long seed) {
+        this.load = load;
+        this.site = site;
+        this.volume = volume;
+        this.eventLog = eventLog;
+        this.history = history;
+        this.group = group;
+        this.loop = group.next();
+        this.random = new Random(seed);
+        for (int i = 0; i < Math.min(volume.gateways(), targets.size()); i++) {
+            if (load.gateway() != 0 && load.gateway() != i + 1) {
+                continue;
+            }
+            for (int k = 0; k < load.connections(); k++) {
+                connections.add(new ClientConnection(targets.get(i)));
+            }
+        }
+    }
+
+    Scenario.Load load() {
+        return load;
+    }
+
+    void setRateFactor(double times) {
+        rateFactor = times;
+    }
+
+    /** Requests without an end. */
+    long openRequests() {
+        return openRequests.get();
+    }
+
+    void start(long dayStart) {
+        loop.execute(
+                () -> {
+                    connections.forEach(this::connect);
+                    nextRequestAtNanos = dayStart + (long) (load.fromMillis() * 1e6);
+                    scheduleNext(dayStart + (long) (load.toMillis() * 1e6));
+                });
+    }
+
+    void stop() {
+        stopped = true;
+    }
+
+    void close() {
+        stopped = true;
+        loop.execute(
+                () ->
+                        connections.forEach(
+                                connection -> {
+                                    if (connection.client != null) {
+                                        connection.client.channel().close();
+                                    }
+                                }));
+    }
+
+    private void connect(ClientConnection connection) {
+        InetSocketAddress address = connection.target.address;
+        long gateway = connection.target.gateway;
+        if (stopped) {
+            return;
+        }
+        if (address == null) {
+            loop.schedule(() -> connect(connection), RECONNECT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+            return;
+        }
+        NbdClient.open(group, EventLoops.socket(), address, volume.name(), NbdClient.Style.GO)
+                .whenComplete(
+                        (client, failure) ->
+                                loop.execute(
+                                        () -> {
+                                            if (failure != null) {
+                                                loop.schedule(
+                                                        () -> connect(connection),
+                                                        RECONNECT_DELAY_MILLIS,
+                                                        TimeUnit.MILLISECONDS);
+                                                return;
+                                            }
+                                            connection.client = client;
+                                            connection.gateway = gateway;
+                                            client.closed()
+                                                    .thenRun(
+                                                            () ->
+                                                                    loop.execute(
+                                                                            () -> {
+                                                                                connection.client =
+                                                                                        null;
+                                                                                connect(connection);
+                                                                            }));
+                                        }));
+    }
+
+    private void scheduleNext(long end) {
+        if (stopped || nextRequestAtNanos >= end) {
+            return;
+        }
+        long wait = Math.max(0, nextRequestAtNanos - System.nanoTime());
+        loop.schedule(
+                () -> {
+                    while (!stopped
+                            && nextRequestAtNanos <= System.nanoTime()
+                            && nextRequestAtNanos < end) {
+                        if (rateFactor > 0) {
+                            sendRequest();
+                        }
+                        double gap =
+                                -Math.log(1 - random.nextDouble())
+                                        / (load.requestsPerSecond() * Math.max(rateFactor, 0.01));
+                        nextRequestAtNanos += (long) (gap * 1e9);
+                    }
+                    scheduleNext(end);
+                },
+                wait,
+                TimeUnit.NANOSECONDS);
+    }
+
+    private void sendRequest() {
+        List<ClientConnection> up =
+                connections.stream().filter(connection -> connection.client != null).toList();
+        if (up.isEmpty()) {
+            return;
+        }
+        ClientConnection connection = up.get(random.nextInt(up.size()));
+        long extents = Math.min(load.extents(), volume.sizeBytes() / site.extentBytes());
+        long places = Math.max(1, extents * site.extentBytes() / load.bytes());
+        long offset = random.nextLong(places) * load.bytes();
+        boolean reads = random.nextDouble() < load.readShare();
+        StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
+        int trafficClass =
+                !reads
+                        ? volume.writeTrafficClass()
+                        : load.bytes() >= volume.bulkThresholdBytes()
+                                ? volume.bulkTrafficClass()
+                                : volume.readTrafficClass();
+        long now = System.nanoTime();
+        SocketEventLog.ClientRequest request =
+                eventLog.requestSent(
+                        connection.gateway,
+                        volume.id(),
+                        kind,
+                        trafficClass,
+                        offset,
+                        load.bytes(),
+                        now);
+        BlockHistory.Write write =
+                reads ? null : history.begin(volume.id(), offset, load.bytes(), now);
+        ByteBuf payload =
+                reads
+                        ? Unpooled.EMPTY_BUFFER
+                        : BlockHistory.payload(
+                                connection.client.channel().alloc(), write, load.bytes());
+        openRequests.incrementAndGet();
+        connection.client.request(
+                reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
+                0,
+                offset,
+                load.bytes(),
+                payload,
+                (reply, failure) -> {
+                    long end = System.nanoTime();
+                    request.endedAt = end;
+                    if (failure != null) {
+                        request.connectionLost = true;
+                    } else {
+                        request.replies++;
+                        request.error = reply.error;
+                        if (reads && reply.error == 0) {
+                            ByteBuf data = reply.data();
+                            history.check(volume.id(), offset, data, now, end);
+                            data.release();
+                        }
+                        reply.release();
+                    }
+                    if (write != null) {
+                        write.complete(end, failure == null && reply.error == 0);
+                    }
+                    openRequests.decrementAndGet();
+                });
+    }
 }
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -1,597 +1,224 @@
-package
-sagepulley.upstream.frame;
-
-import
-static
-org.awaitility.Awaitility.await;
-import
-static
-org.junit.jupiter.api.Assertions.assertEquals;
-
-import
-io.netty.buffer.ByteBuf;
-import
-io.netty.buffer.ByteBufUtil;
-import
-io.netty.buffer.Unpooled;
-import
-io.netty.channel.EventLoop;
-import
-io.netty.channel.EventLoopGroup;
-import
-io.netty.channel.embedded.EmbeddedChannel;
-import
-java.io.DataInputStream;
-import
-java.net.InetSocketAddress;
-import
-java.net.Socket;
-import
-java.util.Arrays;
-import
-java.util.Map;
-import
-java.util.concurrent.ConcurrentHashMap;
-import
-java.util.concurrent.TimeUnit;
-import
-org.junit.jupiter.api.AfterEach;
-import
-org.junit.jupiter.api.BeforeEach;
-import
-org.junit.jupiter.api.Test;
-import
-sagepulley.codec.frame.EventLoops;
-import
-sagepulley.codec.frame.Frame;
-import
-sagepulley.codec.frame.FrameEncoder;
-import
-sagepulley.scenario.LocalCluster;
-import
-sagepulley.standin.NodeProfile;
-import
-sagepulley.standin.StandInNode;
-import
-sagepulley.standin.TrafficRecorder;
+package sagepulley.upstream.frame;
+
+import static org.awaitility.Awaitility.await;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.io.DataInputStream;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.Arrays;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import sagepulley.codec.frame.EventLoops;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.scenario.LocalCluster;
+import sagepulley.standin.NodeProfile;
+import sagepulley.standin.StandInNode;
+import sagepulley.standin.TrafficRecorder;
 
 /** Late attempts of older writes: the node refuses them, whichever way they come late. */
-class
-NodeConnectionTest
-{
-private
-final
-EventLoopGroup
-loops
-=
-EventLoops.group(2,
-"test");
-private
-StandInNode
-node;
-
-/** One gateway's link, and how its attempts ended. */
-private
-final
-class
-Peer
-implements
-NodeConnection.Listener
-{
-final
-Map<Long,
-String>
-ends
-=
-new
-ConcurrentHashMap<>();
-final
-NodeConnection
-link;
-volatile
-byte[]
-data;
-
-Peer(long
-gateway,
-int
-expected)
-{
-link
-=
-new
-NodeConnection(
-one,
-EventLoops.socket(),
-1
-<<
-20,
-expected,
-node.address(),
-new
-StoreMessages.Hello(gateway,
-"peer"),
-this);
-}
-
-void
-write(long
-attempt,
-int
-fill)
-{
-byte[]
-block
-=
-new
-byte[512];
-Arrays.fill(block,
-(byte)
-fill);
-send(attempt,
-StoreMessages.Kind.WRITE,
-Unpooled.wrappedBuffer(block));
-}
-
-void
-send(long
-attempt,
-StoreMessages.Kind
-kind,
-ByteBuf
-payload)
-{
-StoreMessages.Send
-send
-=
-new
-StoreMessages.Send(kind,
-0,
-false,
-0,
-attempt,
-0,
-1,
-7,
-0,
-512,
-1,
-0);
-run(()
-->
-link.send(attempt,
-send,
-payload));
-}
-
-String
-end(long
-attempt)
-{
-await().until(()
-->
-ends.containsKey(attempt));
-return
-ends.get(attempt);
-}
-
-int
-read(long
-attempt)
-{
-send(attempt,
-StoreMessages.Kind.READ,
-Unpooled.EMPTY_BUFFER);
-assertEquals(StoreMessages.Code.SERVED.name(),
-end(attempt));
-return
-data[0];
-}
-
-@Override
-public
-void
-answered(long
-attempt,
-StoreMessages.Answer
-answer,
-ByteBuf
-payload)
-{
-data
-=
-ByteBufUtil.getBytes(payload);
-payload.release();
-ends.put(attempt,
-answer.code().name());
-}
-
-@Override
-public
-void
-failed(long
-attempt,
-NodeConnection.ConnectionFailure
-how)
-{
-ends.put(attempt,
-how.name());
-}
-
-@Override
-public
-void
-healthReported(long
-id,
-float[]
-report)
-{}
-
-@Override
-public
-boolean
-handshakeCompleted(StoreMessages.HandshakeReply
-welcome)
-{
-return
-true;
-}
-}
-
-private
-final
-EventLoop
-one
-=
-loops.next();
-
-private
-void
-run(Runnable
-task)
-{
-one.submit(task).syncUninterruptibly();
-}
-
-@BeforeEach
-void
-start()
-{
-node
-=
-LocalCluster.await(
-new
-StandInNode(
-NodeProfile.quick(3,
-1
-<<
-20),
-loops,
-TrafficRecorder.NO_OP,
-1)
-.start(new
-InetSocketAddress("127.0.0.1",
-0)));
-}
-
-@AfterEach
-void
-stop()
-{
-LocalCluster.await(node.stop());
-loops.shutdownGracefully(0,
-1,
-TimeUnit.SECONDS);
-}
-
-private
-Peer
-peer(long
-gateway,
-int
-expected)
-{
-Peer[]
-made
-=
-new
-Peer[1];
-run(()
-->
-made[0]
-=
-new
-Peer(gateway,
-expected));
-return
-made[0];
-}
-
-/** The bytes of a frame, as a gateway that stood still would still have them in its socket. */
-private
-static
-byte[]
-bytes(Frame
-frame)
-{
-EmbeddedChannel
-out
-=
-new
-EmbeddedChannel(new
-FrameEncoder());
-out.writeOutbound(frame);
-ByteBuf
-all
-=
-Unpooled.buffer();
-for
-(ByteBuf
-part
-=
-out.readOutbound();
-part
-!=
-null;
-part
-=
-out.readOutbound())
-{
-all.writeBytes(part);
-part.release();
-}
-return
-ByteBufUtil.getBytes(all);
-}
-
-@Test
-void
-aWriteThatComesAfterAnotherGatewayTookThePenNeverRuns()
-throws
-Exception
-{
-try
-(Socket
-late
-=
-new
-Socket(node.address().getAddress(),
-node.address().getPort()))
-{
-late.getOutputStream()
-.write(bytes(StoreMessages.hello(new
-StoreMessages.Hello(1,
-"late"))));
-late.getOutputStream()
-.write(
-bytes(
-StoreMessages.writeToken(
-StoreMessages.ACQUIRE_WRITE_TOKEN,
-5,
-1,
-7)));
-// Its welcome (49 bytes) and its pen (40 bytes).
-
-DataInputStream
-in
-=
-new
-DataInputStream(late.getInputStream());
-in.readFully(new
-byte[24
-+
-21
-+
-4
-+
-24
-+
-12
-+
-4]);
-Peer
-b
-=
-peer(2,
-3);
-b.write(1,
-2);
-assertEquals(StoreMessages.Code.SERVED.name(),
-b.end(1));
-StoreMessages.Send
-send
-=
-new
-StoreMessages.Send(
-StoreMessages.Kind.WRITE,
-0,
-false,
-0,
-1,
-0,
-1,
-7,
-0,
-512,
-1,
-0);
-late.getOutputStream()
-.write(
-bytes(
-StoreMessages.send(
-8,
-send,
-Unpooled.wrappedBuffer(new
-byte[512]))));
-in.readFully(new
-byte[24
-+
-12
-+
-4]);
-// that the pen is lost
-
-byte[]
-answer
-=
-new
-byte[25];
-in.readFully(answer);
-assertEquals(StoreMessages.ANSWER,
-answer[3]);
-assertEquals(StoreMessages.Code.STALE_WRITE_TOKEN.ordinal(),
-answer[24]);
-assertEquals(2,
-b.read(9));
-}
-}
-
-@Test
-void
-aGatewayThatHeardOfItTakesThePenBack()
-{
-Peer
-a
-=
-peer(1,
-3);
-Peer
-b
-=
-peer(2,
-3);
-for
-(long
-attempt
-=
-1;
-attempt
-<
-9;
-attempt++)
-{
-Peer
-writer
-=
-attempt
-%
-2
-==
-0
-?
-a
-:
-b;
-writer.write(attempt,
-(int)
-attempt);
-assertEquals(StoreMessages.Code.SERVED.name(),
-writer.end(attempt));
-assertEquals(attempt,
-(attempt
-%
-2
-==
-0
-?
-b
-:
-a).read(100
-+
-attempt));
-}
-}
-
-@Test
-void
-aNewLinkOfTheSameGatewayEndsTheOlder()
-{
-Peer
-old
-=
-peer(1,
-3);
-old.write(1,
-1);
-assertEquals(StoreMessages.Code.SERVED.name(),
-old.end(1));
-node.faults().unresponsive
-=
-true;
-old.write(2,
-2);
-Peer
-fresh
-=
-peer(1,
-3);
-fresh.write(1,
-5);
-assertEquals("RESET",
-old.end(2));
-node.faults().unresponsive
-=
-false;
-assertEquals(5,
-fresh.read(7));
-}
-
-@Test
-void
-aNodeOfAnotherNumberGetsNothing()
-{
-Peer
-wrong
-=
-peer(1,
-4);
-wrong.write(1,
-1);
-assertEquals("NEVER_SENT",
-wrong.end(1));
-}
-
-@Test
-void
-whatIsGivenUpBeforeAConnectionStandsNeverWent()
-{
-Peer
-peer
-=
-peer(1,
-3);
-boolean[]
-went
-=
-{true};
-run(
-()
-->
-{
-peer.link.send(
-1,
-new
-StoreMessages.Send(
-StoreMessages.Kind.READ,
-0,
-false,
-0,
-1,
-0,
-1,
-7,
-0,
-512,
-1,
-0),
-Unpooled.EMPTY_BUFFER);
-went[0]
-=
-peer.link.cancel(1);
-});
-assertEquals(false,
-went[0]);
-assertEquals(0,
-peer.read(2));
-}
+class NodeConnectionTest {
+    private final EventLoopGroup loops = EventLoops.group(2, "test");
+    private StandInNode node;
+
+    /** One gateway's link, and how its attempts ended. */
+    private final class Peer implements NodeConnection.Listener {
+        final Map<Long, String> ends = new ConcurrentHashMap<>();
+        final NodeConnection link;
+        volatile byte[] data;
+
+        Peer(long gateway, int expected) {
+            link =
+                    new NodeConnection(
+                            one,
+                            EventLoops.socket(),
+                            1 << 20,
+                            expected,
+                            node.address(),
+                            new StoreMessages.Hello(gateway, "peer"),
+                            this);
+        }
+
+        void write(long attempt, int fill) {
+            byte[] block = new byte[512];
+            Arrays.fill(block, (byte) fill);
+            send(attempt, StoreMessages.Kind.WRITE, Unpooled.wrappedBuffer(block));
+        }
+
+        void send(long attempt, StoreMessages.Kind kind, ByteBuf payload) {
+            StoreMessages.Send send =
+                    new StoreMessages.Send(kind, 0, false, 0, attempt, 0, 1, 7, 0, 512, 1, 0);
+            run(() -> link.send(attempt, send, payload));
+        }
+
+        String end(long attempt) {
+            await().until(() -> ends.containsKey(attempt));
+            return ends.get(attempt);
+        }
+
+        int read(long attempt) {
+            send(attempt, StoreMessages.Kind.READ, Unpooled.EMPTY_BUFFER);
+            assertEquals(StoreMessages.Code.SERVED.name(), end(attempt));
+            return data[0];
+        }
+
+        @Override
+        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
+            data = ByteBufUtil.getBytes(payload);
+            payload.release();
+            ends.put(attempt, answer.code().name());
+        }
+
+        @Override
+        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
+            ends.put(attempt, how.name());
+        }
+
+        @Override
+        public void healthReported(long id, float[] report) {}
+
+        @Override
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
+            return true;
+        }
+    }
+
+    private final EventLoop one = loops.next();
+
+    private void run(Runnable task) {
+        one.submit(task).syncUninterruptibly();
+    }
+
+    @BeforeEach
+    void start() {
+        node =
+                LocalCluster.await(
+                        new StandInNode(
+                                        NodeProfile.quick(3, 1 << 20),
+                                        loops,
+                                        TrafficRecorder.NO_OP,
+                                        1)
+                                .start(new InetSocketAddress("127.0.0.1", 0)));
+    }
+
+    @AfterEach
+    void stop() {
+        LocalCluster.await(node.stop());
+        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
+    private Peer peer(long gateway, int expected) {
+        Peer[] made = new Peer[1];
+        run(() -> made[0] = new Peer(gateway, expected));
+        return made[0];
+    }
+
+    /** The bytes of a frame, as a gateway that stood still would still have them in its socket. */
+    private static byte[] bytes(Frame frame) {
+        EmbeddedChannel out = new EmbeddedChannel(new FrameEncoder());
+        out.writeOutbound(frame);
+        ByteBuf all = Unpooled.buffer();
+        for (ByteBuf part = out.readOutbound(); part != null; part = out.readOutbound()) {
+            all.writeBytes(part);
+            part.release();
+        }
+        return ByteBufUtil.getBytes(all);
+    }
+
+    @Test
+    void aWriteThatComesAfterAnotherGatewayTookThePenNeverRuns() throws Exception {
+        try (Socket late = new Socket(node.address().getAddress(), node.address().getPort())) {
+            late.getOutputStream()
+                    .write(bytes(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
+            late.getOutputStream()
+                    .write(
+                            bytes(
+                                    StoreMessages.writeToken(
+                                            StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
+            // Its welcome (49 bytes) and its pen (40 bytes).
+
+            DataInputStream in = new DataInputStream(late.getInputStream());
+            in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
+            Peer b = peer(2, 3);
+            b.write(1, 2);
+            assertEquals(StoreMessages.Code.SERVED.name(), b.end(1));
+            StoreMessages.Send send =
+                    new StoreMessages.Send(
+                            StoreMessages.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
+            late.getOutputStream()
+                    .write(
+                            bytes(
+                                    StoreMessages.send(
+                                            8, send, Unpooled.wrappedBuffer(new byte[512]))));
+            in.readFully(new byte[24 + 12 + 4]);
+            // that the pen is lost
+
+            byte[] answer = new byte[25];
+            in.readFully(answer);
+            assertEquals(StoreMessages.ANSWER, answer[3]);
+            assertEquals(StoreMessages.Code.STALE_WRITE_TOKEN.ordinal(), answer[24]);
+            assertEquals(2, b.read(9));
+        }
+    }
+
+    @Test
+    void aGatewayThatHeardOfItTakesThePenBack() {
+        Peer a = peer(1, 3);
+        Peer b = peer(2, 3);
+        for (long attempt = 1; attempt < 9; attempt++) {
+            Peer writer = attempt % 2 == 0 ? a : b;
+            writer.write(attempt, (int) attempt);
+            assertEquals(StoreMessages.Code.SERVED.name(), writer.end(attempt));
+            assertEquals(attempt, (attempt % 2 == 0 ? b : a).read(100 + attempt));
+        }
+    }
+
+    @Test
+    void aNewLinkOfTheSameGatewayEndsTheOlder() {
+        Peer old = peer(1, 3);
+        old.write(1, 1);
+        assertEquals(StoreMessages.Code.SERVED.name(), old.end(1));
+        node.faults().unresponsive = true;
+        old.write(2, 2);
+        Peer fresh = peer(1, 3);
+        fresh.write(1, 5);
+        assertEquals("RESET", old.end(2));
+        node.faults().unresponsive = false;
+        assertEquals(5, fresh.read(7));
+    }
+
+    @Test
+    void aNodeOfAnotherNumberGetsNothing() {
+        Peer wrong = peer(1, 4);
+        wrong.write(1, 1);
+        assertEquals("NEVER_SENT", wrong.end(1));
+    }
+
+    @Test
+    void whatIsGivenUpBeforeAConnectionStandsNeverWent() {
+        Peer peer = peer(1, 3);
+        boolean[] went = {true};
+        run(
+                () -> {
+                    peer.link.send(
+                            1,
+                            new StoreMessages.Send(
+                                    StoreMessages.Kind.READ, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0),
+                            Unpooled.EMPTY_BUFFER);
+                    went[0] = peer.link.cancel(1);
+                });
+        assertEquals(false, went[0]);
+        assertEquals(0, peer.read(2));
+    }
 }
