--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -31,17 +31,19 @@
                                                 : Integer.MAX_VALUE;
                             })
                     .thenComparingLong(
-                            operation -> ((QueuedRequest) operation.schedulerState).turn);
+                            operation -> ((QueuedRequest) operation.schedulerState).sequence);
 
-    private record Key(int band, double units) {
+    private record Key(int trafficClass, double units) {
         @Override
         public int hashCode() {
-            return band * 31 + Double.hashCode(units);
+            return trafficClass * 31 + Double.hashCode(units);
         }
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Key that && band == that.band && units == that.units;
+            return other instanceof Key that
+                    && trafficClass == that.trafficClass
+                    && units == that.units;
         }
     }
 
@@ -49,10 +51,10 @@
     static final class Group {
         final TrafficClass trafficClass;
         final double units;
-        final NavigableSet<QueuedRequest> byTarget = sorted(request -> request.targetEnds);
+        final NavigableSet<QueuedRequest> byObjective = sorted(request -> request.objectiveAt);
         final NavigableSet<QueuedRequest> byArrival =
                 sorted(request -> request.operation.arrivedAt);
-        final NavigableSet<QueuedRequest> byPatience =
+        final NavigableSet<QueuedRequest> byDeadline =
                 sorted(request -> request.operation.deadline);
 
         Group(TrafficClass trafficClass, double units) {
@@ -62,11 +64,12 @@
 
         private static NavigableSet<QueuedRequest> sorted(ToDoubleFunction<QueuedRequest> time) {
             return new TreeSet<>(
-                    Comparator.comparingDouble(time).thenComparingLong(request -> request.turn));
+                    Comparator.comparingDouble(time)
+                            .thenComparingLong(request -> request.sequence));
         }
 
         /** Adds those that have ended by now, and tells when the next one ends. */
-        void first(
+        void collectOverdue(
                 NavigableSet<QueuedRequest> order,
                 ToDoubleFunction<QueuedRequest> end,
                 double now,
@@ -86,33 +89,33 @@
         }
     }
 
-    private final Map<Key, Group> kinds = new HashMap<>();
-    private long turns;
+    private final Map<Key, Group> groups = new HashMap<>();
+    private long lastSequence;
 
     void add(QueuedRequest request) {
-        request.turn = ++turns;
+        request.sequence = ++lastSequence;
         Operation operation = request.operation;
         Group kind =
-                kinds.computeIfAbsent(
+                groups.computeIfAbsent(
                         key(operation), any -> new Group(operation.trafficClass, operation.units));
-        kind.byTarget.add(request);
+        kind.byObjective.add(request);
         kind.byArrival.add(request);
-        kind.byPatience.add(request);
+        kind.byDeadline.add(request);
     }
 
     void remove(QueuedRequest request) {
         Key key = key(request.operation);
-        Group kind = kinds.get(key);
-        kind.byTarget.remove(request);
+        Group kind = groups.get(key);
+        kind.byObjective.remove(request);
         kind.byArrival.remove(request);
-        kind.byPatience.remove(request);
-        if (kind.byTarget.isEmpty()) {
-            kinds.remove(key);
+        kind.byDeadline.remove(request);
+        if (kind.byObjective.isEmpty()) {
+            groups.remove(key);
         }
     }
 
-    Collection<Group> kinds() {
-        return kinds.values();
+    Collection<Group> groups() {
+        return groups.values();
     }
 
     private static Key key(Operation operation) {
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -13,70 +13,70 @@
     final Node node;
 
     /** Operations whose data lies here, waiting for their turn. */
-    final WaitQueue waiting = new WaitQueue();
+    final WaitQueue waitQueue = new WaitQueue();
 
-    final List<Attempt> out = new ArrayList<>();
+    final List<Attempt> inFlight = new ArrayList<>();
 
     /** How many attempts may be out, and when that was last cut. */
-    double bound;
+    double concurrencyLimit;
 
-    double cutAt = Double.NEGATIVE_INFINITY;
+    double limitReducedAt = Double.NEGATIVE_INFINITY;
 
     /** The queue that the latest answers showed, against the longest that is wanted. */
-    double crowd;
+    double queueEstimate;
 
-    double crowdAt = Double.NEGATIVE_INFINITY;
+    double queueObservedAt = Double.NEGATIVE_INFINITY;
 
     /** The run of one extent: which, and how many more of it go first. */
     long lastExtent;
 
-    int runLeft;
+    int runRemaining;
 
     /** Whose turn it was found to be, and when, in which state. */
-    Operation picked;
+    Operation selected;
 
-    double pickedAt = Double.NaN;
-    long pickedState;
+    double selectedAt = Double.NaN;
+    long selectedVersion;
 
     /** The fair level of the volumes that use the node, and until when it stands. */
-    final List<TenantEndpointUsage> uses = new ArrayList<>();
+    final List<TenantEndpointUsage> tenantUsages = new ArrayList<>();
 
-    double fair = Double.POSITIVE_INFINITY;
-    double fairUntil = Double.NEGATIVE_INFINITY;
+    double fairLevel = Double.POSITIVE_INFINITY;
+    double fairLevelValidUntil = Double.NEGATIVE_INFINITY;
 
     /**
      * When it started, as it was told, as far as that is possible; and what it was sent while it
      * was cold.
      */
-    double toldStart;
+    double reportedStart;
 
     double startedAt;
-    final SlidingWindowCounter coldSpent;
+    final SlidingWindowCounter slowStartSpent;
 
     /**
      * Health: when it last served, when it was last sent to, whether it must prove itself by a
      * trial.
      */
-    double heardAt = Double.NEGATIVE_INFINITY;
+    double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-    double sentAt = Double.NEGATIVE_INFINITY;
-    boolean distrusted;
+    double lastSentAt = Double.NEGATIVE_INFINITY;
+    boolean ejected;
 
     /** The share of its latest answers that were errors. */
-    double faults;
+    double faultRatio;
 
     /** The score's terms; reads at 0, writes at 1. */
     final SlidingWindowCounter placements;
 
-    final double[] took = new double[2];
-    final double[] units = new double[2];
-    final double[] pace = {Double.NaN, Double.NaN};
-    double rawBusy = Double.NaN;
-    double busy = 1;
-    double fragment = 1;
+    final double[] responseMillis = new double[2];
+    final double[] servedUnits = new double[2];
+    final double[] serviceTimes = {Double.NaN, Double.NaN};
+    double smoothedServiceTime = Double.NaN;
+    double latencyRatio = 1;
+    double writeReadRatio = 1;
 
     /** What lately came for it and was declined. */
-    final ArrivalWindow load;
+    final ArrivalWindow arrivalWindow;
 
     EndpointState(
             int index,
@@ -87,16 +87,16 @@
             SlidingWindowCounter coldSpent) {
         this.index = index;
         this.node = node;
-        this.bound = bound;
-        this.load = load;
+        this.concurrencyLimit = bound;
+        this.arrivalWindow = load;
         this.placements = placements;
-        this.coldSpent = coldSpent;
-        this.toldStart = node.startedAt;
+        this.slowStartSpent = coldSpent;
+        this.reportedStart = node.startedAt;
         this.startedAt = node.startedAt;
     }
 
     /** Whether its place may go to another node. */
     boolean isVacant() {
-        return node.forgotten && waiting.isEmpty();
+        return node.forgotten && waitQueue.isEmpty();
     }
 }
--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -5,17 +5,22 @@
 
 /** What Scheduler believes of a node, for whoever watches a gateway; nothing is decided by it. */
 public record EndpointView(
-        double bound, double crowd, int out, int waiting, boolean distrusted, double faults) {
+        double concurrencyLimit,
+        double queueEstimate,
+        int inFlight,
+        int waiting,
+        boolean ejected,
+        double faultRatio) {
     /** The view of a node that was listed. */
     public static EndpointView of(Node node) {
         EndpointState endpoint = (EndpointState) node.schedulerState;
         return new EndpointView(
-                endpoint.bound,
-                endpoint.crowd,
-                endpoint.out.size(),
-                endpoint.waiting.size(),
-                endpoint.distrusted,
-                endpoint.faults);
+                endpoint.concurrencyLimit,
+                endpoint.queueEstimate,
+                endpoint.inFlight.size(),
+                endpoint.waitQueue.size(),
+                endpoint.ejected,
+                endpoint.faultRatio);
     }
 
     @Override
@@ -23,11 +28,11 @@
         return String.format(
                 Locale.ROOT,
                 "bound:%.1f,queue:%.2f,out:%d,waiting:%d,faults:%.2f%s",
-                bound,
-                crowd,
-                out,
+                concurrencyLimit,
+                queueEstimate,
+                inFlight,
                 waiting,
-                faults,
-                distrusted ? ",silent" : "");
+                faultRatio,
+                ejected ? ",silent" : "");
     }
 }
--- a/src/main/java/sagepulley/scheduler/KeyQueue.java
+++ b/src/main/java/sagepulley/scheduler/KeyQueue.java
@@ -7,5 +7,5 @@
 /** Operations of one key, in the order taken, where a band asks for order. */
 final class KeyQueue {
     final List<Operation> operations = new ArrayList<>(2);
-    double restsUntil = Double.NEGATIVE_INFINITY;
+    double idleUntil = Double.NEGATIVE_INFINITY;
 }
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -135,7 +135,7 @@
     private static final double TIER_STEP = 2;
     private static final int LATE = 1000;
 
-    private final Deployment site;
+    private final Deployment deployment;
     private final ServicePolicy policy;
     private final RandomGenerator random;
     final TrafficClassStats[] classStats;
@@ -165,13 +165,13 @@
     private final SlidingWindowCounter taken;
     private final SlidingWindowCounter further;
     private final ArrivalWindow freshLoad = ArrivalWindow.over(OVERLOAD_WINDOW);
-    private double shortestTarget;
-    private final double lastCall;
+    private double shortestObjective;
+    private final double deadlineMargin;
     final EndpointLease lease;
     private int waiting;
 
     /** Counts what may change whose turn it is. */
-    private long state;
+    private long version;
 
     private double bornAt;
     private double servedUnits;
@@ -191,22 +191,22 @@
 
     /** What differs by band. */
     static final class TrafficClassStats {
-        double patienceSeen;
-        double basePace;
-        double meanPace;
-        double leftAge;
-        double leftShare;
+        double longestDeadline;
+        double baseServiceTime;
+        double meanServiceTime;
+        double cancellationAge;
+        double cancellationRatio;
     }
 
     public Scheduler(Deployment site, long seed) {
-        this.site = site;
+        this.deployment = site;
         this.policy = site.policy();
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.classStats = new TrafficClassStats[site.trafficClasses().size()];
         for (TrafficClass trafficClass : site.trafficClasses()) {
             classStats[trafficClass.index()] = new TrafficClassStats();
         }
-        this.lastCall = 1.5 * site.tick();
+        this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
         this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
         double window = policy.hasRetryBudget() ? policy.retryBudgetWindow() : 1;
@@ -245,11 +245,11 @@
                     endpoint.startedAt = now;
                 }
             } else if (lease.isBounded()
-                    ? node.startedAt != endpoint.toldStart
+                    ? node.startedAt != endpoint.reportedStart
                     : node.startedAt > endpoint.startedAt) {
-                endpoint.toldStart = node.startedAt;
+                endpoint.reportedStart = node.startedAt;
                 endpoint.startedAt = possibleStart(node.startedAt, now);
-                endpoint.bound = LEAST_BOUND;
+                endpoint.concurrencyLimit = LEAST_BOUND;
             }
         }
         seatsByCell.clear();
@@ -258,7 +258,7 @@
                     .computeIfAbsent(endpoint.node.cell, any -> new ArrayList<>(1))
                     .add(endpoint);
         }
-        state++;
+        version++;
         if (!knowsList) {
             knowsList = true;
             bornAt = now;
@@ -272,7 +272,7 @@
         queueAnew(homeless);
         for (EndpointState endpoint : endpoints) {
             if (endpoint.node.phase != Node.Phase.READY) {
-                queueAnew(endpoint.waiting);
+                queueAnew(endpoint.waitQueue);
             }
         }
     }
@@ -302,7 +302,7 @@
     /** The list held is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
-        state++;
+        version++;
         discovery.answered();
     }
 
@@ -346,12 +346,15 @@
         double age = now - operation.arrivedAt;
         // Whoever leaves before an answer usually comes has reasons of its own, and tells nothing
         // of waiting.
-        if (age > row.meanPace * operation.units) {
-            row.leftAge = row.leftShare == 0 ? age : row.leftAge + LEFT_STEP * (age - row.leftAge);
-            row.leftShare += LEFT_STEP * (1 - row.leftShare);
+        if (age > row.meanServiceTime * operation.units) {
+            row.cancellationAge =
+                    row.cancellationRatio == 0
+                            ? age
+                            : row.cancellationAge + LEFT_STEP * (age - row.cancellationAge);
+            row.cancellationRatio += LEFT_STEP * (1 - row.cancellationRatio);
         }
         for (Attempt attempt : operation.attempts) {
-            if (attempt.outcome == null && site.mayCancel()) {
+            if (attempt.outcome == null && deployment.mayCancel()) {
                 unwanted.add(attempt);
             }
         }
@@ -362,7 +365,7 @@
      * out.
      */
     public void onExtentLocated(Operation operation, int cell) {
-        boolean waits = ((QueuedRequest) operation.schedulerState).waits;
+        boolean waits = ((QueuedRequest) operation.schedulerState).queued;
         dequeue(operation);
         operation.shard = cell;
         if (waits) {
@@ -384,14 +387,14 @@
             drop(operation);
             return RoutingDecision.NOT_YET;
         }
-        if (!request.waits) {
+        if (!request.queued) {
             enqueue(operation);
             if (operation.attempts.isEmpty()) {
                 load(request.endpoint).arrivals().add(now, 1);
             }
             if (operation.attempts.isEmpty() && request.endpoint != null) {
                 use(account(operation.volume, now), request.endpoint)
-                        .asked
+                        .demand
                         .add(now, operation.units);
             }
         }
@@ -400,7 +403,7 @@
         if (endpoint != null && isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
         }
-        if (!mayAttempt || now >= operation.deadline - lastCall || lateAt(operation) <= now) {
+        if (!mayAttempt || now >= operation.deadline - deadlineMargin || lateAt(operation) <= now) {
             return giveUp(operation, now);
         }
         return RoutingDecision.NOT_YET;
@@ -410,15 +413,15 @@
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
         EndpointState endpoint = (EndpointState) attempt.node.schedulerState;
-        endpoint.out.remove(attempt);
-        state++;
+        endpoint.inFlight.remove(attempt);
+        version++;
         learn(attempt, endpoint, now);
         QueuedRequest request = (QueuedRequest) operation.schedulerState;
-        if (request.line != null
+        if (request.keyQueue != null
                 && (attempt.outcome == Outcome.TIMED_OUT
                         || attempt.outcome == Outcome.RESET
                         || attempt.outcome == Outcome.CANCELLED)) {
-            request.line.restsUntil = now + policy.keyIdleTime();
+            request.keyQueue.idleUntil = now + policy.keyIdleTime();
         }
         if (operation.ended) {
             drop(operation);
@@ -430,7 +433,7 @@
     /** How long to wait before asking again, and what is due now. */
     public SchedulerTurn nextTurn(double now) {
         nextLook = Double.POSITIVE_INFINITY;
-        state++;
+        version++;
         refresh(now);
         List<Operation> due = new ArrayList<>(4);
         List<Operation> late = overdue(now);
@@ -464,23 +467,28 @@
      */
     private List<Operation> overdue(double now) {
         List<Operation> late = new ArrayList<>(0);
-        for (DeadlineIndex.Group kind : waits.kinds()) {
+        for (DeadlineIndex.Group kind : waits.groups()) {
             double early =
-                    LATE_FACTOR * (classStats[kind.trafficClass.index()].meanPace * kind.units);
+                    LATE_FACTOR
+                            * (classStats[kind.trafficClass.index()].meanServiceTime * kind.units);
             double target = target(kind.trafficClass);
             // Sorted by each of the three times that may end it: nobody is walked who is not
             // overdue.
-            kind.first(
-                    kind.byTarget, request -> request.targetEnds - early, now, late, this::lookAt);
-            kind.first(
+            kind.collectOverdue(
+                    kind.byObjective,
+                    request -> request.objectiveAt - early,
+                    now,
+                    late,
+                    this::lookAt);
+            kind.collectOverdue(
                     kind.byArrival,
                     request -> request.operation.arrivedAt + target - early,
                     now,
                     late,
                     this::lookAt);
-            kind.first(
-                    kind.byPatience,
-                    request -> request.operation.deadline - lastCall,
+            kind.collectOverdue(
+                    kind.byDeadline,
+                    request -> request.operation.deadline - deadlineMargin,
                     now,
                     late,
                     this::lookAt);
@@ -512,7 +520,7 @@
 
     boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
         // 1: one final answer, in time, and nothing after it.
-        if (operation.ended || now >= operation.deadline - lastCall) {
+        if (operation.ended || now >= operation.deadline - deadlineMargin) {
             return false;
         }
         // 3: nothing new to a node that drains or is gone, or may be without our knowing.
@@ -559,7 +567,7 @@
      */
     public boolean mayStart(Attempt it, double now) {
         return !it.operation.ended
-                && now < it.operation.deadline - lastCall
+                && now < it.operation.deadline - deadlineMargin
                 && lease.holds(now)
                 && it.node.phase == Node.Phase.READY
                 && mayRepeat(it.operation, it.node, it, now);
@@ -584,7 +592,8 @@
                         case ZONE -> attempt.node.zone == node.zone;
                         case CELL -> attempt.node.cell == node.cell;
                     };
-            if (!same || now > attempt.sentAt + trafficClass.deduplicationWindow() - lastCall) {
+            if (!same
+                    || now > attempt.sentAt + trafficClass.deduplicationWindow() - deadlineMargin) {
                 return false;
             }
         }
@@ -623,7 +632,7 @@
                                 * Math.max(0, age - policy.overloadWindow())
                                 / policy.slowStartTime();
         double part = Math.min(1, COLD_PART * policy.overloadMultiple() * ramp);
-        if (((QueuedRequest) operation.schedulerState).lot > part) {
+        if (((QueuedRequest) operation.schedulerState).slowStartDraw > part) {
             lookAt(now + COLD_LOOK);
             return false;
         }
@@ -631,23 +640,24 @@
         // way.
         double windows = Math.max(1, (now - bornAt) / policy.overloadWindow());
         double usual = servedUnits / windows / endpoints.size();
-        double spent = endpoint.coldSpent.sumOverestimate(now);
+        double spent = endpoint.slowStartSpent.sumOverestimate(now);
         return operation.attempts.isEmpty()
-                && spent + operation.units <= Math.max(site.maxUnits(), COLD_BURST * part * usual)
+                && spent + operation.units
+                        <= Math.max(deployment.maxUnits(), COLD_BURST * part * usual)
                 && due(operation.volume, operation.units, endpoint, now)
-                        >= site.shareWeightFraction();
+                        >= deployment.shareWeightFraction();
     }
 
     boolean isFirstOfKey(Operation operation, double now) {
-        KeyQueue line = ((QueuedRequest) operation.schedulerState).line;
+        KeyQueue line = ((QueuedRequest) operation.schedulerState).keyQueue;
         if (line == null) {
             return true;
         }
         if (line.operations.get(0) != operation) {
             return false;
         }
-        if (operation.attempts.isEmpty() && now <= line.restsUntil) {
-            lookAt(line.restsUntil + site.tick());
+        if (operation.attempts.isEmpty() && now <= line.idleUntil) {
+            lookAt(line.idleUntil + deployment.tick());
             return false;
         }
         return true;
@@ -660,13 +670,13 @@
         }
         TenantUsage account = account(volume, now);
         double parts = volume.gatewayCount;
-        account.limit =
+        account.limitLeft =
                 Math.min(
                         volume.plan.limitBurst() / parts,
-                        account.limit + rate / parts * (now - account.limitAt) / 1000);
-        account.limitAt = now;
+                        account.limitLeft + rate / parts * (now - account.limitUpdatedAt) / 1000);
+        account.limitUpdatedAt = now;
         lookAt(now + COLD_LOOK);
-        return account.limit;
+        return account.limitLeft;
     }
 
     // ---- sending ----
@@ -676,14 +686,14 @@
         dequeue(operation);
         Attempt attempt = new Attempt(operation, endpoint.node, operation.attempts.size(), now);
         operation.attempts.add(attempt);
-        endpoint.out.add(attempt);
-        endpoint.sentAt = now;
-        endpoint.coldSpent.add(now, operation.units);
+        endpoint.inFlight.add(attempt);
+        endpoint.lastSentAt = now;
+        endpoint.slowStartSpent.add(now, operation.units);
         if (operation.extent != 0 && operation.extent == endpoint.lastExtent) {
-            endpoint.runLeft--;
+            endpoint.runRemaining--;
         } else {
             endpoint.lastExtent = operation.extent;
-            endpoint.runLeft = RUN - 1;
+            endpoint.runRemaining = RUN - 1;
         }
         if (operation.shard < 0) {
             endpoint.placements.add(now, 1);
@@ -692,9 +702,9 @@
         attempt.quotaTier = quotaTier(operation, endpoint, now);
         if (first) {
             if (operation.shard < 0) {
-                use(account, endpoint).asked.add(now, operation.units);
+                use(account, endpoint).demand.add(now, operation.units);
             }
-            account.limit -= operation.units;
+            account.limitLeft -= operation.units;
             spend(operation.volume, endpoint, operation.units, now);
         } else {
             further.add(now, 1);
@@ -710,12 +720,12 @@
      */
     private double timeout(Operation operation, double now) {
         TrafficClass trafficClass = operation.trafficClass;
-        double end = ((QueuedRequest) operation.schedulerState).targetEnds;
+        double end = ((QueuedRequest) operation.schedulerState).objectiveAt;
         // What is late already, or worth nearly as much when late, goes on for a while.
         if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
             end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
         }
-        return Math.min(end, operation.deadline - lastCall) - now;
+        return Math.min(end, operation.deadline - deadlineMargin) - now;
     }
 
     private RoutingDecision giveUp(Operation operation, double now) {
@@ -725,12 +735,12 @@
         forsake(operation);
         operation.ended = true;
         // A share that only answers wore off would last for good where it forbids every attempt.
-        classStats[operation.trafficClass.index()].leftShare *= 1 - LEFT_STEP;
+        classStats[operation.trafficClass.index()].cancellationRatio *= 1 - LEFT_STEP;
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
         EndpointState endpoint = ((QueuedRequest) operation.schedulerState).endpoint;
         if (endpoint == null || sound(endpoint, now)) {
-            load(endpoint).declines().add(now, 1);
+            load(endpoint).rejections().add(now, 1);
         }
         if (!mayDecline(operation)) {
             return RoutingDecision.ABANDONED;
@@ -738,7 +748,7 @@
         Reason reason =
                 !lease.holds(now)
                         ? Reason.NO_LEASE
-                        : now >= operation.deadline - lastCall
+                        : now >= operation.deadline - deadlineMargin
                                 ? Reason.DEADLINE
                                 : lateAt(operation) <= now
                                         ? Reason.OBJECTIVE_MISSED
@@ -750,14 +760,15 @@
      * When to ask again: once the queue has drained, or as late as may be told of a failing node.
      */
     private double comeBack(EndpointState endpoint, double now) {
-        if (!site.mayRetryAfter()) {
+        if (!deployment.mayRetryAfter()) {
             return 0;
         }
         if (endpoint != null && !sound(endpoint, now)) {
-            return site.maxRetryAfter();
+            return deployment.maxRetryAfter();
         }
-        double queue = (endpoint == null ? 1 : endpoint.crowd) * QUEUE_SHARE * shortestTarget;
-        return Math.min(site.maxRetryAfter(), queue);
+        double queue =
+                (endpoint == null ? 1 : endpoint.queueEstimate) * QUEUE_SHARE * shortestObjective;
+        return Math.min(deployment.maxRetryAfter(), queue);
     }
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
@@ -773,13 +784,13 @@
         ArrivalWindow load = load(endpoint);
         return (endpoint == null
                         ? waiting > endpoints.size()
-                        : endpoint.waiting.size() > (int) endpoint.bound)
-                || load.declines().sumOverestimate(now)
+                        : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit)
+                || load.rejections().sumOverestimate(now)
                         > OVERLOAD_SHARE * load.arrivals().sumOverestimate(now) + 1;
     }
 
     private ArrivalWindow load(EndpointState endpoint) {
-        return endpoint == null ? freshLoad : endpoint.load;
+        return endpoint == null ? freshLoad : endpoint.arrivalWindow;
     }
 
     // ---- whose turn it is ----
@@ -811,15 +822,15 @@
         }
         if (isUnresponsive(endpoint, now)) {
             // One operation at a time tries a node that takes work and answers none.
-            double next = endpoint.sentAt + TRIAL_SHARE * shortestTarget;
+            double next = endpoint.lastSentAt + TRIAL_SHARE * shortestObjective;
             if (now < next) {
                 lookAt(next);
                 return false;
             }
-            return endpoint.out.size() < MOST_BOUND;
+            return endpoint.inFlight.size() < MOST_BOUND;
         }
-        int over = endpoint.runLeft > 0 && endpoint.sentAt == now ? RUN_OVER : 0;
-        return endpoint.out.size() < (int) endpoint.bound + over;
+        int over = endpoint.runRemaining > 0 && endpoint.lastSentAt == now ? RUN_OVER : 0;
+        return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit + over;
     }
 
     /** Whether a node serves as it should: not cold, not silent, and not failing. */
@@ -827,18 +838,18 @@
         return endpoint.node.phase == Node.Phase.READY
                 && !isUnresponsive(endpoint, now)
                 && now - endpoint.startedAt >= policy.slowStartTime()
-                && endpoint.faults <= MOST_FAULTS;
+                && endpoint.faultRatio <= MOST_FAULTS;
     }
 
     boolean isUnresponsive(EndpointState endpoint, double now) {
-        if (endpoint.distrusted) {
+        if (endpoint.ejected) {
             return true;
         }
-        if (endpoint.out.isEmpty()) {
+        if (endpoint.inFlight.isEmpty()) {
             return false;
         }
-        double since = Math.max(endpoint.out.get(0).sentAt, endpoint.heardAt);
-        double limit = shortestTarget * SILENCE_SHARE;
+        double since = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
+        double limit = shortestObjective * SILENCE_SHARE;
         if (now - since > limit) {
             return true;
         }
@@ -848,28 +859,29 @@
 
     /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
     private Operation pick(EndpointState endpoint, double now) {
-        if (endpoint.waiting.isEmpty() || !hasCapacity(endpoint, now)) {
+        if (endpoint.waitQueue.isEmpty() || !hasCapacity(endpoint, now)) {
             return null;
         }
         // Asked again with nothing changed, as pause and place do one after the other.
-        if (endpoint.pickedAt != now || endpoint.pickedState != state) {
-            endpoint.picked = pickAnew(endpoint, now);
-            endpoint.pickedAt = now;
-            endpoint.pickedState = state;
+        if (endpoint.selectedAt != now || endpoint.selectedVersion != version) {
+            endpoint.selected = pickAnew(endpoint, now);
+            endpoint.selectedAt = now;
+            endpoint.selectedVersion = version;
         }
-        return endpoint.picked;
+        return endpoint.selected;
     }
 
     private Operation pickAnew(EndpointState endpoint, double now) {
-        if (endpoint.runLeft > 0) {
-            for (Operation operation : endpoint.waiting.of(endpoint.lastExtent)) {
+        if (endpoint.runRemaining > 0) {
+            for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
                 if (isAllowed(operation, endpoint, now) && !isHeldBack(operation, endpoint, now)) {
                     return operation;
                 }
             }
         }
-        Operation best = first(endpoint.waiting, endpoint, now);
-        return endpoint.out.size() < (int) endpoint.bound || isUnresponsive(endpoint, now)
+        Operation best = first(endpoint.waitQueue, endpoint, now);
+        return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit
+                        || isUnresponsive(endpoint, now)
                 ? best
                 : null;
     }
@@ -883,11 +895,13 @@
         boolean each = endpoint != null && now - endpoint.startedAt < policy.slowStartTime();
         Operation best = null;
         int bestTier = -1;
-        for (NavigableSet<QueuedRequest> alike : queue.alike()) {
+        for (NavigableSet<QueuedRequest> alike : queue.groups()) {
             for (QueuedRequest request : alike) {
                 Operation operation = request.operation;
                 boolean stands =
-                        !each && lateAt(operation) > now && now < operation.deadline - lastCall;
+                        !each
+                                && lateAt(operation) > now
+                                && now < operation.deadline - deadlineMargin;
                 if (endpoint == null
                         || (isAllowed(operation, endpoint, now)
                                 && !isHeldBack(operation, endpoint, now))) {
@@ -913,27 +927,29 @@
 
     private static boolean earlier(QueuedRequest one, Operation other) {
         double apart = one.operation.deadline - other.deadline;
-        return apart < 0 || (apart == 0 && one.turn < ((QueuedRequest) other.schedulerState).turn);
+        return apart < 0
+                || (apart == 0 && one.sequence < ((QueuedRequest) other.schedulerState).sequence);
     }
 
     /** A queue seen holds back what is late, and past part of the bound what is over its level. */
     boolean isHeldBack(Operation operation, EndpointState endpoint, double now) {
-        if (endpoint.crowd <= CROWDED_LEAST) {
+        if (endpoint.queueEstimate <= CROWDED_LEAST) {
             return false;
         }
         if (lateAt(operation) <= now) {
             return true;
         }
-        if (endpoint.out.size() < (int) (endpoint.bound * BEYOND_PART)) {
+        if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * BEYOND_PART)) {
             return false;
         }
         TenantUsage account = account(operation.volume, now);
-        if (account.reserve >= operation.units) {
-            return endpoint.crowd > admissionFactor * CROWDED_RESERVE;
+        if (account.reservationLeft >= operation.units) {
+            return endpoint.queueEstimate > admissionFactor * CROWDED_RESERVE;
         }
-        double used = use(account, endpoint).beyond.sumOverestimate(now) + operation.units / 2;
+        double used =
+                use(account, endpoint).beyondReservation.sumOverestimate(now) + operation.units / 2;
         double over = used / evenLevel(operation.volume);
-        return endpoint.crowd
+        return endpoint.queueEstimate
                 > Math.max(
                         CROWDED_LEAST, admissionFactor * Math.min(CROWDED_SHARE, CROWDED / over));
     }
@@ -963,42 +979,47 @@
         }
         TrafficClass trafficClass = operation.trafficClass;
         double part = due(operation.volume, operation.units, endpoint, now);
-        double pace = classStats[trafficClass.index()].meanPace + 1e-9;
+        double pace = classStats[trafficClass.index()].meanServiceTime + 1e-9;
         double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
 
     private double due(Volume volume, double units, EndpointState endpoint, double now) {
         TenantUsage account = account(volume, now);
-        if (account.reserve >= units) {
+        if (account.reservationLeft >= units) {
             return 1;
         }
         // Where many gateways share a node, none sees enough of it to deal it out: a volume that
         // takes far more of it than its weight of what all volumes are sized for surges.
         double used =
-                (endpoint == null ? account.beyond : use(account, endpoint).beyond)
+                (endpoint == null
+                                        ? account.beyondReservation
+                                        : use(account, endpoint).beyondReservation)
                                 .sumOverestimate(now)
                         + units / 2;
         if (used > HEADROOM * evenLevel(volume)) {
-            return site.excessWeightFraction();
+            return deployment.excessWeightFraction();
         }
         if (endpoint == null || now - endpoint.startedAt < policy.slowStartTime()) {
-            return site.shareWeightFraction();
+            return deployment.shareWeightFraction();
         }
         return used <= volume.plan.weight() * fair(endpoint, now)
-                ? site.shareWeightFraction()
-                : site.excessWeightFraction();
+                ? deployment.shareWeightFraction()
+                : deployment.excessWeightFraction();
     }
 
     /** The part of its plan that an operation is in, by the level last dealt out. */
     QuotaTier quotaTier(Operation operation, EndpointState endpoint, double now) {
         TenantUsage account = account(operation.volume, now);
-        if (account.reserve >= operation.units) {
+        if (account.reservationLeft >= operation.units) {
             return QuotaTier.RESERVATION;
         }
         double top =
-                Math.min(HEADROOM * evenLevel(operation.volume), account.weight * endpoint.fair);
-        return use(account, endpoint).beyond.sumOverestimate(now) <= top - operation.units / 2
+                Math.min(
+                        HEADROOM * evenLevel(operation.volume),
+                        account.weight * endpoint.fairLevel);
+        return use(account, endpoint).beyondReservation.sumOverestimate(now)
+                        <= top - operation.units / 2
                 ? QuotaTier.SHARE
                 : QuotaTier.EXCESS;
     }
@@ -1009,22 +1030,22 @@
      * demand counts above what it asked.
      */
     private double fair(EndpointState endpoint, double now) {
-        if (now < endpoint.fairUntil) {
-            return endpoint.fair;
+        if (now < endpoint.fairLevelValidUntil) {
+            return endpoint.fairLevel;
         }
-        endpoint.fairUntil = now + FAIR_REFRESH;
+        endpoint.fairLevelValidUntil = now + FAIR_REFRESH;
         double left = 0;
         double weights = 0;
         int open = 0;
-        for (TenantEndpointUsage use : endpoint.uses) {
-            use.served = use.beyond.sumOverestimate(now);
-            use.wants =
+        for (TenantEndpointUsage use : endpoint.tenantUsages) {
+            use.served = use.beyondReservation.sumOverestimate(now);
+            use.shareDemand =
                     Math.max(
                             use.served,
-                            use.asked.sumOverestimate(now) - use.reserved.sumOverestimate(now));
+                            use.demand.sumOverestimate(now) - use.reserved.sumOverestimate(now));
             left += use.served;
-            use.open = use.wants > 0;
-            if (use.open) {
+            use.unsatisfied = use.shareDemand > 0;
+            if (use.unsatisfied) {
                 weights += use.weight;
                 open++;
             }
@@ -1032,29 +1053,29 @@
         // Whoever wants less than an even level is content with it; the rest is dealt out anew.
         for (boolean again = true; again && open > 0; ) {
             again = false;
-            for (TenantEndpointUsage use : endpoint.uses) {
-                if (use.open && use.wants <= use.weight * left / weights) {
-                    use.open = false;
+            for (TenantEndpointUsage use : endpoint.tenantUsages) {
+                if (use.unsatisfied && use.shareDemand <= use.weight * left / weights) {
+                    use.unsatisfied = false;
                     open--;
-                    left -= use.wants;
+                    left -= use.shareDemand;
                     weights -= use.weight;
                     again = true;
                 }
             }
         }
-        endpoint.fair = open == 0 ? Double.POSITIVE_INFINITY : left / weights;
-        return endpoint.fair;
+        endpoint.fairLevel = open == 0 ? Double.POSITIVE_INFINITY : left / weights;
+        return endpoint.fairLevel;
     }
 
     private void spend(Volume volume, EndpointState endpoint, double units, double now) {
         TenantUsage account = account(volume, now);
         TenantEndpointUsage use = use(account, endpoint);
-        if (account.reserve >= units) {
-            account.reserve -= units;
+        if (account.reservationLeft >= units) {
+            account.reservationLeft -= units;
             use.reserved.add(now, units);
         } else {
-            use.beyond.add(now, units);
-            account.beyond.add(now, units);
+            use.beyondReservation.add(now, units);
+            account.beyondReservation.add(now, units);
         }
     }
 
@@ -1066,22 +1087,22 @@
     private void hear(Volume volume, EndpointState endpoint, double units, double now) {
         TenantUsage account = account(volume, now);
         TenantEndpointUsage use = use(account, endpoint);
-        double unspent = Math.min(account.lost, units);
-        account.lost -= unspent;
-        double reserved = Math.min(Math.max(0, account.reserve), units - unspent);
-        account.reserve -= reserved;
-        double lately = Math.min(1, SHARE_WINDOW / Math.max(1, now - use.toldAt));
+        double unspent = Math.min(account.reservationOverflow, units);
+        account.reservationOverflow -= unspent;
+        double reserved = Math.min(Math.max(0, account.reservationLeft), units - unspent);
+        account.reservationLeft -= reserved;
+        double lately = Math.min(1, SHARE_WINDOW / Math.max(1, now - use.reportedAt));
         use.reserved.add(now, (unspent + reserved) * lately);
-        use.beyond.add(now, (units - unspent - reserved) * lately);
-        account.beyond.add(now, (units - unspent - reserved) * lately);
-        use.asked.add(now, units * lately);
+        use.beyondReservation.add(now, (units - unspent - reserved) * lately);
+        account.beyondReservation.add(now, (units - unspent - reserved) * lately);
+        use.demand.add(now, units * lately);
     }
 
     private TenantEndpointUsage use(TenantUsage account, EndpointState endpoint) {
-        if (endpoint.index >= account.uses.length) {
-            account.uses = Arrays.copyOf(account.uses, endpoints.size());
+        if (endpoint.index >= account.byEndpoint.length) {
+            account.byEndpoint = Arrays.copyOf(account.byEndpoint, endpoints.size());
         }
-        TenantEndpointUsage use = account.uses[endpoint.index];
+        TenantEndpointUsage use = account.byEndpoint[endpoint.index];
         if (use == null || use.endpoint != endpoint) {
             use =
                     new TenantEndpointUsage(
@@ -1090,8 +1111,8 @@
                             new SlidingWindowCounter(SHARE_WINDOW, 5),
                             new SlidingWindowCounter(SHARE_WINDOW, 5),
                             new SlidingWindowCounter(SHARE_WINDOW, 5));
-            account.uses[endpoint.index] = use;
-            endpoint.uses.add(use);
+            account.byEndpoint[endpoint.index] = use;
+            endpoint.tenantUsages.add(use);
         }
         return use;
     }
@@ -1116,7 +1137,7 @@
             // A node that fails at once looks idle: without this it draws every new object.
             // A cold node shows no placements and no latency: new objects would pour onto it.
             if (!hasCapacity(endpoint, now)
-                    || endpoint.out.size() >= (int) endpoint.bound
+                    || endpoint.inFlight.size() >= (int) endpoint.concurrencyLimit
                     || !sound(endpoint, now)
                     || !isAllowed(operation, endpoint, now)
                     || isHeldBack(operation, endpoint, now)
@@ -1128,19 +1149,21 @@
                 continue;
             }
             double preference =
-                    site.hasNodeWeights() && endpoint.node.weight > 0
+                    deployment.hasNodeWeights() && endpoint.node.weight > 0
                             ? weight / ready / endpoint.node.weight
                             : 1;
-            if (site.crossZonePrice() > 0 && endpoint.node.zone != site.zone()) {
+            if (deployment.crossZonePrice() > 0 && endpoint.node.zone != deployment.zone()) {
                 preference += 1;
             }
             // A busy degree a second old sends a second's new objects one way: what is out there
             // now, and the queue that the latest answers showed, count with it.
-            double busy = endpoint.busy * (1 + OUT_PART * endpoint.out.size()) + endpoint.crowd;
+            double busy =
+                    endpoint.latencyRatio * (1 + OUT_PART * endpoint.inFlight.size())
+                            + endpoint.queueEstimate;
             double score =
                     ALPHA * (endpoint.placements.sumOverestimate(now) + 1) / (mean / ready + 1)
                             + GAMMA * busy
-                            + DELTA * endpoint.fragment
+                            + DELTA * endpoint.writeReadRatio
                             + ETA * preference;
             if (score < least) {
                 least = score;
@@ -1155,17 +1178,20 @@
             return;
         }
         refreshAt = now + BUSY_REFRESH;
-        shortestTarget = site.trafficClasses().stream().mapToDouble(this::target).min().orElse(0);
-        double crowds = endpoints.stream().mapToDouble(endpoint -> endpoint.crowd).sum();
+        shortestObjective =
+                deployment.trafficClasses().stream().mapToDouble(this::target).min().orElse(0);
+        double crowds = endpoints.stream().mapToDouble(endpoint -> endpoint.queueEstimate).sum();
         for (EndpointState endpoint : endpoints) {
             // What was seen of one node fades into what is seen of all.
-            endpoint.crowd =
+            endpoint.queueEstimate =
                     CROWD_FADE
-                            * (CROWD_KEEP * endpoint.crowd
+                            * (CROWD_KEEP * endpoint.queueEstimate
                                     + (1 - CROWD_KEEP) * crowds / endpoints.size());
-            endpoint.faults *= FAULT_KEEP;
-            if (now - endpoint.cutAt > BUSY_REFRESH && endpoint.bound < FIRST_BOUND) {
-                endpoint.bound = Math.min(FIRST_BOUND, endpoint.bound + BOUND_REST);
+            endpoint.faultRatio *= FAULT_KEEP;
+            if (now - endpoint.limitReducedAt > BUSY_REFRESH
+                    && endpoint.concurrencyLimit < FIRST_BOUND) {
+                endpoint.concurrencyLimit =
+                        Math.min(FIRST_BOUND, endpoint.concurrencyLimit + BOUND_REST);
             }
         }
         double busySum = 0;
@@ -1173,41 +1199,47 @@
         int busyCount = 0;
         int fragmentCount = 0;
         for (EndpointState endpoint : endpoints) {
-            double units = endpoint.units[0] + endpoint.units[1];
+            double units = endpoint.servedUnits[0] + endpoint.servedUnits[1];
             if (units > 0) {
-                endpoint.rawBusy =
-                        smooth(endpoint.rawBusy, (endpoint.took[0] + endpoint.took[1]) / units);
+                endpoint.smoothedServiceTime =
+                        smooth(
+                                endpoint.smoothedServiceTime,
+                                (endpoint.responseMillis[0] + endpoint.responseMillis[1]) / units);
             }
             for (int i = 0; i < 2; i++) {
-                if (endpoint.units[i] > 0) {
-                    endpoint.pace[i] =
-                            smooth(endpoint.pace[i], endpoint.took[i] / endpoint.units[i]);
+                if (endpoint.servedUnits[i] > 0) {
+                    endpoint.serviceTimes[i] =
+                            smooth(
+                                    endpoint.serviceTimes[i],
+                                    endpoint.responseMillis[i] / endpoint.servedUnits[i]);
                 }
-                endpoint.took[i] = 0;
-                endpoint.units[i] = 0;
+                endpoint.responseMillis[i] = 0;
+                endpoint.servedUnits[i] = 0;
             }
-            if (!Double.isNaN(endpoint.rawBusy)) {
-                busySum += endpoint.rawBusy;
+            if (!Double.isNaN(endpoint.smoothedServiceTime)) {
+                busySum += endpoint.smoothedServiceTime;
                 busyCount++;
             }
-            if (!Double.isNaN(endpoint.pace[0])
-                    && !Double.isNaN(endpoint.pace[1])
-                    && endpoint.pace[0] > 0) {
-                fragmentSum += endpoint.pace[1] / endpoint.pace[0];
+            if (!Double.isNaN(endpoint.serviceTimes[0])
+                    && !Double.isNaN(endpoint.serviceTimes[1])
+                    && endpoint.serviceTimes[0] > 0) {
+                fragmentSum += endpoint.serviceTimes[1] / endpoint.serviceTimes[0];
                 fragmentCount++;
             }
         }
         for (EndpointState endpoint : endpoints) {
-            endpoint.busy =
-                    Double.isNaN(endpoint.rawBusy) || !(busySum > 0)
+            endpoint.latencyRatio =
+                    Double.isNaN(endpoint.smoothedServiceTime) || !(busySum > 0)
                             ? 1
-                            : endpoint.rawBusy / (busySum / busyCount);
-            endpoint.fragment =
-                    Double.isNaN(endpoint.pace[0])
-                                    || Double.isNaN(endpoint.pace[1])
+                            : endpoint.smoothedServiceTime / (busySum / busyCount);
+            endpoint.writeReadRatio =
+                    Double.isNaN(endpoint.serviceTimes[0])
+                                    || Double.isNaN(endpoint.serviceTimes[1])
                                     || !(fragmentSum > 0)
                             ? 1
-                            : endpoint.pace[1] / endpoint.pace[0] / (fragmentSum / fragmentCount);
+                            : endpoint.serviceTimes[1]
+                                    / endpoint.serviceTimes[0]
+                                    / (fragmentSum / fragmentCount);
         }
     }
 
@@ -1223,27 +1255,27 @@
             hear(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
         }
         if (attempt.outcome == Outcome.SERVED) {
-            use(account(operation.volume, now), endpoint).toldAt = now;
+            use(account(operation.volume, now), endpoint).reportedAt = now;
         }
         switch (attempt.outcome) {
             case SERVED -> {
-                endpoint.heardAt = now;
-                endpoint.distrusted = false;
-                endpoint.faults -= FAULT_STEP * endpoint.faults;
+                endpoint.lastResponseAt = now;
+                endpoint.ejected = false;
+                endpoint.faultRatio -= FAULT_STEP * endpoint.faultRatio;
             }
             case FAILED -> {
-                endpoint.heardAt = now;
-                endpoint.faults += FAULT_STEP * (1 - endpoint.faults);
+                endpoint.lastResponseAt = now;
+                endpoint.faultRatio += FAULT_STEP * (1 - endpoint.faultRatio);
             }
             // A full node is up, but one that hangs turns work away as well: only an answer
             // restores trust. A connection that breaks may be the only thing that did: if the node
             // is down, the next one tells.
-            case NO_CONNECTION -> endpoint.distrusted |= endpoint.heardAt < attempt.sentAt;
+            case NO_CONNECTION -> endpoint.ejected |= endpoint.lastResponseAt < attempt.sentAt;
             // An attempt that had little time left tells as little.
             case TIMED_OUT ->
-                    endpoint.distrusted |=
-                            endpoint.heardAt < attempt.sentAt
-                                    && attempt.duration >= SILENCE_SHARE * shortestTarget;
+                    endpoint.ejected |=
+                            endpoint.lastResponseAt < attempt.sentAt
+                                    && attempt.duration >= SILENCE_SHARE * shortestObjective;
             default -> {}
         }
         if (attempt.outcome == Outcome.REJECTED) {
@@ -1258,7 +1290,7 @@
             return;
         }
         TrafficClassStats row = classStats[operation.trafficClass.index()];
-        row.leftShare -= LEFT_STEP * row.leftShare;
+        row.cancellationRatio -= LEFT_STEP * row.cancellationRatio;
         servedUnits += operation.units;
         // How long a queue may be before anyone is held back follows how many answers come late.
         admissionFactor =
@@ -1266,48 +1298,54 @@
                         ? Math.max(LEAST_EASE, admissionFactor * (1 - EASE_CUT))
                         : Math.min(MOST_EASE, admissionFactor * (1 + EASE_STEP));
         double pace = attempt.duration / operation.units;
-        if (row.basePace == 0) {
-            row.basePace = pace / 2;
-            row.meanPace = pace;
+        if (row.baseServiceTime == 0) {
+            row.baseServiceTime = pace / 2;
+            row.meanServiceTime = pace;
         }
-        row.basePace *=
-                pace < row.basePace
+        row.baseServiceTime *=
+                pace < row.baseServiceTime
                         ? 1 - PACE_STEP * (1 - PACE_QUANTILE)
                         : 1 + PACE_STEP * PACE_QUANTILE;
-        row.meanPace += PACE_STEP * (Math.min(pace, 4 * row.meanPace) - row.meanPace);
+        row.meanServiceTime +=
+                PACE_STEP * (Math.min(pace, 4 * row.meanServiceTime) - row.meanServiceTime);
         int way = operation.trafficClass.writes() ? 1 : 0;
-        endpoint.took[way] += attempt.duration;
-        endpoint.units[way] += operation.units;
-        double queued = attempt.duration - operation.units * row.basePace;
+        endpoint.responseMillis[way] += attempt.duration;
+        endpoint.servedUnits[way] += operation.units;
+        double queued = attempt.duration - operation.units * row.baseServiceTime;
         crowd(endpoint, queued, 1, now);
-        if (queued > QUEUE_SHARE * shortestTarget) {
+        if (queued > QUEUE_SHARE * shortestObjective) {
             cut(endpoint, attempt, now);
-        } else if (endpoint.bound < MOST_BOUND) {
-            endpoint.bound = Math.min(MOST_BOUND, endpoint.bound + BOUND_STEP / endpoint.bound);
+        } else if (endpoint.concurrencyLimit < MOST_BOUND) {
+            endpoint.concurrencyLimit =
+                    Math.min(
+                            MOST_BOUND,
+                            endpoint.concurrencyLimit + BOUND_STEP / endpoint.concurrencyLimit);
         }
     }
 
     /** Few answers must tell as much as many: one counts the more, the longer ago the last came. */
     private void crowd(EndpointState endpoint, double queued, double part, double now) {
-        double step = Math.max(CROWD_STEP, 1 - Math.exp((endpoint.crowdAt - now) / CROWD_TIME));
-        endpoint.crowdAt = now;
-        double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * shortestTarget));
-        endpoint.crowd += part * step * (seen - endpoint.crowd);
+        double step =
+                Math.max(CROWD_STEP, 1 - Math.exp((endpoint.queueObservedAt - now) / CROWD_TIME));
+        endpoint.queueObservedAt = now;
+        double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * shortestObjective));
+        endpoint.queueEstimate += part * step * (seen - endpoint.queueEstimate);
     }
 
     private void cut(EndpointState endpoint, Attempt attempt, double now) {
-        if (attempt.sentAt >= endpoint.cutAt) {
-            endpoint.bound = Math.max(LEAST_BOUND, endpoint.bound * BOUND_CUT);
-            endpoint.cutAt = now;
+        if (attempt.sentAt >= endpoint.limitReducedAt) {
+            endpoint.concurrencyLimit =
+                    Math.max(LEAST_BOUND, endpoint.concurrencyLimit * BOUND_CUT);
+            endpoint.limitReducedAt = now;
         }
     }
 
     /** From when on an operation, if sent, would miss its target time. */
     private double lateAt(Operation operation) {
-        double usual = classStats[operation.trafficClass.index()].meanPace * operation.units;
+        double usual = classStats[operation.trafficClass.index()].meanServiceTime * operation.units;
         double ends =
                 Math.min(
-                        ((QueuedRequest) operation.schedulerState).targetEnds,
+                        ((QueuedRequest) operation.schedulerState).objectiveAt,
                         operation.arrivedAt + target(operation.trafficClass));
         return ends - LATE_FACTOR * usual;
     }
@@ -1315,8 +1353,8 @@
     /** The target time, or the age at which clients leave, where many leave before it. */
     private double target(TrafficClass trafficClass) {
         TrafficClassStats row = classStats[trafficClass.index()];
-        return row.leftShare > LEFT_SHARE
-                ? Math.min(row.leftAge, trafficClass.latencyObjective())
+        return row.cancellationRatio > LEFT_SHARE
+                ? Math.min(row.cancellationAge, trafficClass.latencyObjective())
                 : trafficClass.latencyObjective();
     }
 
@@ -1334,19 +1372,19 @@
         // has less patience left than others. Any other with little patience is only hurried, its
         // target time has just begun.
         double left = operation.deadline - now;
-        row.patienceSeen = Math.max(row.patienceSeen, left);
-        double gone = row.patienceSeen - left;
+        row.longestDeadline = Math.max(row.longestDeadline, left);
+        double gone = row.longestDeadline - left;
         boolean shorter = gone > REPEAT_GONE * operation.trafficClass.latencyObjective();
         Double first = shorter ? unserved.get(operation.extent) : null;
-        request.targetEnds =
+        request.objectiveAt =
                 first != null
                         ? first
                         : now
                                 + operation.trafficClass.latencyObjective()
                                 - (operation.clientRetry ? gone : 0);
         if (operation.trafficClass.ordered() && operation.extent != 0) {
-            request.line = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
-            request.line.operations.add(operation);
+            request.keyQueue = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
+            request.keyQueue.operations.add(operation);
         }
         return request;
     }
@@ -1354,30 +1392,33 @@
     private TenantUsage account(Volume volume, double now) {
         TenantUsage account = (TenantUsage) volume.schedulerState;
         double reserve = volume.plan.reservation();
-        double full = reserve > 0 ? reserve + site.maxUnits() : 0;
+        double full = reserve > 0 ? reserve + deployment.maxUnits() : 0;
         if (account == null) {
             account =
                     new TenantUsage(
                             volume.plan.weight(), now, new SlidingWindowCounter(SHARE_WINDOW, 5));
             weights += volume.plan.weight();
             spare += Math.max(volume.plan.rate() / 2, volume.plan.rate() - reserve);
-            account.reserve = full;
+            account.reservationLeft = full;
             volume.schedulerState = account;
         }
-        if (now > account.reserveAt) {
-            double filled = account.reserve + reserve * (now - account.reserveAt) / 1000;
-            account.reserve = Math.min(full, filled);
-            account.lost =
-                    Math.min(account.lost + filled - account.reserve, reserve * LOST_MEMORY / 1000);
-            account.reserveAt = now;
+        if (now > account.reservationUpdatedAt) {
+            double filled =
+                    account.reservationLeft + reserve * (now - account.reservationUpdatedAt) / 1000;
+            account.reservationLeft = Math.min(full, filled);
+            account.reservationOverflow =
+                    Math.min(
+                            account.reservationOverflow + filled - account.reservationLeft,
+                            reserve * LOST_MEMORY / 1000);
+            account.reservationUpdatedAt = now;
         }
         return account;
     }
 
     private void enqueue(Operation operation) {
-        state++;
+        version++;
         QueuedRequest request = (QueuedRequest) operation.schedulerState;
-        request.waits = true;
+        request.queued = true;
         waiting++;
         request.endpoint = null;
         waits.add(request);
@@ -1397,24 +1438,24 @@
             homeless.add(request);
             return;
         }
-        request.endpoint.waiting.add(request);
+        request.endpoint.waitQueue.add(request);
         waitingSeats.set(request.endpoint.index);
     }
 
     private void dequeue(Operation operation) {
         QueuedRequest request = (QueuedRequest) operation.schedulerState;
-        if (!request.waits) {
+        if (!request.queued) {
             return;
         }
-        state++;
-        request.waits = false;
+        version++;
+        request.queued = false;
         waiting--;
         waits.remove(request);
         if (operation.shard < 0) {
             fresh.remove(request);
         } else if (request.endpoint != null) {
-            request.endpoint.waiting.remove(request);
-            if (request.endpoint.waiting.isEmpty()) {
+            request.endpoint.waitQueue.remove(request);
+            if (request.endpoint.waitQueue.isEmpty()) {
                 waitingSeats.clear(request.endpoint.index);
             }
         } else {
@@ -1429,7 +1470,7 @@
     private void forsake(Operation operation) {
         drop(operation);
         if (operation.extent != 0) {
-            unserved.put(operation.extent, ((QueuedRequest) operation.schedulerState).targetEnds);
+            unserved.put(operation.extent, ((QueuedRequest) operation.schedulerState).objectiveAt);
         }
     }
 
@@ -1440,8 +1481,8 @@
     private void drop(Operation operation) {
         QueuedRequest request = (QueuedRequest) operation.schedulerState;
         dequeue(operation);
-        if (request.line != null && !operation.isInFlight()) {
-            request.line.operations.remove(operation);
+        if (request.keyQueue != null && !operation.isInFlight()) {
+            request.keyQueue.operations.remove(operation);
         }
     }
 }
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -9,18 +9,18 @@
 final class TenantEndpointUsage {
     final EndpointState endpoint;
     final double weight;
-    final SlidingWindowCounter asked;
+    final SlidingWindowCounter demand;
     final SlidingWindowCounter reserved;
-    final SlidingWindowCounter beyond;
+    final SlidingWindowCounter beyondReservation;
 
     /** When the node last answered for the volume. */
-    double toldAt = Double.NEGATIVE_INFINITY;
+    double reportedAt = Double.NEGATIVE_INFINITY;
 
     /** Working values of the latest dealing out. */
     double served;
 
-    double wants;
-    boolean open;
+    double shareDemand;
+    boolean unsatisfied;
 
     TenantEndpointUsage(
             EndpointState endpoint,
@@ -30,8 +30,8 @@
             SlidingWindowCounter beyond) {
         this.endpoint = endpoint;
         this.weight = weight;
-        this.asked = asked;
+        this.demand = asked;
         this.reserved = reserved;
-        this.beyond = beyond;
+        this.beyondReservation = beyond;
     }
 }
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -10,17 +10,21 @@
  * lets queues be.
  */
 public record TrafficClassView(
-        double basePace, double meanPace, double leftAge, double leftShare, double ease) {
+        double baseServiceTime,
+        double meanServiceTime,
+        double cancellationAge,
+        double cancellationRatio,
+        double admissionFactor) {
     /** The views of all bands, in their order. */
     public static List<TrafficClassView> of(Scheduler scheduler) {
         return Arrays.stream(scheduler.classStats)
                 .map(
                         row ->
                                 new TrafficClassView(
-                                        row.basePace,
-                                        row.meanPace,
-                                        row.leftAge,
-                                        row.leftShare,
+                                        row.baseServiceTime,
+                                        row.meanServiceTime,
+                                        row.cancellationAge,
+                                        row.cancellationRatio,
                                         scheduler.admissionFactor))
                 .toList();
     }
@@ -30,10 +34,10 @@
         return String.format(
                 Locale.ROOT,
                 "base:%.1f,mean:%.1f,left-age:%.0f,left-share:%.3f,ease:%.2f",
-                basePace,
-                meanPace,
-                leftAge,
-                leftShare,
-                ease);
+                baseServiceTime,
+                meanServiceTime,
+                cancellationAge,
+                cancellationRatio,
+                admissionFactor);
     }
 }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -16,76 +16,76 @@
  * hand.
  */
 final class WaitQueue {
-    private static final Comparator<QueuedRequest> BY_PATIENCE =
+    private static final Comparator<QueuedRequest> BY_DEADLINE =
             Comparator.comparingDouble((QueuedRequest request) -> request.operation.deadline)
-                    .thenComparingLong(request -> request.turn);
+                    .thenComparingLong(request -> request.sequence);
 
     /**
      * Whoever had an attempt, or keeps an order, is like nobody else: its turn tells it apart;
      * others have 0.
      */
-    private record GroupKey(long volume, int band, double units, long turn) {
+    private record GroupKey(long volume, int trafficClass, double units, long sequence) {
         static GroupKey of(QueuedRequest request) {
             Operation operation = request.operation;
-            boolean plain = operation.attempts.isEmpty() && request.line == null;
+            boolean plain = operation.attempts.isEmpty() && request.keyQueue == null;
             return new GroupKey(
                     operation.volume.id,
                     operation.trafficClass.index(),
                     operation.units,
-                    plain ? 0 : request.turn);
+                    plain ? 0 : request.sequence);
         }
 
         // Written out: what the compiler leaves to the start costs 25 ms of CPU there.
         @Override
         public int hashCode() {
-            return (Long.hashCode(volume) * 31 + band) * 31
+            return (Long.hashCode(volume) * 31 + trafficClass) * 31
                     + Double.hashCode(units) * 17
-                    + Long.hashCode(turn);
+                    + Long.hashCode(sequence);
         }
 
         @Override
         public boolean equals(Object other) {
             return other instanceof GroupKey that
                     && volume == that.volume
-                    && band == that.band
+                    && trafficClass == that.trafficClass
                     && units == that.units
-                    && turn == that.turn;
+                    && sequence == that.sequence;
         }
     }
 
-    private final TreeMap<Long, Operation> all = new TreeMap<>();
-    private final Map<GroupKey, NavigableSet<QueuedRequest>> alike = new LinkedHashMap<>();
+    private final TreeMap<Long, Operation> bySequence = new TreeMap<>();
+    private final Map<GroupKey, NavigableSet<QueuedRequest>> groups = new LinkedHashMap<>();
     private final Map<Long, TreeMap<Long, Operation>> byExtent = new LinkedHashMap<>();
 
     int size() {
-        return all.size();
+        return bySequence.size();
     }
 
     boolean isEmpty() {
-        return all.isEmpty();
+        return bySequence.isEmpty();
     }
 
     void add(QueuedRequest request) {
-        all.put(request.turn, request.operation);
-        request.alike = GroupKey.of(request);
-        alike.computeIfAbsent((GroupKey) request.alike, any -> new TreeSet<>(BY_PATIENCE))
+        bySequence.put(request.sequence, request.operation);
+        request.groupKey = GroupKey.of(request);
+        groups.computeIfAbsent((GroupKey) request.groupKey, any -> new TreeSet<>(BY_DEADLINE))
                 .add(request);
         if (request.operation.extent != 0) {
             byExtent.computeIfAbsent(request.operation.extent, any -> new TreeMap<>())
-                    .put(request.turn, request.operation);
+                    .put(request.sequence, request.operation);
         }
     }
 
     void remove(QueuedRequest request) {
-        all.remove(request.turn);
-        NavigableSet<QueuedRequest> like = alike.get((GroupKey) request.alike);
+        bySequence.remove(request.sequence);
+        NavigableSet<QueuedRequest> like = groups.get((GroupKey) request.groupKey);
         like.remove(request);
         if (like.isEmpty()) {
-            alike.remove((GroupKey) request.alike);
+            groups.remove((GroupKey) request.groupKey);
         }
         TreeMap<Long, Operation> same = byExtent.get(request.operation.extent);
         if (same != null) {
-            same.remove(request.turn);
+            same.remove(request.sequence);
             if (same.isEmpty()) {
                 byExtent.remove(request.operation.extent);
             }
@@ -93,17 +93,17 @@
     }
 
     /** Groups of those alike, each by deadline. */
-    Collection<NavigableSet<QueuedRequest>> alike() {
-        return alike.values();
+    Collection<NavigableSet<QueuedRequest>> groups() {
+        return groups.values();
     }
 
     /** Those of an extent, as they came; none for extent 0. */
-    Collection<Operation> of(long extent) {
+    Collection<Operation> ofExtent(long extent) {
         TreeMap<Long, Operation> same = byExtent.get(extent);
         return same == null ? List.of() : same.values();
     }
 
     List<Operation> inOrder() {
-        return new ArrayList<>(all.values());
+        return new ArrayList<>(bySequence.values());
     }
 }
