--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -23,15 +23,14 @@
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
                             (Operation operation) -> {
-                                QueuedRequest request = (QueuedRequest) operation.schedulerState;
+                                QueuedRequest request = QueuedRequest.of(operation);
                                 return request.endpoint != null
                                         ? request.endpoint.index
                                         : operation.shard < 0
                                                 ? Integer.MAX_VALUE - 1
                                                 : Integer.MAX_VALUE;
                             })
-                    .thenComparingLong(
-                            operation -> ((QueuedRequest) operation.schedulerState).sequence);
+                    .thenComparingLong(operation -> QueuedRequest.of(operation).sequence);
 
     private record Key(int trafficClass, double units) {
         @Override
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -95,6 +95,11 @@
         this.startedAt = node.startedAt;
     }
 
+    /** The scheduler's state of an endpoint; null before it was first listed. */
+    static EndpointState of(Node node) {
+        return (EndpointState) node.schedulerState;
+    }
+
     /** Whether its place may go to another node. */
     boolean isVacant() {
         return node.forgotten && waitQueue.isEmpty();
--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -13,7 +13,7 @@
         double faultRatio) {
     /** The view of a node that was listed. */
     public static EndpointView of(Node node) {
-        EndpointState endpoint = (EndpointState) node.schedulerState;
+        EndpointState endpoint = EndpointState.of(node);
         return new EndpointView(
                 endpoint.concurrencyLimit,
                 endpoint.queueEstimate,
--- /dev/null
+++ b/src/main/java/sagepulley/scheduler/KeyOrdering.java
@@ -0,0 +1,74 @@
+package sagepulley.scheduler;
+
+import java.util.HashMap;
+import java.util.Map;
+import sagepulley.model.Attempt;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+
+/**
+ * Keeps operations of one key in the order in which they arrived, for the traffic classes that ask
+ * for it: one operation of a key at a time. After an attempt whose effect is unknown the key stays
+ * idle for a while before its next operation starts.
+ */
+final class KeyOrdering {
+    private final double idleMillis;
+    private final double tickMillis;
+    private final WakeUpTime wakeUp;
+    private final Map<Long, KeyQueue> queues = new HashMap<>();
+
+    KeyOrdering(double idleMillis, double tickMillis, WakeUpTime wakeUp) {
+        this.idleMillis = idleMillis;
+        this.tickMillis = tickMillis;
+        this.wakeUp = wakeUp;
+    }
+
+    /**
+     * Puts an operation that has arrived at the end of its key's queue, if its class is ordered.
+     */
+    void onArrival(QueuedRequest request) {
+        Operation operation = request.operation;
+        if (operation.trafficClass.ordered() && operation.extent != 0) {
+            request.keyQueue = queues.computeIfAbsent(operation.extent, any -> new KeyQueue());
+            request.keyQueue.operations.add(operation);
+        }
+    }
+
+    /** Whether the operation is the first of its key, and the key's idle time is over for it. */
+    boolean isFirstOfKey(Operation operation, double now) {
+        KeyQueue queue = QueuedRequest.of(operation).keyQueue;
+        if (queue == null) {
+            return true;
+        }
+        if (queue.operations.get(0) != operation) {
+            return false;
+        }
+        if (operation.attempts.isEmpty() && now <= queue.idleUntil) {
+            wakeUp.noLaterThan(queue.idleUntil + tickMillis);
+            return false;
+        }
+        return true;
+    }
+
+    /** Starts the key's idle time after an attempt that may still take effect at its endpoint. */
+    void onAttemptEnded(Attempt attempt, double now) {
+        KeyQueue queue = QueuedRequest.of(attempt.operation).keyQueue;
+        if (queue != null && mayStillTakeEffect(attempt.outcome)) {
+            queue.idleUntil = now + idleMillis;
+        }
+    }
+
+    private static boolean mayStillTakeEffect(Outcome outcome) {
+        return outcome == Outcome.TIMED_OUT
+                || outcome == Outcome.RESET
+                || outcome == Outcome.CANCELLED;
+    }
+
+    /** Lets the next operation of the key go once the ended one has no attempt in flight. */
+    void onOperationEnded(Operation operation) {
+        KeyQueue queue = QueuedRequest.of(operation).keyQueue;
+        if (queue != null && !operation.isInFlight()) {
+            queue.operations.remove(operation);
+        }
+    }
+}
--- a/src/main/java/sagepulley/scheduler/QueuedRequest.java
+++ b/src/main/java/sagepulley/scheduler/QueuedRequest.java
@@ -2,33 +2,40 @@
 
 import sagepulley.model.Operation;
 
-/** What is kept of an operation in hand. */
+/** What the scheduler keeps of an operation from its arrival to its end. */
 final class QueuedRequest {
     final Operation operation;
 
-    /** Its place among all that ever stood in a queue. */
+    /** Its number among all that were ever queued; unset before its first wait. */
     long sequence;
 
-    /** Whom it is like in its queue; the queue's own. */
+    /** The group that it belongs to in its queue; owned by {@link WaitQueue}. */
     Object groupKey;
 
-    /** When the target time ends, counted from the client's first try. */
+    /**
+     * When its latency objective ends, in milliseconds, counted from the client's first attempt.
+     */
     double objectiveAt;
 
     /** Whether it stands in a queue. */
     boolean queued;
 
-    /** The seat in whose queue it stands; null for a new object or a shard without a node. */
+    /** The endpoint in whose queue it stands; null for a new object or a cell without endpoint. */
     EndpointState endpoint;
 
-    /** Where its band asks for order. */
+    /** The queue of its key; null where its traffic class is not ordered. */
     KeyQueue keyQueue;
 
-    /** Drawn once: a cold node takes the lowest first. */
+    /** Drawn once from 0 to 1: an endpoint in slow start takes those with the lowest draw. */
     final double slowStartDraw;
 
-    QueuedRequest(Operation operation, double lot) {
+    QueuedRequest(Operation operation, double slowStartDraw) {
         this.operation = operation;
-        this.slowStartDraw = lot;
+        this.slowStartDraw = slowStartDraw;
+    }
+
+    /** The scheduler's state of an operation; null before it was first routed. */
+    static QueuedRequest of(Operation operation) {
+        return (QueuedRequest) operation.schedulerState;
     }
 }
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -151,7 +151,8 @@
     private final WaitQueue homeless = new WaitQueue();
     private final DeadlineIndex waits = new DeadlineIndex();
     private final List<Attempt> unwanted = new ArrayList<>();
-    private final Map<Long, KeyQueue> lines = new HashMap<>();
+    private final WakeUpTime wakeUp = new WakeUpTime();
+    final KeyOrdering keyOrdering;
 
     /** By extent, when the target time of a first try ends that was lately given up or left. */
     private final Map<Long, Double> unserved =
@@ -184,7 +185,6 @@
     private double weights;
 
     private double spare;
-    private double nextLook;
     private double refreshAt = Double.NEGATIVE_INFINITY;
     private boolean knowsList;
     private final DiscoverySchedule discovery;
@@ -206,6 +206,7 @@
         for (TrafficClass trafficClass : site.trafficClasses()) {
             classStats[trafficClass.index()] = new TrafficClassStats();
         }
+        this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
         this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
@@ -219,7 +220,7 @@
     /** The list as it now stands; a node that left it is GONE. */
     public void onEndpointList(List<Node> nodes, double now) {
         for (Node node : nodes) {
-            EndpointState endpoint = (EndpointState) node.schedulerState;
+            EndpointState endpoint = EndpointState.of(node);
             if (endpoint == null) {
                 // Who is gone for good leaves its place: the seats stay as many as the fleet is
                 // wide.
@@ -365,7 +366,7 @@
      * out.
      */
     public void onExtentLocated(Operation operation, int cell) {
-        boolean waits = ((QueuedRequest) operation.schedulerState).queued;
+        boolean waits = QueuedRequest.of(operation).queued;
         dequeue(operation);
         operation.shard = cell;
         if (waits) {
@@ -412,17 +413,11 @@
     /** What to do for the operation after this outcome. */
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
-        EndpointState endpoint = (EndpointState) attempt.node.schedulerState;
+        EndpointState endpoint = EndpointState.of(attempt.node);
         endpoint.inFlight.remove(attempt);
         version++;
         learn(attempt, endpoint, now);
-        QueuedRequest request = (QueuedRequest) operation.schedulerState;
-        if (request.keyQueue != null
-                && (attempt.outcome == Outcome.TIMED_OUT
-                        || attempt.outcome == Outcome.RESET
-                        || attempt.outcome == Outcome.CANCELLED)) {
-            request.keyQueue.idleUntil = now + policy.keyIdleTime();
-        }
+        keyOrdering.onAttemptEnded(attempt, now);
         if (operation.ended) {
             drop(operation);
             return FollowUp.NONE;
@@ -432,7 +427,7 @@
 
     /** How long to wait before asking again, and what is due now. */
     public SchedulerTurn nextTurn(double now) {
-        nextLook = Double.POSITIVE_INFINITY;
+        wakeUp.reset();
         version++;
         refresh(now);
         List<Operation> due = new ArrayList<>(4);
@@ -455,10 +450,10 @@
                 discovery.takeDue(now)
                         ? SchedulerTurn.EndpointPoll.SUBSCRIBE
                         : SchedulerTurn.EndpointPoll.NONE;
-        lookAt(discovery.nextAt());
+        wakeUp.noLaterThan(discovery.nextAt());
         List<Attempt> callOff = List.copyOf(unwanted);
         unwanted.clear();
-        return new SchedulerTurn(Math.max(0, nextLook - now), due, List.of(), callOff, call);
+        return new SchedulerTurn(wakeUp.delay(now), due, List.of(), callOff, call);
     }
 
     /**
@@ -479,19 +474,19 @@
                     request -> request.objectiveAt - early,
                     now,
                     late,
-                    this::lookAt);
+                    wakeUp::noLaterThan);
             kind.collectOverdue(
                     kind.byArrival,
                     request -> request.operation.arrivedAt + target - early,
                     now,
                     late,
-                    this::lookAt);
+                    wakeUp::noLaterThan);
             kind.collectOverdue(
                     kind.byDeadline,
                     request -> request.operation.deadline - deadlineMargin,
                     now,
                     late,
-                    this::lookAt);
+                    wakeUp::noLaterThan);
         }
         late.sort(DeadlineIndex.BY_QUEUE);
         return late;
@@ -502,8 +497,7 @@
             List<Operation> late, int at, EndpointState endpoint, List<Operation> due) {
         int next = at;
         while (next < late.size()
-                && (endpoint == null
-                        || ((QueuedRequest) late.get(next).schedulerState).endpoint == endpoint)) {
+                && (endpoint == null || QueuedRequest.of(late.get(next)).endpoint == endpoint)) {
             Operation operation = late.get(next++);
             if (!due.contains(operation)) {
                 due.add(operation);
@@ -512,10 +506,6 @@
         return next;
     }
 
-    private void lookAt(double time) {
-        nextLook = Math.min(nextLook, time);
-    }
-
     // ---- the rules: every send passes here ----
 
     boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
@@ -554,7 +544,7 @@
             return false;
         }
         // 5: order by key.
-        if (!isFirstOfKey(operation, now)) {
+        if (!keyOrdering.isFirstOfKey(operation, now)) {
             return false;
         }
         // 7: the volume's limit, of which this gateway spends its own part.
@@ -632,8 +622,8 @@
                                 * Math.max(0, age - policy.overloadWindow())
                                 / policy.slowStartTime();
         double part = Math.min(1, COLD_PART * policy.overloadMultiple() * ramp);
-        if (((QueuedRequest) operation.schedulerState).slowStartDraw > part) {
-            lookAt(now + COLD_LOOK);
+        if (QueuedRequest.of(operation).slowStartDraw > part) {
+            wakeUp.noLaterThan(now + COLD_LOOK);
             return false;
         }
         // A surge that looks inside its share, or many at once, must not follow the lot all the
@@ -648,21 +638,6 @@
                         >= deployment.shareWeightFraction();
     }
 
-    boolean isFirstOfKey(Operation operation, double now) {
-        KeyQueue line = ((QueuedRequest) operation.schedulerState).keyQueue;
-        if (line == null) {
-            return true;
-        }
-        if (line.operations.get(0) != operation) {
-            return false;
-        }
-        if (operation.attempts.isEmpty() && now <= line.idleUntil) {
-            lookAt(line.idleUntil + deployment.tick());
-            return false;
-        }
-        return true;
-    }
-
     double limitRemaining(Volume volume, double now) {
         double rate = volume.plan.limit();
         if (!(rate > 0)) {
@@ -675,7 +650,7 @@
                         volume.plan.limitBurst() / parts,
                         account.limitLeft + rate / parts * (now - account.limitUpdatedAt) / 1000);
         account.limitUpdatedAt = now;
-        lookAt(now + COLD_LOOK);
+        wakeUp.noLaterThan(now + COLD_LOOK);
         return account.limitLeft;
     }
 
@@ -720,7 +695,7 @@
      */
     private double timeout(Operation operation, double now) {
         TrafficClass trafficClass = operation.trafficClass;
-        double end = ((QueuedRequest) operation.schedulerState).objectiveAt;
+        double end = QueuedRequest.of(operation).objectiveAt;
         // What is late already, or worth nearly as much when late, goes on for a while.
         if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
             end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
@@ -738,7 +713,7 @@
         classStats[operation.trafficClass.index()].cancellationRatio *= 1 - LEFT_STEP;
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
-        EndpointState endpoint = ((QueuedRequest) operation.schedulerState).endpoint;
+        EndpointState endpoint = QueuedRequest.of(operation).endpoint;
         if (endpoint == null || sound(endpoint, now)) {
             load(endpoint).rejections().add(now, 1);
         }
@@ -774,7 +749,7 @@
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
         return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, policy.maxAttempts())
-                && !overloaded(((QueuedRequest) operation.schedulerState).endpoint, now)
+                && !overloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
                 && lateAt(operation) > now;
     }
@@ -797,7 +772,7 @@
 
     /** The seat to which this operation may go now, if it is its turn there; null if it waits. */
     private EndpointState turn(Operation operation, double now) {
-        QueuedRequest request = (QueuedRequest) operation.schedulerState;
+        QueuedRequest request = QueuedRequest.of(operation);
         if (operation.shard < 0) {
             return first(fresh, null, now) == operation ? lowestScore(operation, now) : null;
         }
@@ -824,7 +799,7 @@
             // One operation at a time tries a node that takes work and answers none.
             double next = endpoint.lastSentAt + TRIAL_SHARE * shortestObjective;
             if (now < next) {
-                lookAt(next);
+                wakeUp.noLaterThan(next);
                 return false;
             }
             return endpoint.inFlight.size() < MOST_BOUND;
@@ -853,7 +828,7 @@
         if (now - since > limit) {
             return true;
         }
-        lookAt(since + limit);
+        wakeUp.noLaterThan(since + limit);
         return false;
     }
 
@@ -927,8 +902,7 @@
 
     private static boolean earlier(QueuedRequest one, Operation other) {
         double apart = one.operation.deadline - other.deadline;
-        return apart < 0
-                || (apart == 0 && one.sequence < ((QueuedRequest) other.schedulerState).sequence);
+        return apart < 0 || (apart == 0 && one.sequence < QueuedRequest.of(other).sequence);
     }
 
     /** A queue seen holds back what is late, and past part of the bound what is over its level. */
@@ -1345,7 +1319,7 @@
         double usual = classStats[operation.trafficClass.index()].meanServiceTime * operation.units;
         double ends =
                 Math.min(
-                        ((QueuedRequest) operation.schedulerState).objectiveAt,
+                        QueuedRequest.of(operation).objectiveAt,
                         operation.arrivedAt + target(operation.trafficClass));
         return ends - LATE_FACTOR * usual;
     }
@@ -1362,7 +1336,7 @@
 
     private QueuedRequest ticket(Operation operation, double now) {
         if (operation.schedulerState != null) {
-            return (QueuedRequest) operation.schedulerState;
+            return QueuedRequest.of(operation);
         }
         QueuedRequest request = new QueuedRequest(operation, random.nextDouble());
         operation.schedulerState = request;
@@ -1382,10 +1356,7 @@
                         : now
                                 + operation.trafficClass.latencyObjective()
                                 - (operation.clientRetry ? gone : 0);
-        if (operation.trafficClass.ordered() && operation.extent != 0) {
-            request.keyQueue = lines.computeIfAbsent(operation.extent, any -> new KeyQueue());
-            request.keyQueue.operations.add(operation);
-        }
+        keyOrdering.onArrival(request);
         return request;
     }
 
@@ -1417,7 +1388,7 @@
 
     private void enqueue(Operation operation) {
         version++;
-        QueuedRequest request = (QueuedRequest) operation.schedulerState;
+        QueuedRequest request = QueuedRequest.of(operation);
         request.queued = true;
         waiting++;
         request.endpoint = null;
@@ -1443,7 +1414,7 @@
     }
 
     private void dequeue(Operation operation) {
-        QueuedRequest request = (QueuedRequest) operation.schedulerState;
+        QueuedRequest request = QueuedRequest.of(operation);
         if (!request.queued) {
             return;
         }
@@ -1470,7 +1441,7 @@
     private void forsake(Operation operation) {
         drop(operation);
         if (operation.extent != 0) {
-            unserved.put(operation.extent, ((QueuedRequest) operation.schedulerState).objectiveAt);
+            unserved.put(operation.extent, QueuedRequest.of(operation).objectiveAt);
         }
     }
 
@@ -1479,10 +1450,7 @@
      * out.
      */
     private void drop(Operation operation) {
-        QueuedRequest request = (QueuedRequest) operation.schedulerState;
         dequeue(operation);
-        if (request.keyQueue != null && !operation.isInFlight()) {
-            request.keyQueue.operations.remove(operation);
-        }
+        keyOrdering.onOperationEnded(operation);
     }
 }
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -13,7 +13,7 @@
         if (!scheduler.lease.holds(now)) {
             return Reason.NO_LEASE;
         }
-        EndpointState endpoint = ((QueuedRequest) operation.schedulerState).endpoint;
+        EndpointState endpoint = QueuedRequest.of(operation).endpoint;
         if (endpoint == null) {
             return operation.shard < 0 ? Reason.SHARE_FULL : Reason.NO_NODE;
         }
@@ -23,7 +23,7 @@
         if (scheduler.isUnresponsive(endpoint, now)) {
             return Reason.UNRESPONSIVE;
         }
-        if (!scheduler.isFirstOfKey(operation, now)) {
+        if (!scheduler.keyOrdering.isFirstOfKey(operation, now)) {
             return Reason.KEY_ORDER;
         }
         if (!scheduler.fitsSlowStart(operation, endpoint, now)) {
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -28,7 +28,7 @@
         Node node = harness.nodes.get(0);
         node.startedAt = harness.now - 100 + clockError;
         harness.relist();
-        double age = harness.now - ((EndpointState) node.schedulerState).startedAt;
+        double age = harness.now - EndpointState.of(node).startedAt;
         assertTrue(age >= 0 && age <= 500, "counts as started " + age + " ms ago");
     }
 
@@ -40,7 +40,7 @@
         fresh.startedAt = harness.now + clockError;
         harness.nodes.add(fresh);
         harness.relist();
-        assertEquals(harness.now, ((EndpointState) fresh.schedulerState).startedAt);
+        assertEquals(harness.now, EndpointState.of(fresh).startedAt);
     }
 
     @Test
@@ -50,9 +50,9 @@
         Node node = harness.nodes.get(0);
         node.startedAt = harness.now + HOUR;
         harness.relist();
-        double startedAt = ((EndpointState) node.schedulerState).startedAt;
+        double startedAt = EndpointState.of(node).startedAt;
         harness.passTime(3_000);
         harness.relist();
-        assertEquals(startedAt, ((EndpointState) node.schedulerState).startedAt);
+        assertEquals(startedAt, EndpointState.of(node).startedAt);
     }
 }
