--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -70,27 +70,10 @@
     private final Map<Long, String> names = new LinkedHashMap<>();
 
     @Override
-<<<<<<< .merge_file_lbP18m
-    public Integer call() throws Exception {
-        List<FleetMerger.GatewayAccount> members = new ArrayList<>();
-        for (Path file : files) {
-            AccountFile.Loaded read = AccountFile.report(file);
-            members.add(
-                    new FleetMerger.GatewayAccount(
-                            read.stored().gateway(),
-                            read.account(),
-                            read.stored().versionNotifiedAt()));
-            names.putAll(read.stored().volumeNames());
-        }
-        FleetMerger.Merged merged = FleetMerger.merge(members);
-        LatencyAccount book = merged.account();
-        double newest = book.lastBookedAt();
-=======
     public Integer call() throws IOException {
         FleetMerger.Merged merged = FleetMerger.merge(readMembers());
-        LatencyAccount account = merged.book();
-        double newest = account.newest();
->>>>>>> .merge_file_biasLO
+        LatencyAccount account = merged.account();
+        double newest = account.lastBookedAt();
         double to = until == null ? newest : time(until, newest);
         double from = time(since, to);
         List<LatencyReport> reports = reports(account, from, to);
@@ -116,13 +99,16 @@
         return Commands.OK;
     }
 
-    private List<FleetMerger.Member> readMembers() throws IOException {
-        List<FleetMerger.Member> members = new ArrayList<>();
+    private List<FleetMerger.GatewayAccount> readMembers() throws IOException {
+        List<FleetMerger.GatewayAccount> members = new ArrayList<>();
         for (Path file : files) {
-            AccountFile.Read read = AccountFile.report(file);
+            AccountFile.Loaded read = AccountFile.report(file);
             members.add(
-                    new FleetMerger.Member(read.head().gateway(), read.book(), read.head().told()));
-            names.putAll(read.head().names());
+                    new FleetMerger.GatewayAccount(
+                            read.stored().gateway(),
+                            read.account(),
+                            read.stored().versionNotifiedAt()));
+            names.putAll(read.stored().volumeNames());
         }
         return members;
     }
@@ -159,124 +145,4 @@
                     "'" + text + "' is no time: allowed are 90s, 10m, 6h or 2026-11-30T18:00");
         }
     }
-<<<<<<< .merge_file_lbP18m
-
-    private static String clock(double wall) {
-        return CLOCK.format(Instant.ofEpochMilli((long) wall).atZone(ZoneId.systemDefault()));
-    }
-
-    private Map<String, Object> page(
-            FleetMerger.Merged merged, List<LatencyReport> reports, double from, double to)
-            throws IOException {
-        Map<String, Object> page = new HashMap<>();
-        page.put("from", clock(from));
-        page.put("to", clock(to));
-        List<Map<String, Object>> clocks = new ArrayList<>();
-        for (FleetMerger.ClockOffset clock : merged.clocks()) {
-            clocks.add(
-                    Map.of(
-                            "gateway",
-                            clock.gateway(),
-                            "known",
-                            !Double.isNaN(clock.offsetMillis()),
-                            "ahead",
-                            Double.isNaN(clock.offsetMillis()) ? 0 : clock.offsetMillis() / 1000));
-        }
-        page.put("clocks", clocks);
-        List<Map<String, Object>> volumes = new ArrayList<>();
-        for (LatencyReport report : reports) {
-            volumes.add(volume(merged.account(), report, from, to));
-        }
-        page.put("volumes", volumes);
-        return page;
-    }
-
-    private Map<String, Object> volume(
-            LatencyAccount book, LatencyReport report, double from, double to) throws IOException {
-        Map<String, Object> volume = new HashMap<>();
-        volume.put(
-                "name",
-                names.getOrDefault(
-                        report.volume(),
-                        report.volume() == 0 ? "(all others)" : "" + report.volume()));
-        volume.put("report", report);
-        List<Map<String, Object>> parts = new ArrayList<>();
-        double whole =
-                Math.max(
-                        1e-9,
-                        report.components().values().stream()
-                                .mapToDouble(Double::doubleValue)
-                                .sum());
-        report.components()
-                .forEach(
-                        (part, time) ->
-                                parts.add(
-                                        Map.of(
-                                                "text",
-                                                AccountFormatter.part(part),
-                                                "seconds",
-                                                time / 1000,
-                                                "share",
-                                                time / whole)));
-        parts.sort(
-                (one, other) ->
-                        Double.compare((Double) other.get("seconds"), (Double) one.get("seconds")));
-        volume.put("parts", parts);
-        List<Map<String, Object>> plan = new ArrayList<>();
-        for (LatencyReport.TierReport line : report.tiers()) {
-            plan.add(Map.of("name", AccountFormatter.of(line.tier()), "line", line));
-        }
-        volume.put("plan", plan);
-        List<Map<String, Object>> causes = new ArrayList<>();
-        for (LatencyReport.CauseReport charged :
-                report.causes().stream().limit(MOST_CAUSES).toList()) {
-            causes.add(
-                    Map.of(
-                            "text",
-                            AccountFormatter.cause(charged, names),
-                            "charged",
-                            charged,
-                            "seconds",
-                            charged.waited() / 1000,
-                            "share",
-                            charged.kind() == Cause.Kind.OWN_WORK ? 0 : charged.share(),
-                            "work",
-                            charged.kind() == Cause.Kind.OWN_WORK));
-        }
-        volume.put("causes", causes);
-        LatencyReport.CauseReport main = report.mainCause();
-        if (main != null) {
-            volume.put("main", AccountFormatter.cause(main, names));
-            volume.put("confidence", AccountFormatter.of(main.confidence()));
-            volume.put("share", main.share());
-            volume.put("least", main.lowerBound() / 1000);
-            volume.put("most", main.upperBound() / 1000);
-            volume.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
-            volume.put("advice", AccountFormatter.advice(main, names));
-            List<Integer> zone = zone(book, report, main);
-            if (!zone.isEmpty()) {
-                volume.put("zone", zone);
-            }
-        }
-        if (html != null) {
-            volume.put("plot", Plots.course(book.history(report.volume(), from, to)));
-        }
-        return volume;
-    }
-
-    /** The nodes of the main fault's zone, where most of them share the fault. */
-    private static List<Integer> zone(
-            LatencyAccount book, LatencyReport report, LatencyReport.CauseReport main) {
-        if (main.kind() != Cause.Kind.FAULT) {
-            return List.of();
-        }
-        List<Integer> faulty =
-                report.causes().stream()
-                        .filter(charged -> charged.kind() == Cause.Kind.FAULT)
-                        .map(LatencyReport.CauseReport::node)
-                        .toList();
-        return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
-    }
-=======
->>>>>>> .merge_file_biasLO
 }
--- a/src/main/java/sagepulley/cli/ReportPage.java
+++ b/src/main/java/sagepulley/cli/ReportPage.java
@@ -56,15 +56,15 @@
         return CLOCK.format(Instant.ofEpochMilli((long) wallMillis).atZone(ZoneId.systemDefault()));
     }
 
-    private static Map<String, Object> clockValues(FleetMerger.Clock clock) {
-        boolean known = !Double.isNaN(clock.ahead());
+    private static Map<String, Object> clockValues(FleetMerger.ClockOffset clock) {
+        boolean known = !Double.isNaN(clock.offsetMillis());
         return Map.of(
                 "gateway",
                 clock.gateway(),
                 "known",
                 known,
                 "ahead",
-                known ? clock.ahead() / MILLIS_PER_SECOND : 0);
+                known ? clock.offsetMillis() / MILLIS_PER_SECOND : 0);
     }
 
     private Map<String, Object> volume(LatencyReport report, double from, double to)
@@ -75,15 +75,15 @@
         volume.put("parts", parts(report));
         volume.put(
                 "plan",
-                report.plan().stream()
-                        .map(line -> Map.of("name", AccountFormatter.of(line.part()), "line", line))
+                report.tiers().stream()
+                        .map(line -> Map.of("name", AccountFormatter.of(line.tier()), "line", line))
                         .toList());
         volume.put("causes", report.causes().stream().limit(MAX_CAUSES).map(this::cause).toList());
-        if (report.main() != null) {
+        if (report.mainCause() != null) {
             volume.putAll(mainCause(report));
         }
         if (plots) {
-            volume.put("plot", Plots.course(merged.book().course(report.volume(), from, to)));
+            volume.put("plot", Plots.course(merged.account().history(report.volume(), from, to)));
         }
         return volume;
     }
@@ -96,9 +96,11 @@
         double totalMillis =
                 Math.max(
                         1e-9,
-                        report.parts().values().stream().mapToDouble(Double::doubleValue).sum());
+                        report.components().values().stream()
+                                .mapToDouble(Double::doubleValue)
+                                .sum());
         List<Map<String, Object>> parts = new ArrayList<>();
-        report.parts()
+        report.components()
                 .forEach(
                         (part, millis) ->
                                 parts.add(
@@ -116,7 +118,7 @@
         return parts;
     }
 
-    private Map<String, Object> cause(LatencyReport.Charged charged) {
+    private Map<String, Object> cause(LatencyReport.CauseReport charged) {
         boolean ownWork = charged.kind() == Cause.Kind.OWN_WORK;
         return Map.of(
                 "text",
@@ -132,16 +134,16 @@
     }
 
     private Map<String, Object> mainCause(LatencyReport report) {
-        LatencyReport.Charged main = report.main();
+        LatencyReport.CauseReport main = report.mainCause();
         Map<String, Object> values = new HashMap<>();
         values.put("main", AccountFormatter.cause(main, names));
         values.put("confidence", AccountFormatter.of(main.confidence()));
         values.put("share", main.share());
-        values.put("least", main.least() / MILLIS_PER_SECOND);
-        values.put("most", main.most() / MILLIS_PER_SECOND);
+        values.put("least", main.lowerBound() / MILLIS_PER_SECOND);
+        values.put("most", main.upperBound() / MILLIS_PER_SECOND);
         values.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
         values.put("advice", AccountFormatter.advice(main, names));
-        List<Integer> zone = zone(merged.book(), report, main);
+        List<Integer> zone = zone(merged.account(), report, main);
         if (!zone.isEmpty()) {
             values.put("zone", zone);
         }
@@ -150,14 +152,14 @@
 
     /** The nodes of the main fault's zone, where most of them share the fault. */
     private static List<Integer> zone(
-            LatencyAccount book, LatencyReport report, LatencyReport.Charged main) {
+            LatencyAccount book, LatencyReport report, LatencyReport.CauseReport main) {
         if (main.kind() != Cause.Kind.FAULT) {
             return List.of();
         }
         List<Integer> faulty =
                 report.causes().stream()
                         .filter(charged -> charged.kind() == Cause.Kind.FAULT)
-                        .map(LatencyReport.Charged::node)
+                        .map(LatencyReport.CauseReport::node)
                         .toList();
         return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
     }
--- a/src/main/java/sagepulley/cli/TopText.java
+++ b/src/main/java/sagepulley/cli/TopText.java
@@ -34,7 +34,7 @@
                 "waits mainly for");
         List<LatencyReport> volumes = new ArrayList<>(view.volumes());
         volumes.sort(
-                Comparator.comparingDouble(LatencyReport::utilityLost)
+                Comparator.comparingDouble(LatencyReport::lostWeight)
                         .thenComparingDouble(LatencyReport::units)
                         .reversed());
         volumes.stream().limit(rows).forEach(this::appendVolume);
@@ -47,21 +47,21 @@
 
     private void appendVolume(LatencyReport report) {
         double p99 =
-                report.plan().stream().mapToDouble(LatencyReport.PlanLine::p99).max().orElse(0);
+                report.tiers().stream().mapToDouble(LatencyReport.TierReport::p99).max().orElse(0);
         append(
                 "%-20s %9.0f %9d %9d %9d %9.1f %9.1f  %s%n",
                 AccountFormatter.volume(report.volume(), view.names()).replaceFirst("^volume ", ""),
                 report.units(),
                 report.met(),
                 report.missed(),
-                report.declined(),
+                report.rejected(),
                 p99,
-                report.utilityLost(),
+                report.lostWeight(),
                 mainCause(report));
     }
 
     private String mainCause(LatencyReport report) {
-        LatencyReport.Charged main = report.main();
+        LatencyReport.CauseReport main = report.mainCause();
         if (main == null) {
             return "-";
         }
