--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -5,9 +5,9 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 import sagepulley.cli.Commands;
-import sagepulley.platform.ConfigException;
-import sagepulley.platform.GatewayServer;
-import sagepulley.platform.WarmUpRun;
+import sagepulley.config.resp.ConfigException;
+import sagepulley.lifecycle.GatewayServer;
+import sagepulley.lifecycle.WarmUpRun;
 import sagepulley.simulator.MalformedFrameException;
 import sagepulley.simulator.SimulatorAdapter;
 
--- a/src/main/java/sagepulley/platform/NumberParser.java
+++ b/src/main/java/sagepulley/codec/resp/NumberParser.java
@@ -1,17 +1,17 @@
-package sagepulley.platform;
+package sagepulley.codec.resp;
 
 /**
  * Numbers in commands and answers, read strictly and without a pattern: each operation has a dozen
  * of them.
  */
-final class NumberParser {
+public final class NumberParser {
     private static final int ID_DIGITS = 16;
     private static final int MAX_DIGITS = 12;
 
     private NumberParser() {}
 
     /** Whether the text is 16 hex digits in lower case, as all ids are. */
-    static boolean isId(String text) {
+    public static boolean isId(String text) {
         boolean valid = text.length() == ID_DIGITS;
         for (int i = 0; valid && i < ID_DIGITS; i++) {
             char c = text.charAt(i);
@@ -21,7 +21,7 @@
     }
 
     /** A number of 0 or more, with or without a fraction; NaN if it is none. */
-    static double parseDecimal(String text) {
+    public static double parseDecimal(String text) {
         int point = text.indexOf('.');
         boolean valid =
                 point < 0
@@ -31,7 +31,7 @@
     }
 
     /** A whole number of 0 or more; -1 if it is none. */
-    static int parseInteger(String text) {
+    public static int parseInteger(String text) {
         return isDigits(text, 0, text.length()) && text.length() <= 9 ? Integer.parseInt(text) : -1;
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** An id as it is written. */
-    static String formatId(long id) {
+    public static String formatId(long id) {
         String hex = Long.toHexString(id);
         return "0".repeat(ID_DIGITS - hex.length()) + hex;
     }
--- a/src/main/java/sagepulley/codec/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -7,6 +7,9 @@
  */
 public record RespLimits(
         int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems, boolean commandsOnly) {
+    /** The longest value of a piece of data that a command or a reply may carry. */
+    public static final int MAX_VALUE_BYTES = 65_536;
+
     public static RespLimits commands(int line, int bulk, int array, int items) {
         return new RespLimits(line, bulk, array, items, true);
     }
--- a/src/main/java/sagepulley/platform/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.config.resp;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,13 +12,16 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import sagepulley.config.settings.SettingsReader;
+import sagepulley.discovery.http.AddressParser;
+import sagepulley.discovery.http.EndpointListUpdate;
+import sagepulley.discovery.http.JsonReader;
 import sagepulley.model.Deployment;
 
 /**
  * What a gateway is told at its start, and again at SIGHUP: the file named by GW_CONFIG, and GW_*
  * beside it.
  */
-record GatewayConfig(
+public record GatewayConfig(
         String name,
         SocketAddress listen,
         SocketAddress discovery,
@@ -43,7 +46,7 @@
     private static final int MIN_SOCKETS = 64;
     private static final int MIN_MEMORY_MB = 16;
 
-    static GatewayConfig read(Map<String, String> environment) throws ConfigException {
+    public static GatewayConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
@@ -83,7 +86,8 @@
     }
 
     /** The same at other addresses, with all nodes known at one. */
-    GatewayConfig withAddresses(SocketAddress front, SocketAddress list, SocketAddress node) {
+    public GatewayConfig withAddresses(
+            SocketAddress front, SocketAddress list, SocketAddress node) {
         return new GatewayConfig(
                 name,
                 front,
@@ -100,7 +104,7 @@
                 maxInFlight);
     }
 
-    static GatewayConfig parse(Map<String, Object> file, Map<String, String> environment)
+    public static GatewayConfig parse(Map<String, Object> file, Map<String, String> environment)
             throws ConfigException, IOException {
         String name = text(file, "name", environment.get("GW_NAME"));
         InetSocketAddress listen = address(file, "listen", environment.get("GW_LISTEN"));
--- a/src/main/java/sagepulley/platform/UnreadableConfigException.java
+++ b/src/main/java/sagepulley/config/resp/UnreadableConfigException.java
@@ -1,7 +1,7 @@
-package sagepulley.platform;
+package sagepulley.config.resp;
 
 /** The system did not let the configuration file be read: nobody knows what it says. */
-final class UnreadableConfigException extends ConfigException {
+public final class UnreadableConfigException extends ConfigException {
     private static final long serialVersionUID = 1L;
 
     UnreadableConfigException(String what) {
--- a/src/main/java/sagepulley/platform/AddressParser.java
+++ b/src/main/java/sagepulley/discovery/http/AddressParser.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.discovery.http;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -6,13 +6,13 @@
 import java.net.UnknownHostException;
 
 /** Addresses as HOST:PORT, numeric ones only: there are no names to look up here. */
-final class AddressParser {
+public final class AddressParser {
     private static final int MAX_PORT = 65_535;
 
     private AddressParser() {}
 
     /** The address that a text names; null if it names none. */
-    static InetSocketAddress parse(String text) {
+    public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
             return null;
--- a/src/main/java/sagepulley/platform/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -1,12 +1,14 @@
-package sagepulley.platform;
+package sagepulley.discovery.http;
 
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
+import sagepulley.discovery.http.DiscoveryRequest.Role;
+import sagepulley.discovery.http.DiscoveryRequest.Timeouts;
 import sagepulley.membership.EndpointPollPolicy;
-import sagepulley.platform.DiscoveryRequest.Role;
-import sagepulley.platform.DiscoveryRequest.Timeouts;
+import sagepulley.transport.KernelReceiveTime;
+import sagepulley.transport.Transport;
 
 /**
  * The calls to discovery: one watch, and now and then the whole list. It asks nothing again by
@@ -14,9 +16,9 @@
  * is kept open beside the next one: discovery may be slow, and what it still answers is taken. All
  * on one loop.
  */
-final class DiscoveryClient implements DiscoveryRequest.Listener {
+public final class DiscoveryClient implements DiscoveryRequest.Listener {
     /** Told what discovery says, on the loop. */
-    interface Listener {
+    public interface Listener {
         void onEndpointList(EndpointListUpdate listing);
 
         /** What has been listed by now was all that discovery had at this time. */
@@ -46,7 +48,7 @@
 
     private int requestCount;
 
-    DiscoveryClient(
+    public DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
@@ -56,7 +58,7 @@
     }
 
     /** The same with another patience. */
-    DiscoveryClient(
+    public DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
@@ -71,15 +73,15 @@
         this.timeouts = timeouts;
     }
 
-    long revision() {
+    public long revision() {
         return revision;
     }
 
-    SocketAddress address() {
+    public SocketAddress address() {
         return address;
     }
 
-    boolean isWatching() {
+    public boolean isWatching() {
         return watch != null && watch.isAnswered();
     }
 
@@ -87,7 +89,7 @@
      * Opens a watch in place of one that stands; that one goes on until one of the two has told a
      * list.
      */
-    void openWatch() {
+    public void openWatch() {
         if (watch != null) {
             keepOpen(watch);
         }
@@ -95,7 +97,7 @@
         watch.open();
     }
 
-    void poll() {
+    public void poll() {
         if (poll != null) {
             poll.close("replaced");
         }
@@ -121,7 +123,7 @@
      * as told and is taken, until the new one has told a list; it confirms nothing any more, and
      * its end is no failure. Whether it moved.
      */
-    boolean moveTo(SocketAddress fresh) {
+    public boolean moveTo(SocketAddress fresh) {
         if (fresh.equals(address)) {
             return false;
         }
@@ -151,7 +153,7 @@
         return taken;
     }
 
-    void close() {
+    public void close() {
         overdueRequests.forEach(request -> request.close("closed"));
         overdueRequests.clear();
         if (watch != null) {
--- a/src/main/java/sagepulley/platform/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.discovery.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -31,7 +31,10 @@
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
+import sagepulley.logging.LogWriter;
 import sagepulley.membership.EndpointPollPolicy;
+import sagepulley.transport.KernelReceiveTime;
+import sagepulley.transport.Transport;
 
 /**
  * One call to discovery and its answer: lists as JSON values, in any pieces and with any white
--- a/src/main/java/sagepulley/platform/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.discovery.http;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,10 +10,10 @@
 import sagepulley.model.Node;
 
 /** A list of nodes, or changes of it, in discovery's form. */
-record EndpointListUpdate(
+public record EndpointListUpdate(
         long revision, boolean complete, List<Member> members, List<String> unreadable) {
     /** One entry; started is wall-clock milliseconds, 0 for long ago. */
-    record Member(
+    public record Member(
             String id,
             SocketAddress address,
             String locality,
@@ -24,7 +24,7 @@
             long startedAtMillis) {}
 
     /** The same list with all its nodes at one address. */
-    EndpointListUpdate withAddress(SocketAddress address) {
+    public EndpointListUpdate withAddress(SocketAddress address) {
         return new EndpointListUpdate(
                 revision,
                 complete,
@@ -45,7 +45,7 @@
     }
 
     /** Reads a list; an entry that cannot be read is left out and named. */
-    static EndpointListUpdate parse(Map<String, Object> object) throws IOException {
+    public static EndpointListUpdate parse(Map<String, Object> object) throws IOException {
         if (!(object.get("revision") instanceof Number revision)
                 || !(object.get("complete") instanceof Boolean complete)
                 || !(object.get("members") instanceof List<?> entries)) {
--- a/src/main/java/sagepulley/platform/JsonReader.java
+++ b/src/main/java/sagepulley/discovery/http/JsonReader.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.discovery.http;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,7 +14,7 @@
  * One JSON value as maps, lists, strings, numbers and booleans. Only Jackson's parser is loaded for
  * it.
  */
-final class JsonReader {
+public final class JsonReader {
     private static final int MAX_DEPTH = 50;
     private static final int MAX_STRING_CHARS = 100_000;
     private static final JsonFactory FACTORY =
@@ -29,7 +29,7 @@
     private JsonReader() {}
 
     /** Reads the one object that the bytes hold. */
-    static Map<String, Object> readObject(byte[] bytes) throws IOException {
+    public static Map<String, Object> readObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
--- a/src/main/java/sagepulley/platform/AcceptErrorHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
@@ -1,9 +1,10 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.channel.ChannelConfig;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.concurrent.TimeUnit;
+import sagepulley.logging.LogWriter;
 
 /**
  * An accept that fails (a client that has gone, descriptors or buffers used up) holds back the next
--- a/src/main/java/sagepulley/platform/AttemptDispatcher.java
+++ b/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
@@ -1,16 +1,20 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import sagepulley.codec.resp.NumberParser;
 import sagepulley.codec.resp.Resp;
 import sagepulley.engine.Clock;
 import sagepulley.engine.GatewayEngine;
+import sagepulley.logging.RateLimitedLog;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
+import sagepulley.upstream.resp.EndpointConnectionPool;
+import sagepulley.upstream.resp.EndpointResponse;
 
 /**
  * Sends the attempts and health checks that the engine decides on to their endpoints, and reports
--- a/src/main/java/sagepulley/platform/BadCommandException.java
+++ b/src/main/java/sagepulley/frontend/resp/BadCommandException.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 /** A command that cannot be taken; the message is what its client is told. */
 final class BadCommandException extends Exception {
--- a/src/main/java/sagepulley/platform/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -1,10 +1,11 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import sagepulley.codec.resp.NumberParser;
 import sagepulley.codec.resp.Resp;
 import sagepulley.model.Deployment;
 import sagepulley.model.TenantPlan;
@@ -14,9 +15,9 @@
  * A client's read or write of a piece of data, checked field by field, and the words that go to a
  * node.
  */
-final class BlockCommand {
-    static final String READ = "BLK.READ";
-    static final String WRITE = "BLK.WRITE";
+public final class BlockCommand {
+    public static final String READ = "BLK.READ";
+    public static final String WRITE = "BLK.WRITE";
 
     /** Bytes of the longest list of fields. */
     static final int MAX_FIELDS_BYTES = 1024;
--- a/src/main/java/sagepulley/platform/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -13,6 +13,8 @@
 import sagepulley.codec.resp.Resp;
 import sagepulley.codec.resp.RespDecoder;
 import sagepulley.codec.resp.RespEncoder;
+import sagepulley.logging.LogWriter;
+import sagepulley.transport.KernelReceiveTime;
 
 /**
  * One client's connection: its commands in, its answers out in the order of the commands. However
--- a/src/main/java/sagepulley/platform/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -15,15 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import sagepulley.codec.resp.RespDecoder;
 import sagepulley.codec.resp.RespLimits;
+import sagepulley.transport.Transport;
 
 /**
  * Where clients connect: takes connections up to a number, and ends those that nobody uses. On the
  * loop.
  */
 final class ClientListener {
-    /** Bytes of a value, as the protocol allows. */
-    static final int MAX_VALUE_BYTES = 65_536;
-
     private static final int MAX_LINE_BYTES = 64;
     private static final int MAX_ARGUMENTS = 8;
     private static final int MAX_OTHER_ARGUMENTS_BYTES = 4096;
@@ -89,8 +87,8 @@
         RespLimits limits =
                 RespLimits.commands(
                         MAX_LINE_BYTES,
-                        MAX_VALUE_BYTES,
-                        MAX_VALUE_BYTES + MAX_OTHER_ARGUMENTS_BYTES,
+                        RespLimits.MAX_VALUE_BYTES,
+                        RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ARGUMENTS_BYTES,
                         MAX_ARGUMENTS);
         ServerBootstrap server =
                 new ServerBootstrap()
--- a/src/main/java/sagepulley/platform/ClientWriter.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientWriter.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/sagepulley/platform/DueWorkScheduler.java
+++ b/src/main/java/sagepulley/frontend/resp/DueWorkScheduler.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.channel.EventLoop;
 import sagepulley.codec.frame.EventLoopTimer;
--- a/src/main/java/sagepulley/platform/EndpointListHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
@@ -1,9 +1,12 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import sagepulley.discovery.http.DiscoveryClient;
+import sagepulley.discovery.http.EndpointListUpdate;
 import sagepulley.engine.Clock;
 import sagepulley.engine.GatewayEngine;
+import sagepulley.logging.LogWriter;
 
 /**
  * Endpoint lists on their way from discovery into the engine. Runs on the event loop; times are
--- a/src/main/java/sagepulley/platform/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import sagepulley.discovery.http.EndpointListUpdate;
 import sagepulley.engine.Clock;
 import sagepulley.engine.EndpointEntry;
 import sagepulley.model.Attempt;
--- a/src/main/java/sagepulley/platform/GatewayMetrics.java
+++ b/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import java.util.EnumMap;
 import java.util.HashMap;
--- a/src/main/java/sagepulley/platform/RequestHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/RequestHandler.java
@@ -1,15 +1,19 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
+import sagepulley.codec.resp.NumberParser;
 import sagepulley.codec.resp.RespEncoder;
+import sagepulley.config.resp.GatewayConfig;
 import sagepulley.engine.Clock;
 import sagepulley.engine.GatewayEngine;
+import sagepulley.logging.RateLimitedLog;
 import sagepulley.model.Operation;
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.Volume;
+import sagepulley.transport.KernelReceiveTime;
 
 /**
  * Clients' requests on their way into the engine and its answers on their way back: parses and
--- a/src/main/java/sagepulley/platform/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -1,25 +1,31 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import sagepulley.config.resp.GatewayConfig;
+import sagepulley.discovery.http.DiscoveryClient;
 import sagepulley.engine.Clock;
 import sagepulley.engine.DecisionSink;
 import sagepulley.engine.GatewayEngine;
+import sagepulley.logging.LogWriter;
+import sagepulley.logging.RateLimitedLog;
 import sagepulley.model.Attempt;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.TrafficClass;
+import sagepulley.transport.Transport;
+import sagepulley.upstream.resp.EndpointConnectionPool;
 
 /**
  * One RESP gateway: clients, endpoints and discovery round the engine, on one event loop. Composes
  * the parts, carries the engine's decisions to them, and starts and stops them. Its public methods
  * may be called from any thread; those of {@link DecisionSink} are called on the loop.
  */
-final class RespGateway implements DecisionSink, RequestHandler.Listener {
+public final class RespGateway implements DecisionSink {
     private static final long MAINTENANCE_INTERVAL_MILLIS = 200;
     private static final long REPORT_INTERVAL_MILLIS = 5_000;
 
@@ -70,7 +76,7 @@
     private boolean listening;
     private boolean stopping;
 
-    RespGateway(GatewayConfig config, Transport transport) {
+    public RespGateway(GatewayConfig config, Transport transport) {
         this.config = config;
         this.loop = transport.eventLoops().next();
         this.engine = new GatewayEngine(config.deployment(), config.seed(), this);
@@ -90,7 +96,7 @@
                         handler ->
                                 new ClientListener(
                                         transport, clientSockets, maxDeadline(config), handler),
-                        this);
+                        requestListener());
         this.connections =
                 new EndpointConnectionPool(
                         transport,
@@ -131,6 +137,25 @@
                         clock, engine, metrics, requests, connections, endpoints, discovery);
     }
 
+    private RequestHandler.Listener requestListener() {
+        return new RequestHandler.Listener() {
+            @Override
+            public void onEngineEvent() {
+                dueWork.schedule();
+            }
+
+            @Override
+            public void onCancelled(Operation operation) {
+                attempts.cancelUnwritten(operation);
+            }
+
+            @Override
+            public void onReplyOrClose() {
+                stopIfDrained();
+            }
+        };
+    }
+
     private static double minLatencyObjective(GatewayConfig config) {
         return config.deployment().trafficClasses().stream()
                 .mapToDouble(TrafficClass::latencyObjective)
@@ -146,14 +171,14 @@
     }
 
     /** Milliseconds of the gateway's own clock, which only moves forward. */
-    double now() {
+    public double now() {
         return clock.now();
     }
 
     // ---- start ----
 
     /** Requests the endpoint list, and listens for nobody yet. */
-    void connectToDiscovery() {
+    public void connectToDiscovery() {
         loop.execute(
                 () -> {
                     endpointLists.onEndpointList(config.initialEndpoints());
@@ -169,7 +194,7 @@
      * Listens once the first endpoint list is there or has timed out; {@link #connectToDiscovery}
      * has been called. Completes with the address that clients can connect to.
      */
-    CompletableFuture<SocketAddress> start() {
+    public CompletableFuture<SocketAddress> start() {
         CompletableFuture<SocketAddress> ready = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -247,32 +272,15 @@
         dueWork.wakeUpAt(now + pause);
     }
 
-    // ---- what happens to clients' requests ----
-
-    @Override
-    public void onEngineEvent() {
-        dueWork.schedule();
-    }
-
-    @Override
-    public void onCancelled(Operation operation) {
-        attempts.cancelUnwritten(operation);
-    }
-
-    @Override
-    public void onReplyOrClose() {
-        stopIfDrained();
-    }
-
     // ---- configuration ----
 
     /** How many configurations have been read since the start. */
-    int reloads() {
+    public int reloads() {
         return reloads;
     }
 
     /** Where discovery is by the last configuration that was read. */
-    SocketAddress discoveryAddress() {
+    public SocketAddress discoveryAddress() {
         return discovery.address();
     }
 
@@ -280,7 +288,7 @@
      * A new configuration was announced at a time. Discovery's list counts as notified some seconds
      * after that, however long the file takes to read.
      */
-    void onReloadNotified(double notifiedAt) {
+    public void onReloadNotified(double notifiedAt) {
         loop.execute(
                 () -> {
                     LogWriter.info(
@@ -295,7 +303,7 @@
      * A configuration whose reading began at a time: discovery moves; what else differs applies
      * from the next start on.
      */
-    void onConfigurationRead(GatewayConfig newConfig, double readAt) {
+    public void onConfigurationRead(GatewayConfig newConfig, double readAt) {
         loop.execute(
                 () -> {
                     LogWriter.info(
@@ -315,14 +323,14 @@
     }
 
     /** A configuration whose reading began at a time is invalid: the last one stays. */
-    void onConfigurationUnusable(double readAt) {
+    public void onConfigurationUnusable(double readAt) {
         loop.execute(() -> engine.onConfigurationRead(readAt));
     }
 
     // ---- stop ----
 
     /** Begins a graceful shutdown: serves on for a while, then replies to what is in flight. */
-    void stop() {
+    public void stop() {
         double signalledAt = clock.now();
         loop.execute(
                 () -> {
@@ -365,7 +373,7 @@
     }
 
     /** Stops without waiting for anybody. */
-    void stopNow() {
+    public void stopNow() {
         loop.execute(
                 () -> {
                     LogWriter.info(
@@ -378,7 +386,7 @@
     }
 
     /** Completes once the gateway has stopped, with a reply to all that it accepted. */
-    CompletableFuture<Void> stopped() {
+    public CompletableFuture<Void> stopped() {
         return stopped;
     }
 }
--- a/src/main/java/sagepulley/platform/ShutdownSchedule.java
+++ b/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 /**
  * When a graceful shutdown takes its steps, in milliseconds of the gateway's clock.
--- a/src/main/java/sagepulley/platform/StateReporter.java
+++ b/src/main/java/sagepulley/frontend/resp/StateReporter.java
@@ -1,11 +1,14 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import java.util.Map;
+import sagepulley.discovery.http.DiscoveryClient;
 import sagepulley.engine.Clock;
 import sagepulley.engine.GatewayEngine;
+import sagepulley.logging.LogWriter;
 import sagepulley.model.Node;
 import sagepulley.model.Outcome;
 import sagepulley.scheduler.EndpointView;
+import sagepulley.upstream.resp.EndpointConnectionPool;
 
 /**
  * Logs the gateway's state and that of each endpoint at fixed intervals. Runs on the event loop;
--- a/src/main/java/sagepulley/platform/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.lifecycle;
 
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.Closeable;
@@ -12,6 +12,11 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import sagepulley.config.resp.ConfigException;
+import sagepulley.config.resp.GatewayConfig;
+import sagepulley.config.resp.UnreadableConfigException;
+import sagepulley.frontend.resp.RespGateway;
+import sagepulley.logging.LogWriter;
 
 /**
  * New configurations. The file is read anew at SIGHUP, and again after a pause for as long as it
--- a/src/main/java/sagepulley/platform/GatewayServer.java
+++ b/src/main/java/sagepulley/lifecycle/GatewayServer.java
@@ -1,11 +1,16 @@
-package sagepulley.platform;
+package sagepulley.lifecycle;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
+import sagepulley.config.resp.ConfigException;
+import sagepulley.config.resp.GatewayConfig;
+import sagepulley.frontend.resp.RespGateway;
+import sagepulley.logging.LogWriter;
 import sagepulley.model.TrafficClass;
+import sagepulley.transport.Transport;
 
 /** Runs one gateway on the platform in the foreground, until SIGTERM. */
 public final class GatewayServer {
--- a/src/main/java/sagepulley/platform/SignalHandlers.java
+++ b/src/main/java/sagepulley/lifecycle/SignalHandlers.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.lifecycle;
 
 import java.io.IOException;
 import java.lang.reflect.Proxy;
--- /dev/null
+++ b/src/main/java/sagepulley/lifecycle/WarmUpConfig.java
@@ -0,0 +1,48 @@
+package sagepulley.lifecycle;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.SocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import sagepulley.config.resp.ConfigException;
+import sagepulley.config.resp.GatewayConfig;
+import sagepulley.discovery.http.JsonReader;
+
+/** The built-in configuration of a warm-up run, which has one endpoint. */
+public final class WarmUpConfig {
+    private static final String RESOURCE = "/rehearsal.json";
+
+    private WarmUpConfig() {}
+
+    /** The text of the configuration file. */
+    public static String text() throws IOException {
+        try (InputStream in = WarmUpConfig.class.getResourceAsStream(RESOURCE)) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    /** The text of the configuration file with a listener for clients at this port. */
+    public static String listeningAt(int port) throws IOException {
+        return text().replace(
+                        "\"listen\": \"127.0.0.1:1\"", "\"listen\": \"127.0.0.1:" + port + "\"");
+    }
+
+    /** The configuration with a listener, discovery and the endpoint at these addresses. */
+    public static GatewayConfig at(
+            SocketAddress listen, SocketAddress discovery, SocketAddress endpoint)
+            throws IOException, ConfigException {
+        return GatewayConfig.parse(
+                        JsonReader.readObject(text().getBytes(StandardCharsets.UTF_8)), Map.of())
+                .withAddresses(listen, discovery, endpoint);
+    }
+
+    /** A loopback port that was free a moment ago. */
+    public static int freePort() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
+        }
+    }
+}
--- a/src/main/java/sagepulley/platform/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.lifecycle;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -11,10 +11,8 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -24,10 +22,16 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import sagepulley.codec.resp.NumberParser;
 import sagepulley.codec.resp.Resp;
 import sagepulley.codec.resp.RespDecoder;
 import sagepulley.codec.resp.RespEncoder;
 import sagepulley.codec.resp.RespLimits;
+import sagepulley.config.resp.ConfigException;
+import sagepulley.frontend.resp.BlockCommand;
+import sagepulley.frontend.resp.RespGateway;
+import sagepulley.logging.LogWriter;
+import sagepulley.transport.Transport;
 
 /**
  * A short run of a whole gateway with a node, a discovery and clients of its own. The build does it
@@ -75,32 +79,13 @@
     private static void serveFromFile() throws IOException, ConfigException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try {
-            Files.writeString(file, listeningAt(freePort()));
+            Files.writeString(file, WarmUpConfig.listeningAt(WarmUpConfig.freePort()));
             GatewayServer.run(Map.of("GW_CONFIG", file.toString()), RespGateway::stopNow);
         } finally {
             Files.delete(file);
         }
     }
 
-    /** The text of the configuration that is rehearsed. */
-    static String text() throws IOException {
-        try (InputStream in = WarmUpRun.class.getResourceAsStream("/rehearsal.json")) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
-        }
-    }
-
-    /** The same for clients at this port. */
-    static String listeningAt(int port) throws IOException {
-        return text().replace(
-                        "\"listen\": \"127.0.0.1:1\"", "\"listen\": \"127.0.0.1:" + port + "\"");
-    }
-
-    static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
-        }
-    }
-
     /** Inside the program, for so many operations or milliseconds. */
     static void inProcess(int operations, long timeoutMillis) {
         try {
@@ -134,7 +119,8 @@
         try {
             SocketAddress nodeAt = server(others, node, WarmUpRun::serveEndpoint);
             SocketAddress discoveryAt = server(others, discovery, WarmUpRun::serveDiscovery);
-            RespGateway gateway = new RespGateway(config(listen, discoveryAt, nodeAt), own);
+            RespGateway gateway =
+                    new RespGateway(WarmUpConfig.at(listen, discoveryAt, nodeAt), own);
             gateway.connectToDiscovery();
             WarmUpRun warmUp = new WarmUpRun(others, gateway.start().join(), operations);
             for (int i = 0; i < CLIENTS; i++) {
@@ -156,14 +142,6 @@
         }
     }
 
-    /** The configuration that is rehearsed, at these addresses. */
-    static GatewayConfig config(SocketAddress listen, SocketAddress discovery, SocketAddress node)
-            throws IOException, ConfigException {
-        return GatewayConfig.parse(
-                        JsonReader.readObject(text().getBytes(StandardCharsets.UTF_8)), Map.of())
-                .withAddresses(listen, discovery, node);
-    }
-
     private interface Pipeline {
         void fill(Channel channel);
     }
--- a/src/main/java/sagepulley/platform/LogWriter.java
+++ b/src/main/java/sagepulley/logging/LogWriter.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.logging;
 
 import java.io.PrintStream;
 import java.time.Instant;
@@ -11,7 +11,10 @@
  * waits, and what does not fit is counted. Logback is not used here: 510 of the 2,941 classes of a
  * start were its own.
  */
-final class LogWriter {
+public final class LogWriter {
+    /** Threads whose name starts with this log nothing: they run a gateway inside the program. */
+    public static final String WARM_UP_THREAD_PREFIX = "rehearsal";
+
     private static final int MAX_QUEUED_LINES = 1000;
     private static final int MAX_VALUE_CHARS = 4000;
     private static final BlockingQueue<String> LINES = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
@@ -26,13 +29,13 @@
 
     private LogWriter() {}
 
-    static void info(String event, Object... namesAndValues) {
+    public static void info(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
             offer("INFO", event, namesAndValues);
         }
     }
 
-    static void warn(String event, Object... namesAndValues) {
+    public static void warn(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
             offer("WARN", event, namesAndValues);
         }
@@ -40,7 +43,7 @@
 
     /** A gateway that rehearses inside the program is quiet; the real one beside it is not. */
     private static boolean isWarmUpThread() {
-        return Thread.currentThread().getName().startsWith(Transport.WARM_UP_THREAD_PREFIX);
+        return Thread.currentThread().getName().startsWith(WARM_UP_THREAD_PREFIX);
     }
 
     private static void offer(String level, String event, Object... namesAndValues) {
@@ -96,7 +99,7 @@
     }
 
     /** Waits until what was logged is written, at most so many milliseconds. */
-    static void flush(long timeoutMillis) {
+    public static void flush(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (UNWRITTEN.get() > 0 && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
--- a/src/main/java/sagepulley/platform/RateLimitedLog.java
+++ b/src/main/java/sagepulley/logging/RateLimitedLog.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.logging;
 
 import java.util.function.DoubleSupplier;
 
@@ -7,7 +7,7 @@
  * so that an overload does not log itself to death. What is left out is counted, and told with the
  * next second's first line.
  */
-final class RateLimitedLog {
+public final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 100;
     private static final double WINDOW_MILLIS = 1_000;
 
@@ -16,11 +16,11 @@
     private int written;
     private long suppressed;
 
-    RateLimitedLog(DoubleSupplier clock) {
+    public RateLimitedLog(DoubleSupplier clock) {
         this.clock = clock;
     }
 
-    void info(String event, Object... namesAndValues) {
+    public void info(String event, Object... namesAndValues) {
         double now = clock.getAsDouble();
         if (now - windowStart >= WINDOW_MILLIS) {
             windowStart = now;
--- a/src/main/java/sagepulley/platform/KernelReceiveTime.java
+++ b/src/main/java/sagepulley/transport/KernelReceiveTime.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -9,7 +9,7 @@
  * How long ago the bytes read last came to this machine, by the kernel's book: a loop that had no
  * CPU reads them late, and that is no node's queue and no client's haste. One for each loop.
  */
-final class KernelReceiveTime {
+public final class KernelReceiveTime {
     /**
      * The kernel counts in ticks of 4 ms mostly and tells a figure that is half of one too long on
      * average.
@@ -19,7 +19,7 @@
     private final EpollTcpInfo info = new EpollTcpInfo();
 
     /** Milliseconds, and no more than are possible; 0 where the kernel does not tell. */
-    double millisSinceReceived(Channel channel, double maxMillis) {
+    public double millisSinceReceived(Channel channel, double maxMillis) {
         if (!(channel instanceof EpollSocketChannel socket)) {
             return 0;
         }
--- a/src/main/java/sagepulley/platform/Transport.java
+++ b/src/main/java/sagepulley/transport/Transport.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -15,22 +15,20 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.function.Consumer;
 import sagepulley.codec.frame.EventLoops;
+import sagepulley.logging.LogWriter;
 
 /** One loop, and the channels that a gateway opens on it: sockets, or pipes inside the program. */
-record Transport(
+public record Transport(
         EventLoopGroup eventLoops,
         Class<? extends Channel> socket,
         Class<? extends ServerChannel> server) {
-    /** How the names of the threads begin on which a gateway rehearses inside the program. */
-    static final String WARM_UP_THREAD_PREFIX = "rehearsal";
-
-    static Transport sockets() {
+    public static Transport sockets() {
         return new Transport(
                 EventLoops.group(1, "gateway"), EventLoops.socket(), EventLoops.server());
     }
 
     /** For connections out of the program or inside it. */
-    Bootstrap connector() {
+    public Bootstrap connector() {
         Bootstrap connector = new Bootstrap().group(eventLoops).channel(socket);
         return SocketChannel.class.isAssignableFrom(socket)
                 ? connector.option(ChannelOption.TCP_NODELAY, true)
@@ -41,7 +39,7 @@
      * The channel of a connection that is being made; null where the system granted no socket for
      * it.
      */
-    static Channel channelOf(ChannelFuture connecting) {
+    public static Channel channelOf(ChannelFuture connecting) {
         return connecting.isDone() && !connecting.channel().isRegistered()
                 ? null
                 : connecting.channel();
@@ -51,7 +49,7 @@
      * Tells a connection's failure on the loop. Where the system grants no socket, the future
      * belongs to another thread and its channel cannot even be closed.
      */
-    static void onConnectFailure(
+    public static void onConnectFailure(
             ChannelFuture connecting, EventLoop loop, Consumer<Throwable> task) {
         connecting.addListener(
                 done -> {
@@ -66,11 +64,11 @@
                 });
     }
 
-    static Transport inProcess() {
+    public static Transport inProcess() {
         return new Transport(
                 new MultiThreadIoEventLoopGroup(
                         1,
-                        new DefaultThreadFactory(WARM_UP_THREAD_PREFIX, true),
+                        new DefaultThreadFactory(LogWriter.WARM_UP_THREAD_PREFIX, true),
                         LocalIoHandler.newFactory()),
                 LocalChannel.class,
                 LocalServerChannel.class);
--- a/src/main/java/sagepulley/platform/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.upstream.resp;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -30,13 +30,15 @@
 import sagepulley.codec.resp.RespLimits;
 import sagepulley.model.Attempt;
 import sagepulley.model.Outcome;
+import sagepulley.transport.KernelReceiveTime;
+import sagepulley.transport.Transport;
 
 /**
  * The connections to the nodes: one call at a time on each, and those that are free used again.
  * Carries out and decides nothing: no call is sent twice, and each ends in one outcome. All on one
  * loop.
  */
-final class EndpointConnectionPool {
+public final class EndpointConnectionPool {
     private static final int MAX_LINE_BYTES = 512;
     private static final int REPLY_ITEMS = 3;
     private static final int MAX_OTHER_ITEMS_BYTES = 2048;
@@ -56,7 +58,7 @@
      * The words of a command to a node that is given so many milliseconds; null if it may not begin
      * any more.
      */
-    interface CommandSource {
+    public interface CommandSource {
         List<byte[]> arguments(double left);
     }
 
@@ -64,7 +66,7 @@
      * Told the end of a call, once: the answer if one could be read, else null, and when it came to
      * the machine.
      */
-    interface ResultListener {
+    public interface ResultListener {
         void onResult(Outcome outcome, Resp answer, double at);
     }
 
@@ -78,8 +80,8 @@
     private final RespLimits limits =
             RespLimits.replies(
                     MAX_LINE_BYTES,
-                    ClientListener.MAX_VALUE_BYTES,
-                    ClientListener.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
+                    RespLimits.MAX_VALUE_BYTES,
+                    RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
                     REPLY_ITEMS);
 
     /** Free connections, the one used last first. */
@@ -104,7 +106,7 @@
     private final Map<String, Integer> invalidReplies = new TreeMap<>();
 
     /** An answer that has begun and brings nothing more for the stall time is spoilt. */
-    EndpointConnectionPool(
+    public EndpointConnectionPool(
             Transport transport,
             int maxConnections,
             double connectTimeoutMillis,
@@ -121,46 +123,46 @@
     }
 
     /** Told the reason of each connection's end. */
-    void onClose(BiConsumer<SocketAddress, String> listener) {
+    public void onClose(BiConsumer<SocketAddress, String> listener) {
         closeListener = listener;
     }
 
-    int openConnections() {
+    public int openConnections() {
         return openConnections;
     }
 
     /** Connections to an address, free ones and others. */
-    int openConnections(SocketAddress address) {
+    public int openConnections(SocketAddress address) {
         return openByAddress.getOrDefault(address, 0);
     }
 
     /** Connections opened since the start. */
-    long connectionsOpened() {
+    public long connectionsOpened() {
         return connectionsOpened;
     }
 
     /** Attempts that found no connection since the limit was reached. */
-    long rejectedAtLimit() {
+    public long rejectedAtLimit() {
         return rejectedAtLimit;
     }
 
     /** Idle connections that were found closed, or with unread bytes, when they were wanted. */
-    long staleConnections() {
+    public long staleConnections() {
         return staleConnections;
     }
 
     /** Replies that could not be used, by what was wrong with them. */
-    Map<String, Integer> invalidReplies() {
+    public Map<String, Integer> invalidReplies() {
         return Collections.unmodifiableMap(invalidReplies);
     }
 
     /** Attempts whose outcome is not known yet. */
-    int attemptsInFlight() {
+    public int attemptsInFlight() {
         return inFlight.size();
     }
 
     /** Sends an attempt's command, and waits so many milliseconds for its answer. */
-    void send(
+    public void send(
             Attempt attempt,
             SocketAddress address,
             CommandSource command,
@@ -181,7 +183,7 @@
     }
 
     /** Asks a node something that no client sent. */
-    void sendHealthCheck(
+    public void sendHealthCheck(
             SocketAddress address,
             List<byte[]> words,
             double timeoutMillis,
@@ -193,7 +195,7 @@
      * Nobody waits for this attempt any longer: its connection ends with it at once; its outcome is
      * told later.
      */
-    void cancel(Attempt attempt) {
+    public void cancel(Attempt attempt) {
         Connection connection = inFlight.get(attempt);
         if (connection != null) {
             connection.end(Outcome.CANCELLED);
@@ -201,7 +203,7 @@
     }
 
     /** The same, if the node has not been sent the whole of it. */
-    void cancelUnwritten(Attempt attempt) {
+    public void cancelUnwritten(Attempt attempt) {
         Connection connection = inFlight.get(attempt);
         if (connection != null && !connection.commandWritten) {
             connection.end(Outcome.CANCELLED);
@@ -261,7 +263,7 @@
     }
 
     /** Closes what has been free for long, well before the machine would. */
-    void closeExpired() {
+    public void closeExpired() {
         double now = clock.getAsDouble();
         for (ArrayDeque<Connection> idleConnections : List.copyOf(idle.values())) {
             while (!idleConnections.isEmpty()
@@ -273,7 +275,7 @@
     }
 
     /** Closes all connections; attempts that are out are called off. */
-    void close() {
+    public void close() {
         List.copyOf(inFlight.keySet()).forEach(this::cancel);
         List.copyOf(idle.values())
                 .forEach(
--- a/src/main/java/sagepulley/platform/EndpointResponse.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
@@ -1,11 +1,12 @@
-package sagepulley.platform;
+package sagepulley.upstream.resp;
 
 import java.util.List;
+import sagepulley.codec.resp.NumberParser;
 import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
 
 /** What a node's answer holds beside its value: figures on use, and a report of its load. */
-final class EndpointResponse {
+public final class EndpointResponse {
     private static final int VALUE_ITEM = 0;
     private static final int USAGE_ITEM = 1;
     private static final int REPORT_ITEM = 2;
@@ -14,12 +15,12 @@
     private EndpointResponse() {}
 
     /** The value of an answer that satisfied. */
-    static byte[] value(Resp answer) {
+    public static byte[] value(Resp answer) {
         return ((Resp.Bulk) ((Resp.Array) answer).items().get(VALUE_ITEM)).bytes();
     }
 
     /** Notes with the attempt what its answer tells; what cannot be read of it was not told. */
-    static void recordIn(Attempt attempt, Resp answer, List<String> reportFields) {
+    public static void recordIn(Attempt attempt, Resp answer, List<String> reportFields) {
         if (answer instanceof Resp.Array array
                 && array.items() != null
                 && array.items().size() > REPORT_ITEM) {
@@ -46,7 +47,7 @@
     }
 
     /** A load report in the order of its fields; null if it does not tell them all. */
-    static double[] parseReport(Resp item, List<String> fields) {
+    public static double[] parseReport(Resp item, List<String> fields) {
         return parseReport(text(item), fields);
     }
 
--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -139,11 +139,21 @@
                     .dependOnClassesThat()
                     .resideOutsideOfPackages("java..", "io.netty..", "sagepulley.codec.resp..");
 
+    private static final String[] RESP_GATEWAY = {
+        "sagepulley.frontend.resp..",
+        "sagepulley.upstream.resp..",
+        "sagepulley.discovery.http..",
+        "sagepulley.config.resp..",
+        "sagepulley.lifecycle..",
+        "sagepulley.logging..",
+        "sagepulley.transport.."
+    };
+
     @ArchTest
-    static final ArchRule THE_PLATFORM_IS_ONE_MORE_ENTRY =
+    static final ArchRule THE_RESP_GATEWAY_KNOWS_NO_OTHER_ENTRY =
             noClasses()
                     .that()
-                    .resideInAPackage("sagepulley.platform..")
+                    .resideInAnyPackage(RESP_GATEWAY)
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
@@ -155,4 +165,31 @@
                             "sagepulley.codec.nbd..",
                             "sagepulley.upstream.frame..",
                             "sagepulley.discovery.directory..");
+
+    /** No class of another logger or of another configuration format is loaded at its start. */
+    @ArchTest
+    static final ArchRule THE_RESP_GATEWAY_STARTS_LIGHT =
+            noClasses()
+                    .that()
+                    .resideInAnyPackage(RESP_GATEWAY)
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            "sagepulley.config",
+                            "org.slf4j..",
+                            "ch.qos.logback..",
+                            "org.apache.commons..");
+
+    @ArchTest
+    static final ArchRule RESP_CLIENTS_DECIDE_NOTHING =
+            noClasses()
+                    .that()
+                    .resideInAnyPackage("sagepulley.upstream.resp..", "sagepulley.discovery.http..")
+                    .should()
+                    .dependOnClassesThat()
+                    .resideInAnyPackage(
+                            "sagepulley.scheduler..",
+                            "sagepulley.engine..",
+                            "sagepulley.frontend..",
+                            "sagepulley.config..");
 }
--- a/src/test/java/sagepulley/platform/ConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/ConfigTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.config.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import sagepulley.lifecycle.WarmUpConfig;
 
 /** What a gateway is told at its start. */
 class ConfigTest {
@@ -20,7 +21,7 @@
 
     @Test
     void nestedSettingsAreReadAsTheFirstMessageIs() throws Exception {
-        GatewayConfig config = GatewayConfig.read(write(WarmUpRun.text()));
+        GatewayConfig config = GatewayConfig.read(write(WarmUpConfig.text()));
         assertEquals("put", config.deployment().trafficClasses().get(1).name());
         assertTrue(config.deployment().trafficClasses().get(1).writes());
         assertFalse(config.deployment().trafficClasses().get(0).writes());
@@ -44,7 +45,7 @@
             })
     void anUnusableFileIsNamedWithWhatIsWrongInOneLine(String good, String bad, String what)
             throws Exception {
-        String text = WarmUpRun.text();
+        String text = WarmUpConfig.text();
         assertTrue(text.contains(good));
         ConfigException error =
                 assertThrows(
--- a/src/test/java/sagepulley/platform/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.config.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,6 +17,8 @@
 import sagepulley.config.TracingSettings;
 import sagepulley.config.VolumeSettings;
 import sagepulley.config.settings.SettingsReader;
+import sagepulley.discovery.http.AddressParser;
+import sagepulley.discovery.http.EndpointListUpdate;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
 import sagepulley.model.ServicePolicy;
--- a/src/test/java/sagepulley/platform/DiscoveryTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.discovery.http;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -22,7 +22,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagepulley.config.resp.GatewayConfig;
 import sagepulley.engine.Clock;
+import sagepulley.frontend.resp.RespGateway;
+import sagepulley.lifecycle.WarmUpConfig;
+import sagepulley.testing.ScriptedPeers;
+import sagepulley.transport.Transport;
 
 /** Calls to discovery: what is told, and that each failure is told once. */
 @Timeout(60)
@@ -506,7 +511,7 @@
             GatewayConfig config =
                     GatewayConfig.parse(
                                     JsonReader.readObject(
-                                            WarmUpRun.text()
+                                            WarmUpConfig.text()
                                                     .replace("\"subscribe\"", "\"" + how + "\"")
                                                     .getBytes(StandardCharsets.UTF_8)),
                                     Map.of())
--- a/src/test/java/sagepulley/platform/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,6 +24,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import sagepulley.codec.resp.RespEncoder;
+import sagepulley.testing.ScriptedPeers;
+import sagepulley.transport.Transport;
 
 /**
  * Clients' connections on real sockets while they end. The loop is held by hand, so that what a
--- a/src/test/java/sagepulley/platform/PlatformPathTest.java
+++ b/src/test/java/sagepulley/frontend/resp/PlatformPathTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import sagepulley.codec.resp.NumberParser;
+import sagepulley.lifecycle.WarmUpConfig;
 import sagepulley.model.Node;
+import sagepulley.testing.KernelTcpTable;
+import sagepulley.testing.ScriptedPeers;
+import sagepulley.transport.Transport;
 
 /** The whole way on sockets: a client, the gateway, a scripted node and a scripted discovery. */
 @Timeout(60)
@@ -311,11 +316,11 @@
     void aGatewayThatIsToldToEndBeforeItIsReadyNeverListens() throws Exception {
         Transport transport = Transport.sockets();
         try {
-            int port = WarmUpRun.freePort();
+            int port = WarmUpConfig.freePort();
             InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
             InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             RespGateway gateway =
-                    new RespGateway(WarmUpRun.config(front, nobody, nobody), transport);
+                    new RespGateway(WarmUpConfig.at(front, nobody, nobody), transport);
             gateway.stop();
             gateway.connectToDiscovery();
             gateway.start().join();
--- a/src/test/java/sagepulley/platform/ServeNamesTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.frontend.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import sagepulley.codec.resp.Resp;
+import sagepulley.lifecycle.WarmUpConfig;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
 import sagepulley.model.Node;
@@ -17,6 +18,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
+import sagepulley.upstream.resp.EndpointResponse;
 
 /** Words of 'serve' on its wire and in its log, and how the program is started. */
 class ServeNamesTest {
@@ -25,7 +27,7 @@
 
     private static BlockCommand command(String word, String fields, String... more)
             throws Exception {
-        Deployment deployment = WarmUpRun.config(null, null, null).deployment();
+        Deployment deployment = WarmUpConfig.at(null, null, null).deployment();
         List<byte[]> words = new ArrayList<>();
         for (String each : List.of(word, "000000000000000a", "000000000000000b", fields)) {
             words.add(each.getBytes(StandardCharsets.US_ASCII));
@@ -59,7 +61,7 @@
     @Test
     void figuresOfANodesAnswer() throws Exception {
         TrafficClass trafficClass =
-                WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
+                WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
         Operation operation = new Operation(1, trafficClass, null, 0, 1, 0, 0, 900, false);
         Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
         EndpointResponse.recordIn(
@@ -73,7 +75,7 @@
     void countsInTheLog() throws Exception {
         GatewayMetrics counts = new GatewayMetrics();
         TrafficClass trafficClass =
-                WarmUpRun.config(null, null, null).deployment().trafficClasses().get(0);
+                WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
         for (Outcome outcome : Outcome.values()) {
             counts.onAttemptEnded(outcome, new Node(1));
         }
--- a/src/test/java/sagepulley/platform/ServeTest.java
+++ b/src/test/java/sagepulley/lifecycle/ServeTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.lifecycle;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,6 +16,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import sagepulley.config.resp.ConfigException;
+import sagepulley.frontend.resp.RespGateway;
+import sagepulley.testing.ScriptedPeers;
 
 /** A gateway as `run` starts it: from a file, with the operating system's signals. */
 @Timeout(60)
@@ -28,7 +31,7 @@
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
-            int port = WarmUpRun.freePort();
+            int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
             CompletableFuture<RespGateway> ready = new CompletableFuture<>();
@@ -82,7 +85,7 @@
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
-            int port = WarmUpRun.freePort();
+            int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
@@ -112,7 +115,7 @@
     }
 
     private static String config(int port, SocketAddress discovery) throws Exception {
-        return WarmUpRun.listeningAt(port)
+        return WarmUpConfig.listeningAt(port)
                 .replace(
                         "\"discovery\": \"127.0.0.1:1\"",
                         "\"discovery\": \"127.0.0.1:"
--- a/src/test/java/sagepulley/platform/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.testing;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
@@ -13,7 +13,7 @@
  * What the kernel's book of TCP connections says of the reading end, so that a test knows what lies
  * unread there.
  */
-final class KernelTcpTable {
+public final class KernelTcpTable {
     private static final List<Path> TABLES =
             List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
     private static final int CLOSE_WAIT = 8;
@@ -21,7 +21,7 @@
     private KernelTcpTable() {}
 
     /** Until the end that the far port sent lies unread at the near one. */
-    static void awaitFin(int near, int far) {
+    public static void awaitFin(int near, int far) {
         await().until(
                         () ->
                                 lines(near, far).stream()
@@ -32,7 +32,7 @@
     }
 
     /** Until bytes lie unread at the near one. */
-    static void awaitUnread(int near, int far) {
+    public static void awaitUnread(int near, int far) {
         await().until(
                         () ->
                                 lines(near, far).stream()
@@ -43,7 +43,7 @@
     }
 
     /** Until the near one's connection has been reset, or is gone. */
-    static void awaitGone(int near, int far) {
+    public static void awaitGone(int near, int far) {
         await().until(() -> lines(near, far).isEmpty());
     }
 
--- a/src/test/java/sagepulley/platform/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.testing;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
@@ -17,39 +17,45 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
+import sagepulley.codec.resp.NumberParser;
+import sagepulley.config.resp.GatewayConfig;
+import sagepulley.discovery.http.JsonReader;
+import sagepulley.frontend.resp.RespGateway;
+import sagepulley.lifecycle.WarmUpConfig;
+import sagepulley.transport.Transport;
 
 /** A gateway on loopback with one node and a discovery that do as a test's script says. */
-final class ScriptedPeers implements Closeable {
+public final class ScriptedPeers implements Closeable {
     private static final int TIMEOUT_MILLIS = 20_000;
-    static final String VALUE_REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
+    public static final String VALUE_REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
     private static final String LIST_RESPONSE_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     /** What a node does with one command. */
-    interface Script {
+    public interface Script {
         void answer(List<String> words, Connection connection) throws IOException;
     }
 
     /** One connection to a peer. */
-    static final class Connection {
-        final Socket socket;
-        final InputStream in;
+    public static final class Connection {
+        public final Socket socket;
+        public final InputStream in;
 
-        Connection(Socket socket) throws IOException {
+        public Connection(Socket socket) throws IOException {
             socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
             this.socket = socket;
             this.in = new BufferedInputStream(socket.getInputStream());
         }
 
-        void send(String text) throws IOException {
+        public void send(String text) throws IOException {
             OutputStream out = socket.getOutputStream();
             out.write(text.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
         }
 
         /** A line without its end; null where the connection has ended. */
-        String readLine() throws IOException {
+        public String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = in.read(); next != '\n'; next = in.read()) {
                 if (next < 0) {
@@ -64,7 +70,7 @@
          * The first line of an HTTP request, read to its end; null where the caller left before
          * that.
          */
-        String readRequestLine() throws IOException {
+        public String readRequestLine() throws IOException {
             String request = readLine();
             String header = request;
             while (header != null && !header.isEmpty()) {
@@ -73,7 +79,7 @@
             return header == null ? null : request;
         }
 
-        List<String> readCommand() throws IOException {
+        public List<String> readCommand() throws IOException {
             String head = readLine();
             if (head == null) {
                 return null;
@@ -88,39 +94,39 @@
         }
 
         /** One answer: its line, and its value behind a blank where there is one. */
-        String readReply() throws IOException {
+        public String readReply() throws IOException {
             String head = readLine();
             return head != null && head.startsWith("$") ? head + " " + readLine() : head;
         }
 
-        void sendCommand(String... words) throws IOException {
+        public void sendCommand(String... words) throws IOException {
             send(ScriptedPeers.command(words));
         }
     }
 
-    final List<List<String>> commands = new CopyOnWriteArrayList<>();
-    final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
-    final List<Connection> watches = new CopyOnWriteArrayList<>();
+    public final List<List<String>> commands = new CopyOnWriteArrayList<>();
+    public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
+    public final List<Connection> watches = new CopyOnWriteArrayList<>();
 
     /** Calls to discovery that were not answered. */
-    final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
+    public final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
 
-    final RespGateway gateway;
-    final Transport transport = Transport.sockets();
+    public final RespGateway gateway;
+    public final Transport transport = Transport.sockets();
 
     /** What discovery answers a call with; null: it says nothing. */
-    volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
+    public volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
 
     private final List<Closeable> open = new CopyOnWriteArrayList<>();
     private final SocketAddress clientAddress;
     private final GatewayConfig config;
 
-    ScriptedPeers(Script script) throws Exception {
+    public ScriptedPeers(Script script) throws Exception {
         this(script, text -> text);
     }
 
     /** The same with another configuration file. */
-    ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
+    public ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
         ServerSocket node =
                 serve(
                         connection -> {
@@ -135,7 +141,7 @@
         config =
                 GatewayConfig.parse(
                         JsonReader.readObject(
-                                change.apply(WarmUpRun.text()).getBytes(StandardCharsets.UTF_8)),
+                                change.apply(WarmUpConfig.text()).getBytes(StandardCharsets.UTF_8)),
                         Map.of());
         gateway =
                 new RespGateway(
@@ -149,7 +155,7 @@
     }
 
     /** One more discovery; it answers as the listing says, and keeps the watch open. */
-    SocketAddress discovery() throws IOException {
+    public SocketAddress discovery() throws IOException {
         return serve(
                         connection -> {
                             String call = connection.readRequestLine();
@@ -174,23 +180,23 @@
                 .getLocalSocketAddress();
     }
 
-    static void sendChunk(Connection connection, String line) throws IOException {
+    public static void sendChunk(Connection connection, String line) throws IOException {
         connection.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
     /** The gateway's configuration with discovery at this address. */
-    GatewayConfig configAt(SocketAddress discovery) {
+    public GatewayConfig configAt(SocketAddress discovery) {
         return config.withAddresses(clientAddress, discovery, clientAddress);
     }
 
-    Connection connectClient() throws IOException {
+    public Connection connectClient() throws IOException {
         Socket socket = new Socket();
         socket.connect(clientAddress);
         open.add(socket);
         return new Connection(socket);
     }
 
-    static String command(String... words) {
+    public static String command(String... words) {
         StringBuilder command = new StringBuilder("*" + words.length + "\r\n");
         for (String word : words) {
             command.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -199,13 +205,13 @@
     }
 
     /** Words of a read with this id. */
-    static String[] read(long id) {
+    public static String[] read(long id) {
         return new String[] {
             "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(id), fields("get", 9000, 0)
         };
     }
 
-    static String fields(String band, int patience, int shard) {
+    public static String fields(String band, int patience, int shard) {
         return "c="
                 + band
                 + ",t=any,d="
--- a/src/test/java/sagepulley/platform/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.upstream.resp;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -20,6 +20,7 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.engine.Clock;
 import sagepulley.model.Outcome;
+import sagepulley.transport.Transport;
 
 /** How a call to a node ends, by what its connection does. */
 class EndpointConnectionPoolTest {
--- a/src/test/java/sagepulley/platform/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/upstream/resp/NodeCrossingsTest.java
@@ -1,4 +1,4 @@
-package sagepulley.platform;
+package sagepulley.upstream.resp;
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -29,6 +29,9 @@
 import sagepulley.engine.Clock;
 import sagepulley.model.Attempt;
 import sagepulley.model.Outcome;
+import sagepulley.testing.KernelTcpTable;
+import sagepulley.testing.ScriptedPeers;
+import sagepulley.transport.Transport;
 
 /**
  * Calls to a node whose connection ends, comes up late or brings what nobody asked for; the loop is
