--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -4,7 +4,6 @@
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableSet;
@@ -104,15 +103,11 @@
     // at least.
     private static final double LATE_GRACE = 0.5;
     private static final double LATE_WORTH = 0.5;
-    // A client's repeat: sought among this many, and known by this part of the target time gone.
-    private static final int REPEATS_KEPT = 200;
-    private static final double REPEAT_GONE = 0.1;
     private static final double SHARE_WINDOW = 1_000;
     private static final double FAIR_REFRESH = 50;
     private static final double LOST_MEMORY = 5_000;
     // A volume over so many times its level surges; 1.5 of the whole volume did less on two sites.
     private static final double HEADROOM = 2.5;
-    private static final int MOST_FURTHER_ATTEMPTS = 2;
     private static final double OVERLOAD_WINDOW = 1_000;
     private static final double OVERLOAD_SHARE = 0.03;
     private static final double FAULT_STEP = 0.2;
@@ -153,18 +148,10 @@
     private final List<Attempt> unwanted = new ArrayList<>();
     private final WakeUpTime wakeUp = new WakeUpTime();
     final KeyOrdering keyOrdering;
+    private final RetryPolicy retryPolicy;
+    private final RetryBudget retryBudget;
+    private final ClientRetryTracker clientRetries;
 
-    /** By extent, when the target time of a first try ends that was lately given up or left. */
-    private final Map<Long, Double> unserved =
-            new LinkedHashMap<>() {
-                @Override
-                protected boolean removeEldestEntry(Map.Entry<Long, Double> eldest) {
-                    return size() > REPEATS_KEPT;
-                }
-            };
-
-    private final SlidingWindowCounter taken;
-    private final SlidingWindowCounter further;
     private final ArrivalWindow freshLoad = ArrivalWindow.over(OVERLOAD_WINDOW);
     private double shortestObjective;
     private final double deadlineMargin;
@@ -191,7 +178,6 @@
 
     /** What differs by band. */
     static final class TrafficClassStats {
-        double longestDeadline;
         double baseServiceTime;
         double meanServiceTime;
         double cancellationAge;
@@ -210,9 +196,9 @@
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
         this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
-        double window = policy.hasRetryBudget() ? policy.retryBudgetWindow() : 1;
-        this.taken = new SlidingWindowCounter(window, 50);
-        this.further = new SlidingWindowCounter(window, 50);
+        this.retryPolicy = new RetryPolicy(policy, deadlineMargin);
+        this.retryBudget = new RetryBudget(policy);
+        this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
     // ---- facts ----
@@ -526,16 +512,11 @@
         int attempts = operation.attempts.size();
         if (attempts > 0) {
             // 2: no effect twice.
-            if (!mayRepeat(operation, endpoint.node, null, now)
-                    || attempts >= policy.maxAttempts()
-                    || (!policy.hedgingAllowed() && operation.isInFlight())) {
+            if (!retryPolicy.allowsAnotherAttempt(operation, endpoint.node, now)) {
                 return false;
             }
-            // 6: the budget of further attempts, counted against ourselves where a bucket is cut.
-            if (policy.hasRetryBudget()
-                    && further.sumOverestimate(now) + 1
-                            > policy.retryBudgetFloor()
-                                    + policy.retryBudgetRatio() * taken.sumUnderestimate(now)) {
+            // 6: the retry budget.
+            if (!retryBudget.allowsRetry(now)) {
                 return false;
             }
         }
@@ -560,47 +541,7 @@
                 && now < it.operation.deadline - deadlineMargin
                 && lease.holds(now)
                 && it.node.phase == Node.Phase.READY
-                && mayRepeat(it.operation, it.node, it, now);
-    }
-
-    private boolean mayRepeat(Operation operation, Node node, Attempt itself, double now) {
-        TrafficClass trafficClass = operation.trafficClass;
-        if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT) {
-            return true;
-        }
-        for (Attempt attempt : operation.attempts) {
-            if (attempt == itself
-                    || (attempt.outcome != null && attempt.outcome.provesNotExecuted)) {
-                continue;
-            }
-            if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
-                return false;
-            }
-            boolean same =
-                    switch (trafficClass.deduplicationScope()) {
-                        case ALL -> true;
-                        case ZONE -> attempt.node.zone == node.zone;
-                        case CELL -> attempt.node.cell == node.cell;
-                    };
-            if (!same
-                    || now > attempt.sentAt + trafficClass.deduplicationWindow() - deadlineMargin) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    /** A decline promises that asking again does no harm. */
-    private boolean mayDecline(Operation operation) {
-        TrafficClass trafficClass = operation.trafficClass;
-        if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
-                || (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
-                        && trafficClass.deduplicationScope()
-                                == TrafficClass.DeduplicationScope.ALL)) {
-            return true;
-        }
-        return operation.attempts.stream()
-                .allMatch(it -> it.outcome != null && it.outcome.provesNotExecuted);
+                && retryPolicy.mayRepeat(it.operation, it.node, it, now);
     }
 
     /**
@@ -682,7 +623,7 @@
             account.limitLeft -= operation.units;
             spend(operation.volume, endpoint, operation.units, now);
         } else {
-            further.add(now, 1);
+            retryBudget.onRetry(now);
         }
         return RoutingDecision.send(endpoint.node, timeout(operation, now));
     }
@@ -717,7 +658,7 @@
         if (endpoint == null || sound(endpoint, now)) {
             load(endpoint).rejections().add(now, 1);
         }
-        if (!mayDecline(operation)) {
+        if (!retryPolicy.mayReject(operation)) {
             return RoutingDecision.ABANDONED;
         }
         Reason reason =
@@ -748,7 +689,7 @@
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
-        return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, policy.maxAttempts())
+        return retryPolicy.hasAttemptsLeft(operation)
                 && !overloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
                 && lateAt(operation) > now;
@@ -1340,22 +1281,8 @@
         }
         QueuedRequest request = new QueuedRequest(operation, random.nextDouble());
         operation.schedulerState = request;
-        taken.add(now, 1);
-        TrafficClassStats row = classStats[operation.trafficClass.index()];
-        // A client's repeat keeps the target time of its first try: it names the same extent and
-        // has less patience left than others. Any other with little patience is only hurried, its
-        // target time has just begun.
-        double left = operation.deadline - now;
-        row.longestDeadline = Math.max(row.longestDeadline, left);
-        double gone = row.longestDeadline - left;
-        boolean shorter = gone > REPEAT_GONE * operation.trafficClass.latencyObjective();
-        Double first = shorter ? unserved.get(operation.extent) : null;
-        request.objectiveAt =
-                first != null
-                        ? first
-                        : now
-                                + operation.trafficClass.latencyObjective()
-                                - (operation.clientRetry ? gone : 0);
+        retryBudget.onArrival(now);
+        request.objectiveAt = clientRetries.objectiveAt(operation, now);
         keyOrdering.onArrival(request);
         return request;
     }
@@ -1440,9 +1367,7 @@
      */
     private void forsake(Operation operation) {
         drop(operation);
-        if (operation.extent != 0) {
-            unserved.put(operation.extent, QueuedRequest.of(operation).objectiveAt);
-        }
+        clientRetries.onUnserved(operation);
     }
 
     /**
