--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -91,14 +91,11 @@
     private static final double LEAST_EASE = 0.5;
     private static final double MOST_EASE = 1.5;
     // The usual time a unit takes with no queue: a low quantile, followed in small steps.
-    private static final double PACE_STEP = 0.05;
-    private static final double PACE_QUANTILE = 0.2;
     // Silence of a node, and how often it is tried then, as shares of the shortest target time.
     private static final double SILENCE_SHARE = 0.5;
     private static final double TRIAL_SHARE = 0.3;
     // An operation that would need more than this part of its usual time beyond its target time is
     // late.
-    private static final double LATE_FACTOR = 0.7;
     // Attempts go on this part of the target time after it, where a late answer is worth this part
     // at least.
     private static final double LATE_GRACE = 0.5;
@@ -113,8 +110,6 @@
     private static final double FAULT_STEP = 0.2;
     private static final double FAULT_KEEP = 0.9;
     private static final double MOST_FAULTS = 0.3;
-    private static final double LEFT_STEP = 0.02;
-    private static final double LEFT_SHARE = 0.05;
     // The part of what a cold node bears that is asked of it, if the demand in share were all it
     // can do warm (0.5 to 0.9 lie within 0.03), and the cap on one gateway in usual parts.
     private static final double COLD_PART = 0.8;
@@ -133,7 +128,7 @@
     private final Deployment deployment;
     private final ServicePolicy policy;
     private final RandomGenerator random;
-    final TrafficClassStats[] classStats;
+    final LatencyTracker latencies;
     final List<EndpointState> endpoints = new ArrayList<>();
 
     /**
@@ -153,7 +148,6 @@
     private final ClientRetryTracker clientRetries;
 
     private final ArrivalWindow freshLoad = ArrivalWindow.over(OVERLOAD_WINDOW);
-    private double shortestObjective;
     private final double deadlineMargin;
     final EndpointLease lease;
     private int waiting;
@@ -176,22 +170,11 @@
     private boolean knowsList;
     private final DiscoverySchedule discovery;
 
-    /** What differs by band. */
-    static final class TrafficClassStats {
-        double baseServiceTime;
-        double meanServiceTime;
-        double cancellationAge;
-        double cancellationRatio;
-    }
-
     public Scheduler(Deployment site, long seed) {
         this.deployment = site;
         this.policy = site.policy();
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.classStats = new TrafficClassStats[site.trafficClasses().size()];
-        for (TrafficClass trafficClass : site.trafficClasses()) {
-            classStats[trafficClass.index()] = new TrafficClassStats();
-        }
+        this.latencies = new LatencyTracker(deployment.trafficClasses());
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
@@ -327,19 +310,7 @@
     /** The client has left: nothing more is owed or sent, and work for nobody is called off. */
     public void onClientCancelled(Operation operation, double now) {
         forsake(operation);
-        // Clients that leave before the target time set a shorter one: for what is late, and for
-        // the queues.
-        TrafficClassStats row = classStats[operation.trafficClass.index()];
-        double age = now - operation.arrivedAt;
-        // Whoever leaves before an answer usually comes has reasons of its own, and tells nothing
-        // of waiting.
-        if (age > row.meanServiceTime * operation.units) {
-            row.cancellationAge =
-                    row.cancellationRatio == 0
-                            ? age
-                            : row.cancellationAge + LEFT_STEP * (age - row.cancellationAge);
-            row.cancellationRatio += LEFT_STEP * (1 - row.cancellationRatio);
-        }
+        latencies.onCancelled(operation, now);
         for (Attempt attempt : operation.attempts) {
             if (attempt.outcome == null && deployment.mayCancel()) {
                 unwanted.add(attempt);
@@ -390,7 +361,9 @@
         if (endpoint != null && isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
         }
-        if (!mayAttempt || now >= operation.deadline - deadlineMargin || lateAt(operation) <= now) {
+        if (!mayAttempt
+                || now >= operation.deadline - deadlineMargin
+                || latencies.lateAt(operation) <= now) {
             return giveUp(operation, now);
         }
         return RoutingDecision.NOT_YET;
@@ -449,10 +422,8 @@
     private List<Operation> overdue(double now) {
         List<Operation> late = new ArrayList<>(0);
         for (DeadlineIndex.Group kind : waits.groups()) {
-            double early =
-                    LATE_FACTOR
-                            * (classStats[kind.trafficClass.index()].meanServiceTime * kind.units);
-            double target = target(kind.trafficClass);
+            double early = latencies.requiredServiceTime(kind.trafficClass, kind.units);
+            double target = latencies.objective(kind.trafficClass);
             // Sorted by each of the three times that may end it: nobody is walked who is not
             // overdue.
             kind.collectOverdue(
@@ -650,8 +621,7 @@
         }
         forsake(operation);
         operation.ended = true;
-        // A share that only answers wore off would last for good where it forbids every attempt.
-        classStats[operation.trafficClass.index()].cancellationRatio *= 1 - LEFT_STEP;
+        latencies.onGivenUp(operation.trafficClass);
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
@@ -666,7 +636,7 @@
                         ? Reason.NO_LEASE
                         : now >= operation.deadline - deadlineMargin
                                 ? Reason.DEADLINE
-                                : lateAt(operation) <= now
+                                : latencies.lateAt(operation) <= now
                                         ? Reason.OBJECTIVE_MISSED
                                         : Reason.NO_RETRY;
         return RoutingDecision.reject(comeBack(endpoint, now), reason);
@@ -683,7 +653,9 @@
             return deployment.maxRetryAfter();
         }
         double queue =
-                (endpoint == null ? 1 : endpoint.queueEstimate) * QUEUE_SHARE * shortestObjective;
+                (endpoint == null ? 1 : endpoint.queueEstimate)
+                        * QUEUE_SHARE
+                        * latencies.shortestObjective();
         return Math.min(deployment.maxRetryAfter(), queue);
     }
 
@@ -692,7 +664,7 @@
         return retryPolicy.hasAttemptsLeft(operation)
                 && !overloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
-                && lateAt(operation) > now;
+                && latencies.lateAt(operation) > now;
     }
 
     /** Overload is a node's matter: a surge at one forbids no further attempt at another. */
@@ -738,7 +710,7 @@
         }
         if (isUnresponsive(endpoint, now)) {
             // One operation at a time tries a node that takes work and answers none.
-            double next = endpoint.lastSentAt + TRIAL_SHARE * shortestObjective;
+            double next = endpoint.lastSentAt + TRIAL_SHARE * latencies.shortestObjective();
             if (now < next) {
                 wakeUp.noLaterThan(next);
                 return false;
@@ -765,7 +737,7 @@
             return false;
         }
         double since = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
-        double limit = shortestObjective * SILENCE_SHARE;
+        double limit = latencies.shortestObjective() * SILENCE_SHARE;
         if (now - since > limit) {
             return true;
         }
@@ -816,7 +788,7 @@
                 Operation operation = request.operation;
                 boolean stands =
                         !each
-                                && lateAt(operation) > now
+                                && latencies.lateAt(operation) > now
                                 && now < operation.deadline - deadlineMargin;
                 if (endpoint == null
                         || (isAllowed(operation, endpoint, now)
@@ -851,7 +823,7 @@
         if (endpoint.queueEstimate <= CROWDED_LEAST) {
             return false;
         }
-        if (lateAt(operation) <= now) {
+        if (latencies.lateAt(operation) <= now) {
             return true;
         }
         if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * BEYOND_PART)) {
@@ -889,12 +861,12 @@
      * there is.
      */
     private int tier(Operation operation, EndpointState endpoint, double now) {
-        if (lateAt(operation) <= now) {
+        if (latencies.lateAt(operation) <= now) {
             return LATE;
         }
         TrafficClass trafficClass = operation.trafficClass;
         double part = due(operation.volume, operation.units, endpoint, now);
-        double pace = classStats[trafficClass.index()].meanServiceTime + 1e-9;
+        double pace = latencies.meanServiceTime(trafficClass) + 1e-9;
         double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
@@ -1093,8 +1065,7 @@
             return;
         }
         refreshAt = now + BUSY_REFRESH;
-        shortestObjective =
-                deployment.trafficClasses().stream().mapToDouble(this::target).min().orElse(0);
+        latencies.refresh();
         double crowds = endpoints.stream().mapToDouble(endpoint -> endpoint.queueEstimate).sum();
         for (EndpointState endpoint : endpoints) {
             // What was seen of one node fades into what is seen of all.
@@ -1190,7 +1161,8 @@
             case TIMED_OUT ->
                     endpoint.ejected |=
                             endpoint.lastResponseAt < attempt.sentAt
-                                    && attempt.duration >= SILENCE_SHARE * shortestObjective;
+                                    && attempt.duration
+                                            >= SILENCE_SHARE * latencies.shortestObjective();
             default -> {}
         }
         if (attempt.outcome == Outcome.REJECTED) {
@@ -1204,31 +1176,19 @@
         if (attempt.outcome != Outcome.SERVED) {
             return;
         }
-        TrafficClassStats row = classStats[operation.trafficClass.index()];
-        row.cancellationRatio -= LEFT_STEP * row.cancellationRatio;
+        latencies.onServed(attempt);
         servedUnits += operation.units;
         // How long a queue may be before anyone is held back follows how many answers come late.
         admissionFactor =
-                attempt.duration > LATE_ANSWER * target(operation.trafficClass)
+                attempt.duration > LATE_ANSWER * latencies.objective(operation.trafficClass)
                         ? Math.max(LEAST_EASE, admissionFactor * (1 - EASE_CUT))
                         : Math.min(MOST_EASE, admissionFactor * (1 + EASE_STEP));
-        double pace = attempt.duration / operation.units;
-        if (row.baseServiceTime == 0) {
-            row.baseServiceTime = pace / 2;
-            row.meanServiceTime = pace;
-        }
-        row.baseServiceTime *=
-                pace < row.baseServiceTime
-                        ? 1 - PACE_STEP * (1 - PACE_QUANTILE)
-                        : 1 + PACE_STEP * PACE_QUANTILE;
-        row.meanServiceTime +=
-                PACE_STEP * (Math.min(pace, 4 * row.meanServiceTime) - row.meanServiceTime);
         int way = operation.trafficClass.writes() ? 1 : 0;
         endpoint.responseMillis[way] += attempt.duration;
         endpoint.servedUnits[way] += operation.units;
-        double queued = attempt.duration - operation.units * row.baseServiceTime;
+        double queued = latencies.queuedTime(attempt);
         crowd(endpoint, queued, 1, now);
-        if (queued > QUEUE_SHARE * shortestObjective) {
+        if (queued > QUEUE_SHARE * latencies.shortestObjective()) {
             cut(endpoint, attempt, now);
         } else if (endpoint.concurrencyLimit < MOST_BOUND) {
             endpoint.concurrencyLimit =
@@ -1243,7 +1203,7 @@
         double step =
                 Math.max(CROWD_STEP, 1 - Math.exp((endpoint.queueObservedAt - now) / CROWD_TIME));
         endpoint.queueObservedAt = now;
-        double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * shortestObjective));
+        double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * latencies.shortestObjective()));
         endpoint.queueEstimate += part * step * (seen - endpoint.queueEstimate);
     }
 
@@ -1255,24 +1215,6 @@
         }
     }
 
-    /** From when on an operation, if sent, would miss its target time. */
-    private double lateAt(Operation operation) {
-        double usual = classStats[operation.trafficClass.index()].meanServiceTime * operation.units;
-        double ends =
-                Math.min(
-                        QueuedRequest.of(operation).objectiveAt,
-                        operation.arrivedAt + target(operation.trafficClass));
-        return ends - LATE_FACTOR * usual;
-    }
-
-    /** The target time, or the age at which clients leave, where many leave before it. */
-    private double target(TrafficClass trafficClass) {
-        TrafficClassStats row = classStats[trafficClass.index()];
-        return row.cancellationRatio > LEFT_SHARE
-                ? Math.min(row.cancellationAge, trafficClass.latencyObjective())
-                : trafficClass.latencyObjective();
-    }
-
     // ---- books ----
 
     private QueuedRequest ticket(Operation operation, double now) {
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -1,6 +1,5 @@
 package sagepulley.scheduler;
 
-import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 
@@ -17,7 +16,7 @@
         double admissionFactor) {
     /** The views of all bands, in their order. */
     public static List<TrafficClassView> of(Scheduler scheduler) {
-        return Arrays.stream(scheduler.classStats)
+        return scheduler.latencies.all().stream()
                 .map(
                         row ->
                                 new TrafficClassView(
