--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -100,6 +100,11 @@
         return (EndpointState) node.schedulerState;
     }
 
+    /** Whether it started less than the slow start time ago. */
+    boolean isInSlowStart(double now, double slowStartMillis) {
+        return now - startedAt < slowStartMillis;
+    }
+
     /** Whether its place may go to another node. */
     boolean isVacant() {
         return node.forgotten && waitQueue.isEmpty();
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -1,7 +1,6 @@
 package sagepulley.scheduler;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -17,14 +16,12 @@
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.ServicePolicy;
 import sagepulley.model.SlidingWindowCounter;
 import sagepulley.model.TrafficClass;
-import sagepulley.model.Volume;
 
 /**
  * Every decision of one gateway: the Flint placement score, each node's bound, and the guards round
@@ -100,11 +97,6 @@
     // at least.
     private static final double LATE_GRACE = 0.5;
     private static final double LATE_WORTH = 0.5;
-    private static final double SHARE_WINDOW = 1_000;
-    private static final double FAIR_REFRESH = 50;
-    private static final double LOST_MEMORY = 5_000;
-    // A volume over so many times its level surges; 1.5 of the whole volume did less on two sites.
-    private static final double HEADROOM = 2.5;
     private static final double OVERLOAD_WINDOW = 1_000;
     private static final double OVERLOAD_SHARE = 0.03;
     private static final double FAULT_STEP = 0.2;
@@ -129,6 +121,7 @@
     private final ServicePolicy policy;
     private final RandomGenerator random;
     final LatencyTracker latencies;
+    final QuotaTracker quota;
     final List<EndpointState> endpoints = new ArrayList<>();
 
     /**
@@ -159,13 +152,6 @@
     private double servedUnits;
     double admissionFactor = 1;
 
-    /**
-     * Of all volumes met: the weights, and the units a second that they are sized for beyond
-     * reserves.
-     */
-    private double weights;
-
-    private double spare;
     private double refreshAt = Double.NEGATIVE_INFINITY;
     private boolean knowsList;
     private final DiscoverySchedule discovery;
@@ -175,6 +161,7 @@
         this.policy = site.policy();
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.latencies = new LatencyTracker(deployment.trafficClasses());
+        this.quota = new QuotaTracker(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
@@ -351,9 +338,7 @@
                 load(request.endpoint).arrivals().add(now, 1);
             }
             if (operation.attempts.isEmpty() && request.endpoint != null) {
-                use(account(operation.volume, now), request.endpoint)
-                        .demand
-                        .add(now, operation.units);
+                quota.onDemand(operation, request.endpoint, now);
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
@@ -500,7 +485,7 @@
             return false;
         }
         // 7: the volume's limit, of which this gateway spends its own part.
-        return attempts > 0 || operation.units <= limitRemaining(operation.volume, now);
+        return attempts > 0 || operation.units <= quota.limitRemaining(operation.volume, now);
     }
 
     /**
@@ -546,26 +531,10 @@
         return operation.attempts.isEmpty()
                 && spent + operation.units
                         <= Math.max(deployment.maxUnits(), COLD_BURST * part * usual)
-                && due(operation.volume, operation.units, endpoint, now)
+                && quota.weightFraction(operation.volume, operation.units, endpoint, now)
                         >= deployment.shareWeightFraction();
     }
 
-    double limitRemaining(Volume volume, double now) {
-        double rate = volume.plan.limit();
-        if (!(rate > 0)) {
-            return Double.POSITIVE_INFINITY;
-        }
-        TenantUsage account = account(volume, now);
-        double parts = volume.gatewayCount;
-        account.limitLeft =
-                Math.min(
-                        volume.plan.limitBurst() / parts,
-                        account.limitLeft + rate / parts * (now - account.limitUpdatedAt) / 1000);
-        account.limitUpdatedAt = now;
-        wakeUp.noLaterThan(now + COLD_LOOK);
-        return account.limitLeft;
-    }
-
     // ---- sending ----
 
     private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
@@ -585,14 +554,12 @@
         if (operation.shard < 0) {
             endpoint.placements.add(now, 1);
         }
-        TenantUsage account = account(operation.volume, now);
-        attempt.quotaTier = quotaTier(operation, endpoint, now);
+        attempt.quotaTier = quota.tier(operation, endpoint, now);
         if (first) {
             if (operation.shard < 0) {
-                use(account, endpoint).demand.add(now, operation.units);
+                quota.onDemand(operation, endpoint, now);
             }
-            account.limitLeft -= operation.units;
-            spend(operation.volume, endpoint, operation.units, now);
+            quota.onSent(operation, endpoint, now);
         } else {
             retryBudget.onRetry(now);
         }
@@ -829,26 +796,15 @@
         if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * BEYOND_PART)) {
             return false;
         }
-        TenantUsage account = account(operation.volume, now);
-        if (account.reservationLeft >= operation.units) {
+        if (quota.fitsReservation(operation.volume, operation.units, now)) {
             return endpoint.queueEstimate > admissionFactor * CROWDED_RESERVE;
         }
-        double used =
-                use(account, endpoint).beyondReservation.sumOverestimate(now) + operation.units / 2;
-        double over = used / evenLevel(operation.volume);
+        double over = quota.usedOfEvenLevel(operation.volume, endpoint, operation.units, now);
         return endpoint.queueEstimate
                 > Math.max(
                         CROWDED_LEAST, admissionFactor * Math.min(CROWDED_SHARE, CROWDED / over));
     }
 
-    /**
-     * A volume's units in the share window if each took by weight what all that were met are sized
-     * for.
-     */
-    private double evenLevel(Volume volume) {
-        return volume.plan.weight() * spare / weights * SHARE_WINDOW / 1000;
-    }
-
     /** Utility still due goes first; among equals the earliest deadline. */
     private boolean outranks(Operation one, Operation other, EndpointState endpoint, double now) {
         int a = tier(one, endpoint, now);
@@ -865,145 +821,12 @@
             return LATE;
         }
         TrafficClass trafficClass = operation.trafficClass;
-        double part = due(operation.volume, operation.units, endpoint, now);
+        double part = quota.weightFraction(operation.volume, operation.units, endpoint, now);
         double pace = latencies.meanServiceTime(trafficClass) + 1e-9;
         double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
 
-    private double due(Volume volume, double units, EndpointState endpoint, double now) {
-        TenantUsage account = account(volume, now);
-        if (account.reservationLeft >= units) {
-            return 1;
-        }
-        // Where many gateways share a node, none sees enough of it to deal it out: a volume that
-        // takes far more of it than its weight of what all volumes are sized for surges.
-        double used =
-                (endpoint == null
-                                        ? account.beyondReservation
-                                        : use(account, endpoint).beyondReservation)
-                                .sumOverestimate(now)
-                        + units / 2;
-        if (used > HEADROOM * evenLevel(volume)) {
-            return deployment.excessWeightFraction();
-        }
-        if (endpoint == null || now - endpoint.startedAt < policy.slowStartTime()) {
-            return deployment.shareWeightFraction();
-        }
-        return used <= volume.plan.weight() * fair(endpoint, now)
-                ? deployment.shareWeightFraction()
-                : deployment.excessWeightFraction();
-    }
-
-    /** The part of its plan that an operation is in, by the level last dealt out. */
-    QuotaTier quotaTier(Operation operation, EndpointState endpoint, double now) {
-        TenantUsage account = account(operation.volume, now);
-        if (account.reservationLeft >= operation.units) {
-            return QuotaTier.RESERVATION;
-        }
-        double top =
-                Math.min(
-                        HEADROOM * evenLevel(operation.volume),
-                        account.weight * endpoint.fairLevel);
-        return use(account, endpoint).beyondReservation.sumOverestimate(now)
-                        <= top - operation.units / 2
-                ? QuotaTier.SHARE
-                : QuotaTier.EXCESS;
-    }
-
-    /**
-     * The fair level of a node: units a unit of weight that fills what the node lately served
-     * beyond the reserves, dealt out by weight among the volumes that asked for more. No volume's
-     * demand counts above what it asked.
-     */
-    private double fair(EndpointState endpoint, double now) {
-        if (now < endpoint.fairLevelValidUntil) {
-            return endpoint.fairLevel;
-        }
-        endpoint.fairLevelValidUntil = now + FAIR_REFRESH;
-        double left = 0;
-        double weights = 0;
-        int open = 0;
-        for (TenantEndpointUsage use : endpoint.tenantUsages) {
-            use.served = use.beyondReservation.sumOverestimate(now);
-            use.shareDemand =
-                    Math.max(
-                            use.served,
-                            use.demand.sumOverestimate(now) - use.reserved.sumOverestimate(now));
-            left += use.served;
-            use.unsatisfied = use.shareDemand > 0;
-            if (use.unsatisfied) {
-                weights += use.weight;
-                open++;
-            }
-        }
-        // Whoever wants less than an even level is content with it; the rest is dealt out anew.
-        for (boolean again = true; again && open > 0; ) {
-            again = false;
-            for (TenantEndpointUsage use : endpoint.tenantUsages) {
-                if (use.unsatisfied && use.shareDemand <= use.weight * left / weights) {
-                    use.unsatisfied = false;
-                    open--;
-                    left -= use.shareDemand;
-                    weights -= use.weight;
-                    again = true;
-                }
-            }
-        }
-        endpoint.fairLevel = open == 0 ? Double.POSITIVE_INFINITY : left / weights;
-        return endpoint.fairLevel;
-    }
-
-    private void spend(Volume volume, EndpointState endpoint, double units, double now) {
-        TenantUsage account = account(volume, now);
-        TenantEndpointUsage use = use(account, endpoint);
-        if (account.reservationLeft >= units) {
-            account.reservationLeft -= units;
-            use.reserved.add(now, units);
-        } else {
-            use.beyondReservation.add(now, units);
-            account.beyondReservation.add(now, units);
-        }
-    }
-
-    /**
-     * Units that others are said to have used since the last answer. A sum over many seconds must
-     * not look like a surge: of the reserve it costs what our own reckoning did not lose while
-     * full, and of the last second its part.
-     */
-    private void hear(Volume volume, EndpointState endpoint, double units, double now) {
-        TenantUsage account = account(volume, now);
-        TenantEndpointUsage use = use(account, endpoint);
-        double unspent = Math.min(account.reservationOverflow, units);
-        account.reservationOverflow -= unspent;
-        double reserved = Math.min(Math.max(0, account.reservationLeft), units - unspent);
-        account.reservationLeft -= reserved;
-        double lately = Math.min(1, SHARE_WINDOW / Math.max(1, now - use.reportedAt));
-        use.reserved.add(now, (unspent + reserved) * lately);
-        use.beyondReservation.add(now, (units - unspent - reserved) * lately);
-        account.beyondReservation.add(now, (units - unspent - reserved) * lately);
-        use.demand.add(now, units * lately);
-    }
-
-    private TenantEndpointUsage use(TenantUsage account, EndpointState endpoint) {
-        if (endpoint.index >= account.byEndpoint.length) {
-            account.byEndpoint = Arrays.copyOf(account.byEndpoint, endpoints.size());
-        }
-        TenantEndpointUsage use = account.byEndpoint[endpoint.index];
-        if (use == null || use.endpoint != endpoint) {
-            use =
-                    new TenantEndpointUsage(
-                            endpoint,
-                            account.weight,
-                            new SlidingWindowCounter(SHARE_WINDOW, 5),
-                            new SlidingWindowCounter(SHARE_WINDOW, 5),
-                            new SlidingWindowCounter(SHARE_WINDOW, 5));
-            account.byEndpoint[endpoint.index] = use;
-            endpoint.tenantUsages.add(use);
-        }
-        return use;
-    }
-
     // ---- the score ----
 
     /** The open seat with the lowest score for a new object; null if none has room. */
@@ -1138,10 +961,10 @@
     private void learn(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
-            hear(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
+            quota.onOtherGatewaysUsage(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
         }
         if (attempt.outcome == Outcome.SERVED) {
-            use(account(operation.volume, now), endpoint).reportedAt = now;
+            quota.onServed(operation.volume, endpoint, now);
         }
         switch (attempt.outcome) {
             case SERVED -> {
@@ -1229,32 +1052,6 @@
         return request;
     }
 
-    private TenantUsage account(Volume volume, double now) {
-        TenantUsage account = (TenantUsage) volume.schedulerState;
-        double reserve = volume.plan.reservation();
-        double full = reserve > 0 ? reserve + deployment.maxUnits() : 0;
-        if (account == null) {
-            account =
-                    new TenantUsage(
-                            volume.plan.weight(), now, new SlidingWindowCounter(SHARE_WINDOW, 5));
-            weights += volume.plan.weight();
-            spare += Math.max(volume.plan.rate() / 2, volume.plan.rate() - reserve);
-            account.reservationLeft = full;
-            volume.schedulerState = account;
-        }
-        if (now > account.reservationUpdatedAt) {
-            double filled =
-                    account.reservationLeft + reserve * (now - account.reservationUpdatedAt) / 1000;
-            account.reservationLeft = Math.min(full, filled);
-            account.reservationOverflow =
-                    Math.min(
-                            account.reservationOverflow + filled - account.reservationLeft,
-                            reserve * LOST_MEMORY / 1000);
-            account.reservationUpdatedAt = now;
-        }
-        return account;
-    }
-
     private void enqueue(Operation operation) {
         version++;
         QueuedRequest request = QueuedRequest.of(operation);
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -3,8 +3,8 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * What a volume lately asked of a node and was served there, in units, through all gateways if
- * told.
+ * What a volume lately asked of an endpoint and was served there, in units, through all gateways
+ * where the endpoint reports it; owned by {@link QuotaTracker}.
  */
 final class TenantEndpointUsage {
     final EndpointState endpoint;
@@ -13,25 +13,35 @@
     final SlidingWindowCounter reserved;
     final SlidingWindowCounter beyondReservation;
 
-    /** When the node last answered for the volume. */
+    /** When the endpoint last answered for the volume, in milliseconds. */
     double reportedAt = Double.NEGATIVE_INFINITY;
 
-    /** Working values of the latest dealing out. */
+    /** Units served beyond the reservation; a working value of {@link MaxMinFairness}. */
     double served;
 
+    /** Units wanted beyond the reservation; a working value of {@link MaxMinFairness}. */
     double shareDemand;
+
+    /** Whether it wants more than its level so far; a working value of {@link MaxMinFairness}. */
     boolean unsatisfied;
 
     TenantEndpointUsage(
             EndpointState endpoint,
             double weight,
-            SlidingWindowCounter asked,
+            SlidingWindowCounter demand,
             SlidingWindowCounter reserved,
-            SlidingWindowCounter beyond) {
+            SlidingWindowCounter beyondReservation) {
         this.endpoint = endpoint;
         this.weight = weight;
-        this.demand = asked;
+        this.demand = demand;
         this.reserved = reserved;
-        this.beyondReservation = beyond;
+        this.beyondReservation = beyondReservation;
+    }
+
+    /** Sets the working values from the sliding windows. */
+    void measure(double now) {
+        served = beyondReservation.sumOverestimate(now);
+        shareDemand = Math.max(served, demand.sumOverestimate(now) - reserved.sumOverestimate(now));
+        unsatisfied = shareDemand > 0;
     }
 }
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -30,7 +30,7 @@
             return Reason.WARMING_UP;
         }
         boolean first = operation.attempts.isEmpty();
-        if (first && operation.units > scheduler.limitRemaining(operation.volume, now)) {
+        if (first && operation.units > scheduler.quota.limitRemaining(operation.volume, now)) {
             return Reason.LIMIT;
         }
         if (!scheduler.isAllowed(operation, endpoint, now)) {
@@ -42,6 +42,6 @@
         if (scheduler.hasCapacity(endpoint, now)) {
             return Reason.LOWER_PRIORITY;
         }
-        return scheduler.quotaTier(operation, endpoint, now).full();
+        return scheduler.quota.tier(operation, endpoint, now).full();
     }
 }
