--- a/src/main/java/sagepulley/scheduler/LatencyTracker.java
+++ b/src/main/java/sagepulley/scheduler/LatencyTracker.java
@@ -31,6 +31,9 @@
     /** The part of the mean service time that has to be left when an attempt starts. */
     private static final double REQUIRED_SERVICE_FRACTION = 0.7;
 
+    /** The part of the shortest objective that an operation may be queued at an endpoint. */
+    private static final double ACCEPTABLE_QUEUEING_FRACTION = 0.25;
+
     private final List<TrafficClass> trafficClasses;
     private final TrafficClassStats[] statsByClass;
     private double shortestObjective;
@@ -134,6 +137,11 @@
         return shortestObjective;
     }
 
+    /** The longest queueing delay at an endpoint that is acceptable, in milliseconds. */
+    double acceptableQueueing() {
+        return ACCEPTABLE_QUEUEING_FRACTION * shortestObjective;
+    }
+
     /** Takes the shortest objective anew. */
     void refresh() {
         shortestObjective = trafficClasses.stream().mapToDouble(this::objective).min().orElse(0);
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -45,11 +45,9 @@
     // The page's figures.
     private static final double PLACEMENTS_WINDOW = 10_000;
     private static final double BUSY_REFRESH = 1_000;
-    private static final double FIRST_BOUND = 4;
     private static final int RUN = 4;
     // How far the rest of a run may go over the bound, for the node remembers an extent only for a
     // while.
-    private static final int RUN_OVER = 3;
     // Weights of the score: placements, busy, fragment, preference; each term is 1 on average.
     private static final double ALPHA = 1;
     private static final double GAMMA = 2;
@@ -58,12 +56,7 @@
     private static final double OUT_PART = 0.5;
     private static final double BUSY_KEEP = 0.5;
     // The bound moves between these by what is seen of the queue at the node.
-    private static final double LEAST_BOUND = 1;
-    private static final double MOST_BOUND = 8;
     private static final double QUEUE_SHARE = 0.25;
-    private static final double BOUND_CUT = 0.7;
-    private static final double BOUND_STEP = 0.25;
-    private static final double BOUND_REST = 1;
     // The queue seen at a node, in quarters of the shortest target time: an answer's least weight,
     // the time after which it weighs nearly alone (1.5 s and 6 s were worse), a time-out's part,
     // what fades each second.
@@ -89,8 +82,6 @@
     private static final double MOST_EASE = 1.5;
     // The usual time a unit takes with no queue: a low quantile, followed in small steps.
     // Silence of a node, and how often it is tried then, as shares of the shortest target time.
-    private static final double SILENCE_SHARE = 0.5;
-    private static final double TRIAL_SHARE = 0.3;
     // An operation that would need more than this part of its usual time beyond its target time is
     // late.
     // Attempts go on this part of the target time after it, where a late answer is worth this part
@@ -99,9 +90,6 @@
     private static final double LATE_WORTH = 0.5;
     private static final double OVERLOAD_WINDOW = 1_000;
     private static final double OVERLOAD_SHARE = 0.03;
-    private static final double FAULT_STEP = 0.2;
-    private static final double FAULT_KEEP = 0.9;
-    private static final double MOST_FAULTS = 0.3;
     // The part of what a cold node bears that is asked of it, if the demand in share were all it
     // can do warm (0.5 to 0.9 lie within 0.03), and the cap on one gateway in usual parts.
     private static final double COLD_PART = 0.8;
@@ -136,6 +124,8 @@
     private final List<Attempt> unwanted = new ArrayList<>();
     private final WakeUpTime wakeUp = new WakeUpTime();
     final KeyOrdering keyOrdering;
+    final OutlierDetector outliers;
+    final ConcurrencyLimiter concurrency;
     private final RetryPolicy retryPolicy;
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
@@ -162,6 +152,8 @@
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.latencies = new LatencyTracker(deployment.trafficClasses());
         this.quota = new QuotaTracker(deployment, wakeUp);
+        this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
+        this.concurrency = new ConcurrencyLimiter(latencies, outliers);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
@@ -186,7 +178,7 @@
                         new EndpointState(
                                 old == null ? endpoints.size() : old.index,
                                 node,
-                                FIRST_BOUND,
+                                ConcurrencyLimiter.INITIAL_LIMIT,
                                 ArrivalWindow.over(OVERLOAD_WINDOW),
                                 new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
                                 new SlidingWindowCounter(policy.overloadWindow(), 20));
@@ -206,7 +198,7 @@
                     : node.startedAt > endpoint.startedAt) {
                 endpoint.reportedStart = node.startedAt;
                 endpoint.startedAt = possibleStart(node.startedAt, now);
-                endpoint.concurrencyLimit = LEAST_BOUND;
+                concurrency.onRestart(endpoint);
             }
         }
         seatsByCell.clear();
@@ -592,7 +584,7 @@
         // Overload is what is declined though its node serves; an outage must not forbid attempts
         // elsewhere.
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
-        if (endpoint == null || sound(endpoint, now)) {
+        if (endpoint == null || outliers.isHealthy(endpoint, now)) {
             load(endpoint).rejections().add(now, 1);
         }
         if (!retryPolicy.mayReject(operation)) {
@@ -616,7 +608,7 @@
         if (!deployment.mayRetryAfter()) {
             return 0;
         }
-        if (endpoint != null && !sound(endpoint, now)) {
+        if (endpoint != null && !outliers.isHealthy(endpoint, now)) {
             return deployment.maxRetryAfter();
         }
         double queue =
@@ -671,50 +663,9 @@
                 || lowestScore(fresh, now) != endpoint;
     }
 
-    boolean hasCapacity(EndpointState endpoint, double now) {
-        if (endpoint.node.phase != Node.Phase.READY) {
-            return false;
-        }
-        if (isUnresponsive(endpoint, now)) {
-            // One operation at a time tries a node that takes work and answers none.
-            double next = endpoint.lastSentAt + TRIAL_SHARE * latencies.shortestObjective();
-            if (now < next) {
-                wakeUp.noLaterThan(next);
-                return false;
-            }
-            return endpoint.inFlight.size() < MOST_BOUND;
-        }
-        int over = endpoint.runRemaining > 0 && endpoint.lastSentAt == now ? RUN_OVER : 0;
-        return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit + over;
-    }
-
-    /** Whether a node serves as it should: not cold, not silent, and not failing. */
-    private boolean sound(EndpointState endpoint, double now) {
-        return endpoint.node.phase == Node.Phase.READY
-                && !isUnresponsive(endpoint, now)
-                && now - endpoint.startedAt >= policy.slowStartTime()
-                && endpoint.faultRatio <= MOST_FAULTS;
-    }
-
-    boolean isUnresponsive(EndpointState endpoint, double now) {
-        if (endpoint.ejected) {
-            return true;
-        }
-        if (endpoint.inFlight.isEmpty()) {
-            return false;
-        }
-        double since = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
-        double limit = latencies.shortestObjective() * SILENCE_SHARE;
-        if (now - since > limit) {
-            return true;
-        }
-        wakeUp.noLaterThan(since + limit);
-        return false;
-    }
-
     /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
     private Operation pick(EndpointState endpoint, double now) {
-        if (endpoint.waitQueue.isEmpty() || !hasCapacity(endpoint, now)) {
+        if (endpoint.waitQueue.isEmpty() || !concurrency.hasCapacity(endpoint, now)) {
             return null;
         }
         // Asked again with nothing changed, as pause and place do one after the other.
@@ -735,8 +686,7 @@
             }
         }
         Operation best = first(endpoint.waitQueue, endpoint, now);
-        return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit
-                        || isUnresponsive(endpoint, now)
+        return concurrency.isBelowLimit(endpoint) || outliers.isUnresponsive(endpoint, now)
                 ? best
                 : null;
     }
@@ -846,9 +796,9 @@
         for (EndpointState endpoint : endpoints) {
             // A node that fails at once looks idle: without this it draws every new object.
             // A cold node shows no placements and no latency: new objects would pour onto it.
-            if (!hasCapacity(endpoint, now)
-                    || endpoint.inFlight.size() >= (int) endpoint.concurrencyLimit
-                    || !sound(endpoint, now)
+            if (!concurrency.hasCapacity(endpoint, now)
+                    || !concurrency.isBelowLimit(endpoint)
+                    || !outliers.isHealthy(endpoint, now)
                     || !isAllowed(operation, endpoint, now)
                     || isHeldBack(operation, endpoint, now)
                     || !endpoint.node.acceptsNewObjects) {
@@ -896,12 +846,8 @@
                     CROWD_FADE
                             * (CROWD_KEEP * endpoint.queueEstimate
                                     + (1 - CROWD_KEEP) * crowds / endpoints.size());
-            endpoint.faultRatio *= FAULT_KEEP;
-            if (now - endpoint.limitReducedAt > BUSY_REFRESH
-                    && endpoint.concurrencyLimit < FIRST_BOUND) {
-                endpoint.concurrencyLimit =
-                        Math.min(FIRST_BOUND, endpoint.concurrencyLimit + BOUND_REST);
-            }
+            outliers.refresh(endpoint);
+            concurrency.refresh(endpoint, now, BUSY_REFRESH);
         }
         double busySum = 0;
         double fragmentSum = 0;
@@ -966,30 +912,9 @@
         if (attempt.outcome == Outcome.SERVED) {
             quota.onServed(operation.volume, endpoint, now);
         }
-        switch (attempt.outcome) {
-            case SERVED -> {
-                endpoint.lastResponseAt = now;
-                endpoint.ejected = false;
-                endpoint.faultRatio -= FAULT_STEP * endpoint.faultRatio;
-            }
-            case FAILED -> {
-                endpoint.lastResponseAt = now;
-                endpoint.faultRatio += FAULT_STEP * (1 - endpoint.faultRatio);
-            }
-            // A full node is up, but one that hangs turns work away as well: only an answer
-            // restores trust. A connection that breaks may be the only thing that did: if the node
-            // is down, the next one tells.
-            case NO_CONNECTION -> endpoint.ejected |= endpoint.lastResponseAt < attempt.sentAt;
-            // An attempt that had little time left tells as little.
-            case TIMED_OUT ->
-                    endpoint.ejected |=
-                            endpoint.lastResponseAt < attempt.sentAt
-                                    && attempt.duration
-                                            >= SILENCE_SHARE * latencies.shortestObjective();
-            default -> {}
-        }
+        outliers.onAttemptEnded(attempt, endpoint, now);
         if (attempt.outcome == Outcome.REJECTED) {
-            cut(endpoint, attempt, now);
+            concurrency.reduce(attempt, endpoint, now);
         }
         // A time-out shows a queue at least as long, unless its answer was lost: it counts for
         // less.
@@ -1011,14 +936,7 @@
         endpoint.servedUnits[way] += operation.units;
         double queued = latencies.queuedTime(attempt);
         crowd(endpoint, queued, 1, now);
-        if (queued > QUEUE_SHARE * latencies.shortestObjective()) {
-            cut(endpoint, attempt, now);
-        } else if (endpoint.concurrencyLimit < MOST_BOUND) {
-            endpoint.concurrencyLimit =
-                    Math.min(
-                            MOST_BOUND,
-                            endpoint.concurrencyLimit + BOUND_STEP / endpoint.concurrencyLimit);
-        }
+        concurrency.onServed(attempt, endpoint, queued, now);
     }
 
     /** Few answers must tell as much as many: one counts the more, the longer ago the last came. */
@@ -1030,14 +948,6 @@
         endpoint.queueEstimate += part * step * (seen - endpoint.queueEstimate);
     }
 
-    private void cut(EndpointState endpoint, Attempt attempt, double now) {
-        if (attempt.sentAt >= endpoint.limitReducedAt) {
-            endpoint.concurrencyLimit =
-                    Math.max(LEAST_BOUND, endpoint.concurrencyLimit * BOUND_CUT);
-            endpoint.limitReducedAt = now;
-        }
-    }
-
     // ---- books ----
 
     private QueuedRequest ticket(Operation operation, double now) {
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -20,7 +20,7 @@
         if (endpoint.node.phase != Node.Phase.READY) {
             return Reason.NOT_READY;
         }
-        if (scheduler.isUnresponsive(endpoint, now)) {
+        if (scheduler.outliers.isUnresponsive(endpoint, now)) {
             return Reason.UNRESPONSIVE;
         }
         if (!scheduler.keyOrdering.isFirstOfKey(operation, now)) {
@@ -39,7 +39,7 @@
         if (scheduler.isHeldBack(operation, endpoint, now)) {
             return Reason.QUEUE_AT_NODE;
         }
-        if (scheduler.hasCapacity(endpoint, now)) {
+        if (scheduler.concurrency.hasCapacity(endpoint, now)) {
             return Reason.LOWER_PRIORITY;
         }
         return scheduler.quota.tier(operation, endpoint, now).full();
