--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -90,11 +90,6 @@
     private static final double LATE_WORTH = 0.5;
     private static final double OVERLOAD_WINDOW = 1_000;
     private static final double OVERLOAD_SHARE = 0.03;
-    // The part of what a cold node bears that is asked of it, if the demand in share were all it
-    // can do warm (0.5 to 0.9 lie within 0.03), and the cap on one gateway in usual parts.
-    private static final double COLD_PART = 0.8;
-    private static final double COLD_BURST = 2;
-    private static final double COLD_LOOK = 20;
 
     /**
      * A start that is longer ago is told as long ago: one that looks older was told by another
@@ -126,6 +121,7 @@
     final KeyOrdering keyOrdering;
     final OutlierDetector outliers;
     final ConcurrencyLimiter concurrency;
+    private final SlowStartBudget slowStart;
     private final RetryPolicy retryPolicy;
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
@@ -138,8 +134,6 @@
     /** Counts what may change whose turn it is. */
     private long version;
 
-    private double bornAt;
-    private double servedUnits;
     double admissionFactor = 1;
 
     private double refreshAt = Double.NEGATIVE_INFINITY;
@@ -154,6 +148,7 @@
         this.quota = new QuotaTracker(deployment, wakeUp);
         this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
         this.concurrency = new ConcurrencyLimiter(latencies, outliers);
+        this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
@@ -210,7 +205,7 @@
         version++;
         if (!knowsList) {
             knowsList = true;
-            bornAt = now;
+            slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
             // On a platform listConfirmed tells it: a list may also come from an address that
@@ -468,7 +463,7 @@
                 return false;
             }
         }
-        // 4: a cold node is not pushed over.
+        // 4: an endpoint in slow start is not overloaded.
         if (!fitsSlowStart(operation, endpoint, now)) {
             return false;
         }
@@ -492,39 +487,12 @@
                 && retryPolicy.mayRepeat(it.operation, it.node, it, now);
     }
 
-    /**
-     * A cold node gets only first attempts of operations inside their share, and of those a part by
-     * lot, the same at every gateway. What is inside all shares together is at most what the node
-     * does when warm, so that the part that may pass is the multiple of what it does now on the
-     * even ramp (the slowest allowed, at the start of the rule's window), less what chance and a
-     * wrong share may add. It needs no count of gateways, of what they sent or of what was sent
-     * before our own start.
-     */
+    /** Whether an endpoint is warm, or its slow start lets the operation pass inside its share. */
     boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
-        double age = now - endpoint.startedAt;
-        if (!(age < policy.slowStartTime())) {
-            return true;
-        }
-        double ramp =
-                policy.slowStartShare()
-                        + (1 - policy.slowStartShare())
-                                * Math.max(0, age - policy.overloadWindow())
-                                / policy.slowStartTime();
-        double part = Math.min(1, COLD_PART * policy.overloadMultiple() * ramp);
-        if (QueuedRequest.of(operation).slowStartDraw > part) {
-            wakeUp.noLaterThan(now + COLD_LOOK);
-            return false;
-        }
-        // A surge that looks inside its share, or many at once, must not follow the lot all the
-        // way.
-        double windows = Math.max(1, (now - bornAt) / policy.overloadWindow());
-        double usual = servedUnits / windows / endpoints.size();
-        double spent = endpoint.slowStartSpent.sumOverestimate(now);
-        return operation.attempts.isEmpty()
-                && spent + operation.units
-                        <= Math.max(deployment.maxUnits(), COLD_BURST * part * usual)
-                && quota.weightFraction(operation.volume, operation.units, endpoint, now)
-                        >= deployment.shareWeightFraction();
+        return !slowStart.isWarmingUp(endpoint, now)
+                || (slowStart.allows(operation, endpoint, endpoints.size(), now)
+                        && quota.weightFraction(operation.volume, operation.units, endpoint, now)
+                                >= deployment.shareWeightFraction());
     }
 
     // ---- sending ----
@@ -697,7 +665,7 @@
      * cold node's lot is each one's own.
      */
     private Operation first(WaitQueue queue, EndpointState endpoint, double now) {
-        boolean each = endpoint != null && now - endpoint.startedAt < policy.slowStartTime();
+        boolean each = endpoint != null && slowStart.isWarmingUp(endpoint, now);
         Operation best = null;
         int bestTier = -1;
         for (NavigableSet<QueuedRequest> alike : queue.groups()) {
@@ -925,7 +893,7 @@
             return;
         }
         latencies.onServed(attempt);
-        servedUnits += operation.units;
+        slowStart.onServed(operation.units);
         // How long a queue may be before anyone is held back follows how many answers come late.
         admissionFactor =
                 attempt.duration > LATE_ANSWER * latencies.objective(operation.trafficClass)
