--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -56,30 +56,13 @@
     private static final double OUT_PART = 0.5;
     private static final double BUSY_KEEP = 0.5;
     // The bound moves between these by what is seen of the queue at the node.
-    private static final double QUEUE_SHARE = 0.25;
     // The queue seen at a node, in quarters of the shortest target time: an answer's least weight,
     // the time after which it weighs nearly alone (1.5 s and 6 s were worse), a time-out's part,
     // what fades each second.
-    private static final double CROWD_STEP = 0.2;
-    private static final double CROWD_TIME = 4_000;
-    private static final double MOST_CROWD = 4;
-    private static final double TIMEOUT_PART = 0.5;
-    private static final double CROWD_KEEP = 0.8;
-    private static final double CROWD_FADE = 0.95;
     // The queue that holds an operation back: in the reserve, in the share, over its level,
     // anything. A third less or more lost 0.02 on one site or another.
-    private static final double CROWDED_RESERVE = 1.6;
-    private static final double CROWDED_SHARE = 1.2;
-    private static final double CROWDED = 1.6;
-    private static final double CROWDED_LEAST = 0.25;
-    private static final double BEYOND_PART = 0.5;
     // These move together with the part of answers that come late: about one in eleven leaves them
     // alone.
-    private static final double LATE_ANSWER = 0.7;
-    private static final double EASE_CUT = 0.08;
-    private static final double EASE_STEP = 0.008;
-    private static final double LEAST_EASE = 0.5;
-    private static final double MOST_EASE = 1.5;
     // The usual time a unit takes with no queue: a low quantile, followed in small steps.
     // Silence of a node, and how often it is tried then, as shares of the shortest target time.
     // An operation that would need more than this part of its usual time beyond its target time is
@@ -88,8 +71,6 @@
     // at least.
     private static final double LATE_GRACE = 0.5;
     private static final double LATE_WORTH = 0.5;
-    private static final double OVERLOAD_WINDOW = 1_000;
-    private static final double OVERLOAD_SHARE = 0.03;
 
     /**
      * A start that is longer ago is told as long ago: one that looks older was told by another
@@ -121,12 +102,12 @@
     final KeyOrdering keyOrdering;
     final OutlierDetector outliers;
     final ConcurrencyLimiter concurrency;
+    final AdmissionController admission;
     private final SlowStartBudget slowStart;
     private final RetryPolicy retryPolicy;
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
 
-    private final ArrivalWindow freshLoad = ArrivalWindow.over(OVERLOAD_WINDOW);
     private final double deadlineMargin;
     final EndpointLease lease;
     private int waiting;
@@ -134,8 +115,6 @@
     /** Counts what may change whose turn it is. */
     private long version;
 
-    double admissionFactor = 1;
-
     private double refreshAt = Double.NEGATIVE_INFINITY;
     private boolean knowsList;
     private final DiscoverySchedule discovery;
@@ -148,6 +127,7 @@
         this.quota = new QuotaTracker(deployment, wakeUp);
         this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
         this.concurrency = new ConcurrencyLimiter(latencies, outliers);
+        this.admission = new AdmissionController(deployment, latencies, quota, outliers);
         this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
@@ -174,7 +154,7 @@
                                 old == null ? endpoints.size() : old.index,
                                 node,
                                 ConcurrencyLimiter.INITIAL_LIMIT,
-                                ArrivalWindow.over(OVERLOAD_WINDOW),
+                                AdmissionController.newArrivalWindow(),
                                 new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
                                 new SlidingWindowCounter(policy.overloadWindow(), 20));
                 node.schedulerState = endpoint;
@@ -322,7 +302,7 @@
         if (!request.queued) {
             enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                load(request.endpoint).arrivals().add(now, 1);
+                admission.onArrival(request.endpoint, now);
             }
             if (operation.attempts.isEmpty() && request.endpoint != null) {
                 quota.onDemand(operation, request.endpoint, now);
@@ -549,12 +529,8 @@
         forsake(operation);
         operation.ended = true;
         latencies.onGivenUp(operation.trafficClass);
-        // Overload is what is declined though its node serves; an outage must not forbid attempts
-        // elsewhere.
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
-        if (endpoint == null || outliers.isHealthy(endpoint, now)) {
-            load(endpoint).rejections().add(now, 1);
-        }
+        admission.onGivenUp(endpoint, now);
         if (!retryPolicy.mayReject(operation)) {
             return RoutingDecision.ABANDONED;
         }
@@ -566,46 +542,27 @@
                                 : latencies.lateAt(operation) <= now
                                         ? Reason.OBJECTIVE_MISSED
                                         : Reason.NO_RETRY;
-        return RoutingDecision.reject(comeBack(endpoint, now), reason);
-    }
-
-    /**
-     * When to ask again: once the queue has drained, or as late as may be told of a failing node.
-     */
-    private double comeBack(EndpointState endpoint, double now) {
-        if (!deployment.mayRetryAfter()) {
-            return 0;
-        }
-        if (endpoint != null && !outliers.isHealthy(endpoint, now)) {
-            return deployment.maxRetryAfter();
-        }
-        double queue =
-                (endpoint == null ? 1 : endpoint.queueEstimate)
-                        * QUEUE_SHARE
-                        * latencies.shortestObjective();
-        return Math.min(deployment.maxRetryAfter(), queue);
+        return RoutingDecision.reject(admission.retryAfter(endpoint, now), reason);
     }
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
         return retryPolicy.hasAttemptsLeft(operation)
-                && !overloaded(QueuedRequest.of(operation).endpoint, now)
+                && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
                 && latencies.lateAt(operation) > now;
     }
 
-    /** Overload is a node's matter: a surge at one forbids no further attempt at another. */
-    private boolean overloaded(EndpointState endpoint, double now) {
-        ArrivalWindow load = load(endpoint);
-        return (endpoint == null
+    /**
+     * Whether more waits for an endpoint than it can have in flight, or too much was rejected. An
+     * overload of one endpoint forbids no retry at another.
+     */
+    private boolean isOverloaded(EndpointState endpoint, double now) {
+        boolean queueIsLong =
+                endpoint == null
                         ? waiting > endpoints.size()
-                        : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit)
-                || load.rejections().sumOverestimate(now)
-                        > OVERLOAD_SHARE * load.arrivals().sumOverestimate(now) + 1;
-    }
-
-    private ArrivalWindow load(EndpointState endpoint) {
-        return endpoint == null ? freshLoad : endpoint.arrivalWindow;
+                        : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
+        return queueIsLong || admission.rejectsTooMuch(endpoint, now);
     }
 
     // ---- whose turn it is ----
@@ -648,7 +605,8 @@
     private Operation pickAnew(EndpointState endpoint, double now) {
         if (endpoint.runRemaining > 0) {
             for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
-                if (isAllowed(operation, endpoint, now) && !isHeldBack(operation, endpoint, now)) {
+                if (isAllowed(operation, endpoint, now)
+                        && !admission.isHeldBack(operation, endpoint, now)) {
                     return operation;
                 }
             }
@@ -677,7 +635,7 @@
                                 && now < operation.deadline - deadlineMargin;
                 if (endpoint == null
                         || (isAllowed(operation, endpoint, now)
-                                && !isHeldBack(operation, endpoint, now))) {
+                                && !admission.isHeldBack(operation, endpoint, now))) {
                     if (best != null && bestTier < 0) {
                         bestTier = tier(best, endpoint, now);
                     }
@@ -703,26 +661,6 @@
         return apart < 0 || (apart == 0 && one.sequence < QueuedRequest.of(other).sequence);
     }
 
-    /** A queue seen holds back what is late, and past part of the bound what is over its level. */
-    boolean isHeldBack(Operation operation, EndpointState endpoint, double now) {
-        if (endpoint.queueEstimate <= CROWDED_LEAST) {
-            return false;
-        }
-        if (latencies.lateAt(operation) <= now) {
-            return true;
-        }
-        if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * BEYOND_PART)) {
-            return false;
-        }
-        if (quota.fitsReservation(operation.volume, operation.units, now)) {
-            return endpoint.queueEstimate > admissionFactor * CROWDED_RESERVE;
-        }
-        double over = quota.usedOfEvenLevel(operation.volume, endpoint, operation.units, now);
-        return endpoint.queueEstimate
-                > Math.max(
-                        CROWDED_LEAST, admissionFactor * Math.min(CROWDED_SHARE, CROWDED / over));
-    }
-
     /** Utility still due goes first; among equals the earliest deadline. */
     private boolean outranks(Operation one, Operation other, EndpointState endpoint, double now) {
         int a = tier(one, endpoint, now);
@@ -768,7 +706,7 @@
                     || !concurrency.isBelowLimit(endpoint)
                     || !outliers.isHealthy(endpoint, now)
                     || !isAllowed(operation, endpoint, now)
-                    || isHeldBack(operation, endpoint, now)
+                    || admission.isHeldBack(operation, endpoint, now)
                     || !endpoint.node.acceptsNewObjects) {
                 continue;
             }
@@ -807,13 +745,8 @@
         }
         refreshAt = now + BUSY_REFRESH;
         latencies.refresh();
-        double crowds = endpoints.stream().mapToDouble(endpoint -> endpoint.queueEstimate).sum();
+        admission.refresh(endpoints);
         for (EndpointState endpoint : endpoints) {
-            // What was seen of one node fades into what is seen of all.
-            endpoint.queueEstimate =
-                    CROWD_FADE
-                            * (CROWD_KEEP * endpoint.queueEstimate
-                                    + (1 - CROWD_KEEP) * crowds / endpoints.size());
             outliers.refresh(endpoint);
             concurrency.refresh(endpoint, now, BUSY_REFRESH);
         }
@@ -884,38 +817,22 @@
         if (attempt.outcome == Outcome.REJECTED) {
             concurrency.reduce(attempt, endpoint, now);
         }
-        // A time-out shows a queue at least as long, unless its answer was lost: it counts for
-        // less.
         if (attempt.outcome == Outcome.TIMED_OUT) {
-            crowd(endpoint, attempt.duration, TIMEOUT_PART, now);
+            admission.onTimedOut(attempt, endpoint, now);
         }
         if (attempt.outcome != Outcome.SERVED) {
             return;
         }
         latencies.onServed(attempt);
         slowStart.onServed(operation.units);
-        // How long a queue may be before anyone is held back follows how many answers come late.
-        admissionFactor =
-                attempt.duration > LATE_ANSWER * latencies.objective(operation.trafficClass)
-                        ? Math.max(LEAST_EASE, admissionFactor * (1 - EASE_CUT))
-                        : Math.min(MOST_EASE, admissionFactor * (1 + EASE_STEP));
         int way = operation.trafficClass.writes() ? 1 : 0;
         endpoint.responseMillis[way] += attempt.duration;
         endpoint.servedUnits[way] += operation.units;
         double queued = latencies.queuedTime(attempt);
-        crowd(endpoint, queued, 1, now);
+        admission.onServed(attempt, endpoint, queued, now);
         concurrency.onServed(attempt, endpoint, queued, now);
     }
 
-    /** Few answers must tell as much as many: one counts the more, the longer ago the last came. */
-    private void crowd(EndpointState endpoint, double queued, double part, double now) {
-        double step =
-                Math.max(CROWD_STEP, 1 - Math.exp((endpoint.queueObservedAt - now) / CROWD_TIME));
-        endpoint.queueObservedAt = now;
-        double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * latencies.shortestObjective()));
-        endpoint.queueEstimate += part * step * (seen - endpoint.queueEstimate);
-    }
-
     // ---- books ----
 
     private QueuedRequest ticket(Operation operation, double now) {
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -24,7 +24,7 @@
                                         row.meanServiceTime,
                                         row.cancellationAge,
                                         row.cancellationRatio,
-                                        scheduler.admissionFactor))
+                                        scheduler.admission.admissionFactor()))
                 .toList();
     }
 
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -36,7 +36,7 @@
         if (!scheduler.isAllowed(operation, endpoint, now)) {
             return Reason.RETRY_BUDGET;
         }
-        if (scheduler.isHeldBack(operation, endpoint, now)) {
+        if (scheduler.admission.isHeldBack(operation, endpoint, now)) {
             return Reason.QUEUE_AT_NODE;
         }
         if (scheduler.concurrency.hasCapacity(endpoint, now)) {
