--- /dev/null
+++ b/src/main/java/sagepulley/scheduler/EndpointLatencies.java
@@ -0,0 +1,95 @@
+package sagepulley.scheduler;
+
+import java.util.List;
+import java.util.function.ToDoubleFunction;
+import sagepulley.model.Attempt;
+
+/**
+ * How slow each endpoint is against the others: its latency ratio, and the ratio of its write to
+ * its read service time against theirs. Both are 1 on average, and are taken anew at each refresh.
+ */
+final class EndpointLatencies {
+    private static final int READS = 0;
+    private static final int WRITES = 1;
+
+    /** What stays of a service time at each refresh. */
+    private static final double SMOOTHING = 0.5;
+
+    private EndpointLatencies() {}
+
+    /** Counts a served attempt. */
+    static void onServed(Attempt attempt, EndpointState endpoint) {
+        int direction = attempt.operation.trafficClass.writes() ? WRITES : READS;
+        endpoint.responseMillis[direction] += attempt.duration;
+        endpoint.servedUnits[direction] += attempt.operation.units;
+    }
+
+    /** Takes the ratios of all endpoints anew from what was served since the last refresh. */
+    static void refresh(List<EndpointState> endpoints) {
+        for (EndpointState endpoint : endpoints) {
+            takeServiceTimes(endpoint);
+        }
+        double meanServiceTime = mean(endpoints, endpoint -> endpoint.smoothedServiceTime);
+        double meanWriteToRead = mean(endpoints, EndpointLatencies::countedWriteToRead);
+        for (EndpointState endpoint : endpoints) {
+            endpoint.latencyRatio =
+                    Double.isNaN(endpoint.smoothedServiceTime) || !(meanServiceTime > 0)
+                            ? 1
+                            : endpoint.smoothedServiceTime / meanServiceTime;
+            endpoint.writeReadRatio =
+                    hasReadsAndWrites(endpoint) && meanWriteToRead > 0
+                            ? writeToRead(endpoint) / meanWriteToRead
+                            : 1;
+        }
+    }
+
+    /** The mean of the values that are not NaN; NaN if there is none. */
+    private static double mean(
+            List<EndpointState> endpoints, ToDoubleFunction<EndpointState> value) {
+        double sum = 0;
+        int count = 0;
+        for (EndpointState endpoint : endpoints) {
+            double each = value.applyAsDouble(endpoint);
+            if (!Double.isNaN(each)) {
+                sum += each;
+                count++;
+            }
+        }
+        return sum / count;
+    }
+
+    private static boolean hasReadsAndWrites(EndpointState endpoint) {
+        return !Double.isNaN(endpoint.serviceTimes[READS])
+                && !Double.isNaN(endpoint.serviceTimes[WRITES]);
+    }
+
+    private static double writeToRead(EndpointState endpoint) {
+        return endpoint.serviceTimes[WRITES] / endpoint.serviceTimes[READS];
+    }
+
+    private static double countedWriteToRead(EndpointState endpoint) {
+        return hasReadsAndWrites(endpoint) && endpoint.serviceTimes[READS] > 0
+                ? writeToRead(endpoint)
+                : Double.NaN;
+    }
+
+    private static void takeServiceTimes(EndpointState endpoint) {
+        double units = endpoint.servedUnits[READS] + endpoint.servedUnits[WRITES];
+        if (units > 0) {
+            double millis = endpoint.responseMillis[READS] + endpoint.responseMillis[WRITES];
+            endpoint.smoothedServiceTime = smooth(endpoint.smoothedServiceTime, millis / units);
+        }
+        for (int i = READS; i <= WRITES; i++) {
+            if (endpoint.servedUnits[i] > 0) {
+                double latest = endpoint.responseMillis[i] / endpoint.servedUnits[i];
+                endpoint.serviceTimes[i] = smooth(endpoint.serviceTimes[i], latest);
+            }
+            endpoint.responseMillis[i] = 0;
+            endpoint.servedUnits[i] = 0;
+        }
+    }
+
+    private static double smooth(double old, double latest) {
+        return Double.isNaN(old) ? latest : SMOOTHING * old + (1 - SMOOTHING) * latest;
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/scheduler/Router.java
@@ -0,0 +1,81 @@
+package sagepulley.scheduler;
+
+import java.util.List;
+import java.util.function.Predicate;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+
+/**
+ * Where a new object goes: to the eligible endpoint with the lowest placement score, a weighted sum
+ * of its recent placements, its load, its write to read ratio and the deployment's preference. Each
+ * term is 1 on average.
+ */
+final class Router {
+    private static final double PLACEMENTS_WEIGHT = 1;
+    private static final double LOAD_WEIGHT = 2;
+    private static final double WRITE_READ_WEIGHT = 0.2;
+    private static final double PREFERENCE_WEIGHT = 0.2;
+
+    /** What each attempt in flight adds to an endpoint's load. */
+    private static final double IN_FLIGHT_FRACTION = 0.5;
+
+    private final Deployment deployment;
+
+    Router(Deployment deployment) {
+        this.deployment = deployment;
+    }
+
+    /** The eligible endpoint with the lowest score, the first of equals; null if there is none. */
+    EndpointState lowestScore(
+            List<EndpointState> endpoints, Predicate<EndpointState> isEligible, double now) {
+        double placements = 0;
+        double weight = 0;
+        int ready = 0;
+        for (EndpointState endpoint : endpoints) {
+            if (endpoint.node.phase == Node.Phase.READY) {
+                placements += endpoint.placements.sumOverestimate(now);
+                weight += endpoint.node.weight;
+                ready++;
+            }
+        }
+        EndpointState best = null;
+        double lowest = Double.POSITIVE_INFINITY;
+        for (EndpointState endpoint : endpoints) {
+            if (!isEligible.test(endpoint)) {
+                continue;
+            }
+            double score =
+                    PLACEMENTS_WEIGHT
+                                    * (endpoint.placements.sumOverestimate(now) + 1)
+                                    / (placements / ready + 1)
+                            + LOAD_WEIGHT * load(endpoint)
+                            + WRITE_READ_WEIGHT * endpoint.writeReadRatio
+                            + PREFERENCE_WEIGHT * preference(endpoint, weight, ready);
+            if (score < lowest) {
+                lowest = score;
+                best = endpoint;
+            }
+        }
+        return best;
+    }
+
+    /**
+     * A latency ratio as old as the last refresh sends all new objects one way until the next: what
+     * is in flight now, and the queue that the latest answers showed, count with it.
+     */
+    private static double load(EndpointState endpoint) {
+        return endpoint.latencyRatio * (1 + IN_FLIGHT_FRACTION * endpoint.inFlight.size())
+                + endpoint.queueEstimate;
+    }
+
+    private double preference(EndpointState endpoint, double totalWeight, int ready) {
+        double preference =
+                deployment.hasNodeWeights() && endpoint.node.weight > 0
+                        ? totalWeight / ready / endpoint.node.weight
+                        : 1;
+        if (deployment.crossZonePrice() > 0 && endpoint.node.zone != deployment.zone()) {
+            preference += 1;
+        }
+        return preference;
+    }
+}
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -42,31 +42,9 @@
  * <p>The caller keeps timers and operations.
  */
 public final class Scheduler {
-    // The page's figures.
     private static final double PLACEMENTS_WINDOW = 10_000;
     private static final double BUSY_REFRESH = 1_000;
     private static final int RUN = 4;
-    // How far the rest of a run may go over the bound, for the node remembers an extent only for a
-    // while.
-    // Weights of the score: placements, busy, fragment, preference; each term is 1 on average.
-    private static final double ALPHA = 1;
-    private static final double GAMMA = 2;
-    private static final double DELTA = 0.2;
-    private static final double ETA = 0.2;
-    private static final double OUT_PART = 0.5;
-    private static final double BUSY_KEEP = 0.5;
-    // The bound moves between these by what is seen of the queue at the node.
-    // The queue seen at a node, in quarters of the shortest target time: an answer's least weight,
-    // the time after which it weighs nearly alone (1.5 s and 6 s were worse), a time-out's part,
-    // what fades each second.
-    // The queue that holds an operation back: in the reserve, in the share, over its level,
-    // anything. A third less or more lost 0.02 on one site or another.
-    // These move together with the part of answers that come late: about one in eleven leaves them
-    // alone.
-    // The usual time a unit takes with no queue: a low quantile, followed in small steps.
-    // Silence of a node, and how often it is tried then, as shares of the shortest target time.
-    // An operation that would need more than this part of its usual time beyond its target time is
-    // late.
     // Attempts go on this part of the target time after it, where a late answer is worth this part
     // at least.
     private static final double LATE_GRACE = 0.5;
@@ -103,6 +81,7 @@
     final OutlierDetector outliers;
     final ConcurrencyLimiter concurrency;
     final AdmissionController admission;
+    private final Router router;
     private final SlowStartBudget slowStart;
     private final RetryPolicy retryPolicy;
     private final RetryBudget retryBudget;
@@ -128,6 +107,7 @@
         this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
         this.concurrency = new ConcurrencyLimiter(latencies, outliers);
         this.admission = new AdmissionController(deployment, latencies, quota, outliers);
+        this.router = new Router(deployment);
         this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
@@ -685,58 +665,26 @@
 
     // ---- the score ----
 
-    /** The open seat with the lowest score for a new object; null if none has room. */
+    /** Where a new object goes now by its placement score; null if no endpoint may take it. */
     private EndpointState lowestScore(Operation operation, double now) {
-        double mean = 0;
-        double weight = 0;
-        int ready = 0;
-        for (EndpointState endpoint : endpoints) {
-            if (endpoint.node.phase == Node.Phase.READY) {
-                mean += endpoint.placements.sumOverestimate(now);
-                weight += endpoint.node.weight;
-                ready++;
-            }
-        }
-        EndpointState best = null;
-        double least = Double.POSITIVE_INFINITY;
-        for (EndpointState endpoint : endpoints) {
-            // A node that fails at once looks idle: without this it draws every new object.
-            // A cold node shows no placements and no latency: new objects would pour onto it.
-            if (!concurrency.hasCapacity(endpoint, now)
-                    || !concurrency.isBelowLimit(endpoint)
-                    || !outliers.isHealthy(endpoint, now)
-                    || !isAllowed(operation, endpoint, now)
-                    || admission.isHeldBack(operation, endpoint, now)
-                    || !endpoint.node.acceptsNewObjects) {
-                continue;
-            }
-            Operation rival = pick(endpoint, now);
-            if (rival != null && !outranks(operation, rival, endpoint, now)) {
-                continue;
-            }
-            double preference =
-                    deployment.hasNodeWeights() && endpoint.node.weight > 0
-                            ? weight / ready / endpoint.node.weight
-                            : 1;
-            if (deployment.crossZonePrice() > 0 && endpoint.node.zone != deployment.zone()) {
-                preference += 1;
-            }
-            // A busy degree a second old sends a second's new objects one way: what is out there
-            // now, and the queue that the latest answers showed, count with it.
-            double busy =
-                    endpoint.latencyRatio * (1 + OUT_PART * endpoint.inFlight.size())
-                            + endpoint.queueEstimate;
-            double score =
-                    ALPHA * (endpoint.placements.sumOverestimate(now) + 1) / (mean / ready + 1)
-                            + GAMMA * busy
-                            + DELTA * endpoint.writeReadRatio
-                            + ETA * preference;
-            if (score < least) {
-                least = score;
-                best = endpoint;
-            }
+        return router.lowestScore(endpoints, endpoint -> isEligible(endpoint, operation, now), now);
+    }
+
+    /**
+     * Whether an endpoint may take a new object before what waits for it. An endpoint that fails at
+     * once, or that is in slow start, has few placements and no latency: it would draw all of them.
+     */
+    private boolean isEligible(EndpointState endpoint, Operation operation, double now) {
+        if (!concurrency.hasCapacity(endpoint, now)
+                || !concurrency.isBelowLimit(endpoint)
+                || !outliers.isHealthy(endpoint, now)
+                || !isAllowed(operation, endpoint, now)
+                || admission.isHeldBack(operation, endpoint, now)
+                || !endpoint.node.acceptsNewObjects) {
+            return false;
         }
-        return best;
+        Operation rival = pick(endpoint, now);
+        return rival == null || outranks(operation, rival, endpoint, now);
     }
 
     private void refresh(double now) {
@@ -750,57 +698,7 @@
             outliers.refresh(endpoint);
             concurrency.refresh(endpoint, now, BUSY_REFRESH);
         }
-        double busySum = 0;
-        double fragmentSum = 0;
-        int busyCount = 0;
-        int fragmentCount = 0;
-        for (EndpointState endpoint : endpoints) {
-            double units = endpoint.servedUnits[0] + endpoint.servedUnits[1];
-            if (units > 0) {
-                endpoint.smoothedServiceTime =
-                        smooth(
-                                endpoint.smoothedServiceTime,
-                                (endpoint.responseMillis[0] + endpoint.responseMillis[1]) / units);
-            }
-            for (int i = 0; i < 2; i++) {
-                if (endpoint.servedUnits[i] > 0) {
-                    endpoint.serviceTimes[i] =
-                            smooth(
-                                    endpoint.serviceTimes[i],
-                                    endpoint.responseMillis[i] / endpoint.servedUnits[i]);
-                }
-                endpoint.responseMillis[i] = 0;
-                endpoint.servedUnits[i] = 0;
-            }
-            if (!Double.isNaN(endpoint.smoothedServiceTime)) {
-                busySum += endpoint.smoothedServiceTime;
-                busyCount++;
-            }
-            if (!Double.isNaN(endpoint.serviceTimes[0])
-                    && !Double.isNaN(endpoint.serviceTimes[1])
-                    && endpoint.serviceTimes[0] > 0) {
-                fragmentSum += endpoint.serviceTimes[1] / endpoint.serviceTimes[0];
-                fragmentCount++;
-            }
-        }
-        for (EndpointState endpoint : endpoints) {
-            endpoint.latencyRatio =
-                    Double.isNaN(endpoint.smoothedServiceTime) || !(busySum > 0)
-                            ? 1
-                            : endpoint.smoothedServiceTime / (busySum / busyCount);
-            endpoint.writeReadRatio =
-                    Double.isNaN(endpoint.serviceTimes[0])
-                                    || Double.isNaN(endpoint.serviceTimes[1])
-                                    || !(fragmentSum > 0)
-                            ? 1
-                            : endpoint.serviceTimes[1]
-                                    / endpoint.serviceTimes[0]
-                                    / (fragmentSum / fragmentCount);
-        }
-    }
-
-    private static double smooth(double old, double latest) {
-        return Double.isNaN(old) ? latest : BUSY_KEEP * old + (1 - BUSY_KEEP) * latest;
+        EndpointLatencies.refresh(endpoints);
     }
 
     // ---- what is learned from an outcome ----
@@ -825,9 +723,7 @@
         }
         latencies.onServed(attempt);
         slowStart.onServed(operation.units);
-        int way = operation.trafficClass.writes() ? 1 : 0;
-        endpoint.responseMillis[way] += attempt.duration;
-        endpoint.servedUnits[way] += operation.units;
+        EndpointLatencies.onServed(attempt, endpoint);
         double queued = latencies.queuedTime(attempt);
         admission.onServed(attempt, endpoint, queued, now);
         concurrency.onServed(attempt, endpoint, queued, now);
