--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -1,10 +1,8 @@
 package sagepulley.scheduler;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.BitSet;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableSet;
@@ -18,14 +16,12 @@
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.QuotaTier;
 import sagepulley.model.Reason;
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.ServicePolicy;
 import sagepulley.model.SlidingWindowCounter;
 import sagepulley.model.TrafficClass;
-import sagepulley.model.Volume;
 
 /**
  * Every decision of one gateway: the Flint placement score, each node's bound, and the guards round
@@ -46,107 +42,13 @@
  * <p>The caller keeps timers and operations.
  */
 public final class Scheduler {
-    // The page's figures.
-
     private static final double PLACEMENTS_WINDOW = 10_000;
     private static final double BUSY_REFRESH = 1_000;
-    private static final double FIRST_BOUND = 4;
     private static final int RUN = 4;
-    // How far the rest of a run may go over the bound, for the node remembers an extent only for a
-
-    // while.
-
-    private static final int RUN_OVER = 3;
-    // Weights of the score: placements, busy, fragment, preference; each term is 1 on average.
-
-    private static final double ALPHA = 1;
-    private static final double GAMMA = 2;
-    private static final double DELTA = 0.2;
-    private static final double ETA = 0.2;
-    private static final double OUT_PART = 0.5;
-    private static final double BUSY_KEEP = 0.5;
-    // The bound moves between these by what is seen of the queue at the node.
-
-    private static final double LEAST_BOUND = 1;
-    private static final double MOST_BOUND = 8;
-    private static final double QUEUE_SHARE = 0.25;
-    private static final double BOUND_CUT = 0.7;
-    private static final double BOUND_STEP = 0.25;
-    private static final double BOUND_REST = 1;
-    // The queue seen at a node, in quarters of the shortest target time: an answer's least weight,
-
-    // the time after which it weighs nearly alone (1.5 s and 6 s were worse), a time-out's part,
-
-    // what fades each second.
-
-    private static final double CROWD_STEP = 0.2;
-    private static final double CROWD_TIME = 4_000;
-    private static final double MOST_CROWD = 4;
-    private static final double TIMEOUT_PART = 0.5;
-    private static final double CROWD_KEEP = 0.8;
-    private static final double CROWD_FADE = 0.95;
-    // The queue that holds an operation back: in the reserve, in the share, over its level,
-
-    // anything. A third less or more lost 0.02 on one site or another.
-
-    private static final double CROWDED_RESERVE = 1.6;
-    private static final double CROWDED_SHARE = 1.2;
-    private static final double CROWDED = 1.6;
-    private static final double CROWDED_LEAST = 0.25;
-    private static final double BEYOND_PART = 0.5;
-    // These move together with the part of answers that come late: about one in eleven leaves them
-
-    // alone.
-
-    private static final double LATE_ANSWER = 0.7;
-    private static final double EASE_CUT = 0.08;
-    private static final double EASE_STEP = 0.008;
-    private static final double LEAST_EASE = 0.5;
-    private static final double MOST_EASE = 1.5;
-    // The usual time a unit takes with no queue: a low quantile, followed in small steps.
-
-    private static final double PACE_STEP = 0.05;
-    private static final double PACE_QUANTILE = 0.2;
-    // Silence of a node, and how often it is tried then, as shares of the shortest target time.
-
-    private static final double SILENCE_SHARE = 0.5;
-    private static final double TRIAL_SHARE = 0.3;
-    // An operation that would need more than this part of its usual time beyond its target time is
-
-    // late.
-
-    private static final double LATE_FACTOR = 0.7;
     // Attempts go on this part of the target time after it, where a late answer is worth this part
-
     // at least.
-
     private static final double LATE_GRACE = 0.5;
     private static final double LATE_WORTH = 0.5;
-    // A client's repeat: sought among this many, and known by this part of the target time gone.
-
-    private static final int REPEATS_KEPT = 200;
-    private static final double REPEAT_GONE = 0.1;
-    private static final double SHARE_WINDOW = 1_000;
-    private static final double FAIR_REFRESH = 50;
-    private static final double LOST_MEMORY = 5_000;
-    // A volume over so many times its level surges; 1.5 of the whole volume did less on two sites.
-
-    private static final double HEADROOM = 2.5;
-    private static final int MOST_FURTHER_ATTEMPTS = 2;
-    private static final double OVERLOAD_WINDOW = 1_000;
-    private static final double OVERLOAD_SHARE = 0.03;
-    private static final double FAULT_STEP = 0.2;
-    private static final double FAULT_KEEP = 0.9;
-    private static final double MOST_FAULTS = 0.3;
-    private static final double LEFT_STEP = 0.02;
-    private static final double LEFT_SHARE = 0.05;
-    // The part of what a cold node bears that is asked of it, if the demand in share were all it
-
-    // can do warm (0.5 to 0.9 lie within 0.03), and the cap on one gateway in usual parts.
-
-    private static final double COLD_PART = 0.8;
-    private static final double COLD_BURST = 2;
-    private static final double COLD_LOOK = 20;
 
     /**
      * A start that is longer ago is told as long ago: one that looks older was told by another
@@ -160,7 +62,8 @@
     private final Deployment deployment;
     private final ServicePolicy policy;
     private final RandomGenerator random;
-    final TrafficClassStats[] classStats;
+    final LatencyTracker latencies;
+    final QuotaTracker quota;
     final List<EndpointState> endpoints = new ArrayList<>();
 
     /**
@@ -175,20 +78,15 @@
     private final List<Attempt> unwanted = new ArrayList<>();
     private final WakeUpTime wakeUp = new WakeUpTime();
     final KeyOrdering keyOrdering;
+    final OutlierDetector outliers;
+    final ConcurrencyLimiter concurrency;
+    final AdmissionController admission;
+    private final Router router;
+    private final SlowStartBudget slowStart;
+    private final RetryPolicy retryPolicy;
+    private final RetryBudget retryBudget;
+    private final ClientRetryTracker clientRetries;
 
-    /** By extent, when the target time of a first try ends that was lately given up or left. */
-    private final Map<Long, Double> unserved =
-            new LinkedHashMap<>() {
-                @Override
-                protected boolean removeEldestEntry(Map.Entry<Long, Double> eldest) {
-                    return size() > REPEATS_KEPT;
-                }
-            };
-
-    private final SlidingWindowCounter taken;
-    private final SlidingWindowCounter further;
-    private final ArrivalWindow freshLoad = ArrivalWindow.over(OVERLOAD_WINDOW);
-    private double shortestObjective;
     private final double deadlineMargin;
     final EndpointLease lease;
     private int waiting;
@@ -196,45 +94,28 @@
     /** Counts what may change whose turn it is. */
     private long version;
 
-    private double bornAt;
-    private double servedUnits;
-    double admissionFactor = 1;
-
-    /**
-     * Of all volumes met: the weights, and the units a second that they are sized for beyond
-     * reserves.
-     */
-    private double weights;
-
-    private double spare;
     private double refreshAt = Double.NEGATIVE_INFINITY;
     private boolean knowsList;
     private final DiscoverySchedule discovery;
 
-    /** What differs by band. */
-    static final class TrafficClassStats {
-        double longestDeadline;
-        double baseServiceTime;
-        double meanServiceTime;
-        double cancellationAge;
-        double cancellationRatio;
-    }
-
     public Scheduler(Deployment site, long seed) {
         this.deployment = site;
         this.policy = site.policy();
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        this.classStats = new TrafficClassStats[site.trafficClasses().size()];
-        for (TrafficClass trafficClass : site.trafficClasses()) {
-            classStats[trafficClass.index()] = new TrafficClassStats();
-        }
+        this.latencies = new LatencyTracker(deployment.trafficClasses());
+        this.quota = new QuotaTracker(deployment, wakeUp);
+        this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
+        this.concurrency = new ConcurrencyLimiter(latencies, outliers);
+        this.admission = new AdmissionController(deployment, latencies, quota, outliers);
+        this.router = new Router(deployment);
+        this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
         this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
-        double window = policy.hasRetryBudget() ? policy.retryBudgetWindow() : 1;
-        this.taken = new SlidingWindowCounter(window, 50);
-        this.further = new SlidingWindowCounter(window, 50);
+        this.retryPolicy = new RetryPolicy(policy, deadlineMargin);
+        this.retryBudget = new RetryBudget(policy);
+        this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
     // ---- facts ----
@@ -245,17 +126,15 @@
             EndpointState endpoint = EndpointState.of(node);
             if (endpoint == null) {
                 // Who is gone for good leaves its place: the seats stay as many as the fleet is
-
                 // wide.
-
                 EndpointState old =
                         endpoints.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
                 endpoint =
                         new EndpointState(
                                 old == null ? endpoints.size() : old.index,
                                 node,
-                                FIRST_BOUND,
-                                ArrivalWindow.over(OVERLOAD_WINDOW),
+                                ConcurrencyLimiter.INITIAL_LIMIT,
+                                AdmissionController.newArrivalWindow(),
                                 new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
                                 new SlidingWindowCounter(policy.overloadWindow(), 20));
                 node.schedulerState = endpoint;
@@ -266,7 +145,6 @@
                     endpoints.set(old.index, endpoint);
                 }
                 // A node that turns up later has just started, whatever its line says of its start.
-
                 if (knowsList && node.startedAt < now - policy.slowStartTime()) {
                     endpoint.startedAt = now;
                 }
@@ -275,7 +153,7 @@
                     : node.startedAt > endpoint.startedAt) {
                 endpoint.reportedStart = node.startedAt;
                 endpoint.startedAt = possibleStart(node.startedAt, now);
-                endpoint.concurrencyLimit = LEAST_BOUND;
+                concurrency.onRestart(endpoint);
             }
         }
         seatsByCell.clear();
@@ -287,17 +165,14 @@
         version++;
         if (!knowsList) {
             knowsList = true;
-            bornAt = now;
+            slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
             // On a platform listConfirmed tells it: a list may also come from an address that
-
             // discovery has left, which answers no call that is due.
-
             discovery.pollSucceeded();
         }
         // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
-
         queueAnew(homeless);
         for (EndpointState endpoint : endpoints) {
             if (endpoint.node.phase != Node.Phase.READY) {
@@ -364,29 +239,12 @@
     public void onHealthCheck(
             Node node, Outcome outcome, double took, double[] report, double now) {
         // No probe is asked for yet.
-
     }
 
     /** The client has left: nothing more is owed or sent, and work for nobody is called off. */
     public void onClientCancelled(Operation operation, double now) {
         forsake(operation);
-        // Clients that leave before the target time set a shorter one: for what is late, and for
-
-        // the queues.
-
-        TrafficClassStats row = classStats[operation.trafficClass.index()];
-        double age = now - operation.arrivedAt;
-        // Whoever leaves before an answer usually comes has reasons of its own, and tells nothing
-
-        // of waiting.
-
-        if (age > row.meanServiceTime * operation.units) {
-            row.cancellationAge =
-                    row.cancellationRatio == 0
-                            ? age
-                            : row.cancellationAge + LEFT_STEP * (age - row.cancellationAge);
-            row.cancellationRatio += LEFT_STEP * (1 - row.cancellationRatio);
-        }
+        latencies.onCancelled(operation, now);
         for (Attempt attempt : operation.attempts) {
             if (attempt.outcome == null && deployment.mayCancel()) {
                 unwanted.add(attempt);
@@ -424,12 +282,10 @@
         if (!request.queued) {
             enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                load(request.endpoint).arrivals().add(now, 1);
+                admission.onArrival(request.endpoint, now);
             }
             if (operation.attempts.isEmpty() && request.endpoint != null) {
-                use(account(operation.volume, now), request.endpoint)
-                        .demand
-                        .add(now, operation.units);
+                quota.onDemand(operation, request.endpoint, now);
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
@@ -437,7 +293,9 @@
         if (endpoint != null && isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
         }
-        if (!mayAttempt || now >= operation.deadline - deadlineMargin || lateAt(operation) <= now) {
+        if (!mayAttempt
+                || now >= operation.deadline - deadlineMargin
+                || latencies.lateAt(operation) <= now) {
             return giveUp(operation, now);
         }
         return RoutingDecision.NOT_YET;
@@ -496,14 +354,10 @@
     private List<Operation> overdue(double now) {
         List<Operation> late = new ArrayList<>(0);
         for (DeadlineIndex.Group kind : waits.groups()) {
-            double early =
-                    LATE_FACTOR
-                            * (classStats[kind.trafficClass.index()].meanServiceTime * kind.units);
-            double target = target(kind.trafficClass);
+            double early = latencies.requiredServiceTime(kind.trafficClass, kind.units);
+            double target = latencies.objective(kind.trafficClass);
             // Sorted by each of the three times that may end it: nobody is walked who is not
-
             // overdue.
-
             kind.collectOverdue(
                     kind.byObjective,
                     request -> request.objectiveAt - early,
@@ -545,12 +399,10 @@
 
     boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
         // 1: one final answer, in time, and nothing after it.
-
         if (operation.ended || now >= operation.deadline - deadlineMargin) {
             return false;
         }
         // 3: nothing new to a node that drains or is gone, or may be without our knowing.
-
         if (!lease.holds(now)) {
             return false;
         }
@@ -563,34 +415,24 @@
         int attempts = operation.attempts.size();
         if (attempts > 0) {
             // 2: no effect twice.
-
-            if (!mayRepeat(operation, endpoint.node, null, now)
-                    || attempts >= policy.maxAttempts()
-                    || (!policy.hedgingAllowed() && operation.isInFlight())) {
+            if (!retryPolicy.allowsAnotherAttempt(operation, endpoint.node, now)) {
                 return false;
             }
-            // 6: the budget of further attempts, counted against ourselves where a bucket is cut.
-
-            if (policy.hasRetryBudget()
-                    && further.sumOverestimate(now) + 1
-                            > policy.retryBudgetFloor()
-                                    + policy.retryBudgetRatio() * taken.sumUnderestimate(now)) {
+            // 6: the retry budget.
+            if (!retryBudget.allowsRetry(now)) {
                 return false;
             }
         }
-        // 4: a cold node is not pushed over.
-
+        // 4: an endpoint in slow start is not overloaded.
         if (!fitsSlowStart(operation, endpoint, now)) {
             return false;
         }
         // 5: order by key.
-
         if (!keyOrdering.isFirstOfKey(operation, now)) {
             return false;
         }
         // 7: the volume's limit, of which this gateway spends its own part.
-
-        return attempts > 0 || operation.units <= limitRemaining(operation.volume, now);
+        return attempts > 0 || operation.units <= quota.limitRemaining(operation.volume, now);
     }
 
     /**
@@ -602,100 +444,15 @@
                 && now < it.operation.deadline - deadlineMargin
                 && lease.holds(now)
                 && it.node.phase == Node.Phase.READY
-                && mayRepeat(it.operation, it.node, it, now);
-    }
-
-    private boolean mayRepeat(Operation operation, Node node, Attempt itself, double now) {
-        TrafficClass trafficClass = operation.trafficClass;
-        if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT) {
-            return true;
-        }
-        for (Attempt attempt : operation.attempts) {
-            if (attempt == itself
-                    || (attempt.outcome != null && attempt.outcome.provesNotExecuted)) {
-                continue;
-            }
-            if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
-                return false;
-            }
-            boolean same =
-                    switch (trafficClass.deduplicationScope()) {
-                        case ALL -> true;
-                        case ZONE -> attempt.node.zone == node.zone;
-                        case CELL -> attempt.node.cell == node.cell;
-                    };
-            if (!same
-                    || now > attempt.sentAt + trafficClass.deduplicationWindow() - deadlineMargin) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    /** A decline promises that asking again does no harm. */
-    private boolean mayDecline(Operation operation) {
-        TrafficClass trafficClass = operation.trafficClass;
-        if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
-                || (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
-                        && trafficClass.deduplicationScope()
-                                == TrafficClass.DeduplicationScope.ALL)) {
-            return true;
-        }
-        return operation.attempts.stream()
-                .allMatch(it -> it.outcome != null && it.outcome.provesNotExecuted);
+                && retryPolicy.mayRepeat(it.operation, it.node, it, now);
     }
 
-    /**
-     * A cold node gets only first attempts of operations inside their share, and of those a part by
-     * lot, the same at every gateway. What is inside all shares together is at most what the node
-     * does when warm, so that the part that may pass is the multiple of what it does now on the
-     * even ramp (the slowest allowed, at the start of the rule's window), less what chance and a
-     * wrong share may add. It needs no count of gateways, of what they sent or of what was sent
-     * before our own start.
-     */
+    /** Whether an endpoint is warm, or its slow start lets the operation pass inside its share. */
     boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
-        double age = now - endpoint.startedAt;
-        if (!(age < policy.slowStartTime())) {
-            return true;
-        }
-        double ramp =
-                policy.slowStartShare()
-                        + (1 - policy.slowStartShare())
-                                * Math.max(0, age - policy.overloadWindow())
-                                / policy.slowStartTime();
-        double part = Math.min(1, COLD_PART * policy.overloadMultiple() * ramp);
-        if (QueuedRequest.of(operation).slowStartDraw > part) {
-            wakeUp.noLaterThan(now + COLD_LOOK);
-            return false;
-        }
-        // A surge that looks inside its share, or many at once, must not follow the lot all the
-
-        // way.
-
-        double windows = Math.max(1, (now - bornAt) / policy.overloadWindow());
-        double usual = servedUnits / windows / endpoints.size();
-        double spent = endpoint.slowStartSpent.sumOverestimate(now);
-        return operation.attempts.isEmpty()
-                && spent + operation.units
-                        <= Math.max(deployment.maxUnits(), COLD_BURST * part * usual)
-                && due(operation.volume, operation.units, endpoint, now)
-                        >= deployment.shareWeightFraction();
-    }
-
-    double limitRemaining(Volume volume, double now) {
-        double rate = volume.plan.limit();
-        if (!(rate > 0)) {
-            return Double.POSITIVE_INFINITY;
-        }
-        TenantUsage account = account(volume, now);
-        double parts = volume.gatewayCount;
-        account.limitLeft =
-                Math.min(
-                        volume.plan.limitBurst() / parts,
-                        account.limitLeft + rate / parts * (now - account.limitUpdatedAt) / 1000);
-        account.limitUpdatedAt = now;
-        wakeUp.noLaterThan(now + COLD_LOOK);
-        return account.limitLeft;
+        return !slowStart.isWarmingUp(endpoint, now)
+                || (slowStart.allows(operation, endpoint, endpoints.size(), now)
+                        && quota.weightFraction(operation.volume, operation.units, endpoint, now)
+                                >= deployment.shareWeightFraction());
     }
 
     // ---- sending ----
@@ -717,16 +474,14 @@
         if (operation.shard < 0) {
             endpoint.placements.add(now, 1);
         }
-        TenantUsage account = account(operation.volume, now);
-        attempt.quotaTier = quotaTier(operation, endpoint, now);
+        attempt.quotaTier = quota.tier(operation, endpoint, now);
         if (first) {
             if (operation.shard < 0) {
-                use(account, endpoint).demand.add(now, operation.units);
+                quota.onDemand(operation, endpoint, now);
             }
-            account.limitLeft -= operation.units;
-            spend(operation.volume, endpoint, operation.units, now);
+            quota.onSent(operation, endpoint, now);
         } else {
-            further.add(now, 1);
+            retryBudget.onRetry(now);
         }
         return RoutingDecision.send(endpoint.node, timeout(operation, now));
     }
@@ -741,7 +496,6 @@
         TrafficClass trafficClass = operation.trafficClass;
         double end = QueuedRequest.of(operation).objectiveAt;
         // What is late already, or worth nearly as much when late, goes on for a while.
-
         if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
             end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
         }
@@ -754,18 +508,10 @@
         }
         forsake(operation);
         operation.ended = true;
-        // A share that only answers wore off would last for good where it forbids every attempt.
-
-        classStats[operation.trafficClass.index()].cancellationRatio *= 1 - LEFT_STEP;
-        // Overload is what is declined though its node serves; an outage must not forbid attempts
-
-        // elsewhere.
-
+        latencies.onGivenUp(operation.trafficClass);
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
-        if (endpoint == null || sound(endpoint, now)) {
-            load(endpoint).rejections().add(now, 1);
-        }
-        if (!mayDecline(operation)) {
+        admission.onGivenUp(endpoint, now);
+        if (!retryPolicy.mayReject(operation)) {
             return RoutingDecision.ABANDONED;
         }
         Reason reason =
@@ -773,47 +519,30 @@
                         ? Reason.NO_LEASE
                         : now >= operation.deadline - deadlineMargin
                                 ? Reason.DEADLINE
-                                : lateAt(operation) <= now
+                                : latencies.lateAt(operation) <= now
                                         ? Reason.OBJECTIVE_MISSED
                                         : Reason.NO_RETRY;
-        return RoutingDecision.reject(comeBack(endpoint, now), reason);
-    }
-
-    /**
-     * When to ask again: once the queue has drained, or as late as may be told of a failing node.
-     */
-    private double comeBack(EndpointState endpoint, double now) {
-        if (!deployment.mayRetryAfter()) {
-            return 0;
-        }
-        if (endpoint != null && !sound(endpoint, now)) {
-            return deployment.maxRetryAfter();
-        }
-        double queue =
-                (endpoint == null ? 1 : endpoint.queueEstimate) * QUEUE_SHARE * shortestObjective;
-        return Math.min(deployment.maxRetryAfter(), queue);
+        return RoutingDecision.reject(admission.retryAfter(endpoint, now), reason);
     }
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
-        return operation.attempts.size() < Math.min(MOST_FURTHER_ATTEMPTS + 1, policy.maxAttempts())
-                && !overloaded(QueuedRequest.of(operation).endpoint, now)
+        return retryPolicy.hasAttemptsLeft(operation)
+                && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
-                && lateAt(operation) > now;
+                && latencies.lateAt(operation) > now;
     }
 
-    /** Overload is a node's matter: a surge at one forbids no further attempt at another. */
-    private boolean overloaded(EndpointState endpoint, double now) {
-        ArrivalWindow load = load(endpoint);
-        return (endpoint == null
+    /**
+     * Whether more waits for an endpoint than it can have in flight, or too much was rejected. An
+     * overload of one endpoint forbids no retry at another.
+     */
+    private boolean isOverloaded(EndpointState endpoint, double now) {
+        boolean queueIsLong =
+                endpoint == null
                         ? waiting > endpoints.size()
-                        : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit)
-                || load.rejections().sumOverestimate(now)
-                        > OVERLOAD_SHARE * load.arrivals().sumOverestimate(now) + 1;
-    }
-
-    private ArrivalWindow load(EndpointState endpoint) {
-        return endpoint == null ? freshLoad : endpoint.arrivalWindow;
+                        : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
+        return queueIsLong || admission.rejectsTooMuch(endpoint, now);
     }
 
     // ---- whose turn it is ----
@@ -839,55 +568,12 @@
                 || lowestScore(fresh, now) != endpoint;
     }
 
-    boolean hasCapacity(EndpointState endpoint, double now) {
-        if (endpoint.node.phase != Node.Phase.READY) {
-            return false;
-        }
-        if (isUnresponsive(endpoint, now)) {
-            // One operation at a time tries a node that takes work and answers none.
-
-            double next = endpoint.lastSentAt + TRIAL_SHARE * shortestObjective;
-            if (now < next) {
-                wakeUp.noLaterThan(next);
-                return false;
-            }
-            return endpoint.inFlight.size() < MOST_BOUND;
-        }
-        int over = endpoint.runRemaining > 0 && endpoint.lastSentAt == now ? RUN_OVER : 0;
-        return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit + over;
-    }
-
-    /** Whether a node serves as it should: not cold, not silent, and not failing. */
-    private boolean sound(EndpointState endpoint, double now) {
-        return endpoint.node.phase == Node.Phase.READY
-                && !isUnresponsive(endpoint, now)
-                && now - endpoint.startedAt >= policy.slowStartTime()
-                && endpoint.faultRatio <= MOST_FAULTS;
-    }
-
-    boolean isUnresponsive(EndpointState endpoint, double now) {
-        if (endpoint.ejected) {
-            return true;
-        }
-        if (endpoint.inFlight.isEmpty()) {
-            return false;
-        }
-        double since = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
-        double limit = shortestObjective * SILENCE_SHARE;
-        if (now - since > limit) {
-            return true;
-        }
-        wakeUp.noLaterThan(since + limit);
-        return false;
-    }
-
     /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
     private Operation pick(EndpointState endpoint, double now) {
-        if (endpoint.waitQueue.isEmpty() || !hasCapacity(endpoint, now)) {
+        if (endpoint.waitQueue.isEmpty() || !concurrency.hasCapacity(endpoint, now)) {
             return null;
         }
         // Asked again with nothing changed, as pause and place do one after the other.
-
         if (endpoint.selectedAt != now || endpoint.selectedVersion != version) {
             endpoint.selected = pickAnew(endpoint, now);
             endpoint.selectedAt = now;
@@ -899,14 +585,14 @@
     private Operation pickAnew(EndpointState endpoint, double now) {
         if (endpoint.runRemaining > 0) {
             for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
-                if (isAllowed(operation, endpoint, now) && !isHeldBack(operation, endpoint, now)) {
+                if (isAllowed(operation, endpoint, now)
+                        && !admission.isHeldBack(operation, endpoint, now)) {
                     return operation;
                 }
             }
         }
         Operation best = first(endpoint.waitQueue, endpoint, now);
-        return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit
-                        || isUnresponsive(endpoint, now)
+        return concurrency.isBelowLimit(endpoint) || outliers.isUnresponsive(endpoint, now)
                 ? best
                 : null;
     }
@@ -917,7 +603,7 @@
      * cold node's lot is each one's own.
      */
     private Operation first(WaitQueue queue, EndpointState endpoint, double now) {
-        boolean each = endpoint != null && now - endpoint.startedAt < policy.slowStartTime();
+        boolean each = endpoint != null && slowStart.isWarmingUp(endpoint, now);
         Operation best = null;
         int bestTier = -1;
         for (NavigableSet<QueuedRequest> alike : queue.groups()) {
@@ -925,11 +611,11 @@
                 Operation operation = request.operation;
                 boolean stands =
                         !each
-                                && lateAt(operation) > now
+                                && latencies.lateAt(operation) > now
                                 && now < operation.deadline - deadlineMargin;
                 if (endpoint == null
                         || (isAllowed(operation, endpoint, now)
-                                && !isHeldBack(operation, endpoint, now))) {
+                                && !admission.isHeldBack(operation, endpoint, now))) {
                     if (best != null && bestTier < 0) {
                         bestTier = tier(best, endpoint, now);
                     }
@@ -955,37 +641,6 @@
         return apart < 0 || (apart == 0 && one.sequence < QueuedRequest.of(other).sequence);
     }
 
-    /** A queue seen holds back what is late, and past part of the bound what is over its level. */
-    boolean isHeldBack(Operation operation, EndpointState endpoint, double now) {
-        if (endpoint.queueEstimate <= CROWDED_LEAST) {
-            return false;
-        }
-        if (lateAt(operation) <= now) {
-            return true;
-        }
-        if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * BEYOND_PART)) {
-            return false;
-        }
-        TenantUsage account = account(operation.volume, now);
-        if (account.reservationLeft >= operation.units) {
-            return endpoint.queueEstimate > admissionFactor * CROWDED_RESERVE;
-        }
-        double used =
-                use(account, endpoint).beyondReservation.sumOverestimate(now) + operation.units / 2;
-        double over = used / evenLevel(operation.volume);
-        return endpoint.queueEstimate
-                > Math.max(
-                        CROWDED_LEAST, admissionFactor * Math.min(CROWDED_SHARE, CROWDED / over));
-    }
-
-    /**
-     * A volume's units in the share window if each took by weight what all that were met are sized
-     * for.
-     */
-    private double evenLevel(Volume volume) {
-        return volume.plan.weight() * spare / weights * SHARE_WINDOW / 1000;
-    }
-
     /** Utility still due goes first; among equals the earliest deadline. */
     private boolean outranks(Operation one, Operation other, EndpointState endpoint, double now) {
         int a = tier(one, endpoint, now);
@@ -998,210 +653,38 @@
      * there is.
      */
     private int tier(Operation operation, EndpointState endpoint, double now) {
-        if (lateAt(operation) <= now) {
+        if (latencies.lateAt(operation) <= now) {
             return LATE;
         }
         TrafficClass trafficClass = operation.trafficClass;
-        double part = due(operation.volume, operation.units, endpoint, now);
-        double pace = classStats[trafficClass.index()].meanServiceTime + 1e-9;
+        double part = quota.weightFraction(operation.volume, operation.units, endpoint, now);
+        double pace = latencies.meanServiceTime(trafficClass) + 1e-9;
         double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
         return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
     }
 
-    private double due(Volume volume, double units, EndpointState endpoint, double now) {
-        TenantUsage account = account(volume, now);
-        if (account.reservationLeft >= units) {
-            return 1;
-        }
-        // Where many gateways share a node, none sees enough of it to deal it out: a volume that
-
-        // takes far more of it than its weight of what all volumes are sized for surges.
-
-        double used =
-                (endpoint == null
-                                        ? account.beyondReservation
-                                        : use(account, endpoint).beyondReservation)
-                                .sumOverestimate(now)
-                        + units / 2;
-        if (used > HEADROOM * evenLevel(volume)) {
-            return deployment.excessWeightFraction();
-        }
-        if (endpoint == null || now - endpoint.startedAt < policy.slowStartTime()) {
-            return deployment.shareWeightFraction();
-        }
-        return used <= volume.plan.weight() * fair(endpoint, now)
-                ? deployment.shareWeightFraction()
-                : deployment.excessWeightFraction();
-    }
-
-    /** The part of its plan that an operation is in, by the level last dealt out. */
-    QuotaTier quotaTier(Operation operation, EndpointState endpoint, double now) {
-        TenantUsage account = account(operation.volume, now);
-        if (account.reservationLeft >= operation.units) {
-            return QuotaTier.RESERVATION;
-        }
-        double top =
-                Math.min(
-                        HEADROOM * evenLevel(operation.volume),
-                        account.weight * endpoint.fairLevel);
-        return use(account, endpoint).beyondReservation.sumOverestimate(now)
-                        <= top - operation.units / 2
-                ? QuotaTier.SHARE
-                : QuotaTier.EXCESS;
-    }
-
-    /**
-     * The fair level of a node: units a unit of weight that fills what the node lately served
-     * beyond the reserves, dealt out by weight among the volumes that asked for more. No volume's
-     * demand counts above what it asked.
-     */
-    private double fair(EndpointState endpoint, double now) {
-        if (now < endpoint.fairLevelValidUntil) {
-            return endpoint.fairLevel;
-        }
-        endpoint.fairLevelValidUntil = now + FAIR_REFRESH;
-        double left = 0;
-        double weights = 0;
-        int open = 0;
-        for (TenantEndpointUsage use : endpoint.tenantUsages) {
-            use.served = use.beyondReservation.sumOverestimate(now);
-            use.shareDemand =
-                    Math.max(
-                            use.served,
-                            use.demand.sumOverestimate(now) - use.reserved.sumOverestimate(now));
-            left += use.served;
-            use.unsatisfied = use.shareDemand > 0;
-            if (use.unsatisfied) {
-                weights += use.weight;
-                open++;
-            }
-        }
-        // Whoever wants less than an even level is content with it; the rest is dealt out anew.
-
-        for (boolean again = true; again && open > 0; ) {
-            again = false;
-            for (TenantEndpointUsage use : endpoint.tenantUsages) {
-                if (use.unsatisfied && use.shareDemand <= use.weight * left / weights) {
-                    use.unsatisfied = false;
-                    open--;
-                    left -= use.shareDemand;
-                    weights -= use.weight;
-                    again = true;
-                }
-            }
-        }
-        endpoint.fairLevel = open == 0 ? Double.POSITIVE_INFINITY : left / weights;
-        return endpoint.fairLevel;
-    }
+    // ---- the score ----
 
-    private void spend(Volume volume, EndpointState endpoint, double units, double now) {
-        TenantUsage account = account(volume, now);
-        TenantEndpointUsage use = use(account, endpoint);
-        if (account.reservationLeft >= units) {
-            account.reservationLeft -= units;
-            use.reserved.add(now, units);
-        } else {
-            use.beyondReservation.add(now, units);
-            account.beyondReservation.add(now, units);
-        }
+    /** Where a new object goes now by its placement score; null if no endpoint may take it. */
+    private EndpointState lowestScore(Operation operation, double now) {
+        return router.lowestScore(endpoints, endpoint -> isEligible(endpoint, operation, now), now);
     }
 
     /**
-     * Units that others are said to have used since the last answer. A sum over many seconds must
-     * not look like a surge: of the reserve it costs what our own reckoning did not lose while
-     * full, and of the last second its part.
+     * Whether an endpoint may take a new object before what waits for it. An endpoint that fails at
+     * once, or that is in slow start, has few placements and no latency: it would draw all of them.
      */
-    private void hear(Volume volume, EndpointState endpoint, double units, double now) {
-        TenantUsage account = account(volume, now);
-        TenantEndpointUsage use = use(account, endpoint);
-        double unspent = Math.min(account.reservationOverflow, units);
-        account.reservationOverflow -= unspent;
-        double reserved = Math.min(Math.max(0, account.reservationLeft), units - unspent);
-        account.reservationLeft -= reserved;
-        double lately = Math.min(1, SHARE_WINDOW / Math.max(1, now - use.reportedAt));
-        use.reserved.add(now, (unspent + reserved) * lately);
-        use.beyondReservation.add(now, (units - unspent - reserved) * lately);
-        account.beyondReservation.add(now, (units - unspent - reserved) * lately);
-        use.demand.add(now, units * lately);
-    }
-
-    private TenantEndpointUsage use(TenantUsage account, EndpointState endpoint) {
-        if (endpoint.index >= account.byEndpoint.length) {
-            account.byEndpoint = Arrays.copyOf(account.byEndpoint, endpoints.size());
-        }
-        TenantEndpointUsage use = account.byEndpoint[endpoint.index];
-        if (use == null || use.endpoint != endpoint) {
-            use =
-                    new TenantEndpointUsage(
-                            endpoint,
-                            account.weight,
-                            new SlidingWindowCounter(SHARE_WINDOW, 5),
-                            new SlidingWindowCounter(SHARE_WINDOW, 5),
-                            new SlidingWindowCounter(SHARE_WINDOW, 5));
-            account.byEndpoint[endpoint.index] = use;
-            endpoint.tenantUsages.add(use);
-        }
-        return use;
-    }
-
-    // ---- the score ----
-
-    /** The open seat with the lowest score for a new object; null if none has room. */
-    private EndpointState lowestScore(Operation operation, double now) {
-        double mean = 0;
-        double weight = 0;
-        int ready = 0;
-        for (EndpointState endpoint : endpoints) {
-            if (endpoint.node.phase == Node.Phase.READY) {
-                mean += endpoint.placements.sumOverestimate(now);
-                weight += endpoint.node.weight;
-                ready++;
-            }
-        }
-        EndpointState best = null;
-        double least = Double.POSITIVE_INFINITY;
-        for (EndpointState endpoint : endpoints) {
-            // A node that fails at once looks idle: without this it draws every new object.
-
-            // A cold node shows no placements and no latency: new objects would pour onto it.
-
-            if (!hasCapacity(endpoint, now)
-                    || endpoint.inFlight.size() >= (int) endpoint.concurrencyLimit
-                    || !sound(endpoint, now)
-                    || !isAllowed(operation, endpoint, now)
-                    || isHeldBack(operation, endpoint, now)
-                    || !endpoint.node.acceptsNewObjects) {
-                continue;
-            }
-            Operation rival = pick(endpoint, now);
-            if (rival != null && !outranks(operation, rival, endpoint, now)) {
-                continue;
-            }
-            double preference =
-                    deployment.hasNodeWeights() && endpoint.node.weight > 0
-                            ? weight / ready / endpoint.node.weight
-                            : 1;
-            if (deployment.crossZonePrice() > 0 && endpoint.node.zone != deployment.zone()) {
-                preference += 1;
-            }
-            // A busy degree a second old sends a second's new objects one way: what is out there
-
-            // now, and the queue that the latest answers showed, count with it.
-
-            double busy =
-                    endpoint.latencyRatio * (1 + OUT_PART * endpoint.inFlight.size())
-                            + endpoint.queueEstimate;
-            double score =
-                    ALPHA * (endpoint.placements.sumOverestimate(now) + 1) / (mean / ready + 1)
-                            + GAMMA * busy
-                            + DELTA * endpoint.writeReadRatio
-                            + ETA * preference;
-            if (score < least) {
-                least = score;
-                best = endpoint;
-            }
+    private boolean isEligible(EndpointState endpoint, Operation operation, double now) {
+        if (!concurrency.hasCapacity(endpoint, now)
+                || !concurrency.isBelowLimit(endpoint)
+                || !outliers.isHealthy(endpoint, now)
+                || !isAllowed(operation, endpoint, now)
+                || admission.isHeldBack(operation, endpoint, now)
+                || !endpoint.node.acceptsNewObjects) {
+            return false;
         }
-        return best;
+        Operation rival = pick(endpoint, now);
+        return rival == null || outranks(operation, rival, endpoint, now);
     }
 
     private void refresh(double now) {
@@ -1209,74 +692,13 @@
             return;
         }
         refreshAt = now + BUSY_REFRESH;
-        shortestObjective =
-                deployment.trafficClasses().stream().mapToDouble(this::target).min().orElse(0);
-        double crowds = endpoints.stream().mapToDouble(endpoint -> endpoint.queueEstimate).sum();
+        latencies.refresh();
+        admission.refresh(endpoints);
         for (EndpointState endpoint : endpoints) {
-            // What was seen of one node fades into what is seen of all.
-
-            endpoint.queueEstimate =
-                    CROWD_FADE
-                            * (CROWD_KEEP * endpoint.queueEstimate
-                                    + (1 - CROWD_KEEP) * crowds / endpoints.size());
-            endpoint.faultRatio *= FAULT_KEEP;
-            if (now - endpoint.limitReducedAt > BUSY_REFRESH
-                    && endpoint.concurrencyLimit < FIRST_BOUND) {
-                endpoint.concurrencyLimit =
-                        Math.min(FIRST_BOUND, endpoint.concurrencyLimit + BOUND_REST);
-            }
-        }
-        double busySum = 0;
-        double fragmentSum = 0;
-        int busyCount = 0;
-        int fragmentCount = 0;
-        for (EndpointState endpoint : endpoints) {
-            double units = endpoint.servedUnits[0] + endpoint.servedUnits[1];
-            if (units > 0) {
-                endpoint.smoothedServiceTime =
-                        smooth(
-                                endpoint.smoothedServiceTime,
-                                (endpoint.responseMillis[0] + endpoint.responseMillis[1]) / units);
-            }
-            for (int i = 0; i < 2; i++) {
-                if (endpoint.servedUnits[i] > 0) {
-                    endpoint.serviceTimes[i] =
-                            smooth(
-                                    endpoint.serviceTimes[i],
-                                    endpoint.responseMillis[i] / endpoint.servedUnits[i]);
-                }
-                endpoint.responseMillis[i] = 0;
-                endpoint.servedUnits[i] = 0;
-            }
-            if (!Double.isNaN(endpoint.smoothedServiceTime)) {
-                busySum += endpoint.smoothedServiceTime;
-                busyCount++;
-            }
-            if (!Double.isNaN(endpoint.serviceTimes[0])
-                    && !Double.isNaN(endpoint.serviceTimes[1])
-                    && endpoint.serviceTimes[0] > 0) {
-                fragmentSum += endpoint.serviceTimes[1] / endpoint.serviceTimes[0];
-                fragmentCount++;
-            }
-        }
-        for (EndpointState endpoint : endpoints) {
-            endpoint.latencyRatio =
-                    Double.isNaN(endpoint.smoothedServiceTime) || !(busySum > 0)
-                            ? 1
-                            : endpoint.smoothedServiceTime / (busySum / busyCount);
-            endpoint.writeReadRatio =
-                    Double.isNaN(endpoint.serviceTimes[0])
-                                    || Double.isNaN(endpoint.serviceTimes[1])
-                                    || !(fragmentSum > 0)
-                            ? 1
-                            : endpoint.serviceTimes[1]
-                                    / endpoint.serviceTimes[0]
-                                    / (fragmentSum / fragmentCount);
+            outliers.refresh(endpoint);
+            concurrency.refresh(endpoint, now, BUSY_REFRESH);
         }
-    }
-
-    private static double smooth(double old, double latest) {
-        return Double.isNaN(old) ? latest : BUSY_KEEP * old + (1 - BUSY_KEEP) * latest;
+        EndpointLatencies.refresh(endpoints);
     }
 
     // ---- what is learned from an outcome ----
@@ -1284,117 +706,27 @@
     private void learn(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
-            hear(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
+            quota.onOtherGatewaysUsage(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
         }
         if (attempt.outcome == Outcome.SERVED) {
-            use(account(operation.volume, now), endpoint).reportedAt = now;
-        }
-        switch (attempt.outcome) {
-            case SERVED -> {
-                endpoint.lastResponseAt = now;
-                endpoint.ejected = false;
-                endpoint.faultRatio -= FAULT_STEP * endpoint.faultRatio;
-            }
-            case FAILED -> {
-                endpoint.lastResponseAt = now;
-                endpoint.faultRatio += FAULT_STEP * (1 - endpoint.faultRatio);
-            }
-            // A full node is up, but one that hangs turns work away as well: only an answer
-
-            // restores trust. A connection that breaks may be the only thing that did: if the node
-
-            // is down, the next one tells.
-
-            case NO_CONNECTION -> endpoint.ejected |= endpoint.lastResponseAt < attempt.sentAt;
-            // An attempt that had little time left tells as little.
-
-            case TIMED_OUT ->
-                    endpoint.ejected |=
-                            endpoint.lastResponseAt < attempt.sentAt
-                                    && attempt.duration >= SILENCE_SHARE * shortestObjective;
-            default -> {}
+            quota.onServed(operation.volume, endpoint, now);
         }
+        outliers.onAttemptEnded(attempt, endpoint, now);
         if (attempt.outcome == Outcome.REJECTED) {
-            cut(endpoint, attempt, now);
+            concurrency.reduce(attempt, endpoint, now);
         }
-        // A time-out shows a queue at least as long, unless its answer was lost: it counts for
-
-        // less.
-
         if (attempt.outcome == Outcome.TIMED_OUT) {
-            crowd(endpoint, attempt.duration, TIMEOUT_PART, now);
+            admission.onTimedOut(attempt, endpoint, now);
         }
         if (attempt.outcome != Outcome.SERVED) {
             return;
         }
-        TrafficClassStats row = classStats[operation.trafficClass.index()];
-        row.cancellationRatio -= LEFT_STEP * row.cancellationRatio;
-        servedUnits += operation.units;
-        // How long a queue may be before anyone is held back follows how many answers come late.
-
-        admissionFactor =
-                attempt.duration > LATE_ANSWER * target(operation.trafficClass)
-                        ? Math.max(LEAST_EASE, admissionFactor * (1 - EASE_CUT))
-                        : Math.min(MOST_EASE, admissionFactor * (1 + EASE_STEP));
-        double pace = attempt.duration / operation.units;
-        if (row.baseServiceTime == 0) {
-            row.baseServiceTime = pace / 2;
-            row.meanServiceTime = pace;
-        }
-        row.baseServiceTime *=
-                pace < row.baseServiceTime
-                        ? 1 - PACE_STEP * (1 - PACE_QUANTILE)
-                        : 1 + PACE_STEP * PACE_QUANTILE;
-        row.meanServiceTime +=
-                PACE_STEP * (Math.min(pace, 4 * row.meanServiceTime) - row.meanServiceTime);
-        int way = operation.trafficClass.writes() ? 1 : 0;
-        endpoint.responseMillis[way] += attempt.duration;
-        endpoint.servedUnits[way] += operation.units;
-        double queued = attempt.duration - operation.units * row.baseServiceTime;
-        crowd(endpoint, queued, 1, now);
-        if (queued > QUEUE_SHARE * shortestObjective) {
-            cut(endpoint, attempt, now);
-        } else if (endpoint.concurrencyLimit < MOST_BOUND) {
-            endpoint.concurrencyLimit =
-                    Math.min(
-                            MOST_BOUND,
-                            endpoint.concurrencyLimit + BOUND_STEP / endpoint.concurrencyLimit);
-        }
-    }
-
-    /** Few answers must tell as much as many: one counts the more, the longer ago the last came. */
-    private void crowd(EndpointState endpoint, double queued, double part, double now) {
-        double step =
-                Math.max(CROWD_STEP, 1 - Math.exp((endpoint.queueObservedAt - now) / CROWD_TIME));
-        endpoint.queueObservedAt = now;
-        double seen = Math.min(MOST_CROWD, queued / (QUEUE_SHARE * shortestObjective));
-        endpoint.queueEstimate += part * step * (seen - endpoint.queueEstimate);
-    }
-
-    private void cut(EndpointState endpoint, Attempt attempt, double now) {
-        if (attempt.sentAt >= endpoint.limitReducedAt) {
-            endpoint.concurrencyLimit =
-                    Math.max(LEAST_BOUND, endpoint.concurrencyLimit * BOUND_CUT);
-            endpoint.limitReducedAt = now;
-        }
-    }
-
-    /** From when on an operation, if sent, would miss its target time. */
-    private double lateAt(Operation operation) {
-        double usual = classStats[operation.trafficClass.index()].meanServiceTime * operation.units;
-        double ends =
-                Math.min(
-                        QueuedRequest.of(operation).objectiveAt,
-                        operation.arrivedAt + target(operation.trafficClass));
-        return ends - LATE_FACTOR * usual;
-    }
-
-    /** The target time, or the age at which clients leave, where many leave before it. */
-    private double target(TrafficClass trafficClass) {
-        TrafficClassStats row = classStats[trafficClass.index()];
-        return row.cancellationRatio > LEFT_SHARE
-                ? Math.min(row.cancellationAge, trafficClass.latencyObjective())
-                : trafficClass.latencyObjective();
+        latencies.onServed(attempt);
+        slowStart.onServed(operation.units);
+        EndpointLatencies.onServed(attempt, endpoint);
+        double queued = latencies.queuedTime(attempt);
+        admission.onServed(attempt, endpoint, queued, now);
+        concurrency.onServed(attempt, endpoint, queued, now);
     }
 
     // ---- books ----
@@ -1405,55 +737,12 @@
         }
         QueuedRequest request = new QueuedRequest(operation, random.nextDouble());
         operation.schedulerState = request;
-        taken.add(now, 1);
-        TrafficClassStats row = classStats[operation.trafficClass.index()];
-        // A client's repeat keeps the target time of its first try: it names the same extent and
-
-        // has less patience left than others. Any other with little patience is only hurried, its
-
-        // target time has just begun.
-
-        double left = operation.deadline - now;
-        row.longestDeadline = Math.max(row.longestDeadline, left);
-        double gone = row.longestDeadline - left;
-        boolean shorter = gone > REPEAT_GONE * operation.trafficClass.latencyObjective();
-        Double first = shorter ? unserved.get(operation.extent) : null;
-        request.objectiveAt =
-                first != null
-                        ? first
-                        : now
-                                + operation.trafficClass.latencyObjective()
-                                - (operation.clientRetry ? gone : 0);
+        retryBudget.onArrival(now);
+        request.objectiveAt = clientRetries.objectiveAt(operation, now);
         keyOrdering.onArrival(request);
         return request;
     }
 
-    private TenantUsage account(Volume volume, double now) {
-        TenantUsage account = (TenantUsage) volume.schedulerState;
-        double reserve = volume.plan.reservation();
-        double full = reserve > 0 ? reserve + deployment.maxUnits() : 0;
-        if (account == null) {
-            account =
-                    new TenantUsage(
-                            volume.plan.weight(), now, new SlidingWindowCounter(SHARE_WINDOW, 5));
-            weights += volume.plan.weight();
-            spare += Math.max(volume.plan.rate() / 2, volume.plan.rate() - reserve);
-            account.reservationLeft = full;
-            volume.schedulerState = account;
-        }
-        if (now > account.reservationUpdatedAt) {
-            double filled =
-                    account.reservationLeft + reserve * (now - account.reservationUpdatedAt) / 1000;
-            account.reservationLeft = Math.min(full, filled);
-            account.reservationOverflow =
-                    Math.min(
-                            account.reservationOverflow + filled - account.reservationLeft,
-                            reserve * LOST_MEMORY / 1000);
-            account.reservationUpdatedAt = now;
-        }
-        return account;
-    }
-
     private void enqueue(Operation operation) {
         version++;
         QueuedRequest request = QueuedRequest.of(operation);
@@ -1474,7 +763,6 @@
         }
         if (request.endpoint == null) {
             // A shard that no listed node holds waits apart until its node turns up.
-
             homeless.add(request);
             return;
         }
@@ -1509,9 +797,7 @@
      */
     private void forsake(Operation operation) {
         drop(operation);
-        if (operation.extent != 0) {
-            unserved.put(operation.extent, QueuedRequest.of(operation).objectiveAt);
-        }
+        clientRetries.onUnserved(operation);
     }
 
     /**
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -20,7 +20,7 @@
         if (endpoint.node.phase != Node.Phase.READY) {
             return Reason.NOT_READY;
         }
-        if (scheduler.isUnresponsive(endpoint, now)) {
+        if (scheduler.outliers.isUnresponsive(endpoint, now)) {
             return Reason.UNRESPONSIVE;
         }
         if (!scheduler.keyOrdering.isFirstOfKey(operation, now)) {
@@ -30,18 +30,18 @@
             return Reason.WARMING_UP;
         }
         boolean first = operation.attempts.isEmpty();
-        if (first && operation.units > scheduler.limitRemaining(operation.volume, now)) {
+        if (first && operation.units > scheduler.quota.limitRemaining(operation.volume, now)) {
             return Reason.LIMIT;
         }
         if (!scheduler.isAllowed(operation, endpoint, now)) {
             return Reason.RETRY_BUDGET;
         }
-        if (scheduler.isHeldBack(operation, endpoint, now)) {
+        if (scheduler.admission.isHeldBack(operation, endpoint, now)) {
             return Reason.QUEUE_AT_NODE;
         }
-        if (scheduler.hasCapacity(endpoint, now)) {
+        if (scheduler.concurrency.hasCapacity(endpoint, now)) {
             return Reason.LOWER_PRIORITY;
         }
-        return scheduler.quotaTier(operation, endpoint, now).full();
+        return scheduler.quota.tier(operation, endpoint, now).full();
     }
 }
