--- a/src/main/java/sagepulley/codec/nbd/NbdServer.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServer.java
@@ -11,7 +11,7 @@
      * Decoder, handshake, and behind them the session: it is told {@link Attached} as an event,
      * then gets each {@link NbdRequest}; what is wrong with the bytes comes to it as an exception.
      */
-    public static void onto(
+    public static void addTo(
             ChannelPipeline pipeline, Exports exports, AdmissionGate gate, ChannelHandler session) {
         NbdServerDecoder decoder = new NbdServerDecoder(gate);
         pipeline.addLast(decoder, new Handshake(exports, decoder), session);
@@ -20,7 +20,7 @@
     /**
      * Whether a client has begun a message, or the handshake, and not finished it. On its own loop.
      */
-    public static boolean waitsForRest(ChannelPipeline pipeline) {
-        return pipeline.get(NbdServerDecoder.class).waitsForRest();
+    public static boolean isInsideMessage(ChannelPipeline pipeline) {
+        return pipeline.get(NbdServerDecoder.class).isInsideMessage();
     }
 }
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether a message has begun that has not fully come. */
-    boolean waitsForRest() {
+    boolean isInsideMessage() {
         return phase != Phase.REQUEST || inMiddle();
     }
 
--- a/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
+++ b/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
@@ -8,54 +8,56 @@
  * order, and its socket is not read meanwhile. Used from every client's loop.
  */
 public final class BufferBudget {
-    private final long most;
-    private long used;
-    private long highest;
-    private final ArrayDeque<Client> queue = new ArrayDeque<>();
+    private final long maxBytes;
+    private long usedBytes;
+    private long maxUsedBytes;
+    private final ArrayDeque<ClientBudget> queue = new ArrayDeque<>();
 
-    public BufferBudget(long most) {
-        this.most = most;
+    public BufferBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    public synchronized long used() {
-        return used;
+    public synchronized long usedBytes() {
+        return usedBytes;
     }
 
     /** The most that was ever used at once. */
-    public synchronized long highest() {
-        return highest;
+    public synchronized long maxUsedBytes() {
+        return maxUsedBytes;
     }
 
     /** One client's part. */
-    public final class Client implements AdmissionGate {
-        private final long clientMost;
-        private long clientUsed;
+    public final class ClientBudget implements AdmissionGate {
+        private final long maxClientBytes;
+        private long usedClientBytes;
 
         /** What it waits for; 0 for nothing. */
-        private long wanted;
+        private long waitingForBytes;
 
         private boolean granted;
-        private Runnable later;
+        private Runnable retry;
 
-        Client(long clientMost) {
-            this.clientMost = clientMost;
+        ClientBudget(long maxClientBytes) {
+            this.maxClientBytes = maxClientBytes;
         }
 
         @Override
-        public boolean admit(long bytes, Runnable again) {
+        public boolean admit(long bytes, Runnable retry) {
             synchronized (BufferBudget.this) {
                 if (granted) {
                     granted = false;
-                    wanted = 0;
+                    waitingForBytes = 0;
                     return true;
                 }
-                if (clientUsed + bytes <= clientMost && used + bytes <= most && queue.isEmpty()) {
+                if (usedClientBytes + bytes <= maxClientBytes
+                        && usedBytes + bytes <= maxBytes
+                        && queue.isEmpty()) {
                     take(bytes);
                     return true;
                 }
-                wanted = bytes;
-                later = again;
-                if (clientUsed + bytes <= clientMost) {
+                waitingForBytes = bytes;
+                this.retry = retry;
+                if (usedClientBytes + bytes <= maxClientBytes) {
                     queue.add(this);
                 }
                 return false;
@@ -64,21 +66,21 @@
 
         @Override
         public void returned(long bytes) {
-            give(bytes);
+            release(bytes);
         }
 
         /** Gives back what was admitted. */
-        public void give(long bytes) {
+        public void release(long bytes) {
             synchronized (BufferBudget.this) {
-                clientUsed -= bytes;
-                used -= bytes;
-                if (wanted > 0
+                usedClientBytes -= bytes;
+                usedBytes -= bytes;
+                if (waitingForBytes > 0
                         && !granted
-                        && clientUsed + wanted <= clientMost
+                        && usedClientBytes + waitingForBytes <= maxClientBytes
                         && !queue.contains(this)) {
                     queue.add(this);
                 }
-                grant();
+                grantNext();
             }
         }
 
@@ -88,33 +90,33 @@
                 queue.remove(this);
                 if (granted) {
                     granted = false;
-                    clientUsed -= wanted;
-                    used -= wanted;
+                    usedClientBytes -= waitingForBytes;
+                    usedBytes -= waitingForBytes;
                 }
-                wanted = 0;
-                grant();
+                waitingForBytes = 0;
+                grantNext();
             }
         }
 
         private void take(long bytes) {
-            clientUsed += bytes;
-            used += bytes;
-            highest = Math.max(highest, used);
+            usedClientBytes += bytes;
+            usedBytes += bytes;
+            maxUsedBytes = Math.max(maxUsedBytes, usedBytes);
         }
     }
 
-    public Client client(long clientMost) {
-        return new Client(clientMost);
+    public ClientBudget client(long maxClientBytes) {
+        return new ClientBudget(maxClientBytes);
     }
 
-    private void grant() {
-        for (Client first = queue.peek();
-                first != null && used + first.wanted <= most;
+    private void grantNext() {
+        for (ClientBudget first = queue.peek();
+                first != null && usedBytes + first.waitingForBytes <= maxBytes;
                 first = queue.peek()) {
             queue.poll();
-            first.take(first.wanted);
+            first.take(first.waitingForBytes);
             first.granted = true;
-            first.later.run();
+            first.retry.run();
         }
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/ExportedVolume.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExportedVolume.java
@@ -12,40 +12,40 @@
  */
 final class ExportedVolume {
     /** Writes that were acknowledged since the last flush, and the start of the node that did. */
-    static final class Unflushed {
-        long since;
-        long writes;
+    static final class UnflushedWrites {
+        long nodeStartedAt;
+        long writeCount;
     }
 
-    final VolumeSettings line;
+    final VolumeSettings settings;
     final Volume volume;
     final Export export;
 
     /** By cell. */
-    final Map<Integer, Unflushed> unflushed = new HashMap<>();
+    final Map<Integer, UnflushedWrites> unflushedByCell = new HashMap<>();
 
     ExportedVolume(VolumeSettings line, Volume volume, Export export) {
-        this.line = line;
+        this.settings = line;
         this.volume = volume;
         this.export = export;
     }
 
     /** A write was acknowledged that its node may not have durably. */
-    void wrote(int cell, long nodeStart) {
-        Unflushed at = unflushed.get(cell);
-        if (at == null) {
-            at = new Unflushed();
-            at.since = nodeStart;
-            unflushed.put(cell, at);
+    void recordWrite(int cell, long nodeStart) {
+        UnflushedWrites unflushed = unflushedByCell.get(cell);
+        if (unflushed == null) {
+            unflushed = new UnflushedWrites();
+            unflushed.nodeStartedAt = nodeStart;
+            unflushedByCell.put(cell, unflushed);
         }
-        at.writes++;
+        unflushed.writeCount++;
     }
 
     /** A flush that began when so many writes stood has ended well. */
-    void flushed(int cell, long writes) {
-        Unflushed at = unflushed.get(cell);
-        if (at != null && at.writes == writes) {
-            unflushed.remove(cell);
+    void recordFlush(int cell, long writeCount) {
+        UnflushedWrites unflushed = unflushedByCell.get(cell);
+        if (unflushed != null && unflushed.writeCount == writeCount) {
+            unflushedByCell.remove(cell);
         }
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -107,7 +107,7 @@
     private final StoreMessages.Hello hello;
     private final DirectoryClient directory;
     private final Counters counters = new Counters();
-    private final Map<String, ExportedVolume> disks = new LinkedHashMap<>();
+    private final Map<String, ExportedVolume> exportedVolumes = new LinkedHashMap<>();
     private final Map<Integer, Place> places = new LinkedHashMap<>();
 
     /** The ready node of each cell. */
@@ -279,7 +279,7 @@
             volume.gatewayCount = line.gateways();
             // A flush reaches every write acknowledged by this gateway, whatever connection it came
             // by.
-            disks.put(
+            exportedVolumes.put(
                     line.name(),
                     new ExportedVolume(
                             line,
@@ -347,11 +347,11 @@
         if (list != null) {
             membership.kept(list, wall());
         }
-        for (ExportedVolume disk : disks.values()) {
-            int[] row = cells.getOrDefault(disk.line.id(), new int[0]);
-            for (int i = 0; i < Math.min(row.length, extents(disk)); i++) {
+        for (ExportedVolume volume : exportedVolumes.values()) {
+            int[] row = cells.getOrDefault(volume.settings.id(), new int[0]);
+            for (int i = 0; i < Math.min(row.length, extents(volume)); i++) {
                 if (row[i] >= 0) {
-                    long key = ExtentHolders.key(disk.line.id(), i);
+                    long key = ExtentHolders.key(volume.settings.id(), i);
                     holders.learned(key, row[i]);
                     unverified.add(key);
                 }
@@ -359,8 +359,8 @@
         }
     }
 
-    private long extents(ExportedVolume disk) {
-        return (disk.line.size() - 1) / site.extentBytes() + 1;
+    private long extents(ExportedVolume volume) {
+        return (volume.settings.size() - 1) / site.extentBytes() + 1;
     }
 
     private double wall() {
@@ -368,7 +368,7 @@
     }
 
     /** The list as it goes to disk; null if nothing is new. From any thread. */
-    CompletableFuture<StoredEndpointList> keptList() {
+    CompletableFuture<StoredEndpointList> endpointListSnapshot() {
         CompletableFuture<StoredEndpointList> told = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -386,7 +386,7 @@
      * The known cells of all volumes' extents, gathered piece by piece; null if nothing is new.
      * From any thread.
      */
-    CompletableFuture<Map<Integer, int[]>> keptHolders() {
+    CompletableFuture<Map<Integer, int[]>> holderSnapshot() {
         CompletableFuture<Map<Integer, int[]>> told = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -397,7 +397,7 @@
                     holdersChanged = false;
                     gather(
                             new LinkedHashMap<>(),
-                            new ArrayList<>(disks.values()),
+                            new ArrayList<>(exportedVolumes.values()),
                             0,
                             HolderFile.MOST_EXTENTS,
                             told);
@@ -415,7 +415,7 @@
             told.complete(rows);
             return;
         }
-        int id = left.get(0).line.id();
+        int id = left.get(0).settings.id();
         int length = (int) Math.min(room, extents(left.get(0)));
         int[] row = rows.computeIfAbsent(id, any -> new int[length]);
         int end = Math.min(length, from + HOLDERS_AT_ONCE);
@@ -457,12 +457,12 @@
                     double now = clock.now();
                     LatencyAccount book = accounts.book();
                     Map<String, LatencyReport> reports = new LinkedHashMap<>();
-                    disks.forEach(
-                            (name, disk) ->
+                    exportedVolumes.forEach(
+                            (name, volume) ->
                                     reports.put(
                                             name,
                                             book.report(
-                                                    disk.line.id(),
+                                                    volume.settings.id(),
                                                     clock.wall(now - lately),
                                                     clock.wall(now))));
                     told.complete(reports);
@@ -487,7 +487,8 @@
         return copied.thenApplyAsync(
                 at -> {
                     Map<Long, String> names = new LinkedHashMap<>();
-                    disks.forEach((name, disk) -> names.put((long) disk.line.id(), name));
+                    exportedVolumes.forEach(
+                            (name, volume) -> names.put((long) volume.settings.id(), name));
                     return new GatewayAccounts(
                             site.name(),
                             (long) clock.wall(clock.now()),
@@ -510,7 +511,7 @@
     }
 
     /** Goes on with the accounts of an earlier life. On the loop. */
-    void goOn(LatencyAccount book) {
+    void restoreAccounts(LatencyAccount book) {
         accounts.goOn(book, clock.now());
     }
 
@@ -520,32 +521,32 @@
     }
 
     /** From any thread: the volumes do not change in service. */
-    ExportedVolume disk(String name) {
-        return disks.get(name);
+    ExportedVolume exportedVolume(String name) {
+        return exportedVolumes.get(name);
     }
 
-    Map<String, ExportedVolume> disks() {
-        return disks;
+    Map<String, ExportedVolume> exportedVolumes() {
+        return exportedVolumes;
     }
 
     /** On the client's loop. */
     boolean waitsForRest(Channel client) {
-        return NbdServer.waitsForRest(client.pipeline());
+        return NbdServer.isInsideMessage(client.pipeline());
     }
 
     // ---- requests ----
 
     /** Takes a request that was found to be well-formed. From the client's loop. */
-    void take(NbdSession session, NbdRequest asked, ExportedVolume disk) {
+    void submit(NbdSession session, NbdRequest asked, ExportedVolume volume) {
         if (loop.inEventLoop()) {
-            taken(session, asked, disk);
+            taken(session, asked, volume);
         } else {
-            loop.execute(() -> taken(session, asked, disk));
+            loop.execute(() -> taken(session, asked, volume));
         }
     }
 
-    private void taken(NbdSession session, NbdRequest asked, ExportedVolume disk) {
-        PendingRequest request = new PendingRequest(session, asked, disk, clock.now());
+    private void taken(NbdSession session, NbdRequest asked, ExportedVolume volume) {
+        PendingRequest request = new PendingRequest(session, asked, volume, clock.now());
         if (stopping) {
             asked.payload().release();
             request.fail(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
@@ -564,15 +565,15 @@
                 asked.payload().release();
             }
         }
-        request.open = request.parts.size();
-        counters.accepted.add(request.open);
-        if (request.open == 0) {
+        request.openParts = request.parts.size();
+        counters.accepted.add(request.openParts);
+        if (request.openParts == 0) {
             close(request);
         }
         for (RequestPart part : request.parts) {
-            part.meter =
+            part.timer =
                     accounts.begin(
-                            request.disk.line.id(),
+                            request.volume.settings.id(),
                             part.operation.trafficClass,
                             part.kind.modifiesData(),
                             part.operation.units,
@@ -589,11 +590,11 @@
     }
 
     private void flush(PendingRequest request) {
-        request.disk.unflushed.forEach(
+        request.volume.unflushedByCell.forEach(
                 (cell, at) -> {
-                    RequestPart part = splitter.flush(request, cell);
-                    part.writesBefore = at.writes;
-                    part.since = at.since;
+                    RequestPart part = splitter.newFlushPart(request, cell);
+                    part.writesBeforeFlush = at.writeCount;
+                    part.expectedNodeStart = at.nodeStartedAt;
                     request.parts.add(part);
                 });
     }
@@ -603,12 +604,12 @@
      * written.
      */
     private void blockStatus(PendingRequest request) {
-        long offset = request.asked.offset();
-        long end = offset + Integer.toUnsignedLong(request.asked.length());
+        long offset = request.command.offset();
+        long end = offset + Integer.toUnsignedLong(request.command.length());
         long first = offset / site.extentBytes();
         int count = (int) Math.min(HOLDERS_AT_ONCE, (end - 1) / site.extentBytes() - first + 1);
         directory.lookup(
-                request.disk.line.id(),
+                request.volume.settings.id(),
                 first,
                 count,
                 (cells, failure) -> {
@@ -636,8 +637,9 @@
                             }
                             at = until;
                         }
-                        boolean one = (request.asked.flags() & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
-                        request.blocks =
+                        boolean one =
+                                (request.command.flags() & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
+                        request.blockDescriptors =
                                 blocks.stream()
                                         .limit(one ? 2 : Long.MAX_VALUE)
                                         .mapToInt(Integer::intValue)
@@ -653,7 +655,7 @@
     }
 
     /** The client's connection has ended: nothing is owed to it. From the client's loop. */
-    void left(NbdSession session) {
+    void sessionClosed(NbdSession session) {
         loop.execute(
                 () -> {
                     Set<PendingRequest> gone = requests.remove(session);
@@ -677,7 +679,7 @@
         part.operation.ended = true;
         counters.cancelled.increment();
         unseek(part);
-        if (part.shown) {
+        if (part.submitted) {
             scheduler.onClientCancelled(part.operation, clock.now());
         }
         end(part, Accounts.End.LEFT, Reason.NONE);
@@ -710,14 +712,14 @@
     private void park(long key, RequestPart part) {
         double now = clock.now();
         holders.park(key, part, now);
-        accounts.waits(part.meter, LatencyComponent.DIRECTORY, 0, now);
+        accounts.waits(part.timer, LatencyComponent.DIRECTORY, 0, now);
     }
 
     /** Whether the extent must have a holder afterwards. */
     private static boolean creates(RequestPart part) {
         return part.kind == StoreMessages.Kind.WRITE
                 || (part.kind == StoreMessages.Kind.ZERO
-                        && (part.request.asked.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0);
+                        && (part.request.command.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0);
     }
 
     /**
@@ -731,7 +733,7 @@
             return;
         }
         directory.lookup(
-                part.request.disk.line.id(),
+                part.request.volume.settings.id(),
                 part.extent,
                 1,
                 (cells, failure) -> {
@@ -746,14 +748,15 @@
                     } else if (cells[0] >= 0) {
                         found(part.operation.extent, cells[0]);
                     } else {
-                        if (part.shown) {
+                        if (part.submitted) {
                             part.operation.ended = true;
                             scheduler.onEndedWithoutNode(part.operation);
                         }
                         counters.holes.increment();
                         if (part.kind == StoreMessages.Kind.READ) {
-                            part.request.found.add(
-                                    new PendingRequest.Found(part.at, part.length, null));
+                            part.request.readChunks.add(
+                                    new PendingRequest.ReadChunk(
+                                            part.exportOffset, part.length, null));
                         }
                         satisfied(part);
                     }
@@ -769,7 +772,7 @@
         holdersChanged = true;
         if (all != null) {
             for (RequestPart part : all) {
-                if (part.shown) {
+                if (part.submitted) {
                     scheduler.onExtentLocated(part.operation, holder);
                 }
             }
@@ -810,7 +813,7 @@
         for (Map.Entry<Long, Set<RequestPart>> entry : List.copyOf(seeking.entrySet())) {
             refile(entry.getKey(), -1);
             for (RequestPart part : List.copyOf(entry.getValue())) {
-                if (!creates(part) && part.attempt == 0 && !part.operation.ended) {
+                if (!creates(part) && part.attemptId == 0 && !part.operation.ended) {
                     lookUp(part);
                 }
             }
@@ -820,7 +823,10 @@
     /** Tells Scheduler anew where the first writes to an extent go that wait with it. */
     private void refile(long key, int shard) {
         for (RequestPart part : seeking.getOrDefault(key, Set.of())) {
-            if (part.shown && part.attempt == 0 && part.operation.shard != shard && creates(part)) {
+            if (part.submitted
+                    && part.attemptId == 0
+                    && part.operation.shard != shard
+                    && creates(part)) {
                 scheduler.onExtentLocated(part.operation, shard);
             }
         }
@@ -842,7 +848,7 @@
         // it.
         refile(key, NOT_FOUND_YET);
         directory.claim(
-                part.request.disk.line.id(),
+                part.request.volume.settings.id(),
                 part.extent,
                 attempt.node.cell,
                 (cell, failure) -> {
@@ -867,7 +873,7 @@
                         hand(part, attempt);
                     } else {
                         // Another node holds it, or nobody can say: the attempt never went out.
-                        out.remove(part.attempt);
+                        out.remove(part.attemptId);
                         ended(part, Outcome.NOT_EXECUTED);
                     }
                 });
@@ -876,7 +882,7 @@
     // ---- Scheduler's answers ----
 
     private void show(RequestPart part) {
-        part.shown = true;
+        part.submitted = true;
         carryOut(part, scheduler.route(part.operation, clock.now()));
     }
 
@@ -893,17 +899,17 @@
         switch (decision.kind()) {
             case SEND -> {
                 Attempt attempt = operation.attempts.get(operation.attempts.size() - 1);
-                part.attempt = ++attemptIds;
-                part.handed = false;
-                out.put(part.attempt, part);
-                long number = part.attempt;
-                part.timer =
+                part.attemptId = ++attemptIds;
+                part.handedToConnection = false;
+                out.put(part.attemptId, part);
+                long number = part.attemptId;
+                part.timeout =
                         loop.schedule(
                                 () -> timedOut(number),
                                 Math.max(1, (long) (decision.timeout() * NS)),
                                 TimeUnit.NANOSECONDS);
                 if (operation.shard < 0) {
-                    accounts.claims(part.meter, attempt.node.id, clock.now());
+                    accounts.claims(part.timer, attempt.node.id, clock.now());
                     claim(part, attempt);
                 } else {
                     hand(part, attempt);
@@ -946,12 +952,12 @@
 
     /** States anew why an operation waits, and behind whom. */
     private void account(RequestPart part, double now) {
-        if (part.meter == null) {
+        if (part.timer == null) {
             return; // no accounts are kept
         }
         LatencyComponent spent =
                 LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
-        accounts.waits(part.meter, spent, nodeOf(part.operation.shard), now);
+        accounts.waits(part.timer, spent, nodeOf(part.operation.shard), now);
     }
 
     /**
@@ -979,11 +985,11 @@
     }
 
     private void hand(RequestPart part, Attempt attempt) {
-        part.handed = true;
-        accounts.sent(part.meter, attempt.node.id, attempt.quotaTier, clock.now());
+        part.handedToConnection = true;
+        accounts.sent(part.timer, attempt.node.id, attempt.quotaTier, clock.now());
         Place place = places.get(attempt.node.id);
         counters.attempts.increment();
-        boolean durable = (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
+        boolean durable = (part.request.command.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
         StoreMessages.Send send =
                 new StoreMessages.Send(
                         part.kind,
@@ -992,15 +998,15 @@
                         part.operation.trafficClass.idempotency().ordinal(),
                         part.operation.id,
                         attempt.number,
-                        part.request.disk.line.id(),
+                        part.request.volume.settings.id(),
                         part.extent,
-                        part.offset,
+                        part.offsetInExtent,
                         part.length,
                         (float) part.operation.units,
-                        part.since,
+                        part.expectedNodeStart,
                         part.kind != StoreMessages.Kind.FLUSH
                                 && unverified.contains(part.operation.extent));
-        place.link.send(part.attempt, send, part.payload.retainedDuplicate());
+        place.link.send(part.attemptId, send, part.payload.retainedDuplicate());
     }
 
     // ---- ends of attempts ----
@@ -1034,7 +1040,7 @@
         if (answer.code() == StoreMessages.Code.SERVED) {
             unverified.remove(part.operation.extent);
             accounts.answered(
-                    part.meter,
+                    part.timer,
                     answer.queuedMillis(),
                     answer.serviceMillis(),
                     answer.loadReport().length == 0 ? Double.NaN : answer.loadReport()[0],
@@ -1045,7 +1051,8 @@
             outcome = Outcome.FAILED;
         }
         if (outcome == Outcome.SERVED && !part.operation.ended && due > 0) {
-            part.request.found.add(new PendingRequest.Found(part.at, part.length, payload));
+            part.request.readChunks.add(
+                    new PendingRequest.ReadChunk(part.exportOffset, part.length, payload));
         } else {
             payload.release();
         }
@@ -1062,7 +1069,7 @@
     private void deny(RequestPart part) {
         long key = part.operation.extent;
         LOG.atInfo()
-                .addKeyValue("volume", part.request.disk.line.name())
+                .addKeyValue("volume", part.request.volume.settings.name())
                 .addKeyValue("extent", part.extent)
                 .log("its holder by the disk denies it");
         holders.forget(key);
@@ -1078,7 +1085,7 @@
         if (part == null) {
             return;
         }
-        if (!part.handed) {
+        if (!part.handedToConnection) {
             ended(part, Outcome.NOT_EXECUTED);
             return;
         }
@@ -1096,14 +1103,14 @@
         Attempt attempt = lastAttempt(part);
         attempt.outcome = outcome;
         attempt.duration = now - attempt.sentAt;
-        part.attempt = 0;
-        if (part.timer != null) {
-            part.timer.cancel(false);
-            part.timer = null;
+        part.attemptId = 0;
+        if (part.timeout != null) {
+            part.timeout.cancel(false);
+            part.timeout = null;
         }
-        part.handed = false;
+        part.handedToConnection = false;
         if (outcome != Outcome.SERVED) {
-            accounts.failed(part.meter, outcome, now);
+            accounts.failed(part.timer, outcome, now);
         }
         boolean first = !operation.ended && outcome == Outcome.SERVED;
         operation.ended |= first;
@@ -1122,12 +1129,12 @@
 
     /** What an acknowledged write or flush means for the next flush. */
     private void note(RequestPart part, Attempt attempt) {
-        ExportedVolume disk = part.request.disk;
+        ExportedVolume volume = part.request.volume;
         if (part.kind == StoreMessages.Kind.FLUSH) {
-            disk.flushed(attempt.node.cell, part.writesBefore);
+            volume.recordFlush(attempt.node.cell, part.writesBeforeFlush);
         } else if (part.kind.modifiesData()
-                && (part.request.asked.flags() & NbdConstants.CMD_FLAG_FUA) == 0) {
-            disk.wrote(attempt.node.cell, places.get(attempt.node.id).startedAt);
+                && (part.request.command.flags() & NbdConstants.CMD_FLAG_FUA) == 0) {
+            volume.recordWrite(attempt.node.cell, places.get(attempt.node.id).startedAt);
         }
     }
 
@@ -1140,8 +1147,8 @@
 
     private void end(RequestPart part, Accounts.End how, Reason reason) {
         double now = clock.now();
-        accounts.end(part.meter, how, reason, nodeOf(part.operation.shard), now);
-        if (tracer == null || part.meter == null) {
+        accounts.end(part.timer, how, reason, nodeOf(part.operation.shard), now);
+        if (tracer == null || part.timer == null) {
             return;
         }
         Operation operation = part.operation;
@@ -1157,11 +1164,11 @@
     private OperationTrace story(
             RequestPart part, Accounts.End how, Reason reason, double took, double standsFor) {
         Operation operation = part.operation;
-        List<OperationTrace.Step> steps = new ArrayList<>(part.meter.steps());
-        for (int i = 0; i < part.meter.steps(); i++) {
+        List<OperationTrace.Step> steps = new ArrayList<>(part.timer.steps());
+        for (int i = 0; i < part.timer.steps(); i++) {
             steps.add(
                     new OperationTrace.Step(
-                            part.meter.step(i), part.meter.stepNode(i), part.meter.stepLength(i)));
+                            part.timer.step(i), part.timer.stepNode(i), part.timer.stepLength(i)));
         }
         List<OperationTrace.Attempt> attempts = new ArrayList<>(operation.attempts.size());
         for (Attempt attempt : operation.attempts) {
@@ -1174,7 +1181,7 @@
                             attempt.duration,
                             attempt.outcome));
         }
-        Cause cause = part.meter.mainCause();
+        Cause cause = part.timer.mainCause();
         String named =
                 cause == null
                         ? ""
@@ -1185,8 +1192,8 @@
         return new OperationTrace(
                 site.name(),
                 operation.id,
-                part.request.asked.cookie(),
-                part.request.disk.line.name(),
+                part.request.command.cookie(),
+                part.request.volume.settings.name(),
                 operation.trafficClass.name(),
                 word(part.kind),
                 part.extent,
@@ -1205,7 +1212,7 @@
     private void finish(RequestPart part, Accounts.End how, Reason reason, int error, String why) {
         part.operation.ended = true;
         end(part, how, reason);
-        part.request.fail(part.at, error, why);
+        part.request.fail(part.exportOffset, error, why);
         over(part);
     }
 
@@ -1213,7 +1220,7 @@
         waiting.remove(part);
         unseek(part);
         part.payload.release();
-        if (--part.request.open == 0) {
+        if (--part.request.openParts == 0) {
             close(part.request);
         }
     }
@@ -1280,12 +1287,12 @@
     /** Work for nobody is given up; whether it ran, nobody will know. */
     private void callOff(Attempt attempt) {
         RequestPart part = partOf(attempt.operation);
-        if (attempt.outcome != null || part.attempt == 0) {
+        if (attempt.outcome != null || part.attemptId == 0) {
             return;
         }
-        out.remove(part.attempt);
-        if (part.handed) {
-            places.get(attempt.node.id).link.cancel(part.attempt);
+        out.remove(part.attemptId);
+        if (part.handedToConnection) {
+            places.get(attempt.node.id).link.cancel(part.attemptId);
         }
         ended(part, Outcome.CANCELLED);
     }
@@ -1328,7 +1335,7 @@
         }
         if (!listed) {
             listed = true;
-            preload(new ArrayList<>(disks.values()), 0);
+            preload(new ArrayList<>(exportedVolumes.values()), 0);
         }
         settle();
     }
@@ -1381,10 +1388,10 @@
         for (int node : membership.toAsk(wall)) {
             places.get(node).link.ensureConnected();
         }
-        if (directory.isSubscribed() && wall >= confirmAt && !disks.isEmpty()) {
+        if (directory.isSubscribed() && wall >= confirmAt && !exportedVolumes.isEmpty()) {
             confirmAt = wall + CONFIRMED_EVERY;
             directory.lookup(
-                    disks.values().iterator().next().line.id(),
+                    exportedVolumes.values().iterator().next().settings.id(),
                     0,
                     1,
                     (cells, failure) -> {
@@ -1448,11 +1455,11 @@
             whenReady.run();
             return;
         }
-        ExportedVolume disk = left.get(0);
-        long extents = (disk.line.size() - 1) / site.extentBytes() + 1;
+        ExportedVolume volume = left.get(0);
+        long extents = (volume.settings.size() - 1) / site.extentBytes() + 1;
         int count = (int) Math.min(HOLDERS_AT_ONCE, extents - first);
         directory.lookup(
-                disk.line.id(),
+                volume.settings.id(),
                 first,
                 count,
                 (cells, failure) -> {
@@ -1463,7 +1470,7 @@
                     }
                     for (int i = 0; i < cells.length; i++) {
                         if (cells[i] >= 0) {
-                            found(ExtentHolders.key(disk.line.id(), first + i), cells[i]);
+                            found(ExtentHolders.key(volume.settings.id(), first + i), cells[i]);
                         }
                     }
                     boolean more = first + count < extents;
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -43,31 +43,31 @@
     /** So many volumes, the first of the site file, have sums of their own since the start. */
     public static final int MAX_VOLUMES_WITH_TOTALS = 100;
 
-    private static final double LIST_LOOK_MS = 500;
-    private static final double HOLDERS_LOOK_MS = 10_000;
+    private static final double ENDPOINT_LIST_CHECK_INTERVAL_MILLIS = 500;
+    private static final double HOLDERS_CHECK_INTERVAL_MILLIS = 10_000;
 
     /** A client that stops inside a message, or reads no replies, for so long is ended. */
-    private static final int STUCK_SECONDS = 30;
+    private static final int CLIENT_IDLE_TIMEOUT_SECONDS = 30;
 
     private static final Logger LOG = LoggerFactory.getLogger(NbdGateway.class);
 
     private final SiteConfig site;
-    private final EventLoopGroup houseGroup = EventLoops.group(1, "gateway");
+    private final EventLoopGroup engineGroup = EventLoops.group(1, "gateway");
     private final EventLoopGroup clientGroup;
     private final NbdEngine engine;
     private final BufferBudget bufferBudget;
     private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final AtomicReference<CompletableFuture<Void>> ending = new AtomicReference<>();
+    private final AtomicReference<CompletableFuture<Void>> stopResult = new AtomicReference<>();
     private Channel listener;
     private final Tracer tracer;
-    private final List<PeriodicWriter<?>> keepers = new ArrayList<>();
+    private final List<PeriodicWriter<?>> snapshotWriters = new ArrayList<>();
 
     /**
      * The seed starts the module's chance and must differ at each start, for it names this life of
      * the gateway.
      */
     public NbdGateway(SiteConfig site, long seed) {
-        this(site, seed, new Scheduler(site.deployment(), seed), membership(site, seed));
+        this(site, seed, new Scheduler(site.deployment(), seed), newMembership(site, seed));
     }
 
     /** With another view of the nodes: baselines are measured so. */
@@ -78,13 +78,13 @@
     NbdGateway(SiteConfig site, long seed, Scheduler scheduler, Membership membership) {
         this.site = site;
         this.clientGroup =
-                site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : houseGroup;
+                site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : engineGroup;
         this.bufferBudget = new BufferBudget(site.allBytes());
         this.tracer = site.traces().wanted() ? new Tracer(site.traces(), site.name()) : null;
         this.engine =
                 new NbdEngine(
                         site,
-                        houseGroup.next(),
+                        engineGroup.next(),
                         EventLoops.socket(),
                         new Clock(),
                         seed,
@@ -93,19 +93,19 @@
                         tracer);
     }
 
-    static Membership membership(SiteConfig site, long seed) {
-        Membership.Bounds usual = Membership.Bounds.USUAL;
+    static Membership newMembership(SiteConfig site, long seed) {
+        Membership.Bounds defaults = Membership.Bounds.USUAL;
         return new Membership(
                 site.siteName(),
                 new Membership.Bounds(
                         site.members().fresh(),
                         site.members().aged(),
                         site.members().askedAtOnce(),
-                        usual.askedApart(),
-                        usual.proofHolds(),
-                        usual.doubt(),
-                        usual.firstHold(),
-                        usual.longestHold()),
+                        defaults.askedApart(),
+                        defaults.proofHolds(),
+                        defaults.doubt(),
+                        defaults.firstHold(),
+                        defaults.longestHold()),
                 new SplittableRandom(seed));
     }
 
@@ -115,16 +115,16 @@
      */
     public CompletableFuture<NbdGateway> start() {
         CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
-        AccountFile.Read before = accountsBefore();
-        StoredEndpointList list = listBefore();
-        Map<Integer, int[]> cells = holdersBefore();
-        houseGroup
+        AccountFile.Read storedAccounts = readStoredAccounts();
+        StoredEndpointList storedList = readStoredEndpointList();
+        Map<Integer, int[]> storedHolders = readStoredHolders();
+        engineGroup
                 .next()
                 .execute(
                         () -> {
-                            engine.restore(list, cells);
-                            if (before != null) {
-                                engine.goOn(before.book());
+                            engine.restore(storedList, storedHolders);
+                            if (storedAccounts != null) {
+                                engine.restoreAccounts(storedAccounts.book());
                             }
                             engine.start(() -> listen(ready));
                         });
@@ -135,12 +135,12 @@
      * What an earlier life kept; null if nothing can be believed. That never keeps a gateway from
      * starting.
      */
-    private AccountFile.Read accountsBefore() {
+    private AccountFile.Read readStoredAccounts() {
         if (!site.books().keep() || site.books().file() == null) {
             return null;
         }
         AccountFile file = new AccountFile(site.books().file(), site.name());
-        keepers.add(
+        snapshotWriters.add(
                 new PeriodicWriter<>(
                         "accounts", site.books().every(), engine::accountSnapshot, file::write));
         try {
@@ -154,30 +154,30 @@
         }
     }
 
-    private StoredEndpointList listBefore() {
+    private StoredEndpointList readStoredEndpointList() {
         if (site.members().list() == null) {
             return null;
         }
         EndpointListFile file = new EndpointListFile(site.members().list(), site.siteName());
-        keepers.add(
+        snapshotWriters.add(
                 new PeriodicWriter<>(
                         "list",
-                        LIST_LOOK_MS,
-                        engine::keptList,
+                        ENDPOINT_LIST_CHECK_INTERVAL_MILLIS,
+                        engine::endpointListSnapshot,
                         list -> file.write(list, System.currentTimeMillis())));
         return file.start();
     }
 
-    private Map<Integer, int[]> holdersBefore() {
+    private Map<Integer, int[]> readStoredHolders() {
         if (site.members().holders() == null) {
             return Map.of();
         }
         HolderFile file = new HolderFile(site.members().holders(), site.siteName());
-        keepers.add(
+        snapshotWriters.add(
                 new PeriodicWriter<>(
                         "holders",
-                        HOLDERS_LOOK_MS,
-                        engine::keptHolders,
+                        HOLDERS_CHECK_INTERVAL_MILLIS,
+                        engine::holderSnapshot,
                         cells -> file.write(cells, System.currentTimeMillis())));
         return file.start();
     }
@@ -224,25 +224,29 @@
         clients.add(client);
         engine.counters().clients.increment();
         client.closeFuture().addListener(done -> engine.counters().clientsEnded.increment());
-        BufferBudget.Client part = bufferBudget.client(site.clientBytes());
-        client.pipeline().addLast(new IdleStateHandler(STUCK_SECONDS, STUCK_SECONDS, 0));
-        NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(engine, part));
+        BufferBudget.ClientBudget budget = bufferBudget.client(site.clientBytes());
+        client.pipeline()
+                .addLast(
+                        new IdleStateHandler(
+                                CLIENT_IDLE_TIMEOUT_SECONDS, CLIENT_IDLE_TIMEOUT_SECONDS, 0));
+        NbdServer.addTo(
+                client.pipeline(), new VolumeExports(), budget, new NbdSession(engine, budget));
     }
 
     /** The volumes as exports; the first is the default. */
-    private final class Offered implements Exports {
+    private final class VolumeExports implements Exports {
         @Override
         public List<Export> all() {
-            return engine.disks().values().stream().map(disk -> disk.export).toList();
+            return engine.exportedVolumes().values().stream().map(volume -> volume.export).toList();
         }
 
         @Override
         public Export named(String name) {
-            if (name.isEmpty() && !engine.disks().isEmpty()) {
+            if (name.isEmpty() && !engine.exportedVolumes().isEmpty()) {
                 return all().get(0);
             }
-            ExportedVolume disk = engine.disk(name);
-            return disk == null ? null : disk.export;
+            ExportedVolume volume = engine.exportedVolume(name);
+            return volume == null ? null : volume.export;
         }
     }
 
@@ -256,8 +260,8 @@
     }
 
     /** Each volume's account of latency over the last so many milliseconds, by its name. */
-    public CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
-        return engine.accounts(lately);
+    public CompletableFuture<Map<String, LatencyReport>> accounts(double recentMillis) {
+        return engine.accounts(recentMillis);
     }
 
     /** What it knows of its nodes. */
@@ -286,11 +290,11 @@
 
     /** Bytes of requests in hand now, and the most there ever were. */
     public long bytesInFlight() {
-        return bufferBudget.used();
+        return bufferBudget.usedBytes();
     }
 
     public long maxBytesInFlight() {
-        return bufferBudget.highest();
+        return bufferBudget.maxUsedBytes();
     }
 
     /**
@@ -299,8 +303,8 @@
      */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        if (!ending.compareAndSet(null, stopped)) {
-            return ending.get();
+        if (!stopResult.compareAndSet(null, stopped)) {
+            return stopResult.get();
         }
         CompletableFuture<Void> empty = new CompletableFuture<>();
         if (listener != null) {
@@ -334,14 +338,14 @@
     /** Ends at once, as a kill would: nothing is answered any more. */
     public CompletableFuture<Void> kill() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        if (!ending.compareAndSet(null, stopped)) {
-            return ending.get();
+        if (!stopResult.compareAndSet(null, stopped)) {
+            return stopResult.get();
         }
         if (listener != null) {
             listener.close();
         }
-        keepers.forEach(PeriodicWriter::kill);
-        clients.close().addListener(closed -> end(stopped));
+        snapshotWriters.forEach(PeriodicWriter::kill);
+        clients.close().addListener(closed -> closeEngine(stopped));
         return stopped;
     }
 
@@ -349,16 +353,16 @@
     private void writeAccounts(CompletableFuture<Void> stopped) {
         CompletableFuture.runAsync(
                         () -> {
-                            keepers.forEach(PeriodicWriter::close);
+                            snapshotWriters.forEach(PeriodicWriter::close);
                             if (tracer != null) {
                                 tracer.close();
                             }
                         })
-                .whenComplete((done, failure) -> end(stopped));
+                .whenComplete((done, failure) -> closeEngine(stopped));
     }
 
-    private void end(CompletableFuture<Void> stopped) {
-        houseGroup
+    private void closeEngine(CompletableFuture<Void> stopped) {
+        engineGroup
                 .next()
                 .execute(
                         () -> {
@@ -371,7 +375,7 @@
                                     .addKeyValue("scrapped", counters().abandoned.sum())
                                     .log("stopped");
                             clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-                            houseGroup
+                            engineGroup
                                     .shutdownGracefully(0, 1, TimeUnit.SECONDS)
                                     .addListener(done -> stopped.complete(null));
                         });
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -24,24 +24,26 @@
  */
 final class NbdSession extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(NbdSession.class);
-    private static final int ZEROES_AT_ONCE = 1 << 16;
+    private static final int ZERO_BLOCK_BYTES = 1 << 16;
     private static final ByteBuf ZEROES =
             Unpooled.unreleasableBuffer(
-                    Unpooled.directBuffer(ZEROES_AT_ONCE).writeZero(ZEROES_AT_ONCE).asReadOnly());
+                    Unpooled.directBuffer(ZERO_BLOCK_BYTES)
+                            .writeZero(ZERO_BLOCK_BYTES)
+                            .asReadOnly());
 
     private final NbdEngine engine;
-    private final BufferBudget.Client room;
+    private final BufferBudget.ClientBudget budget;
     private Channel channel;
-    private ExportedVolume disk;
+    private ExportedVolume volume;
     private boolean structured;
     private boolean baseAllocation;
-    private boolean flushDue;
-    private int inHand;
-    private boolean leaving;
+    private boolean flushScheduled;
+    private int requestsInFlight;
+    private boolean disconnecting;
 
-    NbdSession(NbdEngine engine, BufferBudget.Client room) {
+    NbdSession(NbdEngine engine, BufferBudget.ClientBudget budget) {
         this.engine = engine;
-        this.room = room;
+        this.budget = budget;
     }
 
     @Override
@@ -52,11 +54,11 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof AttachedExport attached) {
-            disk = engine.disk(attached.export().name());
+            volume = engine.exportedVolume(attached.export().name());
             structured = attached.structured();
             baseAllocation = attached.baseAllocation();
             LOG.atInfo()
-                    .addKeyValue("volume", disk.line.name())
+                    .addKeyValue("volume", volume.settings.name())
                     .addKeyValue("client", channel.remoteAddress())
                     .addKeyValue("structured", structured)
                     .log("client attached");
@@ -88,159 +90,162 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        NbdRequest asked = (NbdRequest) message;
-        if (asked.command() == NbdConstants.CMD_DISC) {
+        NbdRequest command = (NbdRequest) message;
+        if (command.command() == NbdConstants.CMD_DISC) {
             // 'Terminating the transmission phase': what is in hand may be answered first.
-            room.give(asked.admitted());
-            leaving = true;
+            budget.release(command.admitted());
+            disconnecting = true;
             channel.config().setAutoRead(false);
-            if (inHand == 0) {
+            if (requestsInFlight == 0) {
                 channel.close();
             }
             return;
         }
-        if (leaving) {
-            asked.payload().release();
-            room.give(asked.admitted());
+        if (disconnecting) {
+            command.payload().release();
+            budget.release(command.admitted());
             return;
         }
-        PendingRequest.Failed wrong =
-                RequestSplitter.wrong(
-                        asked.command(),
-                        asked.flags(),
-                        asked.offset(),
-                        Integer.toUnsignedLong(asked.length()),
-                        disk,
+        PendingRequest.RequestError error =
+                RequestSplitter.validate(
+                        command.command(),
+                        command.flags(),
+                        command.offset(),
+                        Integer.toUnsignedLong(command.length()),
+                        volume,
                         structured,
                         baseAllocation);
-        if (wrong == null && asked.admitted() == 0) {
-            wrong =
-                    new PendingRequest.Failed(
+        if (error == null && command.admitted() == 0) {
+            error =
+                    new PendingRequest.RequestError(
                             -1,
                             NbdConstants.EINVAL,
-                            "longer than " + disk.export.maxBlockSize() + " bytes");
+                            "longer than " + volume.export.maxBlockSize() + " bytes");
         }
-        inHand++;
-        if (wrong != null) {
-            asked.payload().release();
-            PendingRequest request = new PendingRequest(this, asked, disk, 0);
-            request.failed.add(wrong);
-            reply(request);
+        requestsInFlight++;
+        if (error != null) {
+            command.payload().release();
+            PendingRequest request = new PendingRequest(this, command, volume, 0);
+            request.errors.add(error);
+            writeReply(request);
             return;
         }
-        engine.take(this, asked, disk);
+        engine.submit(this, command, volume);
     }
 
     /** Writes the one reply of a request. From any loop. */
     void answer(PendingRequest request) {
         if (channel.eventLoop().inEventLoop()) {
-            reply(request);
+            writeReply(request);
         } else {
-            channel.eventLoop().execute(() -> reply(request));
+            channel.eventLoop().execute(() -> writeReply(request));
         }
     }
 
-    private void reply(PendingRequest request) {
+    private void writeReply(PendingRequest request) {
         if (!channel.isActive()) {
             request.release();
-            gone(request);
+            replyWritten(request);
             return;
         }
-        ChannelFuture written = structured ? structured(request) : simple(request);
-        written.addListener(done -> gone(request));
-        if (!flushDue) {
-            flushDue = true;
+        ChannelFuture written = structured ? structured(request) : writeSimpleReply(request);
+        written.addListener(done -> replyWritten(request));
+        if (!flushScheduled) {
+            flushScheduled = true;
             channel.eventLoop()
                     .execute(
                             () -> {
-                                flushDue = false;
+                                flushScheduled = false;
                                 channel.flush();
                             });
         }
     }
 
-    private void gone(PendingRequest request) {
-        room.give(request.asked.admitted());
-        if (--inHand == 0 && leaving) {
+    private void replyWritten(PendingRequest request) {
+        budget.release(request.command.admitted());
+        if (--requestsInFlight == 0 && disconnecting) {
             channel.close();
         }
     }
 
-    private ChannelFuture simple(PendingRequest request) {
+    private ChannelFuture writeSimpleReply(PendingRequest request) {
         int error = request.error();
         if (error != 0) {
             request.release();
         }
-        return NbdReplies.simple(channel, request.asked.cookie(), error, joined(request));
+        return NbdReplies.simple(channel, request.command.cookie(), error, joinChunks(request));
     }
 
     private ChannelFuture structured(PendingRequest request) {
-        long cookie = request.asked.cookie();
-        boolean whole = (request.asked.flags() & NbdConstants.CMD_FLAG_DF) != 0;
-        if (request.blocks != null && request.failed.isEmpty()) {
-            return NbdReplies.blockStatus(channel, cookie, request.blocks, request.blocks.length);
+        long cookie = request.command.cookie();
+        boolean singleChunk = (request.command.flags() & NbdConstants.CMD_FLAG_DF) != 0;
+        if (request.blockDescriptors != null && request.errors.isEmpty()) {
+            return NbdReplies.blockStatus(
+                    channel, cookie, request.blockDescriptors, request.blockDescriptors.length);
         }
-        if (whole && !request.failed.isEmpty()) {
+        if (singleChunk && !request.errors.isEmpty()) {
             request.release();
         }
-        if (whole && request.failed.isEmpty()) {
-            return NbdReplies.data(channel, cookie, request.asked.offset(), joined(request), true);
+        if (singleChunk && request.errors.isEmpty()) {
+            return NbdReplies.data(
+                    channel, cookie, request.command.offset(), joinChunks(request), true);
         }
-        int left = request.found.size() + request.failed.size();
-        if (left == 0) {
+        int remaining = request.readChunks.size() + request.errors.size();
+        if (remaining == 0) {
             return NbdReplies.done(channel, cookie);
         }
         ChannelFuture last = null;
-        for (PendingRequest.Found found : request.found) {
-            boolean end = --left == 0;
+        for (PendingRequest.ReadChunk chunk : request.readChunks) {
+            boolean end = --remaining == 0;
             last =
-                    found.data() == null
-                            ? NbdReplies.hole(channel, cookie, found.at(), found.length(), end)
-                            : NbdReplies.data(channel, cookie, found.at(), found.data(), end);
+                    chunk.data() == null
+                            ? NbdReplies.hole(channel, cookie, chunk.offset(), chunk.length(), end)
+                            : NbdReplies.data(channel, cookie, chunk.offset(), chunk.data(), end);
         }
-        request.found.clear();
+        request.readChunks.clear();
         // The gravest first: clients take the first error for the request's.
-        request.failed.sort(Comparator.comparing(failed -> failed.error() == NbdConstants.ENOMEM));
-        for (PendingRequest.Failed failed : request.failed) {
+        request.errors.sort(Comparator.comparing(error -> error.error() == NbdConstants.ENOMEM));
+        for (PendingRequest.RequestError error : request.errors) {
             last =
                     NbdReplies.error(
                             channel,
                             cookie,
-                            failed.error(),
-                            failed.why(),
-                            failed.at(),
-                            --left == 0);
+                            error.error(),
+                            error.message(),
+                            error.offset(),
+                            --remaining == 0);
         }
         return last;
     }
 
     /** All that a read found, in order and in one piece. */
-    private ByteBuf joined(PendingRequest request) {
-        if (request.found.size() == 1 && request.found.get(0).data() != null) {
-            return request.found.remove(0).data();
+    private ByteBuf joinChunks(PendingRequest request) {
+        if (request.readChunks.size() == 1 && request.readChunks.get(0).data() != null) {
+            return request.readChunks.remove(0).data();
         }
-        if (request.found.isEmpty()) {
+        if (request.readChunks.isEmpty()) {
             return Unpooled.EMPTY_BUFFER;
         }
-        request.found.sort(Comparator.comparingLong(PendingRequest.Found::at));
-        CompositeByteBuf all = channel.alloc().compositeBuffer(Integer.MAX_VALUE);
-        for (PendingRequest.Found found : request.found) {
-            if (found.data() != null) {
-                all.addComponent(true, found.data());
+        request.readChunks.sort(Comparator.comparingLong(PendingRequest.ReadChunk::offset));
+        CompositeByteBuf joined = channel.alloc().compositeBuffer(Integer.MAX_VALUE);
+        for (PendingRequest.ReadChunk chunk : request.readChunks) {
+            if (chunk.data() != null) {
+                joined.addComponent(true, chunk.data());
                 continue;
             }
-            for (int left = found.length(); left > 0; left -= ZEROES_AT_ONCE) {
-                all.addComponent(true, ZEROES.duplicate().slice(0, Math.min(left, ZEROES_AT_ONCE)));
+            for (int remaining = chunk.length(); remaining > 0; remaining -= ZERO_BLOCK_BYTES) {
+                joined.addComponent(
+                        true, ZEROES.duplicate().slice(0, Math.min(remaining, ZERO_BLOCK_BYTES)));
             }
         }
-        request.found.clear();
-        return all;
+        request.readChunks.clear();
+        return joined;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        room.close();
-        engine.left(this);
+        budget.close();
+        engine.sessionClosed(this);
     }
 
     @Override
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
@@ -13,41 +13,41 @@
  */
 final class PendingRequest {
     /** What a part of a read brought: data, or a hole of so many bytes where the data is null. */
-    record Found(long at, int length, ByteBuf data) {}
+    record ReadChunk(long offset, int length, ByteBuf data) {}
 
     /** A part that failed. */
-    record Failed(long at, int error, String why) {}
+    record RequestError(long offset, int error, String message) {}
 
     final NbdSession session;
-    final NbdRequest asked;
-    final ExportedVolume disk;
+    final NbdRequest command;
+    final ExportedVolume volume;
     final double arrivedAt;
     final List<RequestPart> parts = new ArrayList<>(1);
-    final List<Found> found = new ArrayList<>(1);
-    final List<Failed> failed = new ArrayList<>(0);
+    final List<ReadChunk> readChunks = new ArrayList<>(1);
+    final List<RequestError> errors = new ArrayList<>(0);
 
     /** Lengths and flags, for a block status. */
-    int[] blocks;
+    int[] blockDescriptors;
 
-    int open;
+    int openParts;
 
-    PendingRequest(NbdSession session, NbdRequest asked, ExportedVolume disk, double arrivedAt) {
+    PendingRequest(NbdSession session, NbdRequest asked, ExportedVolume volume, double arrivedAt) {
         this.session = session;
-        this.asked = asked;
-        this.disk = disk;
+        this.command = asked;
+        this.volume = volume;
         this.arrivedAt = arrivedAt;
     }
 
-    void fail(long at, int error, String why) {
-        failed.add(new Failed(at, error, why));
+    void fail(long offset, int error, String message) {
+        errors.add(new RequestError(offset, error, message));
     }
 
     /** The error of the whole: 0 if all went well. */
     int error() {
         int worst = 0;
-        for (Failed part : failed) {
+        for (RequestError error : errors) {
             if (worst == 0 || worst == NbdConstants.ENOMEM) {
-                worst = part.error();
+                worst = error.error();
             }
         }
         return worst;
@@ -55,11 +55,11 @@
 
     /** Gives back data that nobody will get. */
     void release() {
-        for (Found part : found) {
-            if (part.data() != null) {
-                part.data().release();
+        for (ReadChunk chunk : readChunks) {
+            if (chunk.data() != null) {
+                chunk.data().release();
             }
         }
-        found.clear();
+        readChunks.clear();
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/RequestPart.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -17,51 +17,51 @@
     final long extent;
 
     /** Bytes in the extent, and where it starts in the export. */
-    final int offset;
+    final int offsetInExtent;
 
     final int length;
-    final long at;
+    final long exportOffset;
 
     /** What is written; empty for all else. Given back when the part is over. */
     ByteBuf payload;
 
     /** The attempt that is out: its number on the wire (0: none), and the timer of its end. */
-    long attempt;
+    long attemptId;
 
-    ScheduledFuture<?> timer;
+    ScheduledFuture<?> timeout;
 
     /** Whether the attempt has been handed to a link, and not merely waits for a claim. */
-    boolean handed;
+    boolean handedToConnection;
 
     /** Whether it was shown to Scheduler, or still waits for the directory. */
-    boolean shown;
+    boolean submitted;
 
     /** Its account of time. */
-    OperationTimer meter;
+    OperationTimer timer;
 
     /**
      * For a flush: how many writes stood when it began, and the node's start that must still hold.
      */
-    long writesBefore;
+    long writesBeforeFlush;
 
-    long since;
+    long expectedNodeStart;
 
     RequestPart(
             PendingRequest request,
             Operation operation,
             StoreMessages.Kind kind,
             long extent,
-            int offset,
+            int offsetInExtent,
             int length,
-            long at,
+            long exportOffset,
             ByteBuf payload) {
         this.request = request;
         this.operation = operation;
         this.kind = kind;
         this.extent = extent;
-        this.offset = offset;
+        this.offsetInExtent = offsetInExtent;
         this.length = length;
-        this.at = at;
+        this.exportOffset = exportOffset;
         this.payload = payload;
         operation.engineState = this;
     }
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -22,7 +22,7 @@
     private final Deployment deployment;
     private final int extentBytes;
     private final int unitBytes;
-    private long ids;
+    private long lastOperationId;
 
     RequestSplitter(SiteConfig site) {
         this.deployment = site.deployment();
@@ -31,76 +31,78 @@
     }
 
     /** A request that is answered with an error as it stands, or null if it may go on. */
-    static PendingRequest.Failed wrong(
+    static PendingRequest.RequestError validate(
             int command,
             int flags,
             long offset,
             long length,
-            ExportedVolume disk,
+            ExportedVolume volume,
             boolean structured,
             boolean baseAllocation) {
-        VolumeSettings line = disk.line;
+        VolumeSettings settings = volume.settings;
         if (command > NbdConstants.CMD_BLOCK_STATUS || command == NbdConstants.CMD_CACHE) {
-            return new PendingRequest.Failed(
+            return new PendingRequest.RequestError(
                     -1, NbdConstants.EINVAL, "command " + command + " is not served here");
         }
         if ((flags & ~KNOWN_FLAGS) != 0) {
-            return new PendingRequest.Failed(
+            return new PendingRequest.RequestError(
                     -1,
                     NbdConstants.EINVAL,
                     "command flags 0x" + Integer.toHexString(flags) + " are not served here");
         }
         if ((flags & NbdConstants.CMD_FLAG_DF) != 0
                 && !(structured && command == NbdConstants.CMD_READ)) {
-            return new PendingRequest.Failed(
+            return new PendingRequest.RequestError(
                     -1, NbdConstants.EINVAL, "DF is for reads with structured replies");
         }
         if (((flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0
                         && command != NbdConstants.CMD_WRITE_ZEROES)
                 || ((flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0
                         && command != NbdConstants.CMD_BLOCK_STATUS)) {
-            return new PendingRequest.Failed(-1, NbdConstants.EINVAL, "a flag of another command");
+            return new PendingRequest.RequestError(
+                    -1, NbdConstants.EINVAL, "a flag of another command");
         }
         if (command == NbdConstants.CMD_FLUSH) {
             return offset == 0 && length == 0
                     ? null
-                    : new PendingRequest.Failed(
+                    : new PendingRequest.RequestError(
                             -1, NbdConstants.EINVAL, "a flush has neither offset nor length");
         }
-        boolean changes =
+        boolean modifiesData =
                 command == NbdConstants.CMD_WRITE
                         || command == NbdConstants.CMD_TRIM
                         || command == NbdConstants.CMD_WRITE_ZEROES;
-        if (changes && line.readOnly()) {
-            return new PendingRequest.Failed(-1, NbdConstants.EPERM, "the export is read-only");
+        if (modifiesData && settings.readOnly()) {
+            return new PendingRequest.RequestError(
+                    -1, NbdConstants.EPERM, "the export is read-only");
         }
         if (command == NbdConstants.CMD_BLOCK_STATUS && !baseAllocation) {
-            return new PendingRequest.Failed(
+            return new PendingRequest.RequestError(
                     -1, NbdConstants.EINVAL, "no metadata context was chosen");
         }
         if (length == 0) {
-            return new PendingRequest.Failed(-1, NbdConstants.EINVAL, "a length of zero");
+            return new PendingRequest.RequestError(-1, NbdConstants.EINVAL, "a length of zero");
         }
-        if (offset < 0 || offset > line.size() || length > line.size() - offset) {
+        if (offset < 0 || offset > settings.size() || length > settings.size() - offset) {
             int error =
                     command == NbdConstants.CMD_WRITE || command == NbdConstants.CMD_WRITE_ZEROES
                             ? NbdConstants.ENOSPC
                             : NbdConstants.EINVAL;
-            return new PendingRequest.Failed(
-                    -1, error, "past the end of the export at " + line.size());
+            return new PendingRequest.RequestError(
+                    -1, error, "past the end of the export at " + settings.size());
         }
-        if ((offset | length) % disk.export.minBlockSize() != 0) {
-            return new PendingRequest.Failed(
+        if ((offset | length) % volume.export.minBlockSize() != 0) {
+            return new PendingRequest.RequestError(
                     -1,
                     NbdConstants.EINVAL,
-                    "not aligned to " + disk.export.minBlockSize() + " bytes");
+                    "not aligned to " + volume.export.minBlockSize() + " bytes");
         }
         if ((command == NbdConstants.CMD_READ || command == NbdConstants.CMD_WRITE)
-                && length > disk.export.maxBlockSize()) {
-            return new PendingRequest.Failed(
+                && length > volume.export.maxBlockSize()) {
+            return new PendingRequest.RequestError(
                     -1,
                     command == NbdConstants.CMD_READ ? NbdConstants.EOVERFLOW : NbdConstants.EINVAL,
-                    "longer than " + disk.export.maxBlockSize() + " bytes");
+                    "longer than " + volume.export.maxBlockSize() + " bytes");
         }
         return null;
     }
@@ -110,42 +112,53 @@
      * owners.
      */
     void split(PendingRequest request) {
-        long offset = request.asked.offset();
-        long left = Integer.toUnsignedLong(request.asked.length());
-        ByteBuf payload = request.asked.payload();
+        long offset = request.command.offset();
+        long remaining = Integer.toUnsignedLong(request.command.length());
+        ByteBuf payload = request.command.payload();
         StoreMessages.Kind kind =
-                switch (request.asked.command()) {
+                switch (request.command.command()) {
                     case NbdConstants.CMD_READ -> StoreMessages.Kind.READ;
                     case NbdConstants.CMD_WRITE -> StoreMessages.Kind.WRITE;
                     case NbdConstants.CMD_TRIM -> StoreMessages.Kind.TRIM;
                     default -> StoreMessages.Kind.ZERO;
                 };
-        VolumeSettings line = request.disk.line;
-        int band =
+        VolumeSettings settings = request.volume.settings;
+        int trafficClassIndex =
                 kind.modifiesData()
-                        ? line.writeBand()
-                        : left >= line.bulkFrom() ? line.bulkBand() : line.readBand();
-        while (left > 0) {
+                        ? settings.writeBand()
+                        : remaining >= settings.bulkFrom()
+                                ? settings.bulkBand()
+                                : settings.readBand();
+        while (remaining > 0) {
             long extent = offset / extentBytes;
-            int inside = (int) (offset % extentBytes);
-            int length = (int) Math.min(left, extentBytes - inside);
+            int offsetInExtent = (int) (offset % extentBytes);
+            int length = (int) Math.min(remaining, extentBytes - offsetInExtent);
             ByteBuf slice =
                     kind == StoreMessages.Kind.WRITE
                             ? payload.readRetainedSlice(length)
                             : Unpooled.EMPTY_BUFFER;
-            request.parts.add(part(request, kind, band, extent, inside, length, offset, slice));
+            request.parts.add(
+                    newPart(
+                            request,
+                            kind,
+                            trafficClassIndex,
+                            extent,
+                            offsetInExtent,
+                            length,
+                            offset,
+                            slice));
             offset += length;
-            left -= length;
+            remaining -= length;
         }
     }
 
     /** A flush of what one cell's node has of the volume. */
-    RequestPart flush(PendingRequest request, int cell) {
+    RequestPart newFlushPart(PendingRequest request, int cell) {
         RequestPart part =
-                part(
+                newPart(
                         request,
                         StoreMessages.Kind.FLUSH,
-                        request.disk.line.writeBand(),
+                        request.volume.settings.writeBand(),
                         0,
                         0,
                         0,
@@ -155,36 +168,37 @@
         return part;
     }
 
-    private RequestPart part(
+    private RequestPart newPart(
             PendingRequest request,
             StoreMessages.Kind kind,
-            int bandIndex,
+            int trafficClassIndex,
             long extent,
-            int inside,
+            int offsetInExtent,
             int length,
-            long at,
+            long exportOffset,
             ByteBuf payload) {
-        TrafficClass trafficClass = deployment.trafficClasses().get(bandIndex);
+        TrafficClass trafficClass = deployment.trafficClasses().get(trafficClassIndex);
         // What moves no data still costs the node a look.
         double units =
                 kind == StoreMessages.Kind.READ || kind == StoreMessages.Kind.WRITE
                         ? Math.max(1, Math.ceil((double) length / unitBytes))
                         : 1;
-        long key =
+        long extentKey =
                 kind == StoreMessages.Kind.FLUSH
                         ? 0
-                        : ExtentHolders.key(request.disk.line.id(), extent);
+                        : ExtentHolders.key(request.volume.settings.id(), extent);
         Operation operation =
                 new Operation(
-                        ++ids,
+                        ++lastOperationId,
                         trafficClass,
-                        request.disk.volume,
-                        key,
+                        request.volume.volume,
+                        extentKey,
                         units,
                         -1,
                         request.arrivedAt,
                         request.arrivedAt + trafficClass.deadline(),
                         false);
-        return new RequestPart(request, operation, kind, extent, inside, length, at, payload);
+        return new RequestPart(
+                request, operation, kind, extent, offsetInExtent, length, exportOffset, payload);
     }
 }
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -61,7 +61,7 @@
                         public void returned(long bytes) {}
                     };
             channel = new EmbeddedChannel();
-            NbdServer.onto(
+            NbdServer.addTo(
                     channel.pipeline(),
                     exports,
                     gate,
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -101,7 +101,7 @@
                                     new ChannelInitializer<Channel>() {
                                         @Override
                                         protected void initChannel(Channel client) {
-                                            NbdServer.onto(
+                                            NbdServer.addTo(
                                                     client.pipeline(),
                                                     Running.this,
                                                     Running.this,
