--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -118,7 +118,7 @@
     /** Parts whose attempt is out, by the attempt's number on the wire. */
     private final Map<Long, RequestPart> out = new HashMap<>();
 
-    private final Map<NbdSession, Set<PendingRequest>> requests = new HashMap<>();
+    private final PendingRequests requests = new PendingRequests();
 
     /** Parts in hand whose holder is not known, by extent. */
     private final Map<Long, Set<RequestPart>> seeking = new HashMap<>();
@@ -162,9 +162,7 @@
     private boolean listChanged;
     private boolean holdersChanged;
     private double listKeptAt = Double.NEGATIVE_INFINITY;
-    private boolean stopping;
     private Runnable whenReady = () -> {};
-    private Runnable whenEmpty;
 
     /** A node of the list with its link, which is opened when an attempt needs it. */
     private final class Place implements NodeConnection.Listener {
@@ -547,13 +545,13 @@
 
     private void taken(NbdSession session, NbdRequest asked, ExportedVolume volume) {
         PendingRequest request = new PendingRequest(session, asked, volume, clock.now());
-        if (stopping) {
+        if (requests.isStopping()) {
             asked.payload().release();
             request.fail(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
             session.answer(request);
             return;
         }
-        requests.computeIfAbsent(session, any -> new HashSet<>()).add(request);
+        requests.add(request);
         switch (asked.command()) {
             case NbdConstants.CMD_FLUSH -> flush(request);
             case NbdConstants.CMD_BLOCK_STATUS -> {
@@ -568,7 +566,7 @@
         request.openParts = request.parts.size();
         counters.accepted.add(request.openParts);
         if (request.openParts == 0) {
-            close(request);
+            requests.complete(request);
         }
         for (RequestPart part : request.parts) {
             part.timer =
@@ -599,79 +597,53 @@
                 });
     }
 
+    /** The client's connection has ended: nothing is owed to it. From the client's loop. */
+    void sessionClosed(NbdSession session) {
+        loop.execute(
+                () -> {
+                    Set<PendingRequest> cancelled = requests.removeAll(session);
+                    for (PendingRequest request : cancelled) {
+                        cancel(request);
+                    }
+                    if (!cancelled.isEmpty()) {
+                        settle();
+                    }
+                    requests.notifyIfEmpty();
+                });
+    }
+
+    private void cancel(PendingRequest request) {
+        for (RequestPart part : List.copyOf(request.parts)) {
+            if (!part.operation.ended) {
+                leave(part);
+            }
+        }
+        request.release();
+        request.session.answer(request);
+    }
+
     /**
      * Extents without a holder are holes; the directory alone knows, for another gateway may have
      * written.
      */
     private void blockStatus(PendingRequest request) {
-        long offset = request.command.offset();
-        long end = offset + Integer.toUnsignedLong(request.command.length());
-        long first = offset / site.extentBytes();
-        int count = (int) Math.min(HOLDERS_AT_ONCE, (end - 1) / site.extentBytes() - first + 1);
+        BlockStatusRequest blockStatus =
+                BlockStatusRequest.of(request, site.extentBytes(), HOLDERS_AT_ONCE);
         directory.lookup(
                 request.volume.settings.id(),
-                first,
-                count,
+                blockStatus.firstExtent(),
+                blockStatus.extentCount(),
                 (cells, failure) -> {
-                    if (!inHand(request)) {
+                    if (!requests.contains(request)) {
                         return;
                     }
                     if (cells == null) {
                         request.fail(
                                 -1, NbdConstants.EIO, "the directory did not answer: " + failure);
                     } else {
-                        List<Integer> blocks = new ArrayList<>();
-                        long at = offset;
-                        for (int i = 0; i < cells.length; i++) {
-                            long until = Math.min(end, (first + i + 1) * site.extentBytes());
-                            int state =
-                                    cells[i] < 0
-                                            ? NbdConstants.STATE_HOLE | NbdConstants.STATE_ZERO
-                                            : 0;
-                            int last = blocks.size() - 1;
-                            if (last > 0 && blocks.get(last) == state) {
-                                blocks.set(last - 1, blocks.get(last - 1) + (int) (until - at));
-                            } else {
-                                blocks.add((int) (until - at));
-                                blocks.add(state);
-                            }
-                            at = until;
-                        }
-                        boolean one =
-                                (request.command.flags() & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
-                        request.blockDescriptors =
-                                blocks.stream()
-                                        .limit(one ? 2 : Long.MAX_VALUE)
-                                        .mapToInt(Integer::intValue)
-                                        .toArray();
-                    }
-                    close(request);
-                });
-    }
-
-    private boolean inHand(PendingRequest request) {
-        Set<PendingRequest> all = requests.get(request.session);
-        return all != null && all.contains(request);
-    }
-
-    /** The client's connection has ended: nothing is owed to it. From the client's loop. */
-    void sessionClosed(NbdSession session) {
-        loop.execute(
-                () -> {
-                    Set<PendingRequest> gone = requests.remove(session);
-                    if (gone != null) {
-                        for (PendingRequest request : gone) {
-                            for (RequestPart part : List.copyOf(request.parts)) {
-                                if (!part.operation.ended) {
-                                    leave(part);
-                                }
-                            }
-                            request.release();
-                            request.session.answer(request);
-                        }
-                        settle();
+                        request.blockDescriptors = blockStatus.descriptors(cells);
                     }
-                    emptied();
+                    requests.complete(request);
                 });
     }
 
@@ -1221,20 +1193,8 @@
         unseek(part);
         part.payload.release();
         if (--part.request.openParts == 0) {
-            close(part.request);
-        }
-    }
-
-    private void close(PendingRequest request) {
-        Set<PendingRequest> all = requests.get(request.session);
-        if (all != null) {
-            all.remove(request);
-            if (all.isEmpty()) {
-                requests.remove(request.session);
-            }
+            requests.complete(part.request);
         }
-        request.session.answer(request);
-        emptied();
     }
 
     // ---- what is due ----
@@ -1441,7 +1401,7 @@
         if (listed) {
             scheduler.onPollFailed(clock.now());
             settle();
-        } else if (!stopping) {
+        } else if (!requests.isStopping()) {
             loop.schedule(directory::fetch, (long) returning.next(), TimeUnit.MILLISECONDS);
         }
     }
@@ -1481,21 +1441,8 @@
     // ---- the end ----
 
     /** Takes nothing more, and runs the callback once all that is in hand has its final answer. */
-    void stop(Runnable empty) {
-        loop.execute(
-                () -> {
-                    stopping = true;
-                    whenEmpty = empty;
-                    emptied();
-                });
-    }
-
-    private void emptied() {
-        if (stopping && whenEmpty != null && requests.isEmpty()) {
-            Runnable empty = whenEmpty;
-            whenEmpty = null;
-            empty.run();
-        }
+    void stop(Runnable whenEmpty) {
+        loop.execute(() -> requests.stop(whenEmpty));
     }
 
     /** Ends all links. On the loop, once nothing is in hand or wanted. */
