--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -4,8 +4,6 @@
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -70,7 +68,7 @@
  * here but the methods said otherwise runs on one loop, which also owns the links to nodes and
  * directory.
  */
-final class NbdEngine implements DirectoryClient.Listener {
+final class NbdEngine implements DirectoryClient.Listener, NodeConnectionRegistry.Listener {
     /** A shard that no node has: Scheduler keeps such an operation until its holder is found. */
     private static final int NOT_FOUND_YET = Integer.MAX_VALUE;
 
@@ -100,18 +98,13 @@
 
     private final SiteConfig site;
     private final EventLoop loop;
-    private final Class<? extends Channel> kind;
     private final Clock clock;
     private final Scheduler scheduler;
     private final RequestSplitter splitter;
-    private final StoreMessages.Hello hello;
     private final DirectoryClient directory;
     private final Counters counters = new Counters();
     private final Map<String, ExportedVolume> exportedVolumes = new LinkedHashMap<>();
-    private final Map<Integer, Place> places = new LinkedHashMap<>();
-
-    /** The ready node of each cell. */
-    private final Map<Integer, Node> byCell = new HashMap<>();
+    private final NodeConnectionRegistry connections;
 
     private final ExtentHolders<RequestPart> holders = new ExtentHolders<>();
 
@@ -164,85 +157,10 @@
     private double listKeptAt = Double.NEGATIVE_INFINITY;
     private Runnable whenReady = () -> {};
 
-    /** A node of the list with its link, which is opened when an attempt needs it. */
-    private final class Place implements NodeConnection.Listener {
-        final Node node;
-        NodeConnection link;
-        long startedAt;
-
-        Place(int id) {
-            node = new Node(id);
-        }
-
-        @Override
-        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
-            NbdEngine.this.answered(attempt, answer, payload);
-        }
-
-        @Override
-        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
-            RequestPart part = out.remove(attempt);
-            if (part != null) {
-                ended(
-                        part,
-                        how == NodeConnection.ConnectionFailure.RESET
-                                ? Outcome.RESET
-                                : Outcome.NO_CONNECTION);
-            }
-        }
-
-        @Override
-        public void answeredAfterCancel(StoreMessages.Answer answer) {
-            accounts.late(node.id, answer.queuedMillis(), answer.serviceMillis());
-        }
-
-        @Override
-        public void healthReported(long id, float[] report) {
-            scheduler.onHealthCheck(node, Outcome.SERVED, 0, widened(report), clock.now());
-            settle();
-        }
-
-        @Override
-        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
-            startedAt = welcome.startedAt();
-            Membership.HandshakeVerdict meaning =
-                    membership.welcomed(
-                            node.id,
-                            welcome.node(),
-                            welcome.cell(),
-                            welcome.draining(),
-                            welcome.startedAt(),
-                            wall());
-            LOG.atInfo()
-                    .addKeyValue("node", node.id)
-                    .addKeyValue("started", startedAt)
-                    .addKeyValue("meaning", meaning)
-                    .log("node connected");
-            if (meaning != Membership.HandshakeVerdict.GO
-                    || !node.acceptsNewObjects
-                    || node.phase != Node.Phase.READY) {
-                adopt();
-            }
-            return meaning == Membership.HandshakeVerdict.GO && node.phase == Node.Phase.READY;
-        }
-
-        @Override
-        public void draining() {
-            LOG.atInfo().addKeyValue("node", node.id).log("node says that it drains");
-            membership.drains(node.id);
-            adopt();
-        }
-
-        @Override
-        public void disconnected() {
-            membership.lost(node.id, wall());
-        }
-    }
-
     NbdEngine(
             SiteConfig site,
             EventLoop loop,
-            Class<? extends Channel> kind,
+            Class<? extends Channel> channelType,
             Clock clock,
             long seed,
             Scheduler scheduler,
@@ -251,7 +169,6 @@
         this.site = site;
         this.loop = loop;
         this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
-        this.kind = kind;
         this.clock = clock;
         this.scheduler = scheduler;
         this.accounts =
@@ -269,9 +186,17 @@
         this.sampler =
                 new TailSampler(site.traces().perSecond(), site.traces().chance(), chance.split());
         this.splitter = new RequestSplitter(site);
-        this.hello = new StoreMessages.Hello(seed, site.name());
+        this.connections =
+                new NodeConnectionRegistry(
+                        loop,
+                        channelType,
+                        site.extentBytes(),
+                        new StoreMessages.Hello(seed, site.name()),
+                        clock,
+                        this);
         this.directory =
-                new DirectoryClient(loop, kind, site.directory().socket(), seed, site.name(), this);
+                new DirectoryClient(
+                        loop, channelType, site.directory().socket(), seed, site.name(), this);
         for (VolumeSettings line : site.volumes()) {
             Volume volume = new Volume(line.id(), site.deployment().plans().get(line.plan()));
             volume.gatewayCount = line.gateways();
@@ -929,7 +854,7 @@
         }
         LatencyComponent spent =
                 LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
-        accounts.waits(part.timer, spent, nodeOf(part.operation.shard), now);
+        accounts.waits(part.timer, spent, connections.readyNodeOf(part.operation.shard), now);
     }
 
     /**
@@ -950,16 +875,10 @@
         }
     }
 
-    /** The id of the node that holds a cell now; 0 if none does. */
-    private int nodeOf(int cell) {
-        Node node = byCell.get(cell);
-        return node == null ? 0 : node.id;
-    }
-
     private void hand(RequestPart part, Attempt attempt) {
         part.handedToConnection = true;
         accounts.sent(part.timer, attempt.node.id, attempt.quotaTier, clock.now());
-        Place place = places.get(attempt.node.id);
+        NodeConnection connection = connections.connection(attempt.node.id);
         counters.attempts.increment();
         boolean durable = (part.request.command.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
         StoreMessages.Send send =
@@ -978,12 +897,73 @@
                         part.expectedNodeStart,
                         part.kind != StoreMessages.Kind.FLUSH
                                 && unverified.contains(part.operation.extent));
-        place.link.send(part.attemptId, send, part.payload.retainedDuplicate());
+        connection.send(part.attemptId, send, part.payload.retainedDuplicate());
+    }
+
+    // ---- what nodes say ----
+
+    @Override
+    public void answeredAfterCancel(int nodeId, StoreMessages.Answer answer) {
+        accounts.late(nodeId, answer.queuedMillis(), answer.serviceMillis());
+    }
+
+    @Override
+    public void healthReported(Node node, float[] loadReport) {
+        scheduler.onHealthCheck(node, Outcome.SERVED, 0, widened(loadReport), clock.now());
+        settle();
+    }
+
+    @Override
+    public boolean handshakeCompleted(Node node, StoreMessages.HandshakeReply reply) {
+        Membership.HandshakeVerdict verdict =
+                membership.welcomed(
+                        node.id,
+                        reply.node(),
+                        reply.cell(),
+                        reply.draining(),
+                        reply.startedAt(),
+                        wall());
+        LOG.atInfo()
+                .addKeyValue("node", node.id)
+                .addKeyValue("started", reply.startedAt())
+                .addKeyValue("meaning", verdict)
+                .log("node connected");
+        if (verdict != Membership.HandshakeVerdict.GO
+                || !node.acceptsNewObjects
+                || node.phase != Node.Phase.READY) {
+            adopt();
+        }
+        return verdict == Membership.HandshakeVerdict.GO && node.phase == Node.Phase.READY;
+    }
+
+    @Override
+    public void draining(int nodeId) {
+        LOG.atInfo().addKeyValue("node", nodeId).log("node says that it drains");
+        membership.drains(nodeId);
+        adopt();
+    }
+
+    @Override
+    public void disconnected(int nodeId) {
+        membership.lost(nodeId, wall());
     }
 
     // ---- ends of attempts ----
 
-    private void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
+    @Override
+    public void failed(long attemptId, NodeConnection.ConnectionFailure failure) {
+        RequestPart part = out.remove(attemptId);
+        if (part != null) {
+            ended(
+                    part,
+                    failure == NodeConnection.ConnectionFailure.RESET
+                            ? Outcome.RESET
+                            : Outcome.NO_CONNECTION);
+        }
+    }
+
+    @Override
+    public void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
         RequestPart part = out.remove(attemptId);
         if (part == null) {
             payload.release();
@@ -1061,7 +1041,7 @@
             ended(part, Outcome.NOT_EXECUTED);
             return;
         }
-        boolean went = places.get(lastAttempt(part).node.id).link.cancel(attemptId);
+        boolean went = connections.connection(lastAttempt(part).node.id).cancel(attemptId);
         ended(part, went ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
     }
 
@@ -1106,7 +1086,7 @@
             volume.recordFlush(attempt.node.cell, part.writesBeforeFlush);
         } else if (part.kind.modifiesData()
                 && (part.request.command.flags() & NbdConstants.CMD_FLAG_FUA) == 0) {
-            volume.recordWrite(attempt.node.cell, places.get(attempt.node.id).startedAt);
+            volume.recordWrite(attempt.node.cell, connections.startedAt(attempt.node.id));
         }
     }
 
@@ -1119,7 +1099,7 @@
 
     private void end(RequestPart part, Accounts.End how, Reason reason) {
         double now = clock.now();
-        accounts.end(part.timer, how, reason, nodeOf(part.operation.shard), now);
+        accounts.end(part.timer, how, reason, connections.readyNodeOf(part.operation.shard), now);
         if (tracer == null || part.timer == null) {
             return;
         }
@@ -1219,7 +1199,7 @@
                 callOff(attempt);
             }
             for (Node node : turn.healthChecks()) {
-                places.get(node.id).link.checkHealth(++attemptIds);
+                connections.connection(node.id).checkHealth(++attemptIds);
             }
             switch (turn.poll()) {
                 case SUBSCRIBE -> directory.subscribe();
@@ -1252,7 +1232,7 @@
         }
         out.remove(part.attemptId);
         if (part.handedToConnection) {
-            places.get(attempt.node.id).link.cancel(part.attemptId);
+            connections.connection(attempt.node.id).cancel(part.attemptId);
         }
         ended(part, Outcome.CANCELLED);
     }
@@ -1319,18 +1299,15 @@
 
     /** Uses the nodes as membership sees them now. */
     private void adopt() {
-        List<Node> nodes = new ArrayList<>(places.size());
-        byCell.clear();
+        List<Node> nodes = new ArrayList<>();
+        connections.beginUpdate();
         for (Membership.MemberView seen : membership.seen(wall())) {
-            Node node = place(seen);
+            Node node = connections.update(seen);
             nodes.add(node);
             accounts.node(
                     node.id,
                     node.zone,
                     node.startedAt + site.deployment().policy().slowStartTime());
-            if (node.phase == Node.Phase.READY) {
-                byCell.put(node.cell, node);
-            }
         }
         listChanged = true;
         scheduler.onEndpointList(nodes, clock.now());
@@ -1346,7 +1323,7 @@
             adopt();
         }
         for (int node : membership.toAsk(wall)) {
-            places.get(node).link.ensureConnected();
+            connections.connection(node).ensureConnected();
         }
         if (directory.isSubscribed() && wall >= confirmAt && !exportedVolumes.isEmpty()) {
             confirmAt = wall + CONFIRMED_EVERY;
@@ -1362,34 +1339,6 @@
         }
     }
 
-    private Node place(Membership.MemberView seen) {
-        EndpointRecord line = seen.line();
-        Place place = places.computeIfAbsent(line.node(), Place::new);
-        Node node = place.node;
-        node.cell = line.cell();
-        node.zone = line.zone();
-        node.kind = line.kind();
-        node.weight = line.weight();
-        node.startedAt = clock.atWall(line.startedAt());
-        node.acceptsNewObjects = seen.takesNew();
-        node.phase =
-                switch (seen.use()) {
-                    case READY -> Node.Phase.READY;
-                    case DRAINING -> Node.Phase.DRAINING;
-                    case GONE -> Node.Phase.REMOVED;
-                };
-        SocketAddress address = new InetSocketAddress(line.host(), line.port());
-        if (place.link == null || !place.link.address().equals(address)) {
-            if (place.link != null) {
-                place.link.close();
-            }
-            place.link =
-                    new NodeConnection(
-                            loop, kind, site.extentBytes(), node.id, address, hello, place);
-        }
-        return node;
-    }
-
     @Override
     public void endpointListFailed(String why) {
         LOG.atWarn().addKeyValue("why", why).log("the directory's list failed");
@@ -1454,11 +1403,7 @@
             membersBeat.cancel(false);
         }
         alarm.cancel();
-        for (Place place : places.values()) {
-            if (place.link != null) {
-                place.link.close();
-            }
-        }
+        connections.close();
         directory.close();
     }
 
