--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -7,26 +7,17 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sagepulley.accounts.Accounts;
-import sagepulley.accounts.Cause;
-import sagepulley.accounts.IncrementalCopy;
 import sagepulley.accounts.LatencyAccount;
-import sagepulley.accounts.LatencyComponent;
-import sagepulley.accounts.LatencyReport;
-import sagepulley.accounts.StoredAccounts;
-import sagepulley.accounts.Totals;
 import sagepulley.codec.frame.EventLoopTimer;
 import sagepulley.codec.nbd.Export;
 import sagepulley.codec.nbd.NbdConstants;
@@ -43,7 +34,6 @@
 import sagepulley.membership.ReconnectBackoff;
 import sagepulley.membership.StoredEndpointList;
 import sagepulley.model.Attempt;
-import sagepulley.model.ExternalName;
 import sagepulley.model.FollowUp;
 import sagepulley.model.Node;
 import sagepulley.model.Operation;
@@ -52,12 +42,9 @@
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.Volume;
-import sagepulley.persistence.GatewayAccounts;
 import sagepulley.persistence.HolderFile;
 import sagepulley.placement.ExtentHolders;
 import sagepulley.scheduler.Scheduler;
-import sagepulley.scheduler.WaitExplainer;
-import sagepulley.tracing.OperationTrace;
 import sagepulley.tracing.TailSampler;
 import sagepulley.tracing.Tracer;
 import sagepulley.upstream.frame.NodeConnection;
@@ -89,10 +76,7 @@
 
     private static final double LIST_KEPT_EVERY = 30_000;
     private static final int HOLDERS_AT_ONCE = 1 << 14;
-    private static final int COPIED_AT_ONCE = 64;
     private static final int MOST_TOLD = 64;
-    private static final int ACCOUNTED_AT_ONCE = 256;
-    private static final long ACCOUNT_BEAT_MS = 20;
     private static final double NS = 1e6;
     private static final Logger LOG = LoggerFactory.getLogger(NbdEngine.class);
 
@@ -116,15 +100,8 @@
     /** Parts in hand whose holder is not known, by extent. */
     private final Map<Long, Set<RequestPart>> seeking = new HashMap<>();
 
-    private final Accounts accounts;
-
-    /** Null where no trace goes anywhere. */
-    private final Tracer tracer;
-
-    private final TailSampler sampler;
-
-    /** Parts that wait at Scheduler, in the order in which they are asked why. */
-    private final Set<RequestPart> waiting = new LinkedHashSet<>();
+    private final OperationAccounting accounting;
+    private final AccountReports accountReports;
 
     /**
      * When the latest versions of the list came, by the wall's clock: by these, gateways' books are
@@ -144,7 +121,6 @@
     private long attemptIds;
     private boolean settleDue;
     private final EventLoopTimer alarm;
-    private ScheduledFuture<?> beat;
     private ScheduledFuture<?> membersBeat;
     private boolean listed;
 
@@ -171,20 +147,11 @@
         this.alarm = new EventLoopTimer(loop, clock::now, this::settleNow);
         this.clock = clock;
         this.scheduler = scheduler;
-        this.accounts =
-                new Accounts(
-                        site.books().keep() ? Accounts.Bounds.USUAL : Accounts.Bounds.NONE,
-                        clock.wall(0),
-                        site.volumes().stream()
-                                .limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS)
-                                .map(line -> (long) line.id())
-                                .collect(Collectors.toSet()));
-        this.tracer = tracer;
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         this.membership = membership;
-        this.returning = new ReconnectBackoff(START_AGAIN, START_AGAIN_LONGEST, chance.split());
-        this.sampler =
-                new TailSampler(site.traces().perSecond(), site.traces().chance(), chance.split());
+        this.returning = new ReconnectBackoff(START_AGAIN, START_AGAIN_LONGEST, random.split());
+        TailSampler sampler =
+                new TailSampler(site.traces().perSecond(), site.traces().chance(), random.split());
         this.splitter = new RequestSplitter(site);
         this.connections =
                 new NodeConnectionRegistry(
@@ -194,6 +161,21 @@
                         new StoreMessages.Hello(seed, site.name()),
                         clock,
                         this);
+        this.accounting =
+                new OperationAccounting(
+                        site,
+                        clock,
+                        scheduler,
+                        connections,
+                        new OperationTracing(site.name(), clock, sampler, tracer));
+        this.accountReports =
+                new AccountReports(
+                        site.name(),
+                        loop,
+                        clock,
+                        exportedVolumes,
+                        accounting.accounts(),
+                        () -> told);
         this.directory =
                 new DirectoryClient(
                         loop, channelType, site.directory().socket(), seed, site.name(), this);
@@ -252,14 +234,7 @@
             adopt();
             whenReady.run();
         }
-        if (site.books().keep()) {
-            beat =
-                    loop.scheduleAtFixedRate(
-                            this::accountForWaiting,
-                            ACCOUNT_BEAT_MS,
-                            ACCOUNT_BEAT_MS,
-                            TimeUnit.MILLISECONDS);
-        }
+        accounting.start(loop);
     }
 
     /**
@@ -372,70 +347,14 @@
         return told;
     }
 
-    /** Each volume's account of the last so many milliseconds, by name. From any thread. */
-    CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
-        CompletableFuture<Map<String, LatencyReport>> told = new CompletableFuture<>();
-        loop.execute(
-                () -> {
-                    double now = clock.now();
-                    LatencyAccount book = accounts.book();
-                    Map<String, LatencyReport> reports = new LinkedHashMap<>();
-                    exportedVolumes.forEach(
-                            (name, volume) ->
-                                    reports.put(
-                                            name,
-                                            book.report(
-                                                    volume.settings.id(),
-                                                    clock.wall(now - lately),
-                                                    clock.wall(now))));
-                    told.complete(reports);
-                });
-        return told;
+    /** The accounts, for operators and the disk. From any thread. */
+    AccountReports accountReports() {
+        return accountReports;
     }
 
-    /** Sums since the start. From any thread. */
-    CompletableFuture<Totals> totals() {
-        CompletableFuture<Totals> told = new CompletableFuture<>();
-        loop.execute(() -> told.complete(accounts.totals()));
-        return told;
-    }
-
-    /**
-     * The accounts as they go to disk: copied piece by piece, and written out off this loop. From
-     * any thread.
-     */
-    CompletableFuture<GatewayAccounts> accountSnapshot() {
-        CompletableFuture<BookAt> copied = new CompletableFuture<>();
-        loop.execute(() -> copyBook(accounts.copy(), copied));
-        return copied.thenApplyAsync(
-                at -> {
-                    Map<Long, String> names = new LinkedHashMap<>();
-                    exportedVolumes.forEach(
-                            (name, volume) -> names.put((long) volume.settings.id(), name));
-                    return new GatewayAccounts(
-                            site.name(),
-                            (long) clock.wall(clock.now()),
-                            names,
-                            at.told,
-                            StoredAccounts.of(at.book));
-                });
-    }
-
-    /** A copy of the accounts, and which versions of the list had been told when it was whole. */
-    private record BookAt(LatencyAccount book, Map<Long, Double> told) {}
-
-    private void copyBook(IncrementalCopy copy, CompletableFuture<BookAt> copied) {
-        LatencyAccount whole = copy.more(COPIED_AT_ONCE);
-        if (whole != null) {
-            copied.complete(new BookAt(whole, Map.copyOf(told)));
-        } else {
-            loop.execute(() -> copyBook(copy, copied));
-        }
-    }
-
-    /** Goes on with the accounts of an earlier life. On the loop. */
+    /** Goes on with the accounts of an earlier incarnation. On the loop. */
     void restoreAccounts(LatencyAccount book) {
-        accounts.goOn(book, clock.now());
+        accounting.accounts().goOn(book, clock.now());
     }
 
     /** From any thread. */
@@ -494,13 +413,7 @@
             requests.complete(request);
         }
         for (RequestPart part : request.parts) {
-            part.timer =
-                    accounts.begin(
-                            request.volume.settings.id(),
-                            part.operation.trafficClass,
-                            part.kind.modifiesData(),
-                            part.operation.units,
-                            request.arrivedAt);
+            accounting.begin(part);
         }
         for (RequestPart part : List.copyOf(request.parts)) {
             if (part.kind == StoreMessages.Kind.FLUSH) {
@@ -579,8 +492,8 @@
         if (part.submitted) {
             scheduler.onClientCancelled(part.operation, clock.now());
         }
-        end(part, Accounts.End.LEFT, Reason.NONE);
-        waiting.remove(part);
+        accounting.ended(part, Accounts.End.LEFT, Reason.NONE);
+        accounting.stopsWaiting(part);
         part.payload.release();
     }
 
@@ -609,7 +522,7 @@
     private void park(long key, RequestPart part) {
         double now = clock.now();
         holders.park(key, part, now);
-        accounts.waits(part.timer, LatencyComponent.DIRECTORY, 0, now);
+        accounting.waitsForDirectory(part, now);
     }
 
     /** Whether the extent must have a holder afterwards. */
@@ -787,12 +700,11 @@
         Operation operation = part.operation;
         if (decision.kind() == RoutingDecision.Kind.WAIT) {
             if (!operation.ended) {
-                waiting.add(part);
-                account(part, clock.now());
+                accounting.waitsAtScheduler(part);
             }
             return;
         }
-        waiting.remove(part);
+        accounting.stopsWaiting(part);
         switch (decision.kind()) {
             case SEND -> {
                 Attempt attempt = operation.attempts.get(operation.attempts.size() - 1);
@@ -806,7 +718,7 @@
                                 Math.max(1, (long) (decision.timeout() * NS)),
                                 TimeUnit.NANOSECONDS);
                 if (operation.shard < 0) {
-                    accounts.claims(part.timer, attempt.node.id, clock.now());
+                    accounting.claims(part, attempt);
                     claim(part, attempt);
                 } else {
                     hand(part, attempt);
@@ -826,7 +738,7 @@
                         decision.reason(),
                         NbdConstants.ENOMEM,
                         "declined ("
-                                + word(decision.reason())
+                                + OperationTracing.words(decision.reason())
                                 + "): asking again does no harm"
                                 + when);
             }
@@ -843,41 +755,9 @@
         }
     }
 
-    private static String word(Enum<?> constant) {
-        return ExternalName.of(constant).replace('_', ' ');
-    }
-
-    /** States anew why an operation waits, and behind whom. */
-    private void account(RequestPart part, double now) {
-        if (part.timer == null) {
-            return; // no accounts are kept
-        }
-        LatencyComponent spent =
-                LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
-        accounts.waits(part.timer, spent, connections.readyNodeOf(part.operation.shard), now);
-    }
-
-    /**
-     * Operations wait for reasons that change without anything happening to them: some are asked at
-     * each beat.
-     */
-    private void accountForWaiting() {
-        double now = clock.now();
-        Iterator<RequestPart> each = waiting.iterator();
-        List<RequestPart> asked = new ArrayList<>();
-        while (each.hasNext() && asked.size() < ACCOUNTED_AT_ONCE) {
-            asked.add(each.next());
-            each.remove();
-        }
-        for (RequestPart part : asked) {
-            account(part, now);
-            waiting.add(part);
-        }
-    }
-
     private void hand(RequestPart part, Attempt attempt) {
         part.handedToConnection = true;
-        accounts.sent(part.timer, attempt.node.id, attempt.quotaTier, clock.now());
+        accounting.sent(part, attempt);
         NodeConnection connection = connections.connection(attempt.node.id);
         counters.attempts.increment();
         boolean durable = (part.request.command.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
@@ -904,7 +784,7 @@
 
     @Override
     public void answeredAfterCancel(int nodeId, StoreMessages.Answer answer) {
-        accounts.late(nodeId, answer.queuedMillis(), answer.serviceMillis());
+        accounting.answeredAfterCancel(nodeId, answer);
     }
 
     @Override
@@ -991,12 +871,7 @@
         }
         if (answer.code() == StoreMessages.Code.SERVED) {
             unverified.remove(part.operation.extent);
-            accounts.answered(
-                    part.timer,
-                    answer.queuedMillis(),
-                    answer.serviceMillis(),
-                    answer.loadReport().length == 0 ? Double.NaN : answer.loadReport()[0],
-                    clock.now());
+            accounting.served(part, answer);
         }
         int due = part.kind == StoreMessages.Kind.READ ? part.length : 0;
         if (outcome == Outcome.SERVED && payload.readableBytes() != due) {
@@ -1062,7 +937,7 @@
         }
         part.handedToConnection = false;
         if (outcome != Outcome.SERVED) {
-            accounts.failed(part.timer, outcome, now);
+            accounting.attemptFailed(part, outcome, now);
         }
         boolean first = !operation.ended && outcome == Outcome.SERVED;
         operation.ended |= first;
@@ -1093,83 +968,19 @@
     private void satisfied(RequestPart part) {
         part.operation.ended = true;
         counters.served.increment();
-        end(part, Accounts.End.SATISFIED, Reason.NONE);
+        accounting.ended(part, Accounts.End.SATISFIED, Reason.NONE);
         over(part);
     }
 
-    private void end(RequestPart part, Accounts.End how, Reason reason) {
-        double now = clock.now();
-        accounts.end(part.timer, how, reason, connections.readyNodeOf(part.operation.shard), now);
-        if (tracer == null || part.timer == null) {
-            return;
-        }
-        Operation operation = part.operation;
-        double took = now - operation.arrivedAt;
-        boolean missed =
-                how != Accounts.End.SATISFIED || took > operation.trafficClass.latencyObjective();
-        double standsFor = sampler.keeps(how, missed, operation.trafficClass.index(), took, now);
-        if (standsFor > 0) {
-            tracer.tell(story(part, how, reason, took, standsFor));
-        }
-    }
-
-    private OperationTrace story(
-            RequestPart part, Accounts.End how, Reason reason, double took, double standsFor) {
-        Operation operation = part.operation;
-        List<OperationTrace.Step> steps = new ArrayList<>(part.timer.steps());
-        for (int i = 0; i < part.timer.steps(); i++) {
-            steps.add(
-                    new OperationTrace.Step(
-                            part.timer.step(i), part.timer.stepNode(i), part.timer.stepLength(i)));
-        }
-        List<OperationTrace.Attempt> attempts = new ArrayList<>(operation.attempts.size());
-        for (Attempt attempt : operation.attempts) {
-            attempts.add(
-                    new OperationTrace.Attempt(
-                            attempt.number,
-                            attempt.node.id,
-                            attempt.quotaTier,
-                            attempt.sentAt - operation.arrivedAt,
-                            attempt.duration,
-                            attempt.outcome));
-        }
-        Cause cause = part.timer.mainCause();
-        String named =
-                cause == null
-                        ? ""
-                        : word(cause.kind())
-                                + (cause.volume() == 0 ? "" : ", volume " + cause.volume())
-                                + (cause.node() == 0 ? "" : ", node " + cause.node())
-                                + (cause.estimate() ? ", estimate" : "");
-        return new OperationTrace(
-                site.name(),
-                operation.id,
-                part.request.command.cookie(),
-                part.request.volume.settings.name(),
-                operation.trafficClass.name(),
-                word(part.kind),
-                part.extent,
-                operation.units,
-                clock.wall(operation.arrivedAt),
-                took,
-                how,
-                reason,
-                named,
-                sampler.why(),
-                standsFor,
-                steps,
-                attempts);
-    }
-
     private void finish(RequestPart part, Accounts.End how, Reason reason, int error, String why) {
         part.operation.ended = true;
-        end(part, how, reason);
+        accounting.ended(part, how, reason);
         part.request.fail(part.exportOffset, error, why);
         over(part);
     }
 
     private void over(RequestPart part) {
-        waiting.remove(part);
+        accounting.stopsWaiting(part);
         unseek(part);
         part.payload.release();
         if (--part.request.openParts == 0) {
@@ -1304,10 +1115,7 @@
         for (Membership.MemberView seen : membership.seen(wall())) {
             Node node = connections.update(seen);
             nodes.add(node);
-            accounts.node(
-                    node.id,
-                    node.zone,
-                    node.startedAt + site.deployment().policy().slowStartTime());
+            accounting.nodeUpdated(node);
         }
         listChanged = true;
         scheduler.onEndpointList(nodes, clock.now());
@@ -1396,9 +1204,7 @@
 
     /** Ends all links. On the loop, once nothing is in hand or wanted. */
     void close() {
-        if (beat != null) {
-            beat.cancel(false);
-        }
+        accounting.close();
         if (membersBeat != null) {
             membersBeat.cancel(false);
         }
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -142,7 +142,10 @@
         AccountFile file = new AccountFile(site.books().file(), site.name());
         snapshotWriters.add(
                 new PeriodicWriter<>(
-                        "accounts", site.books().every(), engine::accountSnapshot, file::write));
+                        "accounts",
+                        site.books().every(),
+                        engine.accountReports()::snapshot,
+                        file::write));
         try {
             return file.goOn();
         } catch (IOException e) {
@@ -261,7 +264,7 @@
 
     /** Each volume's account of latency over the last so many milliseconds, by its name. */
     public CompletableFuture<Map<String, LatencyReport>> accounts(double recentMillis) {
-        return engine.accounts(recentMillis);
+        return engine.accountReports().recent(recentMillis);
     }
 
     /** What it knows of its nodes. */
@@ -271,7 +274,7 @@
 
     /** Sums of the accounts since the start. */
     public CompletableFuture<Totals> totals() {
-        return engine.totals();
+        return engine.accountReports().totals();
     }
 
     /** Traces made since the start, and those dropped; 0 where none go anywhere. */
@@ -285,7 +288,7 @@
 
     /** A copy of all accounts as they stand, as they go to disk. */
     public CompletableFuture<GatewayAccounts> accountSnapshot() {
-        return engine.accountSnapshot();
+        return engine.accountReports().snapshot();
     }
 
     /** Bytes of requests in hand now, and the most there ever were. */
--- /dev/null
+++ b/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
@@ -0,0 +1,185 @@
+package sagepulley.frontend.nbd;
+
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
+import sagepulley.accounts.Accounts;
+import sagepulley.accounts.LatencyComponent;
+import sagepulley.config.SiteConfig;
+import sagepulley.engine.Clock;
+import sagepulley.model.Attempt;
+import sagepulley.model.Node;
+import sagepulley.model.Outcome;
+import sagepulley.model.Reason;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.scheduler.WaitExplainer;
+import sagepulley.upstream.frame.StoreMessages;
+
+/**
+ * Charges each operation's time to what it was spent on, and to whom it waited behind. Owns the
+ * gateway's accounts; confined to the engine's event loop.
+ */
+final class OperationAccounting {
+    private static final int MAX_WAITS_PER_UPDATE = 256;
+    private static final long UPDATE_INTERVAL_MILLIS = 20;
+
+    private final SiteConfig site;
+    private final Clock clock;
+    private final Scheduler scheduler;
+    private final NodeConnectionRegistry connections;
+    private final OperationTracing tracing;
+    private final Accounts accounts;
+
+    /** Parts that wait at the scheduler, in the order in which their reason is updated. */
+    private final Set<RequestPart> waiting = new LinkedHashSet<>();
+
+    private ScheduledFuture<?> updates;
+
+    OperationAccounting(
+            SiteConfig site,
+            Clock clock,
+            Scheduler scheduler,
+            NodeConnectionRegistry connections,
+            OperationTracing tracing) {
+        this.site = site;
+        this.clock = clock;
+        this.scheduler = scheduler;
+        this.connections = connections;
+        this.tracing = tracing;
+        this.accounts =
+                new Accounts(
+                        site.books().keep() ? Accounts.Bounds.USUAL : Accounts.Bounds.NONE,
+                        clock.wall(0),
+                        site.volumes().stream()
+                                .limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS)
+                                .map(volume -> (long) volume.id())
+                                .collect(Collectors.toSet()));
+    }
+
+    /** Begins to update the reasons for which operations wait, if accounts are wanted. */
+    void start(EventLoop loop) {
+        if (site.books().keep()) {
+            updates =
+                    loop.scheduleAtFixedRate(
+                            this::updateWaits,
+                            UPDATE_INTERVAL_MILLIS,
+                            UPDATE_INTERVAL_MILLIS,
+                            TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /** Ends the updates. */
+    void close() {
+        if (updates != null) {
+            updates.cancel(false);
+        }
+    }
+
+    /** The accounts, for copies and reports. */
+    Accounts accounts() {
+        return accounts;
+    }
+
+    /** A node as membership sees it now. */
+    void nodeUpdated(Node node) {
+        accounts.node(
+                node.id, node.zone, node.startedAt + site.deployment().policy().slowStartTime());
+    }
+
+    /** A part of an accepted request begins. */
+    void begin(RequestPart part) {
+        part.timer =
+                accounts.begin(
+                        part.request.volume.settings.id(),
+                        part.operation.trafficClass,
+                        part.kind.modifiesData(),
+                        part.operation.units,
+                        part.request.arrivedAt);
+    }
+
+    /** A part waits for the directory from now (engine milliseconds) on. */
+    void waitsForDirectory(RequestPart part, double now) {
+        accounts.waits(part.timer, LatencyComponent.DIRECTORY, 0, now);
+    }
+
+    /** The scheduler lets a part wait. */
+    void waitsAtScheduler(RequestPart part) {
+        waiting.add(part);
+        updateWait(part, clock.now());
+    }
+
+    /** A part does not wait at the scheduler any more. */
+    void stopsWaiting(RequestPart part) {
+        waiting.remove(part);
+    }
+
+    /** An attempt waits for a claim of its extent. */
+    void claims(RequestPart part, Attempt attempt) {
+        accounts.claims(part.timer, attempt.node.id, clock.now());
+    }
+
+    /** An attempt goes out to its node. */
+    void sent(RequestPart part, Attempt attempt) {
+        accounts.sent(part.timer, attempt.node.id, attempt.quotaTier, clock.now());
+    }
+
+    /** A node served an attempt. */
+    void served(RequestPart part, StoreMessages.Answer answer) {
+        accounts.answered(
+                part.timer,
+                answer.queuedMillis(),
+                answer.serviceMillis(),
+                answer.loadReport().length == 0 ? Double.NaN : answer.loadReport()[0],
+                clock.now());
+    }
+
+    /** A node answered an attempt that had been cancelled. */
+    void answeredAfterCancel(int nodeId, StoreMessages.Answer answer) {
+        accounts.late(nodeId, answer.queuedMillis(), answer.serviceMillis());
+    }
+
+    /** An attempt ended without being served. */
+    void attemptFailed(RequestPart part, Outcome outcome, double now) {
+        accounts.failed(part.timer, outcome, now);
+    }
+
+    /** A part has its final answer; its trace goes out if it is sampled. */
+    void ended(RequestPart part, Accounts.End end, Reason reason) {
+        double now = clock.now();
+        accounts.end(part.timer, end, reason, connections.readyNodeOf(part.operation.shard), now);
+        tracing.ended(part, end, reason, now);
+    }
+
+    /**
+     * Operations wait for reasons that change without anything happening to them: some are asked
+     * for theirs each time.
+     */
+    private void updateWaits() {
+        double now = clock.now();
+        Iterator<RequestPart> next = waiting.iterator();
+        List<RequestPart> updated = new ArrayList<>();
+        while (next.hasNext() && updated.size() < MAX_WAITS_PER_UPDATE) {
+            updated.add(next.next());
+            next.remove();
+        }
+        for (RequestPart part : updated) {
+            updateWait(part, now);
+            waiting.add(part);
+        }
+    }
+
+    private void updateWait(RequestPart part, double now) {
+        if (part.timer == null) {
+            return; // no accounts are kept
+        }
+        LatencyComponent component =
+                LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
+        accounts.waits(part.timer, component, connections.readyNodeOf(part.operation.shard), now);
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -0,0 +1,111 @@
+package sagepulley.frontend.nbd;
+
+import java.util.ArrayList;
+import java.util.List;
+import sagepulley.accounts.Accounts;
+import sagepulley.accounts.Cause;
+import sagepulley.accounts.OperationTimer;
+import sagepulley.engine.Clock;
+import sagepulley.model.Attempt;
+import sagepulley.model.ExternalName;
+import sagepulley.model.Operation;
+import sagepulley.model.Reason;
+import sagepulley.tracing.OperationTrace;
+import sagepulley.tracing.TailSampler;
+import sagepulley.tracing.Tracer;
+
+/** Records the traces of sampled operations once they have ended. Confined to the event loop. */
+final class OperationTracing {
+    private final String gatewayName;
+    private final Clock clock;
+    private final TailSampler sampler;
+
+    /** Null if traces are not wanted. */
+    private final Tracer tracer;
+
+    OperationTracing(String gatewayName, Clock clock, TailSampler sampler, Tracer tracer) {
+        this.gatewayName = gatewayName;
+        this.clock = clock;
+        this.sampler = sampler;
+        this.tracer = tracer;
+    }
+
+    /** A part has its final answer at this time of the engine's clock. */
+    void ended(RequestPart part, Accounts.End end, Reason reason, double now) {
+        if (tracer == null || part.timer == null) {
+            return;
+        }
+        Operation operation = part.operation;
+        double duration = now - operation.arrivedAt;
+        boolean missedObjective =
+                end != Accounts.End.SATISFIED
+                        || duration > operation.trafficClass.latencyObjective();
+        double weight =
+                sampler.keeps(end, missedObjective, operation.trafficClass.index(), duration, now);
+        if (weight > 0) {
+            tracer.tell(trace(part, end, reason, duration, weight));
+        }
+    }
+
+    private OperationTrace trace(
+            RequestPart part, Accounts.End end, Reason reason, double duration, double weight) {
+        Operation operation = part.operation;
+        return new OperationTrace(
+                gatewayName,
+                operation.id,
+                part.request.command.cookie(),
+                part.request.volume.settings.name(),
+                operation.trafficClass.name(),
+                words(part.kind),
+                part.extent,
+                operation.units,
+                clock.wall(operation.arrivedAt),
+                duration,
+                end,
+                reason,
+                describe(part.timer.mainCause()),
+                sampler.why(),
+                weight,
+                steps(part.timer),
+                attempts(operation));
+    }
+
+    private static List<OperationTrace.Step> steps(OperationTimer timer) {
+        List<OperationTrace.Step> steps = new ArrayList<>(timer.steps());
+        for (int i = 0; i < timer.steps(); i++) {
+            steps.add(
+                    new OperationTrace.Step(timer.step(i), timer.stepNode(i), timer.stepLength(i)));
+        }
+        return steps;
+    }
+
+    private static List<OperationTrace.Attempt> attempts(Operation operation) {
+        List<OperationTrace.Attempt> attempts = new ArrayList<>(operation.attempts.size());
+        for (Attempt attempt : operation.attempts) {
+            attempts.add(
+                    new OperationTrace.Attempt(
+                            attempt.number,
+                            attempt.node.id,
+                            attempt.quotaTier,
+                            attempt.sentAt - operation.arrivedAt,
+                            attempt.duration,
+                            attempt.outcome));
+        }
+        return attempts;
+    }
+
+    private static String describe(Cause cause) {
+        if (cause == null) {
+            return "";
+        }
+        return words(cause.kind())
+                + (cause.volume() == 0 ? "" : ", volume " + cause.volume())
+                + (cause.node() == 0 ? "" : ", node " + cause.node())
+                + (cause.estimate() ? ", estimate" : "");
+    }
+
+    /** A constant's external name, as words. */
+    static String words(Enum<?> constant) {
+        return ExternalName.of(constant).replace('_', ' ');
+    }
+}
