--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -6,7 +6,6 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -42,8 +41,6 @@
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.Volume;
-import sagepulley.persistence.HolderFile;
-import sagepulley.placement.ExtentHolders;
 import sagepulley.scheduler.Scheduler;
 import sagepulley.tracing.TailSampler;
 import sagepulley.tracing.Tracer;
@@ -55,10 +52,10 @@
  * here but the methods said otherwise runs on one loop, which also owns the links to nodes and
  * directory.
  */
-final class NbdEngine implements DirectoryClient.Listener, NodeConnectionRegistry.Listener {
-    /** A shard that no node has: Scheduler keeps such an operation until its holder is found. */
-    private static final int NOT_FOUND_YET = Integer.MAX_VALUE;
-
+final class NbdEngine
+        implements DirectoryClient.Listener,
+                NodeConnectionRegistry.Listener,
+                ExtentLocator.Listener {
     private static final int LEAST_BLOCK = 512;
     private static final int PREFERRED_BLOCK = 4096;
 
@@ -75,7 +72,6 @@
     private static final double CONFIRMED_EVERY = 30_000;
 
     private static final double LIST_KEPT_EVERY = 30_000;
-    private static final int HOLDERS_AT_ONCE = 1 << 14;
     private static final int MOST_TOLD = 64;
     private static final double NS = 1e6;
     private static final Logger LOG = LoggerFactory.getLogger(NbdEngine.class);
@@ -90,18 +86,15 @@
     private final Map<String, ExportedVolume> exportedVolumes = new LinkedHashMap<>();
     private final NodeConnectionRegistry connections;
 
-    private final ExtentHolders<RequestPart> holders = new ExtentHolders<>();
-
     /** Parts whose attempt is out, by the attempt's number on the wire. */
     private final Map<Long, RequestPart> out = new HashMap<>();
 
     private final PendingRequests requests = new PendingRequests();
 
-    /** Parts in hand whose holder is not known, by extent. */
-    private final Map<Long, Set<RequestPart>> seeking = new HashMap<>();
-
     private final OperationAccounting accounting;
     private final AccountReports accountReports;
+    private final ExtentLocator locator;
+    private final HolderSnapshots holderSnapshots;
 
     /**
      * When the latest versions of the list came, by the wall's clock: by these, gateways' books are
@@ -112,24 +105,14 @@
     private final Membership membership;
     private final ReconnectBackoff returning;
 
-    /**
-     * Extents whose holder is known from disk only: the first node that is asked says whether it is
-     * so.
-     */
-    private final Set<Long> unverified = new HashSet<>();
-
     private long attemptIds;
     private boolean settleDue;
     private final EventLoopTimer alarm;
     private ScheduledFuture<?> membersBeat;
     private boolean listed;
 
-    /** The directory cannot be reached: nobody but Scheduler's asking for the list tries it. */
-    private boolean directoryDown;
-
     private double confirmAt = Double.NEGATIVE_INFINITY;
     private boolean listChanged;
-    private boolean holdersChanged;
     private double listKeptAt = Double.NEGATIVE_INFINITY;
     private Runnable whenReady = () -> {};
 
@@ -179,6 +162,8 @@
         this.directory =
                 new DirectoryClient(
                         loop, channelType, site.directory().socket(), seed, site.name(), this);
+        this.locator = new ExtentLocator(directory, scheduler, clock, site.extentBytes(), this);
+        this.holderSnapshots = new HolderSnapshots(loop, locator, exportedVolumes.values());
         for (VolumeSettings line : site.volumes()) {
             Volume volume = new Volume(line.id(), site.deployment().plans().get(line.plan()));
             volume.gatewayCount = line.gateways();
@@ -246,21 +231,10 @@
             membership.kept(list, wall());
         }
         for (ExportedVolume volume : exportedVolumes.values()) {
-            int[] row = cells.getOrDefault(volume.settings.id(), new int[0]);
-            for (int i = 0; i < Math.min(row.length, extents(volume)); i++) {
-                if (row[i] >= 0) {
-                    long key = ExtentHolders.key(volume.settings.id(), i);
-                    holders.learned(key, row[i]);
-                    unverified.add(key);
-                }
-            }
+            locator.restore(volume, cells.getOrDefault(volume.settings.id(), new int[0]));
         }
     }
 
-    private long extents(ExportedVolume volume) {
-        return (volume.settings.size() - 1) / site.extentBytes() + 1;
-    }
-
     private double wall() {
         return clock.wall(clock.now());
     }
@@ -280,57 +254,6 @@
         return told;
     }
 
-    /**
-     * The known cells of all volumes' extents, gathered piece by piece; null if nothing is new.
-     * From any thread.
-     */
-    CompletableFuture<Map<Integer, int[]>> holderSnapshot() {
-        CompletableFuture<Map<Integer, int[]>> told = new CompletableFuture<>();
-        loop.execute(
-                () -> {
-                    if (!holdersChanged) {
-                        told.complete(null);
-                        return;
-                    }
-                    holdersChanged = false;
-                    gather(
-                            new LinkedHashMap<>(),
-                            new ArrayList<>(exportedVolumes.values()),
-                            0,
-                            HolderFile.MOST_EXTENTS,
-                            told);
-                });
-        return told;
-    }
-
-    private void gather(
-            Map<Integer, int[]> rows,
-            List<ExportedVolume> left,
-            int from,
-            long room,
-            CompletableFuture<Map<Integer, int[]>> told) {
-        if (left.isEmpty() || room <= 0) {
-            told.complete(rows);
-            return;
-        }
-        int id = left.get(0).settings.id();
-        int length = (int) Math.min(room, extents(left.get(0)));
-        int[] row = rows.computeIfAbsent(id, any -> new int[length]);
-        int end = Math.min(length, from + HOLDERS_AT_ONCE);
-        for (int i = from; i < end; i++) {
-            row[i] = holders.cell(ExtentHolders.key(id, i));
-        }
-        boolean more = end < length;
-        loop.execute(
-                () ->
-                        gather(
-                                rows,
-                                more ? left : left.subList(1, left.size()),
-                                more ? end : 0,
-                                more ? room : room - length,
-                                told));
-    }
-
     /** The nodes as they are seen, for operators. From any thread. */
     CompletableFuture<NodesView> nodesView() {
         CompletableFuture<NodesView> told = new CompletableFuture<>();
@@ -341,12 +264,17 @@
                                         site.name(),
                                         membership.trust(wall()),
                                         membership.age(wall()),
-                                        !directoryDown && directory.isOpen(),
-                                        unverified.size(),
+                                        locator.isDirectoryReachable(),
+                                        locator.unverifiedCount(),
                                         membership.seen(wall()))));
         return told;
     }
 
+    /** The holders of extents, for the disk. From any thread. */
+    HolderSnapshots holderSnapshots() {
+        return holderSnapshots;
+    }
+
     /** The accounts, for operators and the disk. From any thread. */
     AccountReports accountReports() {
         return accountReports;
@@ -419,7 +347,7 @@
             if (part.kind == StoreMessages.Kind.FLUSH) {
                 show(part);
             } else {
-                seek(part);
+                locator.locate(part);
             }
         }
         settle();
@@ -466,7 +394,8 @@
      */
     private void blockStatus(PendingRequest request) {
         BlockStatusRequest blockStatus =
-                BlockStatusRequest.of(request, site.extentBytes(), HOLDERS_AT_ONCE);
+                BlockStatusRequest.of(
+                        request, site.extentBytes(), ExtentLocator.MAX_EXTENTS_PER_STEP);
         directory.lookup(
                 request.volume.settings.id(),
                 blockStatus.firstExtent(),
@@ -488,7 +417,7 @@
     private void leave(RequestPart part) {
         part.operation.ended = true;
         counters.cancelled.increment();
-        unseek(part);
+        locator.forget(part);
         if (part.submitted) {
             scheduler.onClientCancelled(part.operation, clock.now());
         }
@@ -497,200 +426,54 @@
         part.payload.release();
     }
 
-    // ---- the holder of an extent ----
-
-    private void seek(RequestPart part) {
-        long key = part.operation.extent;
-        int cell = holders.cell(key);
-        if (cell >= 0) {
-            part.operation.shard = cell;
-            show(part);
-            return;
-        }
-        seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
-        if (holders.claiming(key)) {
-            park(key, part);
-        } else if (creates(part)) {
-            part.operation.shard = newShard();
-            show(part);
-        } else {
-            park(key, part);
-            lookUp(part);
-        }
-    }
-
-    private void park(long key, RequestPart part) {
-        double now = clock.now();
-        holders.park(key, part, now);
-        accounting.waitsForDirectory(part, now);
-    }
-
-    /** Whether the extent must have a holder afterwards. */
-    private static boolean creates(RequestPart part) {
-        return part.kind == StoreMessages.Kind.WRITE
-                || (part.kind == StoreMessages.Kind.ZERO
-                        && (part.request.command.flags() & NbdConstants.CMD_FLAG_NO_HOLE) != 0);
-    }
+    // ---- Scheduler's answers ----
 
-    /**
-     * Asked after the operation came: an older answer could not know of a write acknowledged since.
-     */
-    private void lookUp(RequestPart part) {
-        if (directoryDown) {
-            if (holders.unpark(part.operation.extent, part)) {
-                handOn(part);
-            }
-            return;
-        }
-        directory.lookup(
-                part.request.volume.settings.id(),
-                part.extent,
-                1,
-                (cells, failure) -> {
-                    if (part.operation.ended) {
-                        return;
-                    }
-                    if (cells == null) {
-                        directoryFailed();
-                        if (holders.unpark(part.operation.extent, part)) {
-                            handOn(part);
-                        }
-                    } else if (cells[0] >= 0) {
-                        found(part.operation.extent, cells[0]);
+    private void claim(RequestPart part, Attempt attempt) {
+        locator.claim(
+                part,
+                attempt,
+                cell -> {
+                    if (attempt.outcome != null) {
+                        settle();
+                    } else if (cell != null && cell == attempt.node.cell) {
+                        hand(part, attempt);
                     } else {
-                        if (part.submitted) {
-                            part.operation.ended = true;
-                            scheduler.onEndedWithoutNode(part.operation);
-                        }
-                        counters.holes.increment();
-                        if (part.kind == StoreMessages.Kind.READ) {
-                            part.request.readChunks.add(
-                                    new PendingRequest.ReadChunk(
-                                            part.exportOffset, part.length, null));
-                        }
-                        satisfied(part);
+                        // Another node holds it, or nobody can say: the attempt never went out.
+                        out.remove(part.attemptId);
+                        ended(part, Outcome.NOT_EXECUTED);
                     }
-                    settle();
                 });
     }
 
-    /** A holder became known: whoever waited for it, here or at Scheduler, goes there. */
-    private void found(long key, int cell) {
-        Set<RequestPart> all = seeking.remove(key);
-        List<RequestPart> parked = holders.learned(key, cell);
-        int holder = holders.cell(key);
-        holdersChanged = true;
-        if (all != null) {
-            for (RequestPart part : all) {
-                if (part.submitted) {
-                    scheduler.onExtentLocated(part.operation, holder);
-                }
-            }
-        }
-        for (RequestPart part : parked) {
-            if (!part.operation.ended) {
-                part.operation.shard = holder;
-                show(part);
-            }
-        }
-    }
-
-    /** Who waited long enough for the directory is Scheduler's to decide about. */
-    private void handOn(RequestPart part) {
-        if (part.operation.ended) {
-            return;
-        }
-        part.operation.shard = creates(part) ? newShard() : NOT_FOUND_YET;
+    @Override
+    public void located(RequestPart part) {
         show(part);
     }
 
-    /** Where a first write goes: to any node, or, while no claim can be made, to none yet. */
-    private int newShard() {
-        return directoryDown ? NOT_FOUND_YET : -1;
-    }
-
-    private void directoryFailed() {
-        directoryDown |= !directory.isOpen();
-    }
-
-    /** It answers again: claims can be made, and what was not known can be asked. */
-    private void directoryAnswered() {
-        if (!directoryDown) {
-            return;
-        }
-        directoryDown = false;
-        LOG.atInfo().addKeyValue("extents", seeking.size()).log("the directory answers again");
-        for (Map.Entry<Long, Set<RequestPart>> entry : List.copyOf(seeking.entrySet())) {
-            refile(entry.getKey(), -1);
-            for (RequestPart part : List.copyOf(entry.getValue())) {
-                if (!creates(part) && part.attemptId == 0 && !part.operation.ended) {
-                    lookUp(part);
-                }
-            }
+    @Override
+    public void unallocated(RequestPart part) {
+        if (part.submitted) {
+            part.operation.ended = true;
+            scheduler.onEndedWithoutNode(part.operation);
         }
-    }
-
-    /** Tells Scheduler anew where the first writes to an extent go that wait with it. */
-    private void refile(long key, int shard) {
-        for (RequestPart part : seeking.getOrDefault(key, Set.of())) {
-            if (part.submitted
-                    && part.attemptId == 0
-                    && part.operation.shard != shard
-                    && creates(part)) {
-                scheduler.onExtentLocated(part.operation, shard);
-            }
+        counters.holes.increment();
+        if (part.kind == StoreMessages.Kind.READ) {
+            part.request.readChunks.add(
+                    new PendingRequest.ReadChunk(part.exportOffset, part.length, null));
         }
+        satisfied(part);
     }
 
-    private void unseek(RequestPart part) {
-        long key = part.operation.extent;
-        Set<RequestPart> all = seeking.get(key);
-        if (all != null && all.remove(part) && all.isEmpty()) {
-            seeking.remove(key);
-        }
-        holders.unpark(key, part);
+    @Override
+    public void waitsForDirectory(RequestPart part, double now) {
+        accounting.waitsForDirectory(part, now);
     }
 
-    private void claim(RequestPart part, Attempt attempt) {
-        long key = part.operation.extent;
-        holders.claims(key);
-        // Other first writes to the extent wait for this claim, or they would lose theirs against
-        // it.
-        refile(key, NOT_FOUND_YET);
-        directory.claim(
-                part.request.volume.settings.id(),
-                part.extent,
-                attempt.node.cell,
-                (cell, failure) -> {
-                    if (cell != null) {
-                        found(key, cell);
-                    }
-                    if (cell == null) {
-                        directoryFailed();
-                        refile(key, newShard());
-                        if (directoryDown && !part.operation.ended) {
-                            scheduler.onExtentLocated(part.operation, NOT_FOUND_YET);
-                        }
-                    }
-                    for (RequestPart waiting : holders.claimed(key)) {
-                        handOn(waiting);
-                    }
-                    if (attempt.outcome != null) {
-                        settle();
-                        return;
-                    }
-                    if (cell != null && cell == attempt.node.cell) {
-                        hand(part, attempt);
-                    } else {
-                        // Another node holds it, or nobody can say: the attempt never went out.
-                        out.remove(part.attemptId);
-                        ended(part, Outcome.NOT_EXECUTED);
-                    }
-                });
+    @Override
+    public void schedulerChanged() {
+        settle();
     }
 
-    // ---- Scheduler's answers ----
-
     private void show(RequestPart part) {
         part.submitted = true;
         carryOut(part, scheduler.route(part.operation, clock.now()));
@@ -775,8 +558,7 @@
                         part.length,
                         (float) part.operation.units,
                         part.expectedNodeStart,
-                        part.kind != StoreMessages.Kind.FLUSH
-                                && unverified.contains(part.operation.extent));
+                        part.kind != StoreMessages.Kind.FLUSH && locator.isUnverified(part));
         connection.send(part.attemptId, send, part.payload.retainedDuplicate());
     }
 
@@ -863,14 +645,9 @@
         attempt.planUsagePercent = answer.planUsage() == 0 ? Double.NaN : answer.planUsage() - 1;
         attempt.otherGatewaysUnits = answer.otherGatewaysUnits();
         attempt.report = widened(answer.loadReport());
-        boolean denied =
-                answer.code() == StoreMessages.Code.NOT_EXECUTED
-                        && unverified.remove(part.operation.extent);
-        if (denied) {
-            deny(part);
-        }
+        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.denied(part);
         if (answer.code() == StoreMessages.Code.SERVED) {
-            unverified.remove(part.operation.extent);
+            locator.verified(part);
             accounting.served(part, answer);
         }
         int due = part.kind == StoreMessages.Kind.READ ? part.length : 0;
@@ -884,26 +661,8 @@
             payload.release();
         }
         ended(part, outcome);
-        if (denied && !part.operation.ended && !creates(part)) {
-            lookUp(part);
-        }
-    }
-
-    /**
-     * The holder that the disk named does not hold the extent: nobody is believed to, until it is
-     * found.
-     */
-    private void deny(RequestPart part) {
-        long key = part.operation.extent;
-        LOG.atInfo()
-                .addKeyValue("volume", part.request.volume.settings.name())
-                .addKeyValue("extent", part.extent)
-                .log("its holder by the disk denies it");
-        holders.forget(key);
-        holdersChanged = true;
-        seeking.computeIfAbsent(key, any -> new HashSet<>()).add(part);
-        if (!part.operation.ended) {
-            scheduler.onExtentLocated(part.operation, creates(part) ? newShard() : NOT_FOUND_YET);
+        if (denied) {
+            locator.locateAfterDenial(part);
         }
     }
 
@@ -981,7 +740,7 @@
 
     private void over(RequestPart part) {
         accounting.stopsWaiting(part);
-        unseek(part);
+        locator.forget(part);
         part.payload.release();
         if (--part.request.openParts == 0) {
             requests.complete(part.request);
@@ -1001,9 +760,7 @@
     private void settleNow() {
         settleDue = false;
         double now = clock.now();
-        for (RequestPart part : holders.overdue(now)) {
-            handOn(part);
-        }
+        locator.releaseOverdue(now);
         SchedulerTurn turn = scheduler.nextTurn(now);
         while (true) {
             for (Attempt attempt : turn.cancellations()) {
@@ -1028,7 +785,7 @@
             }
             turn = scheduler.nextTurn(now);
         }
-        alarm.by(Math.min(now + turn.delay(), holders.nextOverdue()));
+        alarm.by(Math.min(now + turn.delay(), locator.nextOverdue()));
     }
 
     private static RequestPart partOf(Operation operation) {
@@ -1052,7 +809,7 @@
 
     @Override
     public void endpointListReceived(DirectoryMessages.EndpointList listing) {
-        directoryAnswered();
+        locator.directoryAnswered();
         Membership.UpdateResult belief =
                 membership.told(
                         new EndpointListUpdate(
@@ -1086,7 +843,7 @@
         }
         if (!listed) {
             listed = true;
-            preload(new ArrayList<>(exportedVolumes.values()), 0);
+            locator.preload(new ArrayList<>(exportedVolumes.values()), whenReady);
         }
         settle();
     }
@@ -1150,7 +907,7 @@
     @Override
     public void endpointListFailed(String why) {
         LOG.atWarn().addKeyValue("why", why).log("the directory's list failed");
-        directoryFailed();
+        locator.directoryFailed();
         askAgain();
     }
 
@@ -1163,38 +920,6 @@
         }
     }
 
-    /**
-     * Learns the holders of all extents of the volumes; what cannot be learned now is asked when
-     * needed.
-     */
-    private void preload(List<ExportedVolume> left, long first) {
-        if (left.isEmpty()) {
-            whenReady.run();
-            return;
-        }
-        ExportedVolume volume = left.get(0);
-        long extents = (volume.settings.size() - 1) / site.extentBytes() + 1;
-        int count = (int) Math.min(HOLDERS_AT_ONCE, extents - first);
-        directory.lookup(
-                volume.settings.id(),
-                first,
-                count,
-                (cells, failure) -> {
-                    if (cells == null) {
-                        LOG.atWarn().addKeyValue("why", failure).log("holders not told at start");
-                        whenReady.run();
-                        return;
-                    }
-                    for (int i = 0; i < cells.length; i++) {
-                        if (cells[i] >= 0) {
-                            found(ExtentHolders.key(volume.settings.id(), first + i), cells[i]);
-                        }
-                    }
-                    boolean more = first + count < extents;
-                    preload(more ? left : left.subList(1, left.size()), more ? first + count : 0);
-                });
-    }
-
     // ---- the end ----
 
     /** Takes nothing more, and runs the callback once all that is in hand has its final answer. */
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -180,7 +180,7 @@
                 new PeriodicWriter<>(
                         "holders",
                         HOLDERS_CHECK_INTERVAL_MILLIS,
-                        engine::holderSnapshot,
+                        engine.holderSnapshots()::take,
                         cells -> file.write(cells, System.currentTimeMillis())));
         return file.start();
     }
