--- /dev/null
+++ b/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
@@ -0,0 +1,335 @@
+package sagepulley.frontend.nbd;
+
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.random.RandomGenerator;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sagepulley.discovery.directory.DirectoryClient;
+import sagepulley.discovery.directory.DirectoryMessages;
+import sagepulley.engine.Clock;
+import sagepulley.membership.EndpointListUpdate;
+import sagepulley.membership.EndpointRecord;
+import sagepulley.membership.Membership;
+import sagepulley.membership.ReconnectBackoff;
+import sagepulley.membership.StoredEndpointList;
+import sagepulley.model.Node;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.upstream.frame.StoreMessages;
+
+/**
+ * Brings endpoint lists and the nodes' own words to membership, and membership's view of the nodes
+ * to the scheduler, the connections and the accounts. Owns the membership; confined to the engine's
+ * event loop, but for {@link #snapshot}.
+ */
+final class EndpointListFollower {
+    private static final double MIN_FETCH_BACKOFF_MILLIS = 100;
+    private static final double MAX_FETCH_BACKOFF_MILLIS = 5_000;
+    private static final long MEMBERSHIP_CHECK_INTERVAL_MILLIS = 50;
+
+    /** A silent subscription is confirmed this often, so that the list keeps its freshness. */
+    private static final double CONFIRMATION_INTERVAL_MILLIS = 30_000;
+
+    private static final double MAX_SNAPSHOT_AGE_MILLIS = 30_000;
+    private static final int MAX_LIST_VERSIONS = 64;
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListFollower.class);
+
+    private final EventLoop loop;
+    private final Clock clock;
+    private final Membership membership;
+    private final DirectoryClient directory;
+    private final Scheduler scheduler;
+    private final NodeConnectionRegistry connections;
+    private final OperationAccounting accounting;
+    private final Collection<ExportedVolume> volumes;
+    private final Runnable schedulerChanged;
+    private final BooleanSupplier stopping;
+    private final ReconnectBackoff fetchBackoff;
+    private Runnable firstListReceived;
+
+    /**
+     * When the latest versions of the list came, in wall-clock milliseconds: by these, the accounts
+     * of several gateways are aligned.
+     */
+    private final Map<Long, Double> listVersions = new LinkedHashMap<>();
+
+    private ScheduledFuture<?> membershipChecks;
+
+    /** Whether there is a list to serve by, from the directory or from disk. */
+    private boolean listKnown;
+
+    private double confirmAt = Double.NEGATIVE_INFINITY;
+    private boolean changedSinceSnapshot;
+    private double snapshotAt = Double.NEGATIVE_INFINITY;
+
+    EndpointListFollower(
+            EventLoop loop,
+            Clock clock,
+            Membership membership,
+            DirectoryClient directory,
+            Scheduler scheduler,
+            NodeConnectionRegistry connections,
+            OperationAccounting accounting,
+            Collection<ExportedVolume> volumes,
+            Runnable schedulerChanged,
+            BooleanSupplier stopping,
+            RandomGenerator random) {
+        this.loop = loop;
+        this.clock = clock;
+        this.membership = membership;
+        this.directory = directory;
+        this.scheduler = scheduler;
+        this.connections = connections;
+        this.accounting = accounting;
+        this.volumes = volumes;
+        this.schedulerChanged = schedulerChanged;
+        this.stopping = stopping;
+        this.fetchBackoff =
+                new ReconnectBackoff(MIN_FETCH_BACKOFF_MILLIS, MAX_FETCH_BACKOFF_MILLIS, random);
+    }
+
+    /** Takes over the list that an earlier incarnation stored. Before the start. */
+    void restore(StoredEndpointList stored) {
+        membership.kept(stored, wallMillis());
+    }
+
+    /**
+     * Begins to check the membership. Without a known list it fetches one, and runs the callback
+     * once the first has come.
+     *
+     * @return whether a list is known already, by the settings or from disk
+     */
+    boolean start(List<EndpointRecord> configured, Runnable firstListReceived) {
+        this.firstListReceived = firstListReceived;
+        membership.fixed(configured);
+        membershipChecks =
+                loop.scheduleAtFixedRate(
+                        this::checkMembership,
+                        MEMBERSHIP_CHECK_INTERVAL_MILLIS,
+                        MEMBERSHIP_CHECK_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
+        if (membership.empty()) {
+            directory.fetch();
+            return false;
+        }
+        // The scheduler polls the list from here on; what is known serves meanwhile.
+        LOG.atInfo()
+                .addKeyValue("freshness", membership.trust(wallMillis()))
+                .addKeyValue("age", membership.age(wallMillis()))
+                .log("starts with a known endpoint list");
+        listKnown = true;
+        publish();
+        return true;
+    }
+
+    /** Ends the checks. */
+    void close() {
+        if (membershipChecks != null) {
+            membershipChecks.cancel(false);
+        }
+    }
+
+    // ---- the directory ----
+
+    /** An endpoint list came from the directory, pushed or asked for. */
+    void received(DirectoryMessages.EndpointList list) {
+        Membership.UpdateResult result = membership.told(toUpdate(list), wallMillis());
+        LOG.atInfo()
+                .addKeyValue("version", list.version())
+                .addKeyValue("complete", list.complete())
+                .addKeyValue("endpoints", list.lines().size())
+                .addKeyValue("accepted", result.believed())
+                .addKeyValue("why", result.why())
+                .log("endpoint list received");
+        if (result.believed() || result.changed()) {
+            publish();
+        }
+        if (!result.believed()) {
+            if (list.call() != 0) {
+                pollFailed();
+            }
+            return;
+        }
+        accepted(list.version());
+    }
+
+    private void accepted(long version) {
+        fetchBackoff.answered();
+        confirmAt = wallMillis() + CONFIRMATION_INTERVAL_MILLIS;
+        listVersions.put(version, wallMillis());
+        if (listVersions.size() > MAX_LIST_VERSIONS) {
+            listVersions.remove(listVersions.keySet().iterator().next());
+        }
+        if (!listKnown) {
+            listKnown = true;
+            firstListReceived.run();
+        }
+        schedulerChanged.run();
+    }
+
+    /** The subscription dropped, or a poll of the list failed. */
+    void failed(String why) {
+        LOG.atWarn().addKeyValue("why", why).log("endpoint list poll failed");
+        pollFailed();
+    }
+
+    private void pollFailed() {
+        if (listKnown) {
+            scheduler.onPollFailed(clock.now());
+            schedulerChanged.run();
+        } else if (!stopping.getAsBoolean()) {
+            loop.schedule(directory::fetch, (long) fetchBackoff.next(), TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private static EndpointListUpdate toUpdate(DirectoryMessages.EndpointList list) {
+        return new EndpointListUpdate(
+                list.site(),
+                list.history(),
+                list.version(),
+                list.complete(),
+                list.lines().stream().map(EndpointListFollower::toRecord).toList());
+    }
+
+    private static EndpointRecord toRecord(DirectoryMessages.EndpointLine endpoint) {
+        return new EndpointRecord(
+                endpoint.node(),
+                endpoint.cell(),
+                endpoint.zone(),
+                endpoint.kind(),
+                switch (endpoint.phase()) {
+                    case READY -> EndpointRecord.Phase.READY;
+                    case DRAINING -> EndpointRecord.Phase.DRAINING;
+                    case GONE -> EndpointRecord.Phase.GONE;
+                },
+                endpoint.startedAt(),
+                endpoint.weight(),
+                endpoint.host(),
+                endpoint.port());
+    }
+
+    // ---- the nodes' own words ----
+
+    /** A node has said who it is; false if attempts that wait must not go out to it. */
+    boolean handshakeCompleted(Node node, StoreMessages.HandshakeReply reply) {
+        Membership.HandshakeVerdict verdict =
+                membership.welcomed(
+                        node.id,
+                        reply.node(),
+                        reply.cell(),
+                        reply.draining(),
+                        reply.startedAt(),
+                        wallMillis());
+        LOG.atInfo()
+                .addKeyValue("node", node.id)
+                .addKeyValue("started", reply.startedAt())
+                .addKeyValue("verdict", verdict)
+                .log("node connected");
+        if (verdict != Membership.HandshakeVerdict.GO
+                || !node.acceptsNewObjects
+                || node.phase != Node.Phase.READY) {
+            publish();
+        }
+        return verdict == Membership.HandshakeVerdict.GO && node.phase == Node.Phase.READY;
+    }
+
+    /** A node announced its graceful shutdown. */
+    void draining(int nodeId) {
+        LOG.atInfo().addKeyValue("node", nodeId).log("node announces that it drains");
+        membership.drains(nodeId);
+        publish();
+    }
+
+    /** A node's connection ended, or could not be opened. */
+    void disconnected(int nodeId) {
+        membership.lost(nodeId, wallMillis());
+    }
+
+    // ---- the view of the nodes ----
+
+    /** Publishes the nodes as membership sees them now. */
+    private void publish() {
+        List<Node> nodes = new ArrayList<>();
+        connections.beginUpdate();
+        for (Membership.MemberView member : membership.seen(wallMillis())) {
+            Node node = connections.update(member);
+            nodes.add(node);
+            accounting.nodeUpdated(node);
+        }
+        changedSinceSnapshot = true;
+        scheduler.onEndpointList(nodes, clock.now());
+        schedulerChanged.run();
+    }
+
+    /** Publishes what changes with time, and asks a few nodes who they are. */
+    private void checkMembership() {
+        double wallMillis = wallMillis();
+        if (listKnown && membership.pass(wallMillis)) {
+            publish();
+        }
+        for (int nodeId : membership.toAsk(wallMillis)) {
+            connections.connection(nodeId).ensureConnected();
+        }
+        if (directory.isSubscribed() && wallMillis >= confirmAt && !volumes.isEmpty()) {
+            confirmAt = wallMillis + CONFIRMATION_INTERVAL_MILLIS;
+            confirmList();
+        }
+    }
+
+    /** Any answer of the directory confirms the list, for a subscription tells every change. */
+    private void confirmList() {
+        directory.lookup(
+                volumes.iterator().next().settings.id(),
+                0,
+                1,
+                (cells, failure) -> {
+                    if (cells != null && membership.confirmed(wallMillis())) {
+                        publish();
+                    }
+                });
+    }
+
+    private double wallMillis() {
+        return clock.wall(clock.now());
+    }
+
+    /** What the endpoint list is now, for operators; the caller adds what it knows itself. */
+    NodesView view(String gatewayName, boolean directoryReachable, int unverifiedExtents) {
+        return new NodesView(
+                gatewayName,
+                membership.trust(wallMillis()),
+                membership.age(wallMillis()),
+                directoryReachable,
+                unverifiedExtents,
+                membership.seen(wallMillis()));
+    }
+
+    /** When the latest versions of the list came, in wall-clock milliseconds. */
+    Map<Long, Double> listVersions() {
+        return listVersions;
+    }
+
+    /** The list as it goes to disk; null if nothing is new. From any thread. */
+    CompletableFuture<StoredEndpointList> snapshot() {
+        CompletableFuture<StoredEndpointList> snapshot = new CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    boolean expired = wallMillis() - snapshotAt >= MAX_SNAPSHOT_AGE_MILLIS;
+                    boolean due = listKnown && (changedSinceSnapshot || expired);
+                    if (due) {
+                        changedSinceSnapshot = false;
+                        snapshotAt = wallMillis();
+                    }
+                    snapshot.complete(due ? membership.kept() : null);
+                });
+        return snapshot;
+    }
+}
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -3,7 +3,6 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.ScheduledFuture;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -13,8 +12,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import sagepulley.accounts.Accounts;
 import sagepulley.accounts.LatencyAccount;
 import sagepulley.codec.frame.EventLoopTimer;
@@ -22,15 +19,14 @@
 import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdRequest;
 import sagepulley.codec.nbd.NbdServer;
+import sagepulley.config.MembershipSettings;
 import sagepulley.config.SiteConfig;
 import sagepulley.config.VolumeSettings;
 import sagepulley.discovery.directory.DirectoryClient;
 import sagepulley.discovery.directory.DirectoryMessages;
 import sagepulley.engine.Clock;
-import sagepulley.membership.EndpointListUpdate;
 import sagepulley.membership.EndpointRecord;
 import sagepulley.membership.Membership;
-import sagepulley.membership.ReconnectBackoff;
 import sagepulley.membership.StoredEndpointList;
 import sagepulley.model.Attempt;
 import sagepulley.model.FollowUp;
@@ -59,22 +55,7 @@
     private static final int LEAST_BLOCK = 512;
     private static final int PREFERRED_BLOCK = 4096;
 
-    /** A first list is asked for again after pauses from this on, up to that. */
-    private static final double START_AGAIN = 100;
-
-    private static final double START_AGAIN_LONGEST = 5_000;
-    private static final long MEMBERS_BEAT_MS = 50;
-
-    /**
-     * A subscription that says nothing is tried this often, so that a list is not believed for a
-     * silence.
-     */
-    private static final double CONFIRMED_EVERY = 30_000;
-
-    private static final double LIST_KEPT_EVERY = 30_000;
-    private static final int MOST_TOLD = 64;
     private static final double NS = 1e6;
-    private static final Logger LOG = LoggerFactory.getLogger(NbdEngine.class);
 
     private final SiteConfig site;
     private final EventLoop loop;
@@ -96,25 +77,11 @@
     private final ExtentLocator locator;
     private final HolderSnapshots holderSnapshots;
 
-    /**
-     * When the latest versions of the list came, by the wall's clock: by these, gateways' books are
-     * set together.
-     */
-    private final Map<Long, Double> told = new LinkedHashMap<>();
-
-    private final Membership membership;
-    private final ReconnectBackoff returning;
+    private final EndpointListFollower endpointList;
 
     private long attemptIds;
     private boolean settleDue;
     private final EventLoopTimer alarm;
-    private ScheduledFuture<?> membersBeat;
-    private boolean listed;
-
-    private double confirmAt = Double.NEGATIVE_INFINITY;
-    private boolean listChanged;
-    private double listKeptAt = Double.NEGATIVE_INFINITY;
-    private Runnable whenReady = () -> {};
 
     NbdEngine(
             SiteConfig site,
@@ -131,8 +98,7 @@
         this.clock = clock;
         this.scheduler = scheduler;
         SplittableRandom random = new SplittableRandom(seed);
-        this.membership = membership;
-        this.returning = new ReconnectBackoff(START_AGAIN, START_AGAIN_LONGEST, random.split());
+        SplittableRandom backoffRandom = random.split();
         TailSampler sampler =
                 new TailSampler(site.traces().perSecond(), site.traces().chance(), random.split());
         this.splitter = new RequestSplitter(site);
@@ -151,6 +117,24 @@
                         scheduler,
                         connections,
                         new OperationTracing(site.name(), clock, sampler, tracer));
+        this.directory =
+                new DirectoryClient(
+                        loop, channelType, site.directory().socket(), seed, site.name(), this);
+        this.locator = new ExtentLocator(directory, scheduler, clock, site.extentBytes(), this);
+        this.holderSnapshots = new HolderSnapshots(loop, locator, exportedVolumes.values());
+        this.endpointList =
+                new EndpointListFollower(
+                        loop,
+                        clock,
+                        membership,
+                        directory,
+                        scheduler,
+                        connections,
+                        accounting,
+                        exportedVolumes.values(),
+                        this::settle,
+                        requests::isStopping,
+                        backoffRandom);
         this.accountReports =
                 new AccountReports(
                         site.name(),
@@ -158,12 +142,7 @@
                         clock,
                         exportedVolumes,
                         accounting.accounts(),
-                        () -> told);
-        this.directory =
-                new DirectoryClient(
-                        loop, channelType, site.directory().socket(), seed, site.name(), this);
-        this.locator = new ExtentLocator(directory, scheduler, clock, site.extentBytes(), this);
-        this.holderSnapshots = new HolderSnapshots(loop, locator, exportedVolumes.values());
+                        endpointList::listVersions);
         for (VolumeSettings line : site.volumes()) {
             Volume volume = new Volume(line.id(), site.deployment().plans().get(line.plan()));
             volume.gatewayCount = line.gateways();
@@ -186,98 +165,101 @@
         }
     }
 
-    /** Asks for the list and the holders; runs the callback once both came. */
-    void start(Runnable ready) {
-        whenReady = ready;
-        membership.fixed(
-                site.members().nodes().stream()
-                        .map(
-                                node ->
-                                        new EndpointRecord(
-                                                node.node(),
-                                                node.cell(),
-                                                node.zone(),
-                                                0,
-                                                EndpointRecord.Phase.READY,
-                                                0,
-                                                1,
-                                                node.address().host(),
-                                                node.address().port()))
-                        .toList());
-        membersBeat =
-                loop.scheduleAtFixedRate(
-                        this::members, MEMBERS_BEAT_MS, MEMBERS_BEAT_MS, TimeUnit.MILLISECONDS);
-        if (membership.empty()) {
-            directory.fetch();
-        } else {
-            // Scheduler asks for the list from here on; what is known serves meanwhile.
-            LOG.atInfo()
-                    .addKeyValue("trust", membership.trust(wall()))
-                    .addKeyValue("age", membership.age(wall()))
-                    .log("starts with what is known of the nodes");
-            listed = true;
-            adopt();
-            whenReady.run();
-        }
-        accounting.start(loop);
+    /** The holders of extents, for the disk. From any thread. */
+    HolderSnapshots holderSnapshots() {
+        return holderSnapshots;
+    }
+
+    /** The accounts, for operators and the disk. From any thread. */
+    AccountReports accountReports() {
+        return accountReports;
     }
 
     /**
-     * What an earlier life kept: the list (or null), and the cells of volumes' extents. On the
-     * loop, before the start.
+     * What an earlier incarnation stored. On the loop, before the start.
+     *
+     * @param storedList the endpoint list, or null
+     * @param storedHolders the cell of each extent (negative for none), by volume id
      */
-    void restore(StoredEndpointList list, Map<Integer, int[]> cells) {
-        if (list != null) {
-            membership.kept(list, wall());
+    void restore(StoredEndpointList storedList, Map<Integer, int[]> storedHolders) {
+        if (storedList != null) {
+            endpointList.restore(storedList);
         }
         for (ExportedVolume volume : exportedVolumes.values()) {
-            locator.restore(volume, cells.getOrDefault(volume.settings.id(), new int[0]));
+            locator.restore(volume, storedHolders.getOrDefault(volume.settings.id(), new int[0]));
         }
     }
 
-    private double wall() {
-        return clock.wall(clock.now());
+    /** Runs the callback once an endpoint list is known; without one, holders are loaded first. */
+    void start(Runnable ready) {
+        List<EndpointRecord> configured =
+                site.members().nodes().stream().map(NbdEngine::toRecord).toList();
+        boolean listKnown =
+                endpointList.start(
+                        configured,
+                        () -> locator.preload(new ArrayList<>(exportedVolumes.values()), ready));
+        if (listKnown) {
+            ready.run();
+        }
+        accounting.start(loop);
+    }
+
+    private static EndpointRecord toRecord(MembershipSettings.FixedNode node) {
+        return new EndpointRecord(
+                node.node(),
+                node.cell(),
+                node.zone(),
+                0,
+                EndpointRecord.Phase.READY,
+                0,
+                1,
+                node.address().host(),
+                node.address().port());
+    }
+
+    @Override
+    public void endpointListReceived(DirectoryMessages.EndpointList list) {
+        locator.directoryAnswered();
+        endpointList.received(list);
+    }
+
+    @Override
+    public void endpointListFailed(String why) {
+        locator.directoryFailed();
+        endpointList.failed(why);
+    }
+
+    @Override
+    public boolean handshakeCompleted(Node node, StoreMessages.HandshakeReply reply) {
+        return endpointList.handshakeCompleted(node, reply);
+    }
+
+    @Override
+    public void draining(int nodeId) {
+        endpointList.draining(nodeId);
+    }
+
+    @Override
+    public void disconnected(int nodeId) {
+        endpointList.disconnected(nodeId);
     }
 
-    /** The list as it goes to disk; null if nothing is new. From any thread. */
+    /** The endpoint list as it goes to disk; null if nothing is new. */
     CompletableFuture<StoredEndpointList> endpointListSnapshot() {
-        CompletableFuture<StoredEndpointList> told = new CompletableFuture<>();
-        loop.execute(
-                () -> {
-                    boolean due = listed && (listChanged || wall() - listKeptAt >= LIST_KEPT_EVERY);
-                    if (due) {
-                        listChanged = false;
-                        listKeptAt = wall();
-                    }
-                    told.complete(due ? membership.kept() : null);
-                });
-        return told;
+        return endpointList.snapshot();
     }
 
-    /** The nodes as they are seen, for operators. From any thread. */
+    /** The nodes as they are seen, for operators. */
     CompletableFuture<NodesView> nodesView() {
-        CompletableFuture<NodesView> told = new CompletableFuture<>();
+        CompletableFuture<NodesView> view = new CompletableFuture<>();
         loop.execute(
                 () ->
-                        told.complete(
-                                new NodesView(
+                        view.complete(
+                                endpointList.view(
                                         site.name(),
-                                        membership.trust(wall()),
-                                        membership.age(wall()),
                                         locator.isDirectoryReachable(),
-                                        locator.unverifiedCount(),
-                                        membership.seen(wall()))));
-        return told;
-    }
-
-    /** The holders of extents, for the disk. From any thread. */
-    HolderSnapshots holderSnapshots() {
-        return holderSnapshots;
-    }
-
-    /** The accounts, for operators and the disk. From any thread. */
-    AccountReports accountReports() {
-        return accountReports;
+                                        locator.unverifiedCount())));
+        return view;
     }
 
     /** Goes on with the accounts of an earlier incarnation. On the loop. */
@@ -575,41 +557,6 @@
         settle();
     }
 
-    @Override
-    public boolean handshakeCompleted(Node node, StoreMessages.HandshakeReply reply) {
-        Membership.HandshakeVerdict verdict =
-                membership.welcomed(
-                        node.id,
-                        reply.node(),
-                        reply.cell(),
-                        reply.draining(),
-                        reply.startedAt(),
-                        wall());
-        LOG.atInfo()
-                .addKeyValue("node", node.id)
-                .addKeyValue("started", reply.startedAt())
-                .addKeyValue("meaning", verdict)
-                .log("node connected");
-        if (verdict != Membership.HandshakeVerdict.GO
-                || !node.acceptsNewObjects
-                || node.phase != Node.Phase.READY) {
-            adopt();
-        }
-        return verdict == Membership.HandshakeVerdict.GO && node.phase == Node.Phase.READY;
-    }
-
-    @Override
-    public void draining(int nodeId) {
-        LOG.atInfo().addKeyValue("node", nodeId).log("node says that it drains");
-        membership.drains(nodeId);
-        adopt();
-    }
-
-    @Override
-    public void disconnected(int nodeId) {
-        membership.lost(nodeId, wall());
-    }
-
     // ---- ends of attempts ----
 
     @Override
@@ -807,119 +754,6 @@
 
     // ---- the directory ----
 
-    @Override
-    public void endpointListReceived(DirectoryMessages.EndpointList listing) {
-        locator.directoryAnswered();
-        Membership.UpdateResult belief =
-                membership.told(
-                        new EndpointListUpdate(
-                                listing.site(),
-                                listing.history(),
-                                listing.version(),
-                                listing.complete(),
-                                listing.lines().stream().map(NbdEngine::line).toList()),
-                        wall());
-        LOG.atInfo()
-                .addKeyValue("version", listing.version())
-                .addKeyValue("whole", listing.complete())
-                .addKeyValue("lines", listing.lines().size())
-                .addKeyValue("believed", belief.believed())
-                .addKeyValue("why", belief.why())
-                .log("list of nodes");
-        if (belief.believed() || belief.changed()) {
-            adopt();
-        }
-        if (!belief.believed()) {
-            if (listing.call() != 0) {
-                askAgain();
-            }
-            return;
-        }
-        returning.answered();
-        confirmAt = wall() + CONFIRMED_EVERY;
-        told.put(listing.version(), wall());
-        if (told.size() > MOST_TOLD) {
-            told.remove(told.keySet().iterator().next());
-        }
-        if (!listed) {
-            listed = true;
-            locator.preload(new ArrayList<>(exportedVolumes.values()), whenReady);
-        }
-        settle();
-    }
-
-    private static EndpointRecord line(DirectoryMessages.EndpointLine line) {
-        return new EndpointRecord(
-                line.node(),
-                line.cell(),
-                line.zone(),
-                line.kind(),
-                switch (line.phase()) {
-                    case READY -> EndpointRecord.Phase.READY;
-                    case DRAINING -> EndpointRecord.Phase.DRAINING;
-                    case GONE -> EndpointRecord.Phase.GONE;
-                },
-                line.startedAt(),
-                line.weight(),
-                line.host(),
-                line.port());
-    }
-
-    /** Uses the nodes as membership sees them now. */
-    private void adopt() {
-        List<Node> nodes = new ArrayList<>();
-        connections.beginUpdate();
-        for (Membership.MemberView seen : membership.seen(wall())) {
-            Node node = connections.update(seen);
-            nodes.add(node);
-            accounting.nodeUpdated(node);
-        }
-        listChanged = true;
-        scheduler.onEndpointList(nodes, clock.now());
-        settle();
-    }
-
-    /**
-     * What time and the nodes' own words change: a few nodes are asked who they are at each beat.
-     */
-    private void members() {
-        double wall = wall();
-        if (listed && membership.pass(wall)) {
-            adopt();
-        }
-        for (int node : membership.toAsk(wall)) {
-            connections.connection(node).ensureConnected();
-        }
-        if (directory.isSubscribed() && wall >= confirmAt && !exportedVolumes.isEmpty()) {
-            confirmAt = wall + CONFIRMED_EVERY;
-            directory.lookup(
-                    exportedVolumes.values().iterator().next().settings.id(),
-                    0,
-                    1,
-                    (cells, failure) -> {
-                        if (cells != null && membership.confirmed(wall())) {
-                            adopt();
-                        }
-                    });
-        }
-    }
-
-    @Override
-    public void endpointListFailed(String why) {
-        LOG.atWarn().addKeyValue("why", why).log("the directory's list failed");
-        locator.directoryFailed();
-        askAgain();
-    }
-
-    private void askAgain() {
-        if (listed) {
-            scheduler.onPollFailed(clock.now());
-            settle();
-        } else if (!requests.isStopping()) {
-            loop.schedule(directory::fetch, (long) returning.next(), TimeUnit.MILLISECONDS);
-        }
-    }
-
     // ---- the end ----
 
     /** Takes nothing more, and runs the callback once all that is in hand has its final answer. */
@@ -930,9 +764,7 @@
     /** Ends all links. On the loop, once nothing is in hand or wanted. */
     void close() {
         accounting.close();
-        if (membersBeat != null) {
-            membersBeat.cancel(false);
-        }
+        endpointList.close();
         alarm.cancel();
         connections.close();
         directory.close();
