--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -97,48 +97,6 @@
         }
     }
 
-    /**
-     * Looks up the holders of all extents of the volumes, then runs the callback; it runs at once
-     * if a lookup fails, for what is not known then is looked up when it is needed.
-     */
-    void preload(List<ExportedVolume> volumes, Runnable done) {
-        preload(volumes, 0, done);
-    }
-
-    private void preload(List<ExportedVolume> remaining, long first, Runnable done) {
-        if (remaining.isEmpty()) {
-            done.run();
-            return;
-        }
-        ExportedVolume volume = remaining.get(0);
-        int volumeId = volume.settings.id();
-        long extents = extentCount(volume);
-        int count = (int) Math.min(MAX_EXTENTS_PER_STEP, extents - first);
-        directory.lookup(
-                volumeId,
-                first,
-                count,
-                (cells, failure) -> {
-                    if (cells == null) {
-                        LOG.atWarn()
-                                .addKeyValue("why", failure)
-                                .log("extent holders not loaded at start");
-                        done.run();
-                        return;
-                    }
-                    for (int i = 0; i < cells.length; i++) {
-                        if (cells[i] >= 0) {
-                            learned(ExtentHolders.key(volumeId, first + i), cells[i]);
-                        }
-                    }
-                    if (first + count < extents) {
-                        preload(remaining, first + count, done);
-                    } else {
-                        preload(remaining.subList(1, remaining.size()), 0, done);
-                    }
-                });
-    }
-
     /** How many extents a volume has. */
     long extentCount(ExportedVolume volume) {
         return (volume.settings.size() - 1) / extentBytes + 1;
@@ -295,7 +253,7 @@
     }
 
     /** A holder became known: parts that wait for it, here or at the scheduler, go there. */
-    private void learned(long key, int cell) {
+    void learned(long key, int cell) {
         Set<RequestPart> parts = unlocated.remove(key);
         List<RequestPart> parked = holders.learned(key, cell);
         int holder = holders.cell(key);
--- /dev/null
+++ b/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
@@ -0,0 +1,78 @@
+package sagepulley.frontend.nbd;
+
+import java.util.ArrayDeque;
+import java.util.Collection;
+import java.util.Deque;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sagepulley.discovery.directory.DirectoryClient;
+import sagepulley.placement.ExtentHolders;
+
+/**
+ * Looks up the holders of all extents of the volumes at the start, some at a time. Confined to the
+ * engine's event loop.
+ */
+final class HolderPreloader {
+    private static final Logger LOG = LoggerFactory.getLogger(HolderPreloader.class);
+
+    private final DirectoryClient directory;
+    private final ExtentLocator locator;
+    private final Deque<ExportedVolume> remaining;
+    private final Runnable done;
+    private long nextExtent;
+
+    /**
+     * @param done runs once all holders are known, or at once if a lookup fails: what is not known
+     *     then is looked up when it is needed
+     */
+    HolderPreloader(
+            DirectoryClient directory,
+            ExtentLocator locator,
+            Collection<ExportedVolume> volumes,
+            Runnable done) {
+        this.directory = directory;
+        this.locator = locator;
+        this.remaining = new ArrayDeque<>(volumes);
+        this.done = done;
+    }
+
+    /** Begins, or goes on with, the lookups. */
+    void run() {
+        if (remaining.isEmpty()) {
+            done.run();
+            return;
+        }
+        ExportedVolume volume = remaining.peek();
+        long first = nextExtent;
+        long extents = locator.extentCount(volume);
+        int count = (int) Math.min(ExtentLocator.MAX_EXTENTS_PER_STEP, extents - first);
+        directory.lookup(
+                volume.settings.id(),
+                first,
+                count,
+                (cells, failure) -> {
+                    if (cells == null) {
+                        LOG.atWarn()
+                                .addKeyValue("why", failure)
+                                .log("extent holders not loaded at start");
+                        done.run();
+                        return;
+                    }
+                    learn(volume.settings.id(), first, cells);
+                    nextExtent = first + count;
+                    if (nextExtent >= extents) {
+                        remaining.remove();
+                        nextExtent = 0;
+                    }
+                    run();
+                });
+    }
+
+    private void learn(int volumeId, long first, int[] cells) {
+        for (int i = 0; i < cells.length; i++) {
+            if (cells[i] >= 0) {
+                locator.learned(ExtentHolders.key(volumeId, first + i), cells[i]);
+            }
+        }
+    }
+}
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -17,6 +17,7 @@
 import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdReplies;
 import sagepulley.codec.nbd.NbdRequest;
+import sagepulley.codec.nbd.NbdServer;
 
 /**
  * One client's connection: requests to the house, and each one's reply back. Lives on the client's
@@ -74,7 +75,7 @@
     private void idle(IdleState state) {
         boolean stuckReading =
                 state == IdleState.READER_IDLE
-                        && engine.waitsForRest(channel)
+                        && NbdServer.isInsideMessage(channel.pipeline())
                         && channel.config().isAutoRead();
         boolean stuckWriting = state == IdleState.WRITER_IDLE && !channel.isWritable();
         if (stuckReading || stuckWriting) {
--- /dev/null
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -0,0 +1,406 @@
+package sagepulley.frontend.nbd;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.EventLoop;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import sagepulley.accounts.Accounts;
+import sagepulley.codec.frame.EventLoopTimer;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.discovery.directory.DirectoryClient;
+import sagepulley.engine.Clock;
+import sagepulley.model.Attempt;
+import sagepulley.model.FollowUp;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+import sagepulley.model.Reason;
+import sagepulley.model.RoutingDecision;
+import sagepulley.model.SchedulerTurn;
+import sagepulley.scheduler.Scheduler;
+import sagepulley.upstream.frame.NodeConnection;
+import sagepulley.upstream.frame.StoreMessages;
+
+/**
+ * Hosts the scheduler for the parts of NBD requests: tells it what happens to them and carries out
+ * what it decides, so that each part ends exactly once. Owns the attempts in flight and their
+ * timeouts; confined to the engine's event loop.
+ */
+final class OperationDispatcher implements ExtentLocator.Listener {
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    private final EventLoop loop;
+    private final Clock clock;
+    private final Scheduler scheduler;
+    private final DirectoryClient directory;
+    private final NodeConnectionRegistry connections;
+    private final ExtentLocator locator;
+    private final OperationAccounting accounting;
+    private final PendingRequests requests;
+    private final Counters counters;
+    private final EventLoopTimer timer;
+
+    /** Parts with an attempt in flight, by the attempt's number on the wire. */
+    private final Map<Long, RequestPart> inFlight = new HashMap<>();
+
+    private long lastAttemptId;
+    private boolean turnScheduled;
+
+    OperationDispatcher(
+            EventLoop loop,
+            Clock clock,
+            Scheduler scheduler,
+            DirectoryClient directory,
+            NodeConnectionRegistry connections,
+            int extentBytes,
+            OperationAccounting accounting,
+            PendingRequests requests,
+            Counters counters) {
+        this.loop = loop;
+        this.clock = clock;
+        this.scheduler = scheduler;
+        this.directory = directory;
+        this.connections = connections;
+        this.locator = new ExtentLocator(directory, scheduler, clock, extentBytes, this);
+        this.accounting = accounting;
+        this.requests = requests;
+        this.counters = counters;
+        this.timer = new EventLoopTimer(loop, clock::now, this::runTurn);
+    }
+
+    /** Finds the holders of the parts' extents. */
+    ExtentLocator locator() {
+        return locator;
+    }
+
+    /** Ends the timer of the scheduler's turns. */
+    void close() {
+        timer.cancel();
+    }
+
+    // ---- from the request to the scheduler ----
+
+    /** Begins a part of a request: at the scheduler, or first at the directory. */
+    void dispatch(RequestPart part) {
+        if (part.kind == StoreMessages.Kind.FLUSH) {
+            submit(part);
+        } else {
+            locator.locate(part);
+        }
+    }
+
+    /** The part's client has gone: nobody waits for its end. */
+    void cancel(RequestPart part) {
+        part.operation.ended = true;
+        counters.cancelled.increment();
+        locator.forget(part);
+        if (part.submitted) {
+            scheduler.onClientCancelled(part.operation, clock.now());
+        }
+        accounting.ended(part, Accounts.End.LEFT, Reason.NONE);
+        accounting.stopsWaiting(part);
+        part.payload.release();
+    }
+
+    @Override
+    public void located(RequestPart part) {
+        submit(part);
+    }
+
+    @Override
+    public void unallocated(RequestPart part) {
+        if (part.submitted) {
+            part.operation.ended = true;
+            scheduler.onEndedWithoutNode(part.operation);
+        }
+        counters.holes.increment();
+        if (part.kind == StoreMessages.Kind.READ) {
+            part.request.readChunks.add(
+                    new PendingRequest.ReadChunk(part.exportOffset, part.length, null));
+        }
+        completeServed(part);
+    }
+
+    @Override
+    public void waitsForDirectory(RequestPart part, double now) {
+        accounting.waitsForDirectory(part, now);
+    }
+
+    @Override
+    public void schedulerChanged() {
+        scheduleTurn();
+    }
+
+    private void submit(RequestPart part) {
+        part.submitted = true;
+        carryOut(part, scheduler.route(part.operation, clock.now()));
+    }
+
+    // ---- the scheduler's turns ----
+
+    /** Asks the scheduler what is due, once for all that this turn of the event loop brings. */
+    void scheduleTurn() {
+        if (!turnScheduled) {
+            turnScheduled = true;
+            loop.execute(this::runTurn);
+        }
+    }
+
+    private void runTurn() {
+        turnScheduled = false;
+        double now = clock.now();
+        locator.releaseOverdue(now);
+        SchedulerTurn turn = scheduler.nextTurn(now);
+        // Asking again at the same moment changes nothing once no operation moves.
+        while (carryOut(turn, now)) {
+            turn = scheduler.nextTurn(now);
+        }
+        timer.by(Math.min(now + turn.delay(), locator.nextOverdue()));
+    }
+
+    /** Carries out what is due; tells whether an operation stopped waiting. */
+    private boolean carryOut(SchedulerTurn turn, double now) {
+        for (Attempt attempt : turn.cancellations()) {
+            cancel(attempt);
+        }
+        for (Node node : turn.healthChecks()) {
+            connections.connection(node.id).checkHealth(++lastAttemptId);
+        }
+        switch (turn.poll()) {
+            case SUBSCRIBE -> directory.subscribe();
+            case FETCH -> directory.fetch();
+            case NONE -> {}
+        }
+        boolean moved = false;
+        for (Operation operation : turn.due()) {
+            RoutingDecision decision = scheduler.route(operation, now);
+            moved |= decision.kind() != RoutingDecision.Kind.WAIT;
+            carryOut(partOf(operation), decision);
+        }
+        return moved;
+    }
+
+    private static RequestPart partOf(Operation operation) {
+        return (RequestPart) operation.engineState;
+    }
+
+    // ---- the scheduler's decisions ----
+
+    private void carryOut(RequestPart part, RoutingDecision decision) {
+        if (decision.kind() == RoutingDecision.Kind.WAIT) {
+            if (!part.operation.ended) {
+                accounting.waitsAtScheduler(part);
+            }
+            return;
+        }
+        accounting.stopsWaiting(part);
+        switch (decision.kind()) {
+            case SEND -> startAttempt(part, decision.timeout());
+            case REJECT -> reject(part, decision);
+            case ABANDON -> abandon(part, decision);
+            case WAIT -> throw new IllegalStateException("handled above");
+        }
+    }
+
+    private void startAttempt(RequestPart part, double timeoutMillis) {
+        Attempt attempt = lastAttempt(part);
+        long attemptId = ++lastAttemptId;
+        part.attemptId = attemptId;
+        part.handedToConnection = false;
+        inFlight.put(attemptId, part);
+        part.timeout =
+                loop.schedule(
+                        () -> timedOut(attemptId),
+                        Math.max(1, (long) (timeoutMillis * NANOS_PER_MILLI)),
+                        TimeUnit.NANOSECONDS);
+        if (part.operation.shard < 0) {
+            accounting.claims(part, attempt);
+            claimAndSend(part, attempt);
+        } else {
+            send(part, attempt);
+        }
+    }
+
+    private void reject(RequestPart part, RoutingDecision decision) {
+        counters.rejected.increment();
+        String retryAfter =
+                decision.retryAfter() > 0
+                        ? "; come back in " + (long) Math.ceil(decision.retryAfter()) + " ms"
+                        : "";
+        completeFailed(
+                part,
+                Accounts.End.DECLINED,
+                decision.reason(),
+                NbdConstants.ENOMEM,
+                "declined ("
+                        + OperationTracing.words(decision.reason())
+                        + "): asking again does no harm"
+                        + retryAfter);
+    }
+
+    private void abandon(RequestPart part, RoutingDecision decision) {
+        counters.abandoned.increment();
+        completeFailed(
+                part,
+                Accounts.End.SCRAPPED,
+                decision.reason(),
+                NbdConstants.EIO,
+                "scrapped: it may have taken effect or not");
+    }
+
+    private void claimAndSend(RequestPart part, Attempt attempt) {
+        locator.claim(
+                part,
+                attempt,
+                cell -> {
+                    if (attempt.outcome != null) {
+                        scheduleTurn();
+                    } else if (cell != null && cell == attempt.node.cell) {
+                        send(part, attempt);
+                    } else {
+                        // Another node holds it, or nobody can say: the attempt never went out.
+                        inFlight.remove(part.attemptId);
+                        attemptEnded(part, Outcome.NOT_EXECUTED);
+                    }
+                });
+    }
+
+    private void send(RequestPart part, Attempt attempt) {
+        part.handedToConnection = true;
+        accounting.sent(part, attempt);
+        NodeConnection connection = connections.connection(attempt.node.id);
+        counters.attempts.increment();
+        boolean extentMustExist =
+                part.kind != StoreMessages.Kind.FLUSH && locator.isUnverified(part);
+        connection.send(
+                part.attemptId,
+                AttemptMessages.send(part, attempt, extentMustExist),
+                part.payload.retainedDuplicate());
+    }
+
+    // ---- ends of attempts ----
+
+    /** A node answered an attempt; the payload is owned here. */
+    void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
+        RequestPart part = inFlight.remove(attemptId);
+        if (part == null) {
+            payload.release();
+            return;
+        }
+        AttemptMessages.recordLoad(lastAttempt(part), answer);
+        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.denied(part);
+        if (answer.code() == StoreMessages.Code.SERVED) {
+            locator.verified(part);
+            accounting.served(part, answer);
+        }
+        attemptEnded(part, AttemptMessages.takeOutcome(part, answer.code(), payload));
+        if (denied) {
+            locator.locateAfterDenial(part);
+        }
+    }
+
+    /** A connection could not deliver an attempt, or ended before its answer. */
+    void failed(long attemptId, NodeConnection.ConnectionFailure failure) {
+        RequestPart part = inFlight.remove(attemptId);
+        if (part != null) {
+            attemptEnded(
+                    part,
+                    failure == NodeConnection.ConnectionFailure.RESET
+                            ? Outcome.RESET
+                            : Outcome.NO_CONNECTION);
+        }
+    }
+
+    private void timedOut(long attemptId) {
+        RequestPart part = inFlight.remove(attemptId);
+        if (part == null) {
+            return;
+        }
+        if (!part.handedToConnection) {
+            attemptEnded(part, Outcome.NOT_EXECUTED);
+            return;
+        }
+        int nodeId = lastAttempt(part).node.id;
+        boolean mayHaveRun = connections.connection(nodeId).cancel(attemptId);
+        attemptEnded(part, mayHaveRun ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
+    }
+
+    /** Nobody waits for the attempt any more; whether it ran, nobody will know. */
+    private void cancel(Attempt attempt) {
+        RequestPart part = partOf(attempt.operation);
+        if (attempt.outcome != null || part.attemptId == 0) {
+            return;
+        }
+        inFlight.remove(part.attemptId);
+        if (part.handedToConnection) {
+            connections.connection(attempt.node.id).cancel(part.attemptId);
+        }
+        attemptEnded(part, Outcome.CANCELLED);
+    }
+
+    private void attemptEnded(RequestPart part, Outcome outcome) {
+        double now = clock.now();
+        Operation operation = part.operation;
+        Attempt attempt = lastAttempt(part);
+        attempt.outcome = outcome;
+        attempt.duration = now - attempt.sentAt;
+        part.clearAttempt();
+        if (outcome != Outcome.SERVED) {
+            accounting.attemptFailed(part, outcome, now);
+        }
+        boolean servedNow = !operation.ended && outcome == Outcome.SERVED;
+        operation.ended |= servedNow;
+        if (outcome == Outcome.NOT_EXECUTED) {
+            counters.notExecuted.increment();
+        }
+        FollowUp followUp = scheduler.onAttemptEnded(attempt, now);
+        if (servedNow) {
+            recordDurability(part, attempt);
+            completeServed(part);
+        } else if (followUp == FollowUp.ROUTE_AGAIN) {
+            carryOut(part, scheduler.route(operation, now));
+        }
+        scheduleTurn();
+    }
+
+    private static Attempt lastAttempt(RequestPart part) {
+        return part.operation.attempts.get(part.operation.attempts.size() - 1);
+    }
+
+    /** What an acknowledged write or flush means for the next flush. */
+    private void recordDurability(RequestPart part, Attempt attempt) {
+        ExportedVolume volume = part.request.volume;
+        if (part.kind == StoreMessages.Kind.FLUSH) {
+            volume.recordFlush(attempt.node.cell, part.writesBeforeFlush);
+        } else if (part.kind.modifiesData() && !part.request.isDurable()) {
+            volume.recordWrite(attempt.node.cell, connections.startedAt(attempt.node.id));
+        }
+    }
+
+    // ---- ends of parts ----
+
+    private void completeServed(RequestPart part) {
+        part.operation.ended = true;
+        counters.served.increment();
+        accounting.ended(part, Accounts.End.SATISFIED, Reason.NONE);
+        complete(part);
+    }
+
+    private void completeFailed(
+            RequestPart part, Accounts.End end, Reason reason, int error, String message) {
+        part.operation.ended = true;
+        accounting.ended(part, end, reason);
+        part.request.fail(part.exportOffset, error, message);
+        complete(part);
+    }
+
+    private void complete(RequestPart part) {
+        accounting.stopsWaiting(part);
+        locator.forget(part);
+        part.payload.release();
+        if (--part.request.openParts == 0) {
+            requests.complete(part.request);
+        }
+    }
+}
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
@@ -42,6 +42,11 @@
         errors.add(new RequestError(offset, error, message));
     }
 
+    /** Whether what is written must be durable before the reply (NBD_CMD_FLAG_FUA). */
+    boolean isDurable() {
+        return (command.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
+    }
+
     /** The error of the whole: 0 if all went well. */
     int error() {
         int worst = 0;
--- a/src/main/java/sagepulley/frontend/nbd/RequestPart.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -65,4 +65,14 @@
         this.payload = payload;
         operation.engineState = this;
     }
+
+    /** The attempt has ended: its timeout is cancelled. */
+    void clearAttempt() {
+        attemptId = 0;
+        if (timeout != null) {
+            timeout.cancel(false);
+            timeout = null;
+        }
+        handedToConnection = false;
+    }
 }
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -152,8 +152,19 @@
         }
     }
 
+    /** Adds a flush for each node that acknowledged writes since the last flush there. */
+    void splitFlush(PendingRequest request) {
+        request.volume.unflushedByCell.forEach(
+                (cell, unflushed) -> {
+                    RequestPart part = newFlushPart(request, cell);
+                    part.writesBeforeFlush = unflushed.writeCount;
+                    part.expectedNodeStart = unflushed.nodeStartedAt;
+                    request.parts.add(part);
+                });
+    }
+
     /** A flush of what one cell's node has of the volume. */
-    RequestPart newFlushPart(PendingRequest request, int cell) {
+    private RequestPart newFlushPart(PendingRequest request, int cell) {
         RequestPart part =
                 newPart(
                         request,
