--- a/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
+++ b/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
@@ -4,8 +4,8 @@
 import sagepulley.codec.nbd.AdmissionGate;
 
 /**
- * How many bytes of requests may be in hand, in all and for each client. What does not fit waits in
- * order, and its socket is not read meanwhile. Used from every client's loop.
+ * Bounds the bytes of requests in flight, in all and for each client. What does not fit waits in
+ * order, and its socket is not read meanwhile. Safe for use from any thread.
  */
 public final class BufferBudget {
     private final long maxBytes;
@@ -13,25 +13,27 @@
     private long maxUsedBytes;
     private final ArrayDeque<ClientBudget> queue = new ArrayDeque<>();
 
+    /** A budget of so many bytes for all clients together. */
     public BufferBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
+    /** Bytes in flight now. */
     public synchronized long usedBytes() {
         return usedBytes;
     }
 
-    /** The most that was ever used at once. */
+    /** The most bytes that were ever in flight at once. */
     public synchronized long maxUsedBytes() {
         return maxUsedBytes;
     }
 
-    /** One client's part. */
+    /** One client's share of the budget. */
     public final class ClientBudget implements AdmissionGate {
         private final long maxClientBytes;
         private long usedClientBytes;
 
-        /** What it waits for; 0 for nothing. */
+        /** Bytes that it waits for; 0 for none. */
         private long waitingForBytes;
 
         private boolean granted;
@@ -69,7 +71,7 @@
             release(bytes);
         }
 
-        /** Gives back what was admitted. */
+        /** Returns bytes that were admitted. */
         public void release(long bytes) {
             synchronized (BufferBudget.this) {
                 usedClientBytes -= bytes;
@@ -84,7 +86,7 @@
             }
         }
 
-        /** The connection ended: what it waited for is not wanted any more. */
+        /** The connection has ended: it waits for nothing any more. */
         public void close() {
             synchronized (BufferBudget.this) {
                 queue.remove(this);
@@ -105,6 +107,7 @@
         }
     }
 
+    /** A new client's share, of at most so many bytes. */
     public ClientBudget client(long maxClientBytes) {
         return new ClientBudget(maxClientBytes);
     }
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -38,17 +38,24 @@
 import sagepulley.scheduler.Scheduler;
 import sagepulley.tracing.Tracer;
 
-/** One gateway in service: listens for NBD clients, and serves them by what Scheduler decides. */
+/**
+ * One NBD gateway in service: owns the listener, the client connections, the event loops and the
+ * snapshot files around the engine. Its public methods may be called from any thread.
+ */
 public final class NbdGateway {
-    /** So many volumes, the first of the site file, have sums of their own since the start. */
+    /** So many volumes, the first of the site file, have totals of their own since the start. */
     public static final int MAX_VOLUMES_WITH_TOTALS = 100;
 
     private static final double ENDPOINT_LIST_CHECK_INTERVAL_MILLIS = 500;
     private static final double HOLDERS_CHECK_INTERVAL_MILLIS = 10_000;
 
-    /** A client that stops inside a message, or reads no replies, for so long is ended. */
+    /** A client that stops inside a message, or reads no replies, for so long is disconnected. */
     private static final int CLIENT_IDLE_TIMEOUT_SECONDS = 30;
 
+    /** How long the last replies have to leave the sockets at the graceful shutdown. */
+    private static final long LAST_REPLIES_MILLIS = 20;
+
+    private static final int LISTEN_BACKLOG = 1024;
     private static final Logger LOG = LoggerFactory.getLogger(NbdGateway.class);
 
     private final SiteConfig site;
@@ -63,14 +70,16 @@
     private final List<PeriodicWriter<?>> snapshotWriters = new ArrayList<>();
 
     /**
-     * The seed starts the module's chance and must differ at each start, for it names this life of
-     * the gateway.
+     * A gateway that is not started yet.
+     *
+     * @param seed starts the random draws; it must differ at each start, for it names this
+     *     incarnation of the gateway
      */
     public NbdGateway(SiteConfig site, long seed) {
         this(site, seed, new Scheduler(site.deployment(), seed), newMembership(site, seed));
     }
 
-    /** With another view of the nodes: baselines are measured so. */
+    /** With another membership, to measure baselines. */
     public NbdGateway(SiteConfig site, long seed, Membership membership) {
         this(site, seed, new Scheduler(site.deployment(), seed), membership);
     }
@@ -109,10 +118,7 @@
                 new SplittableRandom(seed));
     }
 
-    /**
-     * Begins to listen once the list of nodes has come; then it is ready. Fails if it cannot
-     * listen.
-     */
+    /** Listens once an endpoint list is known, and is ready then; fails if it cannot listen. */
     public CompletableFuture<NbdGateway> start() {
         CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
         AccountFile.Read storedAccounts = readStoredAccounts();
@@ -132,8 +138,8 @@
     }
 
     /**
-     * What an earlier life kept; null if nothing can be believed. That never keeps a gateway from
-     * starting.
+     * What an earlier incarnation stored; null if there is nothing valid. That never keeps a
+     * gateway from starting.
      */
     private AccountFile.Read readStoredAccounts() {
         if (!site.books().keep() || site.books().file() == null) {
@@ -152,7 +158,7 @@
             LOG.atWarn()
                     .addKeyValue("file", site.books().file())
                     .addKeyValue("why", e.toString())
-                    .log("accounts of the earlier life not read");
+                    .log("stored accounts not read");
             return null;
         }
     }
@@ -189,7 +195,7 @@
         new ServerBootstrap()
                 .group(clientGroup)
                 .channel(EventLoops.server())
-                .option(ChannelOption.SO_BACKLOG, 1024)
+                .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(
@@ -220,7 +226,7 @@
         if (clients.size() >= site.mostClients()) {
             LOG.atWarn()
                     .addKeyValue("client", client.remoteAddress())
-                    .log("too many clients, turned away");
+                    .log("too many clients, connection rejected");
             client.close();
             return;
         }
@@ -258,16 +264,17 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Counts since the start. */
     public Counters counters() {
         return engine.counters();
     }
 
-    /** Each volume's account of latency over the last so many milliseconds, by its name. */
+    /** Each volume's latency account of the last so many milliseconds, by its name. */
     public CompletableFuture<Map<String, LatencyReport>> accounts(double recentMillis) {
         return engine.accountReports().recent(recentMillis);
     }
 
-    /** What it knows of its nodes. */
+    /** The nodes as the gateway sees them. */
     public CompletableFuture<NodesView> nodes() {
         return engine.nodesView();
     }
@@ -277,32 +284,34 @@
         return engine.accountReports().totals();
     }
 
-    /** Traces made since the start, and those dropped; 0 where none go anywhere. */
+    /** Traces recorded since the start; 0 if traces are not wanted. */
     public long tracesRecorded() {
         return tracer == null ? 0 : tracer.made();
     }
 
+    /** Traces dropped since the start; 0 if traces are not wanted. */
     public long tracesDropped() {
         return tracer == null ? 0 : tracer.dropped();
     }
 
-    /** A copy of all accounts as they stand, as they go to disk. */
+    /** A copy of all accounts, as they go to disk. */
     public CompletableFuture<GatewayAccounts> accountSnapshot() {
         return engine.accountReports().snapshot();
     }
 
-    /** Bytes of requests in hand now, and the most there ever were. */
+    /** Bytes of requests in flight now. */
     public long bytesInFlight() {
         return bufferBudget.usedBytes();
     }
 
+    /** The most bytes of requests that were ever in flight at once. */
     public long maxBytesInFlight() {
         return bufferBudget.maxUsedBytes();
     }
 
     /**
-     * Takes nothing more, answers what it holds, at the latest within the site's time for it, then
-     * ends every connection.
+     * Shuts down gracefully: refuses new requests, answers those in flight as far as the site's
+     * time for it allows, then ends every connection.
      */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
@@ -320,25 +329,25 @@
                             if (late != null) {
                                 LOG.atWarn()
                                         .addKeyValue("open", counters().open())
-                                        .log("stopped with operations in hand");
+                                        .log("stopped with operations in flight");
                             }
-                            // What was answered last still has to leave the sockets.
-                            clients.flush();
-                            clientGroup
-                                    .next()
-                                    .schedule(
-                                            () ->
-                                                    clients.close()
-                                                            .addListener(
-                                                                    closed ->
-                                                                            writeAccounts(stopped)),
-                                            20,
-                                            TimeUnit.MILLISECONDS);
+                            closeClients(stopped);
                         });
         return stopped;
     }
 
-    /** Ends at once, as a kill would: nothing is answered any more. */
+    private void closeClients(CompletableFuture<Void> stopped) {
+        clients.flush();
+        // What was answered last still has to leave the sockets.
+        clientGroup
+                .next()
+                .schedule(
+                        () -> clients.close().addListener(closed -> writeAccounts(stopped)),
+                        LAST_REPLIES_MILLIS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    /** Ends at once, as a killed process would: nothing is answered any more. */
     public CompletableFuture<Void> kill() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         if (!stopResult.compareAndSet(null, stopped)) {
@@ -372,10 +381,10 @@
                             engine.close();
                             LOG.atInfo()
                                     .addKeyValue("gateway", site.name())
-                                    .addKeyValue("taken", counters().accepted.sum())
-                                    .addKeyValue("satisfied", counters().served.sum())
-                                    .addKeyValue("declined", counters().rejected.sum())
-                                    .addKeyValue("scrapped", counters().abandoned.sum())
+                                    .addKeyValue("accepted", counters().accepted.sum())
+                                    .addKeyValue("served", counters().served.sum())
+                                    .addKeyValue("rejected", counters().rejected.sum())
+                                    .addKeyValue("abandoned", counters().abandoned.sum())
                                     .log("stopped");
                             clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
                             engineGroup
--- a/src/main/java/sagepulley/frontend/nbd/NodesView.java
+++ b/src/main/java/sagepulley/frontend/nbd/NodesView.java
@@ -5,9 +5,12 @@
 import sagepulley.membership.Membership;
 
 /**
- * What a gateway knows of its nodes: how far and for what age of the list (milliseconds since a
- * directory confirmed it; infinity if none did), whether the directory is reached, extents whose
- * holder is known from disk only.
+ * What a gateway knows of its nodes. Component names are keys of the JSON that operators read.
+ *
+ * @param trust the freshness of the endpoint list
+ * @param age milliseconds since a directory confirmed the list; infinite if none did
+ * @param directory whether the directory is reachable
+ * @param unverifiedExtents extents whose holder is known from disk only
  */
 public record NodesView(
         String gateway,
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -234,7 +234,7 @@
                 decision.reason(),
                 NbdConstants.ENOMEM,
                 "declined ("
-                        + OperationTracing.words(decision.reason())
+                        + OperationTracing.toText(decision.reason())
                         + "): asking again does no harm"
                         + retryAfter);
     }
@@ -356,7 +356,7 @@
         }
         FollowUp followUp = scheduler.onAttemptEnded(attempt, now);
         if (servedNow) {
-            recordDurability(part, attempt);
+            part.recordDurability(attempt.node.cell, connections.startedAt(attempt.node.id));
             completeServed(part);
         } else if (followUp == FollowUp.ROUTE_AGAIN) {
             carryOut(part, scheduler.route(operation, now));
@@ -368,16 +368,6 @@
         return part.operation.attempts.get(part.operation.attempts.size() - 1);
     }
 
-    /** What an acknowledged write or flush means for the next flush. */
-    private void recordDurability(RequestPart part, Attempt attempt) {
-        ExportedVolume volume = part.request.volume;
-        if (part.kind == StoreMessages.Kind.FLUSH) {
-            volume.recordFlush(attempt.node.cell, part.writesBeforeFlush);
-        } else if (part.kind.modifiesData() && !part.request.isDurable()) {
-            volume.recordWrite(attempt.node.cell, connections.startedAt(attempt.node.id));
-        }
-    }
-
     // ---- ends of parts ----
 
     private void completeServed(RequestPart part) {
--- a/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -56,7 +56,7 @@
                 part.request.command.cookie(),
                 part.request.volume.settings.name(),
                 operation.trafficClass.name(),
-                words(part.kind),
+                toText(part.kind),
                 part.extent,
                 operation.units,
                 clock.wall(operation.arrivedAt),
@@ -98,14 +98,14 @@
         if (cause == null) {
             return "";
         }
-        return words(cause.kind())
+        return toText(cause.kind())
                 + (cause.volume() == 0 ? "" : ", volume " + cause.volume())
                 + (cause.node() == 0 ? "" : ", node " + cause.node())
                 + (cause.estimate() ? ", estimate" : "");
     }
 
-    /** A constant's external name, as words. */
-    static String words(Enum<?> constant) {
+    /** A constant's external name, as text. */
+    static String toText(Enum<?> constant) {
         return ExternalName.of(constant).replace('_', ' ');
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
@@ -7,37 +7,52 @@
 import sagepulley.codec.nbd.NbdRequest;
 
 /**
- * An NBD request in hand. Its one reply is written when all its parts have ended; what several
- * parts say is folded here: of errors the gravest counts (scrapped over declined), and each tells
- * its own offset.
+ * An NBD request in flight. Its one reply is written when all its parts have ended, and their
+ * results are gathered here: the most severe error counts (abandoned over rejected), and each has
+ * its own offset. Owns the data of its read chunks until they are written or released; confined to
+ * the engine's event loop, then to the client's.
  */
 final class PendingRequest {
-    /** What a part of a read brought: data, or a hole of so many bytes where the data is null. */
+    /** The offset of an error that concerns the whole request. */
+    static final long NO_OFFSET = -1;
+
+    /** The result of a part of a read: data, or a hole of so many bytes where the data is null. */
     record ReadChunk(long offset, int length, ByteBuf data) {}
 
-    /** A part that failed. */
+    /**
+     * An error of the request or of one of its parts.
+     *
+     * @param offset where in the export it occurred, or {@link #NO_OFFSET}
+     * @param error its number in the protocol text ('Error values')
+     */
     record RequestError(long offset, int error, String message) {}
 
     final NbdSession session;
     final NbdRequest command;
     final ExportedVolume volume;
+
+    /** Engine milliseconds. */
     final double arrivedAt;
+
     final List<RequestPart> parts = new ArrayList<>(1);
     final List<ReadChunk> readChunks = new ArrayList<>(1);
     final List<RequestError> errors = new ArrayList<>(0);
 
-    /** Lengths and flags, for a block status. */
+    /** Lengths and flags by turns, for a block status; else null. */
     int[] blockDescriptors;
 
+    /** Parts that have not ended. */
     int openParts;
 
-    PendingRequest(NbdSession session, NbdRequest asked, ExportedVolume volume, double arrivedAt) {
+    PendingRequest(
+            NbdSession session, NbdRequest command, ExportedVolume volume, double arrivedAt) {
         this.session = session;
-        this.command = asked;
+        this.command = command;
         this.volume = volume;
         this.arrivedAt = arrivedAt;
     }
 
+    /** Adds the error of a part. */
     void fail(long offset, int error, String message) {
         errors.add(new RequestError(offset, error, message));
     }
@@ -47,7 +62,7 @@
         return (command.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
     }
 
-    /** The error of the whole: 0 if all went well. */
+    /** The error that a simple reply tells: 0 if all parts were served. */
     int error() {
         int worst = 0;
         for (RequestError error : errors) {
@@ -58,7 +73,7 @@
         return worst;
     }
 
-    /** Gives back data that nobody will get. */
+    /** Releases data that is not sent. */
     void release() {
         for (ReadChunk chunk : readChunks) {
             if (chunk.data() != null) {
--- /dev/null
+++ b/src/main/java/sagepulley/frontend/nbd/ReplyWriter.java
@@ -0,0 +1,107 @@
+package sagepulley.frontend.nbd;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.CompositeByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import java.util.Comparator;
+import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.codec.nbd.NbdReplies;
+
+/**
+ * Writes the one reply of a request as its session negotiated it ('Simple reply message',
+ * 'Structured reply chunk message'). Uses up the data that the request holds; flushes nothing.
+ */
+final class ReplyWriter {
+    private static final int ZERO_BLOCK_BYTES = 1 << 16;
+    private static final ByteBuf ZEROES =
+            Unpooled.unreleasableBuffer(
+                    Unpooled.directBuffer(ZERO_BLOCK_BYTES)
+                            .writeZero(ZERO_BLOCK_BYTES)
+                            .asReadOnly());
+
+    private ReplyWriter() {}
+
+    /** A simple reply; all data of a read is in one piece. */
+    static ChannelFuture writeSimple(Channel channel, PendingRequest request) {
+        int error = request.error();
+        if (error != 0) {
+            request.release();
+        }
+        return NbdReplies.simple(
+                channel, request.command.cookie(), error, joinChunks(channel, request));
+    }
+
+    /** A structured reply: in as many chunks as there are results, or one with NBD_CMD_FLAG_DF. */
+    static ChannelFuture writeStructured(Channel channel, PendingRequest request) {
+        long cookie = request.command.cookie();
+        boolean singleChunk = (request.command.flags() & NbdConstants.CMD_FLAG_DF) != 0;
+        if (request.blockDescriptors != null && request.errors.isEmpty()) {
+            return NbdReplies.blockStatus(
+                    channel, cookie, request.blockDescriptors, request.blockDescriptors.length);
+        }
+        if (singleChunk && !request.errors.isEmpty()) {
+            request.release();
+        }
+        if (singleChunk && request.errors.isEmpty()) {
+            ByteBuf data = joinChunks(channel, request);
+            return NbdReplies.data(channel, cookie, request.command.offset(), data, true);
+        }
+        if (request.readChunks.isEmpty() && request.errors.isEmpty()) {
+            return NbdReplies.done(channel, cookie);
+        }
+        return writeChunks(channel, request);
+    }
+
+    private static ChannelFuture writeChunks(Channel channel, PendingRequest request) {
+        long cookie = request.command.cookie();
+        int remaining = request.readChunks.size() + request.errors.size();
+        ChannelFuture written = null;
+        for (PendingRequest.ReadChunk chunk : request.readChunks) {
+            boolean last = --remaining == 0;
+            written =
+                    chunk.data() == null
+                            ? NbdReplies.hole(channel, cookie, chunk.offset(), chunk.length(), last)
+                            : NbdReplies.data(channel, cookie, chunk.offset(), chunk.data(), last);
+        }
+        request.readChunks.clear();
+        // The most severe first: clients take the first error for the request's.
+        request.errors.sort(Comparator.comparing(error -> error.error() == NbdConstants.ENOMEM));
+        for (PendingRequest.RequestError error : request.errors) {
+            boolean last = --remaining == 0;
+            written =
+                    NbdReplies.error(
+                            channel, cookie, error.error(), error.message(), error.offset(), last);
+        }
+        return written;
+    }
+
+    /** All data of a read in order, holes as zeroes; the caller owns it. */
+    private static ByteBuf joinChunks(Channel channel, PendingRequest request) {
+        if (request.readChunks.size() == 1 && request.readChunks.get(0).data() != null) {
+            return request.readChunks.remove(0).data();
+        }
+        if (request.readChunks.isEmpty()) {
+            return Unpooled.EMPTY_BUFFER;
+        }
+        request.readChunks.sort(Comparator.comparingLong(PendingRequest.ReadChunk::offset));
+        CompositeByteBuf joined = channel.alloc().compositeBuffer(Integer.MAX_VALUE);
+        for (PendingRequest.ReadChunk chunk : request.readChunks) {
+            if (chunk.data() != null) {
+                joined.addComponent(true, chunk.data());
+            } else {
+                addZeroes(joined, chunk.length());
+            }
+        }
+        request.readChunks.clear();
+        return joined;
+    }
+
+    private static void addZeroes(CompositeByteBuf joined, int length) {
+        for (int remaining = length; remaining > 0; remaining -= ZERO_BLOCK_BYTES) {
+            joined.addComponent(
+                    true, ZEROES.duplicate().slice(0, Math.min(remaining, ZERO_BLOCK_BYTES)));
+        }
+    }
+}
--- a/src/main/java/sagepulley/frontend/nbd/RequestPart.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -7,43 +7,48 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * The part of a request that lies in one extent: one operation, from its taking to its one final
- * answer.
+ * The part of a request that lies in one extent: one operation, until its one final answer. Owns
+ * its payload; confined to the engine's event loop.
  */
 final class RequestPart {
     final PendingRequest request;
     final Operation operation;
     final StoreMessages.Kind kind;
+
+    /** Number of the extent in the export. */
     final long extent;
 
-    /** Bytes in the extent, and where it starts in the export. */
+    /** Bytes. */
     final int offsetInExtent;
 
+    /** Bytes. */
     final int length;
+
+    /** Where the part starts in the export; -1 for a flush. */
     final long exportOffset;
 
-    /** What is written; empty for all else. Given back when the part is over. */
-    ByteBuf payload;
+    /** What is written; empty for all else. Released when the part has ended. */
+    final ByteBuf payload;
 
-    /** The attempt that is out: its number on the wire (0: none), and the timer of its end. */
+    /** The number on the wire of the attempt in flight; 0 for none. */
     long attemptId;
 
+    /** Ends the attempt in flight. */
     ScheduledFuture<?> timeout;
 
-    /** Whether the attempt has been handed to a link, and not merely waits for a claim. */
+    /** Whether the attempt went to a connection, and does not wait for a claim. */
     boolean handedToConnection;
 
-    /** Whether it was shown to Scheduler, or still waits for the directory. */
+    /** Whether the scheduler knows the operation; else it waits for the directory. */
     boolean submitted;
 
-    /** Its account of time. */
+    /** What the operation's time was spent on; null if no accounts are kept. */
     OperationTimer timer;
 
-    /**
-     * For a flush: how many writes stood when it began, and the node's start that must still hold.
-     */
+    /** For a flush: the volume's unflushed writes at the node when it began. */
     long writesBeforeFlush;
 
+    /** For a flush: the incarnation that the node must still have, else 0. */
     long expectedNodeStart;
 
     RequestPart(
@@ -66,6 +71,20 @@
         operation.engineState = this;
     }
 
+    /**
+     * The part was served: what that means for the volume's next flush.
+     *
+     * @param cell the cell of the node that served it
+     * @param nodeStartedAt the node's incarnation, by its start in wall-clock milliseconds
+     */
+    void recordDurability(int cell, long nodeStartedAt) {
+        if (kind == StoreMessages.Kind.FLUSH) {
+            request.volume.recordFlush(cell, writesBeforeFlush);
+        } else if (kind.modifiesData() && !request.isDurable()) {
+            request.volume.recordWrite(cell, nodeStartedAt);
+        }
+    }
+
     /** The attempt has ended: its timeout is cancelled. */
     void clearAttempt() {
         attemptId = 0;
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -11,14 +11,11 @@
 import sagepulley.placement.ExtentHolders;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Checks requests as the protocol text asks, and splits them at extent edges into operations. */
+/**
+ * Splits requests at extent edges into parts, one operation each. Confined to the engine's event
+ * loop.
+ */
 final class RequestSplitter {
-    private static final int KNOWN_FLAGS =
-            NbdConstants.CMD_FLAG_FUA
-                    | NbdConstants.CMD_FLAG_NO_HOLE
-                    | NbdConstants.CMD_FLAG_DF
-                    | NbdConstants.CMD_FLAG_REQ_ONE;
-
     private final Deployment deployment;
     private final int extentBytes;
     private final int unitBytes;
@@ -30,86 +27,9 @@
         this.unitBytes = site.unitBytes();
     }
 
-    /** A request that is answered with an error as it stands, or null if it may go on. */
-    static PendingRequest.RequestError validate(
-            int command,
-            int flags,
-            long offset,
-            long length,
-            ExportedVolume volume,
-            boolean structured,
-            boolean baseAllocation) {
-        VolumeSettings settings = volume.settings;
-        if (command > NbdConstants.CMD_BLOCK_STATUS || command == NbdConstants.CMD_CACHE) {
-            return new PendingRequest.RequestError(
-                    -1, NbdConstants.EINVAL, "command " + command + " is not served here");
-        }
-        if ((flags & ~KNOWN_FLAGS) != 0) {
-            return new PendingRequest.RequestError(
-                    -1,
-                    NbdConstants.EINVAL,
-                    "command flags 0x" + Integer.toHexString(flags) + " are not served here");
-        }
-        if ((flags & NbdConstants.CMD_FLAG_DF) != 0
-                && !(structured && command == NbdConstants.CMD_READ)) {
-            return new PendingRequest.RequestError(
-                    -1, NbdConstants.EINVAL, "DF is for reads with structured replies");
-        }
-        if (((flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0
-                        && command != NbdConstants.CMD_WRITE_ZEROES)
-                || ((flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0
-                        && command != NbdConstants.CMD_BLOCK_STATUS)) {
-            return new PendingRequest.RequestError(
-                    -1, NbdConstants.EINVAL, "a flag of another command");
-        }
-        if (command == NbdConstants.CMD_FLUSH) {
-            return offset == 0 && length == 0
-                    ? null
-                    : new PendingRequest.RequestError(
-                            -1, NbdConstants.EINVAL, "a flush has neither offset nor length");
-        }
-        boolean modifiesData =
-                command == NbdConstants.CMD_WRITE
-                        || command == NbdConstants.CMD_TRIM
-                        || command == NbdConstants.CMD_WRITE_ZEROES;
-        if (modifiesData && settings.readOnly()) {
-            return new PendingRequest.RequestError(
-                    -1, NbdConstants.EPERM, "the export is read-only");
-        }
-        if (command == NbdConstants.CMD_BLOCK_STATUS && !baseAllocation) {
-            return new PendingRequest.RequestError(
-                    -1, NbdConstants.EINVAL, "no metadata context was chosen");
-        }
-        if (length == 0) {
-            return new PendingRequest.RequestError(-1, NbdConstants.EINVAL, "a length of zero");
-        }
-        if (offset < 0 || offset > settings.size() || length > settings.size() - offset) {
-            int error =
-                    command == NbdConstants.CMD_WRITE || command == NbdConstants.CMD_WRITE_ZEROES
-                            ? NbdConstants.ENOSPC
-                            : NbdConstants.EINVAL;
-            return new PendingRequest.RequestError(
-                    -1, error, "past the end of the export at " + settings.size());
-        }
-        if ((offset | length) % volume.export.minBlockSize() != 0) {
-            return new PendingRequest.RequestError(
-                    -1,
-                    NbdConstants.EINVAL,
-                    "not aligned to " + volume.export.minBlockSize() + " bytes");
-        }
-        if ((command == NbdConstants.CMD_READ || command == NbdConstants.CMD_WRITE)
-                && length > volume.export.maxBlockSize()) {
-            return new PendingRequest.RequestError(
-                    -1,
-                    command == NbdConstants.CMD_READ ? NbdConstants.EOVERFLOW : NbdConstants.EINVAL,
-                    "longer than " + volume.export.maxBlockSize() + " bytes");
-        }
-        return null;
-    }
-
     /**
-     * Adds the request's parts, one for each extent that it touches; payloads are slices with
-     * owners.
+     * Adds the request's parts, one for each extent that it touches. Each owns a slice of the
+     * payload.
      */
     void split(PendingRequest request) {
         long offset = request.command.offset();
