--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -38,39 +38,48 @@
 import sagepulley.scheduler.Scheduler;
 import sagepulley.tracing.Tracer;
 
-/** One gateway in service: listens for NBD clients, and serves them by what Scheduler decides. */
+/**
+ * One NBD gateway in service: owns the listener, the client connections, the event loops and the
+ * snapshot files around the engine. Its public methods may be called from any thread.
+ */
 public final class NbdGateway {
-    /** So many volumes, the first of the site file, have sums of their own since the start. */
+    /** So many volumes, the first of the site file, have totals of their own since the start. */
     public static final int MAX_VOLUMES_WITH_TOTALS = 100;
 
-    private static final double LIST_LOOK_MS = 500;
-    private static final double HOLDERS_LOOK_MS = 10_000;
+    private static final double ENDPOINT_LIST_CHECK_INTERVAL_MILLIS = 500;
+    private static final double HOLDERS_CHECK_INTERVAL_MILLIS = 10_000;
 
-    /** A client that stops inside a message, or reads no replies, for so long is ended. */
-    private static final int STUCK_SECONDS = 30;
+    /** A client that stops inside a message, or reads no replies, for so long is disconnected. */
+    private static final int CLIENT_IDLE_TIMEOUT_SECONDS = 30;
 
+    /** How long the last replies have to leave the sockets at the graceful shutdown. */
+    private static final long LAST_REPLIES_MILLIS = 20;
+
+    private static final int LISTEN_BACKLOG = 1024;
     private static final Logger LOG = LoggerFactory.getLogger(NbdGateway.class);
 
     private final SiteConfig site;
-    private final EventLoopGroup houseGroup = EventLoops.group(1, "gateway");
+    private final EventLoopGroup engineGroup = EventLoops.group(1, "gateway");
     private final EventLoopGroup clientGroup;
     private final NbdEngine engine;
     private final BufferBudget bufferBudget;
     private final ChannelGroup clients = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final AtomicReference<CompletableFuture<Void>> ending = new AtomicReference<>();
+    private final AtomicReference<CompletableFuture<Void>> stopResult = new AtomicReference<>();
     private Channel listener;
     private final Tracer tracer;
-    private final List<PeriodicWriter<?>> keepers = new ArrayList<>();
+    private final List<PeriodicWriter<?>> snapshotWriters = new ArrayList<>();
 
     /**
-     * The seed starts the module's chance and must differ at each start, for it names this life of
-     * the gateway.
+     * A gateway that is not started yet.
+     *
+     * @param seed starts the random draws; it must differ at each start, for it names this
+     *     incarnation of the gateway
      */
     public NbdGateway(SiteConfig site, long seed) {
-        this(site, seed, new Scheduler(site.deployment(), seed), membership(site, seed));
+        this(site, seed, new Scheduler(site.deployment(), seed), newMembership(site, seed));
     }
 
-    /** With another view of the nodes: baselines are measured so. */
+    /** With another membership, to measure baselines. */
     public NbdGateway(SiteConfig site, long seed, Membership membership) {
         this(site, seed, new Scheduler(site.deployment(), seed), membership);
     }
@@ -78,15 +87,13 @@
     NbdGateway(SiteConfig site, long seed, Scheduler scheduler, Membership membership) {
         this.site = site;
         this.clientGroup =
-                site.eventLoops() > 1
-                        ? EventLoops.group(site.eventLoops() - 1, "client")
-                        : houseGroup;
-        this.bufferBudget = new BufferBudget(site.maxTotalBytes());
-        this.tracer = site.tracing().isEnabled() ? new Tracer(site.tracing(), site.name()) : null;
+                site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : engineGroup;
+        this.bufferBudget = new BufferBudget(site.allBytes());
+        this.tracer = site.tracing().wanted() ? new Tracer(site.tracing(), site.name()) : null;
         this.engine =
                 new NbdEngine(
                         site,
-                        houseGroup.next(),
+                        engineGroup.next(),
                         EventLoops.socket(),
                         new Clock(),
                         seed,
@@ -95,38 +102,35 @@
                         tracer);
     }
 
-    static Membership membership(SiteConfig site, long seed) {
-        Membership.Policy usual = Membership.Policy.DEFAULT;
+    static Membership newMembership(SiteConfig site, long seed) {
+        Membership.Bounds defaults = Membership.Bounds.USUAL;
         return new Membership(
                 site.siteName(),
-                new Membership.Policy(
-                        site.membership().freshMillis(),
-                        site.membership().agedMillis(),
-                        site.membership().maxConcurrentProbes(),
-                        usual.probeIntervalMillis(),
-                        usual.verificationMillis(),
-                        usual.omissionGraceMillis(),
-                        usual.initialHoldDownMillis(),
-                        usual.maxHoldDownMillis()),
+                new Membership.Bounds(
+                        site.membership().fresh(),
+                        site.membership().aged(),
+                        site.membership().askedAtOnce(),
+                        defaults.askedApart(),
+                        defaults.proofHolds(),
+                        defaults.doubt(),
+                        defaults.firstHold(),
+                        defaults.longestHold()),
                 new SplittableRandom(seed));
     }
 
-    /**
-     * Begins to listen once the list of nodes has come; then it is ready. Fails if it cannot
-     * listen.
-     */
+    /** Listens once an endpoint list is known, and is ready then; fails if it cannot listen. */
     public CompletableFuture<NbdGateway> start() {
         CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
-        AccountFile.Loaded before = accountsBefore();
-        StoredEndpointList list = listBefore();
-        Map<Integer, int[]> cells = holdersBefore();
-        houseGroup
+        AccountFile.Read storedAccounts = readStoredAccounts();
+        StoredEndpointList storedList = readStoredEndpointList();
+        Map<Integer, int[]> storedHolders = readStoredHolders();
+        engineGroup
                 .next()
                 .execute(
                         () -> {
-                            engine.restore(list, cells);
-                            if (before != null) {
-                                engine.goOn(before.account());
+                            engine.restore(storedList, storedHolders);
+                            if (storedAccounts != null) {
+                                engine.restoreAccounts(storedAccounts.book());
                             }
                             engine.start(() -> listen(ready));
                         });
@@ -134,64 +138,64 @@
     }
 
     /**
-     * What an earlier life kept; null if nothing can be believed. That never keeps a gateway from
-     * starting.
+     * What an earlier incarnation stored; null if there is nothing valid. That never keeps a
+     * gateway from starting.
      */
-    private AccountFile.Loaded accountsBefore() {
+    private AccountFile.Read readStoredAccounts() {
         if (!site.accounts().enabled() || site.accounts().file() == null) {
             return null;
         }
         AccountFile file = new AccountFile(site.accounts().file(), site.name());
-        keepers.add(
+        snapshotWriters.add(
                 new PeriodicWriter<>(
                         "accounts",
-                        site.accounts().writeIntervalMillis(),
-                        engine::accountSnapshot,
+                        site.accounts().every(),
+                        engine.accountReports()::snapshot,
                         file::write));
         try {
-            return file.load();
+            return file.goOn();
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("file", site.accounts().file())
                     .addKeyValue("why", e.toString())
-                    .log("accounts of the earlier life not read");
+                    .log("stored accounts not read");
             return null;
         }
     }
 
-    private StoredEndpointList listBefore() {
-        if (site.membership().listFile() == null) {
+    private StoredEndpointList readStoredEndpointList() {
+        if (site.membership().list() == null) {
             return null;
         }
-        EndpointListFile file = new EndpointListFile(site.membership().listFile(), site.siteName());
-        keepers.add(
+        EndpointListFile file = new EndpointListFile(site.membership().list(), site.siteName());
+        snapshotWriters.add(
                 new PeriodicWriter<>(
                         "list",
-                        LIST_LOOK_MS,
-                        engine::keptList,
+                        ENDPOINT_LIST_CHECK_INTERVAL_MILLIS,
+                        engine::endpointListSnapshot,
                         list -> file.write(list, System.currentTimeMillis())));
-        return file.load();
+        return file.start();
     }
 
-    private Map<Integer, int[]> holdersBefore() {
-        if (site.membership().holderFile() == null) {
+    private Map<Integer, int[]> readStoredHolders() {
+        if (site.membership().holders() == null) {
             return Map.of();
         }
-        HolderFile file = new HolderFile(site.membership().holderFile(), site.siteName());
-        keepers.add(
+        HolderFile file = new HolderFile(site.membership().holders(), site.siteName());
+        snapshotWriters.add(
                 new PeriodicWriter<>(
                         "holders",
-                        HOLDERS_LOOK_MS,
-                        engine::keptHolders,
+                        HOLDERS_CHECK_INTERVAL_MILLIS,
+                        engine.holderSnapshots()::take,
                         cells -> file.write(cells, System.currentTimeMillis())));
-        return file.load();
+        return file.start();
     }
 
     private void listen(CompletableFuture<NbdGateway> ready) {
         new ServerBootstrap()
                 .group(clientGroup)
                 .channel(EventLoops.server())
-                .option(ChannelOption.SO_BACKLOG, 1024)
+                .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(
@@ -219,35 +223,39 @@
     }
 
     private void accept(Channel client) {
-        if (clients.size() >= site.maxClients()) {
+        if (clients.size() >= site.mostClients()) {
             LOG.atWarn()
                     .addKeyValue("client", client.remoteAddress())
-                    .log("too many clients, turned away");
+                    .log("too many clients, connection rejected");
             client.close();
             return;
         }
         clients.add(client);
         engine.counters().clients.increment();
         client.closeFuture().addListener(done -> engine.counters().clientsEnded.increment());
-        BufferBudget.Client part = bufferBudget.client(site.maxClientBytes());
-        client.pipeline().addLast(new IdleStateHandler(STUCK_SECONDS, STUCK_SECONDS, 0));
-        NbdServer.onto(client.pipeline(), new Offered(), part, new NbdSession(engine, part));
+        BufferBudget.ClientBudget budget = bufferBudget.client(site.clientBytes());
+        client.pipeline()
+                .addLast(
+                        new IdleStateHandler(
+                                CLIENT_IDLE_TIMEOUT_SECONDS, CLIENT_IDLE_TIMEOUT_SECONDS, 0));
+        NbdServer.addTo(
+                client.pipeline(), new VolumeExports(), budget, new NbdSession(engine, budget));
     }
 
     /** The volumes as exports; the first is the default. */
-    private final class Offered implements Exports {
+    private final class VolumeExports implements Exports {
         @Override
         public List<Export> all() {
-            return engine.disks().values().stream().map(disk -> disk.export).toList();
+            return engine.exportedVolumes().values().stream().map(volume -> volume.export).toList();
         }
 
         @Override
         public Export named(String name) {
-            if (name.isEmpty() && !engine.disks().isEmpty()) {
+            if (name.isEmpty() && !engine.exportedVolumes().isEmpty()) {
                 return all().get(0);
             }
-            ExportedVolume disk = engine.disk(name);
-            return disk == null ? null : disk.export;
+            ExportedVolume volume = engine.exportedVolume(name);
+            return volume == null ? null : volume.export;
         }
     }
 
@@ -256,98 +264,100 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
+    /** Counts since the start. */
     public Counters counters() {
         return engine.counters();
     }
 
-    /** Each volume's account of latency over the last so many milliseconds, by its name. */
-    public CompletableFuture<Map<String, LatencyReport>> accounts(double lately) {
-        return engine.accounts(lately);
+    /** Each volume's latency account of the last so many milliseconds, by its name. */
+    public CompletableFuture<Map<String, LatencyReport>> accounts(double recentMillis) {
+        return engine.accountReports().recent(recentMillis);
     }
 
-    /** What it knows of its nodes. */
+    /** The nodes as the gateway sees them. */
     public CompletableFuture<NodesView> nodes() {
         return engine.nodesView();
     }
 
     /** Sums of the accounts since the start. */
     public CompletableFuture<Totals> totals() {
-        return engine.totals();
+        return engine.accountReports().totals();
     }
 
-    /** Traces made since the start, and those dropped; 0 where none go anywhere. */
+    /** Traces recorded since the start; 0 if traces are not wanted. */
     public long tracesRecorded() {
-        return tracer == null ? 0 : tracer.exported();
+        return tracer == null ? 0 : tracer.made();
     }
 
+    /** Traces dropped since the start; 0 if traces are not wanted. */
     public long tracesDropped() {
         return tracer == null ? 0 : tracer.dropped();
     }
 
-    /** A copy of all accounts as they stand, as they go to disk. */
+    /** A copy of all accounts, as they go to disk. */
     public CompletableFuture<GatewayAccounts> accountSnapshot() {
-        return engine.accountSnapshot();
+        return engine.accountReports().snapshot();
     }
 
-    /** Bytes of requests in hand now, and the most there ever were. */
+    /** Bytes of requests in flight now. */
     public long bytesInFlight() {
-        return bufferBudget.used();
+        return bufferBudget.usedBytes();
     }
 
+    /** The most bytes of requests that were ever in flight at once. */
     public long maxBytesInFlight() {
-        return bufferBudget.highest();
+        return bufferBudget.maxUsedBytes();
     }
 
     /**
-     * Takes nothing more, answers what it holds, at the latest within the site's time for it, then
-     * ends every connection.
+     * Shuts down gracefully: refuses new requests, answers those in flight as far as the site's
+     * time for it allows, then ends every connection.
      */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        if (!ending.compareAndSet(null, stopped)) {
-            return ending.get();
+        if (!stopResult.compareAndSet(null, stopped)) {
+            return stopResult.get();
         }
         CompletableFuture<Void> empty = new CompletableFuture<>();
         if (listener != null) {
             listener.close();
         }
         engine.stop(() -> empty.complete(null));
-        empty.orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
+        empty.orTimeout((long) site.stopWithin() + 1, TimeUnit.MILLISECONDS)
                 .whenComplete(
                         (done, late) -> {
                             if (late != null) {
                                 LOG.atWarn()
                                         .addKeyValue("open", counters().open())
-                                        .log("stopped with operations in hand");
+                                        .log("stopped with operations in flight");
                             }
-                            // What was answered last still has to leave the sockets.
-
-                            clients.flush();
-                            clientGroup
-                                    .next()
-                                    .schedule(
-                                            () ->
-                                                    clients.close()
-                                                            .addListener(
-                                                                    closed ->
-                                                                            writeAccounts(stopped)),
-                                            20,
-                                            TimeUnit.MILLISECONDS);
+                            closeClients(stopped);
                         });
         return stopped;
     }
 
-    /** Ends at once, as a kill would: nothing is answered any more. */
+    private void closeClients(CompletableFuture<Void> stopped) {
+        clients.flush();
+        // What was answered last still has to leave the sockets.
+        clientGroup
+                .next()
+                .schedule(
+                        () -> clients.close().addListener(closed -> writeAccounts(stopped)),
+                        LAST_REPLIES_MILLIS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    /** Ends at once, as a killed process would: nothing is answered any more. */
     public CompletableFuture<Void> kill() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        if (!ending.compareAndSet(null, stopped)) {
-            return ending.get();
+        if (!stopResult.compareAndSet(null, stopped)) {
+            return stopResult.get();
         }
         if (listener != null) {
             listener.close();
         }
-        keepers.forEach(PeriodicWriter::kill);
-        clients.close().addListener(closed -> end(stopped));
+        snapshotWriters.forEach(PeriodicWriter::kill);
+        clients.close().addListener(closed -> closeEngine(stopped));
         return stopped;
     }
 
@@ -355,29 +365,29 @@
     private void writeAccounts(CompletableFuture<Void> stopped) {
         CompletableFuture.runAsync(
                         () -> {
-                            keepers.forEach(PeriodicWriter::close);
+                            snapshotWriters.forEach(PeriodicWriter::close);
                             if (tracer != null) {
                                 tracer.close();
                             }
                         })
-                .whenComplete((done, failure) -> end(stopped));
+                .whenComplete((done, failure) -> closeEngine(stopped));
     }
 
-    private void end(CompletableFuture<Void> stopped) {
-        houseGroup
+    private void closeEngine(CompletableFuture<Void> stopped) {
+        engineGroup
                 .next()
                 .execute(
                         () -> {
                             engine.close();
                             LOG.atInfo()
                                     .addKeyValue("gateway", site.name())
-                                    .addKeyValue("taken", counters().accepted.sum())
-                                    .addKeyValue("satisfied", counters().served.sum())
-                                    .addKeyValue("declined", counters().rejected.sum())
-                                    .addKeyValue("scrapped", counters().abandoned.sum())
+                                    .addKeyValue("accepted", counters().accepted.sum())
+                                    .addKeyValue("served", counters().served.sum())
+                                    .addKeyValue("rejected", counters().rejected.sum())
+                                    .addKeyValue("abandoned", counters().abandoned.sum())
                                     .log("stopped");
                             clientGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-                            houseGroup
+                            engineGroup
                                     .shutdownGracefully(0, 1, TimeUnit.SECONDS)
                                     .addListener(done -> stopped.complete(null));
                         });
