--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -4,89 +4,96 @@
 import sagepulley.model.Deployment;
 
 /**
- * When discovery is asked for the endpoint list, where it has to be asked: once at the start,
- * spread over the fleet, and anew after each failure, with a gap that doubles and is half chance.
- * Times are milliseconds on the monotonic clock.
+ * When discovery is polled for the endpoint list, where it has to be polled: once at the start,
+ * staggered over the gateways, and again after each failure, by an exponential backoff with jitter.
+ * Times are milliseconds on the monotonic clock. Owned by the scheduler's thread.
  */
 public final class DiscoverySchedule {
-    private static final double FIRST_GAP = 300;
+    private static final double MIN_BACKOFF_MILLIS = 300;
 
     /**
-     * A discovery that many call at once, and that works on calls which nobody waits for any more,
-     * must get to the end of them: gaps of 800 at most kept a fleet's queue full for ten seconds.
-     * One and a half times the longest gap has to stay under the time in which a change counts as
-     * notified, for a refused call renews the lease.
+     * Long enough that discovery gets to the end of a queue of polls that many gateways repeat. One
+     * and a half times as much has to stay under the time in which a change counts as notified, for
+     * a rejected poll renews the lease.
      */
-    private static final double LONGEST_GAP = 3_000;
+    private static final double MAX_BACKOFF_MILLIS = 3_000;
 
-    private static final double GAP_GROWTH = 2;
+    private static final double BACKOFF_FACTOR = 2;
 
-    /** A call tells its end within this time; one that does not is followed by another. */
-    private static final double CALL_PATIENCE = 2_500;
+    /** The jitter scales a backoff by this plus a random number between 0 and 1. */
+    private static final double MIN_JITTER_FACTOR = 0.5;
 
-    /**
-     * First calls: so far apart, all within a part of the time for it, and soon, for the lease
-     * waits for them.
-     */
-    private static final double STAGGER = 250;
+    /** A poll reports its end within this time; one that does not is followed by another. */
+    private static final double POLL_TIMEOUT_MILLIS = 2_500;
+
+    private static final double MAX_STAGGER_MILLIS = 250;
+
+    /** First polls: all gateways' within this part of the poll interval, and soon. */
+    private static final double SPREAD_FRACTION = 0.8;
 
-    private static final double SPREAD_SHARE = 0.8;
-    private static final double LONGEST_SPREAD = 2_500;
+    private static final double MAX_SPREAD_MILLIS = 2_500;
 
-    private final Deployment site;
+    private final Deployment deployment;
     private final RandomGenerator random;
     private double nextAt = Double.POSITIVE_INFINITY;
-    private double gap = FIRST_GAP;
-    private boolean asked;
+    private double backoff = MIN_BACKOFF_MILLIS;
+    private boolean polled;
 
-    public DiscoverySchedule(Deployment site, RandomGenerator random) {
-        this.site = site;
+    /** Polls nothing before {@link #started} or a failure. */
+    public DiscoverySchedule(Deployment deployment, RandomGenerator random) {
+        this.deployment = deployment;
         this.random = random;
     }
 
     /**
-     * The process has begun; the last of many gateways must still have asked before a change counts
-     * as notified.
+     * The process has started; the last of many gateways must still have polled before a change
+     * counts as notified.
      */
     public void started(double now) {
-        if (site.mustPoll()) {
-            double spread = Math.min(SPREAD_SHARE * site.pollInterval(), LONGEST_SPREAD);
-            nextAt = now + site.gatewayIndex() * Math.min(STAGGER, spread / site.gatewayCount());
+        if (deployment.mustPoll()) {
+            double spread =
+                    Math.min(SPREAD_FRACTION * deployment.pollInterval(), MAX_SPREAD_MILLIS);
+            nextAt =
+                    now
+                            + deployment.gatewayIndex()
+                                    * Math.min(
+                                            MAX_STAGGER_MILLIS, spread / deployment.gatewayCount());
         }
     }
 
-    /** A call was answered, or its watch lives on. */
+    /** A poll was answered, or its watch is still alive. */
     public void pollSucceeded() {
-        if (asked) {
-            gap = FIRST_GAP;
+        if (polled) {
+            backoff = MIN_BACKOFF_MILLIS;
             nextAt = Double.POSITIVE_INFINITY;
         }
     }
 
-    /** A call failed, or the watch ended. */
+    /** A poll failed, or the watch ended. */
     public void pollFailed(double now) {
-        if (site.mustPoll()) {
-            nextAt = now + gap * (0.5 + random.nextDouble());
-            gap = Math.min(gap * GAP_GROWTH, LONGEST_GAP);
+        if (deployment.mustPoll()) {
+            nextAt = now + backoff * (MIN_JITTER_FACTOR + random.nextDouble());
+            backoff = Math.min(backoff * BACKOFF_FACTOR, MAX_BACKOFF_MILLIS);
         }
     }
 
-    /** Discovery is elsewhere from now on, and nobody has been asked there. */
+    /** Discovery has another address from now on, which has not been polled yet. */
     public void addressChanged(double now) {
-        gap = FIRST_GAP;
-        nextAt = now + random.nextDouble() * FIRST_GAP;
+        backoff = MIN_BACKOFF_MILLIS;
+        nextAt = now + random.nextDouble() * MIN_BACKOFF_MILLIS;
     }
 
-    /** Whether a call is due; then it counts as made. */
+    /** Whether a poll is due; if so it counts as made. */
     public boolean takeDue(double now) {
         if (nextAt > now) {
             return false;
         }
-        asked = true;
-        nextAt = now + Math.max(site.pollInterval() / 2, CALL_PATIENCE);
+        polled = true;
+        nextAt = now + Math.max(deployment.pollInterval() / 2, POLL_TIMEOUT_MILLIS);
         return true;
     }
 
+    /** When the next poll is due; infinite if none is. */
     public double nextAt() {
         return nextAt;
     }
--- a/src/main/java/sagepulley/membership/EndpointLease.java
+++ b/src/main/java/sagepulley/membership/EndpointLease.java
@@ -5,21 +5,20 @@
  * after discovery had it, whether or not it arrived here; for the drain grace after that its
  * endpoint may still be used. So the lease is renewed by whatever proves the list current, and ends
  * one span and the grace after the latest such proof. A process that has had no proof since its
- * start holds no lease. Times are milliseconds on the monotonic clock.
+ * start holds no lease. Times are milliseconds on the monotonic clock. Owned by the scheduler's
+ * thread.
  */
 public final class EndpointLease {
-    /**
-     * A process may be held up between reading its clock and writing; and what the sender's timers
-     * add.
-     */
-    private static final double HOLD_UP = 150;
+    /** A process may be stalled between reading its clock and writing. */
+    private static final double STALL_MARGIN_MILLIS = 150;
 
-    private static final double TIMER_SLACK = 50;
+    /** What the sender's timers may add. */
+    private static final double TIMER_MARGIN_MILLIS = 50;
 
-    /** What discovery has to tell counts as notified so long after a new configuration was told. */
-    private static final double NOTIFIED_AFTER_RELOAD = 4_000;
+    /** What discovery has counts as notified so long after a new configuration was notified. */
+    private static final double NOTIFIED_AFTER_RELOAD_MILLIS = 4_000;
 
-    private final double notifiedWithin;
+    private final double notificationSpan;
     private final double usableAfter;
 
     /** Until then no change that is unknown here can count as notified. */
@@ -27,31 +26,38 @@
 
     private double confirmedAt = Double.NEGATIVE_INFINITY;
 
-    /** When a new configuration was told that has not been read yet; infinite if there is none. */
-    private double unreadSince = Double.POSITIVE_INFINITY;
+    /** When a reload was notified that has not been completed; infinite if there is none. */
+    private double pendingReloadAt = Double.POSITIVE_INFINITY;
 
-    /** An infinite span is that of a host to which nothing arrives late: its lease always holds. */
-    public EndpointLease(double notifiedWithin, double drainGrace) {
-        this.notifiedWithin = notifiedWithin;
-        this.usableAfter = drainGrace - HOLD_UP - TIMER_SLACK;
+    /**
+     * A lease without any proof yet.
+     *
+     * @param notificationSpan within which a change counts as notified; infinite for an engine to
+     *     which nothing arrives late, whose lease always holds
+     * @param drainGrace for which an endpoint may be used after its removal was notified
+     */
+    public EndpointLease(double notificationSpan, double drainGrace) {
+        this.notificationSpan = notificationSpan;
+        this.usableAfter = drainGrace - STALL_MARGIN_MILLIS - TIMER_MARGIN_MILLIS;
         this.currentUntil = isBounded() ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
     }
 
+    /** Whether the lease can expire. */
     public boolean isBounded() {
-        return notifiedWithin < Double.POSITIVE_INFINITY;
+        return notificationSpan < Double.POSITIVE_INFINITY;
     }
 
-    /** The list held is known to have been current at a time. */
+    /** The cached list is known to have been current at a time. */
     public void confirmed(double asOf) {
         confirmedAt = Math.max(confirmedAt, asOf);
         renew(asOf);
     }
 
     private void renew(double asOf) {
-        if (unreadSince < Double.POSITIVE_INFINITY) {
-            return; // whoever proved it may be no discovery of ours any more
+        if (pendingReloadAt < Double.POSITIVE_INFINITY) {
+            return; // the proof may be of a discovery that is no longer configured
         }
-        currentUntil = Math.max(currentUntil, asOf + notifiedWithin);
+        currentUntil = Math.max(currentUntil, asOf + notificationSpan);
     }
 
     /**
@@ -66,21 +72,21 @@
     }
 
     /**
-     * A new configuration was told at a time: discovery may be elsewhere, and has confirmed nothing
-     * there yet. Until the configuration has been read nobody knows where that is, and nothing
-     * renews the lease.
+     * A new configuration was notified at a time: discovery may have another address, and has
+     * confirmed nothing there yet. Until the reload is completed nobody knows that address, and
+     * nothing renews the lease.
      */
-    public void reloadNotified(double toldAt) {
+    public void reloadNotified(double notifiedAt) {
         if (isBounded()) {
-            currentUntil = Math.min(currentUntil, toldAt + NOTIFIED_AFTER_RELOAD);
-            unreadSince = toldAt;
+            currentUntil = Math.min(currentUntil, notifiedAt + NOTIFIED_AFTER_RELOAD_MILLIS);
+            pendingReloadAt = notifiedAt;
         }
     }
 
-    /** A configuration whose reading began at a time is known, or known to be of no use. */
+    /** A configuration whose reading began at a time is known, or known to be unusable. */
     public void reloadCompleted(double readAt) {
-        if (readAt >= unreadSince) {
-            unreadSince = Double.POSITIVE_INFINITY;
+        if (readAt >= pendingReloadAt) {
+            pendingReloadAt = Double.POSITIVE_INFINITY;
         }
     }
 
@@ -92,11 +98,12 @@
         return confirmedAt;
     }
 
-    /** Whether endpoints may be sent to by the list held. */
+    /** Whether endpoints may be sent to by the cached list. */
     public boolean holds(double now) {
         return now < expiresAt();
     }
 
+    /** When the lease ends unless it is renewed. */
     public double expiresAt() {
         return currentUntil + usableAfter;
     }
--- a/src/main/java/sagepulley/membership/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/membership/EndpointListUpdate.java
@@ -3,8 +3,13 @@
 import java.util.List;
 
 /**
- * A list as a directory tells it: of which site (empty: it does not say), of which history of its
- * own, its version in that history, whole or what changed.
+ * An endpoint list as a directory sends it.
+ *
+ * @param site whose list it is; empty if the directory does not say
+ * @param history which run of versions it belongs to; a directory that is rebuilt or restored
+ *     begins another
+ * @param version counts up within a history
+ * @param complete whether all endpoints are in it, or only those that changed
  */
 public record EndpointListUpdate(
         String site,
--- a/src/main/java/sagepulley/membership/EndpointPollPolicy.java
+++ b/src/main/java/sagepulley/membership/EndpointPollPolicy.java
@@ -1,42 +1,39 @@
 package sagepulley.membership;
 
 /**
- * How long calls to discovery are waited for, and which of those that are overdue are kept open.
- * Times are milliseconds on the monotonic clock.
+ * Timeouts of polls to discovery, and which overdue polls stay open. Times are milliseconds on the
+ * monotonic clock. Stateless.
  */
 public final class EndpointPollPolicy {
     /** A connection to discovery has to come up within this time. */
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     /**
-     * An empty line is due every 2 s, so that a watch that brings none for this long is overdue,
-     * and so is a call whose first list does not come. Both together leave time for one more call
-     * before the lease of the list ends.
+     * An empty line is due every 2 s, so that a watch that brings none for this long is overdue.
+     * With {@link #FIRST_LIST_TIMEOUT_MILLIS} it leaves time for one more poll before the lease of
+     * the list ends.
      */
     public static final long IDLE_TIMEOUT_MILLIS = 2_500;
 
+    /** A poll whose first list has not come within this time is overdue. */
     public static final long FIRST_LIST_TIMEOUT_MILLIS = 2_200;
 
-    /**
-     * Overdue calls that are kept open: discovery may be slow, and what it still answers is taken.
-     */
+    /** Overdue polls that stay open: discovery may be slow, and what it still answers is taken. */
     public static final int MAX_OVERDUE = 1;
 
-    /**
-     * One that has brought something gives way after so long without more, one that has brought
-     * nothing after so long.
-     */
-    private static final double STALLED_AFTER = 2_500;
+    /** An overdue poll that has brought something is dropped when it is quiet for longer. */
+    private static final double STALLED_AFTER_MILLIS = 2_500;
 
-    private static final double UNANSWERED_AFTER = 12_000;
+    /** An overdue poll that has brought nothing is dropped when it is open for longer. */
+    private static final double UNANSWERED_AFTER_MILLIS = 12_000;
 
     private EndpointPollPolicy() {}
 
     /**
-     * Whether the oldest overdue call is dropped for a later one. It stays as a rule, for it is the
-     * first in discovery's queue; one at an address that discovery has left, or that goes on no
-     * more, does not.
+     * Whether the oldest overdue poll is dropped for a later one. As a rule it stays, for it is the
+     * first in discovery's queue.
      *
+     * @param isAtFormerAddress whether discovery has left the address that it was sent to
      * @param openFor since it was opened
      * @param quietFor since its last byte; infinite where none has come
      */
@@ -46,6 +43,6 @@
             return true;
         }
         boolean hasBegun = quietFor < Double.POSITIVE_INFINITY;
-        return hasBegun ? quietFor > STALLED_AFTER : openFor > UNANSWERED_AFTER;
+        return hasBegun ? quietFor > STALLED_AFTER_MILLIS : openFor > UNANSWERED_AFTER_MILLIS;
     }
 }
--- a/src/main/java/sagepulley/membership/ListFreshness.java
+++ b/src/main/java/sagepulley/membership/ListFreshness.java
@@ -1,14 +1,14 @@
 package sagepulley.membership;
 
-/** How far a list is believed, by the time since a directory confirmed it. */
+/** How far an endpoint list is trusted, by the time since a directory confirmed it. */
 public enum ListFreshness {
-    /** As it is: what has changed since is told soon, as on any day. */
+    /** Used as it is: a change since then is notified soon, as at any time. */
     FRESH,
     /**
-     * Nodes may be sent to, and prove on connecting who they are; new objects go only where one
-     * has.
+     * Nodes may be sent to, and are verified by the handshake; new objects go only to verified
+     * ones.
      */
     AGED,
-    /** Every node is asked first, few at a time, before any operation goes to it. */
+    /** Every node is probed before any operation goes to it. */
     OLD
 }
--- /dev/null
+++ b/src/main/java/sagepulley/membership/Member.java
@@ -0,0 +1,299 @@
+package sagepulley.membership;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.random.RandomGenerator;
+
+/**
+ * One node as {@link Membership} knows it: its record and source, what the node proved itself, when
+ * to probe it, and whether it is held down for flapping. Times are wall-clock milliseconds.
+ */
+final class Member {
+    private static final int FLAPS_BEFORE_HOLD_DOWN = 3;
+    private static final double FLAP_WINDOW_MILLIS = 60_000;
+    private static final int MAX_HOLD_DOWN_DOUBLINGS = 20;
+    private static final double PROBE_TIMEOUT_MILLIS = 2_000;
+    private static final double MIN_PROBE_DELAY_MILLIS = 500;
+    private static final double MAX_PROBE_DELAY_MILLIS = 30_000;
+    private static final int MAX_PROBE_DELAY_DOUBLINGS = 10;
+
+    /** The jitter scales a probe delay by this plus a random number between 0 and 1. */
+    private static final double MIN_JITTER_FACTOR = 0.5;
+
+    private EndpointRecord endpoint;
+    private RecordSource source;
+
+    /** The latest update of the directory lists it as ready, even if that is not trusted yet. */
+    private boolean listedReady;
+
+    /** The node itself announced that it is draining. */
+    private boolean selfDraining;
+
+    private boolean connected;
+    private double verifiedAt = Double.NEGATIVE_INFINITY;
+
+    /** Why this gateway excludes it, whatever the list says; null if it does not. */
+    private String exclusion;
+
+    private boolean probing;
+    private double probedAt = Double.NEGATIVE_INFINITY;
+    private int failedProbes;
+    private double nextProbeAt = Double.NEGATIVE_INFINITY;
+
+    /** When it became ready after something else, within the flap window. */
+    private final Deque<Double> flaps = new ArrayDeque<>();
+
+    private double heldDownUntil = Double.NEGATIVE_INFINITY;
+
+    /** Since when a list of another history omits it; NaN if none does. */
+    private double omittedSince = Double.NaN;
+
+    Member(EndpointRecord endpoint, RecordSource source) {
+        this.endpoint = endpoint;
+        this.source = source;
+    }
+
+    /** A node that a directory listed for the first time. */
+    static Member listed(EndpointRecord endpoint) {
+        Member member = new Member(endpoint, RecordSource.DIRECTORY);
+        member.listedReady = endpoint.isReady();
+        return member;
+    }
+
+    static Member restored(StoredEndpointList.StoredEndpoint stored) {
+        RecordSource source =
+                stored.source() == RecordSource.DIRECTORY ? RecordSource.DISK : stored.source();
+        Member member = new Member(stored.endpoint(), source);
+        member.selfDraining = stored.selfDraining();
+        return member;
+    }
+
+    StoredEndpointList.StoredEndpoint toStored() {
+        return new StoredEndpointList.StoredEndpoint(endpoint, source, selfDraining);
+    }
+
+    EndpointRecord endpoint() {
+        return endpoint;
+    }
+
+    int id() {
+        return endpoint.node();
+    }
+
+    boolean isConfigured() {
+        return source == RecordSource.SITE;
+    }
+
+    // ---- what a directory lists ----
+
+    /** An older version of the list: only what restricts is taken. Returns whether that changed. */
+    boolean applyStaleRecord(EndpointRecord update) {
+        omittedSince = Double.NaN;
+        if (update.isReady() || !endpoint.isReady()) {
+            return false;
+        }
+        endpoint = endpoint.withPhase(update.phase());
+        listedReady = false;
+        return true;
+    }
+
+    /** The current version of the list. Returns whether its use may have changed. */
+    boolean applyRecord(EndpointRecord update, Membership.Policy policy, double now) {
+        omittedSince = Double.NaN;
+        EndpointRecord before = endpoint;
+        if (update.isReady() && !before.isReady()) {
+            recordFlap(policy, now);
+        }
+        boolean sameAddress = before.hasSameAddress(update);
+        // A node that announced a later start itself knows better than a directory that lags.
+        long startedAt = Math.max(update.startedAt(), sameAddress ? before.startedAt() : 0);
+        endpoint = update.withStartedAt(startedAt);
+        source = RecordSource.DIRECTORY;
+        listedReady = update.isReady();
+        if (!sameAddress || before.cell() != update.cell()) {
+            forgetContact();
+        } else if (exclusion != null && update.isReady()) {
+            nextProbeAt = Math.min(nextProbeAt, now);
+        }
+        if (update.isReady() && update.startedAt() > before.startedAt()) {
+            selfDraining = false; // it restarted since it announced that
+        }
+        return !endpoint.equals(before) || exclusion == null;
+    }
+
+    private void recordFlap(Membership.Policy policy, double now) {
+        flaps.add(now);
+        while (flaps.peek() < now - FLAP_WINDOW_MILLIS) {
+            flaps.poll();
+        }
+        int doublings = flaps.size() - FLAPS_BEFORE_HOLD_DOWN;
+        if (doublings >= 0) {
+            double holdDown =
+                    policy.initialHoldDownMillis()
+                            * Math.pow(2, Math.min(doublings, MAX_HOLD_DOWN_DOUBLINGS));
+            heldDownUntil = now + Math.min(policy.maxHoldDownMillis(), holdDown);
+        }
+    }
+
+    /** It has another address or cell: what was learned by contact is of no use any more. */
+    private void forgetContact() {
+        exclusion = null;
+        verifiedAt = Double.NEGATIVE_INFINITY;
+        connected = false;
+        failedProbes = 0;
+        nextProbeAt = Double.NEGATIVE_INFINITY;
+    }
+
+    /**
+     * A complete list does not have it: it is removed, or, if the list is of another history, the
+     * grace time for omissions begins. Returns whether its use changed.
+     */
+    boolean omitted(boolean otherHistory, double now) {
+        if (!Double.isNaN(omittedSince)) {
+            return false;
+        }
+        if (otherHistory) {
+            omittedSince = now;
+            return false;
+        }
+        endpoint = endpoint.withPhase(EndpointRecord.Phase.REMOVED);
+        return true;
+    }
+
+    /** Ends grace times that are over. Returns whether its use changed. */
+    boolean advanceTo(double now, Membership.Policy policy) {
+        boolean changed = false;
+        if (now - omittedSince > policy.omissionGraceMillis()) {
+            omittedSince = Double.NaN;
+            endpoint = endpoint.withPhase(EndpointRecord.Phase.REMOVED);
+            changed = true;
+        }
+        if (heldDownUntil != Double.NEGATIVE_INFINITY && now >= heldDownUntil) {
+            heldDownUntil = Double.NEGATIVE_INFINITY;
+            changed = true;
+        }
+        return changed;
+    }
+
+    // ---- contact with the node ----
+
+    /** Another node answers at its address, or it holds another cell. */
+    void excluded(String reason, double now, RandomGenerator random) {
+        probing = false;
+        exclusion = reason;
+        connected = false;
+        scheduleProbe(now, random);
+    }
+
+    /** It proved who it is. Returns whether earlier routing decisions for it still stand. */
+    boolean verified(boolean draining, long startedAt, double now) {
+        boolean restarted = startedAt > endpoint.startedAt();
+        boolean beganDraining = draining && !selfDraining;
+        probing = false;
+        exclusion = null;
+        failedProbes = 0;
+        connected = true;
+        verifiedAt = now;
+        selfDraining = draining;
+        if (restarted) {
+            endpoint = endpoint.withStartedAt(startedAt);
+        }
+        return !beganDraining && !restarted;
+    }
+
+    void drainAnnounced() {
+        selfDraining = true;
+    }
+
+    void disconnected(double now, RandomGenerator random) {
+        boolean wasProbing = probing;
+        probing = false;
+        if (connected) {
+            verifiedAt = now;
+        }
+        connected = false;
+        if (wasProbing) {
+            scheduleProbe(now, random);
+        }
+    }
+
+    boolean isVerified(double now, Membership.Policy policy) {
+        return connected || now - verifiedAt <= policy.verificationMillis();
+    }
+
+    // ---- probes ----
+
+    boolean isProbing() {
+        return probing;
+    }
+
+    double probedAt() {
+        return probedAt;
+    }
+
+    void startProbe(double now) {
+        probing = true;
+        probedAt = now;
+    }
+
+    /** Gives up a probe that has taken too long. */
+    void expireProbe(double now, RandomGenerator random) {
+        if (probing && now - probedAt > PROBE_TIMEOUT_MILLIS) {
+            probing = false;
+            scheduleProbe(now, random);
+        }
+    }
+
+    private void scheduleProbe(double now, RandomGenerator random) {
+        int doublings = Math.min(failedProbes++, MAX_PROBE_DELAY_DOUBLINGS);
+        double delay =
+                Math.min(MAX_PROBE_DELAY_MILLIS, MIN_PROBE_DELAY_MILLIS * Math.pow(2, doublings));
+        nextProbeAt = now + delay * (MIN_JITTER_FACTOR + random.nextDouble());
+    }
+
+    /** Whether a probe now would tell something that a fresh list and contact have not told. */
+    boolean needsProbe(double now, ListFreshness freshness, Membership.Policy policy) {
+        if (probing || connected || now < nextProbeAt || endpoint.isRemoved()) {
+            return false;
+        }
+        if (exclusion != null) {
+            return true;
+        }
+        boolean mayBeReady = !endpoint.isReady() && listedReady;
+        return !isVerified(now, policy)
+                && (freshness != ListFreshness.FRESH || isConfigured() || mayBeReady);
+    }
+
+    // ---- the result ----
+
+    /** How it is to be used now, and why so. */
+    Membership.MemberView view(double now, ListFreshness freshness, Membership.Policy policy) {
+        boolean verified = isVerified(now, policy);
+        EndpointRecord.Phase phase = endpoint.phase();
+        String reason = "listed as it is";
+        if (exclusion != null) {
+            phase = EndpointRecord.Phase.REMOVED;
+            reason = exclusion;
+        } else if (phase == EndpointRecord.Phase.REMOVED) {
+            reason = "listed as gone, or no longer listed";
+        } else if (phase == EndpointRecord.Phase.DRAINING || selfDraining) {
+            phase = EndpointRecord.Phase.DRAINING;
+            reason = selfDraining ? "it says that it drains" : "listed as draining";
+        } else if (now < heldDownUntil) {
+            phase = EndpointRecord.Phase.DRAINING;
+            reason = "it flaps: held down until it stays";
+        } else if (!verified && (freshness == ListFreshness.OLD || isConfigured())) {
+            phase = EndpointRecord.Phase.REMOVED;
+            reason = "not believed before it has proven itself";
+        } else if (!verified && freshness == ListFreshness.AGED) {
+            reason = "aged list: no new objects before it has proven itself";
+        } else if (verified) {
+            reason = "proved itself";
+        }
+        boolean acceptsNewObjects =
+                phase == EndpointRecord.Phase.READY
+                        && (freshness == ListFreshness.FRESH || verified);
+        return new Membership.MemberView(
+                endpoint, phase, acceptsNewObjects, verified, source, reason);
+    }
+}
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -1,9 +1,6 @@
 package sagepulley.membership;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -13,17 +10,25 @@
 
 /**
  * One view of the nodes, made of what the directory, a list on disk, the site file and the nodes
- * themselves say; and how far each is believed (docs/membership.md). No I/O; times are wall-clock
- * milliseconds that are handed in and only move forward within a life; chance is handed in.
+ * themselves say, each trusted as far as docs/membership.md has it. No I/O; times are wall-clock
+ * milliseconds that are handed in and only move forward within a life; randomness is handed in.
+ * Owned by the engine's thread.
  *
- * <p>What restricts is believed at once, from whomever it comes: draining, gone, another identity.
- * What permits is believed by the trust in its source, or when the node itself proves it.
+ * <p>What restricts is accepted at once, from whomever it comes: draining, removed, another
+ * identity. What permits is accepted by the trust in its source, or when the node itself proves it.
  */
 public class Membership {
     /**
-     * The trust's bounds: milliseconds until a list is aged, and old; nodes asked at a time, and
-     * the pause between two; how long a proof holds without a connection; how long omissions of a
-     * doubtful list wait; the first and the longest hold-down of a node that flaps.
+     * How far sources are trusted.
+     *
+     * @param freshMillis age up to which a list is fresh
+     * @param agedMillis age up to which a list is aged and not yet old
+     * @param maxConcurrentProbes nodes probed at the same time
+     * @param probeIntervalMillis between the starts of two probes
+     * @param verificationMillis how long a handshake's proof holds after the connection ended
+     * @param omissionGraceMillis how long a node stays that a list of another history omits
+     * @param initialHoldDownMillis hold-down of a node that begins to flap; doubles with each flap
+     * @param maxHoldDownMillis the longest hold-down
      */
     public record Policy(
             double freshMillis,
@@ -34,27 +39,40 @@
             double omissionGraceMillis,
             double initialHoldDownMillis,
             double maxHoldDownMillis) {
+        /** The policy of a gateway whose site file says nothing about it. */
         public static final Policy DEFAULT =
                 new Policy(300_000, 86_400_000, 4, 50, 60_000, 30_000, 5_000, 120_000);
     }
 
-    /** What a node's welcome means for what was about to go to it. */
+    /** What a node's handshake means for what was about to go to it. */
     public enum HandshakeVerdict {
-        /** It is who it should be, as it was believed to be. */
+        /** It is the expected node, in the expected state. */
         ACCEPTED,
-        /**
-         * It is, but drains or has just started: what was decided before it was known is to be
-         * decided anew.
-         */
+        /** It is the expected node, but drains or has just started: route anew. */
         REROUTE,
-        /** It is another: nothing goes there. */
+        /** It is another node: nothing goes there. */
         WRONG_NODE
     }
 
-    /** What became of a list that was told. */
-    public record UpdateResult(boolean accepted, boolean changed, String reason) {}
+    /**
+     * What became of an update.
+     *
+     * @param accepted whether all of it was taken; of a stale list only what restricts is
+     * @param changed whether a member's use may have changed
+     * @param reason why it was not accepted, or what is special about it; empty if nothing
+     */
+    public record UpdateResult(boolean accepted, boolean changed, String reason) {
+        private static UpdateResult rejected(String reason) {
+            return new UpdateResult(false, false, reason);
+        }
+    }
 
-    /** A node as it is to be used, and why so. */
+    /**
+     * A node as it is to be used; the property names are those of /nodes.
+     *
+     * @param verified whether the node proved lately who it is
+     * @param reason why it is to be used so
+     */
     public record MemberView(
             @JsonProperty("line") EndpointRecord endpoint,
             @JsonProperty("use") EndpointRecord.Phase phase,
@@ -63,310 +81,207 @@
             RecordSource source,
             String reason) {}
 
-    private static final int FLIPS_BEFORE_HOLD = 3;
-    private static final double FLIPS_WINDOW = 60_000;
-    private static final double ASK_LONGEST = 2_000;
-    private static final double ASK_AGAIN_FIRST = 500;
-    private static final double ASK_AGAIN_LONGEST = 30_000;
-    private static final int MOST_NODES = 1 << 14;
+    private static final int MAX_NODES = 1 << 14;
 
     /**
-     * A clock that shows the list's confirmation so far ahead was set back: the list's age is not
-     * known.
+     * A stored confirmation that lies further ahead of the clock shows that the clock was set back:
+     * the list's age is not known.
      */
-    private static final double CLOCK_SLACK = 1_000;
-
-    private static final class Known {
-        EndpointRecord line;
-        RecordSource source;
-
-        /** The node said so itself, on the store protocol. */
-        boolean selfDraining;
-
-        boolean connected;
-        double provenAt = Double.NEGATIVE_INFINITY;
-
-        /** Why it is struck, at this gateway only; null if it is not. */
-        String struck;
-
-        /** Asking it: since when, how often in vain, and when again. */
-        double askedAt = Double.NEGATIVE_INFINITY;
-
-        int inVain;
-        double askAgainAt = Double.NEGATIVE_INFINITY;
-        boolean asking;
-
-        /**
-         * Of READY after something else: when, lately; and until when READY is not believed again.
-         */
-        final Deque<Double> flips = new ArrayDeque<>();
-
-        double heldUntil = Double.NEGATIVE_INFINITY;
-
-        /** Missing in a doubtful list since; NaN if it was not. */
-        double missingSince = Double.NaN;
-
-        /** Was READY in the latest that the directory said, though it is not believed. */
-        boolean permitted;
-    }
+    private static final double CLOCK_TOLERANCE_MILLIS = 1_000;
 
     private final String site;
-    private final Policy bounds;
+    private final Policy policy;
     private final RandomGenerator random;
-    private final Map<Integer, Known> nodes = new TreeMap<>();
+
+    /** By node id, which is the order of views and probes. */
+    private final Map<Integer, Member> members = new TreeMap<>();
+
     private long history;
     private long version;
     private double confirmedAt = Double.NEGATIVE_INFINITY;
-    private ListFreshness trustBefore = ListFreshness.OLD;
-    private double lastAskedAt = Double.NEGATIVE_INFINITY;
+    private ListFreshness lastFreshness = ListFreshness.OLD;
+    private double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-    public Membership(String site, Policy bounds, RandomGenerator random) {
+    /** Without any member; updates that name another site are rejected. */
+    public Membership(String site, Policy policy, RandomGenerator random) {
         this.site = site;
-        this.bounds = bounds;
+        this.policy = policy;
         this.random = random;
     }
 
     // ---- sources ----
 
-    /** Starts with what an earlier life kept, or an operator brought. */
+    /** Starts with the list that an earlier life stored, or an operator imported. */
     public void restore(StoredEndpointList list, double now) {
         history = list.history();
         version = list.version();
-        boolean clockSetBack = list.confirmedAt() > now + CLOCK_SLACK;
+        boolean clockSetBack = list.confirmedAt() > now + CLOCK_TOLERANCE_MILLIS;
         confirmedAt =
                 list.confirmedAt() == 0 || clockSetBack
                         ? Double.NEGATIVE_INFINITY
                         : list.confirmedAt();
-        for (StoredEndpointList.StoredEndpoint kept : list.endpoints()) {
-            Known known = new Known();
-            known.line = kept.endpoint();
-            known.source =
-                    kept.source() == RecordSource.DIRECTORY ? RecordSource.DISK : kept.source();
-            known.selfDraining = kept.selfDraining();
-            nodes.put(known.line.node(), known);
+        for (StoredEndpointList.StoredEndpoint stored : list.endpoints()) {
+            members.put(stored.endpoint().node(), Member.restored(stored));
         }
-        trustBefore = freshness(now);
+        lastFreshness = freshness(now);
     }
 
-    /**
-     * Nodes of the site file: each proves itself before it is used, and any other source knows
-     * better.
-     */
-    public void addConfigured(List<EndpointRecord> lines) {
-        for (EndpointRecord line : lines) {
-            nodes.computeIfAbsent(
-                    line.node(),
-                    any -> {
-                        Known known = new Known();
-                        known.line = line;
-                        known.source = RecordSource.SITE;
-                        return known;
-                    });
+    /** Nodes of the site file: each is verified before it is used; any other source overrides. */
+    public void addConfigured(List<EndpointRecord> endpoints) {
+        for (EndpointRecord endpoint : endpoints) {
+            members.computeIfAbsent(endpoint.node(), id -> new Member(endpoint, RecordSource.SITE));
         }
     }
 
-    /** A directory told a list, or what changed in it. */
-    public UpdateResult applyUpdate(EndpointListUpdate list, double now) {
-        if (!list.site().isEmpty() && !list.site().equals(site)) {
-            return new UpdateResult(false, false, "it is of site '" + list.site() + "'");
+    /** A directory sent a list, or what changed in it. */
+    public UpdateResult applyUpdate(EndpointListUpdate update, double now) {
+        if (!update.site().isEmpty() && !update.site().equals(site)) {
+            return UpdateResult.rejected("it is of site '" + update.site() + "'");
         }
-        if (list.complete() && list.endpoints().isEmpty() && !nodes.isEmpty()) {
-            return new UpdateResult(false, false, "it is empty, and nodes are known");
+        if (update.complete() && update.endpoints().isEmpty() && !members.isEmpty()) {
+            return UpdateResult.rejected("it is empty, and nodes are known");
         }
-        boolean older = list.history() == history && list.version() < version;
-        boolean other = history != 0 && list.history() != history;
+        boolean stale = update.history() == history && update.version() < version;
+        boolean otherHistory = history != 0 && update.history() != history;
         boolean changed = false;
-        for (EndpointRecord line : list.endpoints()) {
-            changed |= line(line, older, now);
+        for (EndpointRecord endpoint : update.endpoints()) {
+            changed |= applyRecord(endpoint, stale, now);
         }
-        if (older) {
+        if (stale) {
             // Only what restricts was taken; what it permits, the nodes themselves must prove.
             return new UpdateResult(
-                    false, changed, "its version " + list.version() + " is older than " + version);
+                    false,
+                    changed,
+                    "its version " + update.version() + " is older than " + version);
         }
-        if (list.complete()) {
-            changed |= omissions(list, other, now);
+        if (update.complete()) {
+            changed |= applyOmissions(update, otherHistory, now);
         }
-        if (list.complete() || !other) {
-            history = list.history();
-            version = list.version();
+        if (update.complete() || !otherHistory) {
+            history = update.history();
+            version = update.version();
             confirmedAt = now;
         }
-        changed |= freshness(now) != trustBefore;
-        trustBefore = freshness(now);
+        changed |= updateFreshness(now);
         return new UpdateResult(
                 true,
                 changed,
-                other ? "of another history: what it leaves out is doubted for a while" : "");
+                otherHistory
+                        ? "of another history: what it leaves out is doubted for a while"
+                        : "");
     }
 
-    private boolean line(EndpointRecord line, boolean older, double now) {
-        Known known = nodes.get(line.node());
-        if (known == null) {
-            if (older || nodes.size() >= MOST_NODES) {
-                return false;
-            }
-            known = new Known();
-            known.line = line;
-            known.source = RecordSource.DIRECTORY;
-            nodes.put(line.node(), known);
-            known.permitted = line.phase() == EndpointRecord.Phase.READY;
-            return true;
+    private boolean applyRecord(EndpointRecord endpoint, boolean stale, double now) {
+        Member member = members.get(endpoint.node());
+        if (member != null) {
+            return stale
+                    ? member.applyStaleRecord(endpoint)
+                    : member.applyRecord(endpoint, policy, now);
         }
-        known.missingSince = Double.NaN;
-        EndpointRecord before = known.line;
-        boolean permits = line.phase() == EndpointRecord.Phase.READY;
-        if (older) {
-            if (!permits && before.phase() == EndpointRecord.Phase.READY) {
-                known.line = before.phase(line.phase());
-                known.permitted = false;
-                return true;
-            }
+        if (stale || members.size() >= MAX_NODES) {
             return false;
         }
-        if (permits && before.phase() != EndpointRecord.Phase.READY) {
-            flip(known, now);
-        }
-        // A node that told of a later start itself knows better than a directory that lags.
-        long startedAt =
-                Math.max(line.startedAt(), before.sameAddress(line) ? before.startedAt() : 0);
-        known.line = line.startedAt(startedAt);
-        known.source = RecordSource.DIRECTORY;
-        known.permitted = permits;
-        if (!before.sameAddress(line) || before.cell() != line.cell()) {
-            known.struck = null;
-            known.provenAt = Double.NEGATIVE_INFINITY;
-            known.connected = false;
-            known.inVain = 0;
-            known.askAgainAt = Double.NEGATIVE_INFINITY;
-        } else if (known.struck != null && permits) {
-            known.askAgainAt = Math.min(known.askAgainAt, now);
-        }
-        if (permits && line.startedAt() > before.startedAt()) {
-            known.selfDraining = false; // it started anew since it said so
-        }
-        return !known.line.equals(before) || known.struck == null;
-    }
-
-    private void flip(Known known, double now) {
-        known.flips.add(now);
-        while (known.flips.peek() < now - FLIPS_WINDOW) {
-            known.flips.poll();
-        }
-        int over = known.flips.size() - FLIPS_BEFORE_HOLD;
-        if (over >= 0) {
-            known.heldUntil =
-                    now
-                            + Math.min(
-                                    bounds.maxHoldDownMillis(),
-                                    bounds.initialHoldDownMillis()
-                                            * Math.pow(2, Math.min(over, 20)));
-        }
+        members.put(endpoint.node(), Member.listed(endpoint));
+        return true;
     }
 
-    /**
-     * Who is missing in a whole list is gone; in one of another history, only if it is missing for
-     * a while.
-     */
-    private boolean omissions(EndpointListUpdate list, boolean other, double now) {
+    /** Members that a complete list does not have; those of the site file stay. */
+    private boolean applyOmissions(EndpointListUpdate update, boolean otherHistory, double now) {
         boolean changed = false;
         Set<Integer> listed =
-                list.endpoints().stream().map(EndpointRecord::node).collect(Collectors.toSet());
-        for (Known known : nodes.values()) {
-            if (listed.contains(known.line.node())
-                    || known.line.phase() == EndpointRecord.Phase.REMOVED) {
-                continue;
-            }
-            if (known.source == RecordSource.SITE) {
-                continue; // the site file speaks for itself; the node proves it, or not
-            }
-            if (other && Double.isNaN(known.missingSince)) {
-                known.missingSince = now;
-            } else if (!other && Double.isNaN(known.missingSince)) {
-                known.line = known.line.phase(EndpointRecord.Phase.REMOVED);
-                changed = true;
+                update.endpoints().stream().map(EndpointRecord::node).collect(Collectors.toSet());
+        for (Member member : members.values()) {
+            if (!listed.contains(member.id())
+                    && !member.endpoint().isRemoved()
+                    && !member.isConfigured()) {
+                changed |= member.omitted(otherHistory, now);
             }
         }
         return changed;
     }
 
-    // ---- what nodes say ----
+    // ---- contact with nodes ----
 
     /**
-     * A node answered on connecting: who it is, its cell, whether it drains, when it started (0:
-     * long ago).
+     * A node answered the handshake.
+     *
+     * @param node which was connected to
+     * @param answeringNode which answered
+     * @param cell which the answering node holds
+     * @param draining whether it says that it drains
+     * @param startedAt when it started, wall-clock milliseconds; 0 for long ago
      */
     public HandshakeVerdict handshakeCompleted(
-            int node, int who, int cell, boolean draining, long startedAt, double now) {
-        Known known = nodes.get(node);
-        if (known == null) {
+            int node, int answeringNode, int cell, boolean draining, long startedAt, double now) {
+        Member member = members.get(node);
+        if (member == null) {
             return HandshakeVerdict.WRONG_NODE;
         }
-        known.asking = false;
-        if (who != node || cell != known.line.cell()) {
-            known.struck =
-                    who != node
-                            ? "at its address node " + who + " answers"
-                            : "it holds cell " + cell + ", not " + known.line.cell();
-            known.connected = false;
-            again(known, now);
+        if (answeringNode != node) {
+            member.excluded("at its address node " + answeringNode + " answers", now, random);
             return HandshakeVerdict.WRONG_NODE;
         }
-        boolean restarted = startedAt > known.line.startedAt();
-        boolean drainedBefore = known.selfDraining;
-        known.struck = null;
-        known.inVain = 0;
-        known.connected = true;
-        known.provenAt = now;
-        known.selfDraining = draining;
-        if (restarted) {
-            known.line = known.line.startedAt(startedAt);
+        int expectedCell = member.endpoint().cell();
+        if (cell != expectedCell) {
+            member.excluded("it holds cell " + cell + ", not " + expectedCell, now, random);
+            return HandshakeVerdict.WRONG_NODE;
         }
-        return (draining && !drainedBefore) || restarted
-                ? HandshakeVerdict.REROUTE
-                : HandshakeVerdict.ACCEPTED;
+        return member.verified(draining, startedAt, now)
+                ? HandshakeVerdict.ACCEPTED
+                : HandshakeVerdict.REROUTE;
     }
 
-    /** A connected node says that it drains. */
+    /** A connected node announced that it is draining. */
     public void drainAnnounced(int node) {
-        Known known = nodes.get(node);
-        if (known != null) {
-            known.selfDraining = true;
+        Member member = members.get(node);
+        if (member != null) {
+            member.drainAnnounced();
         }
     }
 
     /** The connection to a node ended, or did not come about. */
     public void disconnected(int node, double now) {
-        Known known = nodes.get(node);
-        if (known != null) {
-            boolean asked = known.asking;
-            known.asking = false;
-            if (known.connected) {
-                known.provenAt = now;
-            }
-            known.connected = false;
-            if (asked) {
-                again(known, now);
-            }
+        Member member = members.get(node);
+        if (member != null) {
+            member.disconnected(now, random);
         }
     }
 
-    private void again(Known known, double now) {
-        double pause =
-                Math.min(
-                        ASK_AGAIN_LONGEST,
-                        ASK_AGAIN_FIRST * Math.pow(2, Math.min(known.inVain++, 10)));
-        known.askAgainAt = now + pause * (0.5 + random.nextDouble());
+    /**
+     * Which node is to be probed now, at most one: the one whose last probe is longest ago. It
+     * counts as probed.
+     */
+    public List<Integer> takeProbes(double now) {
+        ListFreshness freshness = freshness(now);
+        int probing = 0;
+        Member next = null;
+        for (Member member : members.values()) {
+            member.expireProbe(now, random);
+            probing += member.isProbing() ? 1 : 0;
+            if (member.needsProbe(now, freshness, policy)
+                    && (next == null || member.probedAt() < next.probedAt())) {
+                next = member;
+            }
+        }
+        if (next == null
+                || probing >= policy.maxConcurrentProbes()
+                || now < lastProbeAt + policy.probeIntervalMillis()) {
+            return List.of();
+        }
+        next.startProbe(now);
+        lastProbeAt = now;
+        return List.of(next.id());
     }
 
-    // ---- what is to be done ----
+    // ---- time ----
 
-    /** How far the list is believed now. */
+    /** How far the list is trusted now. */
     public ListFreshness freshness(double now) {
-        double age = now - confirmedAt;
-        return age <= bounds.freshMillis()
-                ? ListFreshness.FRESH
-                : age <= bounds.agedMillis() ? ListFreshness.AGED : ListFreshness.OLD;
+        double age = age(now);
+        if (age <= policy.freshMillis()) {
+            return ListFreshness.FRESH;
+        }
+        return age <= policy.agedMillis() ? ListFreshness.AGED : ListFreshness.OLD;
     }
 
     /**
@@ -377,135 +292,59 @@
         return now - confirmedAt;
     }
 
-    /** A subscription stands and nothing changed: the list is confirmed as it is. */
+    /**
+     * A subscription stands and nothing changed: the list is confirmed as it is. Returns whether
+     * that changed its freshness.
+     */
     public boolean confirmed(double now) {
         confirmedAt = now;
-        boolean changed = trustBefore != freshness(now);
-        trustBefore = freshness(now);
-        return changed;
-    }
-
-    /** Which nodes are to be asked who they are, now: few at a time, the longest waiting first. */
-    public List<Integer> takeProbes(double now) {
-        List<Integer> ask = new ArrayList<>(0);
-        int asking = 0;
-        Known next = null;
-        for (Known known : nodes.values()) {
-            if (known.asking && now - known.askedAt > ASK_LONGEST) {
-                known.asking = false;
-                again(known, now);
-            }
-            asking += known.asking ? 1 : 0;
-            if (wantsAsking(known, now) && (next == null || known.askedAt < next.askedAt)) {
-                next = known;
-            }
-        }
-        if (next != null
-                && asking < bounds.maxConcurrentProbes()
-                && now >= lastAskedAt + bounds.probeIntervalMillis()) {
-            next.asking = true;
-            next.askedAt = now;
-            lastAskedAt = now;
-            ask.add(next.line.node());
-        }
-        return ask;
-    }
-
-    private boolean wantsAsking(Known known, double now) {
-        if (known.asking || known.connected || now < known.askAgainAt) {
-            return false;
-        }
-        if (known.line.phase() == EndpointRecord.Phase.REMOVED) {
-            return false;
-        }
-        return known.struck != null
-                || (!proven(known, now)
-                        && (freshness(now) != ListFreshness.FRESH
-                                || known.source == RecordSource.SITE
-                                || (known.line.phase() != EndpointRecord.Phase.READY
-                                        && known.permitted)));
-    }
-
-    private boolean proven(Known known, double now) {
-        return known.connected || now - known.provenAt <= bounds.verificationMillis();
+        return updateFreshness(now);
     }
 
     /**
-     * Lets time do its work: omissions that were doubted long enough, trust that fades. Tells
-     * whether that changed.
+     * Ends grace times and hold-downs that are over and lets freshness fade. Returns whether a
+     * member's use may have changed.
      */
     public boolean advanceTo(double now) {
-        boolean changed = freshness(now) != trustBefore;
-        trustBefore = freshness(now);
-        for (Known known : nodes.values()) {
-            if (now - known.missingSince > bounds.omissionGraceMillis()) {
-                known.missingSince = Double.NaN;
-                known.line = known.line.phase(EndpointRecord.Phase.REMOVED);
-                changed = true;
-            }
-            if (known.heldUntil != Double.NEGATIVE_INFINITY && now >= known.heldUntil) {
-                known.heldUntil = Double.NEGATIVE_INFINITY;
-                changed = true;
-            }
+        boolean changed = updateFreshness(now);
+        for (Member member : members.values()) {
+            changed |= member.advanceTo(now, policy);
         }
         return changed;
     }
 
-    /** Every node that is known, and how it is to be used now. */
+    private boolean updateFreshness(double now) {
+        ListFreshness freshness = freshness(now);
+        boolean changed = freshness != lastFreshness;
+        lastFreshness = freshness;
+        return changed;
+    }
+
+    // ---- the result ----
+
+    /** Every node that is known, by id, and how it is to be used now. */
     public List<MemberView> members(double now) {
-        ListFreshness trust = freshness(now);
-        List<MemberView> all = new ArrayList<>(nodes.size());
-        for (Known known : nodes.values()) {
-            boolean proven = proven(known, now);
-            EndpointRecord.Phase use = known.line.phase();
-            String reason = "listed as it is";
-            if (known.struck != null) {
-                use = EndpointRecord.Phase.REMOVED;
-                reason = known.struck;
-            } else if (use == EndpointRecord.Phase.REMOVED) {
-                reason = "listed as gone, or no longer listed";
-            } else if (use == EndpointRecord.Phase.DRAINING || known.selfDraining) {
-                use = EndpointRecord.Phase.DRAINING;
-                reason = known.selfDraining ? "it says that it drains" : "listed as draining";
-            } else if (now < known.heldUntil) {
-                use = EndpointRecord.Phase.DRAINING;
-                reason = "it flaps: held down until it stays";
-            } else if (!proven
-                    && (trust == ListFreshness.OLD || known.source == RecordSource.SITE)) {
-                use = EndpointRecord.Phase.REMOVED;
-                reason = "not believed before it has proven itself";
-            } else if (!proven && trust == ListFreshness.AGED) {
-                reason = "aged list: no new objects before it has proven itself";
-            } else if (proven) {
-                reason = "proved itself";
-            }
-            boolean takesNew =
-                    use == EndpointRecord.Phase.READY && (trust == ListFreshness.FRESH || proven);
-            all.add(new MemberView(known.line, use, takesNew, proven, known.source, reason));
-        }
-        return all;
+        ListFreshness freshness = freshness(now);
+        return members.values().stream()
+                .map(member -> member.view(now, freshness, policy))
+                .toList();
     }
 
-    /** Whether any node is known. */
+    /** Whether no node is known. */
     public boolean isEmpty() {
-        return nodes.isEmpty();
+        return members.isEmpty();
     }
 
-    /** What is to go to disk. */
+    /** What is to be stored on disk; the site file's nodes are not. */
     public StoredEndpointList snapshot() {
-        List<StoredEndpointList.StoredEndpoint> lines = new ArrayList<>(nodes.size());
-        for (Known known : nodes.values()) {
-            if (known.source != RecordSource.SITE) {
-                lines.add(
-                        new StoredEndpointList.StoredEndpoint(
-                                known.line, known.source, known.selfDraining));
-            }
-        }
         return new StoredEndpointList(
                 site,
                 history,
                 version,
                 confirmedAt == Double.NEGATIVE_INFINITY ? 0 : (long) confirmedAt,
-                lines);
+                members.values().stream()
+                        .filter(member -> !member.isConfigured())
+                        .map(Member::toStored)
+                        .toList());
     }
 }
--- a/src/main/java/sagepulley/membership/ReconnectBackoff.java
+++ b/src/main/java/sagepulley/membership/ReconnectBackoff.java
@@ -3,31 +3,35 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When to ask a directory again that did not answer: each pause is drawn between a least and three
- * times the one before, up to a longest, so that many gateways that lost it together do not come
- * back together. Milliseconds.
+ * When to connect again to a directory that did not answer: each delay is random, between a minimum
+ * and three times the one before, up to a maximum ("decorrelated jitter"), so that many gateways
+ * that lost it together do not come back together. Milliseconds. For one thread.
  */
 public final class ReconnectBackoff {
-    private final double least;
-    private final double longest;
+    private static final double MAX_GROWTH = 3;
+
+    private final double minDelayMillis;
+    private final double maxDelayMillis;
     private final RandomGenerator random;
-    private double pause;
+    private double delay;
 
-    public ReconnectBackoff(double least, double longest, RandomGenerator random) {
-        this.least = least;
-        this.longest = longest;
+    /** Begins with the minimum. */
+    public ReconnectBackoff(double minDelayMillis, double maxDelayMillis, RandomGenerator random) {
+        this.minDelayMillis = minDelayMillis;
+        this.maxDelayMillis = maxDelayMillis;
         this.random = random;
-        this.pause = least;
+        this.delay = minDelayMillis;
     }
 
-    /** The pause before the next try. */
+    /** The delay before the next attempt, in milliseconds. */
     public double nextDelayMillis() {
-        pause = Math.min(longest, least + random.nextDouble() * Math.max(0, 3 * pause - least));
-        return pause;
+        double range = Math.max(0, MAX_GROWTH * delay - minDelayMillis);
+        delay = Math.min(maxDelayMillis, minDelayMillis + random.nextDouble() * range);
+        return delay;
     }
 
-    /** It answered. */
+    /** The directory answered: the next failure begins with the minimum again. */
     public void reset() {
-        pause = least;
+        delay = minDelayMillis;
     }
 }
--- a/src/main/java/sagepulley/membership/RecordSource.java
+++ b/src/main/java/sagepulley/membership/RecordSource.java
@@ -1,11 +1,13 @@
 package sagepulley.membership;
 
-/** Where a line came from. */
+/** Where an endpoint record came from. */
 public enum RecordSource {
+    /** A directory, in this process's life. */
     DIRECTORY,
+    /** The endpoint list file. */
     DISK,
-    /** Brought by an operator. */
+    /** An operator's import. */
     IMPORT,
-    /** Written in the site file. */
+    /** The site file. */
     SITE
 }
--- a/src/main/java/sagepulley/membership/StoredEndpointList.java
+++ b/src/main/java/sagepulley/membership/StoredEndpointList.java
@@ -4,8 +4,12 @@
 import java.util.List;
 
 /**
- * The list as it goes to disk: of which site, the directory's history and version that it stands
- * at, and when a directory last confirmed it (wall-clock milliseconds, 0 for never).
+ * An endpoint list as it is stored on disk (JSON; the property names are the file's).
+ *
+ * @param site whose list it is
+ * @param history the directory's run of versions
+ * @param version its version within the history
+ * @param confirmedAt when a directory last confirmed it, wall-clock milliseconds; 0 for never
  */
 public record StoredEndpointList(
         String site,
@@ -14,45 +18,38 @@
         long confirmedAt,
         @JsonProperty("lines") List<StoredEndpoint> endpoints) {
     /**
-     * A line, where it came from, and whether the node itself or this gateway knows better than the
-     * directory.
+     * One endpoint.
+     *
+     * @param selfDraining whether the node itself announced that it is draining
      */
     public record StoredEndpoint(
             @JsonProperty("line") EndpointRecord endpoint,
             RecordSource source,
-            boolean selfDraining) {}
+            boolean selfDraining) {
+        private boolean isValid() {
+            return endpoint != null && source != null && endpoint.isValid();
+        }
+    }
 
-    private static final int MOST_LINES = 1 << 14;
+    private static final int MAX_ENDPOINTS = 1 << 14;
 
     /**
      * Checks what was read.
      *
-     * @throws IllegalArgumentException if it can be no list
+     * @return this
+     * @throws IllegalArgumentException if a field is missing or out of range
      */
     public StoredEndpointList checked() {
         if (site == null
                 || endpoints == null
-                || endpoints.size() > MOST_LINES
+                || endpoints.size() > MAX_ENDPOINTS
                 || version < 0
                 || confirmedAt < 0) {
             throw new IllegalArgumentException("no list of nodes");
         }
-        for (StoredEndpoint kept : endpoints) {
-            EndpointRecord line = kept == null ? null : kept.endpoint;
-            if (line == null
-                    || kept.source == null
-                    || line.phase() == null
-                    || line.host() == null
-                    || line.host().isEmpty()
-                    || line.host().length() > 255
-                    || line.port() < 1
-                    || line.port() > 65535
-                    || line.cell() < 0
-                    || line.zone() < 0
-                    || line.node() == 0
-                    || line.startedAt() < 0
-                    || !(line.weight() >= 0)) {
-                throw new IllegalArgumentException("a line that can be no node's: " + kept);
+        for (StoredEndpoint stored : endpoints) {
+            if (stored == null || !stored.isValid()) {
+                throw new IllegalArgumentException("a line that can be no node's: " + stored);
             }
         }
         return this;
--- a/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
+++ b/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which overdue call is kept. */
+/** Which overdue poll stays open. */
 class EndpointPollPolicyTest {
     @Test
     void theOldestStaysWhileItMayStillBeAnswered() {
@@ -14,13 +14,13 @@
     }
 
     @Test
-    void oneThatHasStalledOrWasNeverAnsweredGivesWay() {
+    void onePastItsTimeoutIsDropped() {
         assertTrue(EndpointPollPolicy.shouldDropOldest(false, 12_001, Double.POSITIVE_INFINITY));
         assertTrue(EndpointPollPolicy.shouldDropOldest(false, 3_000, 2_501));
     }
 
     @Test
-    void oneAtAnAddressThatDiscoveryHasLeftGivesWay() {
+    void oneAtAFormerAddressIsDropped() {
         assertTrue(EndpointPollPolicy.shouldDropOldest(true, 1, 1));
     }
 }
