--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -16,84 +16,78 @@
 public final class AccountFile {
     private static final String KIND = "accounts";
     private static final int FORMAT = 1;
+    private static final int EARLIER_GENERATIONS = 1;
     private static final CBORMapper CBOR = new CBORMapper();
     private static final ObjectWriter WRITER = CBOR.writerFor(GatewayAccounts.class);
     private static final ObjectReader READER = CBOR.readerFor(GatewayAccounts.class);
     private static final Logger LOG = LoggerFactory.getLogger(AccountFile.class);
 
-    /** What a file says, and its figures checked. */
+    /** What a file holds: as it is stored, and its account with every figure checked. */
     public record Loaded(GatewayAccounts stored, LatencyAccount account) {}
 
-    private final SnapshotFile generations;
+    private final SnapshotFile snapshots;
 
     /** Of this gateway; an empty name reads any gateway's. */
     public AccountFile(Path file, String gateway) {
-        this.generations = new SnapshotFile(file, KIND, FORMAT, gateway, 1);
+        this.snapshots = new SnapshotFile(file, KIND, FORMAT, gateway, EARLIER_GENERATIONS);
     }
 
-    public void write(GatewayAccounts book) throws IOException {
-        generations.write(WRITER.writeValueAsBytes(book), book.writtenAt());
+    /** Puts new accounts in place. */
+    public void write(GatewayAccounts accounts) throws IOException {
+        snapshots.write(WRITER.writeValueAsBytes(accounts), accounts.writtenAt());
     }
 
-    /** The newest accounts that can be believed, or null; what can't be is logged and set aside. */
+    /**
+     * The newest valid accounts, or null; invalid files are logged and set aside.
+     *
+     * @throws IOException if a file cannot be set aside
+     */
     public Loaded load() throws IOException {
         while (true) {
-            SnapshotFile.ReadResult reading = generations.read();
-            for (SnapshotFile.Rejected refused : reading.rejected()) {
-                setAside(refused.file(), refused.reason());
+            SnapshotFile.ReadResult result = snapshots.read();
+            for (SnapshotFile.Rejected rejected : result.rejected()) {
+                snapshots.setAside(rejected.file(), rejected.reason(), LOG);
             }
-            if (reading.snapshot() == null) {
+            if (result.snapshot() == null) {
                 return null;
             }
             try {
-                return read(reading.snapshot());
+                return decode(result.snapshot());
             } catch (IOException e) {
-                setAside(reading.snapshot().file(), e.getMessage());
+                snapshots.setAside(result.snapshot().file(), e.getMessage(), LOG);
             }
         }
     }
 
-    private void setAside(Path file, String why) throws IOException {
-        LOG.atWarn()
-                .addKeyValue("file", file)
-                .addKeyValue("why", why)
-                .addKeyValue("aside", generations.setAside(file))
-                .log("accounts not believed, set aside");
-    }
-
     /**
      * A file's accounts, for a report: nothing is changed on the disk.
      *
-     * @throws IOException if there is none that can be believed
+     * @throws IOException if there are no valid ones
      */
     public static Loaded report(Path file) throws IOException {
-        SnapshotFile.ReadResult reading = new SnapshotFile(file, KIND, FORMAT, "", 1).read();
-        if (reading.snapshot() == null) {
-            throw new IOException(
-                    reading.rejected().isEmpty()
-                            ? file + ": is not there"
-                            : reading.rejected().get(0).file()
-                                    + ": "
-                                    + reading.rejected().get(0).reason());
+        SnapshotFile.ReadResult result =
+                new SnapshotFile(file, KIND, FORMAT, "", EARLIER_GENERATIONS).read();
+        if (result.snapshot() != null) {
+            return decode(result.snapshot());
+        }
+        if (result.rejected().isEmpty()) {
+            throw new InvalidSnapshotException(file, "is not there");
         }
-        return read(reading.snapshot());
+        SnapshotFile.Rejected first = result.rejected().get(0);
+        throw new InvalidSnapshotException(first.file(), first.reason());
     }
 
-    private static Loaded read(SnapshotFile.Snapshot found) throws IOException {
+    private static Loaded decode(SnapshotFile.Snapshot snapshot) throws IOException {
         try {
-            GatewayAccounts head = READER.readValue(found.body());
-            if (head == null
-                    || head.gateway() == null
-                    || head.volumeNames() == null
-                    || head.versionNotifiedAt() == null
-                    || head.accounts() == null) {
-                throw new IOException(found.file() + ": has no accounts in it");
+            GatewayAccounts stored = READER.readValue(snapshot.body());
+            if (stored == null || !stored.isComplete()) {
+                throw new InvalidSnapshotException(snapshot.file(), "has no accounts in it");
             }
-            return new Loaded(head, head.accounts().toAccount());
+            return new Loaded(stored, stored.accounts().toAccount());
         } catch (JsonProcessingException e) {
-            throw new IOException(found.file() + ": " + e.getOriginalMessage(), e);
+            throw new InvalidSnapshotException(snapshot.file(), e.getOriginalMessage(), e);
         } catch (IllegalArgumentException e) {
-            throw new IOException(found.file() + ": " + e.getMessage(), e);
+            throw new InvalidSnapshotException(snapshot.file(), e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/sagepulley/persistence/EndpointListFile.java
+++ b/src/main/java/sagepulley/persistence/EndpointListFile.java
@@ -10,17 +10,21 @@
 import org.slf4j.LoggerFactory;
 import sagepulley.membership.StoredEndpointList;
 
-/** The list of nodes on disk, with two earlier generations, of one site. */
+/** The endpoint list of one site on disk (JSON), with two earlier generations. */
 public final class EndpointListFile {
     private static final String KIND = "nodes";
     private static final int FORMAT = 1;
-    private static final int KEPT = 2;
+    private static final int EARLIER_GENERATIONS = 2;
     private static final JsonMapper JSON = new JsonMapper();
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
 
     /**
-     * What a look at the files found: the newest list that can be believed (null: none), and what
-     * cannot.
+     * What the files hold.
+     *
+     * @param list the newest valid list; null if there is none
+     * @param file the one that holds it
+     * @param writtenAt wall-clock milliseconds
+     * @param rejected the files that cannot be used
      */
     public record ReadResult(
             StoredEndpointList list,
@@ -28,67 +32,71 @@
             long writtenAt,
             List<SnapshotFile.Rejected> rejected) {}
 
-    private final SnapshotFile generations;
+    private final SnapshotFile snapshots;
     private final Path file;
 
     /** Of this site; an empty name reads any site's. */
     public EndpointListFile(Path file, String site) {
         this.file = file;
-        this.generations = new SnapshotFile(file, KIND, FORMAT, site, KEPT);
+        this.snapshots = new SnapshotFile(file, KIND, FORMAT, site, EARLIER_GENERATIONS);
     }
 
+    /** Puts a new list in place; the time is wall-clock milliseconds. */
     public void write(StoredEndpointList list, long now) throws IOException {
-        generations.write(JSON.writeValueAsBytes(list), now);
+        snapshots.write(JSON.writeValueAsBytes(list), now);
     }
 
-    /** Looks, and changes nothing on the disk. */
+    /** Reads the files, and changes nothing on the disk. */
     public ReadResult inspect() {
-        SnapshotFile.ReadResult reading = generations.read();
-        List<SnapshotFile.Rejected> refused = new ArrayList<>(reading.rejected());
-        if (reading.snapshot() == null) {
-            return new ReadResult(null, file, 0, refused);
+        SnapshotFile.ReadResult result = snapshots.read();
+        List<SnapshotFile.Rejected> rejected = new ArrayList<>(result.rejected());
+        SnapshotFile.Snapshot newest = result.snapshot();
+        if (newest == null) {
+            return new ReadResult(null, file, 0, rejected);
         }
         try {
-            StoredEndpointList list =
-                    JSON.readValue(reading.snapshot().body(), StoredEndpointList.class);
+            StoredEndpointList list = decode(newest);
+            return new ReadResult(list, newest.file(), newest.writtenAt(), rejected);
+        } catch (InvalidSnapshotException e) {
+            rejected.add(new SnapshotFile.Rejected(newest.file(), e.reason()));
+            return new ReadResult(null, newest.file(), 0, rejected);
+        }
+    }
+
+    private static StoredEndpointList decode(SnapshotFile.Snapshot snapshot)
+            throws InvalidSnapshotException {
+        try {
+            StoredEndpointList list = JSON.readValue(snapshot.body(), StoredEndpointList.class);
             if (list == null) {
-                throw new IllegalArgumentException("no list of nodes");
+                throw new InvalidSnapshotException(snapshot.file(), "no list of nodes");
             }
-            return new ReadResult(
-                    list.checked(),
-                    reading.snapshot().file(),
-                    reading.snapshot().writtenAt(),
-                    refused);
+            return list.checked();
         } catch (JsonProcessingException e) {
-            refused.add(
-                    new SnapshotFile.Rejected(reading.snapshot().file(), e.getOriginalMessage()));
+            throw new InvalidSnapshotException(snapshot.file(), e.getOriginalMessage(), e);
+        } catch (InvalidSnapshotException e) {
+            throw e;
         } catch (IOException | IllegalArgumentException e) {
-            refused.add(new SnapshotFile.Rejected(reading.snapshot().file(), e.getMessage()));
+            throw new InvalidSnapshotException(snapshot.file(), e.getMessage(), e);
         }
-        return new ReadResult(null, reading.snapshot().file(), 0, refused);
     }
 
-    /** The newest list that can be believed, or null; what can't be is logged and set aside. */
+    /** The newest valid list, or null; invalid files are logged and set aside. */
     public StoredEndpointList load() {
         while (true) {
-            ReadResult look = inspect();
-            for (SnapshotFile.Rejected refused : look.rejected()) {
+            ReadResult result = inspect();
+            for (SnapshotFile.Rejected rejected : result.rejected()) {
                 try {
-                    LOG.atWarn()
-                            .addKeyValue("file", refused.file())
-                            .addKeyValue("why", refused.reason())
-                            .addKeyValue("aside", generations.setAside(refused.file()))
-                            .log("list of nodes not believed, set aside");
+                    snapshots.setAside(rejected.file(), rejected.reason(), LOG);
                 } catch (IOException e) {
                     LOG.atWarn()
-                            .addKeyValue("file", refused.file())
+                            .addKeyValue("file", rejected.file())
                             .addKeyValue("why", e.toString())
-                            .log("list of nodes not believed, and cannot be set aside");
-                    return look.list();
+                            .log("invalid nodes file cannot be set aside");
+                    return result.list();
                 }
             }
-            if (look.list() != null || look.rejected().isEmpty()) {
-                return look.list();
+            if (result.list() != null || result.rejected().isEmpty()) {
+                return result.list();
             }
         }
     }
--- /dev/null
+++ b/src/main/java/sagepulley/persistence/HolderCodec.java
@@ -0,0 +1,132 @@
+package sagepulley.persistence;
+
+import com.github.luben.zstd.Zstd;
+import com.github.luben.zstd.ZstdException;
+import java.nio.ByteBuffer;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * The body of a holder file, compressed with zstd: the number of volumes; for each its id, the
+ * number of its extents and the number of runs; for each run of extents with the same holder the
+ * cell and its length. All are 32-bit integers, big-endian.
+ */
+final class HolderCodec {
+    static final int MAX_EXTENTS = 1 << 22;
+
+    private static final int MAX_VOLUMES = 1 << 16;
+    private static final int COMPRESSION_LEVEL = 3;
+    private static final int FILE_HEADER_BYTES = Integer.BYTES;
+    private static final int VOLUME_HEADER_BYTES = 3 * Integer.BYTES;
+    private static final int RUN_BYTES = 2 * Integer.BYTES;
+    private static final long MAX_BYTES =
+            FILE_HEADER_BYTES
+                    + (long) VOLUME_HEADER_BYTES * MAX_VOLUMES
+                    + (long) RUN_BYTES * MAX_EXTENTS;
+
+    /** What a cell that is not known is written as. */
+    private static final int UNKNOWN_CELL = -1;
+
+    private HolderCodec() {}
+
+    static byte[] encode(Map<Integer, int[]> volumes) {
+        int length = FILE_HEADER_BYTES;
+        for (int[] cells : volumes.values()) {
+            length += VOLUME_HEADER_BYTES + RUN_BYTES * countRuns(cells);
+        }
+        ByteBuffer buffer = ByteBuffer.allocate(length).putInt(volumes.size());
+        volumes.forEach(
+                (volume, cells) -> {
+                    buffer.putInt(volume).putInt(cells.length).putInt(countRuns(cells));
+                    writeRuns(cells, buffer);
+                });
+        return Zstd.compress(buffer.array(), COMPRESSION_LEVEL);
+    }
+
+    private static void writeRuns(int[] cells, ByteBuffer buffer) {
+        int start = 0;
+        while (start < cells.length) {
+            int end = start + 1;
+            while (end < cells.length && cells[end] == cells[start]) {
+                end++;
+            }
+            buffer.putInt(cells[start]).putInt(end - start);
+            start = end;
+        }
+    }
+
+    private static int countRuns(int[] cells) {
+        int runs = cells.length == 0 ? 0 : 1;
+        for (int i = 1; i < cells.length; i++) {
+            runs += cells[i] == cells[i - 1] ? 0 : 1;
+        }
+        return runs;
+    }
+
+    /**
+     * The cells by volume.
+     *
+     * @param file named in the exception
+     * @throws InvalidSnapshotException if the body is none that {@link #encode} makes
+     */
+    static Map<Integer, int[]> decode(byte[] body, Path file) throws InvalidSnapshotException {
+        ByteBuffer buffer = ByteBuffer.wrap(decompress(body, file));
+        Map<Integer, int[]> volumes = new LinkedHashMap<>();
+        int count = buffer.getInt();
+        long extents = 0;
+        for (int i = 0; i < count; i++) {
+            if (buffer.remaining() < VOLUME_HEADER_BYTES) {
+                throw new InvalidSnapshotException(file, "holders are cut off");
+            }
+            int volume = buffer.getInt();
+            int length = buffer.getInt();
+            int runs = buffer.getInt();
+            extents += length;
+            if (length < 0
+                    || extents > MAX_EXTENTS
+                    || runs < 0
+                    || buffer.remaining() < (long) RUN_BYTES * runs) {
+                throw new InvalidSnapshotException(
+                        file, "holders of volume " + volume + " do not fit");
+            }
+            volumes.put(volume, readRuns(buffer, volume, length, runs, file));
+        }
+        return volumes;
+    }
+
+    private static byte[] decompress(byte[] body, Path file) throws InvalidSnapshotException {
+        long size = Zstd.getFrameContentSize(body);
+        if (size < FILE_HEADER_BYTES || size > MAX_BYTES) {
+            throw new InvalidSnapshotException(file, "holders of " + size + " bytes can be none");
+        }
+        try {
+            return Zstd.decompress(body, (int) size);
+        } catch (ZstdException e) {
+            throw new InvalidSnapshotException(
+                    file, "holders cannot be unpacked: " + e.getMessage(), e);
+        }
+    }
+
+    private static int[] readRuns(ByteBuffer buffer, int volume, int length, int runs, Path file)
+            throws InvalidSnapshotException {
+        int[] cells = new int[length];
+        int start = 0;
+        for (int i = 0; i < runs; i++) {
+            int cell = buffer.getInt();
+            int run = buffer.getInt();
+            if (run < 1 || run > length - start || cell < UNKNOWN_CELL) {
+                throw new InvalidSnapshotException(
+                        file, "holders of volume " + volume + " do not fit");
+            }
+            Arrays.fill(cells, start, start + run, cell);
+            start += run;
+        }
+        if (start != length) {
+            throw new InvalidSnapshotException(
+                    file, "holders of volume " + volume + " are cut off");
+        }
+        return cells;
+    }
+}
--- a/src/main/java/sagepulley/persistence/PeriodicWriter.java
+++ b/src/main/java/sagepulley/persistence/PeriodicWriter.java
@@ -12,52 +12,64 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes something down from time to time, on a thread of its own, so that no disk ever holds up
- * who owns it; what fails is logged once and tried again each time.
+ * Writes a value at regular intervals, on a thread of its own, so that no disk ever holds up the
+ * value's owner. A failure is logged once, and the write repeated at each interval.
  *
  * @param <T> what is written; a source that gives null has nothing new
  */
 public final class PeriodicWriter<T> implements AutoCloseable {
-    /** Puts it on the disk. */
+    /** Where values go. */
     public interface Sink<T> {
-        void write(T what) throws IOException;
+        /** Puts a value on the disk; on the writer's thread. */
+        void write(T value) throws IOException;
     }
 
-    private static final long LONGEST_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
     private static final Logger LOG = LoggerFactory.getLogger(PeriodicWriter.class);
 
     private final String name;
     private final Supplier<CompletableFuture<T>> source;
     private final Sink<T> sink;
-    private final ScheduledExecutorService writer;
+    private final ScheduledExecutorService executor;
+
+    /** Whether the latest write failed; on the writer's thread. */
     private boolean failing;
 
-    /** Every so many milliseconds, the pauses counted from one end to the next begin. */
+    /**
+     * Starts the thread.
+     *
+     * @param name of the thread, and of the value in the log
+     * @param intervalMillis from the end of one write to the start of the next
+     * @param source called on the writer's thread; the value may be made on another
+     */
     public PeriodicWriter(
-            String name, double every, Supplier<CompletableFuture<T>> source, Sink<T> sink) {
+            String name,
+            double intervalMillis,
+            Supplier<CompletableFuture<T>> source,
+            Sink<T> sink) {
         this.name = name;
         this.source = source;
         this.sink = sink;
-        this.writer =
+        this.executor =
                 Executors.newSingleThreadScheduledExecutor(
                         task -> {
                             Thread thread = new Thread(task, name);
                             thread.setDaemon(true);
                             return thread;
                         });
-        writer.scheduleWithFixedDelay(
-                this::write, (long) every, (long) every, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(
+                this::write, (long) intervalMillis, (long) intervalMillis, TimeUnit.MILLISECONDS);
     }
 
     private void write() {
         try {
-            T what = source.get().get(LONGEST_SECONDS, TimeUnit.SECONDS);
-            if (what == null) {
+            T value = source.get().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            if (value == null) {
                 return;
             }
-            sink.write(what);
+            sink.write(value);
             if (failing) {
-                LOG.atInfo().addKeyValue("what", name).log("written again");
+                LOG.atInfo().addKeyValue("what", name).log("writes succeed again");
             }
             failing = false;
         } catch (IOException | ExecutionException | TimeoutException | RuntimeException e) {
@@ -65,7 +77,7 @@
                 LOG.atWarn()
                         .addKeyValue("what", name)
                         .addKeyValue("why", e.toString())
-                        .log("not written; tried again each time");
+                        .log("write failed, retried at each interval");
             }
             failing = true;
         } catch (InterruptedException e) {
@@ -73,19 +85,19 @@
         }
     }
 
-    /** Ends without writing, as a kill would. */
+    /** Ends without a last write, as a killed process would. */
     public void kill() {
-        writer.shutdownNow();
+        executor.shutdownNow();
     }
 
-    /** Writes once more and ends. */
+    /** Writes once more and ends; waits for that for a bounded time. */
     @Override
     public void close() {
-        writer.execute(this::write);
-        writer.shutdown();
+        executor.execute(this::write);
+        executor.shutdown();
         try {
-            if (!writer.awaitTermination(LONGEST_SECONDS, TimeUnit.SECONDS)) {
-                LOG.atWarn().addKeyValue("what", name).log("not written at the end");
+            if (!executor.awaitTermination(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                LOG.atWarn().addKeyValue("what", name).log("last write timed out");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -1,8 +1,6 @@
 package sagepulley.persistence;
 
 import java.io.IOException;
-import java.net.URLDecoder;
-import java.net.URLEncoder;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
@@ -14,21 +12,19 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.zip.CRC32C;
+import org.slf4j.Logger;
 
 /**
- * A file that is replaced whole and survives a kill at any byte: written beside, forced to the
- * disk, and put in place by renaming, with some earlier generations kept. A line at its head says
- * what it is, whose, how old and how long, with a CRC32C over all else; what does not agree with
- * its head is not believed.
+ * A file that is replaced as a whole and survives a kill at any byte: written beside, forced to the
+ * disk, and put in place by renaming, with some earlier generations left. A {@link SnapshotHeader}
+ * says what it is, whose and how old; a file that does not agree with its header is rejected. Safe
+ * for use by several threads.
  */
 public final class SnapshotFile {
-    private static final String MAGIC = "sagepulley";
-    private static final int MOST_HEAD = 1024;
-    private static final long MOST_BODY = 1L << 30;
+    private static final long MAX_BODY_BYTES = 1L << 30;
 
-    /** The steps of a write, in order; what a test cuts short. */
-    public enum Step {
+    /** The steps of a write, in order. */
+    enum WriteStep {
         WRITTEN,
         FORCED,
         OLDER_MOVED,
@@ -37,224 +33,224 @@
         FOLDER_FORCED
     }
 
-    /** Told after each step of a write; what it throws ends the write there. */
-    public interface Steps {
-        void done(Step step, int generation) throws IOException;
+    /** Called after each step of a write; what it throws ends the write there. */
+    interface WriteListener {
+        void stepDone(WriteStep step, int generation) throws IOException;
     }
 
     /**
-     * A body that was found whole, when it was written (wall-clock milliseconds), and its number.
+     * What a valid file holds.
+     *
+     * @param writtenAt wall-clock milliseconds
+     * @param number counts up with each write
      */
     public record Snapshot(byte[] body, long writtenAt, long number, Path file) {}
 
-    /** A file that is not believed, and why. */
+    /** A file that cannot be used, and why not. */
     public record Rejected(Path file, String reason) {}
 
-    /** The newest that can be believed (null if none can) and what could not be. */
+    /** The newest valid snapshot (null if there is none) and the files that cannot be used. */
     public record ReadResult(Snapshot snapshot, List<Rejected> rejected) {}
 
     private final Path file;
     private final String kind;
     private final int format;
     private final String owner;
-    private final int kept;
-    private final Steps steps;
+    private final int earlierGenerations;
+    private final WriteListener listener;
+
+    /** The number of the newest snapshot; -1 before it is known. */
     private long number = -1;
 
     /**
-     * Of this kind and format, of this owner (a site, or a gateway), with so many earlier
-     * generations kept.
+     * A file on disk, which need not exist yet.
+     *
+     * @param owner a site or a gateway; empty to read any owner's
+     * @param earlierGenerations how many are left beside the newest
      */
-    public SnapshotFile(Path file, String kind, int format, String owner, int kept) {
-        this(file, kind, format, owner, kept, (step, generation) -> {});
+    public SnapshotFile(Path file, String kind, int format, String owner, int earlierGenerations) {
+        this(file, kind, format, owner, earlierGenerations, (step, generation) -> {});
     }
 
-    SnapshotFile(Path file, String kind, int format, String owner, int kept, Steps steps) {
+    SnapshotFile(
+            Path file,
+            String kind,
+            int format,
+            String owner,
+            int earlierGenerations,
+            WriteListener listener) {
         this.file = file.toAbsolutePath();
         this.kind = kind;
         this.format = format;
         this.owner = owner;
-        this.kept = kept;
-        this.steps = steps;
+        this.earlierGenerations = earlierGenerations;
+        this.listener = listener;
     }
 
     private Path generation(int age) {
         return age == 0 ? file : file.resolveSibling(file.getFileName() + "." + age);
     }
 
-    private Path fresh() {
+    private Path temporary() {
         return file.resolveSibling(file.getFileName() + ".new");
     }
 
     // ---- writing ----
 
     /**
-     * Puts a new body in place. What fails leaves every earlier generation as it was, or moved up
-     * by one.
+     * Puts a new body in place.
+     *
+     * @param writtenAt wall-clock milliseconds
+     * @throws IOException if that failed; every earlier generation is as it was, or moved up by one
      */
     public synchronized void write(byte[] body, long writtenAt) throws IOException {
         if (number < 0) {
-            ReadResult before = read();
-            number = before.snapshot == null ? 0 : before.snapshot.number;
+            Snapshot newest = read().snapshot;
+            number = newest == null ? 0 : newest.number;
         }
         Files.createDirectories(file.getParent());
-        byte[] head = head(body, writtenAt, number + 1);
-        try (FileChannel to =
+        writeTemporary(body, writtenAt);
+        moveGenerationsUp();
+        move(temporary(), file);
+        listener.stepDone(WriteStep.PUT_IN_PLACE, 0);
+        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
+            folder.force(true);
+        }
+        listener.stepDone(WriteStep.FOLDER_FORCED, 0);
+        number++;
+    }
+
+    private void writeTemporary(byte[] body, long writtenAt) throws IOException {
+        SnapshotHeader header = new SnapshotHeader(kind, format, owner, writtenAt, number + 1);
+        try (FileChannel channel =
                 FileChannel.open(
-                        fresh(),
+                        temporary(),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
-            writeAll(to, ByteBuffer.wrap(head));
-            writeAll(to, ByteBuffer.wrap(body));
-            steps.done(Step.WRITTEN, 0);
-            to.force(true);
+            writeFully(channel, ByteBuffer.wrap(header.encode(body)));
+            writeFully(channel, ByteBuffer.wrap(body));
+            listener.stepDone(WriteStep.WRITTEN, 0);
+            channel.force(true);
         }
-        steps.done(Step.FORCED, 0);
-        for (int age = kept; age > 1; age--) {
-            moveIfThere(generation(age - 1), generation(age));
-            steps.done(Step.OLDER_MOVED, age);
+        listener.stepDone(WriteStep.FORCED, 0);
+    }
+
+    private void moveGenerationsUp() throws IOException {
+        for (int age = earlierGenerations; age > 1; age--) {
+            moveIfPresent(generation(age - 1), generation(age));
+            listener.stepDone(WriteStep.OLDER_MOVED, age);
         }
-        if (kept > 0) {
-            moveIfThere(file, generation(1));
-            steps.done(Step.MOVED_AWAY, 1);
+        if (earlierGenerations > 0) {
+            moveIfPresent(file, generation(1));
+            listener.stepDone(WriteStep.MOVED_AWAY, 1);
         }
-        Files.move(
-                fresh(), file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        steps.done(Step.PUT_IN_PLACE, 0);
-        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
-        }
-        steps.done(Step.FOLDER_FORCED, 0);
-        number++;
     }
 
-    private static void writeAll(FileChannel to, ByteBuffer from) throws IOException {
-        while (from.hasRemaining()) {
-            to.write(from);
+    private static void writeFully(FileChannel channel, ByteBuffer buffer) throws IOException {
+        while (buffer.hasRemaining()) {
+            channel.write(buffer);
         }
     }
 
-    private static void moveIfThere(Path from, Path to) throws IOException {
+    private static void moveIfPresent(Path from, Path to) throws IOException {
         if (Files.exists(from)) {
-            Files.move(
-                    from, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            move(from, to);
         }
     }
 
-    private byte[] head(byte[] body, long writtenAt, long its) {
-        String text =
-                MAGIC
-                        + " "
-                        + kind
-                        + " "
-                        + format
-                        + " "
-                        + URLEncoder.encode(owner, StandardCharsets.UTF_8)
-                        + " "
-                        + writtenAt
-                        + " "
-                        + its
-                        + " "
-                        + body.length;
-        return (text + " " + Integer.toHexString(sum(text, body)) + "\n")
-                .getBytes(StandardCharsets.US_ASCII);
-    }
-
-    private static int sum(String head, byte[] body) {
-        CRC32C crc = new CRC32C();
-        crc.update(head.getBytes(StandardCharsets.US_ASCII));
-        crc.update(body);
-        return (int) crc.getValue();
+    private static void move(Path from, Path to) throws IOException {
+        Files.move(from, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     // ---- reading ----
 
-    /** Looks at every generation: the newest whole one counts. Nothing is changed on the disk. */
+    /** Reads every generation; the newest valid one counts. Changes nothing on the disk. */
     public synchronized ReadResult read() {
-        List<Rejected> refused = new ArrayList<>();
-        Snapshot best = null;
-        for (Path path : candidates()) {
+        List<Rejected> rejected = new ArrayList<>();
+        Snapshot newest = null;
+        for (Path candidate : candidates()) {
             try {
-                Snapshot found = check(path);
-                if (best == null || found.number > best.number) {
-                    best = found;
+                Snapshot snapshot = read(candidate);
+                if (newest == null || snapshot.number > newest.number) {
+                    newest = snapshot;
                 }
             } catch (NoSuchFileException e) {
-                // none of that age
+                // no generation of that age
+            } catch (InvalidSnapshotException e) {
+                rejected.add(new Rejected(candidate, e.reason()));
             } catch (IOException e) {
-                refused.add(
-                        new Rejected(path, e.getMessage() == null ? e.toString() : e.getMessage()));
+                String reason = e.getMessage() == null ? e.toString() : e.getMessage();
+                rejected.add(new Rejected(candidate, reason));
             }
         }
-        return new ReadResult(best, refused);
+        return new ReadResult(newest, rejected);
     }
 
     private List<Path> candidates() {
-        List<Path> all = new ArrayList<>();
-        all.add(fresh());
-        for (int age = 0; age <= kept; age++) {
-            all.add(generation(age));
+        List<Path> candidates = new ArrayList<>();
+        candidates.add(temporary());
+        for (int age = 0; age <= earlierGenerations; age++) {
+            candidates.add(generation(age));
         }
-        return all;
+        return candidates;
     }
 
-    /**
-     * Moves what is not believed out of the way, to a name that says so; the latest such one is
-     * kept.
-     */
-    public synchronized Path setAside(Path refused) throws IOException {
-        Path aside = refused.resolveSibling(refused.getFileName() + ".set-aside");
-        Files.move(refused, aside, StandardCopyOption.REPLACE_EXISTING);
-        return aside;
+    private Snapshot read(Path path) throws IOException {
+        if (Files.size(path) > MAX_BODY_BYTES + SnapshotHeader.MAX_BYTES) {
+            throw new InvalidSnapshotException(path, "is longer than such a file can be");
+        }
+        byte[] content = Files.readAllBytes(path);
+        int headerLength = headerLength(content, path);
+        String line = new String(content, 0, headerLength, StandardCharsets.US_ASCII);
+        byte[] body = Arrays.copyOfRange(content, headerLength + 1, content.length);
+        SnapshotHeader header = SnapshotHeader.decode(line, body, path);
+        if (!header.kind().equals(kind)) {
+            throw new InvalidSnapshotException(path, "is a file of another kind: " + header.kind());
+        }
+        if (header.format() != format) {
+            throw new InvalidSnapshotException(
+                    path, "has format " + header.format() + ", read is " + format);
+        }
+        if (!header.owner().equals(owner) && !owner.isEmpty()) {
+            throw new InvalidSnapshotException(
+                    path, "belongs to '" + header.owner() + "', not to '" + owner + "'");
+        }
+        return new Snapshot(body, header.writtenAt(), header.number(), path);
     }
 
-    private Snapshot check(Path path) throws IOException {
-        long size = Files.size(path);
-        if (size > MOST_BODY + MOST_HEAD) {
-            throw new IOException("is longer than such a file can be");
-        }
-        byte[] all = Files.readAllBytes(path);
+    private static int headerLength(byte[] content, Path path) throws InvalidSnapshotException {
         int end = 0;
-        while (end < Math.min(all.length, MOST_HEAD) && all[end] != '\n') {
+        while (end < Math.min(content.length, SnapshotHeader.MAX_BYTES) && content[end] != '\n') {
             end++;
         }
-        if (end == all.length || end == MOST_HEAD) {
-            throw new IOException(
-                    all.length == 0 ? "is empty" : "has no head: cut off, or no file of ours");
-        }
-        String line = new String(all, 0, end, StandardCharsets.US_ASCII);
-        String[] words = line.split(" ", -1);
-        if (words.length != 8 || !words[0].equals(MAGIC)) {
-            throw new IOException("is no file of sagepulley");
-        }
-        byte[] body = Arrays.copyOfRange(all, end + 1, all.length);
-        try {
-            // Torn before foreign: of a damaged file nothing that it says is believed.
-            if (Long.parseLong(words[6]) != body.length) {
-                throw new IOException(
-                        "is cut off, or longer than it says: "
-                                + body.length
-                                + " bytes of "
-                                + words[6]);
-            }
-            if (Integer.parseUnsignedInt(words[7], 16)
-                    != sum(line.substring(0, line.lastIndexOf(' ')), body)) {
-                throw new IOException("is damaged: its checksum does not agree");
-            }
-            if (!words[1].equals(kind)) {
-                throw new IOException("is a file of another kind: " + words[1]);
-            }
-            if (Integer.parseInt(words[2]) != format) {
-                throw new IOException("has format " + words[2] + ", read is " + format);
-            }
-            String its = URLDecoder.decode(words[3], StandardCharsets.UTF_8);
-            if (!its.equals(owner) && !owner.isEmpty()) {
-                throw new IOException("belongs to '" + its + "', not to '" + owner + "'");
-            }
-            return new Snapshot(body, Long.parseLong(words[4]), Long.parseLong(words[5]), path);
-        } catch (IllegalArgumentException e) {
-            throw new IOException("has a damaged head", e);
+        if (end == content.length || end == SnapshotHeader.MAX_BYTES) {
+            throw new InvalidSnapshotException(
+                    path,
+                    content.length == 0 ? "is empty" : "has no head: cut off, or no file of ours");
         }
+        return end;
+    }
+
+    // ---- what cannot be used ----
+
+    /**
+     * Moves a file out of the way, to a name that says so; the latest such one stays.
+     *
+     * @return the new name
+     */
+    public synchronized Path setAside(Path rejected) throws IOException {
+        Path aside = rejected.resolveSibling(rejected.getFileName() + ".set-aside");
+        Files.move(rejected, aside, StandardCopyOption.REPLACE_EXISTING);
+        return aside;
+    }
+
+    /** The same, with a line in the log that says why. */
+    void setAside(Path rejected, String reason, Logger log) throws IOException {
+        log.atWarn()
+                .addKeyValue("file", rejected)
+                .addKeyValue("why", reason)
+                .addKeyValue("aside", setAside(rejected))
+                .log("invalid " + kind + " file set aside");
     }
 }
--- a/src/test/java/sagepulley/persistence/AccountFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -6,8 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.Map;
 import java.util.Random;
 import net.jqwik.api.ForAll;
@@ -22,9 +24,9 @@
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
 
-/** Files of accounts: what is written is read again, and what is damaged is told. */
+/** Account files: what is written is read again, and what is damaged is rejected. */
 class AccountFileTest {
-    private static final TrafficClass BAND =
+    private static final TrafficClass TRAFFIC_CLASS =
             new TrafficClass(
                     0,
                     "read",
@@ -46,19 +48,20 @@
         double now = 0;
         for (int i = 0; i < 300; i++) {
             now += random.nextInt(20_000);
-            OperationTimer meter =
-                    accounts.begin(1 + random.nextInt(5), BAND, random.nextBoolean(), 1, now);
+            OperationTimer timer =
+                    accounts.begin(
+                            1 + random.nextInt(5), TRAFFIC_CLASS, random.nextBoolean(), 1, now);
             accounts.waitStarted(
-                    meter,
+                    timer,
                     LatencyComponent.values()[random.nextInt(11)],
                     random.nextInt(4),
                     now + 1);
             accounts.attemptSent(
-                    meter, 1 + random.nextInt(4), QuotaTier.values()[random.nextInt(3)], now + 10);
+                    timer, 1 + random.nextInt(4), QuotaTier.values()[random.nextInt(3)], now + 10);
             accounts.attemptAnswered(
-                    meter, random.nextInt(50), random.nextInt(50), random.nextInt(9), now + 100);
+                    timer, random.nextInt(50), random.nextInt(50), random.nextInt(9), now + 100);
             accounts.end(
-                    meter,
+                    timer,
                     Accounts.End.values()[random.nextInt(4)],
                     Reason.OBJECTIVE_MISSED,
                     1,
@@ -67,7 +70,7 @@
         return accounts;
     }
 
-    private static GatewayAccounts book(String gateway, Accounts accounts) {
+    private static GatewayAccounts stored(String gateway, Accounts accounts) {
         return new GatewayAccounts(
                 gateway,
                 5,
@@ -79,10 +82,10 @@
     /** What is written is read again, figure by figure. */
     @Property(tries = 20, seed = "5")
     void roundTrip(@ForAll long seed) throws IOException {
-        Path place = Files.createTempDirectory("books");
+        Path parent = Files.createTempDirectory("accounts");
         Accounts accounts = filled(seed);
-        new AccountFile(place.resolve("a"), "gw").write(book("gw", accounts));
-        AccountFile.Loaded read = AccountFile.report(place.resolve("a"));
+        new AccountFile(parent.resolve("a"), "gw").write(stored("gw", accounts));
+        AccountFile.Loaded read = AccountFile.report(parent.resolve("a"));
         assertEquals(Map.of(1L, "exams"), read.stored().volumeNames());
         for (long volume : accounts.volumes()) {
             assertEquals(
@@ -90,19 +93,19 @@
                     read.account().report(volume, 1e12, 1e12 + 1e8).toString());
         }
         for (String name : new String[] {"a", "a.1"}) {
-            Files.deleteIfExists(place.resolve(name));
+            Files.deleteIfExists(parent.resolve(name));
         }
-        Files.delete(place);
+        Files.delete(parent);
     }
 
     @Test
     void aTornFileIsSetAsideAndTheOneBeforeUsed() throws IOException {
         Path path = folder.resolve("accounts");
         AccountFile file = new AccountFile(path, "gw");
-        file.write(book("gw", filled(1)));
-        file.write(book("gw", filled(2)));
-        byte[] whole = Files.readAllBytes(path);
-        Files.write(path, java.util.Arrays.copyOf(whole, whole.length / 2));
+        file.write(stored("gw", filled(1)));
+        file.write(stored("gw", filled(2)));
+        byte[] intact = Files.readAllBytes(path);
+        Files.write(path, Arrays.copyOf(intact, intact.length / 2));
         AccountFile.Loaded read = new AccountFile(path, "gw").load();
         assertEquals(
                 filled(1).report(1, 0, 1e8).toString(),
@@ -111,11 +114,11 @@
     }
 
     @Test
-    void wholeFilesWithImpossibleFiguresAreNotBelieved() throws IOException {
+    void intactFilesWithImpossibleFiguresAreRejected() throws IOException {
         Path path = folder.resolve("accounts");
         for (String body : new String[] {"", "not CBOR at all", "\u00a0", "\u00f6"}) {
             new SnapshotFile(path, "accounts", 1, "gw", 1)
-                    .write(body.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), 1);
+                    .write(body.getBytes(StandardCharsets.ISO_8859_1), 1);
             assertThrows(IOException.class, () -> AccountFile.report(path), body);
         }
         assertNull(new AccountFile(path, "gw").load());
@@ -123,13 +126,13 @@
     }
 
     /**
-     * Random damage inside a body whose checksum was made to agree: read or refused, nothing else.
+     * Random damage inside a body whose checksum was made to agree: read or rejected, nothing else.
      */
     @Property(tries = 200, seed = "9")
-    void damagedBodiesAreReadOrRefused(@ForAll int at, @ForAll byte value) throws IOException {
-        Path place = Files.createTempDirectory("books");
-        Path path = place.resolve("a");
-        new AccountFile(path, "gw").write(book("gw", filled(3)));
+    void damagedBodiesAreReadOrRejected(@ForAll int at, @ForAll byte value) throws IOException {
+        Path parent = Files.createTempDirectory("accounts");
+        Path path = parent.resolve("a");
+        new AccountFile(path, "gw").write(stored("gw", filled(3)));
         byte[] body = new SnapshotFile(path, "accounts", 1, "gw", 1).read().snapshot().body();
         body[Math.floorMod(at, body.length)] = value;
         new SnapshotFile(path, "accounts", 1, "gw", 1).write(body, 1);
@@ -139,7 +142,7 @@
             assertTrue(e.getMessage().length() > 0);
         }
         Files.deleteIfExists(path);
-        Files.deleteIfExists(place.resolve("a.1"));
-        Files.delete(place);
+        Files.deleteIfExists(parent.resolve("a.1"));
+        Files.delete(parent);
     }
 }
--- a/src/test/java/sagepulley/persistence/SnapshotFileTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files in generations: the newest that is whole is read. */
+/** Snapshot files with generations: the newest valid one is read. */
 class SnapshotFileTest {
     @TempDir private Path folder;
 
@@ -26,23 +26,23 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String text(SnapshotFile.ReadResult reading) {
-        assertNotNull(reading.snapshot(), reading.rejected().toString());
-        return new String(reading.snapshot().body(), StandardCharsets.UTF_8);
+    private static String text(SnapshotFile.ReadResult result) {
+        assertNotNull(result.snapshot(), result.rejected().toString());
+        return new String(result.snapshot().body(), StandardCharsets.UTF_8);
     }
 
     @Test
-    void aKillAfterAnyStepLeavesTheOldOrTheNew() throws IOException {
+    void aKillAfterAnyStepLeavesTheOldOrTheNewSnapshot() throws IOException {
         for (int stop = 0; stop < 7; stop++) {
-            Path place = Files.createDirectory(folder.resolve("kill" + stop));
-            SnapshotFile whole = new SnapshotFile(place.resolve("list"), "list", 3, "site", 2);
+            Path parent = Files.createDirectory(folder.resolve("kill" + stop));
+            SnapshotFile before = new SnapshotFile(parent.resolve("list"), "list", 3, "site", 2);
             for (String text : new String[] {"one", "two", "three"}) {
-                whole.write(body(text), 1);
+                before.write(body(text), 1);
             }
             int[] left = {stop};
             SnapshotFile killed =
                     new SnapshotFile(
-                            place.resolve("list"),
+                            parent.resolve("list"),
                             "list",
                             3,
                             "site",
@@ -59,40 +59,40 @@
                 done = false;
             }
             SnapshotFile.ReadResult after =
-                    new SnapshotFile(place.resolve("list"), "list", 3, "site", 2).read();
+                    new SnapshotFile(parent.resolve("list"), "list", 3, "site", 2).read();
             String found = text(after);
             assertTrue(
                     found.equals("four") || (found.equals("three") && !done),
                     "killed at " + stop + ": " + found);
             assertTrue(after.rejected().isEmpty());
             // And the next life writes on.
-            SnapshotFile next = new SnapshotFile(place.resolve("list"), "list", 3, "site", 2);
+            SnapshotFile next = new SnapshotFile(parent.resolve("list"), "list", 3, "site", 2);
             next.write(body("five"), 3);
             assertEquals("five", text(next.read()));
         }
     }
 
     @Test
-    void aFileCutAtAnyByteGivesWayToTheGenerationBefore() throws IOException {
+    void ofAFileCutAtAnyByteTheEarlierGenerationIsRead() throws IOException {
         SnapshotFile file = open("site");
         file.write(body("the first body"), 1);
         file.write(body("the second body"), 2);
-        byte[] whole = Files.readAllBytes(folder.resolve("list"));
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(folder.resolve("list"), Arrays.copyOf(whole, length));
-            SnapshotFile.ReadResult reading = open("site").read();
-            assertEquals("the first body", text(reading), "cut to " + length);
-            assertEquals(1, reading.rejected().size());
+        byte[] intact = Files.readAllBytes(folder.resolve("list"));
+        for (int length = 0; length < intact.length; length++) {
+            Files.write(folder.resolve("list"), Arrays.copyOf(intact, length));
+            SnapshotFile.ReadResult result = open("site").read();
+            assertEquals("the first body", text(result), "cut to " + length);
+            assertEquals(1, result.rejected().size());
         }
     }
 
     @Test
-    void aFlippedBitAnywhereIsSeen() throws IOException {
+    void aFlippedBitAnywhereIsDetected() throws IOException {
         SnapshotFile file = open("site");
         file.write(body("the first body"), 1);
-        byte[] whole = Files.readAllBytes(folder.resolve("list"));
-        for (int bit = 0; bit < 8 * whole.length; bit++) {
-            byte[] flipped = whole.clone();
+        byte[] intact = Files.readAllBytes(folder.resolve("list"));
+        for (int bit = 0; bit < 8 * intact.length; bit++) {
+            byte[] flipped = intact.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(folder.resolve("list"), flipped);
             SnapshotFile.Snapshot found = open("site").read().snapshot();
@@ -108,10 +108,10 @@
     @Test
     void foreignFilesAreNamedAndSetAside() throws IOException {
         open("another site").write(body("x"), 1);
-        SnapshotFile.ReadResult reading = open("site").read();
-        assertNull(reading.snapshot());
-        assertTrue(reading.rejected().get(0).reason().contains("another site"));
-        Path aside = open("site").setAside(reading.rejected().get(0).file());
+        SnapshotFile.ReadResult result = open("site").read();
+        assertNull(result.snapshot());
+        assertTrue(result.rejected().get(0).reason().contains("another site"));
+        Path aside = open("site").setAside(result.rejected().get(0).file());
         assertTrue(Files.exists(aside));
         assertTrue(open("site").read().rejected().isEmpty());
         new SnapshotFile(folder.resolve("list"), "list", 4, "site", 2).write(body("y"), 1);
