--- a/src/main/java/sagepulley/placement/ExtentHolders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -8,141 +8,146 @@
 
 /**
  * What this gateway knows of which cell holds which extent, and who waits to learn it. A holder,
- * once known, stays until a node denies it. While a claim is out, others of the extent wait for it,
- * but not long: directories fall silent, and whoever waits is handed on to be decided about. Times
- * are milliseconds.
+ * once known, stays until a node denies it. While a claim is pending, other operations on the
+ * extent wait for it, but not long: a directory may stop answering, and a waiter past its time is
+ * handed back to be decided about. Times are milliseconds. For one thread.
  *
  * @param <W> who waits
  */
 public final class ExtentHolders<W> {
-    /** Who waits so long for the directory is handed on with the holder unknown. */
+    /** A waiter is handed back with the holder unknown after so long. */
     public static final double MAX_WAIT_MILLIS = 50;
 
-    private static final int NOBODY = -1;
+    private static final int UNKNOWN_CELL = -1;
+    private static final int EXTENT_BITS = 40;
 
-    private record Waiting<W>(W who, double until) {}
+    private record Waiter<W>(W who, double deadline) {}
 
-    private static final class Place<W> {
-        int cell = NOBODY;
-        int claims;
-        final List<Waiting<W>> waiting = new ArrayList<>(0);
+    private static final class Extent<W> {
+        int cell = UNKNOWN_CELL;
+        int pendingClaims;
+        final List<Waiter<W>> waiters = new ArrayList<>(0);
     }
 
-    private final Map<Long, Place<W>> places = new HashMap<>();
+    private final Map<Long, Extent<W>> extents = new HashMap<>();
 
-    /** Extents for which somebody waits. */
-    private final Map<Long, Place<W>> awaited = new HashMap<>();
+    /** Those of them that have waiters. */
+    private final Map<Long, Extent<W>> awaited = new HashMap<>();
 
     /** One number for an extent of a volume, never 0. */
     public static long key(int volume, long extent) {
-        return (long) volume << 40 | extent + 1;
+        return (long) volume << EXTENT_BITS | extent + 1;
     }
 
     /** The cell that holds an extent, or -1 where none is known. */
     public int cell(long key) {
-        Place<W> place = places.get(key);
-        return place == null ? NOBODY : place.cell;
+        Extent<W> extent = extents.get(key);
+        return extent == null ? UNKNOWN_CELL : extent.cell;
     }
 
-    /** Whether a claim for the extent is out. */
+    /** Whether a claim for the extent is pending. */
     public boolean hasPendingClaim(long key) {
-        Place<W> place = places.get(key);
-        return place != null && place.claims > 0;
+        Extent<W> extent = extents.get(key);
+        return extent != null && extent.pendingClaims > 0;
     }
 
-    /** A claim goes out. */
+    /** A claim is sent. */
     public void claimStarted(long key) {
-        places.computeIfAbsent(key, any -> new Place<>()).claims++;
+        extents.computeIfAbsent(key, absent -> new Extent<>()).pendingClaims++;
     }
 
-    /** A claim is over; tells who waited for it, if it was the last. */
+    /** A claim has ended; returns who waited for it, if it was the last. */
     public List<W> claimEnded(long key) {
-        Place<W> place = places.get(key);
-        if (place == null || --place.claims > 0) {
+        Extent<W> extent = extents.get(key);
+        if (extent == null || --extent.pendingClaims > 0) {
             return List.of();
         }
-        return released(key, place);
+        return takeWaiters(key, extent);
     }
 
-    /** The holder was told; tells who waited to learn it. The first that was told stands. */
+    /**
+     * A directory or node named the holder; returns who waited to learn it. The first holder that
+     * was named stands.
+     */
     public List<W> holderLearned(long key, int cell) {
-        Place<W> place = places.computeIfAbsent(key, any -> new Place<>());
-        if (place.cell == NOBODY) {
-            place.cell = cell;
+        Extent<W> extent = extents.computeIfAbsent(key, absent -> new Extent<>());
+        if (extent.cell == UNKNOWN_CELL) {
+            extent.cell = cell;
         }
-        return released(key, place);
+        return takeWaiters(key, extent);
     }
 
     /** What was known of an extent's holder proved wrong. */
     public void forget(long key) {
-        Place<W> place = places.get(key);
-        if (place != null) {
-            place.cell = NOBODY;
-            tidy(key, place);
+        Extent<W> extent = extents.get(key);
+        if (extent != null) {
+            extent.cell = UNKNOWN_CELL;
+            removeIfUnused(key, extent);
         }
     }
 
-    /** Lets somebody wait. */
+    /** Adds a waiter, whose time begins now. */
     public void addWaiter(long key, W who, double now) {
-        Place<W> place = places.computeIfAbsent(key, any -> new Place<>());
-        place.waiting.add(new Waiting<>(who, now + MAX_WAIT_MILLIS));
-        awaited.put(key, place);
+        Extent<W> extent = extents.computeIfAbsent(key, absent -> new Extent<>());
+        extent.waiters.add(new Waiter<>(who, now + MAX_WAIT_MILLIS));
+        awaited.put(key, extent);
     }
 
-    /** Takes one out who waits; false if it did not. */
+    /** Removes a waiter; false if it was none. */
     public boolean removeWaiter(long key, W who) {
-        Place<W> place = awaited.get(key);
-        if (place == null || !place.waiting.removeIf(waiting -> waiting.who() == who)) {
+        Extent<W> extent = awaited.get(key);
+        if (extent == null || !extent.waiters.removeIf(waiter -> waiter.who() == who)) {
             return false;
         }
-        tidy(key, place);
+        removeIfUnused(key, extent);
         return true;
     }
 
-    /** Takes out everybody who has waited long enough. */
+    /** Removes and returns every waiter whose time is over. */
     public List<W> takeExpired(double now) {
-        List<W> due = new ArrayList<>(0);
-        for (Iterator<Map.Entry<Long, Place<W>>> at = awaited.entrySet().iterator();
-                at.hasNext(); ) {
-            Place<W> place = at.next().getValue();
-            place.waiting.removeIf(waiting -> waiting.until() <= now && due.add(waiting.who()));
-            if (place.waiting.isEmpty()) {
-                at.remove();
+        List<W> expired = new ArrayList<>(0);
+        for (Iterator<Map.Entry<Long, Extent<W>>> entries = awaited.entrySet().iterator();
+                entries.hasNext(); ) {
+            Extent<W> extent = entries.next().getValue();
+            extent.waiters.removeIf(
+                    waiter -> waiter.deadline() <= now && expired.add(waiter.who()));
+            if (extent.waiters.isEmpty()) {
+                entries.remove();
             }
         }
-        return due;
+        return expired;
     }
 
-    /** When somebody will have waited long enough; infinity if nobody waits. */
+    /** When the next waiter's time will be over; infinity if nobody waits. */
     public double nextExpiry() {
         double next = Double.POSITIVE_INFINITY;
-        for (Place<W> place : awaited.values()) {
-            for (Waiting<W> waiting : place.waiting) {
-                next = Math.min(next, waiting.until());
+        for (Extent<W> extent : awaited.values()) {
+            for (Waiter<W> waiter : extent.waiters) {
+                next = Math.min(next, waiter.deadline());
             }
         }
         return next;
     }
 
-    private List<W> released(long key, Place<W> place) {
-        if (place.waiting.isEmpty()) {
-            tidy(key, place);
+    private List<W> takeWaiters(long key, Extent<W> extent) {
+        if (extent.waiters.isEmpty()) {
+            removeIfUnused(key, extent);
             return List.of();
         }
-        List<W> all = new ArrayList<>(place.waiting.size());
-        for (Waiting<W> waiting : place.waiting) {
-            all.add(waiting.who());
+        List<W> released = new ArrayList<>(extent.waiters.size());
+        for (Waiter<W> waiter : extent.waiters) {
+            released.add(waiter.who());
         }
-        place.waiting.clear();
-        tidy(key, place);
-        return all;
+        extent.waiters.clear();
+        removeIfUnused(key, extent);
+        return released;
     }
 
-    private void tidy(long key, Place<W> place) {
-        if (place.waiting.isEmpty()) {
+    private void removeIfUnused(long key, Extent<W> extent) {
+        if (extent.waiters.isEmpty()) {
             awaited.remove(key);
-            if (place.cell == NOBODY && place.claims <= 0) {
-                places.remove(key);
+            if (extent.cell == UNKNOWN_CELL && extent.pendingClaims <= 0) {
+                extents.remove(key);
             }
         }
     }
