--- a/src/main/java/sagepulley/accounts/AccountWindow.java
+++ b/src/main/java/sagepulley/accounts/AccountWindow.java
@@ -2,73 +2,99 @@
 
 import org.HdrHistogram.IntCountsHistogram;
 
-/** Sums of one volume over one stretch of time. */
+/** Sums of one volume over one window of time. */
 final class AccountWindow implements Mergeable<AccountWindow> {
-    static final int MOST_CAUSES = 40;
+    static final int MAX_CAUSES = 40;
 
-    /** Of ten microseconds each; kept to one digit, which is 6 percent. */
-    static final double TICKS = 100;
+    /** Histograms count ticks of ten microseconds, to one digit, which is 6 percent. */
+    static final double TICKS_PER_MILLI = 100;
 
-    static final long LONGEST_TICK = 100L * 3_600_000;
-    static final int PARTS = PlanTier.values().length;
+    /** An hour. */
+    static final long MAX_TICKS = 100L * 3_600_000;
 
-    final double[] parts = new double[LatencyComponent.values().length];
-    final CauseCharges causes = new CauseCharges(MOST_CAUSES);
-    long declined;
-    long scrapped;
-    long left;
+    static final int TIERS = PlanTier.values().length;
 
-    /** By part of the plan. */
-    final long[] met = new long[PARTS];
+    private static final int HISTOGRAM_DIGITS = 1;
 
-    final long[] missed = new long[PARTS];
-    final double[] units = new double[PARTS];
-    final double[] lost = new double[PARTS];
-    final IntCountsHistogram[] times = new IntCountsHistogram[PARTS];
+    /** Milliseconds, by component. */
+    final double[] components = new double[LatencyComponent.values().length];
 
-    /** Counts an operation that took so long. */
-    void time(PlanTier part, double took) {
-        times(part.ordinal())
-                .recordValue(Math.min(LONGEST_TICK, Math.max(0, (long) (took * TICKS))));
+    final CauseCharges causes = new CauseCharges(MAX_CAUSES);
+    long rejected;
+    long abandoned;
+    long cancelled;
+
+    /** By plan tier, as are the following. */
+    final long[] met = new long[TIERS];
+
+    final long[] missed = new long[TIERS];
+    final double[] units = new double[TIERS];
+    final double[] lostWeight = new double[TIERS];
+    final IntCountsHistogram[] durations = new IntCountsHistogram[TIERS];
+
+    /** Books an operation; its lost weight is shared among its causes by what each made it wait. */
+    void add(EndedOperation operation) {
+        int tier = operation.tier().ordinal();
+        units[tier] += operation.timer().units;
+        lostWeight[tier] += operation.lostWeight();
+        if (operation.met()) {
+            met[tier]++;
+        } else {
+            missed[tier]++;
+        }
+        long ticks = (long) (operation.duration() * TICKS_PER_MILLI);
+        durations(tier).recordValue(Math.min(MAX_TICKS, Math.max(0, ticks)));
+        switch (operation.end()) {
+            case REJECTED -> rejected++;
+            case ABANDONED -> abandoned++;
+            case CANCELLED -> cancelled++;
+            case SERVED -> {}
+        }
+        OperationTimer timer = operation.timer();
+        for (int i = 0; i < timer.stepCount(); i++) {
+            components[timer.step(i).ordinal()] += timer.stepLength(i);
+        }
+        causes.addAll(timer.charges, operation.lostWeight());
     }
 
-    IntCountsHistogram times(int part) {
-        if (times[part] == null) {
-            times[part] = new IntCountsHistogram(1);
-            times[part].setAutoResize(true);
+    /** The histogram of a tier, created if need be. */
+    IntCountsHistogram durations(int tier) {
+        if (durations[tier] == null) {
+            durations[tier] = new IntCountsHistogram(HISTOGRAM_DIGITS);
+            durations[tier].setAutoResize(true);
         }
-        return times[part];
+        return durations[tier];
     }
 
     long operations() {
         long sum = 0;
-        for (int i = 0; i < PARTS; i++) {
+        for (int i = 0; i < TIERS; i++) {
             sum += met[i] + missed[i];
         }
         return sum;
     }
 
     @Override
-    public boolean empty() {
+    public boolean isEmpty() {
         return operations() == 0 && causes.size() == 0;
     }
 
     @Override
     public void add(AccountWindow other) {
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] += other.parts[i];
+        for (int i = 0; i < components.length; i++) {
+            components[i] += other.components[i];
         }
         causes.addAll(other.causes);
-        declined += other.declined;
-        scrapped += other.scrapped;
-        left += other.left;
-        for (int i = 0; i < PARTS; i++) {
+        rejected += other.rejected;
+        abandoned += other.abandoned;
+        cancelled += other.cancelled;
+        for (int i = 0; i < TIERS; i++) {
             met[i] += other.met[i];
             missed[i] += other.missed[i];
             units[i] += other.units[i];
-            lost[i] += other.lost[i];
-            if (other.times[i] != null) {
-                times(i).add(other.times[i]);
+            lostWeight[i] += other.lostWeight[i];
+            if (other.durations[i] != null) {
+                durations(i).add(other.durations[i]);
             }
         }
     }
--- a/src/main/java/sagepulley/accounts/Cause.java
+++ b/src/main/java/sagepulley/accounts/Cause.java
@@ -4,9 +4,11 @@
 import sagepulley.model.ExternalName;
 
 /**
- * Who or what made an operation wait: a kind, a volume's number (0: none or several) and the node
- * where it happened (0: none or several). What was reckoned from nodes' answers, and not seen here,
- * is an estimate.
+ * What made an operation wait.
+ *
+ * @param volume a volume's number; 0 for none or several
+ * @param node where it happened; 0 for none or several
+ * @param estimate whether it was computed from nodes' reports, and not observed here
  */
 public record Cause(Kind kind, long volume, int node, boolean estimate) {
     /**
@@ -56,23 +58,23 @@
     private static final Kind[] KINDS = Kind.values();
     private static final int NODE_BITS = 24;
     private static final int VOLUME_BITS = 34;
-    private static final long MOST_NODE = (1L << NODE_BITS) - 1;
-    private static final long MOST_VOLUME = (1L << VOLUME_BITS) - 1;
+    private static final long MAX_NODE = (1L << NODE_BITS) - 1;
+    private static final long MAX_VOLUME = (1L << VOLUME_BITS) - 1;
 
-    /** One number for a cause; a node or volume that is too large for it counts as several. */
+    /** One number for a cause, as it is stored; a node or volume too large for it counts as 0. */
     static long key(Kind kind, long volume, int node, boolean estimate) {
-        long who = volume < 0 || volume > MOST_VOLUME ? 0 : volume;
-        long where = node < 0 || node > MOST_NODE ? 0 : node;
+        long volumeBits = volume < 0 || volume > MAX_VOLUME ? 0 : volume;
+        long nodeBits = node < 0 || node > MAX_NODE ? 0 : node;
         return ((long) kind.ordinal() << 1 | (estimate ? 1 : 0)) << (NODE_BITS + VOLUME_BITS)
-                | where << VOLUME_BITS
-                | who;
+                | nodeBits << VOLUME_BITS
+                | volumeBits;
     }
 
     static Cause of(long key) {
         return new Cause(
                 kind(key),
-                key & MOST_VOLUME,
-                (int) (key >>> VOLUME_BITS & MOST_NODE),
+                key & MAX_VOLUME,
+                (int) (key >>> VOLUME_BITS & MAX_NODE),
                 (key >>> (NODE_BITS + VOLUME_BITS) & 1) == 1);
     }
 
@@ -80,7 +82,7 @@
         return KINDS[(int) (key >>> (NODE_BITS + VOLUME_BITS + 1))];
     }
 
-    /** Whether a number can be a cause's: what is read from a file may be anything. */
+    /** Whether a number is a cause's: what is read from a file may be anything. */
     static boolean isKey(long key) {
         return key >= 0 && key >>> (NODE_BITS + VOLUME_BITS + 1) < KINDS.length;
     }
@@ -89,12 +91,13 @@
         return key(kind, volume, node, estimate);
     }
 
-    /** The same anywhere, and the same of anybody anywhere: what little causes are folded into. */
+    /** The same cause at any node, which small ones are merged into. */
     static long anywhere(long key) {
-        return key & ~(MOST_NODE << VOLUME_BITS);
+        return key & ~(MAX_NODE << VOLUME_BITS);
     }
 
+    /** The same cause at any node and of any volume, which small ones are merged into. */
     static long anybody(long key) {
-        return anywhere(key) & ~MOST_VOLUME;
+        return anywhere(key) & ~MAX_VOLUME;
     }
 }
--- a/src/main/java/sagepulley/accounts/CauseCharges.java
+++ b/src/main/java/sagepulley/accounts/CauseCharges.java
@@ -4,93 +4,130 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Milliseconds of waiting and utility lost, by cause, in a table of bounded size; what is smallest
- * is folded together when it is full, first over nodes and then over volumes. Of a wait that is
- * reckoned, the least and the most that it can have been are kept.
+ * Milliseconds of waiting and priority weight lost, by cause, in a table of bounded size; when it
+ * is full the smallest are merged, first over nodes and then over volumes. Of a wait that is
+ * estimated the bounds are summed too.
  */
 final class CauseCharges {
-    private static final int FIRST = 6;
+    private static final int INITIAL_SIZE = 6;
 
-    /** One in so many causes stays whole when others are folded. */
-    private static final int KEPT_WHOLE = 4;
+    /** Sums to a key: waited, its lower bound, its upper bound, weight lost. */
+    static final int SUMS = 4;
 
-    private final int most;
-    private long[] keys = new long[FIRST];
-
-    /** Waited, its least, its most, utility lost: four to a key. */
-    private double[] sums = new double[4 * FIRST];
+    /** One in so many causes is left as it is when others are merged. */
+    private static final int LARGEST_PART = 4;
 
+    private final int maxSize;
+    private long[] keys = new long[INITIAL_SIZE];
+    private double[] sums = new double[SUMS * INITIAL_SIZE];
     private int size;
-    private boolean folded;
+    private boolean merged;
 
-    CauseCharges(int most) {
-        this.most = most;
+    CauseCharges(int maxSize) {
+        this.maxSize = maxSize;
     }
 
     int size() {
         return size;
     }
 
-    long key(int at) {
-        return keys[at];
+    long key(int index) {
+        return keys[index];
     }
 
-    double waited(int at) {
-        return sums[4 * at];
+    double waited(int index) {
+        return sums[SUMS * index];
     }
 
-    double least(int at) {
-        return sums[4 * at + 1];
+    double lowerBound(int index) {
+        return sums[SUMS * index + 1];
     }
 
-    double most(int at) {
-        return sums[4 * at + 2];
+    double upperBound(int index) {
+        return sums[SUMS * index + 2];
     }
 
-    double lost(int at) {
-        return sums[4 * at + 3];
+    double lostWeight(int index) {
+        return sums[SUMS * index + 3];
     }
 
     void clear() {
         size = 0;
-        folded = false;
+        merged = false;
     }
 
-    /** Milliseconds charged to a cause that was seen. */
+    /** Milliseconds charged to a cause that was observed. */
     void add(long key, double waited) {
         add(key, waited, waited, waited, 0);
     }
 
-    void add(long key, double waited, double least, double top, double lost) {
-        int at = find(key);
-        if (at < 0 && folded) {
-            at = find(Cause.anywhere(key)); // what was folded over nodes goes on so
+    void add(long key, double waited, double lowerBound, double upperBound, double lostWeight) {
+        int index = find(key);
+        if (index < 0 && merged) {
+            index = find(Cause.anywhere(key)); // what was merged over nodes stays so
         }
-        if (at < 0) {
-            if (size == most) {
-                fold();
-            }
-            if (size == keys.length) {
-                int length = Math.min(most, 2 * size);
-                keys = Arrays.copyOf(keys, length);
-                sums = Arrays.copyOf(sums, 4 * length);
-            }
-            at = size++;
-            keys[at] = key;
-            Arrays.fill(sums, 4 * at, 4 * at + 4, 0);
+        if (index < 0) {
+            index = append(key);
+        }
+        sums[SUMS * index] += waited;
+        sums[SUMS * index + 1] += lowerBound;
+        sums[SUMS * index + 2] += upperBound;
+        sums[SUMS * index + 3] += lostWeight;
+    }
+
+    private int append(long key) {
+        if (size == maxSize) {
+            mergeSmallest();
+        }
+        if (size == keys.length) {
+            int length = Math.min(maxSize, 2 * size);
+            keys = Arrays.copyOf(keys, length);
+            sums = Arrays.copyOf(sums, SUMS * length);
         }
-        sums[4 * at] += waited;
-        sums[4 * at + 1] += least;
-        sums[4 * at + 2] += top;
-        sums[4 * at + 3] += lost;
+        int index = size++;
+        keys[index] = key;
+        Arrays.fill(sums, SUMS * index, SUMS * index + SUMS, 0);
+        return index;
     }
 
     void addAll(CauseCharges other) {
         for (int i = 0; i < other.size; i++) {
-            add(other.keys[i], other.waited(i), other.least(i), other.most(i), other.lost(i));
+            add(
+                    other.keys[i],
+                    other.waited(i),
+                    other.lowerBound(i),
+                    other.upperBound(i),
+                    other.lostWeight(i));
         }
     }
 
+    /** Adds another's with a weight lost, shared among its causes by what was waited for each. */
+    void addAll(CauseCharges other, double lostWeight) {
+        double total = other.totalWaited();
+        for (int i = 0; i < other.size; i++) {
+            double waited = other.waited(i);
+            add(
+                    other.keys[i],
+                    waited,
+                    other.lowerBound(i),
+                    other.upperBound(i),
+                    other.shareOf(lostWeight, i, total));
+        }
+    }
+
+    double totalWaited() {
+        double total = 0;
+        for (int i = 0; i < size; i++) {
+            total += waited(i);
+        }
+        return total;
+    }
+
+    /** A cause's share of a weight lost, by what was waited for it. */
+    double shareOf(double lostWeight, int index, double totalWaited) {
+        return totalWaited > 0 ? lostWeight * waited(index) / totalWaited : lostWeight / size;
+    }
+
     private int find(long key) {
         for (int i = 0; i < size; i++) {
             if (keys[i] == key) {
@@ -101,42 +138,47 @@
     }
 
     /**
-     * Makes room for many at once: all but the largest go to the same cause anywhere, if that is
-     * not enough to anybody's, and at last the largest too: a table holds all kinds, seen and
-     * reckoned.
+     * Makes room for many at once: all but the largest go to the same cause at any node, if that is
+     * not enough to that of any volume, and at last the largest too: a table holds all kinds,
+     * observed and estimated.
      */
-    private void fold() {
-        int enough = most - most / KEPT_WHOLE;
-        folded = false;
-        widen(Cause::anywhere, size / KEPT_WHOLE);
-        if (size > enough) {
-            widen(Cause::anybody, size / KEPT_WHOLE);
+    private void mergeSmallest() {
+        int targetSize = maxSize - maxSize / LARGEST_PART;
+        merged = false;
+        widen(Cause::anywhere, size / LARGEST_PART);
+        if (size > targetSize) {
+            widen(Cause::anybody, size / LARGEST_PART);
         }
-        if (size > enough) {
+        if (size > targetSize) {
             widen(Cause::anybody, 0);
         }
-        folded = true;
+        merged = true;
     }
 
-    private void widen(LongUnaryOperator wider, int whole) {
-        long[] before = Arrays.copyOf(keys, size);
-        double[] figures = Arrays.copyOf(sums, 4 * size);
+    private void widen(LongUnaryOperator wider, int largest) {
+        long[] oldKeys = Arrays.copyOf(keys, size);
+        double[] oldSums = Arrays.copyOf(sums, SUMS * size);
+        double threshold = largest == 0 ? Double.POSITIVE_INFINITY : largestWaits(largest);
+        int left = largest;
+        size = 0;
+        for (int i = 0; i < oldKeys.length; i++) {
+            boolean stays = oldSums[SUMS * i] >= threshold && left-- > 0;
+            add(
+                    stays ? oldKeys[i] : wider.applyAsLong(oldKeys[i]),
+                    oldSums[SUMS * i],
+                    oldSums[SUMS * i + 1],
+                    oldSums[SUMS * i + 2],
+                    oldSums[SUMS * i + 3]);
+        }
+    }
+
+    /** The least of so many of the largest waits. */
+    private double largestWaits(int count) {
         double[] ranked = new double[size];
         for (int i = 0; i < size; i++) {
-            ranked[i] = figures[4 * i];
+            ranked[i] = waited(i);
         }
         Arrays.sort(ranked);
-        double least = whole == 0 ? Double.POSITIVE_INFINITY : ranked[size - whole];
-        int left = whole;
-        size = 0;
-        for (int i = 0; i < before.length; i++) {
-            boolean stays = figures[4 * i] >= least && left-- > 0;
-            add(
-                    stays ? before[i] : wider.applyAsLong(before[i]),
-                    figures[4 * i],
-                    figures[4 * i + 1],
-                    figures[4 * i + 2],
-                    figures[4 * i + 3]);
-        }
+        return ranked[size - count];
     }
 }
--- a/src/main/java/sagepulley/accounts/DecayingUsage.java
+++ b/src/main/java/sagepulley/accounts/DecayingUsage.java
@@ -3,58 +3,64 @@
 import java.util.Arrays;
 
 /**
- * Units of the last seconds by volume, fading, in a table of bounded size; who has least gives way.
+ * Recent units by volume, with exponential decay, in a table of bounded size; the volume with the
+ * least is evicted. Times are milliseconds.
  */
 final class DecayingUsage {
-    private static final int MOST = 16;
-    private static final double FADES = 1_500;
-    private final long[] volumes = new long[MOST];
-    private final double[] units = new double[MOST];
+    private static final int MAX_VOLUMES = 16;
+    private static final double TIME_CONSTANT_MILLIS = 1_500;
+
+    /** Decay is computed no more often than this. */
+    private static final double MIN_STEP_MILLIS = 10;
+
+    private final long[] volumes = new long[MAX_VOLUMES];
+    private final double[] units = new double[MAX_VOLUMES];
     private int size;
-    private double at;
+    private double decayedAt;
 
     void add(long volume, double amount, double now) {
-        fade(now);
-        int place = 0;
-        while (place < size && volumes[place] != volume) {
-            place++;
+        decay(now);
+        int index = 0;
+        while (index < size && volumes[index] != volume) {
+            index++;
+        }
+        if (index == size) {
+            index = size < MAX_VOLUMES ? size++ : indexOfLeast();
+            volumes[index] = volume;
+            units[index] = 0;
         }
-        if (place == size) {
-            if (size == MOST) {
-                place = 0;
-                for (int i = 1; i < size; i++) {
-                    place = units[i] < units[place] ? i : place;
-                }
-            } else {
-                size++;
-            }
-            volumes[place] = volume;
-            units[place] = 0;
+        units[index] += amount;
+    }
+
+    private int indexOfLeast() {
+        int least = 0;
+        for (int i = 1; i < size; i++) {
+            least = units[i] < units[least] ? i : least;
         }
-        units[place] += amount;
+        return least;
     }
 
-    void fade(double now) {
-        if (now - at < 10) {
+    void decay(double now) {
+        if (now - decayedAt < MIN_STEP_MILLIS) {
             return;
         }
-        double left = Math.exp(-(now - at) / FADES);
+        double factor = Math.exp(-(now - decayedAt) / TIME_CONSTANT_MILLIS);
         for (int i = 0; i < size; i++) {
-            units[i] *= left;
+            units[i] *= factor;
         }
-        at = now;
+        decayedAt = now;
     }
 
     int size() {
         return size;
     }
 
-    long volume(int place) {
-        return volumes[place];
+    long volume(int index) {
+        return volumes[index];
     }
 
-    double units(int place) {
-        return units[place];
+    double units(int index) {
+        return units[index];
     }
 
     double sum() {
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -8,18 +8,10 @@
 import java.util.TreeMap;
 
 /**
- * Accounts as they stood at a moment: of one gateway, or of several together. Times are those of
- * the clock on the wall, in milliseconds.
+ * Accounts as they stood at a moment: of one gateway, or of several together. Times are wall-clock
+ * milliseconds.
  */
 public final class LatencyAccount {
-    /** A cause is named with confidence from so many operations on. */
-    private static final long ENOUGH = 20;
-
-    private static final double MOST_OF_IT = 0.5;
-    private static final double FAR_BEHIND = 0.6;
-    private static final double ONE_OF_FEW = 0.3;
-    private static final double NEARLY_ALL_SEEN = 0.7;
-
     final Map<Long, Timeline<AccountWindow>> volumes = new TreeMap<>();
     final Map<Integer, Timeline<NodeFlow>> flows = new TreeMap<>();
     final Map<Integer, Integer> zones = new TreeMap<>();
@@ -34,34 +26,39 @@
         return zones;
     }
 
-    /** Units that went to each node from a time to another, by volume, and of them the writes. */
+    /** Units that each node worked on from a time to another, by volume: all, and the writes. */
     public Map<Integer, Map<Long, double[]>> flows(double from, double to) {
-        Map<Integer, Map<Long, double[]>> all = new LinkedHashMap<>();
+        Map<Integer, Map<Long, double[]>> flowsByNode = new LinkedHashMap<>();
         flows.forEach(
-                (node, line) -> {
+                (node, timeline) -> {
                     NodeFlow sum = new NodeFlow();
-                    line.sum(sum, from, to);
-                    Map<Long, double[]> units = new TreeMap<>();
-                    for (int i = 0; i < sum.units.size(); i++) {
-                        Cause cause = Cause.of(sum.units.key(i));
-                        double[] both = units.computeIfAbsent(cause.volume(), any -> new double[2]);
-                        both[0] += sum.units.waited(i);
-                        both[1] += cause.estimate() ? sum.units.waited(i) : 0;
-                    }
+                    timeline.sum(sum, from, to);
+                    Map<Long, double[]> units = unitsByVolume(sum);
                     if (!units.isEmpty()) {
-                        all.put(node, units);
+                        flowsByNode.put(node, units);
                     }
                 });
-        return all;
+        return flowsByNode;
+    }
+
+    private static Map<Long, double[]> unitsByVolume(NodeFlow flow) {
+        Map<Long, double[]> units = new TreeMap<>();
+        for (int i = 0; i < flow.units.size(); i++) {
+            Cause cause = Cause.of(flow.units.key(i));
+            double[] allAndWrites = units.computeIfAbsent(cause.volume(), any -> new double[2]);
+            allAndWrites[0] += flow.units.waited(i);
+            allAndWrites[1] += cause.estimate() ? flow.units.waited(i) : 0;
+        }
+        return units;
     }
 
-    /** When it was last booked into; minus infinity if never. */
+    /** The end of the newest window; minus infinity if there is none. */
     public double lastBookedAt() {
         double newest = Double.NEGATIVE_INFINITY;
-        for (Timeline<AccountWindow> line : volumes.values()) {
+        for (Timeline<AccountWindow> timeline : volumes.values()) {
             for (int level = 0; level < Timeline.LEVELS; level++) {
-                for (long number : line.level(level).keySet()) {
-                    newest = Math.max(newest, (number + 1) * Timeline.LENGTH[level]);
+                for (long number : timeline.level(level).keySet()) {
+                    newest = Math.max(newest, (number + 1) * Timeline.WINDOW_MILLIS[level]);
                 }
             }
         }
@@ -69,63 +66,65 @@
     }
 
     /**
-     * What lies later than a time, by a clock that was set back since, is moved before it: whole
-     * hours.
+     * What lies after a time, by a clock that was set back since, is moved before it: whole hours.
      */
-    void noLaterThan(double wall) {
-        volumes.values().forEach(line -> line.noLaterThan(wall));
-        flows.values().forEach(line -> line.noLaterThan(wall));
+    void moveBefore(double wall) {
+        volumes.values().forEach(timeline -> timeline.moveBefore(wall));
+        flows.values().forEach(timeline -> timeline.moveBefore(wall));
     }
 
     /** Adds another's, whose clock was ahead by so many milliseconds. */
     void merge(LatencyAccount other, double ahead) {
         other.volumes.forEach(
-                (volume, line) ->
+                (volume, timeline) ->
                         volumes.computeIfAbsent(volume, any -> new Timeline<>(AccountWindow::new))
-                                .merge(line, -ahead));
+                                .merge(timeline, -ahead));
         other.flows.forEach(
-                (node, line) ->
+                (node, timeline) ->
                         flows.computeIfAbsent(node, any -> new Timeline<>(NodeFlow::new))
-                                .merge(line, -ahead));
+                                .merge(timeline, -ahead));
         other.zones.forEach(zones::putIfAbsent);
     }
 
-    /** One point of a volume's course: the middle of the stretch, and what it got in it. */
+    /**
+     * One point of a volume's history.
+     *
+     * @param wall middle of the window
+     * @param length milliseconds of the window
+     * @param waited milliseconds that were no node's work
+     * @param work milliseconds of nodes' work
+     */
     public record Point(
-            double wall, double length, long operations, long missed, double waited, double work) {}
+            double wall, double length, long operations, long missed, double waited, double work) {
+        private static Point of(AccountWindow window, double middle, double length) {
+            double work = window.components[LatencyComponent.NODE_WORK.ordinal()];
+            double total = 0;
+            for (double component : window.components) {
+                total += component;
+            }
+            long missed = 0;
+            for (long ofTier : window.missed) {
+                missed += ofTier;
+            }
+            return new Point(middle, length, window.operations(), missed, total - work, work);
+        }
+    }
 
-    /** A volume's course from a time to another, oldest first, as fine as it is kept. */
+    /** A volume's history from a time to another, oldest first, as fine as it is stored. */
     public List<Point> history(long volume, double from, double to) {
         List<Point> points = new ArrayList<>();
-        Timeline<AccountWindow> line = volumes.get(volume);
-        if (line == null) {
+        Timeline<AccountWindow> timeline = volumes.get(volume);
+        if (timeline == null) {
             return points;
         }
         for (int level = Timeline.LEVELS - 1; level >= 0; level--) {
-            double length = Timeline.LENGTH[level];
-            line.level(level)
+            double length = Timeline.WINDOW_MILLIS[level];
+            timeline.level(level)
                     .forEach(
                             (number, window) -> {
                                 double middle = (number + 0.5) * length;
                                 if (middle + length / 2 >= from && middle - length / 2 <= to) {
-                                    double work =
-                                            window.parts[LatencyComponent.NODE_WORK.ordinal()];
-                                    double all = 0;
-                                    for (double part : window.parts) {
-                                        all += part;
-                                    }
-                                    long missed = 0;
-                                    for (long part : window.missed) {
-                                        missed += part;
-                                    }
-                                    points.add(
-                                            new Point(
-                                                    middle,
-                                                    length,
-                                                    window.operations(),
-                                                    missed,
-                                                    all - work,
-                                                    work));
+                                    points.add(Point.of(window, middle, length));
                                 }
                             });
         }
@@ -133,42 +132,22 @@
         return points;
     }
 
-    /** A volume's account from a time to another, as fine as it is still kept. */
+    /** A volume's account from a time to another, as fine as it is still stored. */
     public LatencyReport report(long volume, double from, double to) {
         AccountWindow sum = new AccountWindow();
-        Timeline<AccountWindow> line = volumes.get(volume);
-        if (line != null) {
-            line.sum(sum, from, to);
+        Timeline<AccountWindow> timeline = volumes.get(volume);
+        if (timeline != null) {
+            timeline.sum(sum, from, to);
         }
-        Map<LatencyComponent, Double> parts = new LinkedHashMap<>();
-        for (LatencyComponent part : LatencyComponent.values()) {
-            if (sum.parts[part.ordinal()] > 0) {
-                parts.put(part, sum.parts[part.ordinal()]);
-            }
-        }
-        List<LatencyReport.TierReport> plan = new ArrayList<>();
         double units = 0;
-        double lost = 0;
+        double lostWeight = 0;
         long met = 0;
         long missed = 0;
-        for (PlanTier part : PlanTier.values()) {
-            int at = part.ordinal();
-            if (sum.times[at] != null) {
-                plan.add(
-                        new LatencyReport.TierReport(
-                                part,
-                                sum.met[at],
-                                sum.missed[at],
-                                sum.units[at],
-                                sum.lost[at],
-                                sum.times[at].getValueAtPercentile(50) / AccountWindow.TICKS,
-                                sum.times[at].getValueAtPercentile(99) / AccountWindow.TICKS,
-                                sum.times[at].getMaxValue() / AccountWindow.TICKS));
-            }
-            units += sum.units[at];
-            lost += sum.lost[at];
-            met += sum.met[at];
-            missed += sum.missed[at];
+        for (int tier = 0; tier < AccountWindow.TIERS; tier++) {
+            units += sum.units[tier];
+            lostWeight += sum.lostWeight[tier];
+            met += sum.met[tier];
+            missed += sum.missed[tier];
         }
         return new LatencyReport(
                 volume,
@@ -177,130 +156,46 @@
                 met + missed,
                 met,
                 missed,
-                sum.declined,
-                sum.scrapped,
-                sum.left,
+                sum.rejected,
+                sum.abandoned,
+                sum.cancelled,
                 units,
-                lost,
-                parts,
-                plan,
-                causes(sum, line, from, to));
-    }
-
-    /** The same cause at several nodes, seen or reckoned, summed. */
-    private static final class Sum {
-        double waited;
-        double seen;
-        double least;
-        double most;
-        double lost;
-        final Map<Integer, Double> nodes = new TreeMap<>();
-    }
-
-    private record Who(Cause.Kind kind, long volume, int node) {
-        /** A fault, a slow or a cold node is itself the cause; of others it is where they acted. */
-        static Who of(Cause cause) {
-            boolean ofNode =
-                    switch (cause.kind()) {
-                        case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> true;
-                        default -> false;
-                    };
-            return new Who(cause.kind(), cause.volume(), ofNode ? cause.node() : 0);
-        }
+                lostWeight,
+                components(sum),
+                tiers(sum),
+                new CauseRanking(sum, timeline, from, to).reports());
     }
 
-    private List<LatencyReport.CauseReport> causes(
-            AccountWindow sum, Timeline<AccountWindow> line, double from, double to) {
-        Map<Who, Sum> sums = new LinkedHashMap<>();
-        double all = 0;
-        for (int i = 0; i < sum.causes.size(); i++) {
-            Cause cause = Cause.of(sum.causes.key(i));
-            Sum one = sums.computeIfAbsent(Who.of(cause), any -> new Sum());
-            one.waited += sum.causes.waited(i);
-            one.seen += cause.estimate() ? 0 : sum.causes.waited(i);
-            one.least += sum.causes.least(i);
-            one.most += sum.causes.most(i);
-            one.lost += sum.causes.lost(i);
-            one.nodes.merge(cause.node(), sum.causes.waited(i), Double::sum);
-            all += cause.kind() == Cause.Kind.OWN_WORK ? 0 : sum.causes.waited(i);
-        }
-        List<Map.Entry<Who, Sum>> ranked = new ArrayList<>(sums.entrySet());
-        ranked.sort(
-                Comparator.comparingDouble((Map.Entry<Who, Sum> entry) -> -entry.getValue().waited)
-                        .thenComparing(entry -> entry.getKey().toString()));
-        List<LatencyReport.CauseReport> causes = new ArrayList<>();
-        double whole = Math.max(1e-9, all);
-        for (Map.Entry<Who, Sum> entry : ranked) {
-            Who who = entry.getKey();
-            Sum one = entry.getValue();
-            Map.Entry<Integer, Double> node =
-                    one.nodes.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow();
-            double seen = one.seen / Math.max(1e-9, one.waited);
-            double share = one.waited / whole;
-            double next = 0;
-            for (Map.Entry<Who, Sum> other : ranked) {
-                boolean counts = other != entry && other.getKey().kind() != Cause.Kind.OWN_WORK;
-                next = counts ? Math.max(next, other.getValue().waited) : next;
+    private static Map<LatencyComponent, Double> components(AccountWindow sum) {
+        Map<LatencyComponent, Double> components = new LinkedHashMap<>();
+        for (LatencyComponent component : LatencyComponent.values()) {
+            if (sum.components[component.ordinal()] > 0) {
+                components.put(component, sum.components[component.ordinal()]);
             }
-            double[] worst = worst(line, who, from, to);
-            causes.add(
-                    new LatencyReport.CauseReport(
-                            who.kind(),
-                            who.volume(),
-                            node.getKey(),
-                            node.getValue() / Math.max(1e-9, one.waited),
-                            one.waited,
-                            one.least,
-                            one.most,
-                            share,
-                            one.lost,
-                            seen,
-                            worst[0],
-                            worst[1],
-                            confidence(
-                                    share,
-                                    next / whole,
-                                    seen,
-                                    one.least / whole,
-                                    sum.operations())));
         }
-        return causes;
+        return components;
     }
 
-    private static LatencyReport.Confidence confidence(
-            double share, double next, double seen, double least, long operations) {
-        if (operations < ENOUGH || share < ONE_OF_FEW) {
-            return LatencyReport.Confidence.LOW;
-        }
-        if (share >= MOST_OF_IT && seen >= NEARLY_ALL_SEEN && next <= FAR_BEHIND * share) {
-            return LatencyReport.Confidence.HIGH;
-        }
-        return share >= MOST_OF_IT || least >= ONE_OF_FEW
-                ? LatencyReport.Confidence.MEDIUM
-                : LatencyReport.Confidence.LOW;
-    }
-
-    /** From when to when the stretch ran in which a cause charged most for its length. */
-    private static double[] worst(Timeline<AccountWindow> line, Who who, double from, double to) {
-        double most = 0;
-        double[] worst = {from, to};
-        for (int level = 0; level < Timeline.LEVELS; level++) {
-            double length = Timeline.LENGTH[level];
-            for (Map.Entry<Long, AccountWindow> entry : line.level(level).entrySet()) {
-                if ((entry.getKey() + 1) * length < from || entry.getKey() * length > to) {
-                    continue;
-                }
-                CauseCharges charges = entry.getValue().causes;
-                double here = 0;
-                for (int i = 0; i < charges.size(); i++) {
-                    here += Who.of(Cause.of(charges.key(i))).equals(who) ? charges.waited(i) : 0;
-                }
-                if (here / length > most) {
-                    most = here / length;
-                    worst = new double[] {entry.getKey() * length, (entry.getKey() + 1) * length};
-                }
+    private static List<LatencyReport.TierReport> tiers(AccountWindow sum) {
+        List<LatencyReport.TierReport> tiers = new ArrayList<>();
+        for (PlanTier tier : PlanTier.values()) {
+            int index = tier.ordinal();
+            if (sum.durations[index] != null) {
+                tiers.add(
+                        new LatencyReport.TierReport(
+                                tier,
+                                sum.met[index],
+                                sum.missed[index],
+                                sum.units[index],
+                                sum.lostWeight[index],
+                                sum.durations[index].getValueAtPercentile(50)
+                                        / AccountWindow.TICKS_PER_MILLI,
+                                sum.durations[index].getValueAtPercentile(99)
+                                        / AccountWindow.TICKS_PER_MILLI,
+                                sum.durations[index].getMaxValue()
+                                        / AccountWindow.TICKS_PER_MILLI));
             }
         }
-        return worst;
+        return tiers;
     }
 }
--- a/src/main/java/sagepulley/accounts/LatencyReport.java
+++ b/src/main/java/sagepulley/accounts/LatencyReport.java
@@ -5,8 +5,14 @@
 import java.util.Map;
 
 /**
- * What a volume got over a stretch of time. Times are milliseconds, those of the clock on the wall.
- * Causes come with the largest first.
+ * What a volume got over a time. Times are milliseconds, points in time wall-clock milliseconds.
+ * The property names are those of /accounts and {@code report --json}.
+ *
+ * @param met operations served within their latency objective
+ * @param missed all others; of them some were rejected, abandoned or cancelled
+ * @param lostWeight priority weight of those missed
+ * @param components milliseconds by component
+ * @param causes of waiting, the largest first
  */
 public record LatencyReport(
         long volume,
@@ -23,18 +29,18 @@
         @JsonProperty("parts") Map<LatencyComponent, Double> components,
         @JsonProperty("plan") List<TierReport> tiers,
         List<CauseReport> causes) {
-    /**
-     * How far a cause's name can be relied on: seen here and most of it; reckoned, or one of
-     * several; less.
-     */
+    /** How far a cause can be relied on. */
     public enum Confidence {
+        /** Observed here, and most of the waiting. */
         HIGH,
+        /** Estimated, or one of several. */
         @JsonProperty("MIDDLE")
         MEDIUM,
+        /** A small part, or of few operations. */
         LOW
     }
 
-    /** What was served, or held, by one part of the plan; times to the final answer. */
+    /** What was served, or held, by one plan tier; milliseconds to the final answer. */
     public record TierReport(
             @JsonProperty("part") PlanTier tier,
             long met,
@@ -46,9 +52,16 @@
             @JsonProperty("longest") double max) {}
 
     /**
-     * A cause: the waiting charged to it with the least and the most that it can have been, its
-     * share of all waiting, the utility lost to it, the node where most of it happened (0: none),
-     * and the stretch with most.
+     * A cause of waiting.
+     *
+     * @param node where most of it happened; 0 for none
+     * @param nodeShare the part of it that happened there
+     * @param waited milliseconds charged to it, with the bounds of what it can have been
+     * @param share of all waiting
+     * @param lostWeight priority weight lost to it
+     * @param observedShare the part of it that was observed and not estimated
+     * @param worstFrom start of the window with most of it, wall-clock milliseconds
+     * @param worstTo end of that window
      */
     public record CauseReport(
             Cause.Kind kind,
@@ -67,9 +80,9 @@
 
     /** The largest cause of waiting that is not the volume's own work; null if there is none. */
     public CauseReport mainCause() {
-        for (CauseReport charged : causes) {
-            if (charged.kind() != Cause.Kind.OWN_WORK) {
-                return charged;
+        for (CauseReport cause : causes) {
+            if (cause.kind() != Cause.Kind.OWN_WORK) {
+                return cause;
             }
         }
         return null;
--- a/src/main/java/sagepulley/accounts/Mergeable.java
+++ b/src/main/java/sagepulley/accounts/Mergeable.java
@@ -1,8 +1,8 @@
 package sagepulley.accounts;
 
-/** Sums over one stretch of time that can be added to those of a longer one. */
+/** Sums over one window of time that can be added to those of a longer one. */
 interface Mergeable<T> {
     void add(T other);
 
-    boolean empty();
+    boolean isEmpty();
 }
--- /dev/null
+++ b/src/main/java/sagepulley/accounts/NodeActivities.java
@@ -0,0 +1,127 @@
+package sagepulley.accounts;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.BiConsumer;
+
+/**
+ * The nodes' activities, up to a bound, with what concerns all of them together: units in flight
+ * anywhere, units that wait for a claim, and how a node's service time compares with the others'.
+ * Times are milliseconds.
+ */
+final class NodeActivities {
+    /** A node whose service time is so many times the others' mean is slow. */
+    private static final double SLOW_FACTOR = 1.5;
+
+    private static final double COMPARISON_INTERVAL_MILLIS = 50;
+
+    private final int maxNodes;
+    private final Map<Integer, NodeActivity> nodes = new LinkedHashMap<>();
+
+    /** Units of attempts in flight at any node. */
+    final OutstandingWork outstanding = new OutstandingWork();
+
+    private double claimingUnits;
+
+    /** Service times of all nodes that have one, summed at the latest comparison. */
+    private final ServiceTimes reads = new ServiceTimes(false);
+
+    private final ServiceTimes writes = new ServiceTimes(true);
+    private double comparedAt = Double.NEGATIVE_INFINITY;
+
+    NodeActivities(int maxNodes) {
+        this.maxNodes = maxNodes;
+    }
+
+    /** A node's activity; null if it has none. */
+    NodeActivity get(int id) {
+        return nodes.get(id);
+    }
+
+    /** A node's activity, created if need be; null for id 0 or beyond the bound. */
+    NodeActivity getOrCreate(int id) {
+        if (id == 0) {
+            return null;
+        }
+        NodeActivity activity = nodes.get(id);
+        if (activity == null && nodes.size() < maxNodes) {
+            activity = new NodeActivity(id);
+            nodes.put(id, activity);
+        }
+        return activity;
+    }
+
+    void forEach(BiConsumer<Integer, NodeActivity> consumer) {
+        nodes.forEach(consumer);
+    }
+
+    // ---- claims ----
+
+    void claimStarted(int node, double units) {
+        claimingUnits += units;
+        NodeActivity activity = getOrCreate(node);
+        if (activity != null) {
+            activity.claimingUnits += units;
+        }
+    }
+
+    void claimEnded(int node, double units) {
+        claimingUnits = Math.max(0, claimingUnits - units);
+        NodeActivity activity = nodes.get(node);
+        if (activity != null) {
+            activity.claimingUnits = Math.max(0, activity.claimingUnits - units);
+        }
+    }
+
+    /** Units that hold a slot at a node (null: at any) while they wait for a claim. */
+    double claimingUnits(NodeActivity activity) {
+        return activity == null ? claimingUnits : activity.claimingUnits;
+    }
+
+    // ---- slow nodes ----
+
+    /** Sums all nodes' service times, once in an interval. */
+    void compareServiceTimes(double now) {
+        if (now < comparedAt + COMPARISON_INTERVAL_MILLIS) {
+            return;
+        }
+        comparedAt = now;
+        reads.sum(nodes);
+        writes.sum(nodes);
+    }
+
+    /** The fraction of a node's time that a node as fast as the others would not have taken. */
+    double slowFraction(NodeActivity activity, boolean isWrite) {
+        return (isWrite ? writes : reads).slowFraction(activity);
+    }
+
+    private static final class ServiceTimes {
+        private final boolean ofWrites;
+        private double sum;
+        private int count;
+
+        ServiceTimes(boolean ofWrites) {
+            this.ofWrites = ofWrites;
+        }
+
+        void sum(Map<Integer, NodeActivity> nodes) {
+            sum = 0;
+            count = 0;
+            for (NodeActivity activity : nodes.values()) {
+                if (activity.takeForComparison(ofWrites)) {
+                    sum += activity.comparedServiceTime(ofWrites);
+                    count++;
+                }
+            }
+        }
+
+        double slowFraction(NodeActivity activity) {
+            double own = activity.serviceTime(ofWrites);
+            if (Double.isNaN(own) || count < 2 || !activity.isCompared(ofWrites)) {
+                return 0;
+            }
+            double others = (sum - activity.comparedServiceTime(ofWrites)) / (count - 1);
+            return others > 0 && own > SLOW_FACTOR * others ? 1 - others / own : 0;
+        }
+    }
+}
--- a/src/main/java/sagepulley/accounts/NodeActivity.java
+++ b/src/main/java/sagepulley/accounts/NodeActivity.java
@@ -1,99 +1,108 @@
 package sagepulley.accounts;
 
 /**
- * What this gateway saw of a node: its pace, its queue, its pauses, and whose units are out there.
+ * What this gateway observed of a node: its service time, queue and pauses, and whose units are in
+ * flight there. Times are milliseconds on the monotonic clock; service times are per unit.
  */
 final class NodeActivity {
-    private static final double STEP = 0.1;
+    /** Of an exponentially weighted average. */
+    private static final double SMOOTHING = 0.1;
 
     /**
-     * One answer counts at most so many times the usual, so that a single pause does not make a
+     * One answer counts at most so many times the average, so that a single pause does not make a
      * slow node.
      */
-    private static final double ODD = 4;
+    private static final double MAX_OUTLIER_FACTOR = 4;
 
-    /** The wait for a unit ahead is followed towards its low quarter, in steps of this part. */
-    private static final double DRAIN_STEP = 0.05;
+    private static final double OUTLIER_ALLOWANCE_MILLIS = 1;
 
-    /**
-     * A node that is silent for so many times its usual attempt, and so long besides, holds its
-     * attempts up itself.
-     */
+    /** The wait for a unit ahead is followed towards its lower quartile, in steps of this part. */
+    private static final double QUARTILE_STEP = 0.05;
+
+    private static final double USUAL_WAIT_FACTOR = 2;
+    private static final double USUAL_WAIT_ALLOWANCE_MILLIS = 1;
+
+    /** A node is quiet when it is silent for so many average attempts and an allowance. */
     private static final double QUIET_ATTEMPTS = 4;
 
-    private static final double QUIET_LEAST = 20;
-    private static final double SPELL_STEP = 0.4;
-    private static final double MOST_OF_SPELL = 0.6;
+    private static final double QUIET_ALLOWANCE_MILLIS = 20;
+
+    private static final double PAUSE_SMOOTHING = 0.4;
+
+    /** A quiet time was a pause if the node accounts for this part of it. */
+    private static final double PAUSE_FRACTION = 0.6;
+
+    private static final double MIN_UNITS = 1e-9;
 
     final int id;
     int zone;
-    double coldUntil = Double.NEGATIVE_INFINITY;
-    final OutstandingWork out = new OutstandingWork();
+    double warmingUpUntil = Double.NEGATIVE_INFINITY;
+    final OutstandingWork outstanding = new OutstandingWork();
     final Timeline<NodeFlow> flows = new Timeline<>(NodeFlow::new);
 
-    /** Units written lately, by volume: what a deferred write makes others wait for. */
-    final DecayingUsage written = new DecayingUsage();
+    /** Units written lately, by volume: deferred writes make others wait. */
+    final DecayingUsage recentWrites = new DecayingUsage();
 
-    int attemptsOut;
-    double claiming;
-    double heardAt = Double.NEGATIVE_INFINITY;
-    private double firstOutAt;
+    /** Units of operations that hold a slot here while they wait for a claim. */
+    double claimingUnits;
 
-    /** Milliseconds of work a unit, reads and writes; NaN before the first answer. */
-    private final double[] pace = {Double.NaN, Double.NaN};
+    double answeredAt = Double.NEGATIVE_INFINITY;
 
-    private final double[] then = {Double.NaN, Double.NaN};
-    private double attempt = Double.NaN;
+    /** Of an attempt's time, the parts that went to other gateways' work and to its own pauses. */
+    double otherGatewaysFraction;
 
-    /**
-     * Milliseconds of waiting there for each unit of this gateway's ahead, with nobody else's seen.
-     */
-    private double drain = Double.NaN;
+    double pausedFraction;
 
-    /**
-     * Attempts in its queue when it last answered, and how many of them can have been this
-     * gateway's.
-     */
-    private double queueTold;
+    private int attemptsInFlight;
 
-    private double queueOwn;
+    /** When the number of attempts in flight last rose from zero. */
+    private double busySince;
 
-    /**
-     * Of an attempt's time, the parts that went to other gateways' work and to pauses of the node's
-     * own.
-     */
-    double elsewhere;
+    /** Reads and writes; NaN before the first answer. */
+    private final double[] serviceTime = {Double.NaN, Double.NaN};
+
+    /** The same as it was at the latest comparison with other nodes. */
+    private final double[] comparedServiceTime = {Double.NaN, Double.NaN};
+
+    private double attemptTime = Double.NaN;
 
-    double paused;
-    private double pauses;
+    /** Of waits in the queue while no other gateway's work was there; NaN before the first. */
+    private double waitPerUnitAhead = Double.NaN;
+
+    /** Attempts of all gateways in its queue, as its latest answer reported. */
+    private double reportedQueue;
+
+    /** This gateway's attempts in flight then. */
+    private double ownQueue;
+
+    /** Of the latest quiet times, the part that proved to be pauses. */
+    private double pauseFraction;
 
     NodeActivity(int id) {
         this.id = id;
     }
 
-    void sent(double now) {
-        if (attemptsOut++ == 0) {
-            firstOutAt = now;
+    // ---- attempts ----
+
+    void attemptSent(double now) {
+        if (attemptsInFlight++ == 0) {
+            busySince = now;
         }
     }
 
-    void ended() {
-        attemptsOut--;
+    void attemptEnded() {
+        attemptsInFlight--;
     }
 
     /**
-     * Attempts in its queue that are not this gateway's, when it last answered: the least and the
-     * most.
+     * An attempt was answered.
+     *
+     * @param waited in the node's queue, as the node reported
+     * @param worked by the node, as it reported
+     * @param took from sending to answer
+     * @param queue attempts in the node's queue; NaN if not reported
      */
-    double othersLeast() {
-        return Math.max(0, queueTold - queueOwn);
-    }
-
-    double othersMost() {
-        return queueTold;
-    }
-
-    void heard(
+    void answered(
             boolean writes,
             double units,
             double waited,
@@ -101,100 +110,122 @@
             double took,
             double queue,
             double now) {
-        double spell = now - Math.max(heardAt, firstOutAt);
-        if (spell > quietFrom()) {
-            // Who tells that it stood or was worked on all that time tells of a pause, not of a
-            // fault.
-            pauses += SPELL_STEP * ((waited + worked > MOST_OF_SPELL * spell ? 1 : 0) - pauses);
+        double quietTime = now - Math.max(answeredAt, busySince);
+        if (quietTime > quietAfter()) {
+            boolean wasPause = waited + worked > PAUSE_FRACTION * quietTime;
+            pauseFraction += PAUSE_SMOOTHING * ((wasPause ? 1 : 0) - pauseFraction);
         }
-        heardAt = now;
-        int at = writes ? 1 : 0;
-        double latest = Math.max(0, worked) / Math.max(1e-9, units);
-        if (Double.isNaN(pace[at])) {
-            pace[at] = latest;
-        } else {
-            pace[at] += STEP * (Math.min(latest, ODD * pace[at] + 1) - pace[at]);
+        answeredAt = now;
+        int direction = direction(writes);
+        double latest = Math.max(0, worked) / Math.max(MIN_UNITS, units);
+        serviceTime[direction] = average(serviceTime[direction], latest);
+        attemptTime = average(attemptTime, took);
+        reportedQueue = Double.isNaN(queue) ? 0 : queue;
+        ownQueue = attemptsInFlight;
+    }
+
+    private static double average(double average, double latest) {
+        if (Double.isNaN(average)) {
+            return latest;
         }
-        attempt =
-                Double.isNaN(attempt)
-                        ? took
-                        : attempt + STEP * (Math.min(took, ODD * attempt + 1) - attempt);
-        queueTold = Double.isNaN(queue) ? 0 : queue;
-        queueOwn = attemptsOut;
+        double bounded = Math.min(latest, MAX_OUTLIER_FACTOR * average + OUTLIER_ALLOWANCE_MILLIS);
+        return average + SMOOTHING * (bounded - average);
+    }
+
+    /** An attempt that had been given up was answered: the node had paused, or was long at it. */
+    void answeredLate() {
+        pauseFraction += PAUSE_SMOOTHING * (1 - pauseFraction);
+    }
+
+    /** How an attempt's time was composed. */
+    void attemptComposed(double otherGateways, double paused) {
+        otherGatewaysFraction += SMOOTHING * (otherGateways - otherGatewaysFraction);
+        pausedFraction += SMOOTHING * (paused - pausedFraction);
     }
 
-    /** What a wait was with so many units ahead, none of them others'. */
-    void drained(double waited, double units) {
+    // ---- its queue ----
+
+    /** At least so many attempts in its queue are other gateways'. */
+    double minOtherAttempts() {
+        return Math.max(0, reportedQueue - ownQueue);
+    }
+
+    /** At most so many attempts in its queue are other gateways'. */
+    double maxOtherAttempts() {
+        return reportedQueue;
+    }
+
+    /** What a wait in the queue was with so many units ahead, none of them other gateways'. */
+    void waitedBehindOwn(double waited, double units) {
         double latest = waited / units;
-        if (Double.isNaN(drain)) {
-            drain = latest;
-        } else if (latest < drain) {
-            drain -= 3 * DRAIN_STEP * (drain - latest);
+        if (Double.isNaN(waitPerUnitAhead)) {
+            waitPerUnitAhead = latest;
+        } else if (latest < waitPerUnitAhead) {
+            waitPerUnitAhead -= 3 * QUARTILE_STEP * (waitPerUnitAhead - latest);
         } else {
-            drain += DRAIN_STEP * Math.min(latest - drain, drain);
+            waitPerUnitAhead +=
+                    QUARTILE_STEP * Math.min(latest - waitPerUnitAhead, waitPerUnitAhead);
         }
     }
 
-    /** Milliseconds that so many units ahead are usually waited for at most; NaN if never seen. */
+    /** Upper bound of the usual wait with so many units ahead; NaN if none was observed. */
     double usualWait(double units) {
-        return Double.isNaN(drain) ? Double.NaN : 2 * drain * units + 1;
+        return Double.isNaN(waitPerUnitAhead)
+                ? Double.NaN
+                : USUAL_WAIT_FACTOR * waitPerUnitAhead * units + USUAL_WAIT_ALLOWANCE_MILLIS;
     }
 
-    void composed(double elsewhereNow, double pausedNow) {
-        elsewhere += STEP * (elsewhereNow - elsewhere);
-        paused += STEP * (pausedNow - paused);
+    // ---- its service time ----
+
+    private static int direction(boolean writes) {
+        return writes ? 1 : 0;
     }
 
-    double pace(boolean writes) {
-        return pace[writes ? 1 : 0];
+    double serviceTime(boolean writes) {
+        return serviceTime[direction(writes)];
     }
 
-    /** Notes the pace as it is now, for a comparison over all nodes; false if there is none. */
-    boolean noted(int kind) {
-        then[kind] = pace[kind];
-        return paced(kind);
+    /** Remembers the service time for a comparison over all nodes; false if there is none. */
+    boolean takeForComparison(boolean writes) {
+        comparedServiceTime[direction(writes)] = serviceTime[direction(writes)];
+        return isCompared(writes);
     }
 
-    boolean paced(int kind) {
-        return !Double.isNaN(then[kind]);
+    boolean isCompared(boolean writes) {
+        return !Double.isNaN(comparedServiceTime[direction(writes)]);
     }
 
-    double paceThen(int kind) {
-        return then[kind];
+    double comparedServiceTime(boolean writes) {
+        return comparedServiceTime[direction(writes)];
     }
 
+    // ---- its pauses ----
+
     /**
-     * What an attempt that was sent at a time may take by the usual; 0 if the node has answered
-     * nothing since.
+     * What an attempt that was sent at a time may usually take; 0 if the node has answered nothing
+     * since.
      */
-    double usualSince(double sentAt) {
-        return heardAt <= sentAt || Double.isNaN(attempt)
+    double usualAttemptSince(double sentAt) {
+        return answeredAt <= sentAt || Double.isNaN(attemptTime)
                 ? 0
-                : QUIET_ATTEMPTS * attempt + QUIET_LEAST;
+                : QUIET_ATTEMPTS * attemptTime + QUIET_ALLOWANCE_MILLIS;
     }
 
-    /**
-     * Of a wait for this node from one time to another, the milliseconds in which it had fallen
-     * quiet.
-     */
-    double quiet(double from, double to) {
-        if (attemptsOut == 0) {
+    /** Of a wait for this node, the milliseconds in which it was quiet. */
+    double quietTime(double from, double to) {
+        if (attemptsInFlight == 0) {
             return 0;
         }
-        double since = Math.max(heardAt, firstOutAt) + quietFrom();
-        return Math.max(0, to - Math.max(from, since));
-    }
-
-    private double quietFrom() {
-        return QUIET_ATTEMPTS * (Double.isNaN(attempt) ? QUIET_LEAST : attempt) + QUIET_LEAST;
+        double quietSince = Math.max(answeredAt, busySince) + quietAfter();
+        return Math.max(0, to - Math.max(from, quietSince));
     }
 
-    void late() {
-        pauses += SPELL_STEP * (1 - pauses);
+    private double quietAfter() {
+        double attempt = Double.isNaN(attemptTime) ? QUIET_ALLOWANCE_MILLIS : attemptTime;
+        return QUIET_ATTEMPTS * attempt + QUIET_ALLOWANCE_MILLIS;
     }
 
-    /** Of the latest times that it was quiet, the part that proved to be pauses. */
-    double pauses() {
-        return pauses;
+    double pauseFraction() {
+        return pauseFraction;
     }
 }
--- a/src/main/java/sagepulley/accounts/NodeFlow.java
+++ b/src/main/java/sagepulley/accounts/NodeFlow.java
@@ -1,17 +1,14 @@
 package sagepulley.accounts;
 
-/**
- * Units that one node worked on for this gateway over one stretch of time, by volume: reads and
- * writes.
- */
+/** Units that one node worked on for this gateway in one window of time, by volume. */
 final class NodeFlow implements Mergeable<NodeFlow> {
-    static final int MOST_VOLUMES = 24;
+    static final int MAX_VOLUMES = 24;
 
     /**
-     * Keyed like causes (a neighbour's number), with units in place of time; writes under their own
-     * mark.
+     * Keyed like causes of kind neighbour, with units in place of milliseconds; those of writes
+     * have the mark of an estimate.
      */
-    final CauseCharges units = new CauseCharges(MOST_VOLUMES);
+    final CauseCharges units = new CauseCharges(MAX_VOLUMES);
 
     void worked(long volume, boolean writes, double amount) {
         units.add(Cause.key(Cause.Kind.NEIGHBOUR, volume, 0, writes), amount);
@@ -23,7 +20,7 @@
     }
 
     @Override
-    public boolean empty() {
+    public boolean isEmpty() {
         return units.size() == 0;
     }
 }
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -6,62 +6,60 @@
 
 /**
  * One operation's time as it is spent, from its arrival to its final answer: its steps, and their
- * causes.
+ * causes. Times are milliseconds on the monotonic clock. Changed by {@link Accounts} only, on the
+ * thread that owns them.
  */
 public final class OperationTimer {
-    private static final int MOST_STEPS = 24;
-    private static final int FIRST_STEPS = 6;
+    private static final int MAX_STEPS = 24;
+    private static final int INITIAL_STEPS = 6;
 
-    /** All kinds, seen and reckoned, must fit. */
-    private static final int MOST_CAUSES = 32;
+    /** All kinds, observed and estimated, must fit. */
+    private static final int MAX_CAUSES = 32;
 
-    private static final LatencyComponent[] SPENT = LatencyComponent.values();
+    private static final LatencyComponent[] COMPONENTS = LatencyComponent.values();
 
     final long volume;
     final TrafficClass trafficClass;
     final boolean writes;
     final double units;
     final double arrivedAt;
-    final CauseCharges charges = new CauseCharges(MOST_CAUSES);
+    final CauseCharges charges = new CauseCharges(MAX_CAUSES);
 
-    /**
-     * What runs now, since when, at which node (0: none), in which part of the plan, and behind
-     * whom.
-     */
-    LatencyComponent currentComponent = LatencyComponent.LOWER_PRIORITY;
+    /** Where its time goes now, and since when. */
+    LatencyComponent component = LatencyComponent.LOWER_PRIORITY;
 
     double since;
+
+    /** The node it is at or waits for (0: none), and what is known of that; null for none. */
     int node;
+
+    NodeActivity activity;
+
+    /** By which quota tier it is held or was sent, and the units that it waits behind. */
     QuotaTier quotaTier = QuotaTier.SHARE;
-    OutstandingWork ahead;
 
-    /**
-     * Units ahead that are not this gateway's, by what the node told before: the least and the
-     * most.
-     */
-    double othersLeast;
+    OutstandingWork workAhead;
 
-    double othersMost;
+    /** Attempts of other gateways ahead of its attempt, by what the node had reported. */
+    double minOtherAttempts;
 
-    /**
-     * What is known of the node it is at or waits for, and of that where an attempt is out; null
-     * for none.
-     */
-    NodeActivity log;
+    double maxOtherAttempts;
 
-    NodeActivity out;
-    long outKey;
-    long outKeyAnywhere;
+    /** Where its attempt is in flight, and the keys it is counted under; null for none. */
+    NodeActivity attemptActivity;
 
-    /** The node where it has a slot while it waits for a claim; 0 for none. */
-    int claimsAt;
+    long attemptKey;
+    long totalAttemptKey;
 
-    boolean limited;
+    /** The node where it holds a slot while it waits for a claim; 0 for none. */
+    int claimNode;
+
+    boolean rateLimited;
     boolean wasSent;
     boolean ended;
-    private byte[] stepCount = new byte[FIRST_STEPS];
-    private int[] nodes = new int[FIRST_STEPS];
-    private double[] lengths = new double[FIRST_STEPS];
+    private byte[] components = new byte[INITIAL_STEPS];
+    private int[] nodes = new int[INITIAL_STEPS];
+    private double[] lengths = new double[INITIAL_STEPS];
     private int count;
 
     OperationTimer(
@@ -78,81 +76,112 @@
         this.since = arrivedAt;
     }
 
-    /**
-     * A step of so many milliseconds; one like the last goes on with it, and past the bound with
-     * any like it.
-     */
-    void step(LatencyComponent part, int where, double length) {
-        int like = count - 1;
-        if (count == MOST_STEPS) {
-            like = 0;
-            while (like < count - 1 && stepCount[like] != part.ordinal()) {
-                like++;
-            }
-        }
+    // ---- steps ----
+
+    /** Adds a step; one like the last is merged with it, and past the bound with any like it. */
+    void addStep(LatencyComponent ofComponent, int atNode, double length) {
+        int like = indexOfLike(ofComponent);
+        boolean isFull = count == MAX_STEPS;
         if (like >= 0
-                && stepCount[like] == part.ordinal()
-                && (nodes[like] == where || count == MOST_STEPS)) {
+                && components[like] == ofComponent.ordinal()
+                && (nodes[like] == atNode || isFull)) {
             lengths[like] += length;
             return;
         }
-        if (count == MOST_STEPS) {
-            // Nothing like it among the steps kept: the last two become one of this part's kind.
+        if (isFull) {
+            // None like it among the steps: it is merged with the last, of whatever component.
             lengths[count - 1] += length;
             return;
         }
-        if (count == stepCount.length) {
-            stepCount = Arrays.copyOf(stepCount, MOST_STEPS);
-            nodes = Arrays.copyOf(nodes, MOST_STEPS);
-            lengths = Arrays.copyOf(lengths, MOST_STEPS);
+        if (count == components.length) {
+            components = Arrays.copyOf(components, MAX_STEPS);
+            nodes = Arrays.copyOf(nodes, MAX_STEPS);
+            lengths = Arrays.copyOf(lengths, MAX_STEPS);
         }
-        stepCount[count] = (byte) part.ordinal();
-        nodes[count] = where;
+        components[count] = (byte) ofComponent.ordinal();
+        nodes[count] = atNode;
         lengths[count++] = length;
     }
 
-    /**
-     * How many steps it took so far, and each one's part, node (0: none) and milliseconds, in order
-     * of time.
-     */
+    private int indexOfLike(LatencyComponent ofComponent) {
+        if (count < MAX_STEPS) {
+            return count - 1;
+        }
+        int like = 0;
+        while (like < count - 1 && components[like] != ofComponent.ordinal()) {
+            like++;
+        }
+        return like;
+    }
+
+    /** How many steps it took so far, in order of time. */
     public int stepCount() {
         return count;
     }
 
-    public LatencyComponent step(int at) {
-        return SPENT[stepCount[at]];
+    /** Where a step's time went. */
+    public LatencyComponent step(int index) {
+        return COMPONENTS[components[index]];
     }
 
-    public int stepNode(int at) {
-        return nodes[at];
+    /** A step's node; 0 for none. */
+    public int stepNode(int index) {
+        return nodes[index];
     }
 
-    public double stepLength(int at) {
-        return lengths[at];
+    /** A step's milliseconds. */
+    public double stepLength(int index) {
+        return lengths[index];
     }
 
-    /** Milliseconds spent in a part so far. */
-    public double millisIn(LatencyComponent part) {
+    /** Milliseconds spent in a component so far. */
+    public double millisIn(LatencyComponent ofComponent) {
         double sum = 0;
         for (int i = 0; i < count; i++) {
-            sum += stepCount[i] == part.ordinal() ? lengths[i] : 0;
+            sum += components[i] == ofComponent.ordinal() ? lengths[i] : 0;
         }
         return sum;
     }
 
-    /** What runs now. */
+    /** Milliseconds that were no node's work. */
+    double waitedMillis() {
+        double waited = 0;
+        for (int i = 0; i < count; i++) {
+            waited += step(i) == LatencyComponent.NODE_WORK ? 0 : lengths[i];
+        }
+        return waited;
+    }
+
+    /** Where its time goes now. */
     public LatencyComponent currentComponent() {
-        return currentComponent;
+        return component;
+    }
+
+    // ---- causes ----
+
+    /** Charges a wait to what happened at a node (0: none); an estimate may be none of it. */
+    void charge(Cause.Kind kind, int atNode, double length, boolean estimate) {
+        if (length > 0) {
+            long key = Cause.key(kind, 0, atNode, estimate);
+            charges.add(key, length, estimate ? 0 : length, length, 0);
+        }
+    }
+
+    /** Charges a wait to the operation's own volume. */
+    void chargeOwn(Cause.Kind kind, double length) {
+        if (length > 0) {
+            charges.add(Cause.key(kind, volume, node, false), length);
+        }
     }
 
     /** The cause that most of its time so far was charged to; null if none. */
     public Cause mainCause() {
-        int top = -1;
+        int main = -1;
         for (int i = 0; i < charges.size(); i++) {
-            if (top < 0 || charges.waited(i) > charges.waited(top)) {
-                top = i;
+            if (main < 0 || charges.waited(i) > charges.waited(main)) {
+                main = i;
             }
         }
-        return top < 0 ? null : Cause.of(charges.key(top));
+        return main < 0 ? null : Cause.of(charges.key(main));
     }
 }
--- a/src/main/java/sagepulley/accounts/OutstandingWork.java
+++ b/src/main/java/sagepulley/accounts/OutstandingWork.java
@@ -3,35 +3,41 @@
 import sagepulley.model.QuotaTier;
 
 /**
- * The units of attempts that are out at a node, by volume and by part of the plan: what others wait
- * behind.
+ * The units of attempts in flight at a node, by volume and quota tier: what others wait behind. In
+ * a table of bounded size.
  */
 final class OutstandingWork {
-    private static final QuotaTier[] OWED = QuotaTier.values();
-    static final int MOST = 48;
+    static final int MAX_KEYS = 48;
 
-    private final long[] keys = new long[MOST];
-    private final double[] units = new double[MOST];
+    private static final QuotaTier[] QUOTA_TIERS = QuotaTier.values();
+    private static final int TIER_BITS = 2;
+    private static final int TIER_MASK = (1 << TIER_BITS) - 1;
+
+    /** Fewer units than this are the rounding error of a sum that is back at zero. */
+    private static final double MIN_UNITS = 1e-6;
+
+    private final long[] keys = new long[MAX_KEYS];
+    private final double[] units = new double[MAX_KEYS];
     private int size;
 
     static long key(long volume, QuotaTier quotaTier) {
-        return volume << 2 | quotaTier.ordinal();
+        return volume << TIER_BITS | quotaTier.ordinal();
     }
 
     int size() {
         return size;
     }
 
-    long volume(int at) {
-        return keys[at] >> 2;
+    long volume(int index) {
+        return keys[index] >> TIER_BITS;
     }
 
-    QuotaTier owed(int at) {
-        return OWED[(int) (keys[at] & 3)];
+    QuotaTier quotaTier(int index) {
+        return QUOTA_TIERS[(int) (keys[index] & TIER_MASK)];
     }
 
-    double units(int at) {
-        return units[at];
+    double units(int index) {
+        return units[index];
     }
 
     double sum() {
@@ -43,9 +49,10 @@
     }
 
     /**
-     * More units, or less; whoever has most drifts to the front. What does not fit counts as
-     * nobody's, number 0. Returns the key it was counted under, by which it is to be taken off
-     * again.
+     * Adds units, or removes them if negative; keys with many move to the front. What does not fit
+     * counts as volume 0.
+     *
+     * @return the key it was counted under, by which it is to be removed again
      */
     long add(long key, double amount) {
         int at = 0;
@@ -53,29 +60,33 @@
             at++;
         }
         if (at == size) {
-            if (size >= MOST - OWED.length && key >> 2 != 0) {
-                return add(key & 3, amount);
+            if (size >= MAX_KEYS - QUOTA_TIERS.length && key >> TIER_BITS != 0) {
+                return add(key & TIER_MASK, amount);
             }
             keys[size] = key;
             units[size++] = 0;
         }
         units[at] += amount;
-        if (units[at] < 1e-6) {
+        if (units[at] < MIN_UNITS) {
             size--;
             keys[at] = keys[size];
             units[at] = units[size];
         } else if (at > 0 && units[at] > units[at - 1]) {
-            long other = keys[at - 1];
-            double less = units[at - 1];
-            keys[at - 1] = key;
-            units[at - 1] = units[at];
-            keys[at] = other;
-            units[at] = less;
+            swapWithPrevious(at);
         }
         return key;
     }
 
-    void copy(OutstandingWork other) {
+    private void swapWithPrevious(int index) {
+        long key = keys[index];
+        double amount = units[index];
+        keys[index] = keys[index - 1];
+        units[index] = units[index - 1];
+        keys[index - 1] = key;
+        units[index - 1] = amount;
+    }
+
+    void copyFrom(OutstandingWork other) {
         size = other.size;
         System.arraycopy(other.keys, 0, keys, 0, size);
         System.arraycopy(other.units, 0, units, 0, size);
--- a/src/main/java/sagepulley/accounts/PlanTier.java
+++ b/src/main/java/sagepulley/accounts/PlanTier.java
@@ -5,8 +5,8 @@
 import sagepulley.model.QuotaTier;
 
 /**
- * By which part of its plan an operation was served, or held: the plan's limit goes before the
- * others.
+ * By which tier of its tenant's plan an operation was served, or held; the rate limit takes
+ * precedence. Stored accounts refer to a tier by its ordinal, so new ones go to the end.
  */
 public enum PlanTier implements ExternalName {
     @JsonProperty("RESERVE")
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -4,15 +4,25 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.HistogramIterationValue;
+import org.HdrHistogram.IntCountsHistogram;
 
-/** A book's figures as plain values, to be written down and read again. */
+/**
+ * An account's figures as plain values, to be stored and read again. The names of the record
+ * components are those of the stored file.
+ */
 public record StoredAccounts(List<StoredVolume> volumes, List<StoredNode> nodes) {
-    /** A volume's stretches. */
+    /** A volume's windows. */
     public record StoredVolume(long volume, List<StoredWindow> windows) {}
 
     /**
-     * A stretch: which, time by part, causes (keys, and four sums each), counts, and times by part
-     * of the plan.
+     * A window.
+     *
+     * @param level of the timeline, and the window's number in it
+     * @param parts milliseconds by latency component
+     * @param keys causes, and four sums to each
+     * @param ends operations rejected, abandoned and cancelled
+     * @param met by plan tier, as are the following
+     * @param times pairs of a duration in ticks and a count
      */
     public record StoredWindow(
             int level,
@@ -27,68 +37,76 @@
             double[] lost,
             long[][] times) {}
 
-    /** A node's stretches of units worked on. */
+    /** A node's windows of units worked on. */
     public record StoredNode(int node, int zone, List<StoredFlow> flows) {}
 
-    /** One of them. */
+    /** One of them; keys and sums as those of causes. */
     public record StoredFlow(int level, long number, long[] keys, double[] sums) {}
 
-    private static final int MOST_STRETCHES = 10_000;
+    private static final int MAX_DURATIONS = 10_000;
+    private static final double MAX_FIGURE = 1e18;
+
+    // ---- to be stored ----
 
-    /** A book's plain values. */
-    public static StoredAccounts of(LatencyAccount book) {
+    /** An account's plain values. */
+    public static StoredAccounts of(LatencyAccount account) {
         List<StoredVolume> volumes = new ArrayList<>();
-        book.volumes.forEach(
-                (volume, line) -> {
+        account.volumes.forEach(
+                (volume, timeline) -> {
                     List<StoredWindow> windows = new ArrayList<>();
                     for (int level = 0; level < Timeline.LEVELS; level++) {
-                        for (Map.Entry<Long, AccountWindow> entry : line.level(level).entrySet()) {
+                        for (Map.Entry<Long, AccountWindow> entry :
+                                timeline.level(level).entrySet()) {
                             windows.add(window(level, entry.getKey(), entry.getValue()));
                         }
                     }
                     volumes.add(new StoredVolume(volume, windows));
                 });
         List<StoredNode> nodes = new ArrayList<>();
-        book.flows.forEach(
-                (node, line) -> {
+        account.flows.forEach(
+                (node, timeline) -> {
                     List<StoredFlow> flows = new ArrayList<>();
                     for (int level = 0; level < Timeline.LEVELS; level++) {
-                        for (Map.Entry<Long, NodeFlow> entry : line.level(level).entrySet()) {
+                        for (Map.Entry<Long, NodeFlow> entry : timeline.level(level).entrySet()) {
                             CauseCharges units = entry.getValue().units;
                             flows.add(
                                     new StoredFlow(
                                             level, entry.getKey(), keys(units), sums(units)));
                         }
                     }
-                    nodes.add(new StoredNode(node, book.zones.getOrDefault(node, 0), flows));
+                    nodes.add(new StoredNode(node, account.zones.getOrDefault(node, 0), flows));
                 });
         return new StoredAccounts(volumes, nodes);
     }
 
     private static StoredWindow window(int level, long number, AccountWindow window) {
-        long[][] times = new long[AccountWindow.PARTS][0];
-        for (int part = 0; part < AccountWindow.PARTS; part++) {
-            if (window.times[part] != null) {
-                List<Long> pairs = new ArrayList<>();
-                for (HistogramIterationValue value : window.times[part].recordedValues()) {
-                    pairs.add(value.getValueIteratedTo());
-                    pairs.add(value.getCountAddedInThisIterationStep());
-                }
-                times[part] = pairs.stream().mapToLong(Long::longValue).toArray();
+        long[][] durations = new long[AccountWindow.TIERS][0];
+        for (int tier = 0; tier < AccountWindow.TIERS; tier++) {
+            if (window.durations[tier] != null) {
+                durations[tier] = durations(window.durations[tier]);
             }
         }
         return new StoredWindow(
                 level,
                 number,
-                window.parts,
+                window.components,
                 keys(window.causes),
                 sums(window.causes),
-                new long[] {window.declined, window.scrapped, window.left},
+                new long[] {window.rejected, window.abandoned, window.cancelled},
                 window.met,
                 window.missed,
                 window.units,
-                window.lost,
-                times);
+                window.lostWeight,
+                durations);
+    }
+
+    private static long[] durations(IntCountsHistogram histogram) {
+        List<Long> pairs = new ArrayList<>();
+        for (HistogramIterationValue value : histogram.recordedValues()) {
+            pairs.add(value.getValueIteratedTo());
+            pairs.add(value.getCountAddedInThisIterationStep());
+        }
+        return pairs.stream().mapToLong(Long::longValue).toArray();
     }
 
     private static long[] keys(CauseCharges charges) {
@@ -100,91 +118,102 @@
     }
 
     private static double[] sums(CauseCharges charges) {
-        double[] sums = new double[4 * charges.size()];
+        double[] sums = new double[CauseCharges.SUMS * charges.size()];
         for (int i = 0; i < charges.size(); i++) {
-            sums[4 * i] = charges.waited(i);
-            sums[4 * i + 1] = charges.least(i);
-            sums[4 * i + 2] = charges.most(i);
-            sums[4 * i + 3] = charges.lost(i);
+            sums[CauseCharges.SUMS * i] = charges.waited(i);
+            sums[CauseCharges.SUMS * i + 1] = charges.lowerBound(i);
+            sums[CauseCharges.SUMS * i + 2] = charges.upperBound(i);
+            sums[CauseCharges.SUMS * i + 3] = charges.lostWeight(i);
         }
         return sums;
     }
 
+    // ---- read again ----
+
     /**
-     * The book again.
+     * The account again.
      *
-     * @throws IllegalArgumentException if a figure can be no account's
+     * @throws IllegalArgumentException if a figure is missing or out of range
      */
     public LatencyAccount toAccount() {
-        LatencyAccount book = new LatencyAccount();
-        for (StoredVolume volume : all(volumes)) {
-            Timeline<AccountWindow> line = new Timeline<>(AccountWindow::new);
-            for (StoredWindow kept : all(volume.windows)) {
-                read(kept, line.put(level(kept.level), kept.number));
+        LatencyAccount account = new LatencyAccount();
+        for (StoredVolume volume : checked(volumes)) {
+            Timeline<AccountWindow> timeline = new Timeline<>(AccountWindow::new);
+            for (StoredWindow window : checked(volume.windows)) {
+                read(window, timeline.put(checkedLevel(window.level), window.number));
             }
-            if (volume.volume < 0 || book.volumes.put(volume.volume, line) != null) {
+            if (volume.volume < 0 || account.volumes.put(volume.volume, timeline) != null) {
                 throw new IllegalArgumentException(
                         "volume " + volume.volume + " is no volume, or there twice");
             }
         }
-        for (StoredNode node : all(nodes)) {
-            Timeline<NodeFlow> line = new Timeline<>(NodeFlow::new);
-            for (StoredFlow flow : all(node.flows)) {
-                charges(
-                        line.put(level(flow.level), flow.number).units,
-                        flow.keys,
-                        flow.sums,
-                        NodeFlow.MOST_VOLUMES);
+        for (StoredNode node : checked(nodes)) {
+            Timeline<NodeFlow> timeline = new Timeline<>(NodeFlow::new);
+            for (StoredFlow flow : checked(node.flows)) {
+                CauseCharges units = timeline.put(checkedLevel(flow.level), flow.number).units;
+                readCharges(flow.keys, flow.sums, units, NodeFlow.MAX_VOLUMES);
             }
-            book.flows.put(node.node, line);
-            book.zones.put(node.node, node.zone);
+            account.flows.put(node.node, timeline);
+            account.zones.put(node.node, node.zone);
         }
-        return book;
+        return account;
     }
 
-    private static <T> List<T> all(List<T> list) {
+    private static <T> List<T> checked(List<T> list) {
         if (list == null || list.contains(null)) {
             throw new IllegalArgumentException("a list is missing or has gaps");
         }
         return list;
     }
 
-    private static int level(int level) {
+    private static int checkedLevel(int level) {
         if (level < 0 || level >= Timeline.LEVELS) {
             throw new IllegalArgumentException("level " + level + " is none");
         }
         return level;
     }
 
+    private static double checkedFigure(double value) {
+        if (!(value >= 0 && value < MAX_FIGURE)) {
+            throw new IllegalArgumentException("a figure of " + value + " can be none");
+        }
+        return value;
+    }
+
     private static void read(StoredWindow from, AccountWindow to) {
-        copy(from.parts, to.parts);
-        charges(to.causes, from.keys, from.sums, AccountWindow.MOST_CAUSES);
+        copy(from.parts, to.components);
+        readCharges(from.keys, from.sums, to.causes, AccountWindow.MAX_CAUSES);
         long[] ends = new long[3];
         copy(from.ends, ends);
-        to.declined = ends[0];
-        to.scrapped = ends[1];
-        to.left = ends[2];
+        to.rejected = ends[0];
+        to.abandoned = ends[1];
+        to.cancelled = ends[2];
         copy(from.met, to.met);
         copy(from.missed, to.missed);
         copy(from.units, to.units);
-        copy(from.lost, to.lost);
-        if (from.times == null || from.times.length != AccountWindow.PARTS) {
+        copy(from.lost, to.lostWeight);
+        if (from.times == null || from.times.length != AccountWindow.TIERS) {
             throw new IllegalArgumentException("times by part of the plan are missing");
         }
-        for (int part = 0; part < AccountWindow.PARTS; part++) {
-            long[] pairs = from.times[part];
-            if (pairs == null || pairs.length % 2 != 0 || pairs.length > 2 * MOST_STRETCHES) {
-                throw new IllegalArgumentException("times are no pairs of value and count");
-            }
-            for (int i = 0; i < pairs.length; i += 2) {
-                if (pairs[i] < 0
-                        || pairs[i] > AccountWindow.LONGEST_TICK * 2
-                        || pairs[i + 1] < 0
-                        || pairs[i + 1] > Integer.MAX_VALUE) {
-                    throw new IllegalArgumentException("a time of " + pairs[i] + " can be none");
-                }
-                to.times(part).recordValueWithCount(pairs[i], pairs[i + 1]);
+        for (int tier = 0; tier < AccountWindow.TIERS; tier++) {
+            readDurations(from.times[tier], to, tier);
+        }
+    }
+
+    private static void readDurations(long[] pairs, AccountWindow to, int tier) {
+        if (pairs == null || pairs.length % 2 != 0 || pairs.length > 2 * MAX_DURATIONS) {
+            throw new IllegalArgumentException("times are no pairs of value and count");
+        }
+        for (int i = 0; i < pairs.length; i += 2) {
+            long ticks = pairs[i];
+            long count = pairs[i + 1];
+            if (ticks < 0
+                    || ticks > AccountWindow.MAX_TICKS * 2
+                    || count < 0
+                    || count > Integer.MAX_VALUE) {
+                throw new IllegalArgumentException("a time of " + ticks + " can be none");
             }
+            to.durations(tier).recordValueWithCount(ticks, count);
         }
     }
 
@@ -193,7 +222,7 @@
             throw new IllegalArgumentException("so many figures are none of ours");
         }
         for (int i = 0; i < to.length; i++) {
-            to[i] = figure(from[i]);
+            to[i] = checkedFigure(from[i]);
         }
     }
 
@@ -209,15 +238,11 @@
         }
     }
 
-    private static double figure(double value) {
-        if (!(value >= 0 && value < 1e18)) {
-            throw new IllegalArgumentException("a figure of " + value + " can be none");
-        }
-        return value;
-    }
-
-    private static void charges(CauseCharges to, long[] keys, double[] sums, int most) {
-        if (keys == null || sums == null || keys.length > most || sums.length != 4 * keys.length) {
+    private static void readCharges(long[] keys, double[] sums, CauseCharges to, int maxSize) {
+        if (keys == null
+                || sums == null
+                || keys.length > maxSize
+                || sums.length != CauseCharges.SUMS * keys.length) {
             throw new IllegalArgumentException("causes and their sums do not go together");
         }
         for (int i = 0; i < keys.length; i++) {
@@ -226,10 +251,10 @@
             }
             to.add(
                     keys[i],
-                    figure(sums[4 * i]),
-                    figure(sums[4 * i + 1]),
-                    figure(sums[4 * i + 2]),
-                    figure(sums[4 * i + 3]));
+                    checkedFigure(sums[CauseCharges.SUMS * i]),
+                    checkedFigure(sums[CauseCharges.SUMS * i + 1]),
+                    checkedFigure(sums[CauseCharges.SUMS * i + 2]),
+                    checkedFigure(sums[CauseCharges.SUMS * i + 3]));
         }
     }
 }
--- a/src/main/java/sagepulley/accounts/Timeline.java
+++ b/src/main/java/sagepulley/accounts/Timeline.java
@@ -5,29 +5,31 @@
 import java.util.function.Supplier;
 
 /**
- * Sums over stretches of time, coarser with age: ten seconds for ten minutes, five minutes for six
- * hours, an hour for three days. Only stretches in which something happened take room. Times are
- * wall-clock milliseconds.
+ * Sums over windows of time, coarser with age: ten seconds for ten minutes, five minutes for six
+ * hours, an hour for three days. Only windows in which something happened take room. Times are
+ * wall-clock milliseconds; a window's number counts its lengths since the epoch.
  */
 final class Timeline<T extends Mergeable<T>> {
-    /** Milliseconds of a stretch, by level, and how many of them are kept. */
-    static final double[] LENGTH = {10_000, 300_000, 3_600_000};
+    /** A window's length, by level. */
+    static final double[] WINDOW_MILLIS = {10_000, 300_000, 3_600_000};
 
-    private static final int[] KEPT = {60, 72, 72};
-    static final int LEVELS = LENGTH.length;
+    static final int LEVELS = WINDOW_MILLIS.length;
 
-    private final Supplier<T> fresh;
+    /** Numbers that a level spans, from its newest window back. */
+    private static final int[] MAX_AGE = {60, 72, 72};
+
+    private final Supplier<T> newWindow;
     private final TreeMap<Long, T>[] levels;
 
-    /** The finest stretch that was asked for last: nearly always the one that is asked for next. */
+    /** The finest window that was asked for last: nearly always the one that is asked for next. */
     private T latest;
 
     private long latestNumber;
     private int size;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    Timeline(Supplier<T> fresh) {
-        this.fresh = fresh;
+    Timeline(Supplier<T> newWindow) {
+        this.newWindow = newWindow;
         this.levels = new TreeMap[LEVELS];
         for (int i = 0; i < LEVELS; i++) {
             levels[i] = new TreeMap<>();
@@ -35,12 +37,10 @@
     }
 
     static long number(int level, double wall) {
-        return (long) Math.floor(wall / LENGTH[level]);
+        return (long) Math.floor(wall / WINDOW_MILLIS[level]);
     }
 
-    /**
-     * The finest stretch of a time, made if need be; what has become too old for its level goes up.
-     */
+    /** The finest window of a time, created if need be; those too old for their level move up. */
     T at(double wall) {
         long number = number(0, wall);
         if (latest == null || latestNumber != number) {
@@ -55,57 +55,60 @@
         if (last != null && last.getKey() == number) {
             return last.getValue();
         }
-        T found = levels[level].get(number);
-        if (found == null) {
-            found = put(level, number);
-            age(level);
+        T window = levels[level].get(number);
+        if (window == null) {
+            window = put(level, number);
+            moveOldUp(level);
         }
-        return found;
+        return window;
     }
 
-    /** A stretch of any age, as it was kept. */
+    /** A window of any age, created if need be; nothing moves up. */
     T put(int level, long number) {
-        T there = levels[level].get(number);
-        if (there == null) {
-            there = fresh.get();
-            levels[level].put(number, there);
+        T window = levels[level].get(number);
+        if (window == null) {
+            window = newWindow.get();
+            levels[level].put(number, window);
             size++;
         }
-        return there;
+        return window;
     }
 
-    private void age(int level) {
-        TreeMap<Long, T> stretches = levels[level];
-        long newest = stretches.lastKey();
-        while (stretches.firstKey() <= newest - KEPT[level]) {
-            lift(level);
+    private void moveOldUp(int level) {
+        TreeMap<Long, T> windows = levels[level];
+        long newest = windows.lastKey();
+        while (windows.firstKey() <= newest - MAX_AGE[level]) {
+            moveOldestUp(level);
         }
     }
 
-    /** The oldest of a level goes into the level above, or is forgotten. */
-    private void lift(int level) {
+    /** Adds the oldest window of a level to the next level that spans it, if there is one. */
+    private void moveOldestUp(int level) {
         Map.Entry<Long, T> oldest = levels[level].pollFirstEntry();
         size--;
         latest = null;
-        if (oldest.getValue().empty()) {
+        if (oldest.getValue().isEmpty()) {
             return;
         }
         for (int up = level + 1; up < LEVELS; up++) {
-            long number = number(up, oldest.getKey() * LENGTH[level]);
-            if (levels[up].isEmpty() || number > levels[up].lastKey() - KEPT[up]) {
+            long number = number(up, oldest.getKey() * WINDOW_MILLIS[level]);
+            if (levels[up].isEmpty() || number > levels[up].lastKey() - MAX_AGE[up]) {
                 at(up, number).add(oldest.getValue());
                 return;
             }
         }
     }
 
-    /** Gives up detail for room: all of the finest level that has several goes up. */
-    boolean squeeze() {
+    /**
+     * Gives up detail for room: all windows of the finest level move up. Returns whether that made
+     * fewer of them.
+     */
+    boolean coarsen() {
         for (int level = 0; level + 1 < LEVELS; level++) {
             if (!levels[level].isEmpty() && size() > 1) {
                 int before = size();
                 while (!levels[level].isEmpty()) {
-                    lift(level);
+                    moveOldestUp(level);
                 }
                 if (size() < before) {
                     return true;
@@ -119,12 +122,12 @@
         return size;
     }
 
-    /** The stretches of a level, by number, oldest first; not to be changed. */
+    /** The windows of a level, by number, oldest first; not to be changed. */
     Map<Long, T> level(int level) {
         return levels[level];
     }
 
-    /** Adds what overlaps a time to a sum. */
+    /** Adds the windows that overlap a time to a sum. */
     void sum(T into, double from, double to) {
         for (int i = 0; i < LEVELS; i++) {
             for (Map.Entry<Long, T> entry :
@@ -134,33 +137,33 @@
         }
     }
 
-    /** Adds another's stretches, each moved by so many milliseconds. */
+    /** Adds another's windows, each moved by so many milliseconds. */
     void merge(Timeline<T> other, double offset) {
         for (int i = 0; i < LEVELS; i++) {
             for (Map.Entry<Long, T> entry : other.levels[i].entrySet()) {
-                double middle = (entry.getKey() + 0.5) * LENGTH[i] + offset;
+                double middle = (entry.getKey() + 0.5) * WINDOW_MILLIS[i] + offset;
                 put(i, number(i, middle)).add(entry.getValue());
             }
         }
     }
 
-    /** Moves every stretch by a whole number of the longest, if the newest lies after a time. */
-    void noLaterThan(double wall) {
+    /** Moves every window back by whole hours, if the newest lies after a time. */
+    void moveBefore(double wall) {
         double newest = Double.NEGATIVE_INFINITY;
         for (int i = 0; i < LEVELS; i++) {
             if (!levels[i].isEmpty()) {
-                newest = Math.max(newest, levels[i].lastKey() * LENGTH[i]);
+                newest = Math.max(newest, levels[i].lastKey() * WINDOW_MILLIS[i]);
             }
         }
         if (newest <= wall) {
             return;
         }
         latest = null;
-        long hours = (long) Math.ceil((newest - wall) / LENGTH[LEVELS - 1]);
+        long hours = (long) Math.ceil((newest - wall) / WINDOW_MILLIS[LEVELS - 1]);
         for (int i = 0; i < LEVELS; i++) {
-            long by = (long) (hours * (LENGTH[LEVELS - 1] / LENGTH[i]));
+            long by = (long) (hours * (WINDOW_MILLIS[LEVELS - 1] / WINDOW_MILLIS[i]));
             TreeMap<Long, T> moved = new TreeMap<>();
-            levels[i].forEach((number, sums) -> moved.put(number - by, sums));
+            levels[i].forEach((number, window) -> moved.put(number - by, window));
             levels[i] = moved;
         }
     }
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * Sums since the start, which only grow: by volume for those it is told of (the rest together as
- * number 0), and over all volumes by part of the time and by kind of cause.
+ * Sums since the start, which only grow: by volume for those given (the rest together as number 0),
+ * and over all volumes by latency component, cause and plan tier.
  */
 public final class Totals {
     /**
-     * Of one volume: operations by their end, those in time, units, milliseconds waited and utility
-     * lost.
+     * Of one volume: operations within their latency objective and not, and of the latter those
+     * rejected, abandoned and cancelled; units; milliseconds waited; priority weight lost.
      */
     public static final class OfVolume {
         public long met;
@@ -22,24 +22,52 @@
         public double units;
         public double waitedMillis;
         public double lostWeight;
+
+        private void add(EndedOperation operation) {
+            if (operation.met()) {
+                met++;
+            } else {
+                missed++;
+            }
+            units += operation.timer().units;
+            lostWeight += operation.lostWeight();
+            switch (operation.end()) {
+                case REJECTED -> rejected++;
+                case ABANDONED -> abandoned++;
+                case CANCELLED -> cancelled++;
+                case SERVED -> {}
+            }
+            waitedMillis += operation.timer().waitedMillis();
+        }
+
+        private void copyFrom(OfVolume other) {
+            met = other.met;
+            missed = other.missed;
+            rejected = other.rejected;
+            abandoned = other.abandoned;
+            cancelled = other.cancelled;
+            units = other.units;
+            waitedMillis = other.waitedMillis;
+            lostWeight = other.lostWeight;
+        }
     }
 
     private final Map<Long, OfVolume> volumes = new LinkedHashMap<>();
-    private final double[] parts = new double[LatencyComponent.values().length];
-    private final double[] waitedMillis = new double[Cause.Kind.values().length];
-    private final double[] lostWeight = new double[Cause.Kind.values().length];
-    private final double[] units = new double[PlanTier.values().length];
+    private final double[] componentMillis = new double[LatencyComponent.values().length];
+    private final double[] causeMillis = new double[Cause.Kind.values().length];
+    private final double[] causeLostWeight = new double[Cause.Kind.values().length];
+    private final double[] tierUnits = new double[PlanTier.values().length];
 
     /** With sums of their own for these volumes; all others share number 0. */
-    public Totals(Set<Long> own) {
-        own.forEach(volume -> volumes.put(volume, new OfVolume()));
+    public Totals(Set<Long> ownVolumes) {
+        ownVolumes.forEach(volume -> volumes.put(volume, new OfVolume()));
         volumes.put(0L, new OfVolume());
     }
 
     /** A volume's sums, or those of all that have none of their own. */
     public OfVolume of(long volume) {
-        OfVolume found = volumes.get(volume);
-        return found == null ? volumes.get(0L) : found;
+        OfVolume own = volumes.get(volume);
+        return own == null ? volumes.get(0L) : own;
     }
 
     /** The volumes that have sums of their own, and 0. */
@@ -47,56 +75,50 @@
         return volumes.keySet();
     }
 
-    /** Milliseconds that went to a part. */
-    public double millisIn(LatencyComponent part) {
-        return parts[part.ordinal()];
+    /** Milliseconds spent in a component. */
+    public double millisIn(LatencyComponent component) {
+        return componentMillis[component.ordinal()];
     }
 
-    /** Milliseconds of waiting charged to a kind of cause, and utility lost to it. */
+    /** Milliseconds of waiting charged to a kind of cause. */
     public double waitedMillis(Cause.Kind kind) {
-        return waitedMillis[kind.ordinal()];
+        return causeMillis[kind.ordinal()];
     }
 
+    /** Priority weight lost to a kind of cause. */
     public double lostWeight(Cause.Kind kind) {
-        return lostWeight[kind.ordinal()];
-    }
-
-    /** Units of operations that ended, by part of the plan. */
-    public double units(PlanTier part) {
-        return units[part.ordinal()];
-    }
-
-    void spent(LatencyComponent part, double length) {
-        parts[part.ordinal()] += length;
+        return causeLostWeight[kind.ordinal()];
     }
 
-    void caused(Cause.Kind kind, double length, double utility) {
-        waitedMillis[kind.ordinal()] += length;
-        lostWeight[kind.ordinal()] += utility;
+    /** Units of operations that ended, by plan tier. */
+    public double units(PlanTier tier) {
+        return tierUnits[tier.ordinal()];
     }
 
-    void ended(PlanTier part, double amount) {
-        units[part.ordinal()] += amount;
+    /** Books an operation. */
+    void add(EndedOperation operation) {
+        OperationTimer timer = operation.timer();
+        for (int i = 0; i < timer.stepCount(); i++) {
+            componentMillis[timer.step(i).ordinal()] += timer.stepLength(i);
+        }
+        CauseCharges charges = timer.charges;
+        double total = charges.totalWaited();
+        for (int i = 0; i < charges.size(); i++) {
+            int kind = Cause.kind(charges.key(i)).ordinal();
+            causeMillis[kind] += charges.waited(i);
+            causeLostWeight[kind] += charges.shareOf(operation.lostWeight(), i, total);
+        }
+        tierUnits[operation.tier().ordinal()] += timer.units;
+        of(timer.volume).add(operation);
     }
 
     Totals copy() {
         Totals copy = new Totals(volumes.keySet());
-        volumes.forEach(
-                (volume, mine) -> {
-                    OfVolume its = copy.volumes.get(volume);
-                    its.met = mine.met;
-                    its.missed = mine.missed;
-                    its.rejected = mine.rejected;
-                    its.abandoned = mine.abandoned;
-                    its.cancelled = mine.cancelled;
-                    its.units = mine.units;
-                    its.waitedMillis = mine.waitedMillis;
-                    its.lostWeight = mine.lostWeight;
-                });
-        System.arraycopy(parts, 0, copy.parts, 0, parts.length);
-        System.arraycopy(waitedMillis, 0, copy.waitedMillis, 0, waitedMillis.length);
-        System.arraycopy(lostWeight, 0, copy.lostWeight, 0, lostWeight.length);
-        System.arraycopy(units, 0, copy.units, 0, units.length);
+        volumes.forEach((volume, sums) -> copy.volumes.get(volume).copyFrom(sums));
+        System.arraycopy(componentMillis, 0, copy.componentMillis, 0, componentMillis.length);
+        System.arraycopy(causeMillis, 0, copy.causeMillis, 0, causeMillis.length);
+        System.arraycopy(causeLostWeight, 0, copy.causeLostWeight, 0, causeLostWeight.length);
+        System.arraycopy(tierUnits, 0, copy.tierUnits, 0, tierUnits.length);
         return copy;
     }
 }
--- /dev/null
+++ b/src/main/java/sagepulley/accounts/VolumeWindows.java
@@ -0,0 +1,105 @@
+package sagepulley.accounts;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+
+/**
+ * The windows of every volume, bounded in volumes and in windows: beyond the first bound volumes
+ * share number 0; beyond the second the volume that was idle longest gives up detail.
+ */
+final class VolumeWindows {
+    private static final long SHARED_VOLUME = 0;
+
+    private final int maxVolumes;
+    private final int maxWindows;
+
+    /** In the order of access: the volume that was idle longest comes first. */
+    private final LinkedHashMap<Long, Timeline<AccountWindow>> volumes =
+            new LinkedHashMap<>(16, 0.75f, true);
+
+    /** Windows of all volumes. */
+    private int size;
+
+    VolumeWindows(int maxVolumes, int maxWindows) {
+        this.maxVolumes = maxVolumes;
+        this.maxWindows = maxWindows;
+    }
+
+    /** A volume's window at a wall-clock time, created if need be. */
+    AccountWindow at(long volume, double wall) {
+        Timeline<AccountWindow> timeline = timeline(volume);
+        int before = timeline.size();
+        AccountWindow window = timeline.at(wall);
+        size += timeline.size() - before;
+        keepWithinBound(timeline);
+        return window;
+    }
+
+    /** Adds stored windows. */
+    void merge(Map<Long, Timeline<AccountWindow>> stored) {
+        stored.forEach(
+                (volume, timeline) -> {
+                    Timeline<AccountWindow> own = timeline(volume);
+                    int before = own.size();
+                    own.merge(timeline, 0);
+                    size += own.size() - before;
+                });
+        keepWithinBound(null);
+    }
+
+    void forEach(BiConsumer<Long, Timeline<AccountWindow>> consumer) {
+        volumes.forEach(consumer);
+    }
+
+    List<Long> volumes() {
+        return volumes.keySet().stream().sorted().toList();
+    }
+
+    int size() {
+        return size;
+    }
+
+    private Timeline<AccountWindow> timeline(long volume) {
+        Timeline<AccountWindow> timeline = volumes.get(volume);
+        if (timeline == null) {
+            long key = volumes.size() < maxVolumes ? volume : SHARED_VOLUME;
+            timeline = volumes.computeIfAbsent(key, any -> new Timeline<>(AccountWindow::new));
+        }
+        return timeline;
+    }
+
+    private void keepWithinBound(Timeline<AccountWindow> spared) {
+        while (size > maxWindows && (coarsenIdlest(spared) || shareIdlest(spared))) {
+            // once for each window too many
+        }
+    }
+
+    /** The volume that was idle longest, of those that can, gives up detail. */
+    private boolean coarsenIdlest(Timeline<AccountWindow> spared) {
+        for (Timeline<AccountWindow> timeline : volumes.values()) {
+            int before = timeline.size();
+            if (timeline != spared && timeline.coarsen()) {
+                size += timeline.size() - before;
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** The volume that was idle longest goes into the shared account. */
+    private boolean shareIdlest(Timeline<AccountWindow> spared) {
+        for (Map.Entry<Long, Timeline<AccountWindow>> entry : volumes.entrySet()) {
+            if (entry.getKey() != SHARED_VOLUME && entry.getValue() != spared) {
+                Timeline<AccountWindow> removed = volumes.remove(entry.getKey());
+                Timeline<AccountWindow> shared = timeline(SHARED_VOLUME);
+                int before = shared.size();
+                shared.merge(removed, 0);
+                size += shared.size() - before - removed.size();
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -18,9 +18,9 @@
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
 
-/** Where the time of operations went, by part. */
+/** Where the time of operations went, and what it was charged to. */
 class AccountsTest {
-    private static final TrafficClass BAND =
+    private static final TrafficClass TRAFFIC_CLASS =
             new TrafficClass(
                     0,
                     "read",
@@ -40,7 +40,7 @@
 
     /** One attempt to a node and back. */
     private OperationTimer attempt(
-            Accounts of,
+            Accounts target,
             long volume,
             int node,
             QuotaTier quotaTier,
@@ -48,65 +48,70 @@
             double waited,
             double worked,
             double queue) {
-        OperationTimer meter = of.begin(volume, BAND, false, 1, at);
-        of.attemptSent(meter, node, quotaTier, at);
-        of.attemptAnswered(meter, waited, worked, queue, at + waited + worked);
-        of.end(meter, Accounts.End.SERVED, Reason.NONE, node, at + waited + worked);
-        return meter;
+        OperationTimer timer = target.begin(volume, TRAFFIC_CLASS, false, 1, at);
+        target.attemptSent(timer, node, quotaTier, at);
+        target.attemptAnswered(timer, waited, worked, queue, at + waited + worked);
+        target.end(timer, Accounts.End.SERVED, Reason.NONE, node, at + waited + worked);
+        return timer;
     }
 
     /** Waits at the gateway for a node, and is given up. */
-    private void heldUntilDeclined(
-            Accounts of, long volume, LatencyComponent why, int node, double from, double to) {
-        OperationTimer meter = of.begin(volume, BAND, false, 1, from);
-        of.waitStarted(meter, why, node, from);
-        of.end(meter, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, node, to);
+    private void heldUntilRejected(
+            Accounts target,
+            long volume,
+            LatencyComponent component,
+            int node,
+            double from,
+            double to) {
+        OperationTimer timer = target.begin(volume, TRAFFIC_CLASS, false, 1, from);
+        target.waitStarted(timer, component, node, from);
+        target.end(timer, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, node, to);
     }
 
     /**
-     * Whatever happens to an operation, in any order, its parts sum to its whole time, and so do
-     * the causes.
+     * Whatever happens to an operation, in any order, its steps sum to its duration, and so do its
+     * causes.
      */
     @Property(tries = 300, seed = "31")
-    void partsSumToTheWhole(
+    void stepsSumToTheDuration(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 46) Integer> steps,
             @ForAll @DoubleRange(min = 0, max = 1e7) double start,
             @ForAll @Size(min = 1, max = 5) List<@DoubleRange(min = 0, max = 900) Double> lengths) {
         Accounts all = new Accounts(SMALL, 1e12);
         List<OperationTimer> others = new ArrayList<>();
-        OperationTimer meter = all.begin(7, BAND, steps.size() % 2 == 0, 2, start);
+        OperationTimer timer = all.begin(7, TRAFFIC_CLASS, steps.size() % 2 == 0, 2, start);
         double now = start;
         for (int i = 0; i < steps.size(); i++) {
             double length = lengths.get(i % lengths.size());
             int step = steps.get(i);
             if (i % 3 == 0) {
-                OperationTimer other = all.begin(step % 9, BAND, true, 1, now);
+                OperationTimer other = all.begin(step % 9, TRAFFIC_CLASS, true, 1, now);
                 all.attemptSent(other, step % 4, QuotaTier.values()[step % 3], now);
                 others.add(other);
             }
             now += length;
             if (step < 16) {
-                all.waitStarted(meter, LatencyComponent.values()[step], step % 3, now);
+                all.waitStarted(timer, LatencyComponent.values()[step], step % 3, now);
             } else if (step < 28) {
-                all.attemptSent(meter, step % 4, QuotaTier.values()[step % 3], now);
+                all.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
                 // A node may tell more than the attempt took.
                 all.attemptAnswered(
-                        meter,
+                        timer,
                         length * (step - 16) / 6,
                         length * (step - 20) / 4,
                         step % 5,
                         now + length);
                 now += length;
             } else {
-                all.attemptSent(meter, step % 4, QuotaTier.values()[step % 3], now);
+                all.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
                 all.attemptFailed(
-                        meter, Outcome.values()[step % Outcome.values().length], now + length / 2);
+                        timer, Outcome.values()[step % Outcome.values().length], now + length / 2);
                 now += length;
             }
         }
-        all.end(meter, Accounts.End.SERVED, Reason.NONE, 1, now);
+        all.end(timer, Accounts.End.SERVED, Reason.NONE, 1, now);
         all.waitStarted(
-                meter,
+                timer,
                 LatencyComponent.FAILED_ATTEMPT,
                 1,
                 now + 500); // after its end nothing is added
@@ -114,9 +119,9 @@
             all.attemptFailed(other, Outcome.TIMED_OUT, now + 1);
         }
         double sum = 0;
-        for (LatencyComponent part : LatencyComponent.values()) {
-            assertTrue(meter.millisIn(part) >= 0);
-            sum += meter.millisIn(part);
+        for (LatencyComponent component : LatencyComponent.values()) {
+            assertTrue(timer.millisIn(component) >= 0);
+            sum += timer.millisIn(component);
         }
         assertEquals(now - start, sum, 1e-6 * Math.max(1, now));
         LatencyReport report = all.report(7, start, now);
@@ -136,15 +141,15 @@
     }
 
     @Test
-    void aSlowNodeIsToldFromANeighbour() {
+    void aSlowNodeIsDistinguishedFromANeighbour() {
         for (int i = 0; i < 50; i++) {
             for (int node = 1; node <= 4; node++) {
                 attempt(accounts, 1, node, QuotaTier.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
             }
         }
-        OperationTimer flood = accounts.begin(9, BAND, false, 3, 600);
+        OperationTimer flood = accounts.begin(9, TRAFFIC_CLASS, false, 3, 600);
         accounts.attemptSent(flood, 4, QuotaTier.EXCESS, 600);
-        OperationTimer waits = accounts.begin(2, BAND, false, 1, 600);
+        OperationTimer waits = accounts.begin(2, TRAFFIC_CLASS, false, 1, 600);
         accounts.waitStarted(waits, LatencyComponent.SHARE_FULL, 4, 600);
         accounts.end(waits, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 4, 900);
         LatencyReport report = accounts.report(2, 0, 2000);
@@ -166,19 +171,20 @@
     }
 
     @Test
-    void whoIsBeyondItsShareWaitsOnItself() {
+    void aVolumeInExcessOfItsShareWaitsOnItsOwnLoad() {
         for (int i = 0; i < 8; i++) {
-            accounts.attemptSent(accounts.begin(3, BAND, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
+            accounts.attemptSent(
+                    accounts.begin(3, TRAFFIC_CLASS, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, LatencyComponent.EXCESS_FULL, 1, 0, 10);
-            heldUntilDeclined(accounts, 4, LatencyComponent.RESERVATION_FULL, 1, 0, 10);
+            heldUntilRejected(accounts, 2, LatencyComponent.EXCESS_FULL, 1, 0, 10);
+            heldUntilRejected(accounts, 4, LatencyComponent.RESERVATION_FULL, 1, 0, 10);
         }
         assertEquals(Cause.Kind.OWN_LOAD, accounts.report(2, 0, 100).mainCause().kind());
         assertTrue(
                 accounts.report(2, 0, 100).causes().stream()
                         .noneMatch(cause -> cause.kind() == Cause.Kind.NEIGHBOUR),
-                "nobody else is named");
+                "no other volume is named");
         LatencyReport reserved = accounts.report(4, 0, 100);
         assertEquals(Cause.Kind.NEIGHBOUR, reserved.mainCause().kind());
         assertEquals(3, reserved.mainCause().volume());
@@ -186,10 +192,10 @@
     }
 
     @Test
-    void othersWorkAtANodeIsNotLaidUponWhoIsSeen() {
+    void workOfOtherGatewaysIsNotChargedToAVolumeInFlightHere() {
         for (int i = 0; i < 60; i++) {
             double at = 100 * i;
-            OperationTimer small = accounts.begin(5, BAND, false, 1, at);
+            OperationTimer small = accounts.begin(5, TRAFFIC_CLASS, false, 1, at);
             accounts.attemptSent(small, 1, QuotaTier.SHARE, at);
             // The node tells of a queue that is not this gateway's.
             attempt(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
@@ -197,7 +203,7 @@
             accounts.end(small, Accounts.End.SERVED, Reason.NONE, 1, at + 66);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
+            heldUntilRejected(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(
@@ -206,13 +212,13 @@
     }
 
     @Test
-    void aPauseIsNotTheReadersDoing() {
+    void aPauseIsNotChargedToTheReaders() {
         for (int i = 0; i < 100; i++) {
-            OperationTimer writer = accounts.begin(8, BAND, true, 1, 20 * i);
+            OperationTimer writer = accounts.begin(8, TRAFFIC_CLASS, true, 1, 20 * i);
             accounts.attemptSent(writer, 1, QuotaTier.SHARE, 20 * i);
             accounts.attemptAnswered(writer, 0, 5, 0, 20 * i + 5);
             accounts.end(writer, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 5);
-            OperationTimer before = accounts.begin(3, BAND, false, 1, 20 * i + 6);
+            OperationTimer before = accounts.begin(3, TRAFFIC_CLASS, false, 1, 20 * i + 6);
             accounts.attemptSent(before, 1, QuotaTier.SHARE, 20 * i + 6);
             // Usually a unit ahead is waited for 5 ms; once in a while for 300.
             attempt(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
@@ -226,15 +232,16 @@
     }
 
     @Test
-    void aNodeThatFellQuietHoldsUpItsAttemptsItself() {
+    void waitsForAQuietNodeAreItsFault() {
         for (int i = 0; i < 20; i++) {
             attempt(accounts, 3, 1, QuotaTier.SHARE, 10 * i, 0, 5, 0);
         }
         for (int i = 0; i < 8; i++) {
-            accounts.attemptSent(accounts.begin(3, BAND, false, 1, 200), 1, QuotaTier.SHARE, 200);
+            accounts.attemptSent(
+                    accounts.begin(3, TRAFFIC_CLASS, false, 1, 200), 1, QuotaTier.SHARE, 200);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilDeclined(accounts, 2, LatencyComponent.SHARE_FULL, 1, 200, 900);
+            heldUntilRejected(accounts, 2, LatencyComponent.SHARE_FULL, 1, 200, 900);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.FAULT, report.mainCause().kind());
@@ -243,18 +250,18 @@
 
     @Test
     void anAttemptThatTimedOutInALongQueueIsNotTheNodesFault() {
-        OperationTimer flood = accounts.begin(9, BAND, false, 20, 0);
+        OperationTimer flood = accounts.begin(9, TRAFFIC_CLASS, false, 20, 0);
         accounts.attemptSent(flood, 1, QuotaTier.EXCESS, 0);
         for (int i = 0; i < 40; i++) {
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 100 * i, 90, 10, 0);
         }
         for (int i = 0; i < 30; i++) {
-            OperationTimer late = accounts.begin(2, BAND, false, 1, 3900);
+            OperationTimer late = accounts.begin(2, TRAFFIC_CLASS, false, 1, 3900);
             accounts.attemptSent(late, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.attemptFailed(late, Outcome.TIMED_OUT, 4100);
             accounts.end(late, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 1, 4100);
-            OperationTimer lost = accounts.begin(3, BAND, false, 1, 3900);
+            OperationTimer lost = accounts.begin(3, TRAFFIC_CLASS, false, 1, 3900);
             accounts.attemptSent(lost, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.attemptFailed(lost, Outcome.TIMED_OUT, 6900);
@@ -268,19 +275,19 @@
     }
 
     @Test
-    void memoryStaysBoundedWhateverComes() {
+    void memoryIsBoundedForAnyNumberOfVolumes() {
         Accounts small = new Accounts(SMALL, 0);
         for (int i = 0; i < 100_000; i++) {
             double at = i * 100.0;
-            OperationTimer meter = small.begin(i + 1, BAND, i % 2 == 0, 1, at);
-            small.attemptSent(meter, 1 + i % 30, QuotaTier.SHARE, at);
-            small.attemptFailed(meter, Outcome.RESET, at + 10);
-            small.waitStarted(meter, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
-            small.end(meter, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
+            OperationTimer timer = small.begin(i + 1, TRAFFIC_CLASS, i % 2 == 0, 1, at);
+            small.attemptSent(timer, 1 + i % 30, QuotaTier.SHARE, at);
+            small.attemptFailed(timer, Outcome.RESET, at + 10);
+            small.waitStarted(timer, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
+            small.end(timer, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
         }
         assertTrue(small.volumes().size() <= 6, small.volumes().toString());
         assertTrue(small.windowCount() <= 60, "windows " + small.windowCount());
-        assertTrue(small.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MOST_CAUSES);
+        assertTrue(small.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MAX_CAUSES);
         long operations =
                 small.volumes().stream()
                         .mapToLong(volume -> small.report(volume, 0, 10_000_000).operations())
@@ -299,10 +306,10 @@
     }
 
     @Test
-    void partsOfThePlanAreToldApart() {
+    void planTiersAreCountedApart() {
         attempt(accounts, 2, 1, QuotaTier.RESERVATION, 0, 1, 4, 0);
         attempt(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
-        OperationTimer limited = accounts.begin(2, BAND, false, 1, 0);
+        OperationTimer limited = accounts.begin(2, TRAFFIC_CLASS, false, 1, 0);
         accounts.waitStarted(limited, LatencyComponent.LIMIT, 0, 0);
         accounts.attemptSent(limited, 1, QuotaTier.SHARE, 50);
         accounts.attemptAnswered(limited, 0, 5, 0, 55);
@@ -318,19 +325,19 @@
     }
 
     @Test
-    void accountsGoOnAfterARestartThoughTheClockWasSetBack() {
+    void accountsContinueAfterARestartWithTheClockSetBack() {
         Accounts before = new Accounts(Accounts.Bounds.DEFAULT, 5e9);
         attempt(before, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
-        LatencyAccount kept = StoredAccounts.of(before.snapshot()).toAccount();
+        LatencyAccount stored = StoredAccounts.of(before.snapshot()).toAccount();
         Accounts after = new Accounts(Accounts.Bounds.DEFAULT, 5e9 - 7_200_000);
-        after.restore(kept, 0);
+        after.restore(stored, 0);
         assertEquals(1, after.report(2, -86_400_000, 0).operations());
         attempt(after, 2, 1, QuotaTier.SHARE, 10, 5, 5, 0);
         assertEquals(2, after.report(2, -86_400_000, 1000).operations());
     }
 
     @Test
-    void otherGatewaysBooksNameWhoWorkedElsewhere() {
+    void accountsOfOtherGatewaysNameTheVolumesThatWorkedThere() {
         // The second gateway's clock is an hour ahead; both note the list's versions 4 and 5.
         Accounts flooder = new Accounts(Accounts.Bounds.DEFAULT, 1e12 + 3_600_000);
         for (int i = 0; i < 200; i++) {
@@ -359,6 +366,6 @@
         assertNotEquals(
                 LatencyReport.Confidence.HIGH,
                 report.mainCause().confidence(),
-                "it is reckoned, not seen");
+                "it is estimated, not observed");
     }
 }
