--- a/src/main/java/sagepulley/standin/BlockStore.java
+++ b/src/main/java/sagepulley/standin/BlockStore.java
@@ -15,22 +15,21 @@
 import java.util.Set;
 
 /**
- * The data of a stand-in node, an array for each extent, or a file each. What was written but not
- * flushed is lost when the power fails, not when the program ends.
+ * The data of a stand-in node: an array for each extent, or a file each. What was written but not
+ * flushed is lost when the power fails, not when the program ends. Used on the node's loop only.
  */
 final class BlockStore {
-    private record ExtentKey(int volume, long extent) {}
-
     private final int extentBytes;
     private final Path folder;
     private final Map<ExtentKey, byte[]> memory = new HashMap<>();
 
-    /** What was durable of the extents that have unflushed writes; null where nothing was. */
+    /** The durable content of extents that have unflushed writes. */
     private final Map<ExtentKey, byte[]> durable = new HashMap<>();
 
     private final Map<ExtentKey, FileChannel> files = new HashMap<>();
     private final Set<ExtentKey> dirtyFiles = new HashSet<>();
 
+    /** A store of extents of one size; the folder is null to keep them in memory. */
     BlockStore(int extentBytes, Path folder) {
         this.extentBytes = extentBytes;
         this.folder = folder;
@@ -42,65 +41,80 @@
         try {
             return folder == null ? memory.containsKey(key) : file(key, false) != null;
         } catch (IOException e) {
-            return true; // it cannot be told: what reads it will say so
+            return true; // not known: whatever reads it will fail with the reason
         }
     }
 
+    /** Appends a range of an extent to a buffer; what was never written reads as zeros. */
     ByteBuf read(int volume, long extent, int offset, int length, ByteBuf into) throws IOException {
         ExtentKey key = new ExtentKey(volume, extent);
         if (folder != null) {
-            FileChannel file = file(key, false);
-            int start = into.writerIndex();
-            into.writeZero(length);
-            if (file != null) {
-                ByteBuffer to = into.nioBuffer(start, length);
-                while (to.hasRemaining()) {
-                    if (file.read(to, offset + to.position()) < 0) {
-                        break;
-                    }
-                }
-            }
-            return into;
+            return readFile(key, offset, length, into);
         }
         byte[] data = memory.get(key);
         return data == null ? into.writeZero(length) : into.writeBytes(data, offset, length);
     }
 
+    private ByteBuf readFile(ExtentKey key, int offset, int length, ByteBuf into)
+            throws IOException {
+        FileChannel file = file(key, false);
+        int start = into.writerIndex();
+        into.writeZero(length);
+        if (file == null) {
+            return into;
+        }
+        ByteBuffer to = into.nioBuffer(start, length);
+        while (to.hasRemaining()) {
+            if (file.read(to, offset + to.position()) < 0) {
+                break;
+            }
+        }
+        return into;
+    }
+
+    /** Writes a range of an extent, durably at once or with the next flush. */
     void write(int volume, long extent, int offset, ByteBuf data, boolean nowDurable)
             throws IOException {
         ExtentKey key = new ExtentKey(volume, extent);
-        int length = data.readableBytes();
         if (folder != null) {
-            FileChannel file = file(key, true);
-            ByteBuffer from = data.nioBuffer();
-            while (from.hasRemaining()) {
-                file.write(from, offset + from.position());
-            }
-            dirtyFiles.add(key);
-            if (nowDurable) {
-                file.force(false);
-                dirtyFiles.remove(key);
-            }
+            writeFile(key, offset, data, nowDurable);
             return;
         }
-        byte[] at = memory.computeIfAbsent(key, any -> new byte[extentBytes]);
-        if (nowDurable && !durable.containsKey(key)) {
-            data.getBytes(data.readerIndex(), at, offset, length);
-            return;
+        byte[] content = memory.computeIfAbsent(key, any -> new byte[extentBytes]);
+        if (!nowDurable) {
+            durable.computeIfAbsent(key, any -> content.clone());
+        }
+        copy(data, content, offset);
+        if (nowDurable && durable.containsKey(key)) {
+            copy(data, durable.get(key), offset);
+        }
+    }
+
+    private static void copy(ByteBuf data, byte[] to, int offset) {
+        data.getBytes(data.readerIndex(), to, offset, data.readableBytes());
+    }
+
+    private void writeFile(ExtentKey key, int offset, ByteBuf data, boolean nowDurable)
+            throws IOException {
+        FileChannel file = file(key, true);
+        ByteBuffer from = data.nioBuffer();
+        while (from.hasRemaining()) {
+            file.write(from, offset + from.position());
         }
-        durable.computeIfAbsent(key, any -> at.clone());
-        data.getBytes(data.readerIndex(), at, offset, length);
+        dirtyFiles.add(key);
         if (nowDurable) {
-            data.getBytes(data.readerIndex(), durable.get(key), offset, length);
+            file.force(false);
+            dirtyFiles.remove(key);
         }
     }
 
+    /** Writes zeros. */
     void zero(int volume, long extent, int offset, int length, boolean nowDurable)
             throws IOException {
         write(volume, extent, offset, Unpooled.wrappedBuffer(new byte[length]), nowDurable);
     }
 
-    /** All of a volume that was written is durable from now on. */
+    /** Makes all that was written of a volume durable. */
     void flush(int volume) throws IOException {
         durable.keySet().removeIf(key -> key.volume() == volume);
         for (ExtentKey key : Set.copyOf(dirtyFiles)) {
@@ -111,7 +125,7 @@
         }
     }
 
-    /** Forgets what was not durable; tells whether anything was lost. Files lose nothing here. */
+    /** Forgets what was not durable; whether anything was lost. Files lose nothing here. */
     boolean failPower() {
         boolean lost = !durable.isEmpty();
         memory.putAll(durable);
@@ -119,6 +133,7 @@
         return lost;
     }
 
+    /** Closes the files; they are opened again when needed. */
     void close() {
         files.values()
                 .forEach(
--- a/src/main/java/sagepulley/standin/DirectoryRegistration.java
+++ b/src/main/java/sagepulley/standin/DirectoryRegistration.java
@@ -16,10 +16,10 @@
 import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
- * Keeps a stand-in node registered at a directory: connects, says its line, connects anew when cut
- * off.
+ * Keeps a stand-in node registered at a directory: connects, sends its line, and reconnects when
+ * the connection ends. Its state belongs to the loop that it was given.
  */
-public final class DirectoryRegistration {
+public final class DirectoryRegistration implements AutoCloseable {
     private static final long RECONNECT_DELAY_MILLIS = 500;
 
     private final EventLoop loop;
@@ -28,6 +28,7 @@
     private Channel channel;
     private volatile boolean closed;
 
+    /** Registers at a directory from now on; the line is read anew for each registration. */
     public DirectoryRegistration(
             EventLoop loop,
             InetSocketAddress directory,
@@ -38,16 +39,8 @@
         loop.execute(this::connect);
     }
 
-    /** Says the line again, as it is now. */
-    public void registerAgain() {
-        loop.execute(
-                () -> {
-                    if (channel != null && channel.isActive()) {
-                        channel.writeAndFlush(DirectoryMessages.register(line.get()));
-                    }
-                });
-    }
-
+    /** Ends the registration: the directory then lists the node as gone. */
+    @Override
     public void close() {
         closed = true;
         loop.execute(
@@ -68,8 +61,9 @@
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
-                            protected void initChannel(Channel fresh) {
-                                fresh.pipeline()
+                            protected void initChannel(Channel connection) {
+                                connection
+                                        .pipeline()
                                         .addLast(
                                                 new FrameDecoder(0),
                                                 new FrameEncoder(),
--- a/src/main/java/sagepulley/standin/Faults.java
+++ b/src/main/java/sagepulley/standin/Faults.java
@@ -1,20 +1,20 @@
 package sagepulley.standin;
 
-/** The faults of a stand-in node, set and read on any thread. */
+/** The faults of a stand-in node; fields are set and read on any thread. */
 public final class Faults {
-    /** Takes operations, runs them and answers none, nor probes. */
+    /** Executes attempts and answers none, nor health checks. */
     public volatile boolean unresponsive;
 
-    /** Reads nothing from its sockets, and serves nothing. */
+    /** Handles nothing that comes, and serves nothing. */
     public volatile boolean paused;
 
-    /** Turns every operation away as if its queue were full. */
+    /** Rejects every attempt as if its queue were full. */
     public volatile boolean rejecting;
 
-    /** The share of operations that run and end with an error. */
+    /** The share of operations, 0 to 1, that are executed and end with an error. */
     public volatile double errorShare;
 
-    /** The share of answers that are lost on the way, though probes are answered. */
+    /** The share of answers, 0 to 1, that are lost on the way; health checks are answered. */
     public volatile double lostAnswerShare;
 
     /** How many times longer everything takes. */
@@ -23,12 +23,15 @@
     /** Accepts no connection. */
     public volatile boolean unreachable;
 
-    /** The next answer is cut off in its middle, and the link's sending side closed. */
+    /** The next answer with data is cut off in its middle, and the sending side shut down. */
     public volatile boolean halfCloseNextAnswer;
 
-    /** The next answer is garbage, comes twice, or is for an attempt that was never sent. */
+    /** The next answer is bytes that are no frame. */
     public volatile boolean garbleNextAnswer;
 
+    /** The next answer is sent twice. */
     public volatile boolean duplicateNextAnswer;
+
+    /** Before the next answer comes one for an attempt that was never sent. */
     public volatile boolean answerUnknownAttempt;
 }
--- /dev/null
+++ b/src/main/java/sagepulley/standin/GatewaySession.java
@@ -0,0 +1,218 @@
+package sagepulley.standin;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Queue;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.FrameFields;
+import sagepulley.codec.frame.MalformedMessageException;
+import sagepulley.upstream.frame.StoreMessages;
+
+/** One gateway's connection to a stand-in node: reads its messages, and writes its answers. */
+final class GatewaySession extends ChannelInboundHandlerAdapter {
+    /** What a node does on a gateway's messages; called on the node's loop. */
+    interface Listener {
+        /** The connection is up; the gateway has not yet said who it is. */
+        void opened(GatewaySession session);
+
+        /** The gateway has said who it is. */
+        void greeted(GatewaySession session);
+
+        /** An attempt came; the listener owns its payload. */
+        void attemptReceived(PendingAttempt attempt);
+
+        /** The gateway gives an attempt up. */
+        void attemptCancelled(GatewaySession session, long attempt);
+
+        /** The gateway asks whether the node is alive, and for its load. */
+        void healthChecked(GatewaySession session, long id);
+
+        /** The gateway asks for an extent's write token. */
+        void writeTokenRequested(GatewaySession session, ExtentKey extent, long requestId);
+
+        /** The connection ended. */
+        void closed(GatewaySession session);
+    }
+
+    private static final int EXTENT_KEY_BYTES = Integer.BYTES + Long.BYTES;
+
+    private final Channel channel;
+    private final int node;
+    private final Faults faults;
+    private final TrafficRecorder recorder;
+    private final Listener listener;
+    private final AnswerWriter answers;
+    private long gateway;
+    private boolean greeted;
+
+    /** Units served through this session, by volume. */
+    private final Map<Integer, Double> ownUnits = new HashMap<>();
+
+    /** Units served for others as of this session's last answer, by volume. */
+    private final Map<Integer, Double> reportedOtherUnits = new HashMap<>();
+
+    private final Map<Long, StoreMessages.Send> unanswered = new HashMap<>();
+
+    /** What came while the node was paused. */
+    private final Queue<Frame> inbox = new ArrayDeque<>();
+
+    GatewaySession(
+            Channel channel, int node, Faults faults, TrafficRecorder recorder, Listener listener) {
+        this.channel = channel;
+        this.node = node;
+        this.faults = faults;
+        this.recorder = recorder;
+        this.listener = listener;
+        this.answers = new AnswerWriter(channel, faults);
+    }
+
+    /** The gateway's incarnation, once greeted; 0 before. */
+    long gateway() {
+        return gateway;
+    }
+
+    boolean isActive() {
+        return channel.isActive();
+    }
+
+    ByteBuf allocate(int bytes) {
+        return channel.alloc().ioBuffer(bytes);
+    }
+
+    void send(Frame frame) {
+        channel.writeAndFlush(frame);
+    }
+
+    void close() {
+        channel.close();
+    }
+
+    /** Writes the answer to an attempt. */
+    void answer(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
+        unanswered.remove(attempt);
+        answers.write(attempt, answer, payload);
+    }
+
+    /** Counts units that were served through this session. */
+    void countServed(int volume, double units) {
+        ownUnits.merge(volume, units, Double::sum);
+    }
+
+    /**
+     * Units that a volume had served through other sessions since this session's last answer.
+     *
+     * @param servedUnits units that the node served of that volume for all
+     */
+    float unitsOfOthersSinceLastAnswer(int volume, double servedUnits) {
+        double others = servedUnits - ownUnits.getOrDefault(volume, 0.0);
+        double before = reportedOtherUnits.getOrDefault(volume, others);
+        reportedOtherUnits.put(volume, others);
+        return (float) Math.max(0, others - before);
+    }
+
+    /** Handles what came while the node was paused. */
+    void handleInbox() {
+        for (Frame frame = inbox.poll(); frame != null; frame = inbox.poll()) {
+            try {
+                handle(frame);
+            } catch (MalformedMessageException e) {
+                channel.close();
+            }
+        }
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        listener.opened(this);
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object message)
+            throws MalformedMessageException {
+        Frame frame = (Frame) message;
+        if (greeted) {
+            record(frame);
+        }
+        if (faults.paused) {
+            inbox.add(frame);
+            return;
+        }
+        handle(frame);
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        inbox.forEach(Frame::release);
+        inbox.clear();
+        listener.closed(this);
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        ctx.close();
+    }
+
+    /** What passed is recorded when it came, even while the node is paused. */
+    private void record(Frame frame) throws MalformedMessageException {
+        if (frame.type() == StoreMessages.SEND) {
+            StoreMessages.Send send =
+                    StoreMessages.send(
+                            new Frame(
+                                    frame.type(),
+                                    frame.id(),
+                                    frame.head().duplicate(),
+                                    frame.payload()));
+            unanswered.put(frame.id(), send);
+            recorder.attemptReceived(node, gateway, send, System.nanoTime());
+        } else if (frame.type() == StoreMessages.CALL_OFF) {
+            StoreMessages.Send send = unanswered.remove(frame.id());
+            if (send != null) {
+                recorder.attemptCancelled(
+                        node, gateway, send.mark(), send.number(), System.nanoTime());
+            }
+        }
+    }
+
+    private void handle(Frame frame) throws MalformedMessageException {
+        try {
+            if (channel.isActive()) {
+                dispatch(frame);
+            }
+        } finally {
+            frame.release();
+        }
+    }
+
+    private void dispatch(Frame frame) throws MalformedMessageException {
+        if (!greeted && frame.type() != StoreMessages.HELLO) {
+            throw new MalformedMessageException("message " + frame.type() + " before the hello");
+        }
+        switch (frame.type()) {
+            case StoreMessages.HELLO -> {
+                gateway = StoreMessages.hello(frame).gateway();
+                greeted = true;
+                listener.greeted(this);
+            }
+            case StoreMessages.SEND -> {
+                StoreMessages.Send send = StoreMessages.send(frame);
+                listener.attemptReceived(
+                        new PendingAttempt(this, frame.id(), send, frame.payload().retain()));
+            }
+            case StoreMessages.CALL_OFF -> listener.attemptCancelled(this, frame.id());
+            case StoreMessages.PROBE -> listener.healthChecked(this, frame.id());
+            case StoreMessages.TAKE_PEN -> {
+                ByteBuf head = FrameFields.need(frame, EXTENT_KEY_BYTES);
+                listener.writeTokenRequested(
+                        this, new ExtentKey(head.readInt(), head.readLong()), frame.id());
+            }
+            default ->
+                    throw new MalformedMessageException(
+                            "message " + frame.type() + " from a gateway");
+        }
+    }
+}
--- a/src/main/java/sagepulley/standin/NodeProfile.java
+++ b/src/main/java/sagepulley/standin/NodeProfile.java
@@ -3,9 +3,25 @@
 import java.nio.file.Path;
 
 /**
- * What a stand-in node is like. Costs are milliseconds of one slot for a unit; shares are 0 to 1; a
- * write's deferred share is done in one go each deferEvery milliseconds. The data path is null for
- * memory.
+ * What a stand-in node is like.
+ *
+ * @param id its number in the endpoint list
+ * @param cell the cell whose extents it holds
+ * @param zone its zone's place in the site's list
+ * @param kind its kind's place in the site's list
+ * @param slots operations at once
+ * @param readCostMillis milliseconds of one slot for a unit read
+ * @param writeCostMillis milliseconds of one slot for a unit written
+ * @param queueLimit operations that may wait
+ * @param extentBytes the size of an extent
+ * @param slowStartShare the share of its capacity that it has right after a start, 0 to 1
+ * @param slowStartMillis how long it takes to reach all of its capacity
+ * @param overloadMultiple how many times its present capacity it bears during its slow start
+ * @param overloadWindowMillis the time over which that load is counted
+ * @param slowStartUnits units within that time that it bears in any case
+ * @param deferredShare the share of each write's cost that it puts off, 0 to 1
+ * @param deferIntervalMillis how often it does what it has put off, in one go
+ * @param dataFolder where it keeps data in files; null for memory
  */
 public record NodeProfile(
         int id,
@@ -32,16 +48,16 @@
                 id, id, 0, 0, 4, 0, 0, 256, extentBytes, 0.25, 10_000, 2, 2_000, 8, 0, 1_000, null);
     }
 
-    /** The same with costs for each unit. */
-    public NodeProfile withCost(double read, double write) {
+    /** The same with costs for each unit, in milliseconds of one slot. */
+    public NodeProfile withCost(double readMillis, double writeMillis) {
         return new NodeProfile(
                 id,
                 cell,
                 zone,
                 kind,
                 slots,
-                read,
-                write,
+                readMillis,
+                writeMillis,
                 queueLimit,
                 extentBytes,
                 slowStartShare,
@@ -54,6 +70,7 @@
                 dataFolder);
     }
 
+    /** The same in another zone. */
     public NodeProfile withZone(int newZone) {
         return new NodeProfile(
                 id,
@@ -75,27 +92,7 @@
                 dataFolder);
     }
 
-    public NodeProfile withData(Path folder) {
-        return new NodeProfile(
-                id,
-                cell,
-                zone,
-                kind,
-                slots,
-                readCostMillis,
-                writeCostMillis,
-                queueLimit,
-                extentBytes,
-                slowStartShare,
-                slowStartMillis,
-                overloadMultiple,
-                overloadWindowMillis,
-                slowStartUnits,
-                deferredShare,
-                deferIntervalMillis,
-                folder);
-    }
-
+    /** The same with another slow start; the arguments are as the components of those names. */
     public NodeProfile withSlowStart(
             double startShare,
             double startMillis,
--- /dev/null
+++ b/src/main/java/sagepulley/standin/PendingAttempt.java
@@ -0,0 +1,27 @@
+package sagepulley.standin;
+
+import io.netty.buffer.ByteBuf;
+import sagepulley.upstream.frame.StoreMessages;
+
+/** An attempt that waits in a stand-in node's queue or is worked on; owns its payload. */
+final class PendingAttempt {
+    final GatewaySession session;
+    final long id;
+    final StoreMessages.Send send;
+    final ByteBuf payload;
+
+    /** When it was read, System.nanoTime. */
+    final long receivedAtNanos = System.nanoTime();
+
+    /** When work on it began, System.nanoTime; 0 before. */
+    long startedAtNanos;
+
+    boolean cancelled;
+
+    PendingAttempt(GatewaySession session, long id, StoreMessages.Send send, ByteBuf payload) {
+        this.session = session;
+        this.id = id;
+        this.send = send;
+        this.payload = payload;
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/standin/SlowStart.java
@@ -0,0 +1,48 @@
+package sagepulley.standin;
+
+import sagepulley.model.SlidingWindowCounter;
+
+/**
+ * How much a stand-in node can do after a start: its capacity grows from a share to all of it, and
+ * until then it collapses under too much work in a short time.
+ */
+final class SlowStart {
+    private static final int WINDOW_SLOTS = 20;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final NodeProfile profile;
+    private long startedAtNanos;
+    private SlidingWindowCounter recentUnits;
+
+    SlowStart(NodeProfile profile) {
+        this.profile = profile;
+    }
+
+    /** The node starts now; one that starts warm has all of its capacity. */
+    void begin(boolean warm) {
+        long ageNanos = warm ? (long) (profile.slowStartMillis() * 2 * NANOS_PER_MILLI) : 0;
+        startedAtNanos = System.nanoTime() - ageNanos;
+        recentUnits = new SlidingWindowCounter(profile.overloadWindowMillis(), WINDOW_SLOTS);
+    }
+
+    /** What it can do now as a share of what it can do when warm, 0 to 1. */
+    double capacityShare() {
+        double ageMillis = (System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI;
+        double share = profile.slowStartShare();
+        return Math.min(1, share + (1 - share) * ageMillis / profile.slowStartMillis());
+    }
+
+    /** Counts units that arrived; whether the node collapses under them. */
+    boolean collapsesUnder(double units) {
+        double nowMillis = System.nanoTime() / NANOS_PER_MILLI;
+        recentUnits.add(nowMillis, units);
+        double share = capacityShare();
+        double windowSeconds = profile.overloadWindowMillis() / MILLIS_PER_SECOND;
+        double bearable =
+                profile.overloadMultiple() * share * profile.unitsPerSecond() * windowSeconds;
+        return share < 1
+                && recentUnits.sumUnderestimate(nowMillis)
+                        > Math.max(profile.slowStartUnits(), bearable);
+    }
+}
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -1,13 +1,9 @@
 package sagepulley.standin;
 
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
@@ -16,98 +12,86 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.frame.Frame;
-import sagepulley.codec.frame.FrameDecoder;
-import sagepulley.codec.frame.FrameEncoder;
 import sagepulley.codec.frame.FrameFields;
 import sagepulley.codec.frame.MalformedMessageException;
 import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
- * A small directory: the list of nodes, told late on purpose, and the holder of each extent,
- * claimed once. Nodes register over a socket and count as gone when their connection ends, or are
- * put in by hand. All on one loop; faults may be set from any thread.
+ * A small directory: the endpoint list, of which changes are notified late on demand, and the
+ * holder of each extent, claimed once. Nodes register over a socket and count as gone when their
+ * connection ends, or are put in by a test. All on one loop; faults may be set from any thread.
  */
 public final class StandInDirectory {
-    private record ExtentKey(int volume, long extent) {}
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    /** The directory's answer for an extent without a holder. */
+    private static final int NO_CELL = -1;
 
     private final EventLoop loop;
     private final TrafficRecorder recorder;
+    private final FrameServer server;
 
-    /** The list as it is, and as it is told. */
+    /** The list as it is, and as gateways have been notified of it. */
     private final Map<Integer, DirectoryMessages.EndpointLine> lines = new LinkedHashMap<>();
 
     private final Map<Integer, DirectoryMessages.EndpointLine> notifiedLines =
             new LinkedHashMap<>();
     private final Map<ExtentKey, Integer> holders = new HashMap<>();
     private final List<ClientSession> sessions = new ArrayList<>();
-    private Channel listener;
-    private InetSocketAddress address;
     private long version;
+    private long claims;
     private volatile double notificationDelayMillis;
     private volatile double answerDelayMillis;
 
-    /** Of which site it says it is; its own history, and the version that it counts from. */
+    /** The site that it says it is of; empty where it says none. */
     private volatile String siteName = "";
 
+    /** Which history of versions its version counts in. */
     private volatile long history = 1;
+
     private volatile long completeLists;
     private volatile boolean unresponsive;
     private volatile boolean failing;
-    private long claims;
 
+    /** A directory on a loop of the group, which does not listen yet. */
     public StandInDirectory(EventLoopGroup group, TrafficRecorder recorder) {
         this.loop = group.next();
         this.recorder = recorder;
+        this.server = new FrameServer(loop, 0, channel -> Optional.of(new ClientSession(channel)));
     }
 
+    /** Starts to listen at an address (port 0: a free one). */
     public CompletableFuture<StandInDirectory> start(InetSocketAddress at) {
-        CompletableFuture<StandInDirectory> ready = new CompletableFuture<>();
-        new ServerBootstrap()
-                .group(loop)
-                .channel(EventLoops.server())
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(
-                        new ChannelInitializer<Channel>() {
-                            @Override
-                            protected void initChannel(Channel channel) {
-                                channel.pipeline()
-                                        .addLast(
-                                                new FrameDecoder(0),
-                                                new FrameEncoder(),
-                                                new ClientSession(channel));
-                            }
-                        })
-                .bind(at)
-                .addListener(
-                        (ChannelFuture bound) -> {
-                            if (!bound.isSuccess()) {
-                                ready.completeExceptionally(bound.cause());
-                                return;
-                            }
-                            listener = bound.channel();
-                            address = (InetSocketAddress) listener.localAddress();
-                            ready.complete(this);
-                        });
-        return ready;
+        return server.listen(at).thenApply(address -> this);
     }
 
+    /** Where it listens, or listened last; null before its first start. */
     public InetSocketAddress address() {
-        return address;
+        return server.address();
     }
 
-    /** Changes are told so many milliseconds late. */
-    public void delayNotifications(double milliseconds) {
-        notificationDelayMillis = milliseconds;
+    /** Changes are notified so many milliseconds late. */
+    public void delayNotifications(double millis) {
+        notificationDelayMillis = millis;
+    }
+
+    /** Requests are answered so many milliseconds late. */
+    public void delayAnswers(double millis) {
+        answerDelayMillis = millis;
+    }
+
+    /** Answers nothing while this is set, though connections stand. */
+    public void setUnresponsive(boolean now) {
+        unresponsive = now;
     }
 
-    /** Answers calls so many milliseconds late. */
-    public void delayAnswers(double milliseconds) {
-        answerDelayMillis = milliseconds;
+    /** Answers every request that it failed while this is set. */
+    public void setFailing(boolean now) {
+        failing = now;
     }
 
     /**
@@ -115,19 +99,19 @@
      * own.
      */
     public CompletableFuture<Void> replaceWith(
-            String site,
-            long itsHistory,
-            long itsVersion,
-            List<DirectoryMessages.EndpointLine> itsLines) {
+            String newSite,
+            long newHistory,
+            long newVersion,
+            List<DirectoryMessages.EndpointLine> newLines) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    siteName = site;
-                    history = itsHistory;
-                    version = itsVersion;
+                    siteName = newSite;
+                    history = newHistory;
+                    version = newVersion;
                     lines.clear();
                     notifiedLines.clear();
-                    for (DirectoryMessages.EndpointLine line : itsLines) {
+                    for (DirectoryMessages.EndpointLine line : newLines) {
                         lines.put(line.node(), line);
                         notifiedLines.put(line.node(), line);
                     }
@@ -136,21 +120,11 @@
         return done;
     }
 
-    /** Lists told since the start, whole ones. */
+    /** How many complete lists it has sent since its start. */
     public long completeLists() {
         return completeLists;
     }
 
-    /** Answers nothing, though connections stand. */
-    public void setUnresponsive(boolean now) {
-        unresponsive = now;
-    }
-
-    /** Answers every call that it failed. */
-    public void setFailing(boolean now) {
-        failing = now;
-    }
-
     /** A node's line as it now is. */
     public void put(DirectoryMessages.EndpointLine line) {
         loop.execute(() -> update(line));
@@ -161,10 +135,7 @@
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    if (listener != null) {
-                        listener.close();
-                        listener = null;
-                    }
+                    server.close();
                     List.copyOf(sessions).forEach(session -> session.channel.close());
                     stopped.complete(null);
                 });
@@ -173,7 +144,7 @@
 
     /** Comes back at the same address. */
     public CompletableFuture<StandInDirectory> restart() {
-        InetSocketAddress at = address;
+        InetSocketAddress at = address();
         return stop().thenCompose(done -> start(at));
     }
 
@@ -188,28 +159,31 @@
         lines.put(line.node(), line);
         double delayMillis = notificationDelayMillis;
         if (delayMillis <= 0) {
-            notifyWatchers(line);
+            notifyGateways(line);
         } else {
             loop.schedule(
-                    () -> notifyWatchers(line), (long) (delayMillis * 1e6), TimeUnit.NANOSECONDS);
+                    () -> notifyGateways(line),
+                    (long) (delayMillis * NANOS_PER_MILLI),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
-    private void notifyWatchers(DirectoryMessages.EndpointLine line) {
+    private void notifyGateways(DirectoryMessages.EndpointLine line) {
         version++;
         notifiedLines.put(line.node(), line);
-        if (!unresponsive) {
-            for (ClientSession session : sessions) {
-                if (session.subscribed) {
-                    session.sendList(0, false, List.of(line));
-                }
+        if (unresponsive) {
+            return;
+        }
+        for (ClientSession session : sessions) {
+            if (session.subscribed) {
+                session.sendList(0, false, List.of(line));
             }
         }
     }
 
     /** One connection, of a gateway or a node. */
     private final class ClientSession extends ChannelInboundHandlerAdapter {
-        final Channel channel;
+        private final Channel channel;
         private long gateway;
         private boolean subscribed;
         private DirectoryMessages.EndpointLine registered;
@@ -237,18 +211,17 @@
                 throws MalformedMessageException {
             Frame frame = (Frame) message;
             try {
-                told(frame);
+                dispatch(frame);
             } finally {
                 frame.release();
             }
         }
 
-        private void told(Frame frame) throws MalformedMessageException {
-            ByteBuf head = frame.head();
+        private void dispatch(Frame frame) throws MalformedMessageException {
             if (frame.type() == DirectoryMessages.HELLO) {
                 gateway = FrameFields.need(frame, 10).skipBytes(2).readLong();
             } else if (frame.type() == DirectoryMessages.REGISTER) {
-                registered = DirectoryMessages.line(head);
+                registered = DirectoryMessages.line(frame.head());
                 update(registered);
             } else if (unresponsive) {
                 return;
@@ -258,19 +231,18 @@
             } else if (answerDelayMillis > 0) {
                 frame.head().retain();
                 frame.payload().retain();
-                channel.eventLoop()
-                        .schedule(
-                                () -> handleDelayed(frame),
-                                (long) (answerDelayMillis * 1e6),
-                                TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> answerDelayed(frame),
+                        (long) (answerDelayMillis * NANOS_PER_MILLI),
+                        TimeUnit.NANOSECONDS);
             } else {
-                handleRequest(frame);
+                answer(frame);
             }
         }
 
-        private void handleDelayed(Frame frame) {
+        private void answerDelayed(Frame frame) {
             try {
-                handleRequest(frame);
+                answer(frame);
             } catch (MalformedMessageException e) {
                 channel.close();
             } finally {
@@ -278,57 +250,51 @@
             }
         }
 
-        private void handleRequest(Frame frame) throws MalformedMessageException {
+        private void answer(Frame frame) throws MalformedMessageException {
             switch (frame.type()) {
                 case DirectoryMessages.SUBSCRIBE, DirectoryMessages.FETCH -> {
                     subscribed |= frame.type() == DirectoryMessages.SUBSCRIBE;
                     sendList(frame.id(), true, List.copyOf(notifiedLines.values()));
                 }
-                case DirectoryMessages.LOOKUP -> {
-                    ByteBuf head = FrameFields.need(frame, 16);
-                    int volume = head.readInt();
-                    long first = head.readLong();
-                    int count = head.readInt();
-                    if (count < 1 || count > DirectoryMessages.MOST_LOOKED_UP) {
-                        throw new MalformedMessageException("a look-up of " + count + " extents");
-                    }
-                    int[] cells = new int[count];
-                    for (int i = 0; i < count; i++) {
-                        cells[i] = holders.getOrDefault(new ExtentKey(volume, first + i), -1);
-                    }
-                    channel.writeAndFlush(DirectoryMessages.holders(frame.id(), cells));
-                }
-                case DirectoryMessages.CLAIM -> {
-                    ByteBuf head = FrameFields.need(frame, 16);
-                    ExtentKey key = new ExtentKey(head.readInt(), head.readLong());
-                    int cell = head.readInt();
-                    Integer holder = holders.putIfAbsent(key, cell);
-                    claims++;
-                    channel.writeAndFlush(
-                            DirectoryMessages.holder(frame.id(), holder == null ? cell : holder));
-                }
+                case DirectoryMessages.LOOKUP -> lookUp(frame);
+                case DirectoryMessages.CLAIM -> claim(frame);
                 default ->
                         throw new MalformedMessageException(
                                 "message " + frame.type() + " to the directory");
             }
         }
 
+        private void lookUp(Frame frame) throws MalformedMessageException {
+            ByteBuf head = FrameFields.need(frame, 16);
+            int volume = head.readInt();
+            long first = head.readLong();
+            int count = head.readInt();
+            if (count < 1 || count > DirectoryMessages.MOST_LOOKED_UP) {
+                throw new MalformedMessageException("a look-up of " + count + " extents");
+            }
+            int[] cells = new int[count];
+            for (int i = 0; i < count; i++) {
+                cells[i] = holders.getOrDefault(new ExtentKey(volume, first + i), NO_CELL);
+            }
+            channel.writeAndFlush(DirectoryMessages.holders(frame.id(), cells));
+        }
+
+        private void claim(Frame frame) throws MalformedMessageException {
+            ByteBuf head = FrameFields.need(frame, 16);
+            ExtentKey extent = new ExtentKey(head.readInt(), head.readLong());
+            int cell = head.readInt();
+            Integer holder = holders.putIfAbsent(extent, cell);
+            claims++;
+            channel.writeAndFlush(
+                    DirectoryMessages.holder(frame.id(), holder == null ? cell : holder));
+        }
+
         @SuppressWarnings("ReferenceEquality") // a later registration of the node stays
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             sessions.remove(this);
             if (registered != null && lines.get(registered.node()) == registered) {
-                update(
-                        new DirectoryMessages.EndpointLine(
-                                registered.node(),
-                                registered.cell(),
-                                registered.zone(),
-                                registered.kind(),
-                                DirectoryMessages.Phase.GONE,
-                                registered.startedAt(),
-                                registered.weight(),
-                                registered.host(),
-                                registered.port()));
+                update(gone(registered));
             }
         }
 
@@ -337,4 +303,17 @@
             ctx.close();
         }
     }
+
+    private static DirectoryMessages.EndpointLine gone(DirectoryMessages.EndpointLine line) {
+        return new DirectoryMessages.EndpointLine(
+                line.node(),
+                line.cell(),
+                line.zone(),
+                line.kind(),
+                DirectoryMessages.Phase.GONE,
+                line.startedAt(),
+                line.weight(),
+                line.host(),
+                line.port());
+    }
 }
--- a/src/main/java/sagepulley/standin/TrafficRecorder.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -5,20 +5,19 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Notes what passes on the stand-ins' sockets. Called on their loops; times are nanoseconds of one
- * clock.
+ * Records what passes on the stand-ins' sockets. Called on their loops; times are System.nanoTime.
  */
 public interface TrafficRecorder {
-    /** Notes nothing. */
+    /** Records nothing. */
     TrafficRecorder NO_OP = new TrafficRecorder() {};
 
-    /** An attempt was read from a gateway's link. */
+    /** An attempt was read from a gateway's connection. */
     default void attemptReceived(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
-    /** An operation's work was begun; its effect is there from now on. */
+    /** An operation was executed; its effect is there from now on. */
     default void operationExecuted(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
-    /** An answer was handed to the socket, or kept back by a fault. */
+    /** An answer was handed to the socket, or held back by a fault (lost). */
     default void attemptAnswered(
             int node,
             long gateway,
@@ -28,16 +27,20 @@
             boolean lost,
             long nanos) {}
 
-    /** An attempt was called off by its gateway. */
+    /** An attempt was cancelled by its gateway. */
     default void attemptCancelled(int node, long gateway, long mark, int number, long nanos) {}
 
-    /** A node began to serve after a start, with what it can do when warm in units a second. */
+    /**
+     * A node began to serve after a start.
+     *
+     * @param unitsPerSecond what it can do when warm; NaN where it started warm
+     */
     default void nodeStarted(int node, double unitsPerSecond, long nanos) {}
 
-    /** A cold node was sent too much and fell over. */
+    /** A node collapsed under overload during its slow start. */
     default void nodeCollapsed(int node, long nanos) {}
 
-    /** A gateway was told lines of the list. */
+    /** A gateway was sent the endpoint list, complete or only what changed. */
     default void endpointListSent(
             long gateway,
             boolean complete,
--- /dev/null
+++ b/src/main/java/sagepulley/standin/WriteTokens.java
@@ -0,0 +1,83 @@
+package sagepulley.standin;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Queue;
+import java.util.concurrent.TimeUnit;
+import sagepulley.upstream.frame.StoreMessages;
+
+/**
+ * The write tokens (fencing tokens) of a stand-in node's extents: only the gateway that holds an
+ * extent's token may change it. Used on the node's loop only.
+ */
+final class WriteTokens {
+    /** A holder keeps a token for so long that its writes arrive before another takes it away. */
+    private static final long MIN_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+
+    private record Request(GatewaySession session, long id) {}
+
+    private static final class Token {
+        GatewaySession holder;
+        long heldSinceNanos;
+        final Queue<Request> waiting = new ArrayDeque<>(1);
+    }
+
+    private final EventLoop loop;
+    private final Map<ExtentKey, Token> tokens = new HashMap<>();
+
+    WriteTokens(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    boolean isHeldBy(GatewaySession session, ExtentKey extent) {
+        Token token = tokens.get(extent);
+        return token != null && token.holder == session;
+    }
+
+    /** A gateway asks for an extent's token; it is told once it has it. */
+    void request(GatewaySession session, ExtentKey extent, long requestId) {
+        Token token = tokens.computeIfAbsent(extent, any -> new Token());
+        token.waiting.add(new Request(session, requestId));
+        pass(extent, token);
+    }
+
+    /** The tokens of a session that ended, unless others wait for them, are nobody's. */
+    void release(GatewaySession session) {
+        tokens.values().removeIf(token -> token.holder == session && token.waiting.isEmpty());
+    }
+
+    void clear() {
+        tokens.clear();
+    }
+
+    private void pass(ExtentKey extent, Token token) {
+        while (!token.waiting.isEmpty()) {
+            Request request = token.waiting.peek();
+            long heldNanos = System.nanoTime() - token.heldSinceNanos;
+            boolean held =
+                    token.holder != null
+                            && token.holder != request.session()
+                            && token.holder.isActive();
+            if (held && heldNanos < MIN_HOLD_NANOS) {
+                loop.schedule(
+                        () -> pass(extent, token),
+                        MIN_HOLD_NANOS - heldNanos,
+                        TimeUnit.NANOSECONDS);
+                return;
+            }
+            token.waiting.poll();
+            if (held) {
+                notify(token.holder, StoreMessages.PEN_LOST, 0, extent);
+            }
+            token.holder = request.session();
+            token.heldSinceNanos = System.nanoTime();
+            notify(request.session(), StoreMessages.PEN, request.id(), extent);
+        }
+    }
+
+    private static void notify(GatewaySession session, int type, long requestId, ExtentKey extent) {
+        session.send(StoreMessages.pen(type, requestId, extent.volume(), extent.extent()));
+    }
+}
