--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -9,8 +9,8 @@
 /**
  * The rules on answers and attempts, judged from what passed on the sockets: each request that a
  * gateway took gets one final answer in time, with the value that a store made for it; what may not
- * run twice is sent once; a store is told no later deadline than the client's; and nothing begins
- * for a client that has gone.
+ * run twice is sent once; a store gets no later deadline than the client's; and nothing begins for
+ * a client that has disconnected.
  */
 final class AnswerRule {
     private static final long MAX_LATE_MILLIS = 500;
@@ -24,8 +24,8 @@
     private static final long MIN_STOP_NOTICE_MILLIS = 700;
 
     /**
-     * When a gateway process was told to end, when SIGKILL was sent and when it was gone; one that
-     * was not told has 0 for the first.
+     * When a gateway process was sent SIGTERM, when SIGKILL, and when it had ended; one that was
+     * not sent SIGTERM has 0 for the first.
      */
     record Ending(int gateway, long termSentAt, long killSentAt, long goneAt) {
         boolean isPlanned() {
@@ -48,30 +48,31 @@
         for (StoreServer.Arrival arrival : arrivals) {
             attempts.computeIfAbsent(arrival.requestId(), any -> new ArrayList<>()).add(arrival);
         }
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (Request request : requests) {
             List<StoreServer.Arrival> own = attempts.getOrDefault(request.id, List.of());
-            checkEnd(request, own, broken);
+            checkEnd(request, own, violations);
             for (StoreServer.Arrival arrival : own) {
-                checkAttempt(request, arrival, broken);
+                checkAttempt(request, arrival, violations);
             }
             if (!request.idempotent && own.size() > 1) {
-                broken.add(request + " may not run twice, and was sent " + own.size() + " times");
+                violations.add(
+                        request + " may not run twice, and was sent " + own.size() + " times");
             }
         }
-        return broken;
+        return violations;
     }
 
     private void checkEnd(
-            Request request, List<StoreServer.Arrival> attempts, List<String> broken) {
+            Request request, List<StoreServer.Arrival> attempts, List<String> violations) {
         if (request.end == null) {
             return; // the run ended first
         }
         switch (request.end) {
-            case WRONG_VALUE -> broken.add(request + " got a value that no store made for it");
+            case WRONG_VALUE -> violations.add(request + " got a value that no store made for it");
             case SILENT -> {
                 if (killedWhileOpen(request) == null) {
-                    broken.add(
+                    violations.add(
                             request
                                     + " got no answer in "
                                     + toMillis(request.endedAt - request.sentAt)
@@ -80,7 +81,7 @@
             }
             case CLOSED -> {
                 if (isLost(request, attempts)) {
-                    broken.add(
+                    violations.add(
                             request
                                     + " was closed without an answer "
                                     + toMillis(request.endedAt - request.sentAt)
@@ -94,7 +95,7 @@
             case SERVED, REJECTED, FAILED -> {
                 long late = toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
                 if (late > MAX_LATE_MILLIS + SLACK_MILLIS) {
-                    broken.add(request + " was answered " + late + " ms after its deadline");
+                    violations.add(request + " was answered " + late + " ms after its deadline");
                 }
             }
             case CANCELLED -> {}
@@ -151,10 +152,10 @@
     }
 
     private static void checkAttempt(
-            Request request, StoreServer.Arrival arrival, List<String> broken) {
+            Request request, StoreServer.Arrival arrival, List<String> violations) {
         long left = request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
         if (arrival.deadlineMillis() > left + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
-            broken.add(
+            violations.add(
                     request
                             + " told a store "
                             + arrival.deadlineMillis()
@@ -165,7 +166,7 @@
         if (request.end == Request.End.CANCELLED
                 && toMillis(arrival.firstByteAt() - request.endedAt)
                         > MAX_AFTER_DISCONNECT_MILLIS + SLACK_MILLIS) {
-            broken.add(
+            violations.add(
                     request
                             + " was sent "
                             + toMillis(arrival.firstByteAt() - request.endedAt)
--- a/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
+++ b/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
@@ -16,6 +16,7 @@
         void run() throws IOException, InterruptedException;
     }
 
+    /** Runs it on a daemon thread of its own. */
     static Thread run(String name, Work work) {
         Thread thread =
                 new Thread(
@@ -34,6 +35,7 @@
         return thread;
     }
 
+    /** Closes a socket, which may be closed already. */
     static void close(Closeable socket) {
         try {
             socket.close();
--- a/src/main/java/sagepulley/faultinjection/ClientLoad.java
+++ b/src/main/java/sagepulley/faultinjection/ClientLoad.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of one gateway: each has one connection, asks one thing after the other and goes on using
- * its connection for as long as it stays open.
+ * Clients of one gateway: each sends one request after the other, on one connection for as long as
+ * that stays open, and runs on a thread of its own.
  */
 final class ClientLoad implements Closeable {
     /**
-     * What they do: pause between requests, the longest deadline, and the share that leaves before
-     * its answer.
+     * What they do: the pause between requests, the longest deadline, and the share of requests, 0
+     * to 1, whose client disconnects before the answer.
      */
     record ClientBehaviour(long pauseMillis, long maxDeadlineMillis, double disconnectingShare) {
         static final ClientBehaviour STEADY = new ClientBehaviour(40, 1_500, 0);
@@ -143,14 +143,14 @@
     }
 
     /**
-     * Whether clients go elsewhere for new connections, as they do soon after a gateway was told to
-     * end.
+     * Whether clients connect elsewhere from now on, as they do soon after a gateway was sent
+     * SIGTERM.
      */
     void connectElsewhere(boolean away) {
         connectsElsewhere = away;
     }
 
-    /** Asks nothing new from now on; what was asked is waited for. */
+    /** Sends nothing new from now on, and waits for the answers that are due. */
     void stop() throws InterruptedException {
         stopped = true;
         long until =
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -4,19 +4,15 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStreamReader;
-import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
@@ -43,132 +39,53 @@
     /** A former address closes the connections that it has so long after the move. */
     private static final long FORMER_ADDRESS_MILLIS = 1_500;
 
+    private static final long NO_END = Long.MAX_VALUE;
+
     private enum Reachability {
         REACHABLE,
         DOWN,
         CUT_OFF
     }
 
-    /** How calls are answered from now on. */
-    record Behaviour(
-            long firstByteDelayMs,
-            long trickleMs,
-            long serviceMs,
-            long queueTimeoutMs,
-            int queueLimit,
-            boolean silent,
-            boolean rejecting,
-            boolean indented) {
-        static final Behaviour HEALTHY =
-                new Behaviour(0, 0, 0, 2_000, Integer.MAX_VALUE, false, false, false);
-
-        Behaviour firstByteAfter(long ms) {
-            return new Behaviour(
-                    ms,
-                    trickleMs,
-                    serviceMs,
-                    queueTimeoutMs,
-                    queueLimit,
-                    silent,
-                    rejecting,
-                    indented);
-        }
-
-        Behaviour tricklingFor(long ms) {
-            return new Behaviour(
-                    firstByteDelayMs,
-                    ms,
-                    serviceMs,
-                    queueTimeoutMs,
-                    queueLimit,
-                    silent,
-                    rejecting,
-                    indented);
-        }
-
-        /**
-         * Calls are served one at a time; one that has waited for too long, or finds too many
-         * waiting, gets 503.
-         */
-        Behaviour inTurn(long service, long timeout, int limit) {
-            return new Behaviour(
-                    firstByteDelayMs,
-                    trickleMs,
-                    service,
-                    timeout,
-                    limit,
-                    silent,
-                    rejecting,
-                    indented);
-        }
+    /**
+     * That a gateway was written the complete list up to a revision at a time, on a connection made
+     * at another.
+     */
+    record WrittenList(long at, int gateway, long revision, long connectedAt) {}
 
-        Behaviour saysNothing() {
-            return new Behaviour(
-                    firstByteDelayMs,
-                    trickleMs,
-                    serviceMs,
-                    queueTimeoutMs,
-                    queueLimit,
-                    true,
-                    rejecting,
-                    indented);
-        }
+    /** A time during which nobody could reach discovery; one that lasts ends at Long.MAX_VALUE. */
+    record Outage(long from, long until) {}
 
-        Behaviour rejectsAll() {
-            return new Behaviour(
-                    firstByteDelayMs,
-                    trickleMs,
-                    serviceMs,
-                    queueTimeoutMs,
-                    queueLimit,
-                    silent,
-                    true,
-                    indented);
-        }
+    final EndpointHistory endpoints = new EndpointHistory();
 
-        Behaviour withWhiteSpace() {
-            return new Behaviour(
-                    firstByteDelayMs,
-                    trickleMs,
-                    serviceMs,
-                    queueTimeoutMs,
-                    queueLimit,
-                    silent,
-                    rejecting,
-                    true);
-        }
-    }
-
-    /** An endpoint's state from a time on. */
-    record Change(long at, long revision, Endpoint endpoint) {}
+    /** How calls are answered from now on. */
+    volatile DiscoveryBehaviour behaviour = DiscoveryBehaviour.HEALTHY;
 
-    /**
-     * That a gateway was written all up to a revision, whole, at a time, on a connection made at
-     * another.
-     */
-    record WrittenList(long at, int gateway, long revision, long connectedAt) {}
+    /** Watches that stand say nothing while this is set: neither changes nor empty lines. */
+    volatile boolean watchesSilent;
 
     private final Map<Integer, ServerSocket> listeners = new ConcurrentHashMap<>();
     private final Map<Integer, Integer> ports = new ConcurrentHashMap<>();
-    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
-    private Reachability reachability = Reachability.REACHABLE;
     private final Map<Integer, List<Socket>> fillers = new ConcurrentHashMap<>();
-    private final TreeMap<Long, Change> changes = new TreeMap<>();
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final List<WrittenList> written = new ArrayList<>();
-
-    /** Pairs of times: from when to when nobody could reach it. The last is open while it lasts. */
-    private final List<long[]> outages = new ArrayList<>();
-
+    private final List<Outage> outages = new ArrayList<>();
     private final Semaphore turn = new Semaphore(1, true);
-    private final AtomicInteger waiting = new AtomicInteger();
-    final AtomicInteger calls = new AtomicInteger();
-    final AtomicInteger refusals = new AtomicInteger();
-    volatile Behaviour behaviour = Behaviour.HEALTHY;
+    private final AtomicInteger waitingCalls = new AtomicInteger();
+    private Reachability reachability = Reachability.REACHABLE;
+    private volatile boolean closed;
 
-    /** Watches that stand say nothing while this is set: neither changes nor empty lines. */
-    volatile boolean watchesSilent;
+    /** What was written to gateways so far. */
+    synchronized List<WrittenList> written() {
+        return new ArrayList<>(written);
+    }
 
-    private volatile boolean closed;
+    /** The times at which it could not be reached, in order. */
+    synchronized List<Outage> outages() {
+        return new ArrayList<>(outages);
+    }
+
+    // ---- addresses ----
 
     /** An address for one gateway, which is listened at while discovery can be reached. */
     synchronized InetSocketAddress listenFor(int gateway) throws IOException {
@@ -233,78 +150,18 @@
         }
     }
 
-    // ---- what is listed ----
-
-    synchronized long set(Endpoint endpoint) {
-        long revision = revision() + 1;
-        changes.put(revision, new Change(System.nanoTime(), revision, endpoint));
-        return revision;
-    }
-
-    synchronized long revision() {
-        return changes.isEmpty() ? 0 : changes.lastKey();
-    }
-
-    synchronized List<Change> changes() {
-        return new ArrayList<>(changes.values());
-    }
-
-    synchronized List<WrittenList> written() {
-        return new ArrayList<>(written);
-    }
-
-    synchronized List<long[]> outages() {
-        return new ArrayList<>(outages);
-    }
-
-    synchronized Collection<Endpoint> listed() {
-        Map<String, Endpoint> latest = new LinkedHashMap<>();
-        changes.values().forEach(change -> latest.put(change.endpoint().id(), change.endpoint()));
-        latest.values().removeIf(endpoint -> endpoint.state() == Endpoint.State.DELETED);
-        return latest.values();
-    }
-
-    /** The list in the protocol's form: what changed after a revision, or all of it. */
-    synchronized String json(long after) {
-        boolean complete = after <= 0 || after > revision();
-        Collection<Endpoint> entries = listed();
-        if (!complete) {
-            Map<String, Endpoint> latest = new LinkedHashMap<>();
-            changes.tailMap(after, false)
-                    .values()
-                    .forEach(change -> latest.put(change.endpoint().id(), change.endpoint()));
-            entries = latest.values();
-        }
-        boolean indented = behaviour.indented();
-        StringBuilder text =
-                new StringBuilder(
-                        "{\"revision\":"
-                                + revision()
-                                + ",\"complete\":"
-                                + complete
-                                + ",\"members\":[");
-        String separator = "";
-        for (Endpoint entry : entries) {
-            text.append(separator).append(entry.json(indented));
-            separator = indented ? ",\n    " : ",";
-        }
-        return text.append("]}\n").toString();
-    }
-
     // ---- whether it can be reached ----
 
     /** Its process has ended: connections are reset, new ones refused. */
     synchronized void goDown() {
-        outages.add(new long[] {System.nanoTime(), Long.MAX_VALUE});
-        reachability = Reachability.DOWN;
+        beginOutage(Reachability.DOWN);
         listeners.values().forEach(BackgroundTasks::close);
         connections.forEach(BackgroundTasks::reset);
     }
 
     /** It is cut off: connections stay open and silent, new ones never come up. */
     synchronized void cutOff() throws IOException {
-        outages.add(new long[] {System.nanoTime(), Long.MAX_VALUE});
-        reachability = Reachability.CUT_OFF;
+        beginOutage(Reachability.CUT_OFF);
         watchesSilent = true;
         for (Map.Entry<Integer, ServerSocket> each : List.copyOf(listeners.entrySet())) {
             BackgroundTasks.close(each.getValue());
@@ -323,7 +180,8 @@
             bind(each.getKey(), each.getValue());
         }
         fillers.clear();
-        outages.get(outages.size() - 1)[1] = System.nanoTime();
+        int last = outages.size() - 1;
+        outages.set(last, new Outage(outages.get(last).from(), System.nanoTime()));
     }
 
     /** Ends all connections that stand, and goes on. */
@@ -331,74 +189,85 @@
         connections.forEach(BackgroundTasks::reset);
     }
 
+    private void beginOutage(Reachability now) {
+        outages.add(new Outage(System.nanoTime(), NO_END));
+        reachability = now;
+    }
+
     // ---- one call ----
 
     private void answer(int gateway, Socket socket) throws IOException, InterruptedException {
         long connectedAt = System.nanoTime();
-        BufferedReader reader =
-                new BufferedReader(
-                        new InputStreamReader(
-                                socket.getInputStream(), StandardCharsets.ISO_8859_1));
-        String call = reader.readLine();
-        for (String header = reader.readLine(); header != null && !header.isEmpty(); ) {
-            header = reader.readLine();
-        }
+        String call = readCall(socket);
         if (call == null) {
             return;
         }
-        calls.incrementAndGet();
-        Matcher watch = WATCH.matcher(call);
-        boolean watches = watch.matches();
-        long after = watches ? Long.parseLong(watch.group(1)) : -1;
-        Behaviour now = behaviour;
-        if (now.silent()) {
+        DiscoveryBehaviour now = behaviour;
+        if (now.mode() == DiscoveryBehaviour.Mode.UNRESPONSIVE) {
             socket.getInputStream().read();
             return;
         }
-        if (now.rejecting() || !waitForTurn(now)) {
-            refusals.incrementAndGet();
-            write(socket, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", 0);
+        TricklingOutput out = new TricklingOutput(socket);
+        if (now.mode() == DiscoveryBehaviour.Mode.REJECTS || !waitForTurn(now.queue())) {
+            out.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
-        Thread.sleep(now.firstByteDelayMs());
-        long revision = revision();
-        String list = json(after);
+        Thread.sleep(now.firstByteDelayMillis());
+        Matcher watch = WATCH.matcher(call);
+        boolean watches = watch.matches();
+        long after = watches ? Long.parseLong(watch.group(1)) : -1;
+        long revision = endpoints.revision();
+        String list = endpoints.json(after, behaviour.indented());
         if (!watches) {
-            write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n", 0);
-            write(socket, list, now.trickleMs());
+            out.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
+            out.write(list, now.trickleMillis());
             recordWritten(gateway, revision, connectedAt);
             return;
         }
-        write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", 0);
-        chunk(socket, list, now.trickleMs());
+        out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        out.writeChunk(list, now.trickleMillis());
         recordWritten(gateway, revision, connectedAt);
-        follow(gateway, socket, revision, connectedAt);
+        follow(gateway, out, revision, connectedAt);
+    }
+
+    /** The first line of a call, whose headers are skipped; null where the connection ended. */
+    private static String readCall(Socket socket) throws IOException {
+        BufferedReader reader =
+                new BufferedReader(
+                        new InputStreamReader(
+                                socket.getInputStream(), StandardCharsets.ISO_8859_1));
+        String call = reader.readLine();
+        for (String header = reader.readLine(); header != null && !header.isEmpty(); ) {
+            header = reader.readLine();
+        }
+        return call;
     }
 
-    private boolean waitForTurn(Behaviour now) throws InterruptedException {
-        if (now.serviceMs() == 0) {
+    private boolean waitForTurn(DiscoveryBehaviour.CallQueue queue) throws InterruptedException {
+        if (queue == null) {
             return true;
         }
-        if (waiting.get() >= now.queueLimit()) {
+        if (waitingCalls.get() >= queue.limit()) {
             return false;
         }
-        waiting.incrementAndGet();
+        waitingCalls.incrementAndGet();
         try {
-            if (!turn.tryAcquire(now.queueTimeoutMs(), TimeUnit.MILLISECONDS)) {
+            if (!turn.tryAcquire(queue.timeoutMillis(), TimeUnit.MILLISECONDS)) {
                 return false;
             }
             try {
-                Thread.sleep(now.serviceMs());
+                Thread.sleep(queue.serviceMillis());
             } finally {
                 turn.release();
             }
             return true;
         } finally {
-            waiting.decrementAndGet();
+            waitingCalls.decrementAndGet();
         }
     }
 
-    private void follow(int gateway, Socket socket, long from, long connectedAt)
+    /** Writes each change to a watch, or an empty line where there is none for a while. */
+    private void follow(int gateway, TricklingOutput out, long from, long connectedAt)
             throws IOException, InterruptedException {
         long revision = from;
         long lastLine = System.nanoTime();
@@ -407,15 +276,16 @@
             if (watchesSilent) {
                 continue;
             }
-            if (revision() > revision) {
-                long next = revision();
-                chunk(socket, json(revision), behaviour.trickleMs());
+            long next = endpoints.revision();
+            if (next > revision) {
+                DiscoveryBehaviour now = behaviour;
+                out.writeChunk(endpoints.json(revision, now.indented()), now.trickleMillis());
                 recordWritten(gateway, next, connectedAt);
                 revision = next;
                 lastLine = System.nanoTime();
             } else if (System.nanoTime() - lastLine
                     > TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS)) {
-                chunk(socket, "\n", 0);
+                out.writeChunk("\n", 0);
                 lastLine = System.nanoTime();
             }
         }
@@ -425,28 +295,6 @@
         written.add(new WrittenList(System.nanoTime(), gateway, revision, connectedAt));
     }
 
-    private static void chunk(Socket socket, String text, long trickleMs)
-            throws IOException, InterruptedException {
-        write(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n", trickleMs);
-    }
-
-    /** Writes it at once, or in pieces spread evenly over a time. */
-    private static void write(Socket socket, String text, long trickleMs)
-            throws IOException, InterruptedException {
-        OutputStream out = socket.getOutputStream();
-        byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        int pieces = (int) Math.max(1, Math.min(bytes.length, trickleMs / 50));
-        for (int i = 0; i < pieces; i++) {
-            int from = (int) ((long) bytes.length * i / pieces);
-            int to = (int) ((long) bytes.length * (i + 1) / pieces);
-            if (i > 0) {
-                Thread.sleep(trickleMs / pieces);
-            }
-            out.write(bytes, from, to - from);
-            out.flush();
-        }
-    }
-
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/sagepulley/faultinjection/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import java.util.function.ToLongFunction;
 import java.util.stream.Collectors;
 
 /**
@@ -24,16 +24,24 @@
      */
     private static final long SLACK_MILLIS = 50 + 150;
 
-    private final DiscoveryServer discovery;
     private final List<GatewayProcess> processes;
 
     /** When each gateway was sent SIGHUP with a new address of discovery. */
     private final Map<Integer, List<Long>> reloads;
 
+    private final Map<String, List<EndpointHistory.Change>> changesByEndpoint;
+    private final List<DiscoveryServer.WrittenList> written;
+    private final List<DiscoveryServer.Outage> outages;
+
+    /** The rule for what a fleet has recorded up to now. */
     DrainRule(TestFleet fleet) {
-        this.discovery = fleet.discovery;
-        this.reloads = fleet.reloads();
         this.processes = fleet.gateways;
+        this.reloads = fleet.reloads();
+        this.changesByEndpoint =
+                fleet.discovery.endpoints.changes().stream()
+                        .collect(Collectors.groupingBy(change -> change.endpoint().id()));
+        this.written = fleet.discovery.written();
+        this.outages = fleet.discovery.outages();
     }
 
     /** Sentences for the commands that broke it. */
@@ -41,102 +49,90 @@
         Map<String, Request> byId =
                 requests.stream()
                         .collect(Collectors.toMap(request -> request.id, Function.identity()));
-        Map<String, List<DiscoveryServer.Change>> changes =
-                discovery.changes().stream()
-                        .collect(Collectors.groupingBy(change -> change.endpoint().id()));
-        List<DiscoveryServer.WrittenList> written = discovery.written();
-        List<long[]> unreachable = discovery.outages();
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (StoreServer.Arrival arrival : arrivals) {
             Request request = byId.get(arrival.requestId());
-            if (request == null) {
+            if (request != null) {
+                violation(arrival, request).ifPresent(violations::add);
+            }
+        }
+        return violations;
+    }
+
+    private Optional<String> violation(StoreServer.Arrival arrival, Request request) {
+        GatewayView gateway = new GatewayView(request.gateway, arrival.firstByteAt());
+        List<EndpointHistory.Change> changes =
+                changesByEndpoint.getOrDefault(arrival.endpoint(), List.of());
+        for (EndpointHistory.Change change : changes) {
+            if (change.endpoint().state() == Endpoint.State.SERVING
+                    || gateway.knowsThatItServesAgain(changes, change, arrival.firstByteAt())) {
                 continue;
             }
-            long startedAt = startOfProcess(request.gateway, arrival.firstByteAt());
-            for (DiscoveryServer.Change change :
-                    changes.getOrDefault(arrival.endpoint(), List.of())) {
-                if (change.endpoint().state() == Endpoint.State.SERVING
-                        || servesAgain(
-                                changes.get(arrival.endpoint()),
-                                change,
-                                arrival.firstByteAt(),
-                                each ->
-                                        notifiedAt(
-                                                each,
-                                                request.gateway,
-                                                startedAt,
-                                                written,
-                                                unreachable))) {
-                    continue;
-                }
-                long notified =
-                        notifiedAt(change, request.gateway, startedAt, written, unreachable);
-                long late = TimeUnit.NANOSECONDS.toMillis(arrival.firstByteAt() - notified);
-                if (late > TestFleet.DRAIN_GRACE_MILLIS + SLACK_MILLIS) {
-                    broken.add(
-                            request
-                                    + " began at "
-                                    + arrival.endpoint()
-                                    + " "
-                                    + late
-                                    + " ms after gateway "
-                                    + request.gateway
-                                    + " counted as notified that it is "
-                                    + change.endpoint().state());
-                    break;
-                }
+            long lateNanos = arrival.firstByteAt() - gateway.notifiedAt(change);
+            long lateMillis = TimeUnit.NANOSECONDS.toMillis(lateNanos);
+            if (lateMillis > TestFleet.DRAIN_GRACE_MILLIS + SLACK_MILLIS) {
+                return Optional.of(
+                        request
+                                + " began at "
+                                + arrival.endpoint()
+                                + " "
+                                + lateMillis
+                                + " ms after gateway "
+                                + request.gateway
+                                + " counted as notified that it is "
+                                + change.endpoint().state());
             }
         }
-        return broken;
+        return Optional.empty();
     }
 
-    /**
-     * Whether the gateway had been notified, by the time of the command, that the endpoint serves
-     * again.
-     */
-    private boolean servesAgain(
-            List<DiscoveryServer.Change> changes,
-            DiscoveryServer.Change from,
-            long until,
-            ToLongFunction<DiscoveryServer.Change> notifiedAt) {
-        return changes.stream()
-                .anyMatch(
-                        change ->
-                                change.revision() > from.revision()
-                                        && change.endpoint().state() == Endpoint.State.SERVING
-                                        && notifiedAt.applyAsLong(change)
-                                                <= until
-                                                        + TimeUnit.MILLISECONDS.toNanos(
-                                                                SLACK_MILLIS));
-    }
+    /** What the process of a gateway that ran at a time had been notified of. */
+    private final class GatewayView {
+        private final int gateway;
+        private final long processStartedAt;
 
-    private long notifiedAt(
-            DiscoveryServer.Change change,
-            int gateway,
-            long startedAt,
-            List<DiscoveryServer.WrittenList> written,
-            List<long[]> unreachable) {
-        long notified = reachableFor(change.at(), MAX_NOTIFICATION_MILLIS, unreachable);
-        for (long reload : reloads.getOrDefault(gateway, List.of())) {
-            if (change.at() <= reload) {
-                notified =
-                        Math.min(
-                                notified,
-                                reachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS, unreachable));
-            }
+        GatewayView(int gateway, long at) {
+            this.gateway = gateway;
+            this.processStartedAt = startOfProcess(gateway, at);
+        }
+
+        /**
+         * Whether it had been notified, by the time of the command, that the endpoint serves again.
+         */
+        boolean knowsThatItServesAgain(
+                List<EndpointHistory.Change> changes, EndpointHistory.Change from, long until) {
+            return changes.stream()
+                    .filter(change -> change.revision() > from.revision())
+                    .filter(change -> change.endpoint().state() == Endpoint.State.SERVING)
+                    .anyMatch(
+                            change ->
+                                    notifiedAt(change)
+                                            <= until + TimeUnit.MILLISECONDS.toNanos(SLACK_MILLIS));
         }
-        for (DiscoveryServer.WrittenList each : written) {
-            if (each.connectedAt() >= startedAt
-                    && each.gateway() == gateway
-                    && each.revision() >= change.revision()
-                    && each.at() >= change.at()) {
-                notified = Math.min(notified, each.at());
+
+        /** When it counts as notified of a change. */
+        long notifiedAt(EndpointHistory.Change change) {
+            long notified = reachableFor(change.at(), MAX_NOTIFICATION_MILLIS);
+            for (long reload : reloads.getOrDefault(gateway, List.of())) {
+                if (change.at() <= reload) {
+                    notified =
+                            Math.min(
+                                    notified, reachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS));
+                }
+            }
+            for (DiscoveryServer.WrittenList list : written) {
+                // What was written to a process that is gone by then notifies the next of nothing.
+                if (list.connectedAt() >= processStartedAt
+                        && list.gateway() == gateway
+                        && list.revision() >= change.revision()
+                        && list.at() >= change.at()) {
+                    notified = Math.min(notified, list.at());
+                }
             }
+            return notified;
         }
-        return notified;
     }
 
-    /** What was written to a process that is gone by then tells the next one nothing. */
     private long startOfProcess(int gateway, long at) {
         return processes.stream()
                 .filter(process -> process.number == gateway && process.startedAt <= at)
@@ -146,13 +142,14 @@
     }
 
     /** When discovery has been reachable for so long at a stretch since a time. */
-    private static long reachableFor(long from, long ms, List<long[]> unreachable) {
+    private long reachableFor(long from, long millis) {
+        long nanos = TimeUnit.MILLISECONDS.toNanos(millis);
         long since = from;
-        for (long[] outage : unreachable) {
-            if (outage[1] > since && outage[0] < since + TimeUnit.MILLISECONDS.toNanos(ms)) {
-                since = outage[1];
+        for (DiscoveryServer.Outage outage : outages) {
+            if (outage.until() > since && outage.from() < since + nanos) {
+                since = outage.until();
             }
         }
-        return since == Long.MAX_VALUE ? since : since + TimeUnit.MILLISECONDS.toNanos(ms);
+        return since == Long.MAX_VALUE ? since : since + nanos;
     }
 }
--- a/src/main/java/sagepulley/faultinjection/Endpoint.java
+++ b/src/main/java/sagepulley/faultinjection/Endpoint.java
@@ -9,10 +9,7 @@
         DELETED
     }
 
-    Endpoint in(State next) {
-        return new Endpoint(id, port, cell, next, startedAtWallMs);
-    }
-
+    /** Its line in the endpoint list of the discovery protocol. */
     String json(boolean indented) {
         String text =
                 "{\"id\":\""
--- a/src/main/java/sagepulley/faultinjection/GatewayProcess.java
+++ b/src/main/java/sagepulley/faultinjection/GatewayProcess.java
@@ -60,6 +60,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
     }
 
+    /** Waits until it answers PING. */
     GatewayProcess awaitReady() throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_START_SECONDS);
         while (!answersPing()) {
@@ -72,6 +73,7 @@
         return this;
     }
 
+    /** Whether it answers PING now; fails if its process has ended. */
     boolean answersPing() {
         if (!process.isAlive()) {
             throw new IllegalStateException(
@@ -88,6 +90,7 @@
         }
     }
 
+    /** All that it has logged. */
     String logText() {
         try {
             return Files.readString(log);
@@ -96,6 +99,7 @@
         }
     }
 
+    /** Sends a signal, such as TERM, to a process that may have ended. */
     void signal(String name) throws IOException, InterruptedException {
         int result =
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
@@ -107,7 +111,7 @@
         }
     }
 
-    /** Stops it for a while, as a machine does that has no processor for it. */
+    /** Stops the process for so many seconds, as a busy machine does. */
     void suspend(String seconds) throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         new ProcessBuilder(
@@ -127,6 +131,7 @@
         return process.isAlive();
     }
 
+    /** Waits until it has ended. */
     int exitCode() throws InterruptedException {
         return process.waitFor();
     }
--- a/src/main/java/sagepulley/faultinjection/Ports.java
+++ b/src/main/java/sagepulley/faultinjection/Ports.java
@@ -23,6 +23,7 @@
 
     private Ports() {}
 
+    /** An address whose port nobody uses. */
     static synchronized InetSocketAddress free() {
         while (true) {
             int port = FIRST + RANDOM.nextInt(COUNT);
--- a/src/main/java/sagepulley/faultinjection/RespPeer.java
+++ b/src/main/java/sagepulley/faultinjection/RespPeer.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One RESP connection, seen from either end. */
+/** One end of a RESP connection. */
 final class RespPeer {
     private static final int MAX_ARGUMENTS = 64;
 
@@ -25,11 +25,13 @@
         this.in = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** Writes it at once. */
     void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
     }
 
+    /** A command in the protocol's form. */
     static String command(String... arguments) {
         StringBuilder text = new StringBuilder("*" + arguments.length + "\r\n");
         for (String argument : arguments) {
@@ -42,7 +44,7 @@
         return text.toString();
     }
 
-    /** The words of the next command; null at the end of the connection. */
+    /** The arguments of the next command; null at the end of the connection. */
     List<String> readCommand() throws IOException {
         int first = in.read();
         firstByteAt = System.nanoTime();
--- /dev/null
+++ b/src/main/java/sagepulley/faultinjection/SoakOperator.java
@@ -0,0 +1,279 @@
+package sagepulley.faultinjection;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.Socket;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Does to a fleet what a soak run's plan says, as an operator, a network or a machine would. Called
+ * on the run's thread; restarts of gateways go on beside it, one at a time for each gateway.
+ */
+final class SoakOperator implements SoakActions, Closeable {
+    private static final int IDLE_CONNECTIONS_PER_GATEWAY = 130;
+    private static final int CONNECT_TIMEOUT_MILLIS = 200;
+    private static final String SUSPEND_SECONDS = "0.1";
+    private static final int MAX_LOG_LINES = 15;
+    private static final long MAX_RESTART_SECONDS = 10;
+    private static final long PING_INTERVAL_MILLIS = 100;
+    private static final long RESTART_POLL_MILLIS = 50;
+
+    /** SIGKILL comes no sooner after SIGTERM than the longest deadline and this. */
+    private static final long KILL_DELAY_MILLIS = 700;
+
+    /** So long after SIGTERM new connections keep coming. */
+    private static final long NEW_CONNECTIONS_MILLIS = 400;
+
+    private final long seed;
+    private final TestFleet fleet;
+    private final SystemCallShim shim;
+    private final Map<Integer, GatewayProcess> running = new ConcurrentHashMap<>();
+    private final Set<Integer> restarting = ConcurrentHashMap.newKeySet();
+    private final List<Socket> idleConnections = new CopyOnWriteArrayList<>();
+    private final List<AnswerRule.Ending> endings = new CopyOnWriteArrayList<>();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
+    private long runStartedAt;
+
+    /** An operator of a fleet; the shim is null where system calls can't be made to fail. */
+    SoakOperator(long seed, TestFleet fleet, SystemCallShim shim) {
+        this.seed = seed;
+        this.fleet = fleet;
+        this.shim = shim;
+    }
+
+    /** Starts so many gateways and waits until they are ready. */
+    void startGateways(int count) throws IOException, InterruptedException {
+        for (int i = 0; i < count; i++) {
+            running.put(i, fleet.start(i));
+        }
+        for (GatewayProcess gateway : running.values()) {
+            gateway.awaitReady();
+        }
+        runStartedAt = System.nanoTime();
+    }
+
+    /** When all gateways had started. */
+    long runStartedAt() {
+        return runStartedAt;
+    }
+
+    /** How gateways have ended by SIGKILL so far. */
+    List<AnswerRule.Ending> endings() {
+        return endings;
+    }
+
+    /** Sentences for gateways that crashed or did not start again. */
+    List<String> failures() {
+        return failures;
+    }
+
+    /** Whether idle connections may have used up the gateways' descriptors. */
+    boolean openedIdleConnections() {
+        return !idleConnections.isEmpty();
+    }
+
+    /** The last lines of a gateway's log. */
+    String logTail(int gateway) {
+        return logTail(running.get(gateway));
+    }
+
+    /** Waits until no gateway is being restarted. */
+    void awaitRestarts() throws InterruptedException {
+        while (!restarting.isEmpty()) {
+            Thread.sleep(RESTART_POLL_MILLIS);
+        }
+    }
+
+    // ---- discovery ----
+
+    @Override
+    public void setDiscoveryBehaviour(DiscoveryBehaviour behaviour, boolean resetWatches) {
+        fleet.discovery.behaviour = behaviour;
+        if (resetWatches) {
+            fleet.discovery.resetAll();
+        }
+    }
+
+    @Override
+    public void setWatchesSilent(boolean silent) {
+        fleet.discovery.watchesSilent = silent;
+    }
+
+    @Override
+    public void stopDiscovery() {
+        fleet.discovery.goDown();
+    }
+
+    @Override
+    public void cutOffDiscovery() throws IOException {
+        fleet.discovery.cutOff();
+    }
+
+    @Override
+    public void restoreDiscovery() throws IOException {
+        fleet.discovery.comeBack();
+    }
+
+    // ---- stores ----
+
+    @Override
+    public void listStore(int store, Endpoint.State state) {
+        long startedAt = state == Endpoint.State.SERVING ? System.currentTimeMillis() : 0;
+        fleet.discovery.endpoints.set(fleet.stores.get(store).endpoint(state, startedAt));
+    }
+
+    @Override
+    public void setStoreUnresponsive(int store, boolean unresponsive) {
+        fleet.stores.get(store).unresponsive = unresponsive;
+    }
+
+    @Override
+    public void resetStore(int store) {
+        fleet.stores.get(store).resetAll();
+    }
+
+    // ---- gateways ----
+
+    @Override
+    public void restartGateway(int gateway, boolean planned) {
+        if (!restarting.add(gateway)) {
+            return; // it is on its way down already
+        }
+        BackgroundTasks.run(
+                "operator",
+                () -> {
+                    try {
+                        restart(gateway, planned);
+                    } finally {
+                        restarting.remove(gateway);
+                    }
+                });
+    }
+
+    @Override
+    public void moveDiscovery(int gateway) throws IOException, InterruptedException {
+        if (!restarting.contains(gateway)) {
+            fleet.moveDiscovery(running.get(gateway));
+        }
+    }
+
+    @Override
+    public void moveDiscoveryUnreadably(int gateway) throws IOException, InterruptedException {
+        if (!restarting.contains(gateway)) {
+            fleet.moveDiscovery(gateway);
+            fleet.makeConfigUnreadable(gateway);
+            fleet.signalReload(running.get(gateway));
+        }
+    }
+
+    @Override
+    public void restoreConfig(int gateway) throws IOException {
+        if (!restarting.contains(gateway)) {
+            fleet.writeConfig(gateway);
+        }
+    }
+
+    @Override
+    public void suspendGateway(int gateway) throws IOException, InterruptedException {
+        GatewayProcess process = running.get(gateway);
+        if (process.isAlive()) {
+            process.suspend(SUSPEND_SECONDS);
+        }
+    }
+
+    @Override
+    public void stepWallClock(long millis) throws IOException {
+        shim.step(millis);
+    }
+
+    @Override
+    public void openIdleConnections() {
+        for (GatewayProcess process : running.values()) {
+            for (int i = 0; i < IDLE_CONNECTIONS_PER_GATEWAY; i++) {
+                try {
+                    Socket idle = new Socket();
+                    idleConnections.add(idle);
+                    idle.connect(process.listen, CONNECT_TIMEOUT_MILLIS);
+                } catch (IOException full) {
+                    break;
+                }
+            }
+        }
+    }
+
+    /**
+     * SIGKILL at the earliest moment that the page allows, or at once; then the same gateway starts
+     * anew.
+     */
+    private void restart(int gateway, boolean planned) throws IOException, InterruptedException {
+        GatewayProcess process = running.get(gateway);
+        long termSentAt = 0;
+        if (!process.isAlive()) {
+            failures.add("gateway " + gateway + " has crashed: " + logTail(process));
+        } else if (planned) {
+            termSentAt = System.nanoTime();
+            terminate(gateway, process, termSentAt);
+        }
+        long killSentAt = System.nanoTime();
+        process.kill();
+        endings.add(new AnswerRule.Ending(gateway, termSentAt, killSentAt, System.nanoTime()));
+        GatewayProcess fresh = fleet.start(gateway);
+        running.put(gateway, fresh);
+        fleet.loads.get(gateway).connectElsewhere(false);
+        awaitPing(gateway, fresh);
+    }
+
+    private void terminate(int gateway, GatewayProcess process, long termSentAt)
+            throws IOException, InterruptedException {
+        process.signal("TERM");
+        if (random(gateway).nextInt(3) == 0) {
+            process.signal("TERM");
+        }
+        Thread.sleep(NEW_CONNECTIONS_MILLIS);
+        fleet.loads.get(gateway).connectElsewhere(true);
+        long killAfter = TestFleet.MAX_DEADLINE_MILLIS + KILL_DELAY_MILLIS;
+        Thread.sleep(Math.max(0, killAfter - millisSince(termSentAt)));
+    }
+
+    private void awaitPing(int gateway, GatewayProcess fresh) throws InterruptedException {
+        long since = System.nanoTime();
+        while (!fresh.answersPing()) {
+            if (TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - since) > MAX_RESTART_SECONDS) {
+                failures.add(
+                        "gateway "
+                                + gateway
+                                + " is not ready "
+                                + MAX_RESTART_SECONDS
+                                + " s after its restart: "
+                                + logTail(fresh));
+                return;
+            }
+            Thread.sleep(PING_INTERVAL_MILLIS);
+        }
+    }
+
+    private Random random(int gateway) {
+        return new Random(seed * 31 + gateway + millisSince(runStartedAt) / 1_000);
+    }
+
+    private static long millisSince(long nanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+    }
+
+    private static String logTail(GatewayProcess process) {
+        List<String> lines = process.logText().lines().toList();
+        int first = Math.max(0, lines.size() - MAX_LOG_LINES);
+        return String.join("\n", lines.subList(first, lines.size()));
+    }
+
+    @Override
+    public void close() {
+        idleConnections.forEach(BackgroundTasks::close);
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/faultinjection/SoakPlan.java
@@ -0,0 +1,257 @@
+package sagepulley.faultinjection;
+
+import java.io.IOException;
+import java.util.Comparator;
+import java.util.PriorityQueue;
+import java.util.Queue;
+import java.util.Random;
+
+/**
+ * Which faults a soak run meets, and when. The plan follows from the random source alone: the order
+ * of its draws is part of what a seed means.
+ */
+final class SoakPlan {
+    /** Faults begin so long after the start, when clients are served. */
+    private static final long QUIET_START_MILLIS = 1_500;
+
+    private static final long MAX_OUTAGE_MILLIS = 12_000;
+    private static final long HOUR_MILLIS = 3_600_000;
+
+    /** What an event does. */
+    interface Action {
+        void run() throws IOException, InterruptedException;
+    }
+
+    /** Something that happens at a time of the run; events of one time keep their order. */
+    record Event(long atMillis, long order, String description, Action action) {}
+
+    private final Random random;
+    private final long lengthMillis;
+    private final int gateways;
+    private final int stores;
+    private final SoakActions actions;
+    private final Queue<Event> events =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::order));
+    private long order;
+
+    /** A plan for a fleet of so many gateways and stores. */
+    SoakPlan(Random random, long lengthMillis, int gateways, int stores, SoakActions actions) {
+        this.random = random;
+        this.lengthMillis = lengthMillis;
+        this.gateways = gateways;
+        this.stores = stores;
+        this.actions = actions;
+    }
+
+    /** Draws the events, in order of time; the wall clock moves only where that is possible. */
+    Queue<Event> draw(boolean wallClockMoves) {
+        for (long at = QUIET_START_MILLIS; at < lengthMillis - 4_000; ) {
+            long length = 1_000L + random.nextInt(9_000);
+            planDiscoveryFault(at, length);
+            at += length + random.nextInt(3_000);
+        }
+        for (long at = QUIET_START_MILLIS + random.nextInt(2_000);
+                at < lengthMillis - 3_000;
+                at += 700 + random.nextInt(2_500)) {
+            planStoreEvent(at);
+        }
+        for (long at = QUIET_START_MILLIS + random.nextInt(3_000);
+                at < lengthMillis - 8_000;
+                at += 2_000 + random.nextInt(5_000)) {
+            planGatewayEvent(at);
+        }
+        for (long at = QUIET_START_MILLIS; at < lengthMillis; at += 1_000 + random.nextInt(4_000)) {
+            int gateway = random.nextInt(gateways);
+            at(at, "gateway " + gateway + " is held up", () -> actions.suspendGateway(gateway));
+        }
+        if (wallClockMoves) {
+            planWallClock();
+        }
+        if (random.nextInt(3) == 0) {
+            at(
+                    QUIET_START_MILLIS + random.nextInt(3_000),
+                    "a crowd of idle connections",
+                    actions::openIdleConnections);
+        }
+        return events;
+    }
+
+    private void at(long millis, String description, Action action) {
+        events.add(new Event(millis, order++, description, action));
+    }
+
+    private void planWallClock() {
+        for (long at = QUIET_START_MILLIS; at < lengthMillis; at += 3_000 + random.nextInt(6_000)) {
+            long offset =
+                    random.nextBoolean()
+                            ? random.nextInt(10_000) - 5_000
+                            : random.nextBoolean() ? HOUR_MILLIS : -HOUR_MILLIS;
+            at(at, "wall clock off by " + offset + " ms", () -> actions.stepWallClock(offset));
+        }
+    }
+
+    // ---- discovery ----
+
+    private void planDiscoveryFault(long at, long length) {
+        long slow = 500L + random.nextInt(4_000);
+        boolean resetsWatches = random.nextInt(3) > 0;
+        switch (random.nextInt(8)) {
+            case 0 ->
+                    planBehaviour(
+                            at,
+                            length,
+                            DiscoveryBehaviour.delayed(slow),
+                            resetsWatches,
+                            "first byte after " + slow);
+            case 1 ->
+                    planBehaviour(
+                            at,
+                            length,
+                            DiscoveryBehaviour.trickling(slow),
+                            resetsWatches,
+                            "lists trickle for " + slow);
+            case 2 -> planCallQueue(at, length, resetsWatches);
+            case 3 ->
+                    planBehaviour(
+                            at,
+                            length,
+                            DiscoveryBehaviour.rejecting(),
+                            resetsWatches,
+                            "every call is rejected");
+            case 4 ->
+                    planBehaviour(
+                            at,
+                            length,
+                            DiscoveryBehaviour.unresponsive(),
+                            resetsWatches,
+                            "calls get no answer");
+            case 5 -> planSilentWatches(at, length);
+            case 6 -> {
+                at(at, "discovery: down", actions::stopDiscovery);
+                planRestore(at, length, "discovery: up");
+            }
+            default -> {
+                at(at, "discovery: cut off", actions::cutOffDiscovery);
+                planRestore(at, length, "discovery: reachable");
+            }
+        }
+    }
+
+    private void planRestore(long at, long length, String description) {
+        at(at + Math.min(length, MAX_OUTAGE_MILLIS), description, actions::restoreDiscovery);
+    }
+
+    private void planSilentWatches(long at, long length) {
+        at(at, "discovery: watches fall silent", () -> actions.setWatchesSilent(true));
+        at(at + length, "discovery: watches speak", () -> actions.setWatchesSilent(false));
+    }
+
+    private void planCallQueue(long at, long length, boolean resetsWatches) {
+        long service = 100L + random.nextInt(1_500);
+        long timeout = 1_000L + random.nextInt(2_000);
+        int limit = 1 + random.nextInt(6);
+        planBehaviour(
+                at,
+                length,
+                DiscoveryBehaviour.oneAtATime(service, timeout, limit),
+                resetsWatches,
+                "crowded: "
+                        + service
+                        + " ms a call, 503 after "
+                        + timeout
+                        + " ms or behind "
+                        + limit);
+    }
+
+    private void planBehaviour(
+            long at,
+            long length,
+            DiscoveryBehaviour behaviour,
+            boolean resetsWatches,
+            String description) {
+        DiscoveryBehaviour form = random.nextBoolean() ? behaviour.withWhiteSpace() : behaviour;
+        at(
+                at,
+                "discovery: " + description,
+                () -> actions.setDiscoveryBehaviour(form, resetsWatches));
+        at(
+                at + length,
+                "discovery: healthy",
+                () -> actions.setDiscoveryBehaviour(DiscoveryBehaviour.HEALTHY, false));
+    }
+
+    // ---- stores ----
+
+    private void planStoreEvent(long at) {
+        int store = random.nextInt(stores);
+        String name = TestFleet.storeName(store);
+        switch (random.nextInt(4)) {
+            case 0, 1 -> planDrain(at, store, name);
+            case 2 -> {
+                long length = 500L + random.nextInt(6_000);
+                at(at, name + " hangs", () -> actions.setStoreUnresponsive(store, true));
+                at(
+                        at + length,
+                        name + " goes on",
+                        () -> actions.setStoreUnresponsive(store, false));
+            }
+            default -> at(at, name + " resets its connections", () -> actions.resetStore(store));
+        }
+    }
+
+    private void planDrain(long at, int store, String name) {
+        long back = at + 6_000 + random.nextInt(6_000);
+        boolean vanishes = random.nextBoolean();
+        at(at, name + " drains", () -> actions.listStore(store, Endpoint.State.DRAINING));
+        if (vanishes) {
+            at(
+                    at + 1_000 + random.nextInt(3_000),
+                    name + " is gone",
+                    () -> actions.listStore(store, Endpoint.State.DELETED));
+        }
+        at(back, name + " serves again", () -> actions.listStore(store, Endpoint.State.SERVING));
+    }
+
+    // ---- gateways ----
+
+    private void planGatewayEvent(long at) {
+        int gateway = random.nextInt(gateways);
+        switch (random.nextInt(6)) {
+            case 0 ->
+                    at(
+                            at,
+                            "gateway " + gateway + " is killed",
+                            () -> actions.restartGateway(gateway, false));
+            case 1, 2 -> planStop(at, gateway);
+            case 3 -> planMove(at, gateway, "discovery moves for gateway " + gateway);
+            case 4 -> {
+                long unreadable = 300L + random.nextInt(6_000);
+                at(
+                        at,
+                        "discovery moves for gateway " + gateway + ", its file cannot be read",
+                        () -> actions.moveDiscoveryUnreadably(gateway));
+                at(
+                        at + unreadable,
+                        "the file of gateway " + gateway + " can be read",
+                        () -> actions.restoreConfig(gateway));
+            }
+            default -> {
+                planMove(at, gateway, "discovery moves for gateway " + gateway);
+                planMove(at + 150, gateway, "and again");
+                planStop(at + 300, gateway);
+            }
+        }
+    }
+
+    private void planMove(long at, int gateway, String description) {
+        at(at, description, () -> actions.moveDiscovery(gateway));
+    }
+
+    private void planStop(long at, int gateway) {
+        at(
+                at,
+                "gateway " + gateway + " is told to end",
+                () -> actions.restartGateway(gateway, true));
+    }
+}
--- a/src/main/java/sagepulley/faultinjection/StoreServer.java
+++ b/src/main/java/sagepulley/faultinjection/StoreServer.java
@@ -14,14 +14,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A storage endpoint on loopback that records every command and serves it, or hangs. */
+/**
+ * A storage endpoint on loopback that records every command, and serves it unless it is
+ * unresponsive.
+ */
 final class StoreServer implements Closeable {
     private static final Pattern DEADLINE = Pattern.compile("(?:^|,)d=(\\d+)(?:,|$)");
     private static final int BACKLOG = 500;
+    private static final long WORK_MILLIS = 2;
+    private static final long UNRESPONSIVE_POLL_MILLIS = 20;
 
     /**
-     * One command as it came: when its first and its last byte were there, and the deadline that it
-     * told, in ms.
+     * One command as it came: when its first and its last byte were there, and its deadline in
+     * milliseconds from then; -1 where it had none.
      */
     record Arrival(
             String endpoint,
@@ -34,42 +39,41 @@
     final int cell;
     final int port;
     final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
+
+    /** Takes commands and answers none while this is set. */
     volatile boolean unresponsive;
-    volatile long workMillis = 2;
+
     private final ServerSocket listener;
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
+    /** A store at a free port. */
     StoreServer(String id, int cell) throws IOException {
-        this(id, cell, 0);
-    }
-
-    /** At a port that another had before. */
-    StoreServer(String id, int cell, int port) throws IOException {
         this.id = id;
         this.cell = cell;
         listener = new ServerSocket();
         listener.setReuseAddress(true);
-        listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
+        listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         this.port = listener.getLocalPort();
-        BackgroundTasks.run(
-                "store-" + id,
-                () -> {
-                    while (true) {
-                        Socket socket = listener.accept();
-                        connections.add(socket);
-                        BackgroundTasks.run(
-                                "store-call",
-                                () -> {
-                                    try (socket) {
-                                        serve(new RespPeer(socket));
-                                    } finally {
-                                        connections.remove(socket);
-                                    }
-                                });
-                    }
-                });
+        BackgroundTasks.run("store-" + id, this::accept);
+    }
+
+    private void accept() throws IOException {
+        while (true) {
+            Socket socket = listener.accept();
+            connections.add(socket);
+            BackgroundTasks.run(
+                    "store-call",
+                    () -> {
+                        try (socket) {
+                            serve(new RespPeer(socket));
+                        } finally {
+                            connections.remove(socket);
+                        }
+                    });
+        }
     }
 
+    /** Its line in the endpoint list. */
     Endpoint endpoint(Endpoint.State state, long startedAtWallMs) {
         return new Endpoint(id, port, cell, state, startedAtWallMs);
     }
@@ -91,9 +95,9 @@
                             System.nanoTime(),
                             deadline.find() ? Long.parseLong(deadline.group(1)) : -1));
             while (unresponsive) {
-                Thread.sleep(20);
+                Thread.sleep(UNRESPONSIVE_POLL_MILLIS);
             }
-            Thread.sleep(workMillis);
+            Thread.sleep(WORK_MILLIS);
             peer.send("*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n");
         }
     }
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -16,8 +16,12 @@
  * loopback.
  */
 final class TestFleet implements Closeable {
+    /** How long commands may still begin at an endpoint that drains. */
     static final long DRAIN_GRACE_MILLIS = 1_000;
+
+    /** The longest deadline of a client. */
     static final long MAX_DEADLINE_MILLIS = 1_500;
+
     private static final int SOCKETS = 256;
 
     final DiscoveryServer discovery = new DiscoveryServer();
@@ -44,9 +48,9 @@
         this.size = size;
         this.pushed = pushed;
         for (int i = 0; i < shards; i++) {
-            StoreServer store = new StoreServer("s-" + i, i);
+            StoreServer store = new StoreServer(storeName(i), i);
             stores.add(store);
-            discovery.set(store.endpoint(Endpoint.State.SERVING, 0));
+            discovery.endpoints.set(store.endpoint(Endpoint.State.SERVING, 0));
         }
         for (int i = 0; i < size; i++) {
             listenAddresses.put(i, Ports.free());
@@ -54,6 +58,11 @@
         }
     }
 
+    /** The name of a store in the endpoint list. */
+    static String storeName(int number) {
+        return "s-" + number;
+    }
+
     /** Variables for each gateway process that starts from now on. */
     void environment(String name, String value) {
         environment.put(name, value);
@@ -65,9 +74,9 @@
     }
 
     /** A command in front of each gateway process that starts from now on. */
-    void launchThrough(String... words) {
+    void launchThrough(String... command) {
         launcher.clear();
-        launcher.addAll(List.of(words));
+        launcher.addAll(List.of(command));
     }
 
     /** Starts one; it knows the list as it is now, as if it had had it before. */
@@ -85,16 +94,7 @@
         return gateway;
     }
 
-    List<GatewayProcess> startAll() throws IOException, InterruptedException {
-        for (int i = 0; i < size; i++) {
-            start(i);
-        }
-        for (GatewayProcess gateway : gateways) {
-            gateway.awaitReady();
-        }
-        return gateways;
-    }
-
+    /** Clients of one gateway, which send requests from now on. */
     ClientLoad load(int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
         ClientLoad load =
                 new ClientLoad(
@@ -108,7 +108,7 @@
         return load;
     }
 
-    /** Discovery has another address for this gateway, told by its file from now on. */
+    /** Discovery has another address for this gateway, which its file has from now on. */
     void moveDiscovery(int number) throws IOException {
         discoveryAddresses.put(number, discovery.moveFor(number));
         writeConfig(number);
@@ -136,6 +136,7 @@
         return discoveryAddresses.get(number);
     }
 
+    /** The gateway's configuration. */
     Path configFile(int number) {
         return folder.resolve("gateway-" + number + ".json");
     }
@@ -148,6 +149,7 @@
         Files.createDirectory(configFile(number));
     }
 
+    /** Writes the gateway's configuration as of now. */
     void writeConfig(int number) throws IOException {
         if (Files.isDirectory(configFile(number))) {
             Files.delete(configFile(number));
@@ -157,7 +159,7 @@
 
     private String config(int number) {
         String known =
-                discovery.listed().stream()
+                discovery.endpoints.listed().stream()
                         .map(endpoint -> endpoint.json(false))
                         .collect(Collectors.joining(","));
         return """
@@ -186,7 +188,7 @@
                         text(discoveryAddresses.get(number)),
                         number + 1,
                         SOCKETS,
-                        discovery.revision(),
+                        discovery.endpoints.revision(),
                         known,
                         number,
                         size,
@@ -201,10 +203,12 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
+    /** What all clients have requested so far. */
     List<Request> requests() {
         return loads.stream().flatMap(load -> load.requests.stream()).toList();
     }
 
+    /** The commands that have come to all stores so far. */
     List<StoreServer.Arrival> arrivals() {
         return stores.stream().flatMap(store -> store.arrivals.stream()).toList();
     }
--- a/src/test/java/sagepulley/faultinjection/FleetChecks.java
+++ b/src/test/java/sagepulley/faultinjection/FleetChecks.java
@@ -15,7 +15,7 @@
 
     /** The store is listed as draining from now on. */
     static void drain(TestFleet fleet, int store) {
-        fleet.discovery.set(fleet.stores.get(store).endpoint(Endpoint.State.DRAINING, 0));
+        fleet.discovery.endpoints.set(fleet.stores.get(store).endpoint(Endpoint.State.DRAINING, 0));
     }
 
     static void assertNoSendAfterGrace(TestFleet fleet) {
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -24,20 +24,19 @@
     @TempDir Path folder;
 
     static Stream<Arguments> unhelpfulDiscoveries() {
-        DiscoveryServer.Behaviour healthy = DiscoveryServer.Behaviour.HEALTHY;
         return Stream.of(
-                Arguments.of("rejects every call", healthy.rejectsAll()),
-                Arguments.of("accepts calls and says nothing", healthy.saysNothing()),
+                Arguments.of("rejects every call", DiscoveryBehaviour.rejecting()),
+                Arguments.of("accepts calls and says nothing", DiscoveryBehaviour.unresponsive()),
                 Arguments.of(
                         "keeps calls waiting and then rejects them",
-                        healthy.inTurn(60_000, 2_000, 100)));
+                        DiscoveryBehaviour.oneAtATime(60_000, 2_000, 100)));
     }
 
     /** As n44 of the incident: killed, started anew, and no call of it is ever answered. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("unhelpfulDiscoveries")
     void aRestartedProcessWithoutAListSendsNothingToWhatHasDrained(
-            String what, DiscoveryServer.Behaviour behaviour) throws Exception {
+            String what, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.start(0).awaitReady().kill();
             GatewayProcess restarted = fleet.start(0);
@@ -54,10 +53,10 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("unhelpfulDiscoveries")
     void aProcessThatLostItsWatchSendsNothingToWhatHasDrained(
-            String what, DiscoveryServer.Behaviour behaviour) throws Exception {
+            String what, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             drainAfterTheWatchIsLost(fleet, behaviour, 2);
-            fleet.discovery.behaviour = DiscoveryServer.Behaviour.HEALTHY;
+            fleet.discovery.behaviour = DiscoveryBehaviour.HEALTHY;
             FleetChecks.assertServedAgain(fleet);
         }
     }
@@ -69,7 +68,7 @@
             fleet.start(0).awaitReady();
             fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 3);
             Thread.sleep(1_000);
-            fleet.discovery.behaviour = DiscoveryServer.Behaviour.HEALTHY.saysNothing();
+            fleet.discovery.behaviour = DiscoveryBehaviour.unresponsive();
             fleet.discovery.watchesSilent = true;
             FleetChecks.drain(fleet, 0);
             Thread.sleep(WATCHED_MS);
@@ -78,17 +77,18 @@
     }
 
     static Stream<Arguments> slowDiscoveries() {
-        DiscoveryServer.Behaviour healthy = DiscoveryServer.Behaviour.HEALTHY;
         return Stream.of(
-                Arguments.of("first byte after 3 s", healthy.firstByteAfter(3_000)),
-                Arguments.of("a list that takes 3 s", healthy.tricklingFor(3_000)),
-                Arguments.of("one call at a time of 2.5 s", healthy.inTurn(2_500, 20_000, 100)));
+                Arguments.of("first byte after 3 s", DiscoveryBehaviour.delayed(3_000)),
+                Arguments.of("a list that takes 3 s", DiscoveryBehaviour.trickling(3_000)),
+                Arguments.of(
+                        "one call at a time of 2.5 s",
+                        DiscoveryBehaviour.oneAtATime(2_500, 20_000, 100)));
     }
 
     /** However slow its answers are, they come: the list has to be taken, and service goes on. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("slowDiscoveries")
-    void aDiscoveryThatAnswersSlowlyIsHeard(String what, DiscoveryServer.Behaviour behaviour)
+    void aDiscoveryThatAnswersSlowlyIsHeard(String what, DiscoveryBehaviour behaviour)
             throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             drainAfterTheWatchIsLost(fleet, behaviour, 4);
@@ -114,7 +114,7 @@
     }
 
     private static void drainAfterTheWatchIsLost(
-            TestFleet fleet, DiscoveryServer.Behaviour behaviour, long seed) throws Exception {
+            TestFleet fleet, DiscoveryBehaviour behaviour, long seed) throws Exception {
         fleet.start(0).awaitReady();
         fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, seed);
         Thread.sleep(1_000);
