--- /dev/null
+++ b/src/main/java/sagepulley/scenario/DrainingRule.java
@@ -0,0 +1,98 @@
+package sagepulley.scenario;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import sagepulley.discovery.directory.DirectoryMessages;
+
+/** Rule 3: nothing goes to a node later than the grace after its drain was notified. */
+final class DrainingRule implements Rule {
+    /** What one gateway was notified of. */
+    private static final class NotifiedList {
+        /** Since when nodes are draining or gone, by what the gateway was notified of. */
+        final Map<Integer, Long> unavailableSince = new HashMap<>();
+
+        private final Set<Integer> known = new HashSet<>();
+
+        void update(SocketEventLog.EndpointListSent list) {
+            Set<Integer> listed = new HashSet<>();
+            for (DirectoryMessages.EndpointLine line : list.lines()) {
+                known.add(line.node());
+                listed.add(line.node());
+                if (line.standing() == DirectoryMessages.Phase.READY) {
+                    unavailableSince.remove(line.node());
+                } else {
+                    unavailableSince.putIfAbsent(line.node(), list.at());
+                }
+            }
+            if (list.complete()) {
+                known.stream()
+                        .filter(node -> !listed.contains(node))
+                        .forEach(node -> unavailableSince.putIfAbsent(node, list.at()));
+            }
+        }
+    }
+
+    private record TimedEvent(long at, Runnable action) {}
+
+    @Override
+    public RuleVerdict judge(Evidence evidence) {
+        Judge judge = new Judge(evidence);
+        List<TimedEvent> events = new ArrayList<>();
+        evidence.log.listsSent.forEach(
+                list -> events.add(new TimedEvent(list.at(), () -> judge.listSent(list))));
+        evidence.log.received.forEach(
+                attempt -> events.add(new TimedEvent(attempt.at(), () -> judge.received(attempt))));
+        events.sort(Comparator.comparingLong(TimedEvent::at));
+        events.forEach(event -> event.action().run());
+        return judge.verdict();
+    }
+
+    private static final class Judge {
+        private final Findings findings = new Findings();
+        private final Map<Long, NotifiedList> lists = new HashMap<>();
+        private final double graceMillis;
+        private final double allowanceMillis;
+        private double latestMillis = Double.NEGATIVE_INFINITY;
+
+        Judge(Evidence evidence) {
+            this.graceMillis = evidence.policy().drainGrace();
+            this.allowanceMillis = evidence.allowanceMillis;
+        }
+
+        void listSent(SocketEventLog.EndpointListSent list) {
+            lists.computeIfAbsent(list.gateway(), any -> new NotifiedList()).update(list);
+        }
+
+        void received(SocketEventLog.AttemptReceived attempt) {
+            NotifiedList list = lists.get(attempt.gateway());
+            Long since = list == null ? null : list.unavailableSince.get(attempt.node());
+            if (since == null) {
+                return;
+            }
+            double afterMillis = (attempt.at() - since) / Evidence.NANOS_PER_MILLI;
+            latestMillis = Math.max(latestMillis, afterMillis);
+            if (afterMillis > graceMillis + allowanceMillis) {
+                findings.breach(
+                        "node "
+                                + attempt.node()
+                                + " was sent to "
+                                + Findings.round(afterMillis)
+                                + " ms after its drain was told");
+            }
+        }
+
+        RuleVerdict verdict() {
+            return findings.verdict(
+                    "3 drains kept",
+                    latestMillis == Double.NEGATIVE_INFINITY
+                            ? "nothing sent after"
+                            : "last " + Findings.round(latestMillis) + " ms after",
+                    Findings.round(graceMillis) + " ms");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/scenario/Findings.java
@@ -0,0 +1,30 @@
+package sagepulley.scenario;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Breaches of one rule: all are counted, the first few described. */
+final class Findings {
+    private static final int MAX_DESCRIBED = 5;
+
+    private final List<String> breaches = new ArrayList<>();
+    private int count;
+
+    void breach(String description) {
+        count++;
+        if (breaches.size() < MAX_DESCRIBED) {
+            breaches.add(description);
+        }
+    }
+
+    RuleVerdict verdict(String rule, String figure, String bound) {
+        return new RuleVerdict(rule, count == 0, figure, bound, breaches);
+    }
+
+    /** A figure with one decimal; "all" where nothing came near its bound. */
+    static String round(double value) {
+        return value == Double.POSITIVE_INFINITY
+                ? "all"
+                : String.valueOf(Math.round(value * 10) / 10.0);
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/scenario/RateLimitRule.java
@@ -0,0 +1,74 @@
+package sagepulley.scenario;
+
+import sagepulley.config.VolumeSettings;
+import sagepulley.model.TenantPlan;
+import sagepulley.upstream.frame.StoreMessages;
+
+/** Rule 7: no volume passes the rate limit of its plan. */
+final class RateLimitRule implements Rule {
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    @Override
+    public RuleVerdict judge(Evidence evidence) {
+        Findings findings = new Findings();
+        double minLevel = Double.POSITIVE_INFINITY;
+        for (VolumeSettings volume : evidence.site.volumes()) {
+            TenantPlan plan = evidence.site.deployment().plans().get(volume.plan());
+            if (plan.limit() > 0) {
+                minLevel = Math.min(minLevel, check(evidence, findings, volume, plan));
+            }
+        }
+        return findings.verdict(
+                "7 limits kept",
+                minLevel == Double.POSITIVE_INFINITY
+                        ? "no volume has one"
+                        : "never under " + Findings.round(minLevel) + " units",
+                "-slack");
+    }
+
+    /** Checks one volume; the lowest level of its token bucket, infinity where it took nothing. */
+    private static double check(
+            Evidence evidence, Findings findings, VolumeSettings volume, TenantPlan plan) {
+        // Two attempts that left apart may arrive together.
+        double minAllowed =
+                -plan.limitSlack() - plan.limit() * evidence.allowanceMillis / MILLIS_PER_SECOND;
+        double minLevel = Double.POSITIVE_INFINITY;
+        double level = plan.limitBurst();
+        long last = Long.MIN_VALUE;
+        for (SocketEventLog.AttemptReceived attempt : evidence.log.received) {
+            if (attempt.send().volume() != volume.id()
+                    || attempt.send().number() > 0
+                    || notExecuted(evidence, attempt)) {
+                continue;
+            }
+            if (last != Long.MIN_VALUE) {
+                double refill =
+                        plan.limit()
+                                * (attempt.at() - last)
+                                / Evidence.NANOS_PER_MILLI
+                                / MILLIS_PER_SECOND;
+                level = Math.min(plan.limitBurst(), level + refill);
+            }
+            last = attempt.at();
+            level -= attempt.send().units();
+            minLevel = Math.min(minLevel, level);
+            if (level < minAllowed) {
+                findings.breach(
+                        "volume "
+                                + volume.name()
+                                + " is "
+                                + Findings.round(-level)
+                                + " units past its limit");
+            }
+        }
+        return minLevel;
+    }
+
+    private static boolean notExecuted(Evidence evidence, SocketEventLog.AttemptReceived attempt) {
+        SocketEventLog.AttemptAnswered answer =
+                evidence.answerTo(Evidence.operation(attempt), attempt.send().number());
+        return answer != null
+                && (answer.code() == StoreMessages.Code.MOOT
+                        || answer.code() == StoreMessages.Code.STALE_PEN);
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/scenario/RetryBudgetRule.java
@@ -0,0 +1,83 @@
+package sagepulley.scenario;
+
+import java.util.ArrayList;
+import java.util.List;
+import sagepulley.model.ServicePolicy;
+
+/** Rule 6: each gateway's retries stay within the retry budget, where one is stated. */
+final class RetryBudgetRule implements Rule {
+    private static final double MIN_BUDGET = 1e-9;
+
+    @Override
+    public RuleVerdict judge(Evidence evidence) {
+        Findings findings = new Findings();
+        double maxShare = 0;
+        if (evidence.policy().hasRetryBudget()) {
+            for (SocketEventLog.GatewayIncarnation gateway : evidence.log.incarnations) {
+                maxShare = Math.max(maxShare, check(evidence, findings, gateway));
+            }
+        }
+        return findings.verdict(
+                "6 budget kept",
+                evidence.policy().hasRetryBudget()
+                        ? "at most " + Findings.round(100 * maxShare) + " % of it"
+                        : "none is stated",
+                "100 %");
+    }
+
+    /** Checks one gateway; the largest share of its budget that it used at any time. */
+    private static double check(
+            Evidence evidence, Findings findings, SocketEventLog.GatewayIncarnation gateway) {
+        ServicePolicy policy = evidence.policy();
+        List<Long> operations = operationTimes(evidence, gateway.gateway);
+        List<Long> retries = retryTimes(evidence, gateway.gateway);
+        double retryWindow = policy.retryBudgetWindow() * Evidence.NANOS_PER_MILLI;
+        double operationWindow =
+                (policy.retryBudgetWindow() + evidence.allowanceMillis) * Evidence.NANOS_PER_MILLI;
+        double maxShare = 0;
+        for (long at : retries) {
+            long used = countWithin(retries, at, retryWindow);
+            long accepted = countWithin(operations, at, operationWindow);
+            double allowed = policy.retryBudgetFloor() + policy.retryBudgetRatio() * accepted;
+            maxShare = Math.max(maxShare, used / Math.max(MIN_BUDGET, allowed));
+            if (used > allowed) {
+                findings.breach(
+                        "gateway "
+                                + gateway.index
+                                + " sent "
+                                + used
+                                + " further hops, allowed "
+                                + Findings.round(allowed));
+            }
+        }
+        return maxShare;
+    }
+
+    /** When clients sent requests, once for each extent that a request touches. */
+    private static List<Long> operationTimes(Evidence evidence, long gateway) {
+        int extentBytes = evidence.site.extentBytes();
+        List<Long> times = new ArrayList<>();
+        for (SocketEventLog.ClientRequest request : evidence.log.requests) {
+            if (request.gateway != gateway) {
+                continue;
+            }
+            long last = (request.offset + request.length - 1) / extentBytes;
+            for (long extent = request.offset / extentBytes; extent <= last; extent++) {
+                times.add(request.sentAt);
+            }
+        }
+        return times;
+    }
+
+    private static List<Long> retryTimes(Evidence evidence, long gateway) {
+        return evidence.log.received.stream()
+                .filter(attempt -> attempt.gateway() == gateway && attempt.send().number() > 0)
+                .map(SocketEventLog.AttemptReceived::at)
+                .sorted()
+                .toList();
+    }
+
+    private static long countWithin(List<Long> times, long until, double windowNanos) {
+        return times.stream().filter(time -> time <= until && time > until - windowNanos).count();
+    }
+}
--- /dev/null
+++ b/src/main/java/sagepulley/scenario/SlowStartRule.java
@@ -0,0 +1,75 @@
+package sagepulley.scenario;
+
+import java.util.ArrayDeque;
+import java.util.Queue;
+import sagepulley.model.ServicePolicy;
+import sagepulley.standin.NodeProfile;
+
+/** Rule 4: no node collapses under overload during its slow start. */
+final class SlowStartRule implements Rule {
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    @Override
+    public RuleVerdict judge(Evidence evidence) {
+        double maxShare = 0;
+        for (SocketEventLog.NodeStarted start : evidence.log.nodeStarts) {
+            if (Double.isFinite(start.unitsPerSecond())) {
+                maxShare = Math.max(maxShare, maxLoadShare(evidence, start));
+            }
+        }
+        Findings findings = new Findings();
+        for (SocketEventLog.NodeCollapsed collapse : evidence.log.collapses) {
+            findings.breach("node " + collapse.node() + " was pushed over");
+        }
+        return findings.verdict(
+                "4 no cold node pushed over",
+                "at most " + Findings.round(100 * maxShare) + " % of what it bears",
+                "100 %");
+    }
+
+    /** The highest load of a node after a start, as a share of what it bears at that time. */
+    private static double maxLoadShare(Evidence evidence, SocketEventLog.NodeStarted start) {
+        ServicePolicy policy = evidence.policy();
+        NodeProfile node = evidence.profile(start.node());
+        Queue<SocketEventLog.AttemptReceived> window = new ArrayDeque<>();
+        double units = 0;
+        double max = 0;
+        for (SocketEventLog.AttemptReceived attempt : evidence.log.received) {
+            double ageMillis = millisBetween(start.at(), attempt.at());
+            if (attempt.node() != start.node()
+                    || ageMillis < 0
+                    || ageMillis > policy.slowStartTime()) {
+                continue;
+            }
+            window.add(attempt);
+            units += attempt.send().units();
+            while (millisBetween(window.peek().at(), attempt.at()) > policy.overloadWindow()) {
+                units -= window.poll().send().units();
+            }
+            double bearable = bearableUnits(policy, node, start.unitsPerSecond(), ageMillis);
+            max = Math.max(max, units / bearable);
+        }
+        return max;
+    }
+
+    /** Units within the overload window that a node bears at an age. */
+    private static double bearableUnits(
+            ServicePolicy policy, NodeProfile node, double unitsPerSecond, double ageMillis) {
+        double capacityShare =
+                Math.min(
+                        1,
+                        node.slowStartShare()
+                                + (1 - node.slowStartShare()) * ageMillis / node.slowStartMillis());
+        return Math.max(
+                policy.slowStartUnits(),
+                policy.overloadMultiple()
+                        * capacityShare
+                        * unitsPerSecond
+                        * policy.overloadWindow()
+                        / MILLIS_PER_SECOND);
+    }
+
+    private static double millisBetween(long fromNanos, long toNanos) {
+        return (toNanos - fromNanos) / Evidence.NANOS_PER_MILLI;
+    }
+}
