--- a/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
+++ b/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
@@ -186,7 +186,8 @@
             scheduler.onPollFailed(clock.now());
             schedulerChanged.run();
         } else if (!stopping.getAsBoolean()) {
-            loop.schedule(directory::fetch, (long) fetchBackoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    directory::fetch, (long) fetchBackoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -85,7 +85,10 @@
                 new DirectoryClient(
                         loop, channelType, site.directory().socket(), seed, site.name(), this);
         TailSampler sampler =
-                new TailSampler(site.tracing().maxTracesPerSecond(), site.tracing().sampleProbability(), samplerRandom);
+                new TailSampler(
+                        site.tracing().maxTracesPerSecond(),
+                        site.tracing().sampleProbability(),
+                        samplerRandom);
         this.accounting =
                 new OperationAccounting(
                         site,
@@ -166,7 +169,7 @@
         new HolderPreloader(directory, locator, exportedVolumes.values(), done).run();
     }
 
-    private static EndpointRecord toRecord(MembershipSettings.FixedNode node) {
+    private static EndpointRecord toRecord(MembershipSettings.ConfiguredNode node) {
         return new EndpointRecord(
                 node.node(),
                 node.cell(),
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -87,9 +87,11 @@
     NbdGateway(SiteConfig site, long seed, Scheduler scheduler, Membership membership) {
         this.site = site;
         this.clientGroup =
-                site.loops() > 1 ? EventLoops.group(site.loops() - 1, "client") : engineGroup;
-        this.bufferBudget = new BufferBudget(site.allBytes());
-        this.tracer = site.tracing().wanted() ? new Tracer(site.tracing(), site.name()) : null;
+                site.eventLoops() > 1
+                        ? EventLoops.group(site.eventLoops() - 1, "client")
+                        : engineGroup;
+        this.bufferBudget = new BufferBudget(site.maxTotalBytes());
+        this.tracer = site.tracing().isEnabled() ? new Tracer(site.tracing(), site.name()) : null;
         this.engine =
                 new NbdEngine(
                         site,
@@ -103,25 +105,25 @@
     }
 
     static Membership newMembership(SiteConfig site, long seed) {
-        Membership.Bounds defaults = Membership.Bounds.USUAL;
+        Membership.Policy defaults = Membership.Policy.DEFAULT;
         return new Membership(
                 site.siteName(),
-                new Membership.Bounds(
-                        site.membership().fresh(),
-                        site.membership().aged(),
-                        site.membership().askedAtOnce(),
-                        defaults.askedApart(),
-                        defaults.proofHolds(),
-                        defaults.doubt(),
-                        defaults.firstHold(),
-                        defaults.longestHold()),
+                new Membership.Policy(
+                        site.membership().freshMillis(),
+                        site.membership().agedMillis(),
+                        site.membership().maxConcurrentProbes(),
+                        defaults.probeIntervalMillis(),
+                        defaults.verificationMillis(),
+                        defaults.omissionGraceMillis(),
+                        defaults.initialHoldDownMillis(),
+                        defaults.maxHoldDownMillis()),
                 new SplittableRandom(seed));
     }
 
     /** Listens once an endpoint list is known, and is ready then; fails if it cannot listen. */
     public CompletableFuture<NbdGateway> start() {
         CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
-        AccountFile.Read storedAccounts = readStoredAccounts();
+        AccountFile.Loaded storedAccounts = readStoredAccounts();
         StoredEndpointList storedList = readStoredEndpointList();
         Map<Integer, int[]> storedHolders = readStoredHolders();
         engineGroup
@@ -130,7 +132,7 @@
                         () -> {
                             engine.restore(storedList, storedHolders);
                             if (storedAccounts != null) {
-                                engine.restoreAccounts(storedAccounts.book());
+                                engine.restoreAccounts(storedAccounts.account());
                             }
                             engine.start(() -> listen(ready));
                         });
@@ -141,7 +143,7 @@
      * What an earlier incarnation stored; null if there is nothing valid. That never keeps a
      * gateway from starting.
      */
-    private AccountFile.Read readStoredAccounts() {
+    private AccountFile.Loaded readStoredAccounts() {
         if (!site.accounts().enabled() || site.accounts().file() == null) {
             return null;
         }
@@ -149,11 +151,11 @@
         snapshotWriters.add(
                 new PeriodicWriter<>(
                         "accounts",
-                        site.accounts().every(),
+                        site.accounts().writeIntervalMillis(),
                         engine.accountReports()::snapshot,
                         file::write));
         try {
-            return file.goOn();
+            return file.load();
         } catch (IOException e) {
             LOG.atWarn()
                     .addKeyValue("file", site.accounts().file())
@@ -164,31 +166,31 @@
     }
 
     private StoredEndpointList readStoredEndpointList() {
-        if (site.membership().list() == null) {
+        if (site.membership().listFile() == null) {
             return null;
         }
-        EndpointListFile file = new EndpointListFile(site.membership().list(), site.siteName());
+        EndpointListFile file = new EndpointListFile(site.membership().listFile(), site.siteName());
         snapshotWriters.add(
                 new PeriodicWriter<>(
                         "list",
                         ENDPOINT_LIST_CHECK_INTERVAL_MILLIS,
                         engine::endpointListSnapshot,
                         list -> file.write(list, System.currentTimeMillis())));
-        return file.start();
+        return file.load();
     }
 
     private Map<Integer, int[]> readStoredHolders() {
-        if (site.membership().holders() == null) {
+        if (site.membership().holderFile() == null) {
             return Map.of();
         }
-        HolderFile file = new HolderFile(site.membership().holders(), site.siteName());
+        HolderFile file = new HolderFile(site.membership().holderFile(), site.siteName());
         snapshotWriters.add(
                 new PeriodicWriter<>(
                         "holders",
                         HOLDERS_CHECK_INTERVAL_MILLIS,
                         engine.holderSnapshots()::take,
                         cells -> file.write(cells, System.currentTimeMillis())));
-        return file.start();
+        return file.load();
     }
 
     private void listen(CompletableFuture<NbdGateway> ready) {
@@ -223,7 +225,7 @@
     }
 
     private void accept(Channel client) {
-        if (clients.size() >= site.mostClients()) {
+        if (clients.size() >= site.maxClients()) {
             LOG.atWarn()
                     .addKeyValue("client", client.remoteAddress())
                     .log("too many clients, connection rejected");
@@ -233,7 +235,7 @@
         clients.add(client);
         engine.counters().clients.increment();
         client.closeFuture().addListener(done -> engine.counters().clientsEnded.increment());
-        BufferBudget.ClientBudget budget = bufferBudget.client(site.clientBytes());
+        BufferBudget.ClientBudget budget = bufferBudget.client(site.maxClientBytes());
         client.pipeline()
                 .addLast(
                         new IdleStateHandler(
@@ -286,7 +288,7 @@
 
     /** Traces recorded since the start; 0 if traces are not wanted. */
     public long tracesRecorded() {
-        return tracer == null ? 0 : tracer.made();
+        return tracer == null ? 0 : tracer.exported();
     }
 
     /** Traces dropped since the start; 0 if traces are not wanted. */
@@ -323,7 +325,7 @@
             listener.close();
         }
         engine.stop(() -> empty.complete(null));
-        empty.orTimeout((long) site.stopWithin() + 1, TimeUnit.MILLISECONDS)
+        empty.orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
                 .whenComplete(
                         (done, late) -> {
                             if (late != null) {
@@ -339,6 +341,7 @@
     private void closeClients(CompletableFuture<Void> stopped) {
         clients.flush();
         // What was answered last still has to leave the sockets.
+
         clientGroup
                 .next()
                 .schedule(
--- a/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
@@ -180,6 +180,7 @@
         }
         LatencyComponent component =
                 LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
-        accounts.waitStarted(part.timer, component, connections.readyNodeOf(part.operation.shard), now);
+        accounts.waitStarted(
+                part.timer, component, connections.readyNodeOf(part.operation.shard), now);
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -38,8 +38,7 @@
         Operation operation = part.operation;
         double duration = now - operation.arrivedAt;
         boolean missedObjective =
-                end != Accounts.End.SERVED
-                        || duration > operation.trafficClass.latencyObjective();
+                end != Accounts.End.SERVED || duration > operation.trafficClass.latencyObjective();
         double weight =
                 sampler.sample(end, missedObjective, operation.trafficClass.index(), duration, now);
         if (weight > 0) {
