--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -1,10 +1,7 @@
 package sagepulley.scheduler;
 
 import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.NavigableSet;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
@@ -20,7 +17,6 @@
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.ServicePolicy;
-import sagepulley.model.SlidingWindowCounter;
 import sagepulley.model.TrafficClass;
 
 /**
@@ -42,20 +38,12 @@
  * <p>The caller keeps timers and operations.
  */
 public final class Scheduler {
-    private static final double PLACEMENTS_WINDOW = 10_000;
     private static final double BUSY_REFRESH = 1_000;
-    private static final int RUN = 4;
     // Attempts go on this part of the target time after it, where a late answer is worth this part
     // at least.
     private static final double LATE_GRACE = 0.5;
     private static final double LATE_WORTH = 0.5;
 
-    /**
-     * A start that is longer ago is told as long ago: one that looks older was told by another
-     * clock.
-     */
-    private static final double LONGEST_TOLD_AGE = 3_000_000;
-
     private static final double TIER_STEP = 2;
     private static final int LATE = 1000;
 
@@ -64,17 +52,9 @@
     private final RandomGenerator random;
     final LatencyTracker latencies;
     final QuotaTracker quota;
-    final List<EndpointState> endpoints = new ArrayList<>();
+    final EndpointTable endpoints;
+    private final RequestQueues queues;
 
-    /**
-     * The indexes of the seats at which an operation waits: with thousands of seats most have none.
-     */
-    private final BitSet waitingSeats = new BitSet();
-
-    private final Map<Integer, List<EndpointState>> seatsByCell = new HashMap<>();
-    private final WaitQueue fresh = new WaitQueue();
-    private final WaitQueue homeless = new WaitQueue();
-    private final DeadlineIndex waits = new DeadlineIndex();
     private final List<Attempt> unwanted = new ArrayList<>();
     private final WakeUpTime wakeUp = new WakeUpTime();
     final KeyOrdering keyOrdering;
@@ -89,13 +69,7 @@
 
     private final double deadlineMargin;
     final EndpointLease lease;
-    private int waiting;
-
-    /** Counts what may change whose turn it is. */
-    private long version;
-
     private double refreshAt = Double.NEGATIVE_INFINITY;
-    private boolean knowsList;
     private final DiscoverySchedule discovery;
 
     public Scheduler(Deployment site, long seed) {
@@ -113,6 +87,8 @@
         this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
         this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
+        this.endpoints = new EndpointTable(policy, lease, concurrency);
+        this.queues = new RequestQueues(endpoints);
         this.retryPolicy = new RetryPolicy(policy, deadlineMargin);
         this.retryBudget = new RetryBudget(policy);
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
@@ -122,49 +98,10 @@
 
     /** The list as it now stands; a node that left it is GONE. */
     public void onEndpointList(List<Node> nodes, double now) {
-        for (Node node : nodes) {
-            EndpointState endpoint = EndpointState.of(node);
-            if (endpoint == null) {
-                // Who is gone for good leaves its place: the seats stay as many as the fleet is
-                // wide.
-                EndpointState old =
-                        endpoints.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
-                endpoint =
-                        new EndpointState(
-                                old == null ? endpoints.size() : old.index,
-                                node,
-                                ConcurrencyLimiter.INITIAL_LIMIT,
-                                AdmissionController.newArrivalWindow(),
-                                new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
-                                new SlidingWindowCounter(policy.overloadWindow(), 20));
-                node.schedulerState = endpoint;
-                endpoint.startedAt = possibleStart(node.startedAt, now);
-                if (old == null) {
-                    endpoints.add(endpoint);
-                } else {
-                    endpoints.set(old.index, endpoint);
-                }
-                // A node that turns up later has just started, whatever its line says of its start.
-                if (knowsList && node.startedAt < now - policy.slowStartTime()) {
-                    endpoint.startedAt = now;
-                }
-            } else if (lease.isBounded()
-                    ? node.startedAt != endpoint.reportedStart
-                    : node.startedAt > endpoint.startedAt) {
-                endpoint.reportedStart = node.startedAt;
-                endpoint.startedAt = possibleStart(node.startedAt, now);
-                concurrency.onRestart(endpoint);
-            }
-        }
-        seatsByCell.clear();
-        for (EndpointState endpoint : endpoints) {
-            seatsByCell
-                    .computeIfAbsent(endpoint.node.cell, any -> new ArrayList<>(1))
-                    .add(endpoint);
-        }
-        version++;
-        if (!knowsList) {
-            knowsList = true;
+        boolean first = !endpoints.hasList();
+        endpoints.update(nodes, now);
+        queues.markChanged();
+        if (first) {
             slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
@@ -172,41 +109,13 @@
             // discovery has left, which answers no call that is due.
             discovery.answered();
         }
-        // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
-        queueAnew(homeless);
-        for (EndpointState endpoint : endpoints) {
-            if (endpoint.node.phase != Node.Phase.READY) {
-                queueAnew(endpoint.waitQueue);
-            }
-        }
-    }
-
-    /**
-     * The start that is told of a node by the wall clock, which may be off here or there: never
-     * later than now, and, once a list was confirmed, not before that list, which knew nothing of
-     * it. A start that is told at all was lately.
-     */
-    private double possibleStart(double told, double now) {
-        if (!lease.isBounded() || told == Double.NEGATIVE_INFINITY) {
-            return told;
-        }
-        if (now - told > LONGEST_TOLD_AGE) {
-            return now;
-        }
-        return Math.min(now, Math.max(told, lease.confirmedAt()));
-    }
-
-    private void queueAnew(WaitQueue queue) {
-        for (Operation operation : queue.inOrder()) {
-            dequeue(operation);
-            enqueue(operation);
-        }
+        queues.onEndpointList();
     }
 
     /** The list held is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
-        version++;
+        queues.markChanged();
         discovery.answered();
     }
 
@@ -257,12 +166,7 @@
      * out.
      */
     public void onExtentLocated(Operation operation, int cell) {
-        boolean waits = QueuedRequest.of(operation).queued;
-        dequeue(operation);
-        operation.shard = cell;
-        if (waits) {
-            enqueue(operation);
-        }
+        queues.relocate(operation, cell);
     }
 
     /** The operation has ended without a node: there is nothing to read or to do. */
@@ -280,7 +184,7 @@
             return RoutingDecision.NOT_YET;
         }
         if (!request.queued) {
-            enqueue(operation);
+            queues.enqueue(operation);
             if (operation.attempts.isEmpty()) {
                 admission.onArrival(request.endpoint, now);
             }
@@ -306,7 +210,7 @@
         Operation operation = attempt.operation;
         EndpointState endpoint = EndpointState.of(attempt.node);
         endpoint.inFlight.remove(attempt);
-        version++;
+        queues.markChanged();
         learn(attempt, endpoint, now);
         keyOrdering.onAttemptEnded(attempt, now);
         if (operation.ended) {
@@ -319,13 +223,15 @@
     /** How long to wait before asking again, and what is due now. */
     public SchedulerTurn nextTurn(double now) {
         wakeUp.reset();
-        version++;
+        queues.markChanged();
         refresh(now);
         List<Operation> due = new ArrayList<>(4);
-        List<Operation> late = overdue(now);
-        Operation newest = first(fresh, null, now);
+        List<Operation> late = queues.overdue(latencies, deadlineMargin, wakeUp, now);
+        Operation newest = first(queues.newObjects(), null, now);
         int at = 0;
-        for (int i = waitingSeats.nextSetBit(0); i >= 0; i = waitingSeats.nextSetBit(i + 1)) {
+        for (int i = queues.nextEndpointWithQueue(0);
+                i >= 0;
+                i = queues.nextEndpointWithQueue(i + 1)) {
             EndpointState endpoint = endpoints.get(i);
             Operation next = pick(endpoint, now);
             if (next != null && goesFirst(next, newest, endpoint, now)) {
@@ -347,40 +253,6 @@
         return new SchedulerTurn(wakeUp.delay(now), due, List.of(), callOff, call);
     }
 
-    /**
-     * What waits and would be late, or whose patience ends, by queue: seats', new objects, homeless
-     * ones.
-     */
-    private List<Operation> overdue(double now) {
-        List<Operation> late = new ArrayList<>(0);
-        for (DeadlineIndex.Group kind : waits.groups()) {
-            double early = latencies.requiredServiceTime(kind.trafficClass, kind.units);
-            double target = latencies.objective(kind.trafficClass);
-            // Sorted by each of the three times that may end it: nobody is walked who is not
-            // overdue.
-            kind.collectOverdue(
-                    kind.byObjective,
-                    request -> request.objectiveAt - early,
-                    now,
-                    late,
-                    wakeUp::noLaterThan);
-            kind.collectOverdue(
-                    kind.byArrival,
-                    request -> request.operation.arrivedAt + target - early,
-                    now,
-                    late,
-                    wakeUp::noLaterThan);
-            kind.collectOverdue(
-                    kind.byDeadline,
-                    request -> request.operation.deadline - deadlineMargin,
-                    now,
-                    late,
-                    wakeUp::noLaterThan);
-        }
-        late.sort(DeadlineIndex.BY_QUEUE);
-        return late;
-    }
-
     /** Adds those of a seat's queue, or of the queues behind all seats. */
     private static int addLate(
             List<Operation> late, int at, EndpointState endpoint, List<Operation> due) {
@@ -459,21 +331,10 @@
 
     private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
         boolean first = operation.attempts.isEmpty();
-        dequeue(operation);
+        queues.dequeue(operation);
         Attempt attempt = new Attempt(operation, endpoint.node, operation.attempts.size(), now);
         operation.attempts.add(attempt);
-        endpoint.inFlight.add(attempt);
-        endpoint.lastSentAt = now;
-        endpoint.slowStartSpent.add(now, operation.units);
-        if (operation.extent != 0 && operation.extent == endpoint.lastExtent) {
-            endpoint.runRemaining--;
-        } else {
-            endpoint.lastExtent = operation.extent;
-            endpoint.runRemaining = RUN - 1;
-        }
-        if (operation.shard < 0) {
-            endpoint.placements.add(now, 1);
-        }
+        endpoint.onSent(attempt, now);
         attempt.quotaTier = quota.tier(operation, endpoint, now);
         if (first) {
             if (operation.shard < 0) {
@@ -540,7 +401,7 @@
     private boolean isOverloaded(EndpointState endpoint, double now) {
         boolean queueIsLong =
                 endpoint == null
-                        ? waiting > endpoints.size()
+                        ? queues.size() > endpoints.size()
                         : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
         return queueIsLong || admission.rejectsTooMuch(endpoint, now);
     }
@@ -551,13 +412,17 @@
     private EndpointState turn(Operation operation, double now) {
         QueuedRequest request = QueuedRequest.of(operation);
         if (operation.shard < 0) {
-            return first(fresh, null, now) == operation ? lowestScore(operation, now) : null;
+            return first(queues.newObjects(), null, now) == operation
+                    ? lowestScore(operation, now)
+                    : null;
         }
         EndpointState endpoint = request.endpoint;
         if (endpoint == null || pick(endpoint, now) != operation) {
             return null;
         }
-        return goesFirst(operation, first(fresh, null, now), endpoint, now) ? endpoint : null;
+        return goesFirst(operation, first(queues.newObjects(), null, now), endpoint, now)
+                ? endpoint
+                : null;
     }
 
     /** Whether no new object that would come to the seat ranks before the one picked for it. */
@@ -574,10 +439,10 @@
             return null;
         }
         // Asked again with nothing changed, as pause and place do one after the other.
-        if (endpoint.selectedAt != now || endpoint.selectedVersion != version) {
+        if (endpoint.selectedAt != now || endpoint.selectedVersion != queues.version()) {
             endpoint.selected = pickAnew(endpoint, now);
             endpoint.selectedAt = now;
-            endpoint.selectedVersion = version;
+            endpoint.selectedVersion = queues.version();
         }
         return endpoint.selected;
     }
@@ -667,7 +532,8 @@
 
     /** Where a new object goes now by its placement score; null if no endpoint may take it. */
     private EndpointState lowestScore(Operation operation, double now) {
-        return router.lowestScore(endpoints, endpoint -> isEligible(endpoint, operation, now), now);
+        return router.lowestScore(
+                endpoints.all(), endpoint -> isEligible(endpoint, operation, now), now);
     }
 
     /**
@@ -693,12 +559,12 @@
         }
         refreshAt = now + BUSY_REFRESH;
         latencies.refresh();
-        admission.refresh(endpoints);
-        for (EndpointState endpoint : endpoints) {
+        admission.refresh(endpoints.all());
+        for (EndpointState endpoint : endpoints.all()) {
             outliers.refresh(endpoint);
             concurrency.refresh(endpoint, now, BUSY_REFRESH);
         }
-        EndpointLatencies.refresh(endpoints);
+        EndpointLatencies.refresh(endpoints.all());
     }
 
     // ---- what is learned from an outcome ----
@@ -743,54 +609,6 @@
         return request;
     }
 
-    private void enqueue(Operation operation) {
-        version++;
-        QueuedRequest request = QueuedRequest.of(operation);
-        request.queued = true;
-        waiting++;
-        request.endpoint = null;
-        waits.add(request);
-        if (operation.shard < 0) {
-            fresh.add(request);
-            return;
-        }
-        for (EndpointState endpoint : seatsByCell.getOrDefault(operation.shard, List.of())) {
-            if (request.endpoint == null
-                    || (request.endpoint.node.phase != Node.Phase.READY
-                            && endpoint.node.phase == Node.Phase.READY)) {
-                request.endpoint = endpoint;
-            }
-        }
-        if (request.endpoint == null) {
-            // A shard that no listed node holds waits apart until its node turns up.
-            homeless.add(request);
-            return;
-        }
-        request.endpoint.waitQueue.add(request);
-        waitingSeats.set(request.endpoint.index);
-    }
-
-    private void dequeue(Operation operation) {
-        QueuedRequest request = QueuedRequest.of(operation);
-        if (!request.queued) {
-            return;
-        }
-        version++;
-        request.queued = false;
-        waiting--;
-        waits.remove(request);
-        if (operation.shard < 0) {
-            fresh.remove(request);
-        } else if (request.endpoint != null) {
-            request.endpoint.waitQueue.remove(request);
-            if (request.endpoint.waitQueue.isEmpty()) {
-                waitingSeats.clear(request.endpoint.index);
-            }
-        } else {
-            homeless.remove(request);
-        }
-    }
-
     /**
      * Drops an operation that was not served, and remembers its target time for the client's
      * repeat.
@@ -805,7 +623,7 @@
      * out.
      */
     private void drop(Operation operation) {
-        dequeue(operation);
+        queues.dequeue(operation);
         keyOrdering.onOperationEnded(operation);
     }
 }
