--- /dev/null
+++ b/src/main/java/sagepulley/scheduler/DispatchRules.java
@@ -0,0 +1,115 @@
+package sagepulley.scheduler;
+
+import sagepulley.membership.EndpointLease;
+import sagepulley.model.Attempt;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+
+/**
+ * The rules of the service that every attempt must keep; whatever the other concerns prefer,
+ * nothing is sent that breaks one. Times are milliseconds.
+ */
+final class DispatchRules {
+    /** An answer must leave the gateway by the deadline, and the clock moves in ticks. */
+    private static final double DEADLINE_MARGIN_TICKS = 1.5;
+
+    private final Deployment deployment;
+    private final EndpointLease lease;
+    private final EndpointTable endpoints;
+    private final RetryBudget retryBudget;
+    private final SlowStartBudget slowStart;
+    private final KeyOrdering keyOrdering;
+    private final QuotaTracker quota;
+    private final RetryPolicy retryPolicy;
+    private final double deadlineMargin;
+
+    DispatchRules(
+            Deployment deployment,
+            EndpointLease lease,
+            EndpointTable endpoints,
+            RetryBudget retryBudget,
+            SlowStartBudget slowStart,
+            KeyOrdering keyOrdering,
+            QuotaTracker quota) {
+        this.deployment = deployment;
+        this.lease = lease;
+        this.endpoints = endpoints;
+        this.retryBudget = retryBudget;
+        this.slowStart = slowStart;
+        this.keyOrdering = keyOrdering;
+        this.quota = quota;
+        this.deadlineMargin = DEADLINE_MARGIN_TICKS * deployment.tick();
+        this.retryPolicy = new RetryPolicy(deployment.policy(), deadlineMargin);
+    }
+
+    /** The time before its deadline in which nothing is sent for an operation any more. */
+    double deadlineMargin() {
+        return deadlineMargin;
+    }
+
+    RetryPolicy retryPolicy() {
+        return retryPolicy;
+    }
+
+    /** Whether the operation's deadline is too close for anything but its final answer. */
+    boolean isPastDeadline(Operation operation, double now) {
+        return now >= operation.deadline - deadlineMargin;
+    }
+
+    /** Whether the operation may be sent to the endpoint now. */
+    boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
+        if (operation.ended || isPastDeadline(operation, now)) {
+            return false;
+        }
+        if (!isUsable(endpoint.node, now) || !holdsCell(endpoint, operation)) {
+            return false;
+        }
+        boolean retry = !operation.attempts.isEmpty();
+        if (retry && !allowsRetry(operation, endpoint, now)) {
+            return false;
+        }
+        return fitsSlowStart(operation, endpoint, now)
+                && keyOrdering.isFirstOfKey(operation, now)
+                && (retry || fitsLimit(operation, now));
+    }
+
+    /** Nothing new goes to an endpoint that drains or is removed, or may be without our knowing. */
+    private boolean isUsable(Node node, double now) {
+        return lease.holds(now) && node.phase == Node.Phase.READY;
+    }
+
+    private static boolean holdsCell(EndpointState endpoint, Operation operation) {
+        return operation.shard < 0 || operation.shard == endpoint.node.cell;
+    }
+
+    private boolean allowsRetry(Operation operation, EndpointState endpoint, double now) {
+        return retryPolicy.allowsAnotherAttempt(operation, endpoint.node, now)
+                && retryBudget.allowsRetry(now);
+    }
+
+    /** Whether an endpoint is warm, or its slow start lets the operation pass inside its share. */
+    boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
+        return !slowStart.isWarmingUp(endpoint, now)
+                || (slowStart.allows(operation, endpoint, endpoints.size(), now)
+                        && quota.weightFraction(operation.volume, operation.units, endpoint, now)
+                                >= deployment.shareWeightFraction());
+    }
+
+    /** Whether the operation fits into this gateway's part of its volume's rate limit. */
+    boolean fitsLimit(Operation operation, double now) {
+        return operation.units <= quota.limitRemaining(operation.volume, now);
+    }
+
+    /**
+     * Whether an attempt sent a while ago, of which the endpoint has seen nothing yet, may begin
+     * there now.
+     */
+    boolean mayStart(Attempt attempt, double now) {
+        Operation operation = attempt.operation;
+        return !operation.ended
+                && !isPastDeadline(operation, now)
+                && isUsable(attempt.node, now)
+                && retryPolicy.mayRepeat(operation, attempt.node, attempt, now);
+    }
+}
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -63,11 +63,10 @@
     final AdmissionController admission;
     private final Router router;
     private final SlowStartBudget slowStart;
-    private final RetryPolicy retryPolicy;
+    final DispatchRules rules;
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
 
-    private final double deadlineMargin;
     final EndpointLease lease;
     private double refreshAt = Double.NEGATIVE_INFINITY;
     private final DiscoverySchedule discovery;
@@ -84,13 +83,14 @@
         this.router = new Router(deployment);
         this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
-        this.deadlineMargin = 1.5 * site.tick();
         this.discovery = new DiscoverySchedule(site, random);
         this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
         this.endpoints = new EndpointTable(policy, lease, concurrency);
         this.queues = new RequestQueues(endpoints);
-        this.retryPolicy = new RetryPolicy(policy, deadlineMargin);
         this.retryBudget = new RetryBudget(policy);
+        this.rules =
+                new DispatchRules(
+                        deployment, lease, endpoints, retryBudget, slowStart, keyOrdering, quota);
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
@@ -194,11 +194,11 @@
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
         EndpointState endpoint = mayAttempt ? turn(operation, now) : null;
-        if (endpoint != null && isAllowed(operation, endpoint, now)) {
+        if (endpoint != null && rules.isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
         }
         if (!mayAttempt
-                || now >= operation.deadline - deadlineMargin
+                || rules.isPastDeadline(operation, now)
                 || latencies.lateAt(operation) <= now) {
             return giveUp(operation, now);
         }
@@ -226,7 +226,7 @@
         queues.markChanged();
         refresh(now);
         List<Operation> due = new ArrayList<>(4);
-        List<Operation> late = queues.overdue(latencies, deadlineMargin, wakeUp, now);
+        List<Operation> late = queues.overdue(latencies, rules.deadlineMargin(), wakeUp, now);
         Operation newest = first(queues.newObjects(), null, now);
         int at = 0;
         for (int i = queues.nextEndpointWithQueue(0);
@@ -267,64 +267,9 @@
         return next;
     }
 
-    // ---- the rules: every send passes here ----
-
-    boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
-        // 1: one final answer, in time, and nothing after it.
-        if (operation.ended || now >= operation.deadline - deadlineMargin) {
-            return false;
-        }
-        // 3: nothing new to a node that drains or is gone, or may be without our knowing.
-        if (!lease.holds(now)) {
-            return false;
-        }
-        if (endpoint.node.phase != Node.Phase.READY) {
-            return false;
-        }
-        if (operation.shard >= 0 && operation.shard != endpoint.node.cell) {
-            return false;
-        }
-        int attempts = operation.attempts.size();
-        if (attempts > 0) {
-            // 2: no effect twice.
-            if (!retryPolicy.allowsAnotherAttempt(operation, endpoint.node, now)) {
-                return false;
-            }
-            // 6: the retry budget.
-            if (!retryBudget.allowsRetry(now)) {
-                return false;
-            }
-        }
-        // 4: an endpoint in slow start is not overloaded.
-        if (!fitsSlowStart(operation, endpoint, now)) {
-            return false;
-        }
-        // 5: order by key.
-        if (!keyOrdering.isFirstOfKey(operation, now)) {
-            return false;
-        }
-        // 7: the volume's limit, of which this gateway spends its own part.
-        return attempts > 0 || operation.units <= quota.limitRemaining(operation.volume, now);
-    }
-
-    /**
-     * Whether an attempt sent a while ago, of which the node has seen nothing yet, may begin there
-     * now.
-     */
-    public boolean mayStart(Attempt it, double now) {
-        return !it.operation.ended
-                && now < it.operation.deadline - deadlineMargin
-                && lease.holds(now)
-                && it.node.phase == Node.Phase.READY
-                && retryPolicy.mayRepeat(it.operation, it.node, it, now);
-    }
-
-    /** Whether an endpoint is warm, or its slow start lets the operation pass inside its share. */
-    boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
-        return !slowStart.isWarmingUp(endpoint, now)
-                || (slowStart.allows(operation, endpoint, endpoints.size(), now)
-                        && quota.weightFraction(operation.volume, operation.units, endpoint, now)
-                                >= deployment.shareWeightFraction());
+    /** Whether an attempt that was not written yet may begin at its endpoint now. */
+    public boolean mayStart(Attempt attempt, double now) {
+        return rules.mayStart(attempt, now);
     }
 
     // ---- sending ----
@@ -360,7 +305,7 @@
         if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
             end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
         }
-        return Math.min(end, operation.deadline - deadlineMargin) - now;
+        return Math.min(end, operation.deadline - rules.deadlineMargin()) - now;
     }
 
     private RoutingDecision giveUp(Operation operation, double now) {
@@ -372,13 +317,13 @@
         latencies.onGivenUp(operation.trafficClass);
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
         admission.onGivenUp(endpoint, now);
-        if (!retryPolicy.mayReject(operation)) {
+        if (!rules.retryPolicy().mayReject(operation)) {
             return RoutingDecision.ABANDONED;
         }
         Reason reason =
                 !lease.holds(now)
                         ? Reason.NO_LEASE
-                        : now >= operation.deadline - deadlineMargin
+                        : rules.isPastDeadline(operation, now)
                                 ? Reason.DEADLINE
                                 : latencies.lateAt(operation) <= now
                                         ? Reason.OBJECTIVE_MISSED
@@ -388,7 +333,7 @@
 
     /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
     private boolean mayAttemptAgain(Operation operation, double now) {
-        return retryPolicy.hasAttemptsLeft(operation)
+        return rules.retryPolicy().hasAttemptsLeft(operation)
                 && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
                 && latencies.lateAt(operation) > now;
@@ -450,7 +395,7 @@
     private Operation pickAnew(EndpointState endpoint, double now) {
         if (endpoint.runRemaining > 0) {
             for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
-                if (isAllowed(operation, endpoint, now)
+                if (rules.isAllowed(operation, endpoint, now)
                         && !admission.isHeldBack(operation, endpoint, now)) {
                     return operation;
                 }
@@ -477,9 +422,9 @@
                 boolean stands =
                         !each
                                 && latencies.lateAt(operation) > now
-                                && now < operation.deadline - deadlineMargin;
+                                && !rules.isPastDeadline(operation, now);
                 if (endpoint == null
-                        || (isAllowed(operation, endpoint, now)
+                        || (rules.isAllowed(operation, endpoint, now)
                                 && !admission.isHeldBack(operation, endpoint, now))) {
                     if (best != null && bestTier < 0) {
                         bestTier = tier(best, endpoint, now);
@@ -544,7 +489,7 @@
         if (!concurrency.hasCapacity(endpoint, now)
                 || !concurrency.isBelowLimit(endpoint)
                 || !outliers.isHealthy(endpoint, now)
-                || !isAllowed(operation, endpoint, now)
+                || !rules.isAllowed(operation, endpoint, now)
                 || admission.isHeldBack(operation, endpoint, now)
                 || !endpoint.node.acceptsNewObjects) {
             return false;
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -26,14 +26,14 @@
         if (!scheduler.keyOrdering.isFirstOfKey(operation, now)) {
             return Reason.KEY_ORDER;
         }
-        if (!scheduler.fitsSlowStart(operation, endpoint, now)) {
+        if (!scheduler.rules.fitsSlowStart(operation, endpoint, now)) {
             return Reason.WARMING_UP;
         }
         boolean first = operation.attempts.isEmpty();
         if (first && operation.units > scheduler.quota.limitRemaining(operation.volume, now)) {
             return Reason.LIMIT;
         }
-        if (!scheduler.isAllowed(operation, endpoint, now)) {
+        if (!scheduler.rules.isAllowed(operation, endpoint, now)) {
             return Reason.RETRY_BUDGET;
         }
         if (scheduler.admission.isHeldBack(operation, endpoint, now)) {
