--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.NavigableSet;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import sagepulley.membership.DiscoverySchedule;
@@ -44,9 +43,6 @@
     private static final double LATE_GRACE = 0.5;
     private static final double LATE_WORTH = 0.5;
 
-    private static final double TIER_STEP = 2;
-    private static final int LATE = 1000;
-
     private final Deployment deployment;
     private final ServicePolicy policy;
     private final RandomGenerator random;
@@ -61,7 +57,7 @@
     final OutlierDetector outliers;
     final ConcurrencyLimiter concurrency;
     final AdmissionController admission;
-    private final Router router;
+    private final RequestSelector selector;
     private final SlowStartBudget slowStart;
     final DispatchRules rules;
     private final RetryBudget retryBudget;
@@ -80,7 +76,6 @@
         this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
         this.concurrency = new ConcurrencyLimiter(latencies, outliers);
         this.admission = new AdmissionController(deployment, latencies, quota, outliers);
-        this.router = new Router(deployment);
         this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
         this.discovery = new DiscoverySchedule(site, random);
@@ -91,6 +86,18 @@
         this.rules =
                 new DispatchRules(
                         deployment, lease, endpoints, retryBudget, slowStart, keyOrdering, quota);
+        this.selector =
+                new RequestSelector(
+                        endpoints,
+                        queues,
+                        rules,
+                        new RequestPriority(latencies, quota),
+                        latencies,
+                        outliers,
+                        concurrency,
+                        admission,
+                        slowStart,
+                        new Router(deployment));
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
@@ -193,7 +200,7 @@
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
-        EndpointState endpoint = mayAttempt ? turn(operation, now) : null;
+        EndpointState endpoint = mayAttempt ? selector.endpointFor(operation, now) : null;
         if (endpoint != null && rules.isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
         }
@@ -227,19 +234,19 @@
         refresh(now);
         List<Operation> due = new ArrayList<>(4);
         List<Operation> late = queues.overdue(latencies, rules.deadlineMargin(), wakeUp, now);
-        Operation newest = first(queues.newObjects(), null, now);
+        Operation newest = selector.firstNewObject(now);
         int at = 0;
         for (int i = queues.nextEndpointWithQueue(0);
                 i >= 0;
                 i = queues.nextEndpointWithQueue(i + 1)) {
             EndpointState endpoint = endpoints.get(i);
-            Operation next = pick(endpoint, now);
-            if (next != null && goesFirst(next, newest, endpoint, now)) {
+            Operation next = selector.select(endpoint, now);
+            if (next != null && selector.goesBefore(next, newest, endpoint, now)) {
                 due.add(next);
             }
             at = addLate(late, at, endpoint, due);
         }
-        if (newest != null && lowestScore(newest, now) != null) {
+        if (newest != null && selector.placementFor(newest, now) != null) {
             due.add(newest);
         }
         addLate(late, at, null, due);
@@ -351,153 +358,6 @@
         return queueIsLong || admission.rejectsTooMuch(endpoint, now);
     }
 
-    // ---- whose turn it is ----
-
-    /** The seat to which this operation may go now, if it is its turn there; null if it waits. */
-    private EndpointState turn(Operation operation, double now) {
-        QueuedRequest request = QueuedRequest.of(operation);
-        if (operation.shard < 0) {
-            return first(queues.newObjects(), null, now) == operation
-                    ? lowestScore(operation, now)
-                    : null;
-        }
-        EndpointState endpoint = request.endpoint;
-        if (endpoint == null || pick(endpoint, now) != operation) {
-            return null;
-        }
-        return goesFirst(operation, first(queues.newObjects(), null, now), endpoint, now)
-                ? endpoint
-                : null;
-    }
-
-    /** Whether no new object that would come to the seat ranks before the one picked for it. */
-    private boolean goesFirst(
-            Operation picked, Operation fresh, EndpointState endpoint, double now) {
-        return fresh == null
-                || !outranks(fresh, picked, endpoint, now)
-                || lowestScore(fresh, now) != endpoint;
-    }
-
-    /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
-    private Operation pick(EndpointState endpoint, double now) {
-        if (endpoint.waitQueue.isEmpty() || !concurrency.hasCapacity(endpoint, now)) {
-            return null;
-        }
-        // Asked again with nothing changed, as pause and place do one after the other.
-        if (endpoint.selectedAt != now || endpoint.selectedVersion != queues.version()) {
-            endpoint.selected = pickAnew(endpoint, now);
-            endpoint.selectedAt = now;
-            endpoint.selectedVersion = queues.version();
-        }
-        return endpoint.selected;
-    }
-
-    private Operation pickAnew(EndpointState endpoint, double now) {
-        if (endpoint.runRemaining > 0) {
-            for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
-                if (rules.isAllowed(operation, endpoint, now)
-                        && !admission.isHeldBack(operation, endpoint, now)) {
-                    return operation;
-                }
-            }
-        }
-        Operation best = first(endpoint.waitQueue, endpoint, now);
-        return concurrency.isBelowLimit(endpoint) || outliers.isUnresponsive(endpoint, now)
-                ? best
-                : null;
-    }
-
-    /**
-     * Who ranks first of a queue and may go (no seat: of the new objects). Operations alike differ
-     * only in their deadline and in being late, so that one that is not late stands for the rest; a
-     * cold node's lot is each one's own.
-     */
-    private Operation first(WaitQueue queue, EndpointState endpoint, double now) {
-        boolean each = endpoint != null && slowStart.isWarmingUp(endpoint, now);
-        Operation best = null;
-        int bestTier = -1;
-        for (NavigableSet<QueuedRequest> alike : queue.groups()) {
-            for (QueuedRequest request : alike) {
-                Operation operation = request.operation;
-                boolean stands =
-                        !each
-                                && latencies.lateAt(operation) > now
-                                && !rules.isPastDeadline(operation, now);
-                if (endpoint == null
-                        || (rules.isAllowed(operation, endpoint, now)
-                                && !admission.isHeldBack(operation, endpoint, now))) {
-                    if (best != null && bestTier < 0) {
-                        bestTier = tier(best, endpoint, now);
-                    }
-                    int tier =
-                            best != null || alike.size() > 1 ? tier(operation, endpoint, now) : -1;
-                    if (best == null
-                            || tier < bestTier
-                            || (tier == bestTier && earlier(request, best))) {
-                        best = operation;
-                        bestTier = tier;
-                    }
-                }
-                if (stands) {
-                    break;
-                }
-            }
-        }
-        return best;
-    }
-
-    private static boolean earlier(QueuedRequest one, Operation other) {
-        double apart = one.operation.deadline - other.deadline;
-        return apart < 0 || (apart == 0 && one.sequence < QueuedRequest.of(other).sequence);
-    }
-
-    /** Utility still due goes first; among equals the earliest deadline. */
-    private boolean outranks(Operation one, Operation other, EndpointState endpoint, double now) {
-        int a = tier(one, endpoint, now);
-        int b = tier(other, endpoint, now);
-        return a != b ? a < b : one.deadline < other.deadline;
-    }
-
-    /**
-     * Steps that the utility still due, for the node's time that it takes, lies under the best
-     * there is.
-     */
-    private int tier(Operation operation, EndpointState endpoint, double now) {
-        if (latencies.lateAt(operation) <= now) {
-            return LATE;
-        }
-        TrafficClass trafficClass = operation.trafficClass;
-        double part = quota.weightFraction(operation.volume, operation.units, endpoint, now);
-        double pace = latencies.meanServiceTime(trafficClass) + 1e-9;
-        double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
-        return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
-    }
-
-    // ---- the score ----
-
-    /** Where a new object goes now by its placement score; null if no endpoint may take it. */
-    private EndpointState lowestScore(Operation operation, double now) {
-        return router.lowestScore(
-                endpoints.all(), endpoint -> isEligible(endpoint, operation, now), now);
-    }
-
-    /**
-     * Whether an endpoint may take a new object before what waits for it. An endpoint that fails at
-     * once, or that is in slow start, has few placements and no latency: it would draw all of them.
-     */
-    private boolean isEligible(EndpointState endpoint, Operation operation, double now) {
-        if (!concurrency.hasCapacity(endpoint, now)
-                || !concurrency.isBelowLimit(endpoint)
-                || !outliers.isHealthy(endpoint, now)
-                || !rules.isAllowed(operation, endpoint, now)
-                || admission.isHeldBack(operation, endpoint, now)
-                || !endpoint.node.acceptsNewObjects) {
-            return false;
-        }
-        Operation rival = pick(endpoint, now);
-        return rival == null || outranks(operation, rival, endpoint, now);
-    }
-
     private void refresh(double now) {
         if (now < refreshAt) {
             return;
