--- a/src/main/java/sagepulley/scheduler/RequestSelector.java
+++ b/src/main/java/sagepulley/scheduler/RequestSelector.java
@@ -1,5 +1,7 @@
 package sagepulley.scheduler;
 
+import java.util.ArrayList;
+import java.util.List;
 import java.util.NavigableSet;
 import sagepulley.model.Operation;
 
@@ -39,6 +41,46 @@
         this.router = router;
     }
 
+    /**
+     * The operations to route now: by endpoint whose turn it is and who is overdue there, then the
+     * same of new objects. Notes when the next one is overdue.
+     */
+    List<Operation> dueOperations(WakeUpTime wakeUp, double now) {
+        List<Operation> due = new ArrayList<>(4);
+        List<Operation> overdue = queues.overdue(latencies, rules.deadlineMargin(), wakeUp, now);
+        Operation newObject = firstNewObject(now);
+        int next = 0;
+        for (int i = queues.nextEndpointWithQueue(0);
+                i >= 0;
+                i = queues.nextEndpointWithQueue(i + 1)) {
+            EndpointState endpoint = endpoints.get(i);
+            Operation selected = select(endpoint, now);
+            if (selected != null && goesBefore(selected, newObject, endpoint, now)) {
+                due.add(selected);
+            }
+            next = addOverdue(overdue, next, endpoint, due);
+        }
+        if (newObject != null && placementFor(newObject, now) != null) {
+            due.add(newObject);
+        }
+        addOverdue(overdue, next, null, due);
+        return due;
+    }
+
+    /** Adds the overdue of an endpoint's queue, or all that are left, and gives the next index. */
+    private static int addOverdue(
+            List<Operation> overdue, int from, EndpointState endpoint, List<Operation> due) {
+        int next = from;
+        while (next < overdue.size()
+                && (endpoint == null || QueuedRequest.of(overdue.get(next)).endpoint == endpoint)) {
+            Operation operation = overdue.get(next++);
+            if (!due.contains(operation)) {
+                due.add(operation);
+            }
+        }
+        return next;
+    }
+
     /** The endpoint to which an operation may go now, if it is its turn there; null if it waits. */
     EndpointState endpointFor(Operation operation, double now) {
         if (operation.shard < 0) {
@@ -52,7 +94,7 @@
     }
 
     /** The new object that ranks first; null if none waits. */
-    Operation firstNewObject(double now) {
+    private Operation firstNewObject(double now) {
         return first(queues.newObjects(), null, now);
     }
 
@@ -60,7 +102,7 @@
      * Whether an operation selected for an endpoint goes there before the first new object, which
      * may rank lower, go elsewhere or be null.
      */
-    boolean goesBefore(
+    private boolean goesBefore(
             Operation selected, Operation newObject, EndpointState endpoint, double now) {
         return newObject == null
                 || !priority.outranks(newObject, selected, endpoint, now)
@@ -68,7 +110,7 @@
     }
 
     /** Where a new object goes now by its placement score; null if no endpoint may take it. */
-    EndpointState placementFor(Operation newObject, double now) {
+    private EndpointState placementFor(Operation newObject, double now) {
         return router.lowestScore(
                 endpoints.all(), endpoint -> isEligible(endpoint, newObject, now), now);
     }
@@ -98,7 +140,7 @@
      * The operation of an endpoint's queue whose turn it is: one of the extent sent there last, a
      * few in a row, then the one that ranks first; null if none may go.
      */
-    Operation select(EndpointState endpoint, double now) {
+    private Operation select(EndpointState endpoint, double now) {
         if (endpoint.waitQueue.isEmpty() || !concurrency.hasCapacity(endpoint, now)) {
             return null;
         }
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -16,60 +16,58 @@
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.ServicePolicy;
-import sagepulley.model.TrafficClass;
 
 /**
- * Every decision of one gateway: the Flint placement score, each node's bound, and the guards round
- * them.
+ * Decides for one gateway which operation goes to which endpoint, when, and which is given up. It
+ * composes the concerns, each a class of this package with state of its own, and keeps the order in
+ * which they are called; the order of random draws is part of its behaviour.
  *
- * <p>How it is called (the types are those of sagepulley.model; times are milliseconds on one
- * clock):
+ * <p>Its caller keeps the operations and the timer, and calls from one thread:
  *
  * <ul>
- *   <li>place(operation): where to send it, or not yet, or never; a SEND has already added its
- *       attempt
- *   <li>after(attempt): what to do for its operation after this outcome
- *   <li>pause(): how long to wait, and what is due now: operations to place, probes, list calls;
- *       asked again until no operation is due
- *   <li>told, with no answer: listed, listFailed, probed, left, found, needless
+ *   <li>{@link #route}: where to send an operation, or not yet, or never; it has added the attempt
+ *       that is to be sent
+ *   <li>{@link #onAttemptEnded}: what to do for the operation of an attempt with an outcome
+ *   <li>{@link #nextTurn}: how long to wait, and what is due now; asked again until no operation is
+ *       due
+ *   <li>the other methods tell it of events and have no answer
  * </ul>
  *
- * <p>The caller keeps timers and operations.
+ * <p>Times are milliseconds on the caller's monotonic clock.
  */
 public final class Scheduler {
-    private static final double BUSY_REFRESH = 1_000;
-    // Attempts go on this part of the target time after it, where a late answer is worth this part
-    // at least.
-    private static final double LATE_GRACE = 0.5;
-    private static final double LATE_WORTH = 0.5;
+    private static final double REFRESH_PERIOD_MILLIS = 1_000;
 
     private final Deployment deployment;
-    private final ServicePolicy policy;
     private final RandomGenerator random;
-    final LatencyTracker latencies;
-    final QuotaTracker quota;
-    final EndpointTable endpoints;
-    private final RequestQueues queues;
-
-    private final List<Attempt> unwanted = new ArrayList<>();
     private final WakeUpTime wakeUp = new WakeUpTime();
-    final KeyOrdering keyOrdering;
-    final OutlierDetector outliers;
-    final ConcurrencyLimiter concurrency;
-    final AdmissionController admission;
+    private final DiscoverySchedule discovery;
+    private final RequestQueues queues;
     private final RequestSelector selector;
     private final SlowStartBudget slowStart;
-    final DispatchRules rules;
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
 
+    // The views of this package read these.
     final EndpointLease lease;
-    private double refreshAt = Double.NEGATIVE_INFINITY;
-    private final DiscoverySchedule discovery;
+    final EndpointTable endpoints;
+    final DispatchRules rules;
+    final LatencyTracker latencies;
+    final QuotaTracker quota;
+    final KeyOrdering keyOrdering;
+    final OutlierDetector outliers;
+    final ConcurrencyLimiter concurrency;
+    final AdmissionController admission;
+
+    /** Attempts in flight whose client has cancelled, until the next turn. */
+    private final List<Attempt> cancellations = new ArrayList<>();
+
+    private double nextRefreshAt = Double.NEGATIVE_INFINITY;
 
-    public Scheduler(Deployment site, long seed) {
-        this.deployment = site;
-        this.policy = site.policy();
+    /** A scheduler without endpoints; the seed makes its random draws repeatable. */
+    public Scheduler(Deployment deployment, long seed) {
+        ServicePolicy policy = deployment.policy();
+        this.deployment = deployment;
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.latencies = new LatencyTracker(deployment.trafficClasses());
         this.quota = new QuotaTracker(deployment, wakeUp);
@@ -78,8 +76,8 @@
         this.admission = new AdmissionController(deployment, latencies, quota, outliers);
         this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
-        this.discovery = new DiscoverySchedule(site, random);
-        this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
+        this.discovery = new DiscoverySchedule(deployment, random);
+        this.lease = new EndpointLease(deployment.notifiedWithin(), policy.drainGrace());
         this.endpoints = new EndpointTable(policy, lease, concurrency);
         this.queues = new RequestQueues(endpoints);
         this.retryBudget = new RetryBudget(policy);
@@ -101,9 +99,7 @@
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
-    // ---- facts ----
-
-    /** The list as it now stands; a node that left it is GONE. */
+    /** Takes over the endpoint list; an endpoint that is gone from it has the phase REMOVED. */
     public void onEndpointList(List<Node> nodes, double now) {
         boolean first = !endpoints.hasList();
         endpoints.update(nodes, now);
@@ -112,14 +108,14 @@
             slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
-            // On a platform listConfirmed tells it: a list may also come from an address that
-            // discovery has left, which answers no call that is due.
+            // With a bounded lease onListConfirmed says so: a list may also come from an address
+            // that discovery has left, which answers no poll.
             discovery.answered();
         }
         queues.onEndpointList();
     }
 
-    /** The list held is known to have been current at a time. */
+    /** The endpoint list is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
         queues.markChanged();
@@ -131,14 +127,14 @@
         lease.unreachable(at);
     }
 
-    /** A list call failed, or the subscription dropped. */
+    /** A poll of the endpoint list failed, or its watch ended. */
     public void onPollFailed(double now) {
         discovery.failed(now);
     }
 
-    /** A new configuration was told at a time, which may move discovery. */
-    public void onReloadNotified(double toldAt) {
-        lease.reloadTold(toldAt);
+    /** A new configuration, which may move discovery, was notified at a time. */
+    public void onReloadNotified(double at) {
+        lease.reloadTold(at);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
@@ -146,60 +142,57 @@
         lease.reloadRead(readAt);
     }
 
-    /** The list is kept elsewhere from now on, and nobody has been asked there. */
+    /** Discovery is at another address from now on, and was not polled there yet. */
     public void onDiscoveryMoved(double now) {
         discovery.moved(now);
     }
 
-    /** What a probe found. */
+    /** A health check ended; none is asked for yet, so nothing is learned. */
     public void onHealthCheck(
-            Node node, Outcome outcome, double took, double[] report, double now) {
-        // No probe is asked for yet.
-    }
+            Node node, Outcome outcome, double took, double[] report, double now) {}
 
-    /** The client has left: nothing more is owed or sent, and work for nobody is called off. */
+    /**
+     * The client has cancelled an operation: what is in flight for it is cancelled at the next
+     * turn.
+     */
     public void onClientCancelled(Operation operation, double now) {
-        forsake(operation);
+        remove(operation);
+        clientRetries.onUnserved(operation);
         latencies.onCancelled(operation, now);
         for (Attempt attempt : operation.attempts) {
             if (attempt.outcome == null && deployment.mayCancel()) {
-                unwanted.add(attempt);
+                cancellations.add(attempt);
             }
         }
     }
 
     /**
      * The cell of an operation's extent became known (-1: it is a new object) while it waits or is
-     * out.
+     * in flight.
      */
     public void onExtentLocated(Operation operation, int cell) {
         queues.relocate(operation, cell);
     }
 
-    /** The operation has ended without a node: there is nothing to read or to do. */
+    /** The operation has ended without an endpoint, as there is nothing to read or to do. */
     public void onEndedWithoutNode(Operation operation) {
-        drop(operation);
+        remove(operation);
     }
 
-    // ---- the three calls ----
-
     /** Where to send this operation, or not yet, or never. */
     public RoutingDecision route(Operation operation, double now) {
-        QueuedRequest request = ticket(operation, now);
+        QueuedRequest request = request(operation, now);
         if (operation.ended) {
-            drop(operation);
+            remove(operation);
             return RoutingDecision.NOT_YET;
         }
         if (!request.queued) {
             queues.enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                admission.onArrival(request.endpoint, now);
-            }
-            if (operation.attempts.isEmpty() && request.endpoint != null) {
-                quota.onDemand(operation, request.endpoint, now);
+                countArrival(request, now);
             }
         }
-        boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
+        boolean mayAttempt = operation.attempts.isEmpty() || mayRetry(operation, now);
         EndpointState endpoint = mayAttempt ? selector.endpointFor(operation, now) : null;
         if (endpoint != null && rules.isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
@@ -212,7 +205,14 @@
         return RoutingDecision.NOT_YET;
     }
 
-    /** What to do for the operation after this outcome. */
+    private void countArrival(QueuedRequest request, double now) {
+        admission.onArrival(request.endpoint, now);
+        if (request.endpoint != null) {
+            quota.onDemand(request.operation, request.endpoint, now);
+        }
+    }
+
+    /** Learns from the outcome of an attempt, and says what to do for its operation. */
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
         EndpointState endpoint = EndpointState.of(attempt.node);
@@ -221,7 +221,7 @@
         learn(attempt, endpoint, now);
         keyOrdering.onAttemptEnded(attempt, now);
         if (operation.ended) {
-            drop(operation);
+            remove(operation);
             return FollowUp.NONE;
         }
         return operation.isInFlight() ? FollowUp.NONE : FollowUp.ROUTE_AGAIN;
@@ -232,46 +232,15 @@
         wakeUp.reset();
         queues.markChanged();
         refresh(now);
-        List<Operation> due = new ArrayList<>(4);
-        List<Operation> late = queues.overdue(latencies, rules.deadlineMargin(), wakeUp, now);
-        Operation newest = selector.firstNewObject(now);
-        int at = 0;
-        for (int i = queues.nextEndpointWithQueue(0);
-                i >= 0;
-                i = queues.nextEndpointWithQueue(i + 1)) {
-            EndpointState endpoint = endpoints.get(i);
-            Operation next = selector.select(endpoint, now);
-            if (next != null && selector.goesBefore(next, newest, endpoint, now)) {
-                due.add(next);
-            }
-            at = addLate(late, at, endpoint, due);
-        }
-        if (newest != null && selector.placementFor(newest, now) != null) {
-            due.add(newest);
-        }
-        addLate(late, at, null, due);
-        SchedulerTurn.EndpointPoll call =
+        List<Operation> due = selector.dueOperations(wakeUp, now);
+        SchedulerTurn.EndpointPoll poll =
                 discovery.takeDue(now)
                         ? SchedulerTurn.EndpointPoll.SUBSCRIBE
                         : SchedulerTurn.EndpointPoll.NONE;
         wakeUp.noLaterThan(discovery.nextAt());
-        List<Attempt> callOff = List.copyOf(unwanted);
-        unwanted.clear();
-        return new SchedulerTurn(wakeUp.delay(now), due, List.of(), callOff, call);
-    }
-
-    /** Adds those of a seat's queue, or of the queues behind all seats. */
-    private static int addLate(
-            List<Operation> late, int at, EndpointState endpoint, List<Operation> due) {
-        int next = at;
-        while (next < late.size()
-                && (endpoint == null || QueuedRequest.of(late.get(next)).endpoint == endpoint)) {
-            Operation operation = late.get(next++);
-            if (!due.contains(operation)) {
-                due.add(operation);
-            }
-        }
-        return next;
+        List<Attempt> cancelled = List.copyOf(cancellations);
+        cancellations.clear();
+        return new SchedulerTurn(wakeUp.delay(now), due, List.of(), cancelled, poll);
     }
 
     /** Whether an attempt that was not written yet may begin at its endpoint now. */
@@ -279,8 +248,6 @@
         return rules.mayStart(attempt, now);
     }
 
-    // ---- sending ----
-
     private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
         boolean first = operation.attempts.isEmpty();
         queues.dequeue(operation);
@@ -296,30 +263,16 @@
         } else {
             retryBudget.onRetry(now);
         }
-        return RoutingDecision.send(endpoint.node, timeout(operation, now));
-    }
-
-    /**
-     * An attempt ends with the target time: what is never answered (by a node that loses answers,
-     * hangs or is cut off) must not hold a slot of the bound until the client's patience ends, and
-     * work that comes late anyway stands in every gateway's way at the node, which drops what has
-     * ended.
-     */
-    private double timeout(Operation operation, double now) {
-        TrafficClass trafficClass = operation.trafficClass;
-        double end = QueuedRequest.of(operation).objectiveAt;
-        // What is late already, or worth nearly as much when late, goes on for a while.
-        if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
-            end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
-        }
-        return Math.min(end, operation.deadline - rules.deadlineMargin()) - now;
+        double timeout = AttemptTimeout.of(operation, rules.deadlineMargin(), now);
+        return RoutingDecision.send(endpoint.node, timeout);
     }
 
     private RoutingDecision giveUp(Operation operation, double now) {
         if (operation.isInFlight()) {
             return RoutingDecision.NOT_YET;
         }
-        forsake(operation);
+        remove(operation);
+        clientRetries.onUnserved(operation);
         operation.ended = true;
         latencies.onGivenUp(operation.trafficClass);
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
@@ -327,19 +280,22 @@
         if (!rules.retryPolicy().mayReject(operation)) {
             return RoutingDecision.ABANDONED;
         }
-        Reason reason =
-                !lease.holds(now)
-                        ? Reason.NO_LEASE
-                        : rules.isPastDeadline(operation, now)
-                                ? Reason.DEADLINE
-                                : latencies.lateAt(operation) <= now
-                                        ? Reason.OBJECTIVE_MISSED
-                                        : Reason.NO_RETRY;
-        return RoutingDecision.reject(admission.retryAfter(endpoint, now), reason);
+        return RoutingDecision.reject(
+                admission.retryAfter(endpoint, now), rejectionReason(operation, now));
+    }
+
+    private Reason rejectionReason(Operation operation, double now) {
+        if (!lease.holds(now)) {
+            return Reason.NO_LEASE;
+        }
+        if (rules.isPastDeadline(operation, now)) {
+            return Reason.DEADLINE;
+        }
+        return latencies.lateAt(operation) <= now ? Reason.OBJECTIVE_MISSED : Reason.NO_RETRY;
     }
 
-    /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
-    private boolean mayAttemptAgain(Operation operation, double now) {
+    /** Whether a retry is wanted at all; whether the rules allow it is asked for each endpoint. */
+    private boolean mayRetry(Operation operation, double now) {
         return rules.retryPolicy().hasAttemptsLeft(operation)
                 && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
@@ -358,22 +314,21 @@
         return queueIsLong || admission.rejectsTooMuch(endpoint, now);
     }
 
+    /** Lets the statistics of all concerns fade and be taken anew, once a period. */
     private void refresh(double now) {
-        if (now < refreshAt) {
+        if (now < nextRefreshAt) {
             return;
         }
-        refreshAt = now + BUSY_REFRESH;
+        nextRefreshAt = now + REFRESH_PERIOD_MILLIS;
         latencies.refresh();
         admission.refresh(endpoints.all());
         for (EndpointState endpoint : endpoints.all()) {
             outliers.refresh(endpoint);
-            concurrency.refresh(endpoint, now, BUSY_REFRESH);
+            concurrency.refresh(endpoint, now, REFRESH_PERIOD_MILLIS);
         }
         EndpointLatencies.refresh(endpoints.all());
     }
 
-    // ---- what is learned from an outcome ----
-
     private void learn(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
@@ -400,9 +355,8 @@
         concurrency.onServed(attempt, endpoint, queued, now);
     }
 
-    // ---- books ----
-
-    private QueuedRequest ticket(Operation operation, double now) {
+    /** The state of an operation, which has just arrived if it has none. */
+    private QueuedRequest request(Operation operation, double now) {
         if (operation.schedulerState != null) {
             return QueuedRequest.of(operation);
         }
@@ -414,20 +368,8 @@
         return request;
     }
 
-    /**
-     * Drops an operation that was not served, and remembers its target time for the client's
-     * repeat.
-     */
-    private void forsake(Operation operation) {
-        drop(operation);
-        clientRetries.onUnserved(operation);
-    }
-
-    /**
-     * Takes an operation that is over out of every queue; its key moves on once no attempt of it is
-     * out.
-     */
-    private void drop(Operation operation) {
+    /** Takes an operation that has ended out of its queue, and out of its key's once it may. */
+    private void remove(Operation operation) {
         queues.dequeue(operation);
         keyOrdering.onOperationEnded(operation);
     }
