--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -105,8 +105,8 @@
             return endpoint.queueEstimate > admissionFactor * MAX_QUEUE_RESERVATION;
         }
         double used = quota.usedOfEvenLevel(operation.volume, endpoint, operation.units, now);
-        double longest = Math.min(MAX_QUEUE_SHARE, MAX_QUEUE_EVEN_LEVEL / used);
-        return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * longest);
+        double maxEstimate = Math.min(MAX_QUEUE_SHARE, MAX_QUEUE_EVEN_LEVEL / used);
+        return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * maxEstimate);
     }
 
     /** Counts an operation that arrives for an endpoint; null for a new object. */
--- a/src/main/java/sagepulley/scheduler/ArrivalWindow.java
+++ b/src/main/java/sagepulley/scheduler/ArrivalWindow.java
@@ -3,12 +3,15 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * What lately came for one node, or as new objects, and what of it was declined though it could be
- * served.
+ * What lately came for one endpoint, or as new objects, and what of it was rejected though it could
+ * be served; counted by {@link AdmissionController}.
  */
 record ArrivalWindow(SlidingWindowCounter arrivals, SlidingWindowCounter rejections) {
-    static ArrivalWindow over(double window) {
+    private static final int BUCKETS = 10;
+
+    static ArrivalWindow over(double windowMillis) {
         return new ArrivalWindow(
-                new SlidingWindowCounter(window, 10), new SlidingWindowCounter(window, 10));
+                new SlidingWindowCounter(windowMillis, BUCKETS),
+                new SlidingWindowCounter(windowMillis, BUCKETS));
     }
 }
--- a/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
+++ b/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
@@ -18,7 +18,7 @@
     private static final double MIN_ELAPSED_FRACTION = 0.1;
 
     /** By traffic class, the longest time from arrival to deadline that was seen, in ms. */
-    private final double[] longestDeadlines;
+    private final double[] maxDeadlines;
 
     /** By extent, when the objective of an operation ends that lately was not served. */
     private final Map<Long, Double> unserved =
@@ -30,7 +30,7 @@
             };
 
     ClientRetryTracker(int trafficClassCount) {
-        this.longestDeadlines = new double[trafficClassCount];
+        this.maxDeadlines = new double[trafficClassCount];
     }
 
     /** When the latency objective of an operation that arrives now ends, in milliseconds. */
@@ -38,8 +38,8 @@
         TrafficClass trafficClass = operation.trafficClass;
         int index = trafficClass.index();
         double left = operation.deadline - now;
-        longestDeadlines[index] = Math.max(longestDeadlines[index], left);
-        double elapsed = longestDeadlines[index] - left;
+        maxDeadlines[index] = Math.max(maxDeadlines[index], left);
+        double elapsed = maxDeadlines[index] - left;
         boolean retried = elapsed > MIN_ELAPSED_FRACTION * trafficClass.latencyObjective();
         Double first = retried ? unserved.get(operation.extent) : null;
         return first != null
--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -13,12 +13,13 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * All that waits, sorted by the times that may end it, so that what is due is found without a walk.
+ * All operations that wait, sorted by the times that may end their wait, so that the overdue are
+ * found without visiting the others.
  */
 final class DeadlineIndex {
     /**
-     * As the queues stand: the seats in their order, new objects, the homeless; in each as they
-     * came.
+     * The order of the queues: the endpoints' by index, new objects, those without endpoint; in
+     * each queue as they came.
      */
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
@@ -46,7 +47,7 @@
         }
     }
 
-    /** Operations of one band and size: whatever moves their ends moves all of them alike. */
+    /** Operations of one traffic class and size: what moves the end of one moves all alike. */
     static final class Group {
         final TrafficClass trafficClass;
         final double units;
@@ -67,7 +68,7 @@
                             .thenComparingLong(request -> request.sequence));
         }
 
-        /** Adds those that have ended by now, and tells when the next one ends. */
+        /** Adds those that have ended by now, and hands over when the next one ends. */
         void collectOverdue(
                 NavigableSet<QueuedRequest> order,
                 ToDoubleFunction<QueuedRequest> end,
@@ -94,21 +95,21 @@
     void add(QueuedRequest request) {
         request.sequence = ++lastSequence;
         Operation operation = request.operation;
-        Group kind =
+        Group group =
                 groups.computeIfAbsent(
                         key(operation), any -> new Group(operation.trafficClass, operation.units));
-        kind.byObjective.add(request);
-        kind.byArrival.add(request);
-        kind.byDeadline.add(request);
+        group.byObjective.add(request);
+        group.byArrival.add(request);
+        group.byDeadline.add(request);
     }
 
     void remove(QueuedRequest request) {
         Key key = key(request.operation);
-        Group kind = groups.get(key);
-        kind.byObjective.remove(request);
-        kind.byArrival.remove(request);
-        kind.byDeadline.remove(request);
-        if (kind.byObjective.isEmpty()) {
+        Group group = groups.get(key);
+        group.byObjective.remove(request);
+        group.byArrival.remove(request);
+        group.byDeadline.remove(request);
+        if (group.byObjective.isEmpty()) {
             groups.remove(key);
         }
     }
--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -3,7 +3,10 @@
 import java.util.Locale;
 import sagepulley.model.Node;
 
-/** What Scheduler believes of a node, for whoever watches a gateway; nothing is decided by it. */
+/**
+ * What the scheduler has learned of an endpoint, for monitoring; nothing is decided by it. The
+ * queue estimate is in units of the longest acceptable queueing delay, the fault ratio a part of 1.
+ */
 public record EndpointView(
         double concurrencyLimit,
         double queueEstimate,
@@ -11,7 +14,7 @@
         int waiting,
         boolean ejected,
         double faultRatio) {
-    /** The view of a node that was listed. */
+    /** The view of an endpoint that was listed. */
     public static EndpointView of(Node node) {
         EndpointState endpoint = EndpointState.of(node);
         return new EndpointView(
--- a/src/main/java/sagepulley/scheduler/LatencyTracker.java
+++ b/src/main/java/sagepulley/scheduler/LatencyTracker.java
@@ -36,7 +36,7 @@
 
     private final List<TrafficClass> trafficClasses;
     private final TrafficClassStats[] statsByClass;
-    private double shortestObjective;
+    private double minObjective;
 
     LatencyTracker(List<TrafficClass> trafficClasses) {
         this.trafficClasses = trafficClasses;
@@ -133,17 +133,17 @@
     }
 
     /** The shortest objective of all classes, as of the latest refresh; 0 before the first. */
-    double shortestObjective() {
-        return shortestObjective;
+    double minObjective() {
+        return minObjective;
     }
 
     /** The longest queueing delay at an endpoint that is acceptable, in milliseconds. */
     double acceptableQueueing() {
-        return ACCEPTABLE_QUEUEING_FRACTION * shortestObjective;
+        return ACCEPTABLE_QUEUEING_FRACTION * minObjective;
     }
 
     /** Takes the shortest objective anew. */
     void refresh() {
-        shortestObjective = trafficClasses.stream().mapToDouble(this::objective).min().orElse(0);
+        minObjective = trafficClasses.stream().mapToDouble(this::objective).min().orElse(0);
     }
 }
--- a/src/main/java/sagepulley/scheduler/OutlierDetector.java
+++ b/src/main/java/sagepulley/scheduler/OutlierDetector.java
@@ -51,7 +51,7 @@
             return false;
         }
         double since = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
-        double limit = latencies.shortestObjective() * UNRESPONSIVE_FRACTION;
+        double limit = latencies.minObjective() * UNRESPONSIVE_FRACTION;
         if (now - since > limit) {
             return true;
         }
@@ -61,7 +61,7 @@
 
     /** Whether the next probation request may go to an unresponsive endpoint. */
     boolean isProbationDue(EndpointState endpoint, double now) {
-        double next = endpoint.lastSentAt + PROBATION_FRACTION * latencies.shortestObjective();
+        double next = endpoint.lastSentAt + PROBATION_FRACTION * latencies.minObjective();
         if (now < next) {
             wakeUp.noLaterThan(next);
             return false;
@@ -90,8 +90,7 @@
                     endpoint.ejected |=
                             endpoint.lastResponseAt < attempt.sentAt
                                     && attempt.duration
-                                            >= UNRESPONSIVE_FRACTION
-                                                    * latencies.shortestObjective();
+                                            >= UNRESPONSIVE_FRACTION * latencies.minObjective();
             default -> {}
         }
     }
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /**
- * What Scheduler has learned of a band, for whoever watches a gateway: the time that a unit takes
- * with no queue and usually, the age at which clients leave and the share that do; and how long it
- * lets queues be.
+ * What the scheduler has learned of a traffic class, for monitoring; nothing is decided by it. The
+ * service times of a unit (without a queue, and on average) and the age at which clients cancel are
+ * milliseconds; the cancellation ratio is a part of 1, the admission factor about 1.
  */
 public record TrafficClassView(
         double baseServiceTime,
@@ -14,16 +14,16 @@
         double cancellationAge,
         double cancellationRatio,
         double admissionFactor) {
-    /** The views of all bands, in their order. */
+    /** The views of all traffic classes in their order. */
     public static List<TrafficClassView> of(Scheduler scheduler) {
         return scheduler.latencies.all().stream()
                 .map(
-                        row ->
+                        stats ->
                                 new TrafficClassView(
-                                        row.baseServiceTime,
-                                        row.meanServiceTime,
-                                        row.cancellationAge,
-                                        row.cancellationRatio,
+                                        stats.baseServiceTime,
+                                        stats.meanServiceTime,
+                                        stats.cancellationAge,
+                                        stats.cancellationRatio,
                                         scheduler.admission.admissionFactor()))
                 .toList();
     }
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -4,11 +4,11 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Reason;
 
-/** Why an operation waits, for whoever accounts for it; nothing is decided by it. */
+/** Why an operation waits, for accounts and tracing; nothing is decided by it. */
 public final class WaitExplainer {
     private WaitExplainer() {}
 
-    /** The first of Scheduler's guards that holds it back now. */
+    /** The first of the scheduler's concerns that holds the operation back now. */
     public static Reason why(Scheduler scheduler, Operation operation, double now) {
         if (!scheduler.lease.holds(now)) {
             return Reason.NO_LEASE;
@@ -29,8 +29,7 @@
         if (!scheduler.rules.fitsSlowStart(operation, endpoint, now)) {
             return Reason.WARMING_UP;
         }
-        boolean first = operation.attempts.isEmpty();
-        if (first && operation.units > scheduler.quota.limitRemaining(operation.volume, now)) {
+        if (operation.attempts.isEmpty() && !scheduler.rules.fitsLimit(operation, now)) {
             return Reason.LIMIT;
         }
         if (!scheduler.rules.isAllowed(operation, endpoint, now)) {
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -11,31 +11,28 @@
 import java.util.TreeSet;
 import sagepulley.model.Operation;
 
-/**
- * Operations that wait in one place, in the order they came; those alike and those of an extent at
- * hand.
- */
+/** One queue of operations in the order in which they came, with access by group and by extent. */
 final class WaitQueue {
     private static final Comparator<QueuedRequest> BY_DEADLINE =
             Comparator.comparingDouble((QueuedRequest request) -> request.operation.deadline)
                     .thenComparingLong(request -> request.sequence);
 
     /**
-     * Whoever had an attempt, or keeps an order, is like nobody else: its turn tells it apart;
-     * others have 0.
+     * What the scheduler cannot tell apart but by deadline. An operation that had an attempt, or
+     * keeps the order of a key, is alone in its group by its sequence number; others have 0 there.
      */
     private record GroupKey(long volume, int trafficClass, double units, long sequence) {
         static GroupKey of(QueuedRequest request) {
             Operation operation = request.operation;
-            boolean plain = operation.attempts.isEmpty() && request.keyQueue == null;
+            boolean interchangeable = operation.attempts.isEmpty() && request.keyQueue == null;
             return new GroupKey(
                     operation.volume.id,
                     operation.trafficClass.index(),
                     operation.units,
-                    plain ? 0 : request.sequence);
+                    interchangeable ? 0 : request.sequence);
         }
 
-        // Written out: what the compiler leaves to the start costs 25 ms of CPU there.
+        // Written out, as a record's own methods are linked at first use, which slows the start.
         @Override
         public int hashCode() {
             return (Long.hashCode(volume) * 31 + trafficClass) * 31
@@ -78,31 +75,32 @@
 
     void remove(QueuedRequest request) {
         bySequence.remove(request.sequence);
-        NavigableSet<QueuedRequest> like = groups.get((GroupKey) request.groupKey);
-        like.remove(request);
-        if (like.isEmpty()) {
+        NavigableSet<QueuedRequest> group = groups.get((GroupKey) request.groupKey);
+        group.remove(request);
+        if (group.isEmpty()) {
             groups.remove((GroupKey) request.groupKey);
         }
-        TreeMap<Long, Operation> same = byExtent.get(request.operation.extent);
-        if (same != null) {
-            same.remove(request.sequence);
-            if (same.isEmpty()) {
+        TreeMap<Long, Operation> sameExtent = byExtent.get(request.operation.extent);
+        if (sameExtent != null) {
+            sameExtent.remove(request.sequence);
+            if (sameExtent.isEmpty()) {
                 byExtent.remove(request.operation.extent);
             }
         }
     }
 
-    /** Groups of those alike, each by deadline. */
+    /** The groups in the order in which they came, each sorted by deadline. */
     Collection<NavigableSet<QueuedRequest>> groups() {
         return groups.values();
     }
 
-    /** Those of an extent, as they came; none for extent 0. */
+    /** The operations of an extent in the order in which they came; none for extent 0. */
     Collection<Operation> ofExtent(long extent) {
-        TreeMap<Long, Operation> same = byExtent.get(extent);
-        return same == null ? List.of() : same.values();
+        TreeMap<Long, Operation> sameExtent = byExtent.get(extent);
+        return sameExtent == null ? List.of() : sameExtent.values();
     }
 
+    /** All operations in the order in which they came, as a copy. */
     List<Operation> inOrder() {
         return new ArrayList<>(bySequence.values());
     }
