--- a/src/main/java/sagepulley/engine/Clock.java
+++ b/src/main/java/sagepulley/engine/Clock.java
@@ -1,26 +1,29 @@
 package sagepulley.engine;
 
 /**
- * The one clock of a gateway: milliseconds with fractions that only move forward, tied to the wall
- * once.
+ * The monotonic clock of a gateway, in milliseconds with fractions from its start. It is related to
+ * the wall clock once, at its start.
  */
 public final class Clock {
+    private static final double NANOS_PER_MILLI = 1e6;
+
     private final long startNanos = System.nanoTime();
     private final double wallAtStart = System.currentTimeMillis();
 
+    /** The time now, in milliseconds; never less than before. */
     public double now() {
-        return (System.nanoTime() - startNanos) / 1e6;
+        return (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
     }
 
     /**
-     * The wall-clock time, in milliseconds, at a time of this clock; a step of the wall's clock
-     * since changes none.
+     * The wall-clock time, in milliseconds since 1970, at a time of this clock; steps of the wall
+     * clock since the start change nothing.
      */
     public double wall(double time) {
         return wallAtStart + time;
     }
 
-    /** This clock's time at a wall-clock time in milliseconds; 0 is long ago. */
+    /** This clock's time at a wall-clock time in milliseconds since 1970; 0 is long ago. */
     public double atWall(long wall) {
         return wall == 0 ? Double.NEGATIVE_INFINITY : wall - wallAtStart;
     }
--- a/src/main/java/sagepulley/engine/DecisionSink.java
+++ b/src/main/java/sagepulley/engine/DecisionSink.java
@@ -5,23 +5,29 @@
 import sagepulley.model.Operation;
 import sagepulley.model.RoutingDecision;
 
-/** Where what Scheduler decides goes out: the simulator's wire, or sockets. */
+/**
+ * Carries out the scheduler's decisions: on the simulator's protocol, or on sockets. Times are
+ * milliseconds.
+ */
 public interface DecisionSink {
-    /** Sends the operation's last attempt, which ends after so many milliseconds at the latest. */
+    /** Sends an operation's latest attempt, which ends after so many milliseconds at the latest. */
     void send(Attempt attempt, double timeout);
 
-    /** The final answer to an operation that is given up: declined, or scrapped. */
+    /** Gives the final answer to an operation that is given up: rejected, or abandoned. */
     void endUnserved(Operation operation, RoutingDecision decision);
 
-    /** Nobody waits for this attempt any longer. */
+    /** Cancels an attempt, for whose operation nobody waits any longer. */
     void cancel(Attempt attempt);
 
+    /** Starts a health check of an endpoint. */
     void checkHealth(Node node);
 
+    /** Opens a watch of the endpoint list. */
     void openWatch();
 
+    /** Polls the endpoint list once. */
     void pollEndpointList();
 
-    /** Asks to be woken in so many milliseconds; infinite: whenever something comes. */
-    void scheduleWakeUp(double pause, double now);
+    /** Asks for a wake-up after a delay; an infinite one means at the next event only. */
+    void scheduleWakeUp(double delay, double now);
 }
--- a/src/main/java/sagepulley/engine/EndpointEntry.java
+++ b/src/main/java/sagepulley/engine/EndpointEntry.java
@@ -2,7 +2,10 @@
 
 import sagepulley.model.Node;
 
-/** One line of a list of nodes. */
+/**
+ * One entry of an endpoint list. The start is in milliseconds, negative infinity for long ago; the
+ * weight is relative to other endpoints.
+ */
 public record EndpointEntry(
         int zone, int cell, int node, Node.Phase phase, double startedAt, int kind, double weight) {
 
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -27,12 +27,13 @@
 import sagepulley.scheduler.WaitExplainer;
 
 /**
- * One gateway round the module that decides for it: its operations in hand, its nodes and volumes,
- * and the settle loop. Told what happens by whoever owns the wire; what is decided goes out by the
- * exit. One thread.
+ * One gateway around its scheduler: it owns the operations in flight, the endpoints and the
+ * volumes, and runs what is due. Whoever owns the protocol tells it of events; decisions go to the
+ * sink. One thread. Times are milliseconds on one monotonic clock.
  */
 public final class GatewayEngine {
-    private static final double GONE_FOR_GOOD = 30_000;
+    /** A removed endpoint that is not listed again within this time is forgotten. */
+    private static final double MAX_REMOVED_MILLIS = 30_000;
 
     private final Deployment deployment;
     private final DecisionSink sink;
@@ -40,27 +41,29 @@
     private final Map<Long, Operation> operations = new HashMap<>();
     private final Map<Long, Volume> volumes = new HashMap<>();
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
-    private final Map<Integer, Double> goneSince = new HashMap<>();
+    private final Map<Integer, Double> removedSince = new HashMap<>();
 
-    /** Taken, and not yet placed: all that came at one moment is known before anything is sent. */
+    /** Not routed yet: all arrivals of one moment are known before anything is sent. */
     private final Queue<Operation> arrivals = new ArrayDeque<>();
 
+    /** A gateway without endpoints; the seed makes its random draws repeatable. */
     public GatewayEngine(Deployment deployment, long seed, DecisionSink sink) {
         this.deployment = deployment;
         this.sink = sink;
         this.scheduler = new Scheduler(deployment, seed);
     }
 
+    /** The settings of the deployment. */
     public Deployment deployment() {
         return deployment;
     }
 
     /**
-     * The list as it stands after a message of the given entries; a whole list drops what it lacks.
-     * Gives the nodes that were gone for long and are forgotten now.
+     * Takes over entries of the endpoint list; a complete list removes the endpoints that it lacks.
+     * Gives those that were removed for long and are forgotten now.
      */
-    public List<Node> onEndpointList(List<EndpointEntry> entries, boolean whole, double now) {
-        if (whole) {
+    public List<Node> onEndpointList(List<EndpointEntry> entries, boolean complete, double now) {
+        if (complete) {
             for (Node node : nodes.values()) {
                 node.phase = Node.Phase.REMOVED;
             }
@@ -68,42 +71,47 @@
         for (EndpointEntry entry : entries) {
             entry.copyTo(nodes.computeIfAbsent(entry.node(), Node::new));
         }
-        List<Node> forgotten = longGone(now);
+        List<Node> forgotten = forgetRemoved(now);
         scheduler.onEndpointList(new ArrayList<>(nodes.values()), now);
         return forgotten;
     }
 
     /**
-     * A node that vanished may come back as it was; by then it will not, and nothing may grow with
-     * those.
+     * A removed endpoint may be listed again as it was. After a while it will not be, and is
+     * forgotten, so that memory does not grow with their number.
      */
-    private List<Node> longGone(double now) {
-        Set<Node> busy = new HashSet<>();
-        for (Operation operation : operations.values()) {
-            for (Attempt attempt : operation.attempts) {
-                if (attempt.outcome == null) {
-                    busy.add(attempt.node);
-                }
-            }
-        }
+    private List<Node> forgetRemoved(double now) {
+        Set<Node> inUse = nodesInUse();
         List<Node> forgotten = new ArrayList<>(0);
         for (Node node : nodes.values()) {
             if (node.phase != Node.Phase.REMOVED) {
-                goneSince.remove(node.id);
-            } else if (now - goneSince.computeIfAbsent(node.id, any -> now) > GONE_FOR_GOOD
-                    && !busy.contains(node)) {
+                removedSince.remove(node.id);
+            } else if (now - removedSince.computeIfAbsent(node.id, any -> now) > MAX_REMOVED_MILLIS
+                    && !inUse.contains(node)) {
                 node.forgotten = true;
                 forgotten.add(node);
             }
         }
         for (Node node : forgotten) {
             nodes.remove(node.id);
-            goneSince.remove(node.id);
+            removedSince.remove(node.id);
         }
         return forgotten;
     }
 
-    /** The list held is known to have been current at a time. */
+    private Set<Node> nodesInUse() {
+        Set<Node> inUse = new HashSet<>();
+        for (Operation operation : operations.values()) {
+            for (Attempt attempt : operation.attempts) {
+                if (attempt.outcome == null) {
+                    inUse.add(attempt.node);
+                }
+            }
+        }
+        return inUse;
+    }
+
+    /** The endpoint list is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         scheduler.onListConfirmed(asOf);
     }
@@ -113,13 +121,14 @@
         scheduler.onDiscoveryUnreachable(at);
     }
 
+    /** A poll of the endpoint list failed, or its watch ended. */
     public void onPollFailed(double now) {
         scheduler.onPollFailed(now);
     }
 
-    /** A new configuration was told at a time, which may move discovery. */
-    public void onReloadNotified(double toldAt) {
-        scheduler.onReloadNotified(toldAt);
+    /** A new configuration, which may move discovery, was notified at a time. */
+    public void onReloadNotified(double at) {
+        scheduler.onReloadNotified(at);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
@@ -127,27 +136,28 @@
         scheduler.onConfigurationRead(readAt);
     }
 
+    /** Discovery is at another address from now on, and was not polled there yet. */
     public void onDiscoveryMoved(double now) {
         scheduler.onDiscoveryMoved(now);
     }
 
-    /**
-     * Takes an operation; it is placed when things are settled, if its client has not left by then.
-     */
+    /** Takes an operation; it is routed by runDueWork, if its client has not cancelled by then. */
     public void onArrival(Operation operation) {
         operations.put(operation.id, operation);
         arrivals.add(operation);
     }
 
+    /** The volume with this number, which is known from now on under this plan. */
     public Volume volume(long id, int plan) {
         return volumes.computeIfAbsent(id, any -> new Volume(any, deployment.plans().get(plan)));
     }
 
-    /** The operation in hand with this number; null if there is none. */
+    /** The operation in flight with this number; null if there is none. */
     public Operation operation(long id) {
         return operations.get(id);
     }
 
+    /** All operations that have not ended, and those with an attempt in flight. */
     public Collection<Operation> inFlight() {
         return Collections.unmodifiableCollection(operations.values());
     }
@@ -157,11 +167,12 @@
         return nodes.get(id);
     }
 
+    /** All endpoints that are known, also those that are removed and not yet forgotten. */
     public Collection<Node> nodes() {
         return Collections.unmodifiableCollection(nodes.values());
     }
 
-    /** What Scheduler has learned by band, in the order of the bands. */
+    /** What the scheduler has learned of each traffic class, in their order. */
     public List<TrafficClassView> trafficClassViews() {
         return TrafficClassView.of(scheduler);
     }
@@ -183,21 +194,22 @@
         return known == null || number >= known.attempts.size() ? null : known.attempts.get(number);
     }
 
-    /** An attempt's outcome is set; settled tells whether its operation is over with it. */
-    public void onAttemptEnded(Attempt attempt, boolean settled, double now) {
+    /** An attempt's outcome is set; its operation may have ended with it. */
+    public void onAttemptEnded(Attempt attempt, boolean operationEnded, double now) {
         Operation operation = attempt.operation;
-        operation.ended |= settled;
+        operation.ended |= operationEnded;
         if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            answer(operation, scheduler.route(operation, now));
+            carryOut(operation, scheduler.route(operation, now));
         }
         forget(operation);
     }
 
-    /** Whether an attempt that was held up before its first byte may still go out. */
+    /** Whether an attempt of which nothing was written yet may still be sent. */
     public boolean mayStart(Attempt attempt, double now) {
         return scheduler.mayStart(attempt, now);
     }
 
+    /** The client has cancelled an operation; an unknown or ended one is ignored. */
     public void onClientCancelled(long id, double now) {
         Operation operation = operations.get(id);
         if (operation != null && !operation.ended) {
@@ -209,6 +221,7 @@
         }
     }
 
+    /** A health check of an endpoint ended; an unknown endpoint is ignored. */
     public void onHealthCheck(int id, Outcome outcome, double took, double[] report, double now) {
         Node node = nodes.get(id);
         if (node != null) {
@@ -217,12 +230,12 @@
     }
 
     /**
-     * After all that happened at this moment: whatever is due now, and when to be woken for what is
-     * later.
+     * After all events of one moment: carries out what is due now, and asks for a wake-up for what
+     * is due later.
      */
     public void runDueWork(double now) {
-        for (Operation fresh = arrivals.poll(); fresh != null; fresh = arrivals.poll()) {
-            answer(fresh, scheduler.route(fresh, now));
+        for (Operation arrival = arrivals.poll(); arrival != null; arrival = arrivals.poll()) {
+            carryOut(arrival, scheduler.route(arrival, now));
         }
         SchedulerTurn turn = scheduler.nextTurn(now);
         while (true) {
@@ -233,13 +246,13 @@
                 case FETCH -> sink.pollEndpointList();
                 case NONE -> {}
             }
-            boolean moved = false;
+            boolean progress = false;
             for (Operation operation : turn.due()) {
                 RoutingDecision decision = scheduler.route(operation, now);
-                moved |= decision.kind() != RoutingDecision.Kind.WAIT;
-                answer(operation, decision);
+                progress |= decision.kind() != RoutingDecision.Kind.WAIT;
+                carryOut(operation, decision);
             }
-            if (!moved) {
+            if (!progress) {
                 break; // asking again at the same moment would change nothing
             }
             turn = scheduler.nextTurn(now);
@@ -247,7 +260,7 @@
         sink.scheduleWakeUp(turn.delay(), now);
     }
 
-    private void answer(Operation operation, RoutingDecision decision) {
+    private void carryOut(Operation operation, RoutingDecision decision) {
         switch (decision.kind()) {
             case SEND ->
                     sink.send(
--- a/src/main/java/sagepulley/model/Deployment.java
+++ b/src/main/java/sagepulley/model/Deployment.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * All that a gateway is told at its start. Times are milliseconds, rates are units a second. Within
- * notifiedWithin a change of the endpoint list counts as notified, arrived or not; it is infinite
- * where changes cannot be missed.
+ * The settings of a gateway's deployment, which it reads at its start. Times are milliseconds,
+ * rates are units a second. Within notifiedWithin a change of the endpoint list counts as notified,
+ * arrived or not; it is infinite where changes cannot be missed.
  */
 public record Deployment(
         int gatewayIndex,
--- a/src/main/java/sagepulley/model/FollowUp.java
+++ b/src/main/java/sagepulley/model/FollowUp.java
@@ -2,8 +2,8 @@
 
 /** What to do for an operation after one of its attempts has ended. */
 public enum FollowUp {
-    /** Nothing: it is over, or another attempt is still out. */
+    /** Nothing: it has ended, or another attempt is still in flight. */
     NONE,
-    /** Ask where to send it again. */
+    /** Ask the scheduler where to send it next. */
     ROUTE_AGAIN
 }
--- a/src/main/java/sagepulley/model/Node.java
+++ b/src/main/java/sagepulley/model/Node.java
@@ -1,8 +1,8 @@
 package sagepulley.model;
 
-/** A storage node as this gateway's list has it. */
+/** An endpoint, a storage node, as this gateway's endpoint list has it. */
 public final class Node {
-    /** What the list says of the node. */
+    /** What the endpoint list says of an endpoint. */
     public enum Phase {
         READY,
         DRAINING,
@@ -16,21 +16,22 @@
     public double weight = 1;
     public Phase phase = Phase.READY;
 
-    /** Whether new objects may go there; what it holds is read and written all the same. */
+    /** Whether new objects may go there; extents that it holds are read and written regardless. */
     public boolean acceptsNewObjects = true;
 
-    /** When it last started, on the common clock; negative infinity for long ago. */
+    /** When it last started, in milliseconds; negative infinity for long ago. */
     public double startedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * Set once it is gone for good and none of its attempts is out: it never comes back as this
-     * node.
+     * Set once it is removed for good and none of its attempts is in flight: it never comes back as
+     * this object.
      */
     public boolean forgotten;
 
-    /** Whatever the decision module keeps with the node; nobody else reads it. */
+    /** What the scheduler keeps of the endpoint; nobody else reads it. */
     public Object schedulerState;
 
+    /** An endpoint of which only the number is known yet. */
     public Node(int id) {
         this.id = id;
     }
--- a/src/main/java/sagepulley/model/Operation.java
+++ b/src/main/java/sagepulley/model/Operation.java
@@ -3,40 +3,41 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's read or write that this gateway has taken and owes one final answer. */
+/** A client's read or write that this gateway has taken and gives one final answer. */
 public final class Operation {
     public final long id;
     public final TrafficClass trafficClass;
     public final Volume volume;
 
-    /** The piece of data; 0 for none. */
+    /** The extent that it reads or writes; 0 for none. */
     public final long extent;
 
     public final double units;
 
     /**
-     * The cell whose node holds the data, or -1 for a new object; what waits is told by
-     * Scheduler.found.
+     * The cell whose endpoint holds the extent, or -1 for a new object; once the scheduler knows
+     * the operation, only Scheduler.onExtentLocated changes it.
      */
     public int shard;
 
     public final double arrivedAt;
 
-    /** When the client gives up on this try. */
+    /** When the client gives up on this request, in milliseconds. */
     public final double deadline;
 
     public final boolean clientRetry;
     public final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** Set once its one final answer is out, or the client has left. */
+    /** Set once its one final answer is given, or the client has cancelled it. */
     public boolean ended;
 
-    /** Whatever the decision module keeps with the operation; nobody else reads it. */
+    /** What the scheduler keeps of the operation; nobody else reads it. */
     public Object schedulerState;
 
-    /** Whatever the host keeps with the operation; the decision module does not read it. */
+    /** What the host of the scheduler keeps of the operation; the scheduler does not read it. */
     public Object engineState;
 
+    /** An operation that has just arrived, at arrivedAt. */
     public Operation(
             long id,
             TrafficClass trafficClass,
@@ -46,7 +47,7 @@
             int shard,
             double arrivedAt,
             double deadline,
-            boolean clientRepeat) {
+            boolean clientRetry) {
         this.id = id;
         this.trafficClass = trafficClass;
         this.volume = volume;
@@ -55,7 +56,7 @@
         this.shard = shard;
         this.arrivedAt = arrivedAt;
         this.deadline = deadline;
-        this.clientRetry = clientRepeat;
+        this.clientRetry = clientRetry;
     }
 
     /** Whether an attempt of it has no outcome yet. */
--- a/src/main/java/sagepulley/model/SchedulerTurn.java
+++ b/src/main/java/sagepulley/model/SchedulerTurn.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * How long to wait before asking again, and what is due now: operations to be placed, nodes to be
- * probed, attempts to be called off, and a call to the list of nodes.
+ * How long to wait before asking again, in milliseconds, and what is due now: operations to route,
+ * endpoints to check, attempts to cancel, and a poll of the endpoint list.
  */
 public record SchedulerTurn(
         double delay,
@@ -12,7 +12,7 @@
         List<Node> healthChecks,
         List<Attempt> cancellations,
         EndpointPoll poll) {
-    /** A call to the service that keeps the list of nodes. */
+    /** How discovery is asked for the endpoint list: not now, by a watch, or once. */
     public enum EndpointPoll {
         NONE,
         SUBSCRIBE,
--- a/src/main/java/sagepulley/model/ServicePolicy.java
+++ b/src/main/java/sagepulley/model/ServicePolicy.java
@@ -1,8 +1,8 @@
 package sagepulley.model;
 
 /**
- * The figures of the seven rules. A rule that the deployment leaves out has an infinite or NaN
- * figure.
+ * The figures of the rules that every gateway of the service keeps. Times are milliseconds, shares
+ * and ratios parts of 1. A rule that the deployment leaves out has an infinite or NaN figure.
  */
 public record ServicePolicy(
         double answerGrace,
@@ -19,7 +19,7 @@
         int maxAttempts,
         boolean hedgingAllowed) {
 
-    /** Whether further attempts are rationed here. */
+    /** Whether the deployment bounds retries by a budget. */
     public boolean hasRetryBudget() {
         return !Double.isNaN(retryBudgetWindow);
     }
--- a/src/main/java/sagepulley/model/SlidingWindowCounter.java
+++ b/src/main/java/sagepulley/model/SlidingWindowCounter.java
@@ -2,29 +2,30 @@
 
 import java.util.Arrays;
 
-/** A sum over the latest stretch of time, kept in fixed buckets that are used again in a ring. */
+/** A sum over a sliding window of time, in a ring of buckets. Times are milliseconds. */
 public final class SlidingWindowCounter {
-    private final double bucket;
+    private final double bucketMillis;
     private final double[] sums;
     private long newest = Long.MIN_VALUE;
 
     /**
-     * Covers at least the window: one more bucket than divides it is kept for the part that is
-     * running.
+     * A counter over a window that divides into so many buckets; one more is kept for the bucket
+     * that is being filled.
      */
     public SlidingWindowCounter(double window, int buckets) {
-        this.bucket = window / buckets;
+        this.bucketMillis = window / buckets;
         this.sums = new double[buckets + 1];
     }
 
+    /** Adds an amount at a time. */
     public void add(double now, double amount) {
-        turn(now);
+        advance(now);
         sums[slot(newest)] += amount;
     }
 
-    /** Everything of the window and up to one bucket more. */
+    /** The sum of the window and of up to one bucket more. */
     public double sumOverestimate(double now) {
-        turn(now);
+        advance(now);
         double sum = 0;
         for (double part : sums) {
             sum += part;
@@ -32,13 +33,13 @@
         return sum;
     }
 
-    /** Nothing older than the window, and up to one bucket less than it. */
+    /** The sum of the window less up to one bucket: nothing older than the window. */
     public double sumUnderestimate(double now) {
         return sumOverestimate(now) - sums[slot(newest + 1)];
     }
 
-    private void turn(double now) {
-        long at = (long) Math.floor(now / bucket);
+    private void advance(double now) {
+        long at = (long) Math.floor(now / bucketMillis);
         if (at <= newest) {
             return;
         }
--- a/src/main/java/sagepulley/model/TenantPlan.java
+++ b/src/main/java/sagepulley/model/TenantPlan.java
@@ -1,6 +1,9 @@
 package sagepulley.model;
 
-/** What a volume of the plan is owed, across all gateways and nodes; rates are units a second. */
+/**
+ * The quota of each volume of a plan, across all gateways and endpoints: reservation and limit in
+ * units a second, the weight of its share, and the price of a unit.
+ */
 public record TenantPlan(
         int index,
         String name,
--- a/src/main/java/sagepulley/model/TrafficClass.java
+++ b/src/main/java/sagepulley/model/TrafficClass.java
@@ -1,8 +1,8 @@
 package sagepulley.model;
 
 /**
- * A kind of operation: what it is worth, by when, and whether it may run again. Times are
- * milliseconds.
+ * A traffic class: the latency objective, deadline and priority weight of its operations, and
+ * whether they may be executed again. Times are milliseconds.
  */
 public record TrafficClass(
         int index,
@@ -18,14 +18,14 @@
         double priorityWeight,
         double lateWeightFraction) {
 
-    /** Whether an operation of the band may run a second time. */
+    /** Whether an operation of the class may be executed a second time. */
     public enum Idempotency {
         IDEMPOTENT,
         DEDUPLICATED,
         NON_IDEMPOTENT
     }
 
-    /** The nodes that drop each other's repeats of a deduplicated operation. */
+    /** The endpoints that recognise each other's executions of a deduplicated operation. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
--- a/src/main/java/sagepulley/model/Volume.java
+++ b/src/main/java/sagepulley/model/Volume.java
@@ -5,12 +5,13 @@
     public final long id;
     public final TenantPlan plan;
 
-    /** Through how many gateways its operations come, as the latest operation told. */
+    /** Through how many gateways its operations come, by the latest operation. */
     public int gatewayCount = 1;
 
-    /** Whatever the decision module keeps with the volume; nobody else reads it. */
+    /** What the scheduler keeps of the volume; nobody else reads it. */
     public Object schedulerState;
 
+    /** A volume under a plan. */
     public Volume(long id, TenantPlan plan) {
         this.id = id;
         this.plan = plan;
