--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -6,17 +6,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One batch of events, read in place: records of a fixed size and the tail behind them. */
+/** One batch of events, read in place: records of a fixed size and a tail for what is longer. */
 final class EventBatch {
-    static final int RECORD = 56;
-    static final int ENTRY = 22;
-    private static final int HEADER = 12;
-    private static final int CLOCK = 8;
-    private static final int CHUNK = 1 << 16;
+    /** Size of an event's record. */
+    static final int RECORD_BYTES = 56;
+
+    /** Size of an entry of an endpoint list in the tail. */
+    static final int ENTRY_BYTES = 22;
+
+    private static final int HEADER_BYTES = 12;
+    private static final int CLOCK_BYTES = 8;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
-    private final byte[] header = new byte[HEADER];
-    private byte[] bytes = new byte[CHUNK];
+    private final byte[] header = new byte[HEADER_BYTES];
+    private byte[] bytes = new byte[INITIAL_BUFFER_BYTES];
     private ByteBuffer body = ByteBuffer.wrap(bytes);
     private int number;
     private int records;
@@ -27,21 +31,22 @@
         this.in = in;
     }
 
-    /** Reads the next batch; false at the end of the input, if that is a frame's edge. */
+    /** Reads the next batch; false if the input ends between two batches. */
     boolean read() throws IOException {
-        int got = in.readNBytes(header, 0, HEADER);
+        int got = in.readNBytes(header, 0, HEADER_BYTES);
         if (got == 0) {
             return false;
         }
         frames++;
-        if (got < HEADER) {
-            throw bad("the header ends after " + got + " of " + HEADER + " bytes");
+        if (got < HEADER_BYTES) {
+            throw bad("the header ends after " + got + " of " + HEADER_BYTES + " bytes");
         }
         ByteBuffer head = ByteBuffer.wrap(header);
         number = head.getInt();
         long count = Integer.toUnsignedLong(head.getInt());
         long size = Integer.toUnsignedLong(head.getInt());
-        if (size < CLOCK + count * RECORD || size > Integer.MAX_VALUE - CHUNK) {
+        if (size < CLOCK_BYTES + count * RECORD_BYTES
+                || size > Integer.MAX_VALUE - INITIAL_BUFFER_BYTES) {
             throw bad("a length of " + size + " bytes does not fit " + count + " records");
         }
         records = (int) count;
@@ -61,7 +66,10 @@
                 bytes =
                         Arrays.copyOf(
                                 bytes,
-                                (int) Math.min((long) bytes.length * 2, Math.max(length, CHUNK)));
+                                (int)
+                                        Math.min(
+                                                (long) bytes.length * 2,
+                                                Math.max(length, INITIAL_BUFFER_BYTES)));
             }
             int got = in.readNBytes(bytes, have, Math.min(length, bytes.length) - have);
             if (got == 0) {
@@ -95,30 +103,33 @@
     }
 
     int u8(int record, int at) {
-        return body.get(CLOCK + record * RECORD + at) & 0xff;
+        return body.get(CLOCK_BYTES + record * RECORD_BYTES + at) & 0xff;
     }
 
     int u16(int record, int at) {
-        return body.getShort(CLOCK + record * RECORD + at) & 0xffff;
+        return body.getShort(CLOCK_BYTES + record * RECORD_BYTES + at) & 0xffff;
     }
 
     int u32(int record, int at) {
-        return body.getInt(CLOCK + record * RECORD + at);
+        return body.getInt(CLOCK_BYTES + record * RECORD_BYTES + at);
     }
 
     long u64(int record, int at) {
-        return body.getLong(CLOCK + record * RECORD + at);
+        return body.getLong(CLOCK_BYTES + record * RECORD_BYTES + at);
     }
 
     float f32(int record, int at) {
-        return body.getFloat(CLOCK + record * RECORD + at);
+        return body.getFloat(CLOCK_BYTES + record * RECORD_BYTES + at);
     }
 
-    /** Where a tail's piece starts in the body, after checking that it lies inside the tail. */
+    /**
+     * The position in the body of a part of the tail: so many elements of a size, as an offset and
+     * a count in the record say; checked to lie inside the tail.
+     */
     int tail(int record, int at, int each) throws MalformedFrameException {
         long offset = Integer.toUnsignedLong(u32(record, at));
         long count = Integer.toUnsignedLong(u32(record, at + 4));
-        int start = CLOCK + records * RECORD;
+        int start = CLOCK_BYTES + records * RECORD_BYTES;
         if (offset + count * each > length - start) {
             throw badRecord(
                     record,
--- /dev/null
+++ b/src/main/java/sagepulley/simulator/EventDecoder.java
@@ -0,0 +1,136 @@
+package sagepulley.simulator;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import sagepulley.engine.EndpointEntry;
+import sagepulley.engine.GatewayEngine;
+import sagepulley.model.Deployment;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+import sagepulley.model.TrafficClass;
+import sagepulley.model.Volume;
+
+/**
+ * Reads the events' records into the program's types. Offsets count from the start of a record, as
+ * the protocol gives them.
+ */
+final class EventDecoder {
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int CLIENT_RETRY_FLAG = 2;
+    private static final int MAX_REPORT_VALUES = 4;
+    private static final int READY = 1;
+    private static final int DRAINING = 2;
+
+    private final EventBatch batch;
+
+    EventDecoder(EventBatch batch) {
+        this.batch = batch;
+    }
+
+    /** The entries of an endpoint list whose place in the tail stands at an offset. */
+    List<EndpointEntry> endpointEntries(int record, int offset) throws MalformedFrameException {
+        int start = batch.tail(record, offset, EventBatch.ENTRY_BYTES);
+        int count = batch.u32(record, offset + 4);
+        ByteBuffer from = ByteBuffer.wrap(batch.copy(start, count * EventBatch.ENTRY_BYTES));
+        List<EndpointEntry> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            EndpointEntry entry = endpointEntry(from);
+            if (entry == null) {
+                throw batch.badRecord(record, "entry " + i + " has an unknown phase");
+            }
+            entries.add(entry);
+        }
+        return entries;
+    }
+
+    /** Reads an entry; null if its phase is unknown. */
+    private static EndpointEntry endpointEntry(ByteBuffer from) {
+        int zone = from.getShort() & 0xffff;
+        int cell = from.getShort() & 0xffff;
+        int node = from.getInt();
+        int phaseCode = from.get();
+        long startedNanos = from.getLong();
+        int kind = from.get() & 0xff;
+        float weight = from.getFloat();
+        if (phaseCode < 0 || phaseCode > DRAINING) {
+            return null;
+        }
+        Node.Phase phase =
+                switch (phaseCode) {
+                    case READY -> Node.Phase.READY;
+                    case DRAINING -> Node.Phase.DRAINING;
+                    default -> Node.Phase.REMOVED;
+                };
+        double startedAt =
+                startedNanos == 0 ? Double.NEGATIVE_INFINITY : startedNanos / NANOS_PER_MILLI;
+        return new EndpointEntry(zone, cell, node, phase, startedAt, kind, weight);
+    }
+
+    /** The operation of an arrival. */
+    Operation operation(GatewayEngine engine, int record, double now)
+            throws MalformedFrameException {
+        Deployment deployment = engine.deployment();
+        int classIndex = batch.u8(record, 13);
+        List<TrafficClass> classes = deployment.trafficClasses();
+        if (classIndex >= classes.size()) {
+            throw batch.badRecord(
+                    record, "class " + classIndex + " of " + classes.size() + " is out of range");
+        }
+        long plan = Integer.toUnsignedLong(batch.u32(record, 14));
+        int planCount = deployment.plans().size();
+        if (plan >= planCount) {
+            throw batch.badRecord(record, "plan " + plan + " of " + planCount + " is out of range");
+        }
+        Volume volume = engine.volume(batch.u64(record, 34), (int) plan);
+        volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
+        return new Operation(
+                batch.u64(record, 5),
+                classes.get(classIndex),
+                volume,
+                batch.u64(record, 18),
+                batch.f32(record, 42),
+                (int) batch.f32(record, 46),
+                now,
+                millis(record, 26),
+                (batch.u8(record, 54) & CLIENT_RETRY_FLAG) != 0);
+    }
+
+    /** The time at an offset, which the protocol gives in nanoseconds, in milliseconds. */
+    double millis(int record, int offset) {
+        return batch.u64(record, offset) / NANOS_PER_MILLI;
+    }
+
+    /** The outcome whose code stands at an offset. */
+    Outcome outcome(int record, int offset) throws MalformedFrameException {
+        int code = batch.u16(record, offset);
+        return switch (code) {
+            case 200 -> Outcome.SERVED;
+            case 410 -> Outcome.NOT_EXECUTED;
+            case 499 -> Outcome.CANCELLED;
+            case 500 -> Outcome.FAILED;
+            case 502 -> Outcome.NO_CONNECTION;
+            case 503 -> Outcome.REJECTED;
+            case 504 -> Outcome.TIMED_OUT;
+            case 598 -> Outcome.RESET;
+            default -> throw batch.badRecord(record, "unknown outcome " + code);
+        };
+    }
+
+    /** The load report at an offset; null if it has no values. */
+    double[] report(int record, int offset) throws MalformedFrameException {
+        int count = batch.u8(record, offset);
+        if (count == 0) {
+            return null;
+        }
+        if (count > MAX_REPORT_VALUES) {
+            throw batch.badRecord(record, "a load report of " + count + " values");
+        }
+        double[] values = new double[count];
+        for (int i = 0; i < count; i++) {
+            values[i] = batch.f32(record, offset + 1 + Float.BYTES * i);
+        }
+        return values;
+    }
+}
--- a/src/main/java/sagepulley/simulator/MalformedFrameException.java
+++ b/src/main/java/sagepulley/simulator/MalformedFrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The input is not a frame of the wire; the message says what is wrong and where. */
+/** The input is not a batch of the protocol; the message says what is wrong and where. */
 public final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sagepulley/simulator/ReplyWriter.java
+++ b/src/main/java/sagepulley/simulator/ReplyWriter.java
@@ -4,32 +4,37 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The actions of one instance in one batch, written as the wire has them. */
+/** The decisions of one gateway in one batch, as records of the protocol. Times are nanoseconds. */
 final class ReplyWriter {
-    static final int RECORD = 32;
-    private static final int TRY = 65;
-    private static final int SHED = 66;
-    private static final int ERROR = 67;
-    private static final int RETRACT = 68;
-    private static final int WAKE_AT = 69;
-    private static final int INSPECT = 70;
+    /** Size of the record of a decision. */
+    static final int RECORD_BYTES = 32;
+
+    private static final int INITIAL_RECORDS = 64;
+
+    // The protocol's codes, in the first byte of a record.
+    private static final int SEND = 65;
+    private static final int REJECT = 66;
+    private static final int ABANDON = 67;
+    private static final int CANCEL = 68;
+    private static final int WAKE_UP = 69;
+    private static final int CHECK_HEALTH = 70;
     private static final int FATAL = 74;
-    private static final int SUBSCRIBE = 75;
-    private static final int RELOAD = 76;
+    private static final int OPEN_WATCH = 75;
+    private static final int POLL_ENDPOINT_LIST = 76;
 
-    private final int who;
-    private ByteBuffer records = ByteBuffer.allocate(64 * RECORD);
+    private final int gatewayId;
+    private ByteBuffer records = ByteBuffer.allocate(INITIAL_RECORDS * RECORD_BYTES);
     private String fatal;
 
-    ReplyWriter(int who) {
-        this.who = who;
+    ReplyWriter(int gatewayId) {
+        this.gatewayId = gatewayId;
     }
 
     ByteBuffer records() {
         return records;
     }
 
-    /** The text of a Fatal, whose record is the last; null for none. */
+    /** The text of a fatal error, whose record is the last; null for none. */
     String fatalText() {
         return fatal;
     }
@@ -40,44 +45,45 @@
     }
 
     void send(long operation, int node, long timeoutNs) {
-        int at = record(TRY);
+        int at = record(SEND);
         records.putLong(at + 5, operation).putLong(at + 13, timeoutNs).putInt(at + 21, node);
     }
 
-    void decline(long operation, long adviceNs) {
-        int at = record(SHED);
-        records.putLong(at + 5, operation).putLong(at + 13, adviceNs);
+    void reject(long operation, long retryAfterNs) {
+        int at = record(REJECT);
+        records.putLong(at + 5, operation).putLong(at + 13, retryAfterNs);
     }
 
-    void scrap(long operation) {
-        records.putLong(record(ERROR) + 5, operation);
+    void abandon(long operation) {
+        records.putLong(record(ABANDON) + 5, operation);
     }
 
-    void callOff(long operation, int attempt) {
-        int at = record(RETRACT);
+    void cancel(long operation, int attempt) {
+        int at = record(CANCEL);
         records.putLong(at + 5, operation).put(at + 13, (byte) attempt);
     }
 
-    void wake(long cookie, long offsetNs) {
-        int at = record(WAKE_AT);
-        records.putLong(at + 5, cookie).putLong(at + 13, offsetNs);
+    void wakeUp(long token, long offsetNs) {
+        int at = record(WAKE_UP);
+        records.putLong(at + 5, token).putLong(at + 13, offsetNs);
     }
 
-    void probe(int node) {
-        records.putInt(record(INSPECT) + 5, node);
+    void checkHealth(int node) {
+        records.putInt(record(CHECK_HEALTH) + 5, node);
     }
 
-    void subscribe() {
-        records.put(record(SUBSCRIBE) + 5, (byte) 1);
+    void openWatch() {
+        records.put(record(OPEN_WATCH) + 5, (byte) 1);
     }
 
-    void fetch() {
-        record(RELOAD);
+    void pollEndpointList() {
+        record(POLL_ENDPOINT_LIST);
     }
 
-    void fatal(String what) {
+    /** The gateway cannot go on; nothing may be written after it. */
+    void fatal(String message) {
         record(FATAL);
-        fatal = what;
+        fatal = message;
     }
 
     byte[] fatalBytes() {
@@ -86,15 +92,15 @@
 
     private int record(int code) {
         int at = records.position();
-        if (records.remaining() < RECORD) {
+        if (records.remaining() < RECORD_BYTES) {
             ByteBuffer wider = ByteBuffer.allocate(records.capacity() * 2);
             records.flip();
             wider.put(records);
             records = wider;
         }
-        Arrays.fill(records.array(), at, at + RECORD, (byte) 0);
-        records.put(at, (byte) code).putInt(at + 1, who);
-        records.position(at + RECORD);
+        Arrays.fill(records.array(), at, at + RECORD_BYTES, (byte) 0);
+        records.put(at, (byte) code).putInt(at + 1, gatewayId);
+        records.position(at + RECORD_BYTES);
         return at;
     }
 }
--- a/src/main/java/sagepulley/simulator/SimulatedGateway.java
+++ b/src/main/java/sagepulley/simulator/SimulatedGateway.java
@@ -8,79 +8,86 @@
 import sagepulley.model.Operation;
 import sagepulley.model.RoutingDecision;
 
-/** One instance on the wire: what is decided for it goes into its reply. */
+/** One gateway of the simulation; its decisions go into its reply. */
 final class SimulatedGateway implements DecisionSink {
-    private static final double NS = 1e6;
-    private static final long LONGEST_WAKE_NS = 70L * 60 * 1_000_000_000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long MAX_WAKE_UP_NANOS = 70L * 60 * 1_000_000_000;
 
     final ReplyWriter reply;
     final GatewayEngine engine;
 
-    /** Set while the instance has an event in the batch at hand. */
+    /** Set while the gateway has an event in the present batch. */
     boolean called;
 
-    private long wakeNs = Long.MAX_VALUE;
-    private long cookie;
-    private long nowNs;
+    /** When the latest wake-up that was asked for comes, in nanoseconds. */
+    private long wakeUpNanos = Long.MAX_VALUE;
+
+    private long wakeUpToken;
+    private long nowNanos;
 
     SimulatedGateway(ReplyWriter reply, Deployment deployment, long seed) {
         this.reply = reply;
         this.engine = new GatewayEngine(deployment, seed, this);
     }
 
-    void timer(long token) {
-        if (token == cookie) {
-            wakeNs = Long.MAX_VALUE;
+    /** A wake-up has come; only the one that was asked for last counts. */
+    void onTimer(long token) {
+        if (token == wakeUpToken) {
+            wakeUpNanos = Long.MAX_VALUE;
         }
     }
 
-    /** After the events of a batch. */
-    void settle(double now, long clockNs) {
-        nowNs = clockNs;
+    /** Decides after the events of a batch. */
+    void runDueWork(double now, long clockNanos) {
+        nowNanos = clockNanos;
         engine.runDueWork(now);
     }
 
     @Override
     public void send(Attempt attempt, double timeout) {
-        reply.send(attempt.operation.id, attempt.node.id, Math.max(1, (long) (timeout * NS)));
+        reply.send(
+                attempt.operation.id,
+                attempt.node.id,
+                Math.max(1, (long) (timeout * NANOS_PER_MILLI)));
     }
 
     @Override
     public void endUnserved(Operation operation, RoutingDecision decision) {
         if (decision.kind() == RoutingDecision.Kind.REJECT) {
-            reply.decline(operation.id, (long) (decision.retryAfter() * NS));
+            reply.reject(operation.id, (long) (decision.retryAfter() * NANOS_PER_MILLI));
         } else {
-            reply.scrap(operation.id);
+            reply.abandon(operation.id);
         }
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        reply.callOff(attempt.operation.id, attempt.number);
+        reply.cancel(attempt.operation.id, attempt.number);
     }
 
     @Override
     public void checkHealth(Node node) {
-        reply.probe(node.id);
+        reply.checkHealth(node.id);
     }
 
     @Override
     public void openWatch() {
-        reply.subscribe();
+        reply.openWatch();
     }
 
     @Override
     public void pollEndpointList() {
-        reply.fetch();
+        reply.pollEndpointList();
     }
 
     @Override
-    public void scheduleWakeUp(double pause, double now) {
-        if (pause < Double.POSITIVE_INFINITY) {
-            long offset = Math.min(LONGEST_WAKE_NS, Math.max(1, (long) Math.ceil(pause * NS)));
-            if (nowNs + offset < wakeNs) {
-                wakeNs = nowNs + offset;
-                reply.wake(++cookie, offset);
+    public void scheduleWakeUp(double delay, double now) {
+        if (delay < Double.POSITIVE_INFINITY) {
+            long nanos = Math.max(1, (long) Math.ceil(delay * NANOS_PER_MILLI));
+            long offset = Math.min(MAX_WAKE_UP_NANOS, nanos);
+            if (nowNanos + offset < wakeUpNanos) {
+                wakeUpNanos = nowNanos + offset;
+                reply.wakeUp(++wakeUpToken, offset);
             }
         }
     }
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -7,63 +7,78 @@
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import sagepulley.config.settings.MissingSettingException;
 import sagepulley.config.settings.SettingsReader;
 import sagepulley.engine.EndpointEntry;
+import sagepulley.engine.GatewayEngine;
 import sagepulley.model.Attempt;
 import sagepulley.model.Deployment;
-import sagepulley.model.Node;
-import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
-import sagepulley.model.TrafficClass;
-import sagepulley.model.Volume;
 
 /**
- * Speaks the simulator's wire: hands each event to its instance and writes the actions of each
- * batch.
+ * Speaks the simulator's protocol: hands each event to its gateway, and writes the decisions of
+ * each batch. Times of the protocol are nanoseconds.
  */
 public final class SimulatorAdapter {
-    private static final double NS = 1e6;
-    private static final int POOLS = 16;
-    private static final int BUFFER = 1 << 16;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int MAX_LIST_TABLES = 16;
+    private static final int BUFFER_BYTES = 1 << 16;
+    private static final int REPLY_HEADER_BYTES = 12;
+
+    /** Where the place of a fatal text stands in its record. */
+    private static final int FATAL_OFFSET = 5;
+
+    // What an event of the endpoint list says.
+    private static final int POLL_FAILED = 0;
+    private static final int COMPLETE_LIST = 1;
+    private static final int LIST_UPDATE = 3;
+    private static final int OTHER_COMPLETE_LIST = 4;
 
     private final EventBatch batch;
+    private final EventDecoder decoder;
     private final OutputStream out;
     private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
-    /** The instances with an event in this batch. */
+    /** The gateways with an event in this batch, in the order of their first. */
     private final List<SimulatedGateway> called = new ArrayList<>();
 
-    private final List<List<EndpointEntry>> pools = new ArrayList<>();
+    /** Endpoint lists by the number under which events refer to them; null where none was set. */
+    private final List<List<EndpointEntry>> listTables =
+            new ArrayList<>(Collections.nCopies(MAX_LIST_TABLES, null));
 
-    /** The replies of the instances with an event in this batch, in the order of their first. */
+    /** The replies of the gateways with an event in this batch, in the order of their first. */
     private final List<ReplyWriter> replies = new ArrayList<>();
 
     private final Map<Integer, ReplyWriter> replyOf = new HashMap<>();
 
+    /** An adapter between two streams; it closes neither. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
-        this.batch = new EventBatch(new BufferedInputStream(in, BUFFER));
-        this.out = new BufferedOutputStream(out, BUFFER);
-        for (int i = 0; i < POOLS; i++) {
-            pools.add(null);
-        }
+        this.batch = new EventBatch(new BufferedInputStream(in, BUFFER_BYTES));
+        this.decoder = new EventDecoder(batch);
+        this.out = new BufferedOutputStream(out, BUFFER_BYTES);
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Answers batch after batch until the input ends.
+     *
+     * @throws MalformedFrameException if the input is not a batch of the protocol
+     * @throws IOException if a stream fails
+     */
     public void run() throws IOException {
         while (batch.read()) {
             long nowNs = batch.clock();
-            double now = nowNs / NS;
+            double now = nowNs / NANOS_PER_MILLI;
             for (int record = 0; record < batch.records(); record++) {
-                event(record, now);
+                handle(record, now);
             }
             for (SimulatedGateway gateway : called) {
                 if (gateway.called) {
                     gateway.called = false;
-                    gateway.settle(now, nowNs);
+                    gateway.runDueWork(now, nowNs);
                 }
             }
             called.clear();
@@ -72,59 +87,67 @@
         out.flush();
     }
 
-    private void event(int record, double now) throws MalformedFrameException {
+    private void handle(int record, double now) throws MalformedFrameException {
         int code = batch.u8(record, 0);
         switch (code) {
-            case 5 -> up(record);
-            case 8 -> pool(record);
-            case 9 -> stop(record);
-            case 1, 2, 3, 4, 6, 7, 10, 11 -> {
+            case EventCode.GATEWAY_STARTED -> start(record);
+            case EventCode.GATEWAY_STOPPED -> stop(record);
+            case EventCode.LIST_TABLE -> setListTable(record);
+            case EventCode.HEALTH_CHECK_ENDED,
+                    EventCode.STREAM,
+                    EventCode.PEER_MESSAGE,
+                    EventCode.ENDPOINT_LIST,
+                    EventCode.ARRIVAL,
+                    EventCode.CLIENT_CANCELLED,
+                    EventCode.TIMER,
+                    EventCode.ATTEMPT_ENDED -> {
                 SimulatedGateway gateway = gateways.get(batch.u32(record, 1));
                 if (gateway != null) {
                     call(gateway);
-                    told(gateway, code, record, now);
+                    handle(gateway, code, record, now);
                 }
             }
             default -> throw batch.badRecord(record, "unknown event code " + code);
         }
     }
 
-    private void told(SimulatedGateway gateway, int code, int record, double now)
+    private void handle(SimulatedGateway gateway, int code, int record, double now)
             throws MalformedFrameException {
+        GatewayEngine engine = gateway.engine;
         switch (code) {
-            case 1 ->
-                    gateway.engine.onHealthCheck(
+            case EventCode.HEALTH_CHECK_ENDED ->
+                    engine.onHealthCheck(
                             batch.u32(record, 5),
-                            outcome(record, 9),
-                            batch.u64(record, 11) / NS,
-                            report(record, 19),
+                            decoder.outcome(record, 9),
+                            decoder.millis(record, 11),
+                            decoder.report(record, 19),
                             now);
-            case 4 -> topology(gateway, record, now);
-            case 6 -> gateway.engine.onArrival(operation(gateway, record, now));
-            case 7 -> gateway.engine.onClientCancelled(batch.u64(record, 5), now);
-            case 10 -> gateway.timer(batch.u64(record, 5));
-            case 11 -> completed(gateway, record, now);
+            case EventCode.ENDPOINT_LIST -> onEndpointList(engine, record, now);
+            case EventCode.ARRIVAL -> engine.onArrival(decoder.operation(engine, record, now));
+            case EventCode.CLIENT_CANCELLED -> engine.onClientCancelled(batch.u64(record, 5), now);
+            case EventCode.TIMER -> gateway.onTimer(batch.u64(record, 5));
+            case EventCode.ATTEMPT_ENDED -> onAttemptEnded(engine, record, now);
             default -> {} // streams and messages of peers: nothing is decided by them
         }
     }
 
-    private void up(int record) throws MalformedFrameException {
-        int who = batch.u32(record, 1);
-        ReplyWriter reply = replyOf.computeIfAbsent(who, ReplyWriter::new);
+    private void start(int record) throws MalformedFrameException {
+        int gatewayId = batch.u32(record, 1);
+        ReplyWriter reply = replyOf.computeIfAbsent(gatewayId, ReplyWriter::new);
         noteReply(reply);
         try {
             Deployment deployment = SettingsReader.ofLines(batch.text(record, 13)).deployment();
             SimulatedGateway gateway =
                     new SimulatedGateway(reply, deployment, batch.u64(record, 5));
-            gateways.put(who, gateway);
+            gateways.put(gatewayId, gateway);
             call(gateway);
         } catch (MissingSettingException missing) {
-            gateways.remove(who);
+            gateways.remove(gatewayId);
             reply.fatal("first message: " + missing.getMessage());
         }
     }
 
-    /** A stopped instance acts no more, not even by what it answered earlier in this batch. */
+    /** A stopped gateway has no effect any more, not even by its decisions of this batch. */
     private void stop(int record) {
         SimulatedGateway gateway = gateways.remove(batch.u32(record, 1));
         if (gateway != null) {
@@ -148,163 +171,62 @@
         }
     }
 
-    private void pool(int record) throws MalformedFrameException {
+    private void setListTable(int record) throws MalformedFrameException {
         int table = batch.u8(record, 1);
-        if (table >= POOLS) {
+        if (table >= MAX_LIST_TABLES) {
             throw batch.badRecord(record, "list number " + table + " is out of range");
         }
-        int start = batch.tail(record, 2, EventBatch.ENTRY);
-        int count = batch.u32(record, 6);
-        ByteBuffer from = ByteBuffer.wrap(batch.copy(start, count * EventBatch.ENTRY));
-        List<EndpointEntry> entries = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            EndpointEntry entry = entry(from);
-            if (entry == null) {
-                throw batch.badRecord(record, "entry " + i + " has an unknown phase");
-            }
-            entries.add(entry);
-        }
-        pools.set(table, entries);
+        listTables.set(table, decoder.endpointEntries(record, 2));
     }
 
-    /** Reads an entry; null if its phase is unknown. */
-    private static EndpointEntry entry(ByteBuffer from) {
-        int zone = from.getShort() & 0xffff;
-        int cell = from.getShort() & 0xffff;
-        int store = from.getInt();
-        int phaseCode = from.get();
-        long started = from.getLong();
-        int kind = from.get() & 0xff;
-        float weight = from.getFloat();
-        if (phaseCode < 0 || phaseCode > 2) {
-            return null;
-        }
-        Node.Phase phase =
-                switch (phaseCode) {
-                    case 1 -> Node.Phase.READY;
-                    case 2 -> Node.Phase.DRAINING;
-                    default -> Node.Phase.REMOVED;
-                };
-        return new EndpointEntry(
-                zone,
-                cell,
-                store,
-                phase,
-                started == 0 ? Double.NEGATIVE_INFINITY : started / 1e6,
-                kind,
-                weight);
-    }
-
-    private void topology(SimulatedGateway gateway, int record, double now)
+    private void onEndpointList(GatewayEngine engine, int record, double now)
             throws MalformedFrameException {
         int scope = batch.u8(record, 5);
         switch (scope) {
-            case 0 -> gateway.engine.onPollFailed(now);
-            case 1, 3, 4 -> {
+            case POLL_FAILED -> engine.onPollFailed(now);
+            case COMPLETE_LIST, LIST_UPDATE, OTHER_COMPLETE_LIST -> {
                 int table = batch.u8(record, 6);
-                if (table >= POOLS || pools.get(table) == null) {
+                if (table >= MAX_LIST_TABLES || listTables.get(table) == null) {
                     throw batch.badRecord(record, "list number " + table + " was never set up");
                 }
-                gateway.engine.onEndpointList(pools.get(table), scope != 3, now);
+                engine.onEndpointList(listTables.get(table), scope != LIST_UPDATE, now);
             }
             default -> throw batch.badRecord(record, "unknown list scope " + scope);
         }
     }
 
-    private Operation operation(SimulatedGateway gateway, int record, double now)
-            throws MalformedFrameException {
-        int grade = batch.u8(record, 13);
-        List<TrafficClass> bands = gateway.engine.deployment().trafficClasses();
-        if (grade >= bands.size()) {
-            throw batch.badRecord(
-                    record, "class " + grade + " of " + bands.size() + " is out of range");
-        }
-        long plan = Integer.toUnsignedLong(batch.u32(record, 14));
-        if (plan >= gateway.engine.deployment().plans().size()) {
-            throw batch.badRecord(
-                    record,
-                    "plan "
-                            + plan
-                            + " of "
-                            + gateway.engine.deployment().plans().size()
-                            + " is out of range");
-        }
-        Volume volume = gateway.engine.volume(batch.u64(record, 34), (int) plan);
-        volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
-        return new Operation(
-                batch.u64(record, 5),
-                bands.get(grade),
-                volume,
-                batch.u64(record, 18),
-                batch.f32(record, 42),
-                (int) batch.f32(record, 46),
-                now,
-                batch.u64(record, 26) / NS,
-                (batch.u8(record, 54) & 2) != 0);
-    }
-
-    private void completed(SimulatedGateway gateway, int record, double now)
+    private void onAttemptEnded(GatewayEngine engine, int record, double now)
             throws MalformedFrameException {
-        Outcome outcome = outcome(record, 18);
-        Attempt attempt = gateway.engine.attempt(batch.u64(record, 5), batch.u8(record, 13));
+        Outcome outcome = decoder.outcome(record, 18);
+        Attempt attempt = engine.attempt(batch.u64(record, 5), batch.u8(record, 13));
         if (attempt == null || attempt.outcome != null) {
             return;
         }
         attempt.outcome = outcome;
-        attempt.duration = batch.u64(record, 20) / NS;
-        int used = batch.u16(record, 29);
-        attempt.planUsagePercent = used == 0 ? Double.NaN : used - 1;
+        attempt.duration = decoder.millis(record, 20);
+        // The protocol adds 1 to the percentage, so that 0 says that there is none.
+        int usage = batch.u16(record, 29);
+        attempt.planUsagePercent = usage == 0 ? Double.NaN : usage - 1;
         attempt.otherGatewaysUnits = batch.u16(record, 31);
-        attempt.report = report(record, 33);
-        gateway.engine.onAttemptEnded(attempt, batch.u8(record, 28) != 0, now);
-    }
-
-    private Outcome outcome(int record, int at) throws MalformedFrameException {
-        int code = batch.u16(record, at);
-        return switch (code) {
-            case 200 -> Outcome.SERVED;
-            case 500 -> Outcome.FAILED;
-            case 503 -> Outcome.REJECTED;
-            case 504 -> Outcome.TIMED_OUT;
-            case 502 -> Outcome.NO_CONNECTION;
-            case 598 -> Outcome.RESET;
-            case 499 -> Outcome.CANCELLED;
-            case 410 -> Outcome.NOT_EXECUTED;
-            default -> throw batch.badRecord(record, "unknown outcome " + code);
-        };
-    }
-
-    private double[] report(int record, int at) throws MalformedFrameException {
-        int count = batch.u8(record, at);
-        if (count == 0) {
-            return null;
-        }
-        if (count > 4) {
-            throw batch.badRecord(record, "a load report of " + count + " values");
-        }
-        double[] values = new double[count];
-        for (int i = 0; i < count; i++) {
-            values[i] = batch.f32(record, at + 1 + 4 * i);
-        }
-        return values;
+        attempt.report = decoder.report(record, 33);
+        engine.onAttemptEnded(attempt, batch.u8(record, 28) != 0, now);
     }
 
+    /** Writes the reply to a batch: header, records by gateway, and the texts of the fatal ones. */
     private void write() throws IOException {
         int records = 0;
-        int tail = 0;
+        int textBytes = 0;
         for (ReplyWriter reply : replies) {
-            records += reply.records().position() / ReplyWriter.RECORD;
+            records += reply.records().position() / ReplyWriter.RECORD_BYTES;
             if (reply.fatalText() != null) {
-                ByteBuffer last = reply.records();
-                byte[] text = reply.fatalBytes();
-                last.putInt(last.position() - ReplyWriter.RECORD + 5, tail);
-                last.putInt(last.position() - ReplyWriter.RECORD + 9, text.length);
-                tail += text.length;
+                textBytes += placeFatalText(reply, textBytes);
             }
         }
-        ByteBuffer head = ByteBuffer.allocate(12);
-        head.putInt(batch.number()).putInt(4 + records * ReplyWriter.RECORD + tail).putInt(records);
-        out.write(head.array());
+        ByteBuffer header = ByteBuffer.allocate(REPLY_HEADER_BYTES);
+        header.putInt(batch.number())
+                .putInt(Integer.BYTES + records * ReplyWriter.RECORD_BYTES + textBytes)
+                .putInt(records);
+        out.write(header.array());
         for (ReplyWriter reply : replies) {
             out.write(reply.records().array(), 0, reply.records().position());
         }
@@ -317,4 +239,13 @@
         replies.clear();
         out.flush();
     }
+
+    /** Notes in the last record of a reply where its text stands; gives the text's length. */
+    private static int placeFatalText(ReplyWriter reply, int textStart) {
+        ByteBuffer records = reply.records();
+        int length = reply.fatalBytes().length;
+        int at = records.position() - ReplyWriter.RECORD_BYTES + FATAL_OFFSET;
+        records.putInt(at, textStart).putInt(at + Integer.BYTES, length);
+        return length;
+    }
 }
