--- a/src/main/java/sagepulley/config/settings/MissingSettingException.java
+++ b/src/main/java/sagepulley/config/settings/MissingSettingException.java
@@ -1,10 +1,11 @@
 package sagepulley.config.settings;
 
-/** The first message lacks a figure that the decisions depend on, or it cannot be read. */
+/** A setting that the decisions depend on is missing or unreadable; the message names its path. */
 public final class MissingSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public MissingSettingException(String what) {
-        super(what, null, false, false);
+    /** Without a stack trace, as it reports a fault of the input. */
+    public MissingSettingException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/config/settings/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -10,14 +10,17 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * The settings that a gateway is told first, as path=value pairs, read into a deployment. Unknown
- * keys are skipped.
+ * Reads the settings that a gateway is told at its start, as path=value pairs, into a deployment.
+ * Unknown paths are skipped. Times stand in the pairs as nanoseconds and are read as milliseconds.
  */
 public final class SettingsReader {
-    private static final double NS = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int MAX_COUNT = 1_000_000;
+    private static final String SILENT = "silent";
 
     private final Map<String, String> pairs;
 
+    /** A reader of these pairs, by path. */
     public SettingsReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
@@ -26,43 +29,38 @@
     public static SettingsReader ofLines(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
-            int sign = line.indexOf('=');
-            if (sign > 0) {
-                pairs.put(line.substring(0, sign).trim(), line.substring(sign + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                pairs.put(
+                        line.substring(0, separator).trim(), line.substring(separator + 1).trim());
             }
         }
         return new SettingsReader(pairs);
     }
 
+    /**
+     * The deployment that the settings describe.
+     *
+     * @throws MissingSettingException if a setting is missing that has no default, or is unreadable
+     */
     public Deployment deployment() {
-        List<TrafficClass> bands = new ArrayList<>();
-        String[] writes = optional("domain.changesData", "").split(",");
-        boolean ordered = false;
-        for (int i = 0; i < whole("classes.count"); i++) {
-            TrafficClass trafficClass = band(i, i < writes.length && writes[i].equals("true"));
-            ordered |= trafficClass.ordered();
-            bands.add(trafficClass);
-        }
-        List<TenantPlan> plans = new ArrayList<>();
-        for (int i = 0; i < whole("plans.count"); i++) {
-            plans.add(plan(i));
-        }
-        String how = optional("report.how", "silent");
-        String fields = optional("report.fields", "");
-        double gateways = whole("balancers");
-        double me = whole("me");
-        if (me < 0 || me >= gateways) {
+        List<TrafficClass> trafficClasses = trafficClasses();
+        boolean ordered = trafficClasses.stream().anyMatch(TrafficClass::ordered);
+        List<TenantPlan> plans = plans();
+        double gateways = count("balancers");
+        double index = count("me");
+        if (index < 0 || index >= gateways) {
             throw new MissingSettingException(
-                    "me=" + (int) me + " does not lie below balancers=" + (int) gateways);
+                    "me=" + (int) index + " does not lie below balancers=" + (int) gateways);
         }
-        boolean mustAsk = optional("discovery", "automatic").equals("subscribe");
+        boolean mustPoll = optional("discovery", "automatic").equals("subscribe");
         return new Deployment(
-                (int) me,
+                (int) index,
                 (int) gateways,
                 (int) optionalNumber("az", 0),
-                bands,
+                trafficClasses,
                 plans,
-                rules(ordered),
+                servicePolicy(ordered),
                 time("tickNs", 0),
                 (int) optionalNumber("domain.shards", 0),
                 optionalNumber("domain.usualUnits", 1),
@@ -71,8 +69,8 @@
                 optionalNumber("domain.beyondShare", 0),
                 time("domain.usePeriodNs", 0),
                 flag("domain.saysOthers"),
-                mustAsk,
-                mustAsk ? number("contract.askEveryNs") / NS : Double.POSITIVE_INFINITY,
+                mustPoll,
+                mustPoll ? millis("contract.askEveryNs") : Double.POSITIVE_INFINITY,
                 Double.POSITIVE_INFINITY,
                 flag("limits.mayProbe"),
                 flag("limits.cancel"),
@@ -81,67 +79,93 @@
                 optionalNumber("charges.crossZone", 0),
                 optionalNumber("charges.probe", 0),
                 optionalNumber("charges.waste", 0),
-                !optional("weights", "silent").equals("silent"),
-                how.equals("silent") || fields.isEmpty() ? List.of() : List.of(fields.split(",")));
+                !optional("weights", SILENT).equals(SILENT),
+                reportFields());
+    }
+
+    private List<TrafficClass> trafficClasses() {
+        List<TrafficClass> trafficClasses = new ArrayList<>();
+        String[] writes = optional("domain.changesData", "").split(",");
+        for (int i = 0; i < count("classes.count"); i++) {
+            trafficClasses.add(trafficClass(i, i < writes.length && writes[i].equals("true")));
+        }
+        return trafficClasses;
+    }
+
+    private List<TenantPlan> plans() {
+        List<TenantPlan> plans = new ArrayList<>();
+        for (int i = 0; i < count("plans.count"); i++) {
+            plans.add(plan(i));
+        }
+        return plans;
     }
 
-    private ServicePolicy rules(boolean ordered) {
-        boolean rationed =
+    private List<String> reportFields() {
+        String fields = optional("report.fields", "");
+        boolean reports = !optional("report.how", SILENT).equals(SILENT) && !fields.isEmpty();
+        return reports ? List.of(fields.split(",")) : List.of();
+    }
+
+    private ServicePolicy servicePolicy(boolean ordered) {
+        boolean hasRetryBudget =
                 pairs.containsKey("contract.extraWindowNs")
                         || pairs.containsKey("contract.extraFloor")
                         || pairs.containsKey("contract.extraRatio");
         return new ServicePolicy(
                 time("contract.graceToAnswerNs", 0),
-                number("contract.drainGraceNs") / NS,
+                millis("contract.drainGraceNs"),
                 number("contract.coldFrom"),
-                number("contract.coldNs") / NS,
+                millis("contract.coldNs"),
                 number("contract.fallMultiple"),
-                number("contract.overloadForNs") / NS,
+                millis("contract.overloadForNs"),
                 number("domain.coldBears"),
-                ordered ? number("contract.keyRestNs") / NS : 0,
-                rationed ? number("contract.extraFloor") : Double.NaN,
-                rationed ? number("contract.extraRatio") : Double.NaN,
-                rationed ? number("contract.extraWindowNs") / NS : Double.NaN,
+                ordered ? millis("contract.keyRestNs") : 0,
+                hasRetryBudget ? number("contract.extraFloor") : Double.NaN,
+                hasRetryBudget ? number("contract.extraRatio") : Double.NaN,
+                hasRetryBudget ? millis("contract.extraWindowNs") : Double.NaN,
                 (int) number("limits.mostTries"),
                 truth("limits.mayDuplicate"));
     }
 
-    private TrafficClass band(int index, boolean writes) {
+    private TrafficClass trafficClass(int index, boolean writes) {
         String path = "classes." + index + ".";
-        TrafficClass.Idempotency repeat =
-                switch (text(path + "effect")) {
-                    case "retryable" -> TrafficClass.Idempotency.IDEMPOTENT;
-                    case "dedup" -> TrafficClass.Idempotency.DEDUPLICATED;
-                    case "fragile" -> TrafficClass.Idempotency.NON_IDEMPOTENT;
-                    default -> throw unreadable(path + "effect");
-                };
-        TrafficClass.DeduplicationScope group = TrafficClass.DeduplicationScope.ALL;
-        double memory = 0;
-        if (repeat == TrafficClass.Idempotency.DEDUPLICATED) {
-            group =
-                    switch (text(path + "dedupScope")) {
-                        case "all" -> TrafficClass.DeduplicationScope.ALL;
-                        case "zone" -> TrafficClass.DeduplicationScope.ZONE;
-                        case "cell" -> TrafficClass.DeduplicationScope.CELL;
-                        default -> throw unreadable(path + "dedupScope");
-                    };
-            memory = number(path + "keyTtlNs") / NS;
-        }
+        TrafficClass.Idempotency idempotency = idempotency(path + "effect");
+        boolean deduplicated = idempotency == TrafficClass.Idempotency.DEDUPLICATED;
         return new TrafficClass(
                 index,
                 optional(path + "name", "band " + index),
-                repeat,
-                group,
-                memory,
+                idempotency,
+                deduplicated
+                        ? deduplicationScope(path + "dedupScope")
+                        : TrafficClass.DeduplicationScope.ALL,
+                deduplicated ? millis(path + "keyTtlNs") : 0,
                 flag(path + "fifoByKey"),
                 writes,
-                number(path + "sloNs") / NS,
+                millis(path + "sloNs"),
                 optionalNumber(path + "aimStretch", 0),
-                number(path + "hardLimitNs") / NS,
+                millis(path + "hardLimitNs"),
                 optionalNumber(path + "worth", 1),
                 optionalNumber(path + "lateShare", 0));
     }
 
+    private TrafficClass.Idempotency idempotency(String path) {
+        return switch (text(path)) {
+            case "retryable" -> TrafficClass.Idempotency.IDEMPOTENT;
+            case "dedup" -> TrafficClass.Idempotency.DEDUPLICATED;
+            case "fragile" -> TrafficClass.Idempotency.NON_IDEMPOTENT;
+            default -> throw unreadable(path);
+        };
+    }
+
+    private TrafficClass.DeduplicationScope deduplicationScope(String path) {
+        return switch (text(path)) {
+            case "all" -> TrafficClass.DeduplicationScope.ALL;
+            case "zone" -> TrafficClass.DeduplicationScope.ZONE;
+            case "cell" -> TrafficClass.DeduplicationScope.CELL;
+            default -> throw unreadable(path);
+        };
+    }
+
     private TenantPlan plan(int index) {
         String path = "plans." + index + ".";
         double limit = optionalNumber(path + "cap", 0);
@@ -157,8 +181,9 @@
                 limit > 0 ? number(path + "slack") : 0);
     }
 
-    public String optional(String path, String without) {
-        return pairs.getOrDefault(path, without);
+    /** A text that may be left out. */
+    public String optional(String path, String defaultValue) {
+        return pairs.getOrDefault(path, defaultValue);
     }
 
     private String text(String path) {
@@ -181,21 +206,35 @@
         throw unreadable(path);
     }
 
-    private int whole(String path) {
+    private double millis(String path) {
+        return number(path) / NANOS_PER_MILLI;
+    }
+
+    /** A whole number from 0 to a million. */
+    private int count(String path) {
         double value = number(path);
-        if (value != Math.rint(value) || value < 0 || value > 1e6) {
+        if (value != Math.rint(value) || value < 0 || value > MAX_COUNT) {
             throw unreadable(path);
         }
         return (int) value;
     }
 
-    public double optionalNumber(String path, double without) {
-        return pairs.containsKey(path) ? number(path) : without;
+    /**
+     * A number that may be left out.
+     *
+     * @throws MissingSettingException if it is there and is no finite number
+     */
+    public double optionalNumber(String path, double defaultValue) {
+        return pairs.containsKey(path) ? number(path) : defaultValue;
     }
 
-    /** A time in milliseconds that may be left out. */
-    public double time(String path, double without) {
-        return pairs.containsKey(path) ? number(path) / NS : without;
+    /**
+     * A time in milliseconds that may be left out; the pair has nanoseconds.
+     *
+     * @throws MissingSettingException if it is there and is no finite number
+     */
+    public double time(String path, double defaultMillis) {
+        return pairs.containsKey(path) ? millis(path) : defaultMillis;
     }
 
     private boolean flag(String path) {
