--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -1,11 +1,7 @@
 package sagepulley.scheduler;
 
 import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.NavigableSet;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import sagepulley.membership.DiscoverySchedule;
@@ -20,193 +16,109 @@
 import sagepulley.model.RoutingDecision;
 import sagepulley.model.SchedulerTurn;
 import sagepulley.model.ServicePolicy;
-import sagepulley.model.SlidingWindowCounter;
-import sagepulley.model.TrafficClass;
 
 /**
- * Every decision of one gateway: the Flint placement score, each node's bound, and the guards round
- * them.
+ * Decides for one gateway which operation goes to which endpoint, when, and which is given up. It
+ * composes the concerns, each a class of this package with state of its own, and keeps the order in
+ * which they are called; the order of random draws is part of its behaviour.
  *
- * <p>How it is called (the types are those of sagepulley.model; times are milliseconds on one
- * clock):
+ * <p>Its caller keeps the operations and the timer, and calls from one thread:
  *
  * <ul>
- *   <li>place(operation): where to send it, or not yet, or never; a SEND has already added its
- *       attempt
- *   <li>after(attempt): what to do for its operation after this outcome
- *   <li>pause(): how long to wait, and what is due now: operations to place, probes, list calls;
- *       asked again until no operation is due
- *   <li>told, with no answer: listed, listFailed, probed, left, found, needless
+ *   <li>{@link #route}: where to send an operation, or not yet, or never; it has added the attempt
+ *       that is to be sent
+ *   <li>{@link #onAttemptEnded}: what to do for the operation of an attempt with an outcome
+ *   <li>{@link #nextTurn}: how long to wait, and what is due now; asked again until no operation is
+ *       due
+ *   <li>the other methods tell it of events and have no answer
  * </ul>
  *
- * <p>The caller keeps timers and operations.
+ * <p>Times are milliseconds on the caller's monotonic clock.
  */
 public final class Scheduler {
-    private static final double PLACEMENTS_WINDOW = 10_000;
-    private static final double BUSY_REFRESH = 1_000;
-    private static final int RUN = 4;
-    // Attempts go on this part of the target time after it, where a late answer is worth this part
-    // at least.
-    private static final double LATE_GRACE = 0.5;
-    private static final double LATE_WORTH = 0.5;
-
-    /**
-     * A start that is longer ago is told as long ago: one that looks older was told by another
-     * clock.
-     */
-    private static final double LONGEST_TOLD_AGE = 3_000_000;
-
-    private static final double TIER_STEP = 2;
-    private static final int LATE = 1000;
+    private static final double REFRESH_PERIOD_MILLIS = 1_000;
 
     private final Deployment deployment;
-    private final ServicePolicy policy;
     private final RandomGenerator random;
-    final LatencyTracker latencies;
-    final QuotaTracker quota;
-    final List<EndpointState> endpoints = new ArrayList<>();
-
-    /**
-     * The indexes of the seats at which an operation waits: with thousands of seats most have none.
-     */
-    private final BitSet waitingSeats = new BitSet();
-
-    private final Map<Integer, List<EndpointState>> seatsByCell = new HashMap<>();
-    private final WaitQueue fresh = new WaitQueue();
-    private final WaitQueue homeless = new WaitQueue();
-    private final DeadlineIndex waits = new DeadlineIndex();
-    private final List<Attempt> unwanted = new ArrayList<>();
     private final WakeUpTime wakeUp = new WakeUpTime();
-    final KeyOrdering keyOrdering;
-    final OutlierDetector outliers;
-    final ConcurrencyLimiter concurrency;
-    final AdmissionController admission;
-    private final Router router;
+    private final DiscoverySchedule discovery;
+    private final RequestQueues queues;
+    private final RequestSelector selector;
     private final SlowStartBudget slowStart;
-    private final RetryPolicy retryPolicy;
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
 
-    private final double deadlineMargin;
+    // The views of this package read these.
     final EndpointLease lease;
-    private int waiting;
+    final EndpointTable endpoints;
+    final DispatchRules rules;
+    final LatencyTracker latencies;
+    final QuotaTracker quota;
+    final KeyOrdering keyOrdering;
+    final OutlierDetector outliers;
+    final ConcurrencyLimiter concurrency;
+    final AdmissionController admission;
 
-    /** Counts what may change whose turn it is. */
-    private long version;
+    /** Attempts in flight whose client has cancelled, until the next turn. */
+    private final List<Attempt> cancellations = new ArrayList<>();
 
-    private double refreshAt = Double.NEGATIVE_INFINITY;
-    private boolean knowsList;
-    private final DiscoverySchedule discovery;
+    private double nextRefreshAt = Double.NEGATIVE_INFINITY;
 
-    public Scheduler(Deployment site, long seed) {
-        this.deployment = site;
-        this.policy = site.policy();
+    /** A scheduler without endpoints; the seed makes its random draws repeatable. */
+    public Scheduler(Deployment deployment, long seed) {
+        ServicePolicy policy = deployment.policy();
+        this.deployment = deployment;
         this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         this.latencies = new LatencyTracker(deployment.trafficClasses());
         this.quota = new QuotaTracker(deployment, wakeUp);
         this.outliers = new OutlierDetector(policy.slowStartTime(), latencies, wakeUp);
         this.concurrency = new ConcurrencyLimiter(latencies, outliers);
         this.admission = new AdmissionController(deployment, latencies, quota, outliers);
-        this.router = new Router(deployment);
         this.slowStart = new SlowStartBudget(deployment, wakeUp);
         this.keyOrdering = new KeyOrdering(policy.keyIdleTime(), deployment.tick(), wakeUp);
-        this.deadlineMargin = 1.5 * site.tick();
-        this.discovery = new DiscoverySchedule(site, random);
-        this.lease = new EndpointLease(site.notifiedWithin(), policy.drainGrace());
-        this.retryPolicy = new RetryPolicy(policy, deadlineMargin);
+        this.discovery = new DiscoverySchedule(deployment, random);
+        this.lease = new EndpointLease(deployment.notifiedWithin(), policy.drainGrace());
+        this.endpoints = new EndpointTable(policy, lease, concurrency);
+        this.queues = new RequestQueues(endpoints);
         this.retryBudget = new RetryBudget(policy);
+        this.rules =
+                new DispatchRules(
+                        deployment, lease, endpoints, retryBudget, slowStart, keyOrdering, quota);
+        this.selector =
+                new RequestSelector(
+                        endpoints,
+                        queues,
+                        rules,
+                        new RequestPriority(latencies, quota),
+                        latencies,
+                        outliers,
+                        concurrency,
+                        admission,
+                        slowStart,
+                        new Router(deployment));
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
-    // ---- facts ----
-
-    /** The list as it now stands; a node that left it is GONE. */
+    /** Takes over the endpoint list; an endpoint that is gone from it has the phase REMOVED. */
     public void onEndpointList(List<Node> nodes, double now) {
-        for (Node node : nodes) {
-            EndpointState endpoint = EndpointState.of(node);
-            if (endpoint == null) {
-                // Who is gone for good leaves its place: the seats stay as many as the fleet is
-                // wide.
-                EndpointState old =
-                        endpoints.stream().filter(EndpointState::isVacant).findFirst().orElse(null);
-                endpoint =
-                        new EndpointState(
-                                old == null ? endpoints.size() : old.index,
-                                node,
-                                ConcurrencyLimiter.INITIAL_LIMIT,
-                                AdmissionController.newArrivalWindow(),
-                                new SlidingWindowCounter(PLACEMENTS_WINDOW, 10),
-                                new SlidingWindowCounter(policy.overloadWindow(), 20));
-                node.schedulerState = endpoint;
-                endpoint.startedAt = possibleStart(node.startedAt, now);
-                if (old == null) {
-                    endpoints.add(endpoint);
-                } else {
-                    endpoints.set(old.index, endpoint);
-                }
-                // A node that turns up later has just started, whatever its line says of its start.
-                if (knowsList && node.startedAt < now - policy.slowStartTime()) {
-                    endpoint.startedAt = now;
-                }
-            } else if (lease.isBounded()
-                    ? node.startedAt != endpoint.reportedStart
-                    : node.startedAt > endpoint.startedAt) {
-                endpoint.reportedStart = node.startedAt;
-                endpoint.startedAt = possibleStart(node.startedAt, now);
-                concurrency.onRestart(endpoint);
-            }
-        }
-        seatsByCell.clear();
-        for (EndpointState endpoint : endpoints) {
-            seatsByCell
-                    .computeIfAbsent(endpoint.node.cell, any -> new ArrayList<>(1))
-                    .add(endpoint);
-        }
-        version++;
-        if (!knowsList) {
-            knowsList = true;
+        boolean first = !endpoints.hasList();
+        endpoints.update(nodes, now);
+        queues.markChanged();
+        if (first) {
             slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
-            // On a platform listConfirmed tells it: a list may also come from an address that
-            // discovery has left, which answers no call that is due.
+            // With a bounded lease onListConfirmed says so: a list may also come from an address
+            // that discovery has left, which answers no poll.
             discovery.pollSucceeded();
         }
-        // Whoever waits for a node that drains, or for a shard that moved, is looked at anew.
-        queueAnew(homeless);
-        for (EndpointState endpoint : endpoints) {
-            if (endpoint.node.phase != Node.Phase.READY) {
-                queueAnew(endpoint.waitQueue);
-            }
-        }
+        queues.onEndpointList();
     }
 
-    /**
-     * The start that is told of a node by the wall clock, which may be off here or there: never
-     * later than now, and, once a list was confirmed, not before that list, which knew nothing of
-     * it. A start that is told at all was lately.
-     */
-    private double possibleStart(double told, double now) {
-        if (!lease.isBounded() || told == Double.NEGATIVE_INFINITY) {
-            return told;
-        }
-        if (now - told > LONGEST_TOLD_AGE) {
-            return now;
-        }
-        return Math.min(now, Math.max(told, lease.confirmedAt()));
-    }
-
-    private void queueAnew(WaitQueue queue) {
-        for (Operation operation : queue.inOrder()) {
-            dequeue(operation);
-            enqueue(operation);
-        }
-    }
-
-    /** The list held is known to have been current at a time. */
+    /** The endpoint list is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
-        version++;
+        queues.markChanged();
         discovery.pollSucceeded();
     }
 
@@ -215,14 +127,14 @@
         lease.unreachable(at);
     }
 
-    /** A list call failed, or the subscription dropped. */
+    /** A poll of the endpoint list failed, or its watch ended. */
     public void onPollFailed(double now) {
         discovery.pollFailed(now);
     }
 
-    /** A new configuration was told at a time, which may move discovery. */
-    public void onReloadNotified(double toldAt) {
-        lease.reloadNotified(toldAt);
+    /** A new configuration, which may move discovery, was notified at a time. */
+    public void onReloadNotified(double at) {
+        lease.reloadNotified(at);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
@@ -230,87 +142,86 @@
         lease.reloadCompleted(readAt);
     }
 
-    /** The list is kept elsewhere from now on, and nobody has been asked there. */
+    /** Discovery is at another address from now on, and was not polled there yet. */
     public void onDiscoveryMoved(double now) {
         discovery.addressChanged(now);
     }
 
-    /** What a probe found. */
+    /** A health check ended; none is asked for yet, so nothing is learned. */
     public void onHealthCheck(
-            Node node, Outcome outcome, double took, double[] report, double now) {
-        // No probe is asked for yet.
-    }
+            Node node, Outcome outcome, double took, double[] report, double now) {}
 
-    /** The client has left: nothing more is owed or sent, and work for nobody is called off. */
+    /**
+     * The client has cancelled an operation: what is in flight for it is cancelled at the next
+     * turn.
+     */
     public void onClientCancelled(Operation operation, double now) {
-        forsake(operation);
+        remove(operation);
+        clientRetries.onUnserved(operation);
         latencies.onCancelled(operation, now);
         for (Attempt attempt : operation.attempts) {
             if (attempt.outcome == null && deployment.mayCancel()) {
-                unwanted.add(attempt);
+                cancellations.add(attempt);
             }
         }
     }
 
     /**
      * The cell of an operation's extent became known (-1: it is a new object) while it waits or is
-     * out.
+     * in flight.
      */
     public void onExtentLocated(Operation operation, int cell) {
-        boolean waits = QueuedRequest.of(operation).queued;
-        dequeue(operation);
-        operation.shard = cell;
-        if (waits) {
-            enqueue(operation);
-        }
+        queues.relocate(operation, cell);
     }
 
-    /** The operation has ended without a node: there is nothing to read or to do. */
+    /** The operation has ended without an endpoint, as there is nothing to read or to do. */
     public void onEndedWithoutNode(Operation operation) {
-        drop(operation);
+        remove(operation);
     }
 
-    // ---- the three calls ----
-
     /** Where to send this operation, or not yet, or never. */
     public RoutingDecision route(Operation operation, double now) {
-        QueuedRequest request = ticket(operation, now);
+        QueuedRequest request = request(operation, now);
         if (operation.ended) {
-            drop(operation);
+            remove(operation);
             return RoutingDecision.NOT_YET;
         }
         if (!request.queued) {
-            enqueue(operation);
+            queues.enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                admission.onArrival(request.endpoint, now);
-            }
-            if (operation.attempts.isEmpty() && request.endpoint != null) {
-                quota.onDemand(operation, request.endpoint, now);
+                countArrival(request, now);
             }
         }
-        boolean mayAttempt = operation.attempts.isEmpty() || mayAttemptAgain(operation, now);
-        EndpointState endpoint = mayAttempt ? turn(operation, now) : null;
-        if (endpoint != null && isAllowed(operation, endpoint, now)) {
+        boolean mayAttempt = operation.attempts.isEmpty() || mayRetry(operation, now);
+        EndpointState endpoint = mayAttempt ? selector.endpointFor(operation, now) : null;
+        if (endpoint != null && rules.isAllowed(operation, endpoint, now)) {
             return send(operation, endpoint, now);
         }
         if (!mayAttempt
-                || now >= operation.deadline - deadlineMargin
+                || rules.isPastDeadline(operation, now)
                 || latencies.lateAt(operation) <= now) {
             return giveUp(operation, now);
         }
         return RoutingDecision.NOT_YET;
     }
 
-    /** What to do for the operation after this outcome. */
+    private void countArrival(QueuedRequest request, double now) {
+        admission.onArrival(request.endpoint, now);
+        if (request.endpoint != null) {
+            quota.onDemand(request.operation, request.endpoint, now);
+        }
+    }
+
+    /** Learns from the outcome of an attempt, and says what to do for its operation. */
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
         EndpointState endpoint = EndpointState.of(attempt.node);
         endpoint.inFlight.remove(attempt);
-        version++;
+        queues.markChanged();
         learn(attempt, endpoint, now);
         keyOrdering.onAttemptEnded(attempt, now);
         if (operation.ended) {
-            drop(operation);
+            remove(operation);
             return FollowUp.NONE;
         }
         return operation.isInFlight() ? FollowUp.NONE : FollowUp.ROUTE_AGAIN;
@@ -319,161 +230,30 @@
     /** How long to wait before asking again, and what is due now. */
     public SchedulerTurn nextTurn(double now) {
         wakeUp.reset();
-        version++;
+        queues.markChanged();
         refresh(now);
-        List<Operation> due = new ArrayList<>(4);
-        List<Operation> late = overdue(now);
-        Operation newest = first(fresh, null, now);
-        int at = 0;
-        for (int i = waitingSeats.nextSetBit(0); i >= 0; i = waitingSeats.nextSetBit(i + 1)) {
-            EndpointState endpoint = endpoints.get(i);
-            Operation next = pick(endpoint, now);
-            if (next != null && goesFirst(next, newest, endpoint, now)) {
-                due.add(next);
-            }
-            at = addLate(late, at, endpoint, due);
-        }
-        if (newest != null && lowestScore(newest, now) != null) {
-            due.add(newest);
-        }
-        addLate(late, at, null, due);
-        SchedulerTurn.EndpointPoll call =
+        List<Operation> due = selector.dueOperations(wakeUp, now);
+        SchedulerTurn.EndpointPoll poll =
                 discovery.takeDue(now)
                         ? SchedulerTurn.EndpointPoll.SUBSCRIBE
                         : SchedulerTurn.EndpointPoll.NONE;
         wakeUp.noLaterThan(discovery.nextAt());
-        List<Attempt> callOff = List.copyOf(unwanted);
-        unwanted.clear();
-        return new SchedulerTurn(wakeUp.delay(now), due, List.of(), callOff, call);
-    }
-
-    /**
-     * What waits and would be late, or whose patience ends, by queue: seats', new objects, homeless
-     * ones.
-     */
-    private List<Operation> overdue(double now) {
-        List<Operation> late = new ArrayList<>(0);
-        for (DeadlineIndex.Group kind : waits.groups()) {
-            double early = latencies.requiredServiceTime(kind.trafficClass, kind.units);
-            double target = latencies.objective(kind.trafficClass);
-            // Sorted by each of the three times that may end it: nobody is walked who is not
-            // overdue.
-            kind.collectOverdue(
-                    kind.byObjective,
-                    request -> request.objectiveAt - early,
-                    now,
-                    late,
-                    wakeUp::noLaterThan);
-            kind.collectOverdue(
-                    kind.byArrival,
-                    request -> request.operation.arrivedAt + target - early,
-                    now,
-                    late,
-                    wakeUp::noLaterThan);
-            kind.collectOverdue(
-                    kind.byDeadline,
-                    request -> request.operation.deadline - deadlineMargin,
-                    now,
-                    late,
-                    wakeUp::noLaterThan);
-        }
-        late.sort(DeadlineIndex.BY_QUEUE);
-        return late;
+        List<Attempt> cancelled = List.copyOf(cancellations);
+        cancellations.clear();
+        return new SchedulerTurn(wakeUp.delay(now), due, List.of(), cancelled, poll);
     }
 
-    /** Adds those of a seat's queue, or of the queues behind all seats. */
-    private static int addLate(
-            List<Operation> late, int at, EndpointState endpoint, List<Operation> due) {
-        int next = at;
-        while (next < late.size()
-                && (endpoint == null || QueuedRequest.of(late.get(next)).endpoint == endpoint)) {
-            Operation operation = late.get(next++);
-            if (!due.contains(operation)) {
-                due.add(operation);
-            }
-        }
-        return next;
+    /** Whether an attempt that was not written yet may begin at its endpoint now. */
+    public boolean mayStart(Attempt attempt, double now) {
+        return rules.mayStart(attempt, now);
     }
 
-    // ---- the rules: every send passes here ----
-
-    boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
-        // 1: one final answer, in time, and nothing after it.
-        if (operation.ended || now >= operation.deadline - deadlineMargin) {
-            return false;
-        }
-        // 3: nothing new to a node that drains or is gone, or may be without our knowing.
-        if (!lease.holds(now)) {
-            return false;
-        }
-        if (endpoint.node.phase != Node.Phase.READY) {
-            return false;
-        }
-        if (operation.shard >= 0 && operation.shard != endpoint.node.cell) {
-            return false;
-        }
-        int attempts = operation.attempts.size();
-        if (attempts > 0) {
-            // 2: no effect twice.
-            if (!retryPolicy.allowsAnotherAttempt(operation, endpoint.node, now)) {
-                return false;
-            }
-            // 6: the retry budget.
-            if (!retryBudget.allowsRetry(now)) {
-                return false;
-            }
-        }
-        // 4: an endpoint in slow start is not overloaded.
-        if (!fitsSlowStart(operation, endpoint, now)) {
-            return false;
-        }
-        // 5: order by key.
-        if (!keyOrdering.isFirstOfKey(operation, now)) {
-            return false;
-        }
-        // 7: the volume's limit, of which this gateway spends its own part.
-        return attempts > 0 || operation.units <= quota.limitRemaining(operation.volume, now);
-    }
-
-    /**
-     * Whether an attempt sent a while ago, of which the node has seen nothing yet, may begin there
-     * now.
-     */
-    public boolean mayStart(Attempt it, double now) {
-        return !it.operation.ended
-                && now < it.operation.deadline - deadlineMargin
-                && lease.holds(now)
-                && it.node.phase == Node.Phase.READY
-                && retryPolicy.mayRepeat(it.operation, it.node, it, now);
-    }
-
-    /** Whether an endpoint is warm, or its slow start lets the operation pass inside its share. */
-    boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
-        return !slowStart.isWarmingUp(endpoint, now)
-                || (slowStart.allows(operation, endpoint, endpoints.size(), now)
-                        && quota.weightFraction(operation.volume, operation.units, endpoint, now)
-                                >= deployment.shareWeightFraction());
-    }
-
-    // ---- sending ----
-
     private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
         boolean first = operation.attempts.isEmpty();
-        dequeue(operation);
+        queues.dequeue(operation);
         Attempt attempt = new Attempt(operation, endpoint.node, operation.attempts.size(), now);
         operation.attempts.add(attempt);
-        endpoint.inFlight.add(attempt);
-        endpoint.lastSentAt = now;
-        endpoint.slowStartSpent.add(now, operation.units);
-        if (operation.extent != 0 && operation.extent == endpoint.lastExtent) {
-            endpoint.runRemaining--;
-        } else {
-            endpoint.lastExtent = operation.extent;
-            endpoint.runRemaining = RUN - 1;
-        }
-        if (operation.shard < 0) {
-            endpoint.placements.add(now, 1);
-        }
+        endpoint.onSent(attempt, now);
         attempt.quotaTier = quota.tier(operation, endpoint, now);
         if (first) {
             if (operation.shard < 0) {
@@ -483,51 +263,40 @@
         } else {
             retryBudget.onRetry(now);
         }
-        return RoutingDecision.send(endpoint.node, timeout(operation, now));
-    }
-
-    /**
-     * An attempt ends with the target time: what is never answered (by a node that loses answers,
-     * hangs or is cut off) must not hold a slot of the bound until the client's patience ends, and
-     * work that comes late anyway stands in every gateway's way at the node, which drops what has
-     * ended.
-     */
-    private double timeout(Operation operation, double now) {
-        TrafficClass trafficClass = operation.trafficClass;
-        double end = QueuedRequest.of(operation).objectiveAt;
-        // What is late already, or worth nearly as much when late, goes on for a while.
-        if (end <= now || trafficClass.lateWeightFraction() >= LATE_WORTH) {
-            end = Math.max(end, now) + LATE_GRACE * trafficClass.latencyObjective();
-        }
-        return Math.min(end, operation.deadline - deadlineMargin) - now;
+        double timeout = AttemptTimeout.of(operation, rules.deadlineMargin(), now);
+        return RoutingDecision.send(endpoint.node, timeout);
     }
 
     private RoutingDecision giveUp(Operation operation, double now) {
         if (operation.isInFlight()) {
             return RoutingDecision.NOT_YET;
         }
-        forsake(operation);
+        remove(operation);
+        clientRetries.onUnserved(operation);
         operation.ended = true;
         latencies.onGivenUp(operation.trafficClass);
         EndpointState endpoint = QueuedRequest.of(operation).endpoint;
         admission.onGivenUp(endpoint, now);
-        if (!retryPolicy.mayReject(operation)) {
+        if (!rules.retryPolicy().mayReject(operation)) {
             return RoutingDecision.ABANDONED;
         }
-        Reason reason =
-                !lease.holds(now)
-                        ? Reason.NO_LEASE
-                        : now >= operation.deadline - deadlineMargin
-                                ? Reason.DEADLINE
-                                : latencies.lateAt(operation) <= now
-                                        ? Reason.OBJECTIVE_MISSED
-                                        : Reason.NO_RETRY;
-        return RoutingDecision.reject(admission.retryAfter(endpoint, now), reason);
+        return RoutingDecision.reject(
+                admission.retryAfter(endpoint, now), rejectionReason(operation, now));
+    }
+
+    private Reason rejectionReason(Operation operation, double now) {
+        if (!lease.holds(now)) {
+            return Reason.NO_LEASE;
+        }
+        if (rules.isPastDeadline(operation, now)) {
+            return Reason.DEADLINE;
+        }
+        return latencies.lateAt(operation) <= now ? Reason.OBJECTIVE_MISSED : Reason.NO_RETRY;
     }
 
-    /** Whether another attempt is wanted at all; what the rules say of it is asked elsewhere. */
-    private boolean mayAttemptAgain(Operation operation, double now) {
-        return retryPolicy.hasAttemptsLeft(operation)
+    /** Whether a retry is wanted at all; whether the rules allow it is asked for each endpoint. */
+    private boolean mayRetry(Operation operation, double now) {
+        return rules.retryPolicy().hasAttemptsLeft(operation)
                 && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
                 && latencies.lateAt(operation) > now;
@@ -540,169 +309,26 @@
     private boolean isOverloaded(EndpointState endpoint, double now) {
         boolean queueIsLong =
                 endpoint == null
-                        ? waiting > endpoints.size()
+                        ? queues.size() > endpoints.size()
                         : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
         return queueIsLong || admission.rejectsTooMuch(endpoint, now);
     }
 
-    // ---- whose turn it is ----
-
-    /** The seat to which this operation may go now, if it is its turn there; null if it waits. */
-    private EndpointState turn(Operation operation, double now) {
-        QueuedRequest request = QueuedRequest.of(operation);
-        if (operation.shard < 0) {
-            return first(fresh, null, now) == operation ? lowestScore(operation, now) : null;
-        }
-        EndpointState endpoint = request.endpoint;
-        if (endpoint == null || pick(endpoint, now) != operation) {
-            return null;
-        }
-        return goesFirst(operation, first(fresh, null, now), endpoint, now) ? endpoint : null;
-    }
-
-    /** Whether no new object that would come to the seat ranks before the one picked for it. */
-    private boolean goesFirst(
-            Operation picked, Operation fresh, EndpointState endpoint, double now) {
-        return fresh == null
-                || !outranks(fresh, picked, endpoint, now)
-                || lowestScore(fresh, now) != endpoint;
-    }
-
-    /** The page's order: the extent last sent there, a few in a row, then the earliest deadline. */
-    private Operation pick(EndpointState endpoint, double now) {
-        if (endpoint.waitQueue.isEmpty() || !concurrency.hasCapacity(endpoint, now)) {
-            return null;
-        }
-        // Asked again with nothing changed, as pause and place do one after the other.
-        if (endpoint.selectedAt != now || endpoint.selectedVersion != version) {
-            endpoint.selected = pickAnew(endpoint, now);
-            endpoint.selectedAt = now;
-            endpoint.selectedVersion = version;
-        }
-        return endpoint.selected;
-    }
-
-    private Operation pickAnew(EndpointState endpoint, double now) {
-        if (endpoint.runRemaining > 0) {
-            for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
-                if (isAllowed(operation, endpoint, now)
-                        && !admission.isHeldBack(operation, endpoint, now)) {
-                    return operation;
-                }
-            }
-        }
-        Operation best = first(endpoint.waitQueue, endpoint, now);
-        return concurrency.isBelowLimit(endpoint) || outliers.isUnresponsive(endpoint, now)
-                ? best
-                : null;
-    }
-
-    /**
-     * Who ranks first of a queue and may go (no seat: of the new objects). Operations alike differ
-     * only in their deadline and in being late, so that one that is not late stands for the rest; a
-     * cold node's lot is each one's own.
-     */
-    private Operation first(WaitQueue queue, EndpointState endpoint, double now) {
-        boolean each = endpoint != null && slowStart.isWarmingUp(endpoint, now);
-        Operation best = null;
-        int bestTier = -1;
-        for (NavigableSet<QueuedRequest> alike : queue.groups()) {
-            for (QueuedRequest request : alike) {
-                Operation operation = request.operation;
-                boolean stands =
-                        !each
-                                && latencies.lateAt(operation) > now
-                                && now < operation.deadline - deadlineMargin;
-                if (endpoint == null
-                        || (isAllowed(operation, endpoint, now)
-                                && !admission.isHeldBack(operation, endpoint, now))) {
-                    if (best != null && bestTier < 0) {
-                        bestTier = tier(best, endpoint, now);
-                    }
-                    int tier =
-                            best != null || alike.size() > 1 ? tier(operation, endpoint, now) : -1;
-                    if (best == null
-                            || tier < bestTier
-                            || (tier == bestTier && earlier(request, best))) {
-                        best = operation;
-                        bestTier = tier;
-                    }
-                }
-                if (stands) {
-                    break;
-                }
-            }
-        }
-        return best;
-    }
-
-    private static boolean earlier(QueuedRequest one, Operation other) {
-        double apart = one.operation.deadline - other.deadline;
-        return apart < 0 || (apart == 0 && one.sequence < QueuedRequest.of(other).sequence);
-    }
-
-    /** Utility still due goes first; among equals the earliest deadline. */
-    private boolean outranks(Operation one, Operation other, EndpointState endpoint, double now) {
-        int a = tier(one, endpoint, now);
-        int b = tier(other, endpoint, now);
-        return a != b ? a < b : one.deadline < other.deadline;
-    }
-
-    /**
-     * Steps that the utility still due, for the node's time that it takes, lies under the best
-     * there is.
-     */
-    private int tier(Operation operation, EndpointState endpoint, double now) {
-        if (latencies.lateAt(operation) <= now) {
-            return LATE;
-        }
-        TrafficClass trafficClass = operation.trafficClass;
-        double part = quota.weightFraction(operation.volume, operation.units, endpoint, now);
-        double pace = latencies.meanServiceTime(trafficClass) + 1e-9;
-        double value = part * operation.volume.plan.price() * trafficClass.priorityWeight() / pace;
-        return (int) (Math.log(1000 / value) / Math.log(TIER_STEP));
-    }
-
-    // ---- the score ----
-
-    /** Where a new object goes now by its placement score; null if no endpoint may take it. */
-    private EndpointState lowestScore(Operation operation, double now) {
-        return router.lowestScore(endpoints, endpoint -> isEligible(endpoint, operation, now), now);
-    }
-
-    /**
-     * Whether an endpoint may take a new object before what waits for it. An endpoint that fails at
-     * once, or that is in slow start, has few placements and no latency: it would draw all of them.
-     */
-    private boolean isEligible(EndpointState endpoint, Operation operation, double now) {
-        if (!concurrency.hasCapacity(endpoint, now)
-                || !concurrency.isBelowLimit(endpoint)
-                || !outliers.isHealthy(endpoint, now)
-                || !isAllowed(operation, endpoint, now)
-                || admission.isHeldBack(operation, endpoint, now)
-                || !endpoint.node.acceptsNewObjects) {
-            return false;
-        }
-        Operation rival = pick(endpoint, now);
-        return rival == null || outranks(operation, rival, endpoint, now);
-    }
-
+    /** Lets the statistics of all concerns fade and be taken anew, once a period. */
     private void refresh(double now) {
-        if (now < refreshAt) {
+        if (now < nextRefreshAt) {
             return;
         }
-        refreshAt = now + BUSY_REFRESH;
+        nextRefreshAt = now + REFRESH_PERIOD_MILLIS;
         latencies.refresh();
-        admission.refresh(endpoints);
-        for (EndpointState endpoint : endpoints) {
+        admission.refresh(endpoints.all());
+        for (EndpointState endpoint : endpoints.all()) {
             outliers.refresh(endpoint);
-            concurrency.refresh(endpoint, now, BUSY_REFRESH);
+            concurrency.refresh(endpoint, now, REFRESH_PERIOD_MILLIS);
         }
-        EndpointLatencies.refresh(endpoints);
+        EndpointLatencies.refresh(endpoints.all());
     }
 
-    // ---- what is learned from an outcome ----
-
     private void learn(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
@@ -729,9 +355,8 @@
         concurrency.onServed(attempt, endpoint, queued, now);
     }
 
-    // ---- books ----
-
-    private QueuedRequest ticket(Operation operation, double now) {
+    /** The state of an operation, which has just arrived if it has none. */
+    private QueuedRequest request(Operation operation, double now) {
         if (operation.schedulerState != null) {
             return QueuedRequest.of(operation);
         }
@@ -743,69 +368,9 @@
         return request;
     }
 
-    private void enqueue(Operation operation) {
-        version++;
-        QueuedRequest request = QueuedRequest.of(operation);
-        request.queued = true;
-        waiting++;
-        request.endpoint = null;
-        waits.add(request);
-        if (operation.shard < 0) {
-            fresh.add(request);
-            return;
-        }
-        for (EndpointState endpoint : seatsByCell.getOrDefault(operation.shard, List.of())) {
-            if (request.endpoint == null
-                    || (request.endpoint.node.phase != Node.Phase.READY
-                            && endpoint.node.phase == Node.Phase.READY)) {
-                request.endpoint = endpoint;
-            }
-        }
-        if (request.endpoint == null) {
-            // A shard that no listed node holds waits apart until its node turns up.
-            homeless.add(request);
-            return;
-        }
-        request.endpoint.waitQueue.add(request);
-        waitingSeats.set(request.endpoint.index);
-    }
-
-    private void dequeue(Operation operation) {
-        QueuedRequest request = QueuedRequest.of(operation);
-        if (!request.queued) {
-            return;
-        }
-        version++;
-        request.queued = false;
-        waiting--;
-        waits.remove(request);
-        if (operation.shard < 0) {
-            fresh.remove(request);
-        } else if (request.endpoint != null) {
-            request.endpoint.waitQueue.remove(request);
-            if (request.endpoint.waitQueue.isEmpty()) {
-                waitingSeats.clear(request.endpoint.index);
-            }
-        } else {
-            homeless.remove(request);
-        }
-    }
-
-    /**
-     * Drops an operation that was not served, and remembers its target time for the client's
-     * repeat.
-     */
-    private void forsake(Operation operation) {
-        drop(operation);
-        clientRetries.onUnserved(operation);
-    }
-
-    /**
-     * Takes an operation that is over out of every queue; its key moves on once no attempt of it is
-     * out.
-     */
-    private void drop(Operation operation) {
-        dequeue(operation);
+    /** Takes an operation that has ended out of its queue, and out of its key's once it may. */
+    private void remove(Operation operation) {
+        queues.dequeue(operation);
         keyOrdering.onOperationEnded(operation);
     }
 }
