--- a/src/main/java/sagepulley/config/AccountsSettings.java
+++ b/src/main/java/sagepulley/config/AccountsSettings.java
@@ -3,7 +3,9 @@
 import java.nio.file.Path;
 
 /**
- * Whether latency accounts are kept, the file that they survive a restart in (null: none), and how
- * often.
+ * How latency accounts are stored.
+ *
+ * @param enabled whether there are any
+ * @param file in which they survive a restart; null for none
  */
 public record AccountsSettings(boolean enabled, Path file, double writeIntervalMillis) {}
--- a/src/main/java/sagepulley/config/HostPort.java
+++ b/src/main/java/sagepulley/config/HostPort.java
@@ -4,6 +4,7 @@
 
 /** An address as operators write it: host:port, an IPv6 host in brackets. */
 public record HostPort(String host, int port) {
+    private static final int MAX_PORT = 65_535;
 
     /** Reads an address; null where the text is none. Port 0 asks for any free one. */
     public static HostPort read(String text) {
@@ -19,12 +20,13 @@
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            return port < 0 || port > 65535 || host.isEmpty() ? null : new HostPort(host, port);
+            return port < 0 || port > MAX_PORT || host.isEmpty() ? null : new HostPort(host, port);
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
+    /** The address with its host resolved. */
     public InetSocketAddress socket() {
         return new InetSocketAddress(host, port);
     }
--- a/src/main/java/sagepulley/config/MembershipSettings.java
+++ b/src/main/java/sagepulley/config/MembershipSettings.java
@@ -4,9 +4,14 @@
 import java.util.List;
 
 /**
- * Where the list of nodes and the extents' holders are kept on disk (null: nowhere), how long a
- * list is fresh and how long it is merely aged, in milliseconds; how many nodes are asked who they
- * are at a time; and the nodes that the site file itself names.
+ * Where the endpoint list and the extent holders are stored, and how far the list is trusted.
+ *
+ * @param listFile null for none
+ * @param holderFile null for none
+ * @param freshMillis age up to which a list is fresh
+ * @param agedMillis age up to which it is aged and not yet old
+ * @param maxConcurrentProbes nodes probed at the same time
+ * @param configuredNodes those that the site file itself names
  */
 public record MembershipSettings(
         Path listFile,
--- a/src/main/java/sagepulley/config/SiteConfigException.java
+++ b/src/main/java/sagepulley/config/SiteConfigException.java
@@ -4,6 +4,7 @@
 public final class SiteConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** The message has a line for each mistake. */
     public SiteConfigException(String message) {
         super(message);
     }
--- a/src/main/java/sagepulley/config/TracingSettings.java
+++ b/src/main/java/sagepulley/config/TracingSettings.java
@@ -3,9 +3,13 @@
 import java.nio.file.Path;
 
 /**
- * Where traces go: a file (null: none) of so many bytes with so many in all, and an OTLP receiver's
- * address (empty: none). At most so many operations a second are kept; an ordinary one by this
- * chance.
+ * Where traces go, and how many.
+ *
+ * @param file null for none
+ * @param fileBytes size at which a file is rotated
+ * @param files how many there are, the rotated ones included
+ * @param otlp URL of an OTLP receiver; empty for none
+ * @param sampleProbability of an ordinary operation's trace, 0 to 1
  */
 public record TracingSettings(
         Path file,
--- a/src/main/java/sagepulley/config/VolumeSettings.java
+++ b/src/main/java/sagepulley/config/VolumeSettings.java
@@ -1,8 +1,11 @@
 package sagepulley.config;
 
 /**
- * A volume's section of the site file. Sizes are bytes; bands and plan are places in the
- * deployment's lists. Reads of bulkFrom bytes and more are of the bulk band.
+ * A volume's section of the site file. Traffic classes and plan are indexes of the deployment's
+ * lists.
+ *
+ * @param gateways how many serve the volume
+ * @param bulkThresholdBytes reads of so many bytes and more are of the bulk traffic class
  */
 public record VolumeSettings(
         int id,
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.scenario.LocalCluster;
 
-/** Site files: what is read, and the error of each that is wrong. */
+/** Site files: what is read, and the mistakes that are reported. */
 class SiteConfigTest {
     private static final String GOOD =
             LocalCluster.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
 
     @Test
-    void theDemosFileIsReadWhole() throws SiteConfigException {
+    void theDemoFileIsRead() throws SiteConfigException {
         SiteConfig site = SiteConfig.read("demo.ini", GOOD);
         assertEquals(3, site.deployment().gatewayCount());
         assertEquals(64L << 20, site.volumes().get(0).sizeBytes());
@@ -40,17 +40,18 @@
                 "fall-multiple = 2 | budget-window = 1 s | demo.ini: [rules] budget-free: is missing",
                 "id = 1           | id = 1, 2         | demo.ini: [volume demo] id",
             })
-    void aMistakeNamesFileSectionKeyAndWhatIsAllowed(String piece, String other, String told) {
-        assertTrue(GOOD.contains(piece), piece);
+    void aMistakeNamesFileSectionKeyAndWhatIsAllowed(
+            String text, String replacement, String expected) {
+        assertTrue(GOOD.contains(text), text);
         SiteConfigException error =
                 assertThrows(
                         SiteConfigException.class,
-                        () -> SiteConfig.read("demo.ini", GOOD.replace(piece, other)));
-        assertTrue(error.getMessage().contains(told), error.getMessage());
+                        () -> SiteConfig.read("demo.ini", GOOD.replace(text, replacement)));
+        assertTrue(error.getMessage().contains(expected), error.getMessage());
     }
 
     @Test
-    void everyMistakeIsToldAtOnce() {
+    void everyMistakeIsReportedAtOnce() {
         SiteConfigException error =
                 assertThrows(
                         SiteConfigException.class,
