--- a/src/main/java/sagepulley/codec/resp/NumberParser.java
+++ b/src/main/java/sagepulley/codec/resp/NumberParser.java
@@ -1,8 +1,8 @@
 package sagepulley.codec.resp;
 
 /**
- * Numbers in commands and answers, read strictly and without a pattern: each operation has a dozen
- * of them.
+ * Parses the numbers in commands and replies strictly, and without regular expressions, since each
+ * operation has a dozen of them.
  */
 public final class NumberParser {
     private static final int ID_DIGITS = 16;
@@ -43,7 +43,7 @@
         return valid;
     }
 
-    /** An id as it is written. */
+    /** An id as it stands in commands. */
     public static String formatId(long id) {
         String hex = Long.toHexString(id);
         return "0".repeat(ID_DIGITS - hex.length()) + hex;
--- a/src/main/java/sagepulley/codec/resp/Resp.java
+++ b/src/main/java/sagepulley/codec/resp/Resp.java
@@ -7,6 +7,7 @@
 public sealed interface Resp {
     /** A line: '+' a simple string, '-' an error, ':' an integer. */
     record Line(char kind, String text) implements Resp {
+        /** Whether it is an error. */
         public boolean isError() {
             return kind == '-';
         }
@@ -14,11 +15,12 @@
 
     /** A bulk string; null bytes for the null one. */
     record Bulk(byte[] bytes) implements Resp {
+        /** Whether it is the null bulk string. */
         public boolean isNull() {
             return bytes == null;
         }
 
-        /** One character a byte, so that nothing gets lost. */
+        /** The bytes as ISO-8859-1, one character a byte. */
         public String text() {
             return new String(bytes, StandardCharsets.ISO_8859_1);
         }
--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -9,9 +9,10 @@
 import java.util.List;
 
 /**
- * Reads RESP2 strictly. A length is refused as soon as it is read, and room is only made for bytes
- * that have come. After the first wrong byte, which is told once as a {@link
- * CorruptedFrameException}, the rest is dropped unread.
+ * Decodes RESP2 strictly. A length over its limit is an error as soon as it is read, and memory is
+ * only taken for bytes that have come. The first error is reported once, as a {@link
+ * CorruptedFrameException}; the rest of the input is dropped. The messages of the exceptions are
+ * sent to clients, and so part of the wire.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
     private static final int NO_BULK = -1;
@@ -22,11 +23,12 @@
     private int remainingItems;
     private int arrayBytes;
 
-    /** The length of the bulk string under way. */
+    /** Length of the bulk string under way, in bytes. */
     private int bulkLength = NO_BULK;
 
     private boolean failed;
 
+    /** A decoder that fails on any value over these limits. */
     public RespDecoder(RespLimits limits) {
         this.limits = limits;
     }
@@ -79,7 +81,7 @@
         return new Resp.Bulk(bytes);
     }
 
-    /** Reads a line, and what it heads if that is there at once; null if more must come. */
+    /** Decodes a header line, and its value if that is there; null if more must come. */
     private Resp decodeHeader(ByteBuf in) {
         if (!in.isReadable()) {
             return null;
@@ -129,7 +131,7 @@
         return null;
     }
 
-    /** The line behind the first byte, without its end; null if the end has not come. */
+    /** The line behind its first byte, without CR LF; null if they have not come. */
     private String readLine(ByteBuf in) {
         int end =
                 in.indexOf(
--- a/src/main/java/sagepulley/codec/resp/RespEncoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespEncoder.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes RESP2. */
+/** Encodes RESP2. */
 public final class RespEncoder {
     private static final byte[] CRLF = {'\r', '\n'};
     private static final int MAX_HEADER_BYTES = 16;
 
     private RespEncoder() {}
 
-    /** A command of these words. */
+    /** A command of these arguments, its name first. */
     public static ByteBuf command(List<byte[]> arguments) {
         int size = MAX_HEADER_BYTES;
         for (byte[] argument : arguments) {
@@ -39,7 +39,7 @@
         return line('+', text);
     }
 
-    /** An error line; what cannot stand in a line is left out. */
+    /** An error; each character that is not printable ASCII becomes a question mark. */
     public static ByteBuf error(String text) {
         return line('-', text.replaceAll("[^ -~]", "?"));
     }
--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -18,8 +18,16 @@
 import sagepulley.model.Deployment;
 
 /**
- * What a gateway is told at its start, and again at SIGHUP: the file named by GW_CONFIG, and GW_*
- * beside it.
+ * The configuration of a RESP gateway: the JSON file that GW_CONFIG names, with GW_NAME, GW_LISTEN
+ * and GW_DISCOVERY in place of what the file lacks. Read at the start and again at SIGHUP.
+ *
+ * @param listen where clients connect
+ * @param maxSockets file descriptors that may be used in all
+ * @param memoryMb memory of the process, in MB
+ * @param initialEndpoints the endpoint list until discovery sends one
+ * @param zones names of the zones, by their index
+ * @param kinds names of the kinds of endpoints, by their index
+ * @param maxInFlight operations in flight at most
  */
 public record GatewayConfig(
         String name,
@@ -37,15 +45,18 @@
         int maxInFlight) {
     private static final long MAX_FILE_BYTES = 16 << 20;
 
-    /**
-     * A change of the endpoint list counts as notified so long after discovery had it, arrived or
-     * not.
-     */
+    /** A change of the endpoint list counts as notified this long after discovery had it. */
     private static final double NOTIFICATION_DELAY_MILLIS = 6_000;
 
     private static final int MIN_SOCKETS = 64;
     private static final int MIN_MEMORY_MB = 16;
 
+    /**
+     * Reads the file that the environment names.
+     *
+     * @throws ConfigException naming the file and what is wrong with it, in one line
+     * @throws UnreadableConfigException if the system did not let the file be read
+     */
     public static GatewayConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -85,17 +96,17 @@
         return text.lines().findFirst().orElse("cannot be read");
     }
 
-    /** The same at other addresses, with all nodes known at one. */
+    /** This configuration at other addresses, with all initial endpoints at one. */
     public GatewayConfig withAddresses(
-            SocketAddress front, SocketAddress list, SocketAddress node) {
+            SocketAddress newListen, SocketAddress newDiscovery, SocketAddress endpoint) {
         return new GatewayConfig(
                 name,
-                front,
-                list,
+                newListen,
+                newDiscovery,
                 seed,
                 maxSockets,
                 memoryMb,
-                initialEndpoints.withAddress(node),
+                initialEndpoints.withAddress(endpoint),
                 deployment,
                 zones,
                 kinds,
@@ -104,6 +115,7 @@
                 maxInFlight);
     }
 
+    /** Reads the JSON object of a file. */
     public static GatewayConfig parse(Map<String, Object> file, Map<String, String> environment)
             throws ConfigException, IOException {
         String name = text(file, "name", environment.get("GW_NAME"));
@@ -111,45 +123,48 @@
         InetSocketAddress discovery = address(file, "discovery", environment.get("GW_DISCOVERY"));
         Map<?, ?> limits = section(file, "limits");
         Map<?, ?> settings = section(file, "settings");
-        Map<String, String> pairs = new HashMap<>();
-        flatten("", settings, pairs);
-        SettingsReader first = new SettingsReader(pairs);
+        Map<String, String> settingsByPath = new HashMap<>();
+        flatten("", settings, settingsByPath);
+        SettingsReader reader = new SettingsReader(settingsByPath);
         return new GatewayConfig(
                 name,
                 listen,
                 discovery,
                 seed(file.get("seed")),
-                (int) numberAtLeast(limits, "sockets", MIN_SOCKETS),
-                numberAtLeast(limits, "memory_mb", MIN_MEMORY_MB),
+                (int) numberWithMin(limits, "sockets", MIN_SOCKETS),
+                numberWithMin(limits, "memory_mb", MIN_MEMORY_MB),
                 file.get("known") instanceof Map<?, ?> known
                         ? EndpointListUpdate.parse(withStringKeys(known))
                         : new EndpointListUpdate(0, true, List.of(), List.of()),
-                first.deployment().onWatch(NOTIFICATION_DELAY_MILLIS),
+                reader.deployment().onWatch(NOTIFICATION_DELAY_MILLIS),
                 strings(settings.get("zones")),
                 strings(settings.get("kinds")),
-                first.time("limits.dialTimeoutNs", 250),
-                first.time("limits.connIdleNs", 15_000),
-                (int) Math.min(Integer.MAX_VALUE, first.optionalNumber("limits.maxOpen", 20_000)));
+                reader.time("limits.dialTimeoutNs", 250),
+                reader.time("limits.connIdleNs", 15_000),
+                (int) Math.min(Integer.MAX_VALUE, reader.optionalNumber("limits.maxOpen", 20_000)));
     }
 
-    /** Paths and values as the simulator's first message has them, one to a line. */
-    private static void flatten(String path, Object value, Map<String, String> pairs) {
+    /** Paths and values, in the form that {@link SettingsReader} takes. */
+    private static void flatten(String path, Object value, Map<String, String> settingsByPath) {
         if (value instanceof Map<?, ?> object) {
             object.forEach(
                     (name, item) ->
-                            flatten(path.isEmpty() ? "" + name : path + "." + name, item, pairs));
+                            flatten(
+                                    path.isEmpty() ? "" + name : path + "." + name,
+                                    item,
+                                    settingsByPath));
         } else if (value instanceof List<?> items) {
             if (items.stream().anyMatch(Map.class::isInstance)) {
-                pairs.put(path + ".count", Integer.toString(items.size()));
+                settingsByPath.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
-                    flatten(path + "." + i, items.get(i), pairs);
+                    flatten(path + "." + i, items.get(i), settingsByPath);
                 }
             } else {
-                pairs.put(
+                settingsByPath.put(
                         path, items.stream().map(String::valueOf).collect(Collectors.joining(",")));
             }
         } else if (value != null) {
-            pairs.put(path, value.toString());
+            settingsByPath.put(path, value.toString());
         }
     }
 
@@ -179,7 +194,7 @@
         throw new ConfigException(key + " is missing");
     }
 
-    private static double numberAtLeast(Map<?, ?> limits, String key, double min)
+    private static double numberWithMin(Map<?, ?> limits, String key, double min)
             throws ConfigException {
         if (!(limits.get(key) instanceof Number number) || !(number.doubleValue() >= min)) {
             throw new ConfigException(
--- a/src/main/java/sagepulley/discovery/http/AddressParser.java
+++ b/src/main/java/sagepulley/discovery/http/AddressParser.java
@@ -5,13 +5,13 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as HOST:PORT, numeric ones only: there are no names to look up here. */
+/** Parses HOST:PORT with a numeric host: names are not looked up. */
 public final class AddressParser {
     private static final int MAX_PORT = 65_535;
 
     private AddressParser() {}
 
-    /** The address that a text names; null if it names none. */
+    /** The address; null if the text is none. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -5,66 +5,66 @@
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
 import sagepulley.discovery.http.DiscoveryRequest.Role;
-import sagepulley.discovery.http.DiscoveryRequest.Timeouts;
 import sagepulley.membership.EndpointPollPolicy;
 import sagepulley.transport.KernelReceiveTime;
 import sagepulley.transport.Transport;
 
 /**
- * The calls to discovery: one watch, and now and then the whole list. It asks nothing again by
- * itself; each call or watch that fails is told once. A call that is overdue counts as failed, but
- * is kept open beside the next one: discovery may be slow, and what it still answers is taken. All
- * on one loop.
+ * Requests to discovery: one watch, and now and then a poll for the complete list. Repeats nothing
+ * by itself; each failure is reported once. A request that is overdue counts as failed, but is kept
+ * open beside the next one: discovery may be slow, and what it still sends is taken. Owns all open
+ * requests. Runs on the event loop; times are milliseconds on the monotonic clock.
  */
-public final class DiscoveryClient implements DiscoveryRequest.Listener {
-    /** Told what discovery says, on the loop. */
+public final class DiscoveryClient implements DiscoveryRequestListener {
+    /** What discovery sends, reported on the event loop. */
     public interface Listener {
-        void onEndpointList(EndpointListUpdate listing);
+        /** An endpoint list, or changes of it. */
+        void onEndpointList(EndpointListUpdate update);
 
-        /** What has been listed by now was all that discovery had at this time. */
+        /** The lists reported by now are all that discovery had at this time. */
         void onListConfirmed(double asOf);
 
-        /**
-         * A call that began at this time was refused: no process listens where discovery should be.
-         */
+        /** A request begun at this time was refused: no process listens at the address. */
         void onDiscoveryUnreachable(double at);
 
-        /** A call failed or is overdue, or the watch has ended. */
-        void onPollFailed(String why);
+        /** A request failed or is overdue, or the watch has ended. */
+        void onPollFailed(String reason);
     }
 
     private final Transport transport;
     private final Listener listener;
     private final DoubleSupplier clock;
-    private final Timeouts timeouts;
+    private final DiscoveryTimeouts timeouts;
     private final KernelReceiveTime receiveTime = new KernelReceiveTime();
     private SocketAddress address;
     private long revision;
     private DiscoveryRequest watch;
     private DiscoveryRequest poll;
 
-    /** Calls that are kept open beside the watch, the oldest first. */
+    /** Requests that are kept open beside the watch, the oldest first. */
     private final Deque<DiscoveryRequest> overdueRequests = new ArrayDeque<>();
 
     private int requestCount;
 
+    /** A client with the usual timeouts; the revision is that of the list known so far. */
     public DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
             Listener listener,
             DoubleSupplier clock) {
-        this(transport, address, revision, listener, clock, Timeouts.DEFAULT);
+        this(transport, address, revision, listener, clock, DiscoveryTimeouts.DEFAULT);
     }
 
-    /** The same with another patience. */
+    /** A client with other timeouts. */
+    /** A client with the usual timeouts; the revision is that of the list known so far. */
     public DiscoveryClient(
             Transport transport,
             SocketAddress address,
             long revision,
             Listener listener,
             DoubleSupplier clock,
-            Timeouts timeouts) {
+            DiscoveryTimeouts timeouts) {
         this.transport = transport;
         this.address = address;
         this.revision = revision;
@@ -73,30 +73,31 @@
         this.timeouts = timeouts;
     }
 
+    /** The revision of the last list that was reported. */
     public long revision() {
         return revision;
     }
 
+    /** Where discovery is requested. */
     public SocketAddress address() {
         return address;
     }
 
+    /** Whether a watch is open that has brought a list. */
     public boolean isWatching() {
         return watch != null && watch.isAnswered();
     }
 
-    /**
-     * Opens a watch in place of one that stands; that one goes on until one of the two has told a
-     * list.
-     */
+    /** Opens a watch; one that is open goes on until one of the two has brought a list. */
     public void openWatch() {
         if (watch != null) {
-            keepOpen(watch);
+            markOverdue(watch);
         }
         watch = newRequest(true);
         watch.open();
     }
 
+    /** Requests the complete list once, in place of a poll that is under way. */
     public void poll() {
         if (poll != null) {
             poll.close("replaced");
@@ -119,15 +120,17 @@
     }
 
     /**
-     * Discovery has another address from now on. What the old one still tells on its watch counts
-     * as told and is taken, until the new one has told a list; it confirms nothing any more, and
-     * its end is no failure. Whether it moved.
+     * Discovery has another address from now on. What the former one still sends on its watch is
+     * taken until the new one has sent a list; it confirms nothing any more, and its end is no
+     * failure.
+     *
+     * @return whether the address is another one than before
      */
-    public boolean moveTo(SocketAddress fresh) {
-        if (fresh.equals(address)) {
+    public boolean moveTo(SocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return false;
         }
-        address = fresh;
+        address = newAddress;
         DiscoveryRequest former = takeAnswered();
         close();
         if (former != null) {
@@ -137,7 +140,7 @@
         return true;
     }
 
-    /** The watch that last told something, taken out of the others; null if none has. */
+    /** Removes the watch that last brought a list from the others; null if none has. */
     private DiscoveryRequest takeAnswered() {
         if (isWatching()) {
             DiscoveryRequest taken = watch;
@@ -153,6 +156,7 @@
         return taken;
     }
 
+    /** Closes all requests; none is reported as failed. */
     public void close() {
         overdueRequests.forEach(request -> request.close("closed"));
         overdueRequests.clear();
@@ -166,9 +170,9 @@
         }
     }
 
-    // ---- overdue calls ----
+    // ---- overdue requests ----
 
-    private void keepOpen(DiscoveryRequest request) {
+    private void markOverdue(DiscoveryRequest request) {
         request.setRole(Role.OVERDUE);
         overdueRequests.add(request);
         if (overdueRequests.size() > EndpointPollPolicy.MOST_OVERDUE) {
@@ -185,13 +189,13 @@
         }
     }
 
-    /** A call has told a list, or lives on: it is the watch, and all others are needless. */
+    /** A request has sent a list or a heartbeat: it becomes the watch, and all others close. */
     private void useAsWatch(DiscoveryRequest request) {
         if (watch != null && watch != request) {
-            watch.close("another call was answered");
+            watch.close("another request was answered");
         }
         overdueRequests.remove(request);
-        overdueRequests.forEach(each -> each.close("another call was answered"));
+        overdueRequests.forEach(each -> each.close("another request was answered"));
         overdueRequests.clear();
         request.setRole(Role.CURRENT);
         watch = request;
@@ -207,7 +211,7 @@
         overdueRequests.remove(request);
     }
 
-    // ---- what calls tell ----
+    // ---- what requests report ----
 
     @Override
     public void onRefused(DiscoveryRequest request) {
@@ -220,8 +224,8 @@
         if (request.isWatch() && !isFormerAddress) {
             useAsWatch(request);
         }
-        // Lower numbers come from a discovery that started anew, which a new call's first list
-        // tells; or from an answer that something newer has overtaken.
+        // A lower revision comes from a discovery that has restarted, if it is that of a new
+        // request's first list; else from a response that a newer list has overtaken.
         boolean startedAnew = request.hasOneList() && request.afterRevision() == revision;
         if (update.revision() < revision && !startedAnew) {
             return;
@@ -244,10 +248,7 @@
         listener.onListConfirmed(asOf);
     }
 
-    /**
-     * Discovery ends its watches when it goes down, and it may be down for long: up to then the
-     * list was current.
-     */
+    /** Discovery closes its watches when it goes down: up to then the list was current. */
     @Override
     public void onCleanClose(DiscoveryRequest request, double asOf) {
         if (request == watch) {
@@ -256,21 +257,21 @@
     }
 
     @Override
-    public void onOverdue(DiscoveryRequest request, String why) {
+    public void onOverdue(DiscoveryRequest request, String reason) {
         if (request.role() != Role.CURRENT) {
             return;
         }
         remove(request);
-        keepOpen(request);
-        listener.onPollFailed(why);
+        markOverdue(request);
+        listener.onPollFailed(reason);
     }
 
     @Override
-    public void onFailed(DiscoveryRequest request, String why) {
+    public void onFailed(DiscoveryRequest request, String reason) {
         boolean counts = request.role() == Role.CURRENT;
         remove(request);
         if (counts) {
-            listener.onPollFailed(why);
+            listener.onPollFailed(reason);
         }
     }
 
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -7,7 +7,6 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.ConnectTimeoutException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -22,11 +21,9 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.codec.json.JsonObjectDecoder;
 import io.netty.util.NetUtil;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
-import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
@@ -37,28 +34,19 @@
 import sagepulley.transport.Transport;
 
 /**
- * One call to discovery and its answer: lists as JSON values, in any pieces and with any white
- * space between. It tells its owner what came and how it ended, each once, and knows of no other
- * call. All on one loop; times are milliseconds on the monotonic clock.
+ * One HTTP request to discovery and its response: endpoint lists as JSON values, in any pieces and
+ * with any white space between. Reports what came and how it ended, each once, and knows of no
+ * other request. Runs on the event loop; times are milliseconds on the monotonic clock.
  */
 final class DiscoveryRequest extends SimpleChannelInboundHandler<HttpObject> {
     private static final String PATH = "/v1/endpoints";
 
-    /** A list of 3,200 endpoints, indented, takes a little over 1 MB. */
+    /** An indented list of 3,200 endpoints takes about 1 MB. */
     private static final int MAX_LIST_BYTES = 8 << 20;
 
-    /**
-     * A line on a watch was written at most so long before it came, or as long as the watch's first
-     * list took.
-     */
-    private static final double MAX_DELIVERY_DELAY_MILLIS = 1_000;
-
-    /** A line's end that comes so soon behind a list belongs to that list, and is no empty line. */
-    private static final double LIST_TERMINATOR_MILLIS = 500;
-
-    /** What a call is to its owner. */
+    /** What a request is to its listener. */
     enum Role {
-        /** It is waited for, or its lists are relied on. */
+        /** Its first list is awaited, or its lists are relied on. */
         CURRENT,
         /** It counts as failed, and is kept open all the same. */
         OVERDUE,
@@ -69,64 +57,22 @@
     private enum Progress {
         WAITING,
         ANSWERED,
-        OVER
-    }
-
-    /** How long a first list, and a sign of life on a watch, are waited for. */
-    record Timeouts(long firstListMillis, long silenceMillis) {
-        static final Timeouts DEFAULT =
-                new Timeouts(EndpointPollPolicy.FIRST_LIST_WITHIN, EndpointPollPolicy.SILENCE);
-    }
-
-    /** Told what happens to a call. */
-    interface Listener {
-        /** The connection was refused: no process listens there. */
-        void onRefused(DiscoveryRequest request);
-
-        /** A list has come, which was all that discovery had at a time. */
-        void onEndpointList(DiscoveryRequest request, EndpointListUpdate listing, double asOf);
-
-        /** An empty line of a watch: nothing had changed at a time. */
-        void onHeartbeat(DiscoveryRequest request, double asOf);
-
-        /**
-         * The connection ends with no list under way: all that discovery had to tell at a time has
-         * come.
-         */
-        void onCleanClose(DiscoveryRequest request, double asOf);
-
-        /** Nothing came in time; the call goes on. */
-        void onOverdue(DiscoveryRequest request, String why);
-
-        /** The call is over without what it was for. */
-        void onFailed(DiscoveryRequest request, String why);
-
-        /** The call is over, and was answered in whole. */
-        void onCompleted(DiscoveryRequest request);
+        CLOSED
     }
 
     private final Transport transport;
     private final EventLoop loop;
-    private final Listener listener;
+    private final DiscoveryRequestListener listener;
     private final DoubleSupplier clock;
     private final KernelReceiveTime receiveTime;
-    private final Timeouts timeouts;
+    private final DiscoveryTimeouts timeouts;
     private final SocketAddress address;
     private final int requestNumber;
     private final boolean isWatch;
     private final long afterRevision;
-    private final JsonValueDecoder valueDecoder = new JsonValueDecoder();
+    private final JsonValueDecoder valueDecoder = new JsonValueDecoder(MAX_LIST_BYTES);
+    private final ResponseTiming timing = new ResponseTiming();
     private final double startedAt;
-    private double requestedAt = Double.NaN;
-
-    /** How long the first list took. */
-    private double firstListMillis;
-
-    /** When the first bytes of the list under way came, and when the last list was whole. */
-    private double listStartedAt = Double.NaN;
-
-    private double listEndedAt = Double.NEGATIVE_INFINITY;
-    private double lastByteAt = Double.NEGATIVE_INFINITY;
     private Channel channel;
     private ScheduledFuture<?> timeoutTask;
     private long receivedBytes;
@@ -136,8 +82,8 @@
     private Role role = Role.CURRENT;
 
     /**
-     * The first call has number 1; it asks for what changed after a revision if it watches, and
-     * else for the whole list.
+     * @param requestNumber names the request in the log
+     * @param isWatch whether to request the changes after a revision, else the complete list
      */
     DiscoveryRequest(
             Transport transport,
@@ -145,10 +91,10 @@
             int requestNumber,
             boolean isWatch,
             long afterRevision,
-            Timeouts timeouts,
+            DiscoveryTimeouts timeouts,
             KernelReceiveTime receiveTime,
             DoubleSupplier clock,
-            Listener listener) {
+            DiscoveryRequestListener listener) {
         this.transport = transport;
         this.loop = transport.eventLoops().next();
         this.address = address;
@@ -162,14 +108,17 @@
         this.startedAt = clock.getAsDouble();
     }
 
+    // ---- begin and end ----
+
+    /** Connects and sends the request. */
     void open() {
         LogWriter.info(
-                "list call begins",
-                "call",
+                "endpoint list request started",
+                "request",
                 requestNumber,
-                "watches",
+                "watch",
                 isWatch,
-                "after",
+                "after-revision",
                 afterRevision,
                 "address",
                 address);
@@ -179,53 +128,69 @@
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 EndpointPollPolicy.CONNECT_WITHIN)
-                        .handler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel fresh) {
-                                        fresh.pipeline()
-                                                .addLast(
-                                                        new HttpClientCodec(),
-                                                        DiscoveryRequest.this,
-                                                        valueDecoder,
-                                                        new JsonValueHandler());
-                                    }
-                                })
+                        .handler(pipeline())
                         .connect(address);
         channel = Transport.channelOf(connecting);
         scheduleTimeout(timeouts.firstListMillis());
-        Transport.onConnectFailure(
-                connecting,
-                loop,
-                cause -> {
-                    if (!isOver() && isRefused(cause)) {
-                        listener.onRefused(this);
-                    }
-                    fail("no connection: " + rootCause(cause).getMessage());
-                });
-    }
-
-    /** Ends the call, and nobody is told. */
-    void close(String why) {
+        Transport.onConnectFailure(connecting, loop, this::onConnectFailure);
+    }
+
+    private ChannelInitializer<Channel> pipeline() {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel fresh) {
+                fresh.pipeline()
+                        .addLast(
+                                new HttpClientCodec(),
+                                DiscoveryRequest.this,
+                                valueDecoder,
+                                new JsonValueHandler());
+            }
+        };
+    }
+
+    private void onConnectFailure(Throwable cause) {
+        if (!isClosed() && ConnectFailure.isRefused(cause)) {
+            listener.onRefused(this);
+        }
+        fail("connect failed: " + ConnectFailure.systemMessage(cause));
+    }
+
+    /** Ends the request; the listener is not called. */
+    void close(String reason) {
         LogWriter.info(
-                "list call ends",
-                "call",
+                "endpoint list request ended",
+                "request",
                 requestNumber,
-                "after-ms",
+                "duration-ms",
                 roundedOpenMillis(),
                 "bytes",
                 receivedBytes,
                 "lists",
                 receivedLists,
-                "why",
-                why);
-        progress = Progress.OVER;
+                "reason",
+                reason);
+        progress = Progress.CLOSED;
         timeoutTask.cancel(false);
         if (channel != null) {
             channel.close();
         }
     }
 
+    private void fail(String reason) {
+        if (!isClosed()) {
+            String description = describe(reason);
+            close(reason);
+            listener.onFailed(this, description);
+        }
+    }
+
+    private String describe(String reason) {
+        return isAnswered() ? reason : reason + ", open for " + roundedOpenMillis() + " ms";
+    }
+
+    // ---- state ----
+
     double startedAt() {
         return startedAt;
     }
@@ -234,7 +199,7 @@
         return isWatch;
     }
 
-    /** The revision that was held when this call was opened. */
+    /** The revision that was known when this request was opened. */
     long afterRevision() {
         return afterRevision;
     }
@@ -263,48 +228,18 @@
 
     /** Since its last byte; infinite where none has come. */
     double idleMillis() {
-        return clock.getAsDouble() - lastByteAt;
+        return timing.idleMillis(clock.getAsDouble());
     }
 
-    private boolean isOver() {
-        return progress == Progress.OVER;
+    private boolean isClosed() {
+        return progress == Progress.CLOSED;
     }
 
     private long roundedOpenMillis() {
         return Math.round(openMillis());
     }
 
-    private static boolean isRefused(Throwable cause) {
-        return cause instanceof ConnectException
-                && !(cause instanceof ConnectTimeoutException)
-                && String.valueOf(cause.getMessage()).contains("refused");
-    }
-
-    /** What the system said, below what Netty makes of it. */
-    private static Throwable rootCause(Throwable failure) {
-        Throwable root = failure;
-        while (root.getCause() != null) {
-            root = root.getCause();
-        }
-        return root;
-    }
-
-    private void fail(String why) {
-        if (!isOver()) {
-            String described = describe(why);
-            close(why);
-            listener.onFailed(this, described);
-        }
-    }
-
-    private String describe(String why) {
-        return isAnswered() ? why : why + ", called for " + roundedOpenMillis() + " ms";
-    }
-
-    /**
-     * Nothing came in time: that counts as a failure, but the answer is taken if it comes after
-     * all.
-     */
+    /** Once it has passed, the request counts as failed, but what still comes is taken. */
     private void scheduleTimeout(long timeoutMillis) {
         if (timeoutTask != null) {
             timeoutTask.cancel(false);
@@ -313,32 +248,22 @@
                 loop.schedule(
                         () ->
                                 listener.onOverdue(
-                                        this,
-                                        describe("nothing came for " + timeoutMillis + " ms")),
+                                        this, describe("no data for " + timeoutMillis + " ms")),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void connectionEnded(String why) {
-        if (isAnswered() && !valueDecoder.isMidValue()) {
-            listener.onCleanClose(this, estimateWrittenAt(clock.getAsDouble()));
+    private void restartSilenceTimeout() {
+        if (isWatch && role != Role.FORMER) {
+            scheduleTimeout(timeouts.silenceMillis());
         }
-        fail(why);
-    }
-
-    /**
-     * A time at which a line had not been written yet whose first bytes came then, as far as that
-     * can be told.
-     */
-    private double estimateWrittenAt(double receivedAt) {
-        return receivedAt - Math.min(firstListMillis, MAX_DELIVERY_DELAY_MILLIS);
     }
 
-    // ---- what comes ----
+    // ---- channel events ----
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        requestedAt = clock.getAsDouble();
+        timing.onRequested(clock.getAsDouble());
         String query = isWatch ? "?watch=1&after=" + afterRevision : "";
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, PATH + query);
@@ -354,72 +279,64 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (isOver()) {
+        if (isClosed()) {
             return;
         }
         if (!message.decoderResult().isSuccess()) {
-            fail("an answer that cannot be read");
+            fail("malformed HTTP response");
             return;
         }
         if (message instanceof HttpResponse response) {
             informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
             if (!informational && !response.status().equals(HttpResponseStatus.OK)) {
-                fail("answered " + response.status().code());
+                fail("HTTP status " + response.status().code());
                 return;
             }
         }
         if (informational) {
-            return; // the answer itself is yet to come
+            return; // the final response is yet to come
         }
         if (message instanceof HttpContent content) {
             onContent(ctx, content.content());
         }
-        if (message instanceof LastHttpContent && !isOver()) {
+        if (message instanceof LastHttpContent && !isClosed()) {
             onBodyEnd();
         }
     }
 
     private void onContent(ChannelHandlerContext ctx, ByteBuf content) {
         receivedBytes += content.readableBytes();
-        lastByteAt = clock.getAsDouble();
+        double now = clock.getAsDouble();
+        timing.onBytes(now);
         boolean endsLine =
                 content.indexOf(content.readerIndex(), content.writerIndex(), (byte) '\n') >= 0;
         double receivedAt =
-                lastByteAt
-                        - receiveTime.millisSinceReceived(
-                                channel, (double) timeouts.silenceMillis());
+                now - receiveTime.millisSinceReceived(channel, (double) timeouts.silenceMillis());
         if (!valueDecoder.isMidValue()) {
-            listStartedAt = receivedAt;
+            timing.onListStarted(receivedAt);
         }
         int listsBefore = receivedLists;
         ctx.fireChannelRead(content.retain());
         if (receivedLists > listsBefore) {
-            listStartedAt = receivedAt; // of the next one, if it is under way
+            timing.onListStarted(receivedAt); // of the next list, if it is under way
         }
-        // Only a whole list or an empty line is a sign of life: half a list that trickles is
-        // silence too.
+        // Part of a list is no heartbeat: a list that trickles is silence too.
         if (isAnswered()
                 && endsLine
                 && !valueDecoder.isMidValue()
-                && receivedAt - listEndedAt > LIST_TERMINATOR_MILLIS) {
+                && timing.isHeartbeat(receivedAt)) {
             restartSilenceTimeout();
-            listener.onHeartbeat(this, estimateWrittenAt(receivedAt));
-        }
-    }
-
-    private void restartSilenceTimeout() {
-        if (isWatch && role != Role.FORMER) {
-            scheduleTimeout(timeouts.silenceMillis());
+            listener.onHeartbeat(this, timing.writtenAfter(receivedAt));
         }
     }
 
     private void onBodyEnd() {
         if (isWatch) {
-            fail("the watch ended");
+            fail("watch closed by discovery");
         } else if (!isAnswered() || valueDecoder.isMidValue()) {
-            fail("an answer without a whole list");
+            fail("response without a complete list");
         } else {
-            close("answered");
+            close("completed");
             listener.onCompleted(this);
         }
     }
@@ -428,62 +345,59 @@
         EndpointListUpdate update;
         try {
             update = EndpointListUpdate.parse(JsonReader.readObject(ByteBufUtil.getBytes(text)));
-        } catch (IOException bad) {
-            fail("a list that cannot be read: " + bad.getMessage());
+        } catch (IOException malformed) {
+            fail("malformed list: " + malformed.getMessage());
             return;
         }
         receivedLists++;
-        listEndedAt = clock.getAsDouble();
+        timing.onListEnded(clock.getAsDouble());
         if (!isAnswered()) {
             LogWriter.info(
-                    "discovery answers", "call", requestNumber, "after-ms", roundedOpenMillis());
-            firstListMillis = listEndedAt - requestedAt;
+                    "first endpoint list received",
+                    "request",
+                    requestNumber,
+                    "elapsed-ms",
+                    roundedOpenMillis());
+            timing.onFirstListEnded();
             progress = Progress.ANSWERED;
         }
         restartSilenceTimeout();
-        // The first list is what discovery had at some time after it was asked, however long it was
-        // on its way.
-        listener.onEndpointList(
-                this, update, hasOneList() ? requestedAt : estimateWrittenAt(listStartedAt));
+        listener.onEndpointList(this, update, timing.listCurrentAsOf(hasOneList()));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        connectionEnded("the connection ended");
+        onConnectionLost("connection closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException) {
-            connectionEnded(String.valueOf(cause.getMessage()));
+            onConnectionLost(String.valueOf(cause.getMessage()));
         } else {
             fail(String.valueOf(cause.getMessage()));
         }
     }
 
-    /** Takes each value that is whole. */
+    private void onConnectionLost(String reason) {
+        if (isAnswered() && !valueDecoder.isMidValue()) {
+            listener.onCleanClose(this, timing.writtenAfter(clock.getAsDouble()));
+        }
+        fail(reason);
+    }
+
+    /** Takes each JSON value that is complete. */
     private final class JsonValueHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf value) {
-            if (!isOver()) {
+            if (!isClosed()) {
                 onValue(value);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            fail("a list that cannot be read: " + cause.getMessage());
-        }
-    }
-
-    /** Cuts the bytes into JSON values. */
-    private static final class JsonValueDecoder extends JsonObjectDecoder {
-        JsonValueDecoder() {
-            super(MAX_LIST_BYTES);
-        }
-
-        boolean isMidValue() {
-            return actualReadableBytes() > 0;
+            fail("malformed list: " + cause.getMessage());
         }
     }
 }
--- /dev/null
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
@@ -0,0 +1,14 @@
+package sagepulley.discovery.http;
+
+import sagepulley.membership.EndpointPollPolicy;
+
+/**
+ * How long discovery may take, in milliseconds.
+ *
+ * @param firstListMillis for the first list of a request
+ * @param silenceMillis between two lists or heartbeats of a watch
+ */
+record DiscoveryTimeouts(long firstListMillis, long silenceMillis) {
+    static final DiscoveryTimeouts DEFAULT =
+            new DiscoveryTimeouts(EndpointPollPolicy.FIRST_LIST_WITHIN, EndpointPollPolicy.SILENCE);
+}
--- a/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
@@ -9,10 +9,19 @@
 import java.util.Map;
 import sagepulley.model.Node;
 
-/** A list of nodes, or changes of it, in discovery's form. */
+/**
+ * Discovery's list of endpoints, or changes of it.
+ *
+ * @param complete whether endpoints that are missing here are gone
+ * @param unreadable entries that were left out, as they came
+ */
 public record EndpointListUpdate(
         long revision, boolean complete, List<Member> members, List<String> unreadable) {
-    /** One entry; started is wall-clock milliseconds, 0 for long ago. */
+    /**
+     * One endpoint.
+     *
+     * @param startedAtMillis wall-clock milliseconds; 0 for long ago
+     */
     public record Member(
             String id,
             SocketAddress address,
@@ -23,7 +32,7 @@
             double weight,
             long startedAtMillis) {}
 
-    /** The same list with all its nodes at one address. */
+    /** This list with all its endpoints at one address. */
     public EndpointListUpdate withAddress(SocketAddress address) {
         return new EndpointListUpdate(
                 revision,
@@ -44,7 +53,7 @@
                 unreadable);
     }
 
-    /** Reads a list; an entry that cannot be read is left out and named. */
+    /** Reads the JSON form; an entry that cannot be read is left out and kept as text. */
     public static EndpointListUpdate parse(Map<String, Object> object) throws IOException {
         if (!(object.get("revision") instanceof Number revision)
                 || !(object.get("complete") instanceof Boolean complete)
@@ -77,7 +86,7 @@
         if (phase == null || !(fields.get("id") instanceof String id) || id.isEmpty()) {
             return null;
         }
-        // What has gone needs no address any more.
+        // An endpoint that is gone needs no address.
         boolean placed = address != null && fields.get("cell") instanceof Number;
         if (!placed && phase != Node.Phase.REMOVED) {
             return null;
--- a/src/main/java/sagepulley/discovery/http/JsonReader.java
+++ b/src/main/java/sagepulley/discovery/http/JsonReader.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * One JSON value as maps, lists, strings, numbers and booleans. Only Jackson's parser is loaded for
- * it.
+ * Reads JSON into maps, lists, strings, numbers and booleans. Uses no more than Jackson's streaming
+ * parser, which keeps the start of a gateway short.
  */
 public final class JsonReader {
     private static final int MAX_DEPTH = 50;
@@ -28,7 +28,11 @@
 
     private JsonReader() {}
 
-    /** Reads the one object that the bytes hold. */
+    /**
+     * Reads the one object that the bytes hold.
+     *
+     * @throws IOException if they hold anything else; the message says what
+     */
     public static Map<String, Object> readObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
--- a/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
@@ -7,9 +7,9 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * An accept that fails (a client that has gone, descriptors or buffers used up) holds back the next
- * one only for a moment. Netty's own handling accepts nothing for a second, in which clients that
- * the machine has accepted wait and the listener could close over them.
+ * Pauses accepting for a moment after an accept that failed (a client that has gone, descriptors or
+ * buffers used up). Netty's own handling pauses for a second, in which clients wait in the backlog
+ * and the listener could be closed over them.
  */
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final long PAUSE_MILLIS = 10;
@@ -17,18 +17,14 @@
     private int failures;
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (failures++ % FAILURES_PER_LOG_LINE == 0) {
             LogWriter.warn(
-                    "a connection could not be accepted",
-                    "why",
-                    cause.getMessage(),
-                    "failures",
-                    failures);
+                    "connection accept failed", "reason", cause.getMessage(), "failures", failures);
         }
-        ChannelConfig config = ctx.channel().config();
+        ChannelConfig config = context.channel().config();
         config.setAutoRead(false);
-        ctx.channel()
+        context.channel()
                 .eventLoop()
                 .schedule(() -> config.setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/sagepulley/frontend/resp/BadCommandException.java
+++ b/src/main/java/sagepulley/frontend/resp/BadCommandException.java
@@ -1,6 +1,6 @@
 package sagepulley.frontend.resp;
 
-/** A command that cannot be taken; the message is what its client is told. */
+/** An invalid command. The message is sent to the client, and so part of the wire. */
 final class BadCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -12,14 +12,16 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * A client's read or write of a piece of data, checked field by field, and the words that go to a
- * node.
+ * A client's read or write of an extent, checked field by field, and the arguments that are
+ * forwarded to an endpoint.
  */
 public final class BlockCommand {
+    /** Name of the command that reads. */
     public static final String READ = "BLK.READ";
+
+    /** Name of the command that writes. */
     public static final String WRITE = "BLK.WRITE";
 
-    /** Bytes of the longest list of fields. */
     static final int MAX_FIELDS_BYTES = 1024;
 
     private static final int MAX_FIELDS = 32;
@@ -38,7 +40,7 @@
     final boolean clientRetry;
     private final List<byte[]> arguments;
 
-    /** The fields as they came, less the patience, whose place is known. */
+    /** The list of fields as received, before and behind the deadline's value. */
     private final String fieldsBeforeDeadline;
 
     private final String fieldsAfterDeadline;
@@ -47,8 +49,8 @@
         this.arguments = arguments;
         this.extent = parseId(text(arguments.get(1)), "the piece");
         this.id = parseId(text(arguments.get(2)), "the id");
-        String list = text(arguments.get(3));
-        Map<String, String> fields = parseFields(list);
+        String fieldList = text(arguments.get(3));
+        Map<String, String> fields = parseFields(fieldList);
         this.trafficClass = findTrafficClass(required(fields, "c"), deployment);
         this.plan = plan(required(fields, "t"), deployment);
         this.deadlineMillis = parsePositive(required(fields, "d"), "d", MAX_DEADLINE_MILLIS);
@@ -57,20 +59,24 @@
         this.shard = shard(required(fields, "shard"), deployment.shards());
         this.gatewayCount = (int) parsePositive(required(fields, "hosts"), "hosts", 1e6);
         this.clientRetry = "1".equals(fields.get("r"));
-        int at = list.startsWith("d=") ? 0 : list.indexOf(",d=") + 1;
-        this.fieldsBeforeDeadline = list.substring(0, at + 2);
-        this.fieldsAfterDeadline = list.substring(at + 2 + fields.get("d").length());
+        int valueStart = fieldList.startsWith("d=") ? 0 : fieldList.indexOf(",d=") + 1;
+        this.fieldsBeforeDeadline = fieldList.substring(0, valueStart + 2);
+        this.fieldsAfterDeadline = fieldList.substring(valueStart + 2 + fields.get("d").length());
     }
 
-    /** Checks a command whose first word is one of the two. */
+    /**
+     * Parses a command whose name is one of the two.
+     *
+     * @throws BadCommandException if an argument or a field is missing or invalid
+     */
     static BlockCommand parse(List<byte[]> arguments, Deployment deployment)
             throws BadCommandException {
-        boolean writes = text(arguments.get(0)).equals(WRITE);
-        if (arguments.size() != (writes ? READ_ARGUMENTS + 1 : READ_ARGUMENTS)) {
+        boolean isWrite = text(arguments.get(0)).equals(WRITE);
+        if (arguments.size() != (isWrite ? READ_ARGUMENTS + 1 : READ_ARGUMENTS)) {
             throw new BadCommandException("wrong number of words");
         }
         BlockCommand command = new BlockCommand(arguments, deployment);
-        if (command.trafficClass.writes() != writes) {
+        if (command.trafficClass.writes() != isWrite) {
             throw new BadCommandException(
                     "c=" + command.trafficClass.name() + " does not go with the command");
         }
@@ -97,20 +103,20 @@
         return bytes;
     }
 
-    /** The same command for a node that is given so many milliseconds. */
+    /** The arguments for an endpoint that has this long, in whole milliseconds of at least 1. */
     List<byte[]> withTimeout(double timeout) {
         List<byte[]> out = new ArrayList<>(arguments);
-        String list = fieldsBeforeDeadline + Math.max(1, (long) timeout) + fieldsAfterDeadline;
-        out.set(3, list.getBytes(StandardCharsets.ISO_8859_1));
+        String fieldList = fieldsBeforeDeadline + Math.max(1, (long) timeout) + fieldsAfterDeadline;
+        out.set(3, fieldList.getBytes(StandardCharsets.ISO_8859_1));
         return out;
     }
 
-    private static Map<String, String> parseFields(String list) throws BadCommandException {
-        if (list.length() > MAX_FIELDS_BYTES) {
+    private static Map<String, String> parseFields(String fieldList) throws BadCommandException {
+        if (fieldList.length() > MAX_FIELDS_BYTES) {
             throw new BadCommandException("fields of over " + MAX_FIELDS_BYTES + " bytes");
         }
         Map<String, String> fields = new HashMap<>();
-        String[] parts = list.split(",", -1);
+        String[] parts = fieldList.split(",", -1);
         if (parts.length > MAX_FIELDS) {
             throw new BadCommandException("over " + MAX_FIELDS + " fields");
         }
@@ -144,9 +150,9 @@
         return value;
     }
 
-    private static long parseId(String text, String what) throws BadCommandException {
+    private static long parseId(String text, String description) throws BadCommandException {
         if (!NumberParser.isId(text)) {
-            throw new BadCommandException(what + " has not 16 hex digits");
+            throw new BadCommandException(description + " has not 16 hex digits");
         }
         return Long.parseUnsignedLong(text, 16);
     }
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -17,53 +17,53 @@
 import sagepulley.transport.KernelReceiveTime;
 
 /**
- * One client's connection: its commands in, its answers out in the order of the commands. However
- * it ends, it ends the same way: open, draining, half-closed, closed. Input is read in every phase,
- * so that the peer's end is seen and no close meets bytes unread in the kernel, which would make a
- * reset of it. On the loop.
+ * One client's connection: its commands in, its replies out in the order of the commands. However
+ * it ends, it passes the same phases: open, draining, half-closed, closed. Input is read in every
+ * phase, so that the peer's FIN is seen and no close meets unread bytes in the kernel, which would
+ * turn it into a reset. Runs on the event loop; times are milliseconds of the handler's clock.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /**
-     * Draining: what it asks is refused; half-closed: all is answered, the output is shut, input is
-     * dropped.
-     */
     private enum Phase {
         OPEN,
+        /** Commands are rejected; replies are still written. */
         DRAINING,
+        /** All replies are written and the output is shut; input is dropped. */
         HALF_CLOSED,
         CLOSED
     }
 
-    /** Commands unanswered on one connection; with more, nothing is read from it. */
+    /** Commands without a reply on one connection; with more, nothing is read from it. */
     private static final int MAX_UNANSWERED_COMMANDS = 64;
 
-    /** Told what the clients want. */
+    /** Handles the commands of clients. */
     interface Handler {
-        /** A read or write; its answer goes to the slot, now or later. */
+        /** A read or write; its reply goes to the pending reply, now or later. */
         void onRequest(
                 ClientConnection connection, PendingReply pendingReply, List<byte[]> arguments);
 
-        /** The client is gone before this slot was answered. */
+        /** The client is gone before its command was replied to. */
         void onClientCancelled(PendingReply pendingReply);
 
+        /** The connection is closed. */
         void onClosed(ClientConnection connection);
 
+        /** The time in milliseconds. */
         double now();
     }
 
-    /** The place of one answer in the order of answers. */
+    /** The place of one reply in the order of replies. */
     static final class PendingReply {
         private final ClientConnection connection;
         private ByteBuf reply;
 
-        /** What the answer is to; null once it is answered. */
+        /** What the handler keeps with the command; null once it is replied to. */
         Object attachment;
 
         private PendingReply(ClientConnection connection) {
             this.connection = connection;
         }
 
-        /** The one answer; on a connection that is gone it is dropped. */
+        /** Sets the one reply; on a closed connection it is released. */
         void reply(ByteBuf bytes) {
             attachment = null;
             reply = bytes;
@@ -79,27 +79,28 @@
     private Phase phase = Phase.OPEN;
     private boolean shuttingOutput;
 
-    /** When it connected, when it last asked or was answered, and when it last sent a byte. */
+    /** When it connected. */
     double connectedAt;
 
+    /** When the last command came or the last reply was written. */
     double lastActiveAt;
+
+    /** When the last bytes were read. */
     double lastReadAt;
 
-    /** Since when a command has been under way. */
+    /** Since when part of a command has been read; infinite while there is none. */
     double partialCommandSince = Double.POSITIVE_INFINITY;
 
-    /**
-     * Since when it has read nothing of what waits, and since when all is answered on a connection
-     * that ends.
-     */
+    /** Since when the client has not read what waits for it; infinite while it has. */
     double unwritableSince = Double.POSITIVE_INFINITY;
 
+    /** Since when all is replied to on a draining connection; infinite before that. */
     double drainedSince = Double.POSITIVE_INFINITY;
 
-    /** Whether a whole command that could be read has come. */
+    /** Whether a complete and valid command has come. */
     boolean hasSentCommand;
 
-    /** Why this side ended it; null while it has not. */
+    /** Why this side closed it, for the log; null while it has not. */
     private String closeReason;
 
     ClientConnection(Handler handler, RespDecoder decoder) {
@@ -120,7 +121,7 @@
         return phase != Phase.OPEN;
     }
 
-    /** How long ago the command that is being read came. */
+    /** How long ago the bytes of the command under way came to this machine. */
     double millisSinceReceived(KernelReceiveTime arrival) {
         return arrival.millisSinceReceived(channel, lastActiveAt - connectedAt);
     }
@@ -129,19 +130,19 @@
         return closeReason;
     }
 
-    /** Answers what was taken, then shuts the output, and closes with the peer's end. */
-    void drain(String why) {
+    /** Replies to what was accepted, then shuts the output, and closes with the peer's FIN. */
+    void drain(String reason) {
         if (phase == Phase.OPEN) {
-            closeReason = why;
+            closeReason = reason;
             phase = Phase.DRAINING;
             writeReadyReplies();
         }
     }
 
-    /** Ends without waiting for anybody. */
-    void close(String why) {
+    /** Closes without waiting for anybody. */
+    void close(String reason) {
         if (channel != null) {
-            closeReason = closeReason == null ? why : closeReason + ", " + why;
+            closeReason = closeReason == null ? reason : closeReason + ", " + reason;
             channel.close();
         }
     }
@@ -159,7 +160,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (phase == Phase.HALF_CLOSED || shuttingOutput) {
-            return; // read after the end was said: never sent on
+            return; // read after the connection was drained: never forwarded
         }
         lastActiveAt = handler.now();
         PendingReply pendingReply = new PendingReply(this);
@@ -219,7 +220,7 @@
         updateAutoRead();
     }
 
-    /** All is written: says so to the peer, whose own end closes the connection. */
+    /** All is written: sends FIN, and the peer's own closes the connection. */
     private void shutOutput() {
         if (phase != Phase.DRAINING) {
             return;
@@ -250,8 +251,8 @@
     }
 
     /**
-     * Told by the close itself: the pipeline's word comes a task later, after what this turn of the
-     * loop has read was sent on.
+     * Called by the close future: the pipeline's event comes a task later, after the commands that
+     * this turn of the loop has read were forwarded.
      */
     private void onChannelClosed() {
         phase = Phase.CLOSED;
@@ -279,14 +280,14 @@
             closeReason = "protocol error";
             pendingReply.reply(RespEncoder.error("ERR protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof DecoderException)) {
-            // A reset is how many clients leave; anything else is worth a line.
+            // Many clients disconnect by a reset; anything else is worth a line.
             closeReason = String.valueOf(cause.getMessage());
             if (!(cause instanceof IOException)) {
                 LogWriter.warn(
-                        "a client's connection failed",
-                        "why",
+                        "client connection failed",
+                        "reason",
                         cause,
-                        "unanswered",
+                        "pending-replies",
                         pendingReplies.size());
             }
             ctx.close();
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -18,8 +18,8 @@
 import sagepulley.transport.Transport;
 
 /**
- * Where clients connect: takes connections up to a number, and ends those that nobody uses. On the
- * loop.
+ * Accepts clients' connections up to a limit, and drains those that nobody uses. Owns the open
+ * connections. Runs on the event loop; times are milliseconds of the handler's clock.
  */
 final class ClientListener {
     private static final int MAX_LINE_BYTES = 64;
@@ -29,28 +29,20 @@
     private static final int WRITE_BUFFER_LOW_BYTES = 65_536;
     private static final int WRITE_BUFFER_HIGH_BYTES = 262_144;
 
-    /**
-     * A connection that owes bytes, of a command or of its first one, is ended after this long
-     * without any.
-     */
+    /** A connection is drained after this long without the rest of a command, or its first one. */
     private static final double READ_TIMEOUT_MILLIS = 2_000;
 
-    /** A client that means to ask has done so by then. */
+    /** A client that connects in order to send a command has sent it by then. */
     private static final double FIRST_COMMAND_GRACE_MILLIS = 100;
 
     private static final double WRITE_TIMEOUT_MILLIS = 5_000;
 
-    /**
-     * A connection that has said its end waits so long for the peer's, and at most so many wait.
-     */
+    /** A half-closed connection waits this long for the peer's FIN. */
     private static final double LINGER_TIMEOUT_MILLIS = 1_000;
 
     private static final int MAX_LINGERING_CONNECTIONS = 16;
 
-    /**
-     * One that nobody uses may go after this long where room is short, and goes after that long
-     * anyway.
-     */
+    /** An idle connection is drained after this long where more than half are in use. */
     private static final double BUSY_IDLE_TIMEOUT_MILLIS = 2_000;
 
     private static final double IDLE_TIMEOUT_MILLIS = 15_000;
@@ -62,14 +54,14 @@
     private final ClientConnection.Handler handler;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private Channel listener;
-    private boolean keepIdle;
+    private boolean idleTimeoutDisabled;
     private boolean draining;
     private long accepted;
     private long rejected;
 
     /**
-     * So many connections at most; a command that takes longer than the slowest time to come is of
-     * no use.
+     * @param maxConnections open connections at most, with those that linger
+     * @param maxCommandMillis a command that takes longer to come is of no use to its client
      */
     ClientListener(
             Transport transport,
@@ -83,6 +75,7 @@
         this.handler = handler;
     }
 
+    /** Begins to accept; completes once the address is bound. */
     ChannelFuture listen(SocketAddress address) {
         RespLimits limits =
                 RespLimits.commands(
@@ -126,11 +119,12 @@
         return bound;
     }
 
+    /** Forgets a connection that is closed. */
     void remove(ClientConnection connection) {
         connections.remove(connection);
     }
 
-    /** Whether some connection has a command under way. */
+    /** Whether part of a command has been read on some connection. */
     boolean isReadingCommand() {
         return connections.stream().anyMatch(ClientConnection::isReadingCommand);
     }
@@ -150,7 +144,7 @@
         return connections.size();
     }
 
-    /** Whether one more can be held, if need be by ending another. */
+    /** Whether one more can be accepted, if need be by draining another. */
     private boolean hasCapacity() {
         ClientConnection oldestLingering = null;
         int lingering = 0;
@@ -164,17 +158,16 @@
             return true;
         }
         if (lingering >= MAX_LINGERING_CONNECTIONS) {
-            oldestLingering.close("room");
+            oldestLingering.close("at capacity");
         }
-        return drainLeastUseful();
+        return drainOneIdle();
     }
 
     /**
-     * Ends one connection without an open command: the oldest that never asked, if what it would
-     * ask must have come by now, else whoever was unused longest, and of those rather one that has
-     * begun no command.
+     * Drains one connection that awaits no reply: the oldest that never sent a command although it
+     * had time to, else the one that was idle longest, preferably without a command under way.
      */
-    private boolean drainLeastUseful() {
+    private boolean drainOneIdle() {
         ClientConnection candidate = null;
         double now = handler.now();
         for (ClientConnection connection : connections) {
@@ -194,12 +187,12 @@
             }
         }
         if (candidate != null) {
-            candidate.drain("room");
+            candidate.drain("at capacity");
         }
         return candidate != null;
     }
 
-    /** Ends connections that nobody uses, that stop inside a command, or that read nothing. */
+    /** Ends connections that are idle, that stop inside a command, or that read nothing. */
     void closeExpired() {
         double now = handler.now();
         boolean isBusy = connections.size() > maxConnections / 2;
@@ -210,8 +203,8 @@
                     || now - connection.drainedSince > LINGER_TIMEOUT_MILLIS) {
                 connection.close(
                         now - connection.unwritableSince > WRITE_TIMEOUT_MILLIS
-                                ? "reads nothing"
-                                : "peer never ends");
+                                ? "write timeout"
+                                : "linger timeout");
             } else if (connection.hasPendingReplies()) {
                 continue;
             } else if (connection.isReadingCommand()
@@ -219,24 +212,24 @@
                             || now - connection.partialCommandSince > maxCommandMillis
                     : !connection.hasSentCommand
                             ? now - connection.connectedAt > READ_TIMEOUT_MILLIS
-                            : !keepIdle
+                            : !idleTimeoutDisabled
                                     && idleMillis
                                             > (isBusy
                                                     ? BUSY_IDLE_TIMEOUT_MILLIS
                                                     : IDLE_TIMEOUT_MILLIS)) {
-                connection.drain("unused");
+                connection.drain("idle");
             } else if (draining && now - connection.connectedAt > FIRST_COMMAND_GRACE_MILLIS) {
-                connection.drain("stop");
+                connection.drain("shutdown");
             }
         }
     }
 
-    /** Connections stay open from now on, however long they are not used. */
-    void keepIdleConnections() {
-        keepIdle = true;
+    /** From now on connections stay open however long they are idle. */
+    void disableIdleTimeout() {
+        idleTimeoutDisabled = true;
     }
 
-    /** Whether it has been ended, and the last connection is closed. */
+    /** Whether it drains, and the last connection is closed. */
     boolean isDrained() {
         return draining && listener == null && connections.isEmpty();
     }
@@ -246,9 +239,8 @@
     }
 
     /**
-     * Takes no new connections, and ends each of those that stand once all that it asked is
-     * answered. What the kernel has accepted by now is taken first, and may still ask: the sweep
-     * ends it.
+     * Accepts no new connections, and drains the open ones. Those that the kernel has accepted by
+     * now are accepted first, and may still send a command: {@link #closeExpired} drains them.
      */
     void drain() {
         draining = true;
@@ -257,15 +249,12 @@
         for (ClientConnection connection : new ArrayList<>(connections)) {
             if (connection.hasSentCommand
                     || now - connection.connectedAt > FIRST_COMMAND_GRACE_MILLIS) {
-                connection.drain("stop");
+                connection.drain("shutdown");
             }
         }
     }
 
-    /**
-     * Closes it in a turn of the loop in which it was asked for connections and nobody was there to
-     * be accepted.
-     */
+    /** Closes the listener in a turn of the loop in which nobody was left to be accepted. */
     private void closeOnceBacklogIsEmpty(long acceptedBefore) {
         if (listener == null) {
             return;
@@ -276,7 +265,7 @@
             return;
         }
         long acceptedNow = accepted;
-        // Not executed but scheduled: the loop looks at its sockets before it runs what was
+        // Scheduled, not executed: the loop polls its sockets before it runs what was
         // scheduled meanwhile.
         loop.schedule(() -> closeOnceBacklogIsEmpty(acceptedNow), 1, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/sagepulley/frontend/resp/ClientWriter.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientWriter.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes answers to one client's socket. They are given to the system at once, and what it has no
- * room for to Netty, which waits until there is. A system without buffers (ENOBUFS, ENOMEM) is
- * asked again a moment later: Netty would close the connection, and the answer would be lost. On
- * the loop.
+ * Writes replies to one client's socket: to the system at once, and what its buffer cannot take to
+ * Netty. Where the system is out of buffers (ENOBUFS, ENOMEM) the write is retried a moment later;
+ * Netty would close the connection, and the reply would be lost. Owns the bytes it was given until
+ * they are passed on. Runs on the event loop.
  */
 final class ClientWriter {
     private static final long RETRY_DELAY_MILLIS = 1;
@@ -28,13 +28,15 @@
     private Runnable onAllPassed = () -> {};
     private boolean retryScheduled;
 
-    /** The task runs when what had to wait has been passed on. */
-    ClientWriter(Channel channel, Runnable resumed) {
+    /**
+     * @param onResumed is run when a write that was retried has been passed on
+     */
+    ClientWriter(Channel channel, Runnable onResumed) {
         this.channel = channel;
-        this.onResumed = resumed;
+        this.onResumed = onResumed;
     }
 
-    /** Whether some answer could be given neither to the system nor to Netty yet. */
+    /** Whether some reply has been given neither to the system nor to Netty yet. */
     boolean hasQueued() {
         return !queued.isEmpty();
     }
@@ -80,7 +82,7 @@
         task.run();
     }
 
-    /** Drops what waits: the connection is gone. */
+    /** Releases what is queued, after the connection has closed. */
     void release() {
         queued.forEach(ByteBuf::release);
         queued.clear();
@@ -91,7 +93,7 @@
         return pending != null && pending.isEmpty();
     }
 
-    /** Whether the system took all of the first answer. */
+    /** Whether the system took all of the first reply. */
     private boolean passToSystem(FileDescriptor socket) throws IOException {
         ByteBuf first = queued.peek();
         if (!first.isDirect() || first.nioBufferCount() != 1) {
@@ -108,7 +110,7 @@
             if (taken <= 0) {
                 return false;
             }
-            first.skipBytes(taken); // less than asked for is no sign that there is no room
+            first.skipBytes(taken); // a short write does not mean that the buffer is full
         }
         queued.poll().release();
         return true;
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -14,7 +14,8 @@
 import sagepulley.model.Operation;
 
 /**
- * Discovery's names of nodes against the numbers that nodes have inside, and where each listens.
+ * Maps discovery's ids of endpoints to the numbers that the engine uses, and knows each endpoint's
+ * address. Runs on the event loop.
  */
 final class EndpointRegistry {
     private final List<String> zones;
@@ -31,7 +32,7 @@
         this.clock = clock;
     }
 
-    /** The entries as the host takes them; starts are turned into its clock's time. */
+    /** The entries in the engine's form; start times become those of the gateway's clock. */
     List<EndpointEntry> entries(EndpointListUpdate update) {
         return update.members().stream()
                 .filter(
@@ -42,7 +43,7 @@
                 .toList();
     }
 
-    /** What of a list differs from what is known of these endpoints, for the log. */
+    /** Where a list differs from the phases known so far, for the log. */
     List<String> changes(EndpointListUpdate update, Function<Integer, Node> known) {
         List<String> changes = new ArrayList<>();
         for (EndpointListUpdate.Member member : update.members()) {
@@ -92,7 +93,7 @@
         return text.toString();
     }
 
-    /** A node that is gone for good; should it come back it is a new one. */
+    /** Removes an endpoint that is gone for good; its id gets a new number if it comes back. */
     void remove(Node node) {
         numbers.remove(names.remove(node.id));
         addresses.remove(node.id);
--- a/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
+++ b/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
@@ -10,7 +10,7 @@
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
 
-/** What has happened since the start, for the log. */
+/** Counters since the start, for the log. Runs on the event loop. */
 final class GatewayMetrics {
     long accepted;
     long invalidCommands;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Adds what waits at one moment. */
+    /** Adds a sample of the operations that wait, by reason. */
     void addWaiting(Map<Reason, Integer> waitingByReason) {
         waitingByReason.forEach((reason, count) -> waiting.merge(reason, (long) count, Long::sum));
     }
@@ -48,7 +48,7 @@
         unserved.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
     }
 
-    /** How attempts to a node have ended since this was last asked. */
+    /** How attempts to an endpoint have ended since the last call for it. */
     Map<Outcome, Integer> takeRecentOutcomes(Node node) {
         Map<Outcome, Integer> outcomes = recentOutcomes.remove(node.id);
         return outcomes == null ? Map.of() : outcomes;
@@ -56,25 +56,25 @@
 
     @Override
     public String toString() {
-        return "taken="
+        return "accepted="
                 + accepted
-                + " on-time="
+                + " within-objective="
                 + withinObjective
-                + " late="
+                + " beyond-objective="
                 + beyondObjective
-                + " left="
+                + " cancelled="
                 + cancelled
-                + " bad="
+                + " invalid="
                 + invalidCommands
-                + " no-room="
+                + " rejected-at-capacity="
                 + rejectedAtCapacity
-                + " hops="
+                + " attempts="
                 + attempts
                 + " outcomes="
                 + outcomes
-                + " given-up="
+                + " unserved="
                 + unserved
-                + " waits="
+                + " waiting="
                 + waiting;
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -349,7 +349,7 @@
     private void beginShutdown(ShutdownSchedule schedule) {
         requests.limitDeadlines(schedule.failAt());
         double now = clock.now();
-        requests.clients().keepIdleConnections();
+        requests.clients().disableIdleTimeout();
         LogWriter.info("graceful shutdown started", "in-flight", engine.inFlight().size());
         loop.schedule(
                 () -> {
--- a/src/main/java/sagepulley/lifecycle/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -19,10 +19,10 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * New configurations. The file is read anew at SIGHUP, and again after a pause for as long as it
- * cannot be used. A process that was started with SIGHUP ignored, as nohup does, is never told: it
- * looks at its file instead, and a change counts as told. All on one thread, so that the last to
- * read the file is the last to be heard.
+ * Reads the configuration file again at SIGHUP, and repeatedly for as long as it is invalid. A
+ * process that was started with SIGHUP ignored, as nohup does, receives no signal: it polls the
+ * file instead. Reads on one thread of its own, so that the configuration read last is also applied
+ * last.
  */
 final class ConfigReloader implements Closeable {
     private static final String HANG_UP = "HUP";
@@ -34,15 +34,12 @@
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("reload", true));
 
-    /**
-     * What the file held when it was last looked at, and when that was; empty where it could not be
-     * read.
-     */
+    /** The file's bytes when it was last checked; empty where it could not be read. */
     private byte[] contents = {};
 
     private double checkedAt;
 
-    /** Why the file could not be used, as it was last logged; null if it could. */
+    /** Why the file was invalid, as it was last logged; null if it was valid. */
     private String lastFailure;
 
     private boolean retryScheduled;
@@ -52,14 +49,13 @@
         this.gateway = gateway;
     }
 
-    /** From now on new configurations are acted on. */
+    /** Begins to follow the file. */
     void start() {
         if (!SignalHandlers.isIgnored(HANG_UP)) {
             SignalHandlers.on(HANG_UP, () -> onReloadRequested(gateway.now()));
             return;
         }
-        LogWriter.warn(
-                "SIGHUP has been ignored since before the start, the configuration file is looked at instead");
+        LogWriter.warn("SIGHUP is ignored, polling the configuration file instead");
         contents = contents();
         checkedAt = gateway.now();
         onReloadRequested(checkedAt); // the file may have changed since the start read it
@@ -75,7 +71,7 @@
         try {
             executor.execute(this::reload);
         } catch (RejectedExecutionException ended) {
-            LogWriter.info("a new configuration is told to a gateway that has ended");
+            LogWriter.info("configuration reload ignored, the gateway has stopped");
         }
     }
 
@@ -97,9 +93,7 @@
         }
     }
 
-    /**
-     * Reads the file now; one that cannot be used leaves all as it was, and is read again later.
-     */
+    /** Reads the file now; an invalid one changes nothing, and is read again later. */
     void reload() {
         double readAt = gateway.now();
         try {
@@ -116,7 +110,7 @@
     private void retryAfter(ConfigException bad) {
         if (!bad.getMessage().equals(lastFailure)) {
             lastFailure = bad.getMessage();
-            LogWriter.warn("the new configuration cannot be used", "why", lastFailure);
+            LogWriter.warn("configuration reload failed", "reason", lastFailure);
         }
         if (!retryScheduled) {
             retryScheduled = true;
--- a/src/main/java/sagepulley/lifecycle/GatewayServer.java
+++ b/src/main/java/sagepulley/lifecycle/GatewayServer.java
@@ -12,7 +12,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.transport.Transport;
 
-/** Runs one gateway on the platform in the foreground, until SIGTERM. */
+/** Runs one RESP gateway in the foreground until SIGTERM or SIGINT. */
 public final class GatewayServer {
     private static final long LOG_FLUSH_TIMEOUT_MILLIS = 200;
     private static final int WARM_UP_OPERATIONS = 60;
@@ -20,12 +20,16 @@
 
     private GatewayServer() {}
 
-    /** Returns once the gateway has stopped. */
+    /**
+     * Runs a gateway; returns once it has stopped.
+     *
+     * @throws ConfigException if the configuration is invalid or its address cannot be listened on
+     */
     public static void run(Map<String, String> environment) throws ConfigException {
         run(environment, gateway -> {});
     }
 
-    /** The same; the task is given the gateway once it is ready. */
+    /** Runs a gateway, and calls the consumer once clients can connect. */
     static void run(Map<String, String> environment, Consumer<RespGateway> whenReady)
             throws ConfigException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -49,11 +53,11 @@
                 config.name(),
                 "listen",
                 config.listen(),
-                "bands",
+                "traffic-classes",
                 describeTrafficClasses(config),
-                "idle-time",
+                "idle-timeout-ms",
                 config.idleTimeoutMillis(),
-                "connect-timeout",
+                "connect-timeout-ms",
                 config.connectTimeoutMillis());
         whenReady.accept(gateway);
         gateway.stopped().join();
@@ -61,7 +65,7 @@
         LogWriter.flush(LOG_FLUSH_TIMEOUT_MILLIS);
     }
 
-    /** Each with its target time and patience. */
+    /** Each with its latency objective and deadline, in milliseconds. */
     private static String describeTrafficClasses(GatewayConfig config) {
         StringBuilder description = new StringBuilder();
         for (TrafficClass trafficClass : config.deployment().trafficClasses()) {
--- a/src/main/java/sagepulley/lifecycle/SignalHandlers.java
+++ b/src/main/java/sagepulley/lifecycle/SignalHandlers.java
@@ -5,10 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/**
- * Signals of the operating system. The JDK's class for them is reached by name: it has no public
- * one.
- */
+/** Signals of the operating system, by reflection: the JDK has no public class for them. */
 final class SignalHandlers {
     private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
     private static final String IGNORED_SIGNALS = "SigIgn:";
@@ -16,8 +13,8 @@
     private SignalHandlers() {}
 
     /**
-     * Whether the process was started with this signal ignored: the JVM leaves it so, whoever asks
-     * for it.
+     * Whether the process was started with this signal ignored. The JVM then keeps ignoring it,
+     * even if a handler is set.
      */
     static boolean isIgnored(String name) {
         try {
@@ -40,10 +37,7 @@
         }
     }
 
-    /**
-     * Runs the task on a thread of its own at each signal of this name, in place of what the JDK
-     * does.
-     */
+    /** Replaces the JDK's handler: the task runs on a thread of its own at each such signal. */
     static void on(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
--- a/src/main/java/sagepulley/lifecycle/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -34,9 +34,9 @@
 import sagepulley.transport.Transport;
 
 /**
- * A short run of a whole gateway with a node, a discovery and clients of its own. The build does it
- * once on loopback, so that the JVM can write down which classes a start needs; a gateway does it
- * inside the program before it listens, so that its code is compiled when clients come.
+ * A short run of a complete gateway with an endpoint, a discovery and clients of its own. The build
+ * does it once on loopback, so that the JVM records which classes a start needs; a gateway does it
+ * inside the program before it listens, so that its code is compiled when clients connect.
  */
 public final class WarmUpRun {
     private static final int CLIENTS = 4;
@@ -61,7 +61,7 @@
         this.remaining = new CountDownLatch(operations);
     }
 
-    /** On loopback, for the build, and inside the program as at each start. */
+    /** The build's run: inside the program, on loopback, and from a file as in service. */
     public static void onLoopback() throws IOException, ConfigException {
         inProcess(OPERATIONS, 10_000);
         run(
@@ -75,7 +75,7 @@
         serveFromFile();
     }
 
-    /** One start as in service, from a file, at a port that was free just now. */
+    /** Starts a gateway as in service, from a configuration file, and stops it. */
     private static void serveFromFile() throws IOException, ConfigException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Inside the program, for so many operations or milliseconds. */
+    /** A run inside the program, for this many operations or milliseconds at most. */
     static void inProcess(int operations, long timeoutMillis) {
         try {
             run(
@@ -98,7 +98,7 @@
                     operations,
                     timeoutMillis);
         } catch (IOException | ConfigException e) {
-            LogWriter.warn("the rehearsal failed", "why", e.getMessage());
+            LogWriter.warn("warm-up failed", "reason", e.getMessage());
         }
     }
 
@@ -106,37 +106,43 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** The gateway has a loop of its own, as in service; all others share one. */
+    /** The gateway has an event loop of its own, as in service; all others share one. */
     private static void run(
-            Transport own,
-            Transport others,
+            Transport gatewayTransport,
+            Transport peerTransport,
             SocketAddress listen,
-            SocketAddress node,
+            SocketAddress endpoint,
             SocketAddress discovery,
             int operations,
             long timeoutMillis)
             throws IOException, ConfigException {
         try {
-            SocketAddress nodeAt = server(others, node, WarmUpRun::serveEndpoint);
-            SocketAddress discoveryAt = server(others, discovery, WarmUpRun::serveDiscovery);
+            SocketAddress endpointAddress =
+                    server(peerTransport, endpoint, WarmUpRun::serveEndpoint);
+            SocketAddress discoveryAddress =
+                    server(peerTransport, discovery, WarmUpRun::serveDiscovery);
             RespGateway gateway =
-                    new RespGateway(WarmUpConfig.at(listen, discoveryAt, nodeAt), own);
+                    new RespGateway(
+                            WarmUpConfig.at(listen, discoveryAddress, endpointAddress),
+                            gatewayTransport);
             gateway.connectToDiscovery();
-            WarmUpRun warmUp = new WarmUpRun(others, gateway.start().join(), operations);
+            WarmUpRun warmUp = new WarmUpRun(peerTransport, gateway.start().join(), operations);
             for (int i = 0; i < CLIENTS; i++) {
                 warmUp.connectClient();
             }
             warmUp.remaining.await(timeoutMillis, TimeUnit.MILLISECONDS);
-            // Whoever is called closes last: a loop that has ended hears of nothing any more.
+            // The gateway stops first: its peers' loop must still run to see its connections close.
             gateway.stopNow();
             gateway.stopped().join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            others.eventLoops()
+            peerTransport
+                    .eventLoops()
                     .shutdownGracefully(
                             SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            own.eventLoops()
+            gatewayTransport
+                    .eventLoops()
                     .shutdownGracefully(
                             SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
@@ -188,7 +194,7 @@
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, HttpObject request) {
                                 if (request instanceof LastHttpContent) {
-                                    // Past the encoder, as it goes over the wire.
+                                    // Past the encoder: these are the bytes of the wire.
                                     ctx.channel()
                                             .pipeline()
                                             .firstContext()
@@ -199,7 +205,7 @@
                         });
     }
 
-    /** Asks one thing after the other, and now and then what nobody can answer. */
+    /** Connects a client that sends one command after the other, some of them invalid. */
     private void connectClient() {
         transport
                 .connector()
@@ -231,21 +237,21 @@
 
     private void sendRequest(ChannelHandlerContext ctx) {
         long number = ++requestCount;
-        boolean writes = number % 3 == 0;
+        boolean isWrite = number % 3 == 0;
         String fields =
                 "c="
-                        + (number % 20 == 0 ? "none" : writes ? "put" : "get")
+                        + (number % 20 == 0 ? "none" : isWrite ? "put" : "get")
                         + ",t=any,d=900,volume="
                         + NumberParser.formatId(number % 7)
                         + ",units=1,shard="
-                        + (writes ? -1 : 0)
+                        + (isWrite ? -1 : 0)
                         + ",hosts=1";
         List<byte[]> arguments = new ArrayList<>();
         for (String argument :
                 number % 50 == 0
                         ? List.of("PING")
                         : List.of(
-                                writes ? BlockCommand.WRITE : BlockCommand.READ,
+                                isWrite ? BlockCommand.WRITE : BlockCommand.READ,
                                 NumberParser.formatId(number % 30),
                                 NumberParser.formatId(number),
                                 fields,
@@ -254,6 +260,6 @@
         }
         ctx.writeAndFlush(
                 RespEncoder.command(
-                        writes || arguments.size() == 1 ? arguments : arguments.subList(0, 4)));
+                        isWrite || arguments.size() == 1 ? arguments : arguments.subList(0, 4)));
     }
 }
--- a/src/main/java/sagepulley/logging/LogWriter.java
+++ b/src/main/java/sagepulley/logging/LogWriter.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Lines of names and values on standard error, written by a thread of their own: whoever logs never
- * waits, and what does not fit is counted. Logback is not used here: 510 of the 2,941 classes of a
- * start were its own.
+ * Writes log lines of names and values to standard error from a thread of its own: callers never
+ * block, and lines that find the queue full are counted. Used instead of Logback, whose classes
+ * would slow the start of a gateway.
  */
 public final class LogWriter {
     /** Threads whose name starts with this log nothing: they run a gateway inside the program. */
@@ -29,19 +29,21 @@
 
     private LogWriter() {}
 
+    /** Logs an event with alternating names and values. */
     public static void info(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
             offer("INFO", event, namesAndValues);
         }
     }
 
+    /** Logs an event that an operator should look into. */
     public static void warn(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
             offer("WARN", event, namesAndValues);
         }
     }
 
-    /** A gateway that rehearses inside the program is quiet; the real one beside it is not. */
+    /** A gateway that warms up inside the program is quiet; the real one beside it is not. */
     private static boolean isWarmUpThread() {
         return Thread.currentThread().getName().startsWith(WARM_UP_THREAD_PREFIX);
     }
@@ -67,7 +69,7 @@
         }
     }
 
-    /** A value on one line, quoted where it has blanks. */
+    /** A value on one line, quoted where it has blanks or is empty. */
     private static String value(Object value) {
         String text = String.valueOf(value);
         if (text.length() > MAX_VALUE_CHARS) {
@@ -90,7 +92,7 @@
                 UNWRITTEN.decrementAndGet();
                 long dropped = DROPPED.getAndSet(0);
                 if (dropped > 0) {
-                    to.println(Instant.now() + " WARN lines dropped count=" + dropped);
+                    to.println(Instant.now() + " WARN log lines dropped count=" + dropped);
                 }
             }
         } catch (InterruptedException e) {
@@ -98,7 +100,7 @@
         }
     }
 
-    /** Waits until what was logged is written, at most so many milliseconds. */
+    /** Waits until all lines are written, for this many milliseconds at most. */
     public static void flush(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (UNWRITTEN.get() > 0 && System.nanoTime() < deadlineNanos) {
--- a/src/main/java/sagepulley/transport/Transport.java
+++ b/src/main/java/sagepulley/transport/Transport.java
@@ -17,17 +17,18 @@
 import sagepulley.codec.frame.EventLoops;
 import sagepulley.logging.LogWriter;
 
-/** One loop, and the channels that a gateway opens on it: sockets, or pipes inside the program. */
+/** An event loop and the channel types used on it: sockets, or channels inside the program. */
 public record Transport(
         EventLoopGroup eventLoops,
         Class<? extends Channel> socket,
         Class<? extends ServerChannel> server) {
+    /** TCP sockets on one event loop of their own. */
     public static Transport sockets() {
         return new Transport(
                 EventLoops.group(1, "gateway"), EventLoops.socket(), EventLoops.server());
     }
 
-    /** For connections out of the program or inside it. */
+    /** A bootstrap for outgoing connections. */
     public Bootstrap connector() {
         Bootstrap connector = new Bootstrap().group(eventLoops).channel(socket);
         return SocketChannel.class.isAssignableFrom(socket)
@@ -35,10 +36,7 @@
                 : connector;
     }
 
-    /**
-     * The channel of a connection that is being made; null where the system granted no socket for
-     * it.
-     */
+    /** The channel of a connection attempt; null where the system granted no socket for it. */
     public static Channel channelOf(ChannelFuture connecting) {
         return connecting.isDone() && !connecting.channel().isRegistered()
                 ? null
@@ -46,24 +44,25 @@
     }
 
     /**
-     * Tells a connection's failure on the loop. Where the system grants no socket, the future
-     * belongs to another thread and its channel cannot even be closed.
+     * Runs the task on the event loop if the connection fails. Where the system grants no socket,
+     * the future belongs to another thread and its channel cannot even be closed.
      */
     public static void onConnectFailure(
             ChannelFuture connecting, EventLoop loop, Consumer<Throwable> task) {
         connecting.addListener(
-                done -> {
-                    if (done.isSuccess()) {
+                connected -> {
+                    if (connected.isSuccess()) {
                         return;
                     }
                     if (loop.inEventLoop()) {
-                        task.accept(done.cause());
+                        task.accept(connected.cause());
                     } else {
-                        loop.execute(() -> task.accept(done.cause()));
+                        loop.execute(() -> task.accept(connected.cause()));
                     }
                 });
     }
 
+    /** Channels inside the program, on one event loop whose thread logs nothing. */
     public static Transport inProcess() {
         return new Transport(
                 new MultiThreadIoEventLoopGroup(
--- /dev/null
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -0,0 +1,335 @@
+package sagepulley.upstream.resp;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.unix.UnixChannel;
+import io.netty.handler.codec.DecoderException;
+import io.netty.util.concurrent.ScheduledFuture;
+import java.io.IOException;
+import java.net.SocketAddress;
+import java.nio.ByteBuffer;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.DoubleSupplier;
+import sagepulley.codec.resp.Resp;
+import sagepulley.codec.resp.RespDecoder;
+import sagepulley.codec.resp.RespEncoder;
+import sagepulley.codec.resp.RespLimits;
+import sagepulley.model.Outcome;
+import sagepulley.transport.KernelReceiveTime;
+import sagepulley.transport.Transport;
+import sagepulley.upstream.resp.EndpointConnectionPool.CommandSource;
+import sagepulley.upstream.resp.EndpointConnectionPool.ResultListener;
+
+/**
+ * One connection to an endpoint, with at most one request under way. Each request ends in exactly
+ * one outcome. Runs on the event loop; times are milliseconds.
+ */
+final class EndpointConnection extends ChannelInboundHandlerAdapter {
+    private static final int MAX_LINE_BYTES = 512;
+    private static final int REPLY_ITEMS = 3;
+    private static final int MAX_OTHER_ITEMS_BYTES = 2048;
+    private static final RespLimits LIMITS =
+            RespLimits.replies(
+                    MAX_LINE_BYTES,
+                    RespLimits.MAX_VALUE_BYTES,
+                    RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
+                    REPLY_ITEMS);
+
+    /** A timeout on the wire is in whole milliseconds: with less left, nothing is sent. */
+    private static final double MIN_TIMEOUT_MILLIS = 1;
+
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    /** What a connection tells its pool. */
+    interface PoolListener {
+        /** The connection has no request under way and may take the next one. */
+        void onIdle(EndpointConnection connection);
+
+        /** The connection is closed; the reason is for the log. */
+        void onClosed(EndpointConnection connection, String reason);
+
+        /** A reply could not be used. */
+        void onInvalidReply(String what);
+    }
+
+    /**
+     * What all connections of a pool share.
+     *
+     * @param stallTimeoutMillis a reply that has begun and pauses for this long is invalid
+     * @param receiveTime tells when bytes came to this machine
+     * @param probe takes the byte by which the state of an idle connection is read
+     */
+    record Shared(
+            Transport transport,
+            EventLoop loop,
+            double connectTimeoutMillis,
+            double stallTimeoutMillis,
+            DoubleSupplier clock,
+            KernelReceiveTime receiveTime,
+            ByteBuffer probe) {}
+
+    private final SocketAddress address;
+    private final Shared shared;
+    private final PoolListener pool;
+    private final RespDecoder decoder = new RespDecoder(LIMITS);
+    private Channel channel;
+    private CommandSource command;
+    private double deadline;
+
+    /** Who waits for the request under way; null while there is none. */
+    private ResultListener listener;
+
+    private ScheduledFuture<?> timeoutTask;
+    private ScheduledFuture<?> stallTask;
+    private boolean connected;
+    private boolean commandWritten;
+    private boolean closed;
+    private double idleSince = Double.NaN;
+    private double startedAt;
+
+    EndpointConnection(SocketAddress address, Shared shared, PoolListener pool) {
+        this.address = address;
+        this.shared = shared;
+        this.pool = pool;
+    }
+
+    SocketAddress address() {
+        return address;
+    }
+
+    /** When the last reply was read; NaN while a request is under way. */
+    double idleSince() {
+        return idleSince;
+    }
+
+    /** Whether all of the request's command has been given to the system. */
+    boolean isCommandWritten() {
+        return commandWritten;
+    }
+
+    // ---- requests ----
+
+    /** Begins a request, which ends after the timeout at the latest. Connects if need be. */
+    void start(CommandSource commandToSend, double timeoutMillis, ResultListener resultListener) {
+        command = commandToSend;
+        startedAt = now();
+        deadline = startedAt + timeoutMillis;
+        listener = resultListener;
+        commandWritten = false;
+        idleSince = Double.NaN;
+        timeoutTask = schedule(this::onTimeout, Math.max(1, timeoutMillis * NANOS_PER_MILLI));
+        if (connected) {
+            write();
+        } else {
+            connect();
+        }
+    }
+
+    private void connect() {
+        ChannelFuture connecting =
+                shared.transport()
+                        .connector()
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.max(1, shared.connectTimeoutMillis()))
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel fresh) {
+                                        fresh.pipeline().addLast(decoder, EndpointConnection.this);
+                                    }
+                                })
+                        .connect(address);
+        channel = Transport.channelOf(connecting);
+        Transport.onConnectFailure(connecting, shared.loop(), cause -> end(Outcome.NO_CONNECTION));
+    }
+
+    /** The endpoint learns the time that is left now, however long connecting took. */
+    private void write() {
+        double remainingMillis = deadline - now();
+        if (remainingMillis < MIN_TIMEOUT_MILLIS) {
+            end(Outcome.NO_CONNECTION);
+            return;
+        }
+        List<byte[]> arguments = command.arguments(remainingMillis);
+        if (arguments == null) {
+            end(Outcome.NOT_EXECUTED);
+            return;
+        }
+        channel.writeAndFlush(RespEncoder.command(arguments))
+                .addListener(
+                        done -> {
+                            if (done.isSuccess()) {
+                                commandWritten = true;
+                            }
+                        });
+    }
+
+    /** Ends the connection, and the request under way, if any, without a reply. */
+    void end(Outcome outcome) {
+        ResultListener finished = takeListener();
+        close(outcome.name());
+        if (finished != null) {
+            double endedAt = now();
+            // A task later: the listener is never called from within the call that ends it.
+            shared.loop().execute(() -> finished.onResult(outcome, null, endedAt));
+        }
+    }
+
+    private ResultListener takeListener() {
+        ResultListener finished = listener;
+        listener = null;
+        command = null;
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
+            timeoutTask = null;
+        }
+        if (stallTask != null) {
+            stallTask.cancel(false);
+            stallTask = null;
+        }
+        return finished;
+    }
+
+    /** Closes the connection, which has no request under way; the reason is for the log. */
+    void close(String reason) {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        pool.onClosed(this, reason);
+        if (channel != null) {
+            channel.close();
+        }
+    }
+
+    /**
+     * Whether the kernel holds something that has not been read here: the peer's end, or bytes that
+     * belong to no request.
+     */
+    boolean isStale() {
+        if (!(channel instanceof UnixChannel socket)) {
+            return false;
+        }
+        try {
+            return socket.fd().read(shared.probe(), 0, 1) != 0;
+        } catch (IOException reset) {
+            return true;
+        }
+    }
+
+    // ---- channel events ----
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        connected = true;
+        if (listener != null) {
+            write();
+        }
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object message) {
+        if (listener == null) {
+            // Nothing that follows a reply may meet the next request.
+            close("unexpected bytes");
+            return;
+        }
+        Resp reply = (Resp) message;
+        Outcome outcome = outcomeOf(reply);
+        ResultListener finished = takeListener();
+        // Offered to the pool once all that came with the reply has been read.
+        idleSince = now();
+        double sinceReceived =
+                shared.receiveTime().millisSinceReceived(channel, idleSince - startedAt);
+        finished.onResult(outcome, reply, idleSince - sinceReceived);
+    }
+
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        if (listener != null && !closed && decoder.isMidValue()) {
+            restartStallTimeout();
+        }
+        if (listener != null || closed || Double.isNaN(idleSince)) {
+            return;
+        }
+        if (decoder.isMidValue()) {
+            close("bytes after a reply");
+        } else {
+            pool.onIdle(this);
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        onConnectionLost();
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        if (cause instanceof DecoderException) {
+            pool.onInvalidReply("malformed: " + cause.getMessage());
+            end(Outcome.FAILED);
+        } else {
+            onConnectionLost();
+        }
+    }
+
+    /** A command that was not written in full has not been executed. */
+    private void onConnectionLost() {
+        end(commandWritten ? Outcome.RESET : Outcome.NO_CONNECTION);
+    }
+
+    private Outcome outcomeOf(Resp reply) {
+        if (reply instanceof Resp.Array array
+                && array.items() != null
+                && array.items().size() == REPLY_ITEMS
+                && array.items().get(0) instanceof Resp.Bulk value
+                && !value.isNull()) {
+            return Outcome.SERVED;
+        }
+        if (reply instanceof Resp.Line line && line.isError()) {
+            return line.text().startsWith("BUSY") ? Outcome.REJECTED : Outcome.FAILED;
+        }
+        pool.onInvalidReply("unexpected type");
+        return Outcome.FAILED;
+    }
+
+    // ---- timeouts ----
+
+    /** A reply that pauses inside does not go on as a rule; one that trickles does. */
+    private void restartStallTimeout() {
+        if (stallTask != null) {
+            stallTask.cancel(false);
+        }
+        stallTask = schedule(this::onStalled, shared.stallTimeoutMillis() * NANOS_PER_MILLI);
+    }
+
+    private void onStalled() {
+        pool.onInvalidReply("incomplete");
+        end(Outcome.FAILED);
+    }
+
+    /** An endpoint that has begun its reply is not unresponsive. */
+    private void onTimeout() {
+        if (decoder.isMidValue()) {
+            onStalled();
+        } else {
+            end(commandWritten ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
+        }
+    }
+
+    private ScheduledFuture<?> schedule(Runnable task, double nanos) {
+        return shared.loop().schedule(task, (long) nanos, TimeUnit.NANOSECONDS);
+    }
+
+    private double now() {
+        return shared.clock().getAsDouble();
+    }
+}
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -1,16 +1,6 @@
 package sagepulley.upstream.resp;
 
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.unix.UnixChannel;
-import io.netty.handler.codec.DecoderException;
-import io.netty.util.concurrent.ScheduledFuture;
-import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -21,91 +11,70 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.DoubleSupplier;
 import sagepulley.codec.resp.Resp;
-import sagepulley.codec.resp.RespDecoder;
-import sagepulley.codec.resp.RespEncoder;
-import sagepulley.codec.resp.RespLimits;
 import sagepulley.model.Attempt;
 import sagepulley.model.Outcome;
 import sagepulley.transport.KernelReceiveTime;
 import sagepulley.transport.Transport;
 
 /**
- * The connections to the nodes: one call at a time on each, and those that are free used again.
- * Carries out and decides nothing: no call is sent twice, and each ends in one outcome. All on one
- * loop.
+ * Connections to the endpoints: one request at a time on each, and idle ones are reused. Decides
+ * nothing: no request is sent twice, and each ends in one outcome. Owns all connections and the
+ * attempts in flight on them. Runs on the event loop; times are milliseconds.
  */
 public final class EndpointConnectionPool {
-    private static final int MAX_LINE_BYTES = 512;
-    private static final int REPLY_ITEMS = 3;
-    private static final int MAX_OTHER_ITEMS_BYTES = 2048;
-
     /**
-     * What comes some milliseconds late behind an answer must meet a connection that carries
-     * nothing.
+     * Idle time before a connection is reused, so that bytes which follow a reply a little later
+     * meet a connection without a request.
      */
     private static final double REUSE_DELAY_MILLIS = 25;
 
-    /** A time that a command tells is in whole milliseconds: with less left, nothing is sent. */
-    private static final double MIN_TIMEOUT_MILLIS = 1;
-
-    private static final double NANOS_PER_MILLI = 1e6;
-
-    /**
-     * The words of a command to a node that is given so many milliseconds; null if it may not begin
-     * any more.
-     */
+    /** Makes a request's command at the moment at which it is written. */
     public interface CommandSource {
-        List<byte[]> arguments(double left);
+        /**
+         * The command's arguments for an endpoint that has this long; null if the command may not
+         * be sent any more.
+         */
+        List<byte[]> arguments(double remainingMillis);
     }
 
-    /**
-     * Told the end of a call, once: the answer if one could be read, else null, and when it came to
-     * the machine.
-     */
+    /** Waits for the end of a request. */
     public interface ResultListener {
-        void onResult(Outcome outcome, Resp answer, double at);
+        /**
+         * Called once for each request.
+         *
+         * @param reply null if none could be read
+         * @param receivedAt when the reply came to this machine, or the request ended without one
+         */
+        void onResult(Outcome outcome, Resp reply, double receivedAt);
     }
 
-    private final Transport transport;
     private final EventLoop loop;
     private final int maxConnections;
-    private final double connectTimeoutMillis;
     private final double idleTimeoutMillis;
-    private final double stallTimeoutMillis;
     private final DoubleSupplier clock;
-    private final RespLimits limits =
-            RespLimits.replies(
-                    MAX_LINE_BYTES,
-                    RespLimits.MAX_VALUE_BYTES,
-                    RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
-                    REPLY_ITEMS);
-
-    /** Free connections, the one used last first. */
-    private final Map<SocketAddress, ArrayDeque<Connection>> idle = new HashMap<>();
-
-    private final KernelReceiveTime receiveTime = new KernelReceiveTime();
-    private final ByteBuffer oneByte = ByteBuffer.allocateDirect(1);
-    private final IdentityHashMap<Attempt, Connection> inFlight = new IdentityHashMap<>();
+    private final EndpointConnection.Shared shared;
+    private final EndpointConnection.PoolListener poolListener = poolListener();
+
+    /** Idle connections by address, the one used last first. */
+    private final Map<SocketAddress, ArrayDeque<EndpointConnection>> idle = new HashMap<>();
+
+    private final IdentityHashMap<Attempt, EndpointConnection> inFlight = new IdentityHashMap<>();
     private final Map<SocketAddress, Integer> openByAddress = new HashMap<>();
+    private final Map<String, Integer> invalidReplies = new TreeMap<>();
+    private BiConsumer<SocketAddress, String> closeListener = (address, reason) -> {};
     private int openConnections;
-    private BiConsumer<SocketAddress, String> closeListener = (address, why) -> {};
     private long connectionsOpened;
     private long rejectedAtLimit;
+    private long staleConnections;
 
     /**
-     * Free connections that were found to have ended, or to have brought something, when they were
-     * wanted.
+     * @param idleTimeoutMillis connections that are idle for longer are closed
+     * @param stallTimeoutMillis a reply that has begun and pauses for this long is invalid
+     * @param clock milliseconds on a monotonic clock
      */
-    private long staleConnections;
-
-    /** Answers that were no use, by what was wrong with them. */
-    private final Map<String, Integer> invalidReplies = new TreeMap<>();
-
-    /** An answer that has begun and brings nothing more for the stall time is spoilt. */
     public EndpointConnectionPool(
             Transport transport,
             int maxConnections,
@@ -113,25 +82,34 @@
             double idleTimeoutMillis,
             double stallTimeoutMillis,
             DoubleSupplier clock) {
-        this.transport = transport;
         this.loop = transport.eventLoops().next();
         this.maxConnections = maxConnections;
-        this.connectTimeoutMillis = connectTimeoutMillis;
         this.idleTimeoutMillis = idleTimeoutMillis;
-        this.stallTimeoutMillis = stallTimeoutMillis;
         this.clock = clock;
+        this.shared =
+                new EndpointConnection.Shared(
+                        transport,
+                        loop,
+                        connectTimeoutMillis,
+                        stallTimeoutMillis,
+                        clock,
+                        new KernelReceiveTime(),
+                        ByteBuffer.allocateDirect(1));
     }
 
-    /** Told the reason of each connection's end. */
+    /** Sets who learns the address and the reason of each connection's close. */
     public void onClose(BiConsumer<SocketAddress, String> listener) {
         closeListener = listener;
     }
 
+    // ---- figures ----
+
+    /** Connections that are open or being opened. */
     public int openConnections() {
         return openConnections;
     }
 
-    /** Connections to an address, free ones and others. */
+    /** Connections to one address that are open or being opened. */
     public int openConnections(SocketAddress address) {
         return openByAddress.getOrDefault(address, 0);
     }
@@ -141,7 +119,7 @@
         return connectionsOpened;
     }
 
-    /** Attempts that found no connection since the limit was reached. */
+    /** Requests since the start that ended at once because all connections were in use. */
     public long rejectedAtLimit() {
         return rejectedAtLimit;
     }
@@ -161,63 +139,62 @@
         return inFlight.size();
     }
 
-    /** Sends an attempt's command, and waits so many milliseconds for its answer. */
+    // ---- requests ----
+
+    /** Sends an attempt's command, and waits for the reply for this long. */
     public void send(
             Attempt attempt,
             SocketAddress address,
             CommandSource command,
             double timeoutMillis,
             ResultListener listener) {
-        Connection connection =
+        EndpointConnection connection =
                 start(
                         address,
                         command,
                         timeoutMillis,
-                        (outcome, answer, at) -> {
+                        (outcome, reply, receivedAt) -> {
                             inFlight.remove(attempt);
-                            listener.onResult(outcome, answer, at);
+                            listener.onResult(outcome, reply, receivedAt);
                         });
         if (connection != null) {
             inFlight.put(attempt, connection);
         }
     }
 
-    /** Asks a node something that no client sent. */
+    /** Sends a command that belongs to no client's request. */
     public void sendHealthCheck(
             SocketAddress address,
-            List<byte[]> words,
+            List<byte[]> arguments,
             double timeoutMillis,
             ResultListener listener) {
-        start(address, left -> words, timeoutMillis, listener);
+        start(address, remainingMillis -> arguments, timeoutMillis, listener);
     }
 
-    /**
-     * Nobody waits for this attempt any longer: its connection ends with it at once; its outcome is
-     * told later.
-     */
+    /** Closes the attempt's connection at once; its listener is called in a later task. */
     public void cancel(Attempt attempt) {
-        Connection connection = inFlight.get(attempt);
+        EndpointConnection connection = inFlight.get(attempt);
         if (connection != null) {
             connection.end(Outcome.CANCELLED);
         }
     }
 
-    /** The same, if the node has not been sent the whole of it. */
+    /** Cancels the attempt unless its whole command has been given to the system. */
     public void cancelUnwritten(Attempt attempt) {
-        Connection connection = inFlight.get(attempt);
-        if (connection != null && !connection.commandWritten) {
+        EndpointConnection connection = inFlight.get(attempt);
+        if (connection != null && !connection.isCommandWritten()) {
             connection.end(Outcome.CANCELLED);
         }
     }
 
-    private Connection start(
+    private EndpointConnection start(
             SocketAddress address,
             CommandSource command,
             double timeoutMillis,
             ResultListener listener) {
-        Connection connection = takeIdle(address);
+        EndpointConnection connection = takeIdle(address);
         if (connection == null && (openConnections < maxConnections || closeOldestIdle())) {
-            connection = new Connection(address);
+            connection = open(address);
         }
         if (connection == null) {
             rejectedAtLimit++;
@@ -228,317 +205,98 @@
         return connection;
     }
 
-    private Connection takeIdle(SocketAddress address) {
-        ArrayDeque<Connection> idleConnections = idle.get(address);
-        if (idleConnections == null) {
+    // ---- connections ----
+
+    private EndpointConnection open(SocketAddress address) {
+        openConnections++;
+        openByAddress.merge(address, 1, Integer::sum);
+        connectionsOpened++;
+        return new EndpointConnection(address, shared, poolListener);
+    }
+
+    private EndpointConnection takeIdle(SocketAddress address) {
+        ArrayDeque<EndpointConnection> candidates = idle.get(address);
+        if (candidates == null) {
             return null;
         }
         double now = clock.getAsDouble();
-        for (Iterator<Connection> each = idleConnections.iterator(); each.hasNext(); ) {
-            Connection connection = each.next();
-            if (now - connection.idleSince >= REUSE_DELAY_MILLIS) {
+        for (Iterator<EndpointConnection> each = candidates.iterator(); each.hasNext(); ) {
+            EndpointConnection connection = each.next();
+            if (now - connection.idleSince() >= REUSE_DELAY_MILLIS) {
                 each.remove();
                 if (!connection.isStale()) {
                     return connection;
                 }
                 staleConnections++;
-                connection.close("ended by the endpoint while free");
+                connection.close("closed by the endpoint while idle");
             }
         }
         return null;
     }
 
     private boolean closeOldestIdle() {
-        Connection oldest = null;
-        for (ArrayDeque<Connection> idleConnections : idle.values()) {
-            Connection last = idleConnections.peekLast();
-            if (last != null && (oldest == null || last.idleSince < oldest.idleSince)) {
+        EndpointConnection oldest = null;
+        for (ArrayDeque<EndpointConnection> connections : idle.values()) {
+            EndpointConnection last = connections.peekLast();
+            if (last != null && (oldest == null || last.idleSince() < oldest.idleSince())) {
                 oldest = last;
             }
         }
         if (oldest != null) {
-            oldest.close("room");
+            oldest.close("at capacity");
         }
         return oldest != null;
     }
 
-    /** Closes what has been free for long, well before the machine would. */
+    /** Closes connections that have been idle for long, before their endpoint does. */
     public void closeExpired() {
         double now = clock.getAsDouble();
-        for (ArrayDeque<Connection> idleConnections : List.copyOf(idle.values())) {
-            while (!idleConnections.isEmpty()
-                    && now - idleConnections.peekLast().idleSince > idleTimeoutMillis) {
-                idleConnections.peekLast().close("idle");
+        for (ArrayDeque<EndpointConnection> connections : List.copyOf(idle.values())) {
+            while (!connections.isEmpty()
+                    && now - connections.peekLast().idleSince() > idleTimeoutMillis) {
+                connections.peekLast().close("idle");
             }
         }
         idle.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** Closes all connections; attempts that are out are called off. */
+    /** Closes all connections; attempts in flight are cancelled. */
     public void close() {
         List.copyOf(inFlight.keySet()).forEach(this::cancel);
-        List.copyOf(idle.values())
-                .forEach(
-                        idleConnections ->
-                                List.copyOf(idleConnections)
-                                        .forEach(connection -> connection.close("stop")));
-    }
-
-    /** One connection. */
-    private final class Connection extends ChannelInboundHandlerAdapter {
-        private final SocketAddress address;
-        private final RespDecoder decoder = new RespDecoder(limits);
-        private Channel channel;
-        private CommandSource command;
-        private double deadline;
-        private ResultListener listener;
-        private ScheduledFuture<?> timeoutTask;
-        private ScheduledFuture<?> stallTask;
-        private boolean connected;
-        private boolean commandWritten;
-        private boolean closed;
-        private double idleSince = Double.NaN;
-        private double startedAt;
-
-        Connection(SocketAddress address) {
-            this.address = address;
-        }
-
-        void start(
-                CommandSource commandToSend, double timeoutMillis, ResultListener resultListener) {
-            command = commandToSend;
-            startedAt = clock.getAsDouble();
-            deadline = startedAt + timeoutMillis;
-            listener = resultListener;
-            commandWritten = false;
-            idleSince = Double.NaN;
-            timeoutTask =
-                    loop.schedule(
-                            this::onTimeout,
-                            (long) Math.max(1, timeoutMillis * NANOS_PER_MILLI),
-                            TimeUnit.NANOSECONDS);
-            if (connected) {
-                write();
-            } else {
-                connect();
-            }
-        }
-
-        private void connect() {
-            openConnections++;
-            openByAddress.merge(address, 1, Integer::sum);
-            connectionsOpened++;
-            ChannelFuture connecting =
-                    transport
-                            .connector()
-                            .option(
-                                    ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                    (int) Math.max(1, connectTimeoutMillis))
-                            .handler(
-                                    new ChannelInitializer<Channel>() {
-                                        @Override
-                                        protected void initChannel(Channel fresh) {
-                                            fresh.pipeline().addLast(decoder, Connection.this);
-                                        }
-                                    })
-                            .connect(address);
-            channel = Transport.channelOf(connecting);
-            Transport.onConnectFailure(connecting, loop, cause -> end(Outcome.NO_CONNECTION));
-        }
-
-        /** The node is told what is left now, however long the connection took to come up. */
-        private void write() {
-            double remainingMillis = deadline - clock.getAsDouble();
-            List<byte[]> arguments =
-                    remainingMillis < MIN_TIMEOUT_MILLIS
-                            ? null
-                            : command.arguments(remainingMillis);
-            if (arguments == null) {
-                end(
-                        remainingMillis < MIN_TIMEOUT_MILLIS
-                                ? Outcome.NO_CONNECTION
-                                : Outcome.NOT_EXECUTED);
-                return;
-            }
-            channel.writeAndFlush(RespEncoder.command(arguments))
-                    .addListener(
-                            done -> {
-                                if (done.isSuccess()) {
-                                    commandWritten = true;
-                                }
-                            });
-        }
-
-        /**
-         * Whether the kernel holds what has not been read here: its end, or bytes that nobody asked
-         * for.
-         */
-        boolean isStale() {
-            if (!(channel instanceof UnixChannel socket)) {
-                return false;
-            }
-            try {
-                return socket.fd().read(oneByte, 0, 1) != 0;
-            } catch (IOException reset) {
-                return true;
-            }
-        }
-
-        @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            connected = true;
-            if (listener != null) {
-                write();
-            }
-        }
-
-        @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if (listener == null) {
-                // More than belongs to an answer: nothing of it may meet the next call.
-                close("bytes that belong to no answer");
-                return;
-            }
-            Resp answer = (Resp) message;
-            Outcome outcome = outcomeOf(answer);
-            ResultListener finished = takeListener();
-            // Offered again once all that came with the answer is read.
-            idleSince = clock.getAsDouble();
-            finished.onResult(
-                    outcome,
-                    answer,
-                    idleSince - receiveTime.millisSinceReceived(channel, idleSince - startedAt));
-        }
-
-        @Override
-        public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (listener != null && !closed && decoder.isMidValue()) {
-                restartStallTimeout();
-            }
-            if (listener != null || closed || Double.isNaN(idleSince)) {
-                return;
-            }
-            if (decoder.isMidValue()) {
-                close("bytes behind an answer");
-            } else if (!isIdle()) {
-                idle.computeIfAbsent(address, any -> new ArrayDeque<>()).addFirst(this);
-            }
-        }
-
-        /** An answer that stops inside will not go on; one that comes slowly does. */
-        private void restartStallTimeout() {
-            if (stallTask != null) {
-                stallTask.cancel(false);
-            }
-            stallTask =
-                    loop.schedule(
-                            this::onStalled,
-                            (long) (stallTimeoutMillis * NANOS_PER_MILLI),
-                            TimeUnit.NANOSECONDS);
-        }
-
-        private void onStalled() {
-            countInvalidResponse("stopped inside");
-            end(Outcome.FAILED);
-        }
-
-        /** Whoever has begun to answer is not silent. */
-        private void onTimeout() {
-            if (decoder.isMidValue()) {
-                onStalled();
-            } else {
-                end(commandWritten ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
-            }
-        }
-
-        private boolean isIdle() {
-            ArrayDeque<Connection> links = idle.get(address);
-            return links != null && links.contains(this);
-        }
-
-        private Outcome outcomeOf(Resp answer) {
-            if (answer instanceof Resp.Array array
-                    && array.items() != null
-                    && array.items().size() == REPLY_ITEMS
-                    && array.items().get(0) instanceof Resp.Bulk value
-                    && !value.isNull()) {
-                return Outcome.SERVED;
-            }
-            if (answer instanceof Resp.Line line && line.isError()) {
-                return line.text().startsWith("BUSY") ? Outcome.REJECTED : Outcome.FAILED;
-            }
-            countInvalidResponse("is no answer");
-            return Outcome.FAILED;
-        }
-
-        /** Counted by kind, of which there are only as many as the codec has sentences. */
-        private void countInvalidResponse(String what) {
-            invalidReplies.merge(what.replaceAll("[0-9]+", "N"), 1, Integer::sum);
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            onConnectionLost();
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof DecoderException) {
-                countInvalidResponse("cannot be read: " + cause.getMessage());
-                end(Outcome.FAILED);
-            } else {
-                onConnectionLost();
-            }
-        }
-
-        /** What was not wholly written has never run. */
-        private void onConnectionLost() {
-            end(commandWritten ? Outcome.RESET : Outcome.NO_CONNECTION);
+        for (ArrayDeque<EndpointConnection> connections : List.copyOf(idle.values())) {
+            List.copyOf(connections).forEach(connection -> connection.close("shutdown"));
         }
+    }
 
-        /**
-         * Ends the connection, and the call that is out, if any, without an answer. Whoever waits
-         * is told a task later, never from within the call that ends it.
-         */
-        void end(Outcome outcome) {
-            ResultListener finished = takeListener();
-            close(outcome.name());
-            if (finished != null) {
-                double at = clock.getAsDouble();
-                loop.execute(() -> finished.onResult(outcome, null, at));
+    private EndpointConnection.PoolListener poolListener() {
+        return new EndpointConnection.PoolListener() {
+            @Override
+            public void onIdle(EndpointConnection connection) {
+                ArrayDeque<EndpointConnection> connections =
+                        idle.computeIfAbsent(connection.address(), any -> new ArrayDeque<>());
+                if (!connections.contains(connection)) {
+                    connections.addFirst(connection);
+                }
             }
-        }
 
-        private ResultListener takeListener() {
-            ResultListener finished = listener;
-            listener = null;
-            command = null;
-            if (timeoutTask != null) {
-                timeoutTask.cancel(false);
-                timeoutTask = null;
-            }
-            if (stallTask != null) {
-                stallTask.cancel(false);
-                stallTask = null;
+            @Override
+            public void onClosed(EndpointConnection connection, String reason) {
+                SocketAddress address = connection.address();
+                closeListener.accept(address, reason);
+                openConnections--;
+                openByAddress.computeIfPresent(
+                        address, (any, count) -> count == 1 ? null : count - 1);
+                ArrayDeque<EndpointConnection> connections = idle.get(address);
+                if (connections != null) {
+                    connections.remove(connection);
+                }
             }
-            return finished;
-        }
 
-        void close(String why) {
-            if (closed) {
-                return;
-            }
-            closed = true;
-            closeListener.accept(address, why);
-            openConnections--;
-            openByAddress.computeIfPresent(address, (any, count) -> count == 1 ? null : count - 1);
-            ArrayDeque<Connection> links = idle.get(address);
-            if (links != null) {
-                links.remove(this);
+            /** Counted by kind, of which there are as many as the decoder has messages. */
+            @Override
+            public void onInvalidReply(String what) {
+                invalidReplies.merge(what.replaceAll("[0-9]+", "N"), 1, Integer::sum);
             }
-            if (channel != null) {
-                channel.close();
-            }
-        }
+        };
     }
 }
--- a/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
@@ -5,7 +5,7 @@
 import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
 
-/** What a node's answer holds beside its value: figures on use, and a report of its load. */
+/** What an endpoint's reply holds: a value, usage figures, and a report of its load. */
 public final class EndpointResponse {
     private static final int VALUE_ITEM = 0;
     private static final int USAGE_ITEM = 1;
@@ -14,22 +14,22 @@
 
     private EndpointResponse() {}
 
-    /** The value of an answer that satisfied. */
-    public static byte[] value(Resp answer) {
-        return ((Resp.Bulk) ((Resp.Array) answer).items().get(VALUE_ITEM)).bytes();
+    /** The value of a reply whose outcome is SERVED. */
+    public static byte[] value(Resp reply) {
+        return ((Resp.Bulk) ((Resp.Array) reply).items().get(VALUE_ITEM)).bytes();
     }
 
-    /** Notes with the attempt what its answer tells; what cannot be read of it was not told. */
-    public static void recordIn(Attempt attempt, Resp answer, List<String> reportFields) {
-        if (answer instanceof Resp.Array array
+    /** Records a reply's usage figures and load report; what cannot be read is left out. */
+    public static void recordIn(Attempt attempt, Resp reply, List<String> reportFields) {
+        if (reply instanceof Resp.Array array
                 && array.items() != null
                 && array.items().size() > REPORT_ITEM) {
             recordUsage(attempt, text(array.items().get(USAGE_ITEM)));
             attempt.report = parseReport(array.items().get(REPORT_ITEM), reportFields);
-        } else if (answer instanceof Resp.Line line && line.isError()) {
-            for (String word : line.text().split(" ")) {
-                recordUsage(attempt, word);
-                double[] report = parseReport(word, reportFields);
+        } else if (reply instanceof Resp.Line line && line.isError()) {
+            for (String field : line.text().split(" ")) {
+                recordUsage(attempt, field);
+                double[] report = parseReport(field, reportFields);
                 attempt.report = report != null ? report : attempt.report;
             }
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    /** A load report in the order of its fields; null if it does not tell them all. */
+    /** A load report in the order of its fields; null if one is missing. */
     public static double[] parseReport(Resp item, List<String> fields) {
         return parseReport(text(item), fields);
     }
@@ -69,10 +69,7 @@
         return item instanceof Resp.Bulk bulk && !bulk.isNull() ? bulk.text() : "";
     }
 
-    /**
-     * The figure of this name in a list of names and values; NaN if it is not there or cannot be
-     * read.
-     */
+    /** The figure of this name in a list of names and values; NaN if there is none. */
     private static double parseFigure(String text, String name) {
         for (String part : text.split(",")) {
             if (part.startsWith(name + "=")) {
--- a/src/test/java/sagepulley/config/resp/ConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -16,7 +16,7 @@
 import sagepulley.lifecycle.WarmUpConfig;
 
 /** What a gateway is told at its start. */
-class ConfigTest {
+class GatewayConfigTest {
     @TempDir private Path folder;
 
     @Test
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -34,7 +34,7 @@
     @TempDir private Path folder;
 
     /** What first-message.txt and config.json say alike. */
-    private static Deployment told() {
+    private static Deployment expectedDeployment() {
         return new Deployment(
                 2,
                 5,
@@ -132,7 +132,7 @@
     @Test
     void pathsOfTheFirstMessage() throws IOException {
         String text = Files.readString(FOLDER.resolve("first-message.txt"));
-        assertEquals(told(), SettingsReader.ofLines(text).deployment());
+        assertEquals(expectedDeployment(), SettingsReader.ofLines(text).deployment());
     }
 
     private static GatewayConfig config(String name, String listen, int discoveryPort) {
@@ -151,7 +151,7 @@
                                 member("two", Node.Phase.DRAINING, 82),
                                 member("three", Node.Phase.REMOVED, 83)),
                         List.of()),
-                told().onWatch(6_000),
+                expectedDeployment().onWatch(6_000),
                 List.of("here", "there"),
                 List.of("plain", "fast"),
                 91,
--- a/src/test/java/sagepulley/discovery/http/DiscoveryTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -31,7 +31,7 @@
 
 /** Calls to discovery: what is told, and that each failure is told once. */
 @Timeout(60)
-class DiscoveryTest {
+class DiscoveryClientTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
     private static final long NEVER = 600_000;
     private final List<EndpointListUpdate> updates = new CopyOnWriteArrayList<>();
@@ -79,7 +79,7 @@
                             }
                         },
                         clock::now,
-                        new DiscoveryRequest.Timeouts(answerMs, silenceMs));
+                        new DiscoveryTimeouts(answerMs, silenceMs));
         loop = transport.eventLoops().next();
         loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
         return client;
@@ -253,7 +253,7 @@
             fresh.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
             await().until(() -> updates.size() == 3);
             assertTrue(confirmations.size() > confirmed);
-            assertEquals(-1, former.in.read(), "the old watch is needless now");
+            assertEquals(-1, former.input.read(), "the old watch is needless now");
             assertEquals(List.of(), failures);
         }
     }
@@ -471,7 +471,7 @@
             ScriptedPeers.Connection late = last(peers.unansweredRequests);
             String whole = "{\"revision\":8,\"complete\":true,\"members\":[]}";
             late.send("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
-            assertEquals(-1, late.in.read(), "the call is over");
+            assertEquals(-1, late.input.read(), "the call is over");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
             assertEquals(71, client.revision());
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -147,7 +147,7 @@
     @Test
     void theLastAnswerArrivesWholeThoughBytesLieUnreadWhenItsConnectionEnds() throws Exception {
         ScriptedPeers.Connection client = client();
-        client.sendCommand(ScriptedPeers.read(1));
+        client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
         whileLoopIsHeld(
                 () -> client.send("*4\r\n$8\r\nBLK.RE"),
@@ -156,7 +156,7 @@
                     listener.drain();
                 });
         assertEquals("$" + BIG_VALUE_BYTES, client.readLine());
-        assertEquals(BIG_VALUE_BYTES, client.in.readNBytes(BIG_VALUE_BYTES).length);
+        assertEquals(BIG_VALUE_BYTES, client.input.readNBytes(BIG_VALUE_BYTES).length);
         assertEquals("", client.readLine());
         assertNull(client.readLine(), "an end, and no reset");
         client.socket.close();
@@ -171,8 +171,8 @@
         assertEquals("+PONG", client.readReply());
         onLoop(listener::drain);
         assertNull(client.readReply(), "an end");
-        client.sendCommand(ScriptedPeers.read(1));
-        client.sendCommand(ScriptedPeers.read(2));
+        client.sendCommand(ScriptedPeers.readCommand(1));
+        client.sendCommand(ScriptedPeers.readCommand(2));
         client.socket.shutdownOutput();
         await().until(() -> listener.isDrained());
         assertEquals(0, requests.size());
@@ -181,9 +181,9 @@
     @Test
     void whatIsReadBehindAnOpenCommandWhileTheConnectionEndsIsAnsweredToo() throws Exception {
         ScriptedPeers.Connection client = client();
-        client.sendCommand(ScriptedPeers.read(1));
+        client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
-        whileLoopIsHeld(() -> client.sendCommand(ScriptedPeers.read(2)), listener::drain);
+        whileLoopIsHeld(() -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
         await().until(() -> requests.size() == 2);
         onLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
         assertEquals("+FIRST", client.readReply());
@@ -198,7 +198,7 @@
                 () -> {
                     for (int i = 0; i < 20; i++) {
                         ScriptedPeers.Connection client = client();
-                        client.sendCommand(ScriptedPeers.read(i));
+                        client.sendCommand(ScriptedPeers.readCommand(i));
                         clients.add(client);
                     }
                 },
@@ -215,19 +215,19 @@
     }
 
     /** How a client ends its connection. */
-    enum Way {
+    enum DisconnectKind {
         FIN,
         HALF_CLOSE,
         RESET
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void aCloseIsSeenWhileReadingIsPausedForManyOpenCommands(Way way) throws Exception {
+    @EnumSource(DisconnectKind.class)
+    void aCloseIsSeenWhileReadingIsPausedForManyOpenCommands(DisconnectKind way) throws Exception {
         ScriptedPeers.Connection client = client();
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 100; i++) {
-            many.append(ScriptedPeers.command(ScriptedPeers.read(i)));
+            many.append(ScriptedPeers.command(ScriptedPeers.readCommand(i)));
         }
         client.send(many.toString());
         await().until(() -> requests.size() >= 64);
@@ -249,7 +249,7 @@
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
         passTime(3_000);
-        String command = ScriptedPeers.command(ScriptedPeers.read(1));
+        String command = ScriptedPeers.command(ScriptedPeers.readCommand(1));
         int half = command.length() / 2;
         client.send(command.substring(0, half));
         awaitPartial();
--- a/src/test/java/sagepulley/frontend/resp/PlatformPathTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -28,17 +28,17 @@
 
 /** The whole way on sockets: a client, the gateway, a scripted node and a scripted discovery. */
 @Timeout(60)
-class PlatformPathTest {
-    private static final ScriptedPeers.Script SERVES =
+class RespGatewayTest {
+    private static final ScriptedPeers.Script SERVING_ENDPOINT =
             (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
 
     @Test
     void readsAndWritesAreServedAndGoOnAsTheyCameButForThePatience() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand("PING");
             assertEquals("+PONG", client.readReply());
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", client.readReply());
             client.sendCommand(
                     "BLK.WRITE",
@@ -74,8 +74,8 @@
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.send(
-                    ScriptedPeers.command(ScriptedPeers.read(1))
-                            + ScriptedPeers.command(ScriptedPeers.read(2))
+                    ScriptedPeers.command(ScriptedPeers.readCommand(1))
+                            + ScriptedPeers.command(ScriptedPeers.readCommand(2))
                             + ScriptedPeers.command("PING"));
             assertEquals("$16 " + NumberParser.formatId(1), client.readReply());
             assertEquals("$16 " + NumberParser.formatId(2), client.readReply());
@@ -100,7 +100,7 @@
                 "c=get,,t=any"
             })
     void aCommandWithWrongFieldsGetsAnErrorAndNothingGoesToANode(String fields) throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(
                     "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(1), fields);
@@ -115,7 +115,7 @@
             assertTrue(client.readReply().startsWith("-ERR"));
             client.sendCommand("FLUSHALL");
             assertTrue(client.readReply().startsWith("-ERR"));
-            client.sendCommand(ScriptedPeers.read(5));
+            client.sendCommand(ScriptedPeers.readCommand(5));
             assertEquals("$5 value", client.readReply(), "the connection goes on");
             assertEquals(1, peers.commands.size());
         }
@@ -123,7 +123,7 @@
 
     @Test
     void bytesThatAreNoCommandGetAnErrorAndTheEndAndHarmNobodyElse() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection good = peers.connectClient();
             for (String bad :
                     new String[] {
@@ -137,7 +137,7 @@
                 assertTrue(client.readReply().startsWith("-ERR protocol error"));
                 assertNull(client.readReply(), "closed");
             }
-            good.sendCommand(ScriptedPeers.read(5));
+            good.sendCommand(ScriptedPeers.readCommand(5));
             assertEquals("$5 value", good.readReply());
         }
     }
@@ -152,10 +152,10 @@
                             connection.send(ScriptedPeers.VALUE_REPLY);
                         })) {
             ScriptedPeers.Connection first = peers.connectClient();
-            first.sendCommand(ScriptedPeers.read(1));
+            first.sendCommand(ScriptedPeers.readCommand(1));
             await().until(() -> peers.commands.size() == 1);
             ScriptedPeers.Connection second = peers.connectClient();
-            second.sendCommand(ScriptedPeers.read(1));
+            second.sendCommand(ScriptedPeers.readCommand(1));
             assertTrue(second.readReply().startsWith("-ERR"));
             go.countDown();
             assertEquals("$5 value", first.readReply());
@@ -165,17 +165,17 @@
 
     @Test
     void aConnectionThatNeverAsksIsClosedAndOneThatAskedStays() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
-            ScriptedPeers.Connection asked = peers.connectClient();
-            asked.sendCommand(ScriptedPeers.read(1));
-            assertEquals("$5 value", asked.readReply());
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
+            ScriptedPeers.Connection commandCount = peers.connectClient();
+            commandCount.sendCommand(ScriptedPeers.readCommand(1));
+            assertEquals("$5 value", commandCount.readReply());
             ScriptedPeers.Connection silent = peers.connectClient();
             ScriptedPeers.Connection half = peers.connectClient();
             half.send("*4\r\n$8\r\nBLK.RE");
             assertNull(silent.readReply());
             assertNull(half.readReply());
-            asked.sendCommand(ScriptedPeers.read(2));
-            assertEquals("$5 value", asked.readReply());
+            commandCount.sendCommand(ScriptedPeers.readCommand(2));
+            assertEquals("$5 value", commandCount.readReply());
         }
     }
 
@@ -192,17 +192,18 @@
                 "*3\r\n$2\r\nvalue\r\n",
                 ":7\r\n"
             })
-    void aSpoiltAnswerIsNeverServedAndItsConnectionNeverUsedAgain(String spoilt) throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void aSpoiltAnswerIsNeverServedAndItsConnectionNeverUsedAgain(String invalidReply)
+            throws Exception {
+        AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) ->
                                 connection.send(
-                                        asked.getAndIncrement() == 0
-                                                ? spoilt
+                                        commandCount.getAndIncrement() == 0
+                                                ? invalidReply
                                                 : ScriptedPeers.VALUE_REPLY))) {
             ScriptedPeers.Connection client = peers.connectClient();
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", client.readReply(), "by a second hop");
             assertEquals(2, peers.commands.size());
         }
@@ -210,16 +211,16 @@
 
     @Test
     void anAnswerThatStopsInsideIsNotWaitedForToTheEnd() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) ->
                                 connection.send(
-                                        asked.getAndIncrement() == 0
+                                        commandCount.getAndIncrement() == 0
                                                 ? ScriptedPeers.VALUE_REPLY.substring(0, 9)
                                                 : ScriptedPeers.VALUE_REPLY))) {
             ScriptedPeers.Connection client = peers.connectClient();
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", client.readReply());
             assertEquals(2, peers.commands.size());
         }
@@ -235,7 +236,7 @@
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
             for (long id = 1; id <= 20; id++) {
-                client.sendCommand(ScriptedPeers.read(id));
+                client.sendCommand(ScriptedPeers.readCommand(id));
                 assertEquals("$16 " + NumberParser.formatId(id), client.readReply());
             }
         }
@@ -249,7 +250,7 @@
                                 connection.send(
                                         "*3\r\n$5\r\nvalue\r\n$12\r\ncost=,used=x\r\n$3\r\n???\r\n"))) {
             ScriptedPeers.Connection client = peers.connectClient();
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", client.readReply());
         }
     }
@@ -265,7 +266,7 @@
                             }
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             await().until(() -> peers.commands.size() == 1);
             client.socket.close();
             ended.await();
@@ -277,9 +278,9 @@
      */
     @Test
     void whatAClientAskedThatHasGoneIsNotSent() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection good = peers.connectClient();
-            good.sendCommand(ScriptedPeers.read(1));
+            good.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", good.readReply());
             for (int id = 10; id < 20; id++) {
                 ScriptedPeers.Connection gone = peers.connectClient();
@@ -299,12 +300,12 @@
                                 });
                 held.await();
                 int port = gone.socket.getLocalPort();
-                gone.sendCommand(ScriptedPeers.read(id));
+                gone.sendCommand(ScriptedPeers.readCommand(id));
                 gone.socket.close();
                 KernelTcpTable.awaitFin(gone.socket.getPort(), port);
                 go.countDown();
             }
-            good.sendCommand(ScriptedPeers.read(2));
+            good.sendCommand(ScriptedPeers.readCommand(2));
             assertEquals("$5 value", good.readReply());
             assertEquals(
                     List.of(NumberParser.formatId(1), NumberParser.formatId(2)),
@@ -366,7 +367,7 @@
                         fields.equals("[]") ? List.of("PING") : List.of("INFO", "load"),
                         peers.commands.get(0));
                 ScriptedPeers.Connection client = peers.connectClient();
-                client.sendCommand(ScriptedPeers.read(1));
+                client.sendCommand(ScriptedPeers.readCommand(1));
                 assertEquals("$5 value", client.readReply());
             }
         }
@@ -374,30 +375,30 @@
 
     @Test
     void aNodeThatClosesMidwayGetsTheOperationOnceMore() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> {
-                            if (asked.getAndIncrement() == 0) {
+                            if (commandCount.getAndIncrement() == 0) {
                                 connection.socket.close();
                             } else {
                                 connection.send(ScriptedPeers.VALUE_REPLY);
                             }
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", client.readReply());
         }
     }
 
     @Test
     void afterTheStopClientsAreServedOnTheirConnectionsUntilThoseEnd() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
-            client.sendCommand(ScriptedPeers.read(1));
+            client.sendCommand(ScriptedPeers.readCommand(1));
             assertEquals("$5 value", client.readReply());
             peers.gateway.stop();
-            client.sendCommand(ScriptedPeers.read(2));
+            client.sendCommand(ScriptedPeers.readCommand(2));
             assertEquals("$5 value", client.readReply());
             assertNull(client.readReply(), "closed when the time is up");
             peers.gateway.stopped().join();
@@ -406,7 +407,7 @@
 
     @Test
     void whoConnectsAndSaysNothingLeavesRoomForThoseWhoAsk() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             // The configuration has 256 descriptors for all.
             for (int i = 0; i < 400; i++) {
                 peers.connectClient();
@@ -415,7 +416,7 @@
                             () -> {
                                 ScriptedPeers.Connection client = peers.connectClient();
                                 try {
-                                    client.sendCommand(ScriptedPeers.read(1));
+                                    client.sendCommand(ScriptedPeers.readCommand(1));
                                     return "$5 value".equals(client.readReply());
                                 } catch (IOException turnedAway) {
                                     return false;
@@ -426,7 +427,7 @@
 
     @Test
     void sixtyMegabytesAtFullSpeedEndTheirOwnConnectionOnly() throws Exception {
-        try (ScriptedPeers peers = new ScriptedPeers(SERVES)) {
+        try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection good = peers.connectClient();
             ScriptedPeers.Connection bad = peers.connectClient();
             byte[] chunk = new byte[1 << 20];
@@ -440,13 +441,13 @@
                 for (int i = 0; i < 60; i++) {
                     bad.socket.getOutputStream().write(chunk);
                 }
-                while (bad.in.read() >= 0) {
+                while (bad.input.read() >= 0) {
                     continue;
                 }
             } catch (IOException closed) {
                 // What is left unread makes the close a reset.
             }
-            good.sendCommand(ScriptedPeers.read(5));
+            good.sendCommand(ScriptedPeers.readCommand(5));
             assertEquals("$5 value", good.readReply());
             assertEquals(1, peers.commands.size());
         }
@@ -458,20 +459,22 @@
         try (ScriptedPeers peers =
                 new ScriptedPeers((words, connection) -> connection.send(value))) {
             ScriptedPeers.Connection deaf = peers.connectClient();
-            int asked = 0;
+            int commandCount = 0;
             try {
                 while (true) {
-                    deaf.sendCommand(ScriptedPeers.read(++asked));
-                    if (asked % 64 == 0) {
+                    deaf.sendCommand(ScriptedPeers.readCommand(++commandCount));
+                    if (commandCount % 64 == 0) {
                         deaf.socket.getOutputStream().flush();
                     }
                 }
             } catch (IOException closed) {
                 // By the gateway, for it read nothing for long.
             }
-            assertTrue(peers.commands.size() < asked, peers.commands.size() + " of " + asked);
+            assertTrue(
+                    peers.commands.size() < commandCount,
+                    peers.commands.size() + " of " + commandCount);
             ScriptedPeers.Connection good = peers.connectClient();
-            good.sendCommand(ScriptedPeers.read(Long.MAX_VALUE));
+            good.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
             assertTrue(good.readReply().startsWith("$60000 "));
         }
     }
--- a/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
@@ -86,10 +86,11 @@
         counts.addWaiting(waits);
         counts.onUnserved(trafficClass, Reason.OBJECTIVE_MISSED);
         assertEquals(
-                "taken=0 on-time=0 late=0 left=0 bad=0 no-room=0 hops=0 outcomes={SERVED=1,"
+                "accepted=0 within-objective=0 beyond-objective=0 cancelled=0 invalid=0"
+                        + " rejected-at-capacity=0 attempts=0 outcomes={SERVED=1,"
                         + " FAILED=1, REJECTED=1, TIMED_OUT=1, NO_CONNECTION=1, RESET=1,"
-                        + " CANCELLED=1, NOT_EXECUTED=1} given-up={get/OBJECTIVE_MISSED=1}"
-                        + " waits={NONE=1, RESERVATION_FULL=1, SHARE_FULL=1, EXCESS_FULL=1,"
+                        + " CANCELLED=1, NOT_EXECUTED=1} unserved={get/OBJECTIVE_MISSED=1}"
+                        + " waiting={NONE=1, RESERVATION_FULL=1, SHARE_FULL=1, EXCESS_FULL=1,"
                         + " QUEUE_AT_NODE=1, WARMING_UP=1, UNRESPONSIVE=1, NOT_READY=1,"
                         + " NO_NODE=1, NO_LEASE=1, LIMIT=1, RETRY_BUDGET=1, KEY_ORDER=1,"
                         + " LOWER_PRIORITY=1, OBJECTIVE_MISSED=1, DEADLINE=1, NO_RETRY=1,"
--- a/src/test/java/sagepulley/lifecycle/ServeTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -22,7 +22,7 @@
 
 /** A gateway as `run` starts it: from a file, with the operating system's signals. */
 @Timeout(60)
-class ServeTest {
+class GatewayServerTest {
     @TempDir Path folder;
 
     /** The first file is a pipe whose reading is held up until the second signal is on its way. */
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -39,13 +39,13 @@
     /** One connection to a peer. */
     public static final class Connection {
         public final Socket socket;
-        public final InputStream in;
+        public final InputStream input;
 
         public Connection(Socket socket) throws IOException {
             socket.setSoTimeout(TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
             this.socket = socket;
-            this.in = new BufferedInputStream(socket.getInputStream());
+            this.input = new BufferedInputStream(socket.getInputStream());
         }
 
         public void send(String text) throws IOException {
@@ -57,7 +57,7 @@
         /** A line without its end; null where the connection has ended. */
         public String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
-            for (int next = in.read(); next != '\n'; next = in.read()) {
+            for (int next = input.read(); next != '\n'; next = input.read()) {
                 if (next < 0) {
                     return null;
                 }
@@ -87,8 +87,8 @@
             List<String> words = new ArrayList<>();
             for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
                 int length = Integer.parseInt(readLine().substring(1));
-                words.add(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
-                in.readNBytes(2);
+                words.add(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
+                input.readNBytes(2);
             }
             return words;
         }
@@ -130,11 +130,11 @@
         ServerSocket node =
                 serve(
                         connection -> {
-                            for (List<String> words = connection.readCommand();
-                                    words != null;
-                                    words = connection.readCommand()) {
-                                commands.add(words);
-                                script.answer(words, connection);
+                            for (List<String> arguments = connection.readCommand();
+                                    arguments != null;
+                                    arguments = connection.readCommand()) {
+                                commands.add(arguments);
+                                script.answer(arguments, connection);
                             }
                         });
         SocketAddress discovery = discovery();
@@ -167,14 +167,14 @@
                             }
                             discoveryRequests.add(call);
                             if (endpointList == null) {
-                                connection.in.read();
+                                connection.input.read();
                             } else if (endpointList.startsWith("HTTP")) {
                                 connection.send(endpointList);
                             } else {
                                 connection.send(LIST_RESPONSE_HEAD);
                                 watches.add(connection);
                                 sendChunk(connection, endpointList);
-                                connection.in.read();
+                                connection.input.read();
                             }
                         })
                 .getLocalSocketAddress();
@@ -196,26 +196,26 @@
         return new Connection(socket);
     }
 
-    public static String command(String... words) {
-        StringBuilder command = new StringBuilder("*" + words.length + "\r\n");
-        for (String word : words) {
+    public static String command(String... arguments) {
+        StringBuilder command = new StringBuilder("*" + arguments.length + "\r\n");
+        for (String word : arguments) {
             command.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
         }
         return command.toString();
     }
 
     /** Words of a read with this id. */
-    public static String[] read(long id) {
+    public static String[] readCommand(long id) {
         return new String[] {
             "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(id), fields("get", 9000, 0)
         };
     }
 
-    public static String fields(String band, int patience, int shard) {
+    public static String fields(String trafficClass, int deadlineMillis, int shard) {
         return "c="
-                + band
+                + trafficClass
                 + ",t=any,d="
-                + patience
+                + deadlineMillis
                 + ",volume="
                 + NumberParser.formatId(3)
                 + ",units=2,shard="
--- a/src/test/java/sagepulley/upstream/resp/NodeCrossingsTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -38,7 +38,7 @@
  * held by hand.
  */
 @Timeout(60)
-class NodeCrossingsTest {
+class EndpointConnectionRaceTest {
     private static final double LONG_MILLIS = 600_000;
     private static final int HELD_MILLIS = 300;
 
