--- a/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -1,11 +1,8 @@
 package sagepulley.discovery.directory;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -20,94 +17,104 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sagepulley.codec.frame.Frame;
-import sagepulley.codec.frame.FrameDecoder;
-import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.FrameClientHandler;
+import sagepulley.codec.frame.FrameConnector;
 import sagepulley.codec.frame.FrameFields;
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * A gateway's link to the directory: a connection that is opened when a call needs it. Calls fail
- * when the connection ends or does not come, or no answer in two seconds; nothing is asked again
- * here. All on one loop.
+ * A gateway's client of the directory, over a connection that is opened when a call needs it. Each
+ * call ends exactly once: with its answer, or failed when the connection ends or cannot be opened,
+ * or no answer comes in time. Nothing is retried here. The text of a failure may go on to an NBD
+ * client in the reply to a block status. Confined to its event loop.
  */
 public final class DirectoryClient {
-    private static final int CONNECT_MS = 2_000;
-    private static final int MOST_CALLS = 100_000;
-    private static final long ANSWER_MS = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final long CALL_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_CALLS = 100_000;
     private static final Logger LOG = LoggerFactory.getLogger(DirectoryClient.class);
 
-    /** Told what the directory says, on the loop. */
+    /** Receives what the directory says, on the event loop. */
     public interface Listener {
-        /** A list, pushed or asked for. */
-        void endpointListReceived(DirectoryMessages.EndpointList listing);
+        /** An endpoint list came, pushed or asked for. */
+        void endpointListReceived(DirectoryMessages.EndpointList list);
 
-        /** A subscription dropped with its connection, or a call for the list failed. */
+        /** The subscription dropped with its connection, or a call for the list failed. */
         void endpointListFailed(String why);
     }
 
-    /** Told the end of a call, once. */
+    /** Receives the end of a call, once: the answer, or null with the reason of the failure. */
     public interface ResultHandler<T> {
+        /** Exactly one of the two is null. */
         void accept(T answer, String failure);
     }
 
     private final EventLoop loop;
-    private final Class<? extends Channel> kind;
-    private final SocketAddress address;
+    private final FrameConnector connector;
     private final long gateway;
     private final String name;
-    private final Listener owner;
+    private final Listener listener;
     private final Map<Long, ResultHandler<Frame>> calls = new HashMap<>();
     private final List<Frame> unsent = new ArrayList<>();
 
-    /** Calls that were given up, whose answers may still come; the latest ones. */
-    private final Set<Long> abandoned =
+    /** The latest calls that timed out, whose answers may still come. */
+    private final Set<Long> timedOut =
             Collections.newSetFromMap(
                     new LinkedHashMap<>() {
                         private static final long serialVersionUID = 1;
 
                         @Override
                         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                            return size() > MOST_CALLS;
+                            return size() > MAX_CALLS;
                         }
                     });
 
+    /** The connection, from the attempt to connect on; null for none. */
     private Channel channel;
+
     private boolean open;
     private boolean subscribed;
-    private long ids;
+    private long lastCallId;
 
+    /**
+     * A client whose connection is not opened yet.
+     *
+     * @param gateway the number of this incarnation of the gateway
+     * @param name the gateway's name, for operators of the directory
+     */
     public DirectoryClient(
             EventLoop loop,
-            Class<? extends Channel> kind,
+            Class<? extends Channel> channelType,
             SocketAddress address,
             long gateway,
             String name,
-            Listener owner) {
+            Listener listener) {
         this.loop = loop;
-        this.kind = kind;
-        this.address = address;
+        this.connector = new FrameConnector(loop, channelType, address, CONNECT_TIMEOUT_MILLIS, 0);
         this.gateway = gateway;
         this.name = name;
-        this.owner = owner;
+        this.listener = listener;
     }
 
+    /** Asks for the endpoint list and for every change of it from then on. */
     public void subscribe() {
-        askList(DirectoryMessages.SUBSCRIBE);
+        requestList(DirectoryMessages.SUBSCRIBE);
     }
 
+    /** Asks for the endpoint list once. */
     public void fetch() {
-        askList(DirectoryMessages.FETCH);
+        requestList(DirectoryMessages.FETCH);
     }
 
-    /** Which cells hold the extents in a row; -1 for none. */
-    public void lookup(int volume, long first, int count, ResultHandler<int[]> ended) {
-        long id = ++ids;
+    /** Looks up which cells hold consecutive extents; -1 for none. */
+    public void lookup(int volume, long first, int count, ResultHandler<int[]> result) {
+        long id = ++lastCallId;
         call(
                 id,
                 DirectoryMessages.lookup(id, volume, first, count),
                 (frame, failure) -> {
                     if (frame == null) {
-                        ended.accept(null, failure);
+                        result.accept(null, failure);
                         return;
                     }
                     int[] cells = DirectoryMessages.holders(frame);
@@ -115,93 +122,78 @@
                         throw new MalformedMessageException(
                                 "holders of " + cells.length + " extents, asked " + count);
                     }
-                    ended.accept(cells, null);
+                    result.accept(cells, null);
                 });
     }
 
-    /**
-     * Claims an extent for a cell; the answer is the cell that holds it now, whoever claimed first.
-     */
-    public void claim(int volume, long extent, int cell, ResultHandler<Integer> ended) {
-        long id = ++ids;
+    /** Claims an extent for a cell; the answer is the cell that holds it, whoever claimed first. */
+    public void claim(int volume, long extent, int cell, ResultHandler<Integer> result) {
+        long id = ++lastCallId;
         call(
                 id,
                 DirectoryMessages.claim(id, volume, extent, cell),
                 (frame, failure) ->
-                        ended.accept(
+                        result.accept(
                                 frame == null
                                         ? null
                                         : (Integer) FrameFields.requireHead(frame, 4).readInt(),
                                 failure));
     }
 
-    /** Whether a subscription stands, so that every change is told. */
+    /** Whether a subscription stands, so that every change is pushed. */
     public boolean isSubscribed() {
         return subscribed && open;
     }
 
-    /** Whether a connection stands. */
+    /** Whether the connection is open. */
     public boolean isOpen() {
         return open;
     }
 
+    /** Ends the connection; pending calls fail. */
     public void close() {
         if (channel != null) {
-            Channel old = channel;
+            Channel closing = channel;
             subscribed = false;
-            lost(old, "closed");
-            old.close();
+            disconnected(closing, "closed");
+            closing.close();
         }
     }
 
     /** Reads an answer, which may turn out malformed. */
-    private interface Reading {
+    private interface AnswerReader {
         void accept(Frame frame, String failure) throws MalformedMessageException;
     }
 
-    private void askList(int type) {
-        long id = ++ids;
+    private void requestList(int type) {
+        long id = ++lastCallId;
         call(
                 id,
                 new Frame(type, id),
                 (frame, failure) -> {
                     if (frame == null) {
-                        owner.endpointListFailed(failure);
+                        listener.endpointListFailed(failure);
                     } else {
                         subscribed |= type == DirectoryMessages.SUBSCRIBE;
-                        owner.endpointListReceived(DirectoryMessages.list(frame));
+                        listener.endpointListReceived(DirectoryMessages.list(frame));
                     }
                 });
     }
 
-    private void call(long id, Frame frame, Reading reading) {
-        if (calls.size() >= MOST_CALLS) {
+    private void call(long id, Frame frame, AnswerReader reader) {
+        if (calls.size() >= MAX_CALLS) {
             frame.release();
-            fail((any, why) -> reading.accept(null, why), "too many calls are out");
+            fail(reader, "too many calls are out");
             return;
         }
-        // A directory that takes a call and says nothing must not hold its asker for good.
-        Future<?> timer =
-                loop.schedule(
-                        () -> {
-                            ResultHandler<Frame> late = calls.remove(id);
-                            if (late != null) {
-                                abandoned.add(id);
-                                late.accept(null, "no answer in " + ANSWER_MS + " ms");
-                            }
-                        },
-                        ANSWER_MS,
-                        TimeUnit.MILLISECONDS);
+        // A directory that takes a call and says nothing must not hold its caller for good.
+        Future<?> timeout =
+                loop.schedule(() -> timeOut(id), CALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         calls.put(
                 id,
                 (answer, failure) -> {
-                    timer.cancel(false);
-                    try {
-                        reading.accept(answer, failure);
-                    } catch (MalformedMessageException bad) {
-                        fail((any, why) -> reading.accept(null, why), bad.getMessage());
-                        broken(bad.getMessage());
-                    }
+                    timeout.cancel(false);
+                    read(reader, answer, failure);
                 });
         if (open) {
             channel.writeAndFlush(frame);
@@ -213,72 +205,72 @@
         }
     }
 
-    private static void fail(Reading reading, String why) {
+    private void timeOut(long id) {
+        ResultHandler<Frame> call = calls.remove(id);
+        if (call != null) {
+            timedOut.add(id);
+            call.accept(null, "no answer in " + CALL_TIMEOUT_MILLIS + " ms");
+        }
+    }
+
+    private void read(AnswerReader reader, Frame answer, String failure) {
         try {
-            reading.accept(null, why);
-        } catch (MalformedMessageException never) {
-            throw new IllegalStateException(never);
+            reader.accept(answer, failure);
+        } catch (MalformedMessageException malformed) {
+            fail(reader, malformed.getMessage());
+            disconnect(malformed.getMessage());
+        }
+    }
+
+    private static void fail(AnswerReader reader, String why) {
+        try {
+            reader.accept(null, why);
+        } catch (MalformedMessageException impossible) {
+            throw new IllegalStateException("a failed call has no answer to read", impossible);
         }
     }
 
     private void connect() {
-        var connecting =
-                new Bootstrap()
-                        .group(loop)
-                        .channel(kind)
-                        .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                        .handler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel fresh) {
-                                        fresh.pipeline()
-                                                .addLast(
-                                                        new FrameDecoder(0),
-                                                        new FrameEncoder(),
-                                                        new Talk());
-                                    }
-                                })
-                        .connect(address);
+        ChannelFuture connecting = connector.connect(new Handler());
         channel = connecting.channel();
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        lost(connecting.channel(), done.cause().getMessage());
+                        disconnected(connecting.channel(), done.cause().getMessage());
                     }
                 });
     }
 
-    private void broken(String why) {
+    private void disconnect(String why) {
         if (channel != null) {
-            LOG.atWarn().addKeyValue("why", why).log("link to the directory ends");
-            Channel old = channel;
-            lost(old, why);
-            old.close();
+            LOG.atWarn().addKeyValue("why", why).log("connection to directory ended");
+            Channel closing = channel;
+            disconnected(closing, why);
+            closing.close();
         }
     }
 
-    private void lost(Channel which, String why) {
-        if (channel != which) {
+    private void disconnected(Channel ended, String why) {
+        if (channel != ended) {
             return;
         }
         channel = null;
         open = false;
         unsent.forEach(Frame::release);
         unsent.clear();
-        abandoned.clear();
-        List<ResultHandler<Frame>> ended = new ArrayList<>(calls.values());
+        timedOut.clear();
+        List<ResultHandler<Frame>> failed = new ArrayList<>(calls.values());
         calls.clear();
         if (subscribed) {
             subscribed = false;
-            owner.endpointListFailed(why);
+            listener.endpointListFailed(why);
         }
-        for (ResultHandler<Frame> call : ended) {
+        for (ResultHandler<Frame> call : failed) {
             call.accept(null, why);
         }
     }
 
-    private final class Talk extends ChannelInboundHandlerAdapter {
+    private final class Handler extends FrameClientHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             open = true;
@@ -289,25 +281,18 @@
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message)
-                throws MalformedMessageException {
-            Frame frame = (Frame) message;
-            try {
-                if (ctx.channel() == channel) {
-                    told(frame);
-                }
-            } finally {
-                frame.release();
-            }
+        protected boolean isCurrent(Channel receiving) {
+            return receiving == channel;
         }
 
-        private void told(Frame frame) throws MalformedMessageException {
+        @Override
+        protected void received(Frame frame) throws MalformedMessageException {
             if (frame.type() == DirectoryMessages.LIST && frame.id() == 0) {
-                owner.endpointListReceived(DirectoryMessages.list(frame));
+                listener.endpointListReceived(DirectoryMessages.list(frame));
                 return;
             }
             ResultHandler<Frame> call = calls.remove(frame.id());
-            if (call == null && abandoned.remove(frame.id())) {
+            if (call == null && timedOut.remove(frame.id())) {
                 return;
             }
             if (call == null) {
@@ -327,12 +312,12 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost(ctx.channel(), "the directory closed the connection");
+            disconnected(ctx.channel(), "the directory closed the connection");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            lost(ctx.channel(), cause.getMessage());
+            disconnected(ctx.channel(), cause.getMessage());
             ctx.close();
         }
     }
--- a/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
@@ -8,37 +8,61 @@
 import sagepulley.codec.frame.FrameFields;
 import sagepulley.codec.frame.MalformedMessageException;
 
-/** The messages to and from the directory, as frames (docs/protocols.md, Directory protocol). */
+/**
+ * The messages to and from the directory, as frames (docs/protocols.md, Directory protocol). What
+ * reads a frame leaves it to its owner, and throws on one that is malformed.
+ */
 public final class DirectoryMessages {
-    /** From a gateway or node. */
+    /** From a gateway or node: who calls, and the protocol's version. */
     public static final int HELLO = 1;
 
+    /** From a gateway: the list, and every change of it. */
     public static final int SUBSCRIBE = 2;
+
+    /** From a gateway: the list, once. */
     public static final int FETCH = 3;
+
+    /** From a gateway: which cells hold consecutive extents. */
     public static final int LOOKUP = 4;
+
+    /** From a gateway: an extent is to be held by a cell, unless one holds it. */
     public static final int CLAIM = 5;
+
+    /** From a node: its entry of the list. */
     public static final int REGISTER = 6;
 
-    /** From the directory. */
+    /** From the directory: the list, or what changed in it. */
     public static final int LIST = 17;
 
+    /** From the directory: answers a lookup. */
     public static final int HOLDERS = 18;
+
+    /** From the directory: answers a claim. */
     public static final int HOLDER = 19;
+
+    /** From the directory: a call failed, with the reason. */
     public static final int FAILED = 20;
 
-    /** Extents of one look-up at most. */
+    /** The most extents of one lookup. */
     public static final int MAX_LOOKUP_EXTENTS = 1 << 16;
 
+    private static final int VERSION = 1;
+
     private static final int MAX_ENDPOINTS = 1 << 14;
 
-    /** What the list says of a node. */
+    /** What the list says of a node. The order is that of the numbers on the wire. */
     public enum Phase {
         GONE,
         READY,
         DRAINING
     }
 
-    /** A line of the list. The start is wall-clock milliseconds, 0 for long ago. */
+    /**
+     * An entry of the list.
+     *
+     * @param kind the node's hardware kind
+     * @param startedAt when its incarnation started, in wall-clock milliseconds; 0 for long ago
+     */
     public record EndpointLine(
             int node,
             int cell,
@@ -51,8 +75,13 @@
             int port) {}
 
     /**
-     * The list, whole or what changed; it answers a call or is pushed (call 0). The directory says
-     * of which site it is (empty: it does not), and which history of its own the version counts in.
+     * The endpoint list, complete or what changed in it.
+     *
+     * @param call the call that it answers; 0 if it is pushed
+     * @param version grows with every change within one history
+     * @param complete whether nodes that are not named are gone
+     * @param history the directory's incarnation in which the versions count
+     * @param site the site of the directory; empty if it does not say
      */
     public record EndpointList(
             long call,
@@ -64,29 +93,32 @@
 
     private DirectoryMessages() {}
 
+    /** Says who calls: the number differs at every start of a gateway. */
     public static Frame hello(long gateway, String name) {
-        ByteBuf head = Unpooled.buffer(64).writeShort(1).writeLong(gateway);
+        ByteBuf head = Unpooled.buffer(64).writeShort(VERSION).writeLong(gateway);
         FrameFields.string(head, name);
         return new Frame(HELLO, 0, head);
     }
 
-    public static Frame list(EndpointList it) {
+    /** Writes a list. */
+    public static Frame list(EndpointList list) {
         ByteBuf head =
                 Unpooled.buffer(64)
-                        .writeLong(it.version())
-                        .writeBoolean(it.complete())
-                        .writeInt(it.lines().size());
-        for (EndpointLine line : it.lines()) {
+                        .writeLong(list.version())
+                        .writeBoolean(list.complete())
+                        .writeInt(list.lines().size());
+        for (EndpointLine line : list.lines()) {
             line(head, line);
         }
-        FrameFields.string(head.writeLong(it.history()), it.site());
-        return new Frame(LIST, it.call(), head);
+        FrameFields.string(head.writeLong(list.history()), list.site());
+        return new Frame(LIST, list.call(), head);
     }
 
+    /** Reads a list. */
     public static EndpointList list(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 13);
         long version = head.readLong();
-        boolean whole = head.readBoolean();
+        boolean complete = head.readBoolean();
         int count = head.readInt();
         if (count < 0 || count > MAX_ENDPOINTS) {
             throw new MalformedMessageException(
@@ -100,15 +132,17 @@
             throw new MalformedMessageException("a list is cut off");
         }
         return new EndpointList(
-                frame.id(), version, whole, lines, head.readLong(), FrameFields.string(head));
+                frame.id(), version, complete, lines, head.readLong(), FrameFields.string(head));
     }
 
+    /** Writes a node's entry of the list. */
     public static Frame register(EndpointLine line) {
         ByteBuf head = Unpooled.buffer(64);
         line(head, line);
         return new Frame(REGISTER, 0, head);
     }
 
+    /** Reads one entry of the list. */
     public static EndpointLine line(ByteBuf from) throws MalformedMessageException {
         if (from.readableBytes() < 27) {
             throw new MalformedMessageException("a line is cut off");
@@ -117,11 +151,11 @@
         int cell = from.readInt();
         int zone = from.readUnsignedShort();
         int kind = from.readUnsignedShort();
-        int standing = from.readUnsignedByte();
+        int phase = from.readUnsignedByte();
         long startedAt = from.readLong();
         float weight = from.readFloat();
         int port = from.readUnsignedShort();
-        if (standing >= Phase.values().length || cell < 0) {
+        if (phase >= Phase.values().length || cell < 0) {
             throw new MalformedMessageException("a line that cannot be read");
         }
         return new EndpointLine(
@@ -129,7 +163,7 @@
                 cell,
                 zone,
                 kind,
-                Phase.values()[standing],
+                Phase.values()[phase],
                 startedAt,
                 weight,
                 FrameFields.string(from),
@@ -148,6 +182,7 @@
         FrameFields.string(to, line.host());
     }
 
+    /** Asks for the cells that hold so many extents from the first on. */
     public static Frame lookup(long call, int volume, long first, int count) {
         return new Frame(
                 LOOKUP,
@@ -155,7 +190,7 @@
                 Unpooled.buffer(16).writeInt(volume).writeLong(first).writeInt(count));
     }
 
-    /** The cells that hold extents in a row; -1 for none. */
+    /** Writes the cells that hold consecutive extents; -1 for none. */
     public static Frame holders(long call, int[] cells) {
         ByteBuf head = Unpooled.buffer(4 + 4 * cells.length).writeInt(cells.length);
         for (int cell : cells) {
@@ -164,6 +199,7 @@
         return new Frame(HOLDERS, call, head);
     }
 
+    /** Reads the cells that hold consecutive extents; -1 for none. */
     public static int[] holders(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 4);
         int count = head.readInt();
@@ -178,15 +214,18 @@
         return cells;
     }
 
+    /** Claims an extent for a cell. */
     public static Frame claim(long call, int volume, long extent, int cell) {
         return new Frame(
                 CLAIM, call, Unpooled.buffer(16).writeInt(volume).writeLong(extent).writeInt(cell));
     }
 
+    /** Writes the cell that holds a claimed extent. */
     public static Frame holder(long call, int cell) {
         return new Frame(HOLDER, call, Unpooled.buffer(4).writeInt(cell));
     }
 
+    /** Writes why a call failed. */
     public static Frame failed(long call, String why) {
         ByteBuf head = Unpooled.buffer(32);
         FrameFields.string(head, why);
--- a/src/main/java/sagepulley/upstream/frame/NodeConnection.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -1,15 +1,11 @@
 package sagepulley.upstream.frame;
 
-import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -18,156 +14,153 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sagepulley.codec.frame.Frame;
-import sagepulley.codec.frame.FrameDecoder;
-import sagepulley.codec.frame.FrameEncoder;
+import sagepulley.codec.frame.FrameClientHandler;
+import sagepulley.codec.frame.FrameConnector;
 import sagepulley.codec.frame.FrameFields;
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The link of a gateway to one node: a connection that is opened when an attempt needs it. It
- * carries out and decides nothing: it never sends an attempt twice, nor opens a connection but when
- * asked. All on one loop.
+ * The connection of a gateway to one node, opened when an attempt needs it. It decides nothing: it
+ * never sends an attempt twice, nor reconnects but when asked. Each attempt that is not cancelled
+ * ends exactly once, with an answer or a failure. Confined to its event loop.
  *
- * <p>Before a write goes out, the link takes the extent's pen at the node (docs/protocols.md,
- * Pens): a write of another link that comes late is then refused there.
+ * <p>Before a write goes out, the connection acquires the extent's write token at the node
+ * (docs/protocols.md): a late write of another connection is then refused there.
  */
 public final class NodeConnection {
-    /**
-     * Attempts that were given up but never answered; with more the connection is taken for dead.
-     */
-    static final int MOST_UNANSWERED = 10_000;
+    /** With more cancelled attempts unanswered, the connection is taken for dead. */
+    static final int MAX_UNANSWERED_ATTEMPTS = 10_000;
 
-    private static final int MOST_PENS = 1 << 16;
-    private static final int CONNECT_MS = 3_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
     private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
 
     /** How an attempt ended that got no answer. */
     public enum ConnectionFailure {
+        /** It was never written to a connection: it did not run. */
         NEVER_SENT,
+        /** The connection ended after it was written: it may have run. */
         RESET
     }
 
-    /** Told the ends of attempts, each once, on the loop. */
+    /** Receives the ends of attempts, each once, and what the node says; on the event loop. */
     public interface Listener {
-        /** The payload changes hands. */
+        /** The node answered; the listener owns the payload. */
         void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload);
 
-        void failed(long attempt, ConnectionFailure how);
+        /** The attempt ended without an answer. */
+        void failed(long attempt, ConnectionFailure failure);
 
-        /**
-         * An attempt that was given up was answered after all: all that counts is what the node
-         * tells of its time.
-         */
+        /** A cancelled attempt was answered after all: only the times it tells are of use. */
         default void answeredAfterCancel(StoreMessages.Answer answer) {}
 
-        void healthReported(long id, float[] report);
+        /** The node answered a health check. */
+        void healthReported(long id, float[] loadReport);
 
-        /** A connection stands; false if what waited for it must not go out as it is. */
-        boolean handshakeCompleted(StoreMessages.HandshakeReply welcome);
+        /** The node said who it is; false if the attempts that wait must not go out to it. */
+        boolean handshakeCompleted(StoreMessages.HandshakeReply reply);
 
-        /** The node says that it drains. */
+        /** The node announced its graceful shutdown. */
         default void draining() {}
 
-        /** The connection is gone, or did not come about. */
+        /** The connection ended, or could not be opened. */
         default void disconnected() {}
     }
 
-    private record PenKey(int volume, long extent) {}
-
-    private record Parcel(long attempt, StoreMessages.Send send, ByteBuf payload) {}
-
-    private static final class Pen {
-        boolean granted;
-        final ArrayDeque<Long> waiting = new ArrayDeque<>(2);
-    }
+    private record UnsentAttempt(long id, StoreMessages.Send send, ByteBuf payload) {}
 
     private final EventLoop loop;
-    private final Class<? extends Channel> kind;
-    private final int longestPayload;
-    private final int node;
-    private final SocketAddress address;
+    private final FrameConnector connector;
+    private final int nodeId;
     private final StoreMessages.Hello hello;
-    private final Listener owner;
+    private final Listener listener;
+    private final WriteTokens writeTokens = new WriteTokens();
 
-    /** Attempts not yet written, in order: for the connection, or for a pen. */
-    private final Map<Long, Parcel> unsent = new LinkedHashMap<>();
+    /** Attempts not yet written, in order: they wait for the connection or a write token. */
+    private final Map<Long, UnsentAttempt> unsent = new LinkedHashMap<>();
 
-    /** Attempts written and not answered; false once given up here. */
-    private final Map<Long, Boolean> out = new HashMap<>();
+    /** Attempts written and not answered; false once cancelled. */
+    private final Map<Long, Boolean> inFlight = new HashMap<>();
 
-    private final Map<PenKey, Pen> pens = new HashMap<>();
-    private final Map<Long, PenKey> pensAsked = new HashMap<>();
+    /** The connection, from the attempt to connect on; null for none. */
     private Channel channel;
-    private boolean welcomed;
-    private boolean flushDue;
-    private long penIds;
 
+    private boolean ready;
+    private boolean flushScheduled;
+
+    /**
+     * A connection that is not opened yet.
+     *
+     * @param maxPayloadBytes the longest payload that the node may send
+     * @param nodeId the node that must answer at the address
+     */
     public NodeConnection(
             EventLoop loop,
-            Class<? extends Channel> kind,
-            int longestPayload,
-            int node,
+            Class<? extends Channel> channelType,
+            int maxPayloadBytes,
+            int nodeId,
             SocketAddress address,
             StoreMessages.Hello hello,
-            Listener owner) {
+            Listener listener) {
         this.loop = loop;
-        this.kind = kind;
-        this.longestPayload = longestPayload;
-        this.node = node;
-        this.address = address;
+        this.connector =
+                new FrameConnector(
+                        loop, channelType, address, CONNECT_TIMEOUT_MILLIS, maxPayloadBytes);
+        this.nodeId = nodeId;
         this.hello = hello;
-        this.owner = owner;
+        this.listener = listener;
     }
 
+    /** The node's address. */
     public SocketAddress address() {
-        return address;
+        return connector.address();
     }
 
     /**
-     * Sends an attempt, once a connection stands; its number must be new. The payload changes
+     * Sends an attempt once the connection is ready; its number must be new. The payload changes
      * hands.
      */
     public void send(long attempt, StoreMessages.Send send, ByteBuf payload) {
-        unsent.put(attempt, new Parcel(attempt, send, payload));
+        unsent.put(attempt, new UnsentAttempt(attempt, send, payload));
         if (channel == null) {
             connect();
-        } else if (welcomed) {
-            forward(attempt);
+        } else if (ready) {
+            sendNow(attempt);
         }
     }
 
-    /** Gives an attempt up: it will not be told of any more. Tells whether it may have gone out. */
+    /** Cancels an attempt: the listener hears no end of it. Tells whether it may have gone out. */
     public boolean cancel(long attempt) {
-        Parcel parcel = unsent.remove(attempt);
-        if (parcel != null) {
-            parcel.payload().release();
+        UnsentAttempt notSent = unsent.remove(attempt);
+        if (notSent != null) {
+            notSent.payload().release();
             return false;
         }
-        if (Boolean.TRUE.equals(out.get(attempt))) {
-            out.put(attempt, false);
+        if (Boolean.TRUE.equals(inFlight.get(attempt))) {
+            inFlight.put(attempt, false);
             write(new Frame(StoreMessages.CANCEL, attempt));
-            if (out.size() > MOST_UNANSWERED) {
+            if (inFlight.size() > MAX_UNANSWERED_ATTEMPTS) {
                 LOG.atWarn()
-                        .addKeyValue("node", node)
-                        .log("too many hops without answer, link closed");
+                        .addKeyValue("node", nodeId)
+                        .log("too many attempts without an answer, connection closed");
                 close();
             }
         }
         return true;
     }
 
+    /** Asks the node for a load report, if the connection is ready. */
     public void checkHealth(long id) {
-        if (welcomed) {
+        if (ready) {
             write(new Frame(StoreMessages.HEALTH_CHECK, id));
         }
     }
 
-    /** Ends the connection; attempts that are out are told as broken. */
+    /** Ends the connection; the attempts that are not answered fail. */
     public void close() {
         if (channel != null) {
-            Channel old = channel;
-            lost(old);
-            old.close();
+            Channel closing = channel;
+            disconnected(closing);
+            closing.close();
         }
     }
 
@@ -179,64 +172,32 @@
     }
 
     private void connect() {
-        Bootstrap bootstrap =
-                new Bootstrap()
-                        .group(loop)
-                        .channel(kind)
-                        .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                        .handler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel fresh) {
-                                        fresh.pipeline()
-                                                .addLast(
-                                                        new FrameDecoder(longestPayload),
-                                                        new FrameEncoder(),
-                                                        new Talk());
-                                    }
-                                });
-        var connecting = bootstrap.connect(address);
+        ChannelFuture connecting = connector.connect(new Handler());
         channel = connecting.channel();
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
                         LOG.atInfo()
-                                .addKeyValue("node", node)
+                                .addKeyValue("node", nodeId)
                                 .addKeyValue("why", done.cause().getMessage())
                                 .log("no connection to node");
-                        lost(connecting.channel());
+                        disconnected(connecting.channel());
                     }
                 });
     }
 
-    private void forward(long attempt) {
-        Parcel parcel = unsent.get(attempt);
-        if (parcel.send().kind().modifiesData()) {
-            PenKey key = new PenKey(parcel.send().volume(), parcel.send().extent());
-            Pen pen = pens.get(key);
-            if (pen == null) {
-                if (pens.size() >= MOST_PENS) {
-                    pens.values().removeIf(any -> any.granted);
-                }
-                pen = new Pen();
-                pens.put(key, pen);
-                pensAsked.put(++penIds, key);
-                write(
-                        StoreMessages.writeToken(
-                                StoreMessages.ACQUIRE_WRITE_TOKEN,
-                                penIds,
-                                key.volume(),
-                                key.extent()));
-            }
-            if (!pen.granted) {
-                pen.waiting.add(attempt);
+    private void sendNow(long attempt) {
+        UnsentAttempt sending = unsent.get(attempt);
+        StoreMessages.Send send = sending.send();
+        if (send.kind().modifiesData()) {
+            var extent = new WriteTokens.ExtentKey(send.volume(), send.extent());
+            if (!writeTokens.acquire(extent, attempt, this::write)) {
                 return;
             }
         }
         unsent.remove(attempt);
-        out.put(attempt, true);
-        write(StoreMessages.send(attempt, parcel.send(), parcel.payload()));
+        inFlight.put(attempt, true);
+        write(StoreMessages.send(attempt, send, sending.payload()));
     }
 
     private void write(Frame frame) {
@@ -246,11 +207,11 @@
         }
         channel.write(frame);
         // All that one turn of the loop sends goes to the socket together.
-        if (!flushDue) {
-            flushDue = true;
+        if (!flushScheduled) {
+            flushScheduled = true;
             loop.execute(
                     () -> {
-                        flushDue = false;
+                        flushScheduled = false;
                         if (channel != null) {
                             channel.flush();
                         }
@@ -258,144 +219,125 @@
         }
     }
 
-    /** The connection is gone, or there was none: what was out may have run, the rest did not. */
-    private void lost(Channel which) {
-        if (channel != which) {
+    /** The connection ended, or there was none: what was written may have run, the rest did not. */
+    private void disconnected(Channel ended) {
+        if (channel != ended) {
             return;
         }
         channel = null;
-        welcomed = false;
-        pens.clear();
-        pensAsked.clear();
+        ready = false;
+        writeTokens.clear();
         List<Long> reset = new ArrayList<>();
-        out.forEach(
+        inFlight.forEach(
                 (attempt, wanted) -> {
                     if (wanted) {
                         reset.add(attempt);
                     }
                 });
-        out.clear();
-        returnUnsent();
+        inFlight.clear();
+        failUnsent();
         for (long attempt : reset) {
-            owner.failed(attempt, ConnectionFailure.RESET);
+            listener.failed(attempt, ConnectionFailure.RESET);
         }
-        owner.disconnected();
+        listener.disconnected();
     }
 
-    private void returnUnsent() {
-        List<Parcel> never = new ArrayList<>(unsent.values());
+    private void failUnsent() {
+        List<UnsentAttempt> neverSent = new ArrayList<>(unsent.values());
         unsent.clear();
-        for (Parcel parcel : never) {
-            parcel.payload().release();
-            owner.failed(parcel.attempt(), ConnectionFailure.NEVER_SENT);
+        for (UnsentAttempt attempt : neverSent) {
+            attempt.payload().release();
+            listener.failed(attempt.id(), ConnectionFailure.NEVER_SENT);
         }
     }
 
-    private final class Talk extends ChannelInboundHandlerAdapter {
+    private final class Handler extends FrameClientHandler {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ctx.writeAndFlush(StoreMessages.hello(hello));
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object message)
-                throws MalformedMessageException {
-            Frame frame = (Frame) message;
-            if (ctx.channel() != channel) {
-                frame.release();
-                return;
-            }
-            try {
-                told(frame);
-            } finally {
-                frame.release();
-            }
+        protected boolean isCurrent(Channel receiving) {
+            return receiving == channel;
         }
 
-        private void told(Frame frame) throws MalformedMessageException {
+        @Override
+        protected void received(Frame frame) throws MalformedMessageException {
             switch (frame.type()) {
-                case StoreMessages.HANDSHAKE_REPLY -> welcome(StoreMessages.handshakeReply(frame));
-                case StoreMessages.ANSWER -> answer(frame);
+                case StoreMessages.HANDSHAKE_REPLY ->
+                        handshakeCompleted(StoreMessages.handshakeReply(frame));
+                case StoreMessages.ANSWER -> answered(frame);
                 case StoreMessages.HEALTH_REPORT ->
-                        owner.healthReported(frame.id(), StoreMessages.loadReport(frame.head()));
-                case StoreMessages.WRITE_TOKEN_GRANTED -> pen(frame);
-                case StoreMessages.DRAINING -> owner.draining();
+                        listener.healthReported(frame.id(), StoreMessages.loadReport(frame.head()));
+                case StoreMessages.WRITE_TOKEN_GRANTED -> writeTokenGranted(frame.id());
                 case StoreMessages.WRITE_TOKEN_REVOKED -> {
                     ByteBuf head = FrameFields.requireHead(frame, 12);
-                    PenKey key = new PenKey(head.readInt(), head.readLong());
-                    Pen pen = pens.get(key);
-                    if (pen != null && pen.granted) {
-                        pens.remove(key);
-                    }
+                    writeTokens.revoked(new WriteTokens.ExtentKey(head.readInt(), head.readLong()));
                 }
+                case StoreMessages.DRAINING -> listener.draining();
                 default ->
                         throw new MalformedMessageException(
-                                "message " + frame.type() + " from a node");
+                                "message of type " + frame.type() + " from a node");
             }
         }
 
-        private void welcome(StoreMessages.HandshakeReply welcome)
+        private void handshakeCompleted(StoreMessages.HandshakeReply reply)
                 throws MalformedMessageException {
-            boolean goesOut = owner.handshakeCompleted(welcome);
-            if (welcome.node() != node) {
+            boolean mayGoOut = listener.handshakeCompleted(reply);
+            if (reply.node() != nodeId) {
                 throw new MalformedMessageException(
-                        "node " + welcome.node() + " answers where " + node + " is listed");
+                        "node " + reply.node() + " answers where " + nodeId + " is listed");
             }
-            if (welcomed) {
-                throw new MalformedMessageException("a second welcome");
+            if (ready) {
+                throw new MalformedMessageException("a second handshake reply");
             }
-            welcomed = true;
-            if (!goesOut) {
-                returnUnsent();
+            ready = true;
+            if (!mayGoOut) {
+                failUnsent();
             }
             for (long attempt : List.copyOf(unsent.keySet())) {
-                forward(attempt);
+                sendNow(attempt);
             }
         }
 
-        private void answer(Frame frame) throws MalformedMessageException {
-            Boolean wanted = out.remove(frame.id());
+        private void answered(Frame frame) throws MalformedMessageException {
+            Boolean wanted = inFlight.remove(frame.id());
             if (wanted == null) {
                 throw new MalformedMessageException(
-                        "an answer to hop " + frame.id() + ", which is not out");
+                        "answer to attempt " + frame.id() + ", which is not in flight");
             }
             StoreMessages.Answer answer = StoreMessages.answer(frame);
             if (answer.code() == StoreMessages.Code.STALE_WRITE_TOKEN) {
-                pens.values().removeIf(any -> any.granted);
+                writeTokens.forgetGranted();
             }
             if (wanted) {
-                owner.answered(frame.id(), answer, frame.payload().retain());
+                listener.answered(frame.id(), answer, frame.payload().retain());
             } else {
-                owner.answeredAfterCancel(answer);
+                listener.answeredAfterCancel(answer);
             }
         }
 
-        private void pen(Frame frame) throws MalformedMessageException {
-            PenKey key = pensAsked.remove(frame.id());
-            Pen pen = key == null ? null : pens.get(key);
-            if (pen == null) {
-                throw new MalformedMessageException("a pen that was not asked for");
-            }
-            pen.granted = true;
-            for (Long attempt = pen.waiting.poll(); attempt != null; attempt = pen.waiting.poll()) {
+        private void writeTokenGranted(long requestId) throws MalformedMessageException {
+            for (long attempt : writeTokens.granted(requestId)) {
                 if (unsent.containsKey(attempt)) {
-                    forward(attempt);
+                    sendNow(attempt);
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost(ctx.channel());
+            disconnected(ctx.channel());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             LOG.atWarn()
-                    .addKeyValue("node", node)
+                    .addKeyValue("node", nodeId)
                     .addKeyValue("why", cause.getMessage())
-                    .log("link ends");
-            lost(ctx.channel());
+                    .log("connection to node ended");
+            disconnected(ctx.channel());
             ctx.close();
         }
     }
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -6,39 +6,63 @@
 import sagepulley.codec.frame.FrameFields;
 import sagepulley.codec.frame.MalformedMessageException;
 
-/** The messages between a gateway and a node, as frames (docs/protocols.md, Store protocol). */
+/**
+ * The messages between a gateway and a node, as frames (docs/protocols.md, Store protocol). What
+ * reads a frame leaves it to its owner, and throws on one that is malformed.
+ */
 public final class StoreMessages {
-    /** From the gateway. */
+    /** From the gateway: who calls (HELLO). */
     public static final int HELLO = 1;
 
+    /** From the gateway: an attempt, with the data of a write (SEND). */
     public static final int SEND = 2;
+
+    /** From the gateway: the answer to an attempt is not wanted any more (CALL_OFF). */
     public static final int CANCEL = 3;
+
+    /** From the gateway: asks for a load report (PROBE). */
     public static final int HEALTH_CHECK = 4;
+
+    /** From the gateway: asks for an extent's write token (TAKE_PEN). */
     public static final int ACQUIRE_WRITE_TOKEN = 5;
 
-    /** From the node. */
+    /** From the node: who answers (WELCOME). */
     public static final int HANDSHAKE_REPLY = 17;
 
+    /** From the node: the end of an attempt, with the data of a read (ANSWER). */
     public static final int ANSWER = 18;
+
+    /** From the node: answers a health check (PROBED). */
     public static final int HEALTH_REPORT = 19;
+
+    /** From the node: the gateway holds the write token (PEN). */
     public static final int WRITE_TOKEN_GRANTED = 20;
+
+    /** From the node: another gateway took the write token (PEN_LOST). */
     public static final int WRITE_TOKEN_REVOKED = 21;
 
-    /** From a node: it drains, and takes nothing new. */
+    /** From the node: it shuts down gracefully, and takes nothing new (DRAINS). */
     public static final int DRAINING = 22;
 
+    /** The version of the protocol. */
     public static final int VERSION = 1;
+
     private static final int SEND_HEAD_BYTES = 55;
     private static final int MAX_REPORT_VALUES = 4;
 
     /** Who calls: the number differs at every start of a gateway. */
     public record Hello(long gateway, String name) {}
 
-    /** Who answers; the start is wall-clock milliseconds. */
+    /**
+     * Who answers.
+     *
+     * @param kind the node's hardware kind
+     * @param startedAt when its incarnation started, in wall-clock milliseconds; 0 for long ago
+     */
     public record HandshakeReply(
             int node, int cell, int zone, int kind, boolean draining, long startedAt) {}
 
-    /** What an operation does at its extent. */
+    /** What an operation does at its extent. The order is that of the numbers on the wire. */
     public enum Kind {
         READ,
         WRITE,
@@ -46,16 +70,25 @@
         TRIM,
         FLUSH;
 
+        /** Whether it needs the write token of its extent. */
         public boolean modifiesData() {
             return this == WRITE || this == ZERO || this == TRIM;
         }
     }
 
     /**
-     * One attempt. The mark names the operation, unique with the gateway's number; offset and
-     * length are bytes in the extent. Since is 0, or for a flush the node's start that it must
-     * still have. Where the extent must be there already, a node that has none of it answers that
-     * it is moot.
+     * One attempt.
+     *
+     * @param trafficClass index of the traffic class (band on the wire)
+     * @param durable whether it is answered only once its effect is durable
+     * @param idempotency how far the operation may be repeated (repeats on the wire)
+     * @param operationId unique with the gateway's number (mark on the wire)
+     * @param attemptNumber counts the operation's attempts (hop on the wire)
+     * @param offset bytes in the extent
+     * @param length bytes
+     * @param units what the operation costs, in units of the tenant's plan
+     * @param expectedNodeStart for a flush, the start that the node must still have; else 0
+     * @param extentMustExist whether a node without the extent answers {@link Code#NOT_EXECUTED}
      */
     public record Send(
             Kind kind,
@@ -71,6 +104,7 @@
             float units,
             long expectedNodeStart,
             boolean extentMustExist) {
+        /** An attempt that a node without the extent may run. */
         public Send(
                 Kind kind,
                 int band,
@@ -90,7 +124,7 @@
         }
     }
 
-    /** How a node answers. */
+    /** How a node answers. The order is that of the numbers on the wire. */
     public enum Code {
         SERVED,
         FAILED,
@@ -102,9 +136,13 @@
     }
 
     /**
-     * An attempt's end at the node, as WIRE has its figures: used percent is 0 for none, else 1
-     * more. Waited and worked are the milliseconds that it stood in the node's queue and was worked
-     * on.
+     * The end of an attempt at its node.
+     *
+     * @param planUsage percent of the tenant's plan in use, plus 1; 0 for no figure
+     * @param otherGatewaysUnits units that the tenant spent there through other gateways
+     * @param queuedMillis how long the attempt waited in the node's queue
+     * @param serviceMillis how long the node worked on it
+     * @param loadReport up to four values
      */
     public record Answer(
             Code code,
@@ -113,16 +151,19 @@
             float queuedMillis,
             float serviceMillis,
             float[] loadReport) {
+        /** A load report without values. */
         public static final float[] NO_REPORT = {};
     }
 
     private StoreMessages() {}
 
+    /** Writes who calls. */
     public static Frame hello(Hello hello) {
         ByteBuf head = Unpooled.buffer(64).writeShort(VERSION).writeLong(hello.gateway());
         return new Frame(HELLO, 0, FrameFields.string(head, hello.name()));
     }
 
+    /** Reads who calls; throws on another version of the protocol. */
     public static Hello hello(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 11);
         int version = head.readUnsignedShort();
@@ -133,19 +174,21 @@
         return new Hello(head.readLong(), FrameFields.string(head));
     }
 
-    public static Frame handshakeReply(HandshakeReply it) {
+    /** Writes who answers. */
+    public static Frame handshakeReply(HandshakeReply reply) {
         return new Frame(
                 HANDSHAKE_REPLY,
                 0,
                 Unpooled.buffer(32)
-                        .writeInt(it.node())
-                        .writeInt(it.cell())
-                        .writeShort(it.zone())
-                        .writeShort(it.kind())
-                        .writeBoolean(it.draining())
-                        .writeLong(it.startedAt()));
+                        .writeInt(reply.node())
+                        .writeInt(reply.cell())
+                        .writeShort(reply.zone())
+                        .writeShort(reply.kind())
+                        .writeBoolean(reply.draining())
+                        .writeLong(reply.startedAt()));
     }
 
+    /** Reads who answers. */
     public static HandshakeReply handshakeReply(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 21);
         return new HandshakeReply(
@@ -157,24 +200,26 @@
                 head.readLong());
     }
 
-    public static Frame send(long attempt, Send it, ByteBuf payload) {
+    /** Writes an attempt; the payload changes hands. */
+    public static Frame send(long attempt, Send send, ByteBuf payload) {
         ByteBuf head =
                 Unpooled.buffer(SEND_HEAD_BYTES)
-                        .writeByte(it.kind().ordinal())
-                        .writeByte(it.trafficClass())
-                        .writeByte((it.durable() ? 1 : 0) | (it.extentMustExist() ? 2 : 0))
-                        .writeByte(it.idempotency())
-                        .writeLong(it.operationId())
-                        .writeByte(it.attemptNumber())
-                        .writeInt(it.volume())
-                        .writeLong(it.extent())
-                        .writeInt(it.offset())
-                        .writeInt(it.length())
-                        .writeFloat(it.units())
-                        .writeLong(it.expectedNodeStart());
+                        .writeByte(send.kind().ordinal())
+                        .writeByte(send.trafficClass())
+                        .writeByte((send.durable() ? 1 : 0) | (send.extentMustExist() ? 2 : 0))
+                        .writeByte(send.idempotency())
+                        .writeLong(send.operationId())
+                        .writeByte(send.attemptNumber())
+                        .writeInt(send.volume())
+                        .writeLong(send.extent())
+                        .writeInt(send.offset())
+                        .writeInt(send.length())
+                        .writeFloat(send.units())
+                        .writeLong(send.expectedNodeStart());
         return new Frame(SEND, attempt, head, payload);
     }
 
+    /** Reads an attempt; its payload stays in the frame. */
     public static Send send(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 45);
         int kind = head.readUnsignedByte();
@@ -212,21 +257,23 @@
         return send;
     }
 
-    public static Frame answer(long attempt, Answer it, ByteBuf payload) {
+    /** Writes the end of an attempt; the payload changes hands. */
+    public static Frame answer(long attempt, Answer answer, ByteBuf payload) {
         ByteBuf head =
                 Unpooled.buffer(32)
-                        .writeByte(it.code().ordinal())
-                        .writeShort(it.planUsage())
-                        .writeFloat(it.otherGatewaysUnits())
-                        .writeFloat(it.queuedMillis())
-                        .writeFloat(it.serviceMillis())
-                        .writeByte(it.loadReport().length);
-        for (float value : it.loadReport()) {
+                        .writeByte(answer.code().ordinal())
+                        .writeShort(answer.planUsage())
+                        .writeFloat(answer.otherGatewaysUnits())
+                        .writeFloat(answer.queuedMillis())
+                        .writeFloat(answer.serviceMillis())
+                        .writeByte(answer.loadReport().length);
+        for (float value : answer.loadReport()) {
             head.writeFloat(value);
         }
         return new Frame(ANSWER, attempt, head, payload);
     }
 
+    /** Reads the end of an attempt; its payload stays in the frame. */
     public static Answer answer(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 16);
         int code = head.readUnsignedByte();
@@ -243,6 +290,7 @@
         return new Answer(Code.values()[code], used, others, waited, worked, loadReport(head));
     }
 
+    /** Writes the answer to a health check. */
     public static Frame healthReport(long id, float[] report) {
         ByteBuf head = Unpooled.buffer(20).writeByte(report.length);
         for (float value : report) {
@@ -251,12 +299,12 @@
         return new Frame(HEALTH_REPORT, id, head);
     }
 
-    /** A message about an extent's pen: taking it, having it, or having lost it. */
+    /** Writes a message about an extent's write token: of one of the three types above. */
     public static Frame writeToken(int type, long id, int volume, long extent) {
         return new Frame(type, id, Unpooled.buffer(12).writeInt(volume).writeLong(extent));
     }
 
-    /** A report of up to four values, as answers and probes carry it. */
+    /** Reads a load report of up to four values, as answers and health reports carry it. */
     public static float[] loadReport(ByteBuf head) throws MalformedMessageException {
         int count = head.isReadable() ? head.readUnsignedByte() : -1;
         if (count < 0 || count > MAX_REPORT_VALUES || head.readableBytes() < 4 * count) {
--- /dev/null
+++ b/src/main/java/sagepulley/upstream/frame/WriteTokens.java
@@ -0,0 +1,98 @@
+package sagepulley.upstream.frame;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import sagepulley.codec.frame.Frame;
+import sagepulley.codec.frame.MalformedMessageException;
+
+/**
+ * The write tokens of one connection to a node: fencing tokens, each the exclusive right to write
+ * one extent there (docs/protocols.md). Attempts wait here for the token of their extent. Confined
+ * to the connection's event loop.
+ */
+final class WriteTokens {
+    private static final int MAX_TOKENS = 1 << 16;
+
+    /** An extent of a volume. */
+    record ExtentKey(int volume, long extent) {}
+
+    private static final class WriteToken {
+        boolean granted;
+        final ArrayDeque<Long> waitingAttempts = new ArrayDeque<>(2);
+    }
+
+    private final Map<ExtentKey, WriteToken> tokens = new HashMap<>();
+
+    /** Extents whose token was requested and not granted yet, by the request's number. */
+    private final Map<Long, ExtentKey> requested = new HashMap<>();
+
+    private long lastRequestId;
+
+    /**
+     * Whether an attempt may write the extent now; otherwise it waits, and a token not yet
+     * requested is requested through the writer.
+     */
+    boolean acquire(ExtentKey key, long attempt, Consumer<Frame> writer) {
+        WriteToken token = tokens.get(key);
+        if (token == null) {
+            token = request(key, writer);
+        }
+        if (!token.granted) {
+            token.waitingAttempts.add(attempt);
+        }
+        return token.granted;
+    }
+
+    private WriteToken request(ExtentKey key, Consumer<Frame> writer) {
+        if (tokens.size() >= MAX_TOKENS) {
+            forgetGranted();
+        }
+        WriteToken token = new WriteToken();
+        tokens.put(key, token);
+        requested.put(++lastRequestId, key);
+        writer.accept(
+                StoreMessages.writeToken(
+                        StoreMessages.ACQUIRE_WRITE_TOKEN,
+                        lastRequestId,
+                        key.volume(),
+                        key.extent()));
+        return token;
+    }
+
+    /** The node granted a requested token; tells the attempts that waited for it, in order. */
+    List<Long> granted(long requestId) throws MalformedMessageException {
+        ExtentKey key = requested.remove(requestId);
+        WriteToken token = key == null ? null : tokens.get(key);
+        if (token == null) {
+            throw new MalformedMessageException(
+                    "write token for request " + requestId + ", which is not pending");
+        }
+        token.granted = true;
+        List<Long> attempts = new ArrayList<>(token.waitingAttempts);
+        token.waitingAttempts.clear();
+        return attempts;
+    }
+
+    /** The node gave a token to another gateway. */
+    void revoked(ExtentKey key) {
+        WriteToken token = tokens.get(key);
+        if (token != null && token.granted) {
+            tokens.remove(key);
+        }
+    }
+
+    /** Forgets all granted tokens: they are requested again when needed. */
+    void forgetGranted() {
+        tokens.values().removeIf(token -> token.granted);
+    }
+
+    /** The connection has ended, and all tokens with it. */
+    void clear() {
+        tokens.clear();
+        requested.clear();
+    }
+}
