--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -10,14 +10,14 @@
  * the loop.
  */
 public final class EventLoopTimer {
-    private static final double NS = 1e6;
-    private static final long SHORTEST_NS = 1000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long MIN_DELAY_NANOS = 1000;
 
     private final EventLoop loop;
     private final DoubleSupplier clock;
     private final Runnable task;
-    private ScheduledFuture<?> due;
-    private double dueAt;
+    private ScheduledFuture<?> scheduled;
+    private double scheduledAt;
 
     /** The clock tells milliseconds. */
     public EventLoopTimer(EventLoop loop, DoubleSupplier clock, Runnable task) {
@@ -28,18 +28,21 @@
 
     /** At this time at the latest; infinite: whenever it was asked for before. */
     public void by(double time) {
-        if ((due != null && time >= dueAt) || time == Double.POSITIVE_INFINITY) {
+        if ((scheduled != null && time >= scheduledAt) || time == Double.POSITIVE_INFINITY) {
             return;
         }
-        if (due != null) {
-            due.cancel(false);
+        if (scheduled != null) {
+            scheduled.cancel(false);
         }
-        dueAt = time;
-        long wait = Math.max(SHORTEST_NS, (long) Math.ceil((time - clock.getAsDouble()) * NS));
-        due =
+        scheduledAt = time;
+        long wait =
+                Math.max(
+                        MIN_DELAY_NANOS,
+                        (long) Math.ceil((time - clock.getAsDouble()) * NANOS_PER_MILLI));
+        scheduled =
                 loop.schedule(
                         () -> {
-                            due = null;
+                            scheduled = null;
                             task.run();
                         },
                         wait,
@@ -48,9 +51,9 @@
 
     /** Forgets the time that was asked for. */
     public void cancel() {
-        if (due != null) {
-            due.cancel(false);
-            due = null;
+        if (scheduled != null) {
+            scheduled.cancel(false);
+            scheduled = null;
         }
     }
 }
--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -5,7 +5,7 @@
 
 /** Reads frames; a frame that is malformed, too long or fails its checksum ends the connection. */
 public final class FrameDecoder extends SegmentDecoder {
-    private final int longestPayload;
+    private final int maxPayloadBytes;
     private final Crc32c crc = new Crc32c();
     private boolean inBody;
     private int type;
@@ -14,45 +14,48 @@
     private int payloadLength;
 
     /** Takes payloads of up to so many bytes. */
-    public FrameDecoder(int longestPayload) {
-        this.longestPayload = longestPayload;
+    public FrameDecoder(int maxPayloadBytes) {
+        this.maxPayloadBytes = maxPayloadBytes;
         expect(Frame.PREFIX);
     }
 
     @Override
-    protected void piece(ChannelHandlerContext ctx, ByteBuf piece)
+    protected void segmentReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         if (inBody) {
             inBody = false;
             expect(Frame.PREFIX);
-            body(ctx, piece);
+            readBody(ctx, segment);
         } else {
             try {
-                prefix(piece);
+                readPrefix(segment);
             } finally {
-                piece.release();
+                segment.release();
             }
         }
     }
 
-    private void prefix(ByteBuf piece) throws MalformedMessageException {
-        int magic = piece.getUnsignedShort(0);
+    private void readPrefix(ByteBuf segment) throws MalformedMessageException {
+        int magic = segment.getUnsignedShort(0);
         if (magic != Frame.MAGIC) {
             throw new MalformedMessageException(
                     "frame starts with 0x" + Integer.toHexString(magic));
         }
-        if (piece.getByte(2) != Frame.VERSION) {
+        if (segment.getByte(2) != Frame.VERSION) {
             throw new MalformedMessageException(
-                    "frame of version " + piece.getUnsignedByte(2) + ", known is " + Frame.VERSION);
+                    "frame of version "
+                            + segment.getUnsignedByte(2)
+                            + ", known is "
+                            + Frame.VERSION);
         }
-        if (crc.start().add(piece, piece.readerIndex(), Frame.PREFIX - 4).value()
-                != piece.getInt(20)) {
+        if (crc.start().add(segment, segment.readerIndex(), Frame.PREFIX - 4).value()
+                != segment.getInt(20)) {
             throw new MalformedMessageException("frame prefix fails its checksum");
         }
-        type = piece.getUnsignedByte(3);
-        headLength = piece.getInt(4);
-        payloadLength = piece.getInt(8);
-        id = piece.getLong(12);
+        type = segment.getUnsignedByte(3);
+        headLength = segment.getInt(4);
+        payloadLength = segment.getInt(8);
+        id = segment.getLong(12);
         if (headLength < 0 || headLength > Frame.MAX_HEAD_BYTES) {
             throw new MalformedMessageException(
                     "frame head of "
@@ -60,27 +63,28 @@
                             + " bytes, at most "
                             + Frame.MAX_HEAD_BYTES);
         }
-        if (payloadLength < 0 || payloadLength > longestPayload) {
+        if (payloadLength < 0 || payloadLength > maxPayloadBytes) {
             throw new MalformedMessageException(
                     "frame payload of "
                             + Integer.toUnsignedString(payloadLength)
                             + " bytes, at most "
-                            + longestPayload);
+                            + maxPayloadBytes);
         }
         inBody = true;
         expect(headLength + payloadLength + Frame.SUFFIX);
     }
 
-    private void body(ChannelHandlerContext ctx, ByteBuf piece) throws MalformedMessageException {
+    private void readBody(ChannelHandlerContext ctx, ByteBuf segment)
+            throws MalformedMessageException {
         int length = headLength + payloadLength;
-        int start = piece.readerIndex();
-        if (crc.start().add(piece, start, length).value() != piece.getInt(start + length)) {
-            piece.release();
+        int start = segment.readerIndex();
+        if (crc.start().add(segment, start, length).value() != segment.getInt(start + length)) {
+            segment.release();
             throw new MalformedMessageException("frame fails its checksum");
         }
-        ByteBuf head = piece.readRetainedSlice(headLength);
-        ByteBuf payload = piece.readRetainedSlice(payloadLength);
-        piece.release();
+        ByteBuf head = segment.readRetainedSlice(headLength);
+        ByteBuf payload = segment.readRetainedSlice(payloadLength);
+        segment.release();
         ctx.fireChannelRead(new Frame(type, id, head, payload));
     }
 }
--- a/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -13,31 +13,31 @@
  * kept that was not asked for, but for what one read of the socket delivered beyond it.
  */
 public abstract class SegmentDecoder extends ChannelInboundHandlerAdapter {
-    private final ArrayDeque<ByteBuf> unread = new ArrayDeque<>(2);
-    private ByteBuf gathered;
-    private long need = -1;
+    private final ArrayDeque<ByteBuf> unreadBuffers = new ArrayDeque<>(2);
+    private ByteBuf segment;
+    private long remainingBytes = -1;
     private boolean skipping;
     private boolean halted;
     private boolean ended;
-    private boolean busy;
+    private boolean decoding;
     private ChannelHandlerContext context;
 
     /**
      * The piece that was expected; empty after a skip. The subclass owns it and must say what comes
      * next.
      */
-    protected abstract void piece(ChannelHandlerContext ctx, ByteBuf piece)
+    protected abstract void segmentReceived(ChannelHandlerContext ctx, ByteBuf piece)
             throws MalformedMessageException;
 
     /** The next piece has so many bytes, which are kept until all are there. */
     protected final void expect(int bytes) {
-        need = bytes;
+        remainingBytes = bytes;
         skipping = false;
     }
 
     /** So many bytes come next that nobody wants. */
     protected final void skip(long bytes) {
-        need = bytes;
+        remainingBytes = bytes;
         skipping = true;
     }
 
@@ -57,18 +57,18 @@
             return;
         }
         context.channel().config().setAutoRead(true);
-        work(context);
+        decode(context);
     }
 
     /** What still comes is dropped unread. */
     protected final void end() {
         ended = true;
-        drop();
+        releaseBuffers();
     }
 
     /** Whether some of a message has come, but not all. */
-    protected final boolean inMiddle() {
-        return gathered != null;
+    protected final boolean isInsideSegment() {
+        return segment != null;
     }
 
     @Override
@@ -83,64 +83,64 @@
             bytes.release();
             return;
         }
-        unread.add(bytes);
-        work(ctx);
+        unreadBuffers.add(bytes);
+        decode(ctx);
     }
 
-    private void work(ChannelHandlerContext ctx) {
-        if (busy) {
+    private void decode(ChannelHandlerContext ctx) {
+        if (decoding) {
             return;
         }
-        busy = true;
+        decoding = true;
         try {
             while (!halted && !ended) {
-                if (need == 0) {
+                if (remainingBytes == 0) {
                     deliver(ctx);
                     continue;
                 }
-                ByteBuf first = unread.peek();
+                ByteBuf first = unreadBuffers.peek();
                 if (first == null) {
                     break;
                 }
-                int part = (int) Math.min(need, first.readableBytes());
+                int part = (int) Math.min(remainingBytes, first.readableBytes());
                 if (skipping) {
                     first.skipBytes(part);
                 } else {
-                    gather(ctx, first.readRetainedSlice(part));
+                    append(ctx, first.readRetainedSlice(part));
                 }
-                need -= part;
+                remainingBytes -= part;
                 if (!first.isReadable()) {
-                    unread.poll().release();
+                    unreadBuffers.poll().release();
                 }
             }
         } catch (MalformedMessageException bad) {
             end();
             ctx.fireExceptionCaught(bad);
         } finally {
-            busy = false;
+            decoding = false;
         }
     }
 
     private void deliver(ChannelHandlerContext ctx) throws MalformedMessageException {
-        ByteBuf piece = gathered == null ? Unpooled.EMPTY_BUFFER : gathered;
-        gathered = null;
-        need = -1;
-        piece(ctx, piece);
-        if (need < 0 && !ended) {
+        ByteBuf piece = segment == null ? Unpooled.EMPTY_BUFFER : segment;
+        segment = null;
+        remainingBytes = -1;
+        segmentReceived(ctx, piece);
+        if (remainingBytes < 0 && !ended) {
             throw new IllegalStateException("nothing is expected next");
         }
     }
 
-    private void gather(ChannelHandlerContext ctx, ByteBuf part) {
-        if (gathered == null) {
-            gathered = part;
-        } else if (gathered instanceof CompositeByteBuf composite) {
+    private void append(ChannelHandlerContext ctx, ByteBuf part) {
+        if (segment == null) {
+            segment = part;
+        } else if (segment instanceof CompositeByteBuf composite) {
             composite.addComponent(true, part);
         } else {
-            gathered =
+            segment =
                     ctx.alloc()
                             .compositeBuffer(Integer.MAX_VALUE)
-                            .addComponent(true, gathered)
+                            .addComponent(true, segment)
                             .addComponent(true, part);
         }
     }
@@ -156,12 +156,12 @@
         end();
     }
 
-    private void drop() {
-        if (gathered != null) {
-            gathered.release();
-            gathered = null;
+    private void releaseBuffers() {
+        if (segment != null) {
+            segment.release();
+            segment = null;
         }
-        for (ByteBuf bytes = unread.poll(); bytes != null; bytes = unread.poll()) {
+        for (ByteBuf bytes = unreadBuffers.poll(); bytes != null; bytes = unreadBuffers.poll()) {
             bytes.release();
         }
     }
--- a/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
+++ b/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
@@ -12,5 +12,5 @@
      * What was admitted but will never become a request, for its connection ended before it was
      * whole.
      */
-    void returned(long bytes);
+    void release(long bytes);
 }
--- a/src/main/java/sagepulley/codec/nbd/Export.java
+++ b/src/main/java/sagepulley/codec/nbd/Export.java
@@ -12,7 +12,7 @@
         boolean readOnly,
         boolean multiConn,
         int minBlockSize,
-        int preferredBlock,
+        int preferredBlockSize,
         int maxBlockSize) {
 
     /** The transmission flags, 'Transmission flags'. */
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -15,20 +15,20 @@
 /** The server's side of fixed newstyle negotiation ('Negotiation' of the protocol text). */
 final class Handshake extends ChannelInboundHandlerAdapter {
     /** A client may ask so many things before it must come to an end. */
-    private static final int MOST_OPTIONS = 256;
+    private static final int MAX_OPTIONS = 256;
 
-    private static final int ZEROES = 124;
+    private static final int ZERO_BYTES = 124;
 
     private final Exports exports;
     private final NbdServerDecoder decoder;
     private int clientFlags;
-    private int options;
+    private int optionCount;
     private boolean structured;
 
     /** The export for which base:allocation was chosen; null for none. */
-    private String metaExport;
+    private String baseAllocationExport;
 
-    private boolean over;
+    private boolean finished;
 
     Handshake(Exports exports, NbdServerDecoder decoder) {
         this.exports = exports;
@@ -49,7 +49,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (over) {
+        if (finished) {
             ctx.fireChannelRead(message);
         } else if (message instanceof Integer flags) {
             clientFlags = flags;
@@ -73,19 +73,19 @@
 
     private void answer(ChannelHandlerContext ctx, NbdOption option) {
         int code = option.code();
-        if (++options > MOST_OPTIONS) {
+        if (++optionCount > MAX_OPTIONS) {
             ctx.fireExceptionCaught(
-                    new MalformedMessageException("more than " + MOST_OPTIONS + " options"));
+                    new MalformedMessageException("more than " + MAX_OPTIONS + " options"));
             return;
         }
         if (option.data() == null) {
-            refuse(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "the option's data is too long");
+            replyError(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "the option's data is too long");
             return;
         }
         switch (code) {
             case NbdConstants.OPT_EXPORT_NAME -> exportName(ctx, option.data());
             case NbdConstants.OPT_ABORT -> {
-                over = true;
+                finished = true;
                 reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER)
                         .addListener(ChannelFutureListener.CLOSE);
             }
@@ -93,7 +93,7 @@
             case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> info(ctx, code, option.data());
             case NbdConstants.OPT_STRUCTURED_REPLY -> {
                 if (option.data().isReadable()) {
-                    refuse(ctx, code, NbdConstants.REP_ERR_INVALID, "this option has no data");
+                    replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "this option has no data");
                 } else {
                     structured = true;
                     reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
@@ -102,7 +102,7 @@
             case NbdConstants.OPT_LIST_META_CONTEXT, NbdConstants.OPT_SET_META_CONTEXT ->
                     meta(ctx, code, option.data());
             default ->
-                    refuse(
+                    replyError(
                             ctx,
                             code,
                             NbdConstants.REP_ERR_UNSUP,
@@ -119,11 +119,11 @@
         }
         ByteBuf reply =
                 ctx.alloc()
-                        .ioBuffer(10 + ZEROES)
+                        .ioBuffer(10 + ZERO_BYTES)
                         .writeLong(export.size())
                         .writeShort(export.flags(structured));
         if ((clientFlags & NbdConstants.FLAG_NO_ZEROES) == 0) {
-            reply.writeZero(ZEROES);
+            reply.writeZero(ZERO_BYTES);
         }
         ctx.writeAndFlush(reply);
         attach(ctx, export);
@@ -131,7 +131,7 @@
 
     private void list(ChannelHandlerContext ctx, ByteBuf data) {
         if (data.isReadable()) {
-            refuse(
+            replyError(
                     ctx,
                     NbdConstants.OPT_LIST,
                     NbdConstants.REP_ERR_INVALID,
@@ -153,12 +153,12 @@
     private void info(ChannelHandlerContext ctx, int code, ByteBuf data) {
         String name = string(data);
         if (name == null || data.readableBytes() < 2) {
-            refuse(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
+            replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
             return;
         }
         int wanted = data.readUnsignedShort();
         if (data.readableBytes() != 2 * wanted) {
-            refuse(
+            replyError(
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
@@ -167,7 +167,7 @@
         }
         Export export = exports.named(name);
         if (export == null) {
-            refuse(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
+            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
         boolean wantsName = false;
@@ -195,7 +195,7 @@
                         .ioBuffer()
                         .writeShort(NbdConstants.INFO_BLOCK_SIZE)
                         .writeInt(export.minBlockSize())
-                        .writeInt(export.preferredBlock())
+                        .writeInt(export.preferredBlockSize())
                         .writeInt(export.maxBlockSize()));
         if (wantsName) {
             reply(
@@ -226,7 +226,7 @@
     private void meta(ChannelHandlerContext ctx, int code, ByteBuf data) {
         boolean set = code == NbdConstants.OPT_SET_META_CONTEXT;
         if (set) {
-            metaExport = null; // whatever the answer, an earlier choice is gone
+            baseAllocationExport = null; // whatever the answer, an earlier choice is gone
         }
         String name = string(data);
         List<String> queries = new ArrayList<>();
@@ -241,7 +241,7 @@
             whole &= !data.isReadable();
         }
         if (!whole) {
-            refuse(
+            replyError(
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
@@ -249,7 +249,7 @@
             return;
         }
         if (!structured) {
-            refuse(
+            replyError(
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
@@ -258,7 +258,7 @@
         }
         Export export = exports.named(name);
         if (export == null) {
-            refuse(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
+            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
         boolean chosen =
@@ -270,17 +270,17 @@
             ByteBufUtil.writeUtf8(reply, NbdConstants.BASE_ALLOCATION);
             reply(ctx, code, NbdConstants.REP_META_CONTEXT, reply);
             if (set) {
-                metaExport = export.name();
+                baseAllocationExport = export.name();
             }
         }
         reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
     private void attach(ChannelHandlerContext ctx, Export export) {
-        over = true;
+        finished = true;
         decoder.startTransmission(export.maxBlockSize());
         ctx.fireUserEventTriggered(
-                new AttachedExport(export, structured, export.name().equals(metaExport)));
+                new AttachedExport(export, structured, export.name().equals(baseAllocationExport)));
     }
 
     /**
@@ -291,13 +291,13 @@
             return null;
         }
         long length = data.readUnsignedInt();
-        if (length > NbdConstants.LONGEST_STRING || length > data.readableBytes()) {
+        if (length > NbdConstants.MAX_STRING_BYTES || length > data.readableBytes()) {
             return null;
         }
         return data.readCharSequence((int) length, StandardCharsets.UTF_8).toString();
     }
 
-    private static void refuse(ChannelHandlerContext ctx, int option, int error, String why) {
+    private static void replyError(ChannelHandlerContext ctx, int option, int error, String why) {
         reply(ctx, option, error, ByteBufUtil.writeUtf8(ctx.alloc(), why));
     }
 
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -37,10 +37,10 @@
     /** Told the reply, which it must release, or why there will be none. */
     public interface ReplyHandler extends BiConsumer<NbdReply, Throwable> {}
 
-    private record Asked(int dataLength, NbdReply reply, ReplyHandler ended) {}
+    private record PendingRequest(int dataLength, NbdReply reply, ReplyHandler handler) {}
 
     private final Channel channel;
-    private final Map<Long, Asked> asked = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long lastCookie;
     private long size;
     private int flags;
@@ -125,12 +125,20 @@
             long offset,
             int length,
             ByteBuf payload,
-            ReplyHandler ended) {
+            ReplyHandler handler) {
         if (channel.eventLoop().inEventLoop()) {
-            askNow(command, commandFlags, offset, length, payload, ended);
+            sendRequest(command, commandFlags, offset, length, payload, handler);
         } else {
             channel.eventLoop()
-                    .execute(() -> askNow(command, commandFlags, offset, length, payload, ended));
+                    .execute(
+                            () ->
+                                    sendRequest(
+                                            command,
+                                            commandFlags,
+                                            offset,
+                                            length,
+                                            payload,
+                                            handler));
         }
     }
 
@@ -174,22 +182,23 @@
         return closed;
     }
 
-    private void askNow(
+    private void sendRequest(
             int command,
             int commandFlags,
             long offset,
             int length,
             ByteBuf payload,
-            ReplyHandler ended) {
+            ReplyHandler handler) {
         if (!channel.isActive()) {
             payload.release();
-            ended.accept(null, new IOException("the connection has ended"));
+            handler.accept(null, new IOException("the connection has ended"));
             return;
         }
         long cookie = ++lastCookie;
-        asked.put(
+        pending.put(
                 cookie,
-                new Asked(command == NbdConstants.CMD_READ ? length : 0, new NbdReply(), ended));
+                new PendingRequest(
+                        command == NbdConstants.CMD_READ ? length : 0, new NbdReply(), handler));
         channel.write(request(command, commandFlags, cookie, offset, length));
         channel.writeAndFlush(payload);
     }
@@ -206,7 +215,7 @@
     }
 
     private int dataLength(long cookie) {
-        Asked request = asked.get(cookie);
+        PendingRequest request = pending.get(cookie);
         return request == null ? -1 : request.dataLength();
     }
 
@@ -233,19 +242,19 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             if (message instanceof NbdClientDecoder.Chunk chunk) {
                 chunk(chunk);
-            } else if (message instanceof NbdClientDecoder.Simple simple) {
-                Asked request = asked.remove(simple.cookie());
+            } else if (message instanceof NbdClientDecoder.SimpleReply simple) {
+                PendingRequest request = pending.remove(simple.cookie());
                 request.reply().error = simple.error();
                 if (simple.data().isReadable()) {
                     request.reply()
-                            .pieces
+                            .chunks
                             .add(
                                     new NbdReply.Chunk(
                                             0, simple.data().readableBytes(), simple.data()));
                 } else {
                     simple.data().release();
                 }
-                request.ended().accept(request.reply(), null);
+                request.handler().accept(request.reply(), null);
             } else if (message instanceof NbdClientDecoder.OptionReply reply) {
                 try {
                     optionReply(ctx, reply);
@@ -360,17 +369,17 @@
         }
 
         private void chunk(NbdClientDecoder.Chunk chunk) {
-            Asked request = asked.get(chunk.cookie());
+            PendingRequest request = pending.get(chunk.cookie());
             NbdReply reply = request.reply();
             switch (chunk.type()) {
                 case NbdConstants.CHUNK_OFFSET_DATA ->
-                        reply.pieces.add(
+                        reply.chunks.add(
                                 new NbdReply.Chunk(
                                         chunk.offset(),
                                         chunk.data().readableBytes(),
                                         chunk.data()));
                 case NbdConstants.CHUNK_OFFSET_HOLE -> {
-                    reply.pieces.add(
+                    reply.chunks.add(
                             new NbdReply.Chunk(chunk.offset(), chunk.data().readInt(), null));
                     chunk.data().release();
                 }
@@ -394,8 +403,8 @@
                 }
             }
             if (chunk.done()) {
-                asked.remove(chunk.cookie());
-                request.ended().accept(reply, null);
+                pending.remove(chunk.cookie());
+                request.handler().accept(reply, null);
             }
         }
 
@@ -412,11 +421,11 @@
 
         private void fail(Throwable cause) {
             opened.completeExceptionally(cause);
-            List<Asked> lost = new ArrayList<>(asked.values());
-            asked.clear();
-            for (Asked request : lost) {
+            List<PendingRequest> lost = new ArrayList<>(pending.values());
+            pending.clear();
+            for (PendingRequest request : lost) {
                 request.reply().release();
-                request.ended().accept(null, cause);
+                request.handler().accept(null, cause);
             }
             closed.complete(null);
         }
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -10,14 +10,14 @@
  * What a server sends, cut into its messages; the client says of each cookie how long its data is.
  */
 final class NbdClientDecoder extends SegmentDecoder {
-    private static final int LONGEST_OPTION_REPLY = 64 << 10;
-    private static final int LONGEST_CHUNK = (64 << 20) + 64;
+    private static final int MAX_OPTION_REPLY_BYTES = 64 << 10;
+    private static final int MAX_CHUNK_BYTES = (64 << 20) + 64;
 
     /** An answer to an option. */
     record OptionReply(int option, int type, ByteBuf data) {}
 
     /** A simple reply. */
-    record Simple(long cookie, int error, ByteBuf data) {}
+    record SimpleReply(long cookie, int error, ByteBuf data) {}
 
     /** A chunk of a structured reply, checked for its shape. */
     record Chunk(
@@ -30,7 +30,7 @@
             ByteBuf data) {}
 
     /** Tells how much data follows a simple reply without error, or -1 for an unknown cookie. */
-    interface Expected {
+    interface DataLengths {
         int dataLength(long cookie);
     }
 
@@ -46,14 +46,14 @@
         CHUNK_DATA
     }
 
-    private final Expected expected;
+    private final DataLengths dataLengths;
     private Phase phase = Phase.GREETING;
     private OptionReply option;
-    private Simple simple;
+    private SimpleReply simple;
     private Chunk chunk;
 
-    NbdClientDecoder(Expected expected) {
-        this.expected = expected;
+    NbdClientDecoder(DataLengths dataLengths) {
+        this.dataLengths = dataLengths;
         expect(18);
     }
 
@@ -75,15 +75,15 @@
     }
 
     @Override
-    protected void piece(ChannelHandlerContext ctx, ByteBuf piece)
+    protected void segmentReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         switch (phase) {
             case GREETING -> {
                 boolean known =
-                        piece.readLong() == NbdConstants.NBDMAGIC
-                                && piece.readLong() == NbdConstants.IHAVEOPT;
-                int flags = piece.readUnsignedShort();
-                piece.release();
+                        segment.readLong() == NbdConstants.NBDMAGIC
+                                && segment.readLong() == NbdConstants.IHAVEOPT;
+                int flags = segment.readUnsignedShort();
+                segment.release();
                 if (!known || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
                     throw new MalformedMessageException("not a server of fixed newstyle");
                 }
@@ -91,27 +91,28 @@
                 ctx.fireChannelRead(flags);
             }
             case OPTION -> {
-                boolean known = piece.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
-                option = new OptionReply(piece.readInt(), piece.readInt(), null);
-                int length = piece.readInt();
-                piece.release();
-                if (!known || length < 0 || length > LONGEST_OPTION_REPLY) {
+                boolean known = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
+                option = new OptionReply(segment.readInt(), segment.readInt(), null);
+                int length = segment.readInt();
+                segment.release();
+                if (!known || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
                     throw new MalformedMessageException("malformed option reply");
                 }
                 next(Phase.OPTION_DATA, length);
             }
             case OPTION_DATA -> {
                 next(Phase.OPTION, 20);
-                ctx.fireChannelRead(new OptionReply(option.option(), option.type(), piece));
+                ctx.fireChannelRead(new OptionReply(option.option(), option.type(), segment));
             }
             case EXPORT -> {
                 startTransmission();
                 ctx.fireChannelRead(
-                        new OptionReply(NbdConstants.OPT_EXPORT_NAME, NbdConstants.REP_ACK, piece));
+                        new OptionReply(
+                                NbdConstants.OPT_EXPORT_NAME, NbdConstants.REP_ACK, segment));
             }
             case MAGIC -> {
-                int magic = piece.readInt();
-                piece.release();
+                int magic = segment.readInt();
+                segment.release();
                 if (magic == NbdConstants.SIMPLE_REPLY_MAGIC) {
                     next(Phase.SIMPLE, 12);
                 } else if (magic == NbdConstants.STRUCTURED_REPLY_MAGIC) {
@@ -122,27 +123,27 @@
                 }
             }
             case SIMPLE -> {
-                int error = piece.readInt();
-                long cookie = piece.readLong();
-                piece.release();
-                int length = expected.dataLength(cookie);
+                int error = segment.readInt();
+                long cookie = segment.readLong();
+                segment.release();
+                int length = dataLengths.dataLength(cookie);
                 if (length < 0) {
                     throw new MalformedMessageException("reply to unknown cookie " + cookie);
                 }
-                simple = new Simple(cookie, error, null);
+                simple = new SimpleReply(cookie, error, null);
                 next(Phase.SIMPLE_DATA, error == 0 ? length : 0);
             }
             case SIMPLE_DATA -> {
                 startTransmission();
-                ctx.fireChannelRead(new Simple(simple.cookie(), simple.error(), piece));
+                ctx.fireChannelRead(new SimpleReply(simple.cookie(), simple.error(), segment));
             }
             case CHUNK -> {
-                int flags = piece.readUnsignedShort();
-                int type = piece.readUnsignedShort();
-                long cookie = piece.readLong();
-                int length = piece.readInt();
-                piece.release();
-                if (length < 0 || length > LONGEST_CHUNK || expected.dataLength(cookie) < 0) {
+                int flags = segment.readUnsignedShort();
+                int type = segment.readUnsignedShort();
+                long cookie = segment.readLong();
+                int length = segment.readInt();
+                segment.release();
+                if (length < 0 || length > MAX_CHUNK_BYTES || dataLengths.dataLength(cookie) < 0) {
                     throw new MalformedMessageException(
                             "chunk of "
                                     + Integer.toUnsignedString(length)
@@ -162,14 +163,14 @@
             }
             case CHUNK_DATA -> {
                 startTransmission();
-                ctx.fireChannelRead(whole(piece));
+                ctx.fireChannelRead(parseChunk(segment));
             }
         }
     }
 
-    private Chunk whole(ByteBuf piece) throws MalformedMessageException {
+    private Chunk parseChunk(ByteBuf segment) throws MalformedMessageException {
         int type = chunk.type();
-        int least =
+        int minBytes =
                 switch (type) {
                     case NbdConstants.CHUNK_NONE -> 0;
                     case NbdConstants.CHUNK_OFFSET_DATA -> 9;
@@ -179,34 +180,40 @@
                     default -> -1;
                 };
         boolean error = (type & 0x8000) != 0;
-        int size = piece.readableBytes();
+        int size = segment.readableBytes();
         boolean fits =
-                least >= 0
-                        && size >= least
+                minBytes >= 0
+                        && size >= minBytes
                         && (error
                                 || type == NbdConstants.CHUNK_OFFSET_DATA
                                 || type == NbdConstants.CHUNK_BLOCK_STATUS
-                                || size == least);
+                                || size == minBytes);
         if (fits && error) {
-            fits = size == least + piece.getUnsignedShort(piece.readerIndex() + 4);
+            fits = size == minBytes + segment.getUnsignedShort(segment.readerIndex() + 4);
         }
         if (!fits) {
-            piece.release();
+            segment.release();
             throw new MalformedMessageException(
                     "chunk of type " + type + " with " + size + " bytes");
         }
         if (error) {
-            int number = piece.readInt();
+            int number = segment.readInt();
             String message =
-                    piece.readCharSequence(piece.readUnsignedShort(), StandardCharsets.UTF_8)
+                    segment.readCharSequence(segment.readUnsignedShort(), StandardCharsets.UTF_8)
                             .toString();
-            long offset = type == NbdConstants.CHUNK_ERROR_OFFSET ? piece.readLong() : -1;
-            piece.release();
+            long offset = type == NbdConstants.CHUNK_ERROR_OFFSET ? segment.readLong() : -1;
+            segment.release();
             return new Chunk(chunk.done(), type, chunk.cookie(), offset, number, message, null);
         }
         boolean placed =
                 type == NbdConstants.CHUNK_OFFSET_DATA || type == NbdConstants.CHUNK_OFFSET_HOLE;
         return new Chunk(
-                chunk.done(), type, chunk.cookie(), placed ? piece.readLong() : -1, 0, "", piece);
+                chunk.done(),
+                type,
+                chunk.cookie(),
+                placed ? segment.readLong() : -1,
+                0,
+                "",
+                segment);
     }
 }
--- a/src/main/java/sagepulley/codec/nbd/NbdConstants.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdConstants.java
@@ -87,7 +87,7 @@
     public static final int STATE_ZERO = 2;
 
     /** The longest name or message that the text allows in bytes. */
-    public static final int LONGEST_STRING = 4096;
+    public static final int MAX_STRING_BYTES = 4096;
 
     private NbdConstants() {}
 }
--- a/src/main/java/sagepulley/codec/nbd/NbdReplies.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReplies.java
@@ -78,7 +78,7 @@
     public static ChannelFuture error(
             Channel channel, long cookie, int error, String why, long offset, boolean last) {
         byte[] text = why.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(text.length, NbdConstants.LONGEST_STRING);
+        int length = Math.min(text.length, NbdConstants.MAX_STRING_BYTES);
         boolean placed = offset >= 0;
         ByteBuf head =
                 chunk(
--- a/src/main/java/sagepulley/codec/nbd/NbdReply.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReply.java
@@ -22,35 +22,35 @@
     /** Where each error of a structured reply was said to lie. */
     public final List<Long> errorOffsets = new ArrayList<>(0);
 
-    public final List<Chunk> pieces = new ArrayList<>(1);
+    public final List<Chunk> chunks = new ArrayList<>(1);
 
     /** Lengths and flags of base:allocation by turns. */
     public int[] blocks = {};
 
     /** The read's data in order, holes as zeroes; the pieces are used up. */
     public ByteBuf data() {
-        pieces.sort(Comparator.comparingLong(Chunk::offset));
-        if (pieces.size() == 1 && pieces.get(0).data() != null) {
-            return pieces.remove(0).data();
+        chunks.sort(Comparator.comparingLong(Chunk::offset));
+        if (chunks.size() == 1 && chunks.get(0).data() != null) {
+            return chunks.remove(0).data();
         }
-        CompositeByteBuf all = Unpooled.compositeBuffer(Integer.MAX_VALUE);
-        for (Chunk piece : pieces) {
-            all.addComponent(
+        CompositeByteBuf joined = Unpooled.compositeBuffer(Integer.MAX_VALUE);
+        for (Chunk chunk : chunks) {
+            joined.addComponent(
                     true,
-                    piece.data() != null
-                            ? piece.data()
-                            : Unpooled.wrappedBuffer(new byte[piece.length()]));
+                    chunk.data() != null
+                            ? chunk.data()
+                            : Unpooled.wrappedBuffer(new byte[chunk.length()]));
         }
-        pieces.clear();
-        return all;
+        chunks.clear();
+        return joined;
     }
 
     public void release() {
-        for (Chunk piece : pieces) {
-            if (piece.data() != null) {
-                piece.data().release();
+        for (Chunk chunk : chunks) {
+            if (chunk.data() != null) {
+                chunk.data().release();
             }
         }
-        pieces.clear();
+        chunks.clear();
     }
 }
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -12,31 +12,31 @@
  */
 final class NbdServerDecoder extends SegmentDecoder {
     /** What a request weighs besides its bytes: it bounds how many may be in hand. */
-    static final int REQUEST_WEIGHT = 1024;
+    static final int REQUEST_OVERHEAD_BYTES = 1024;
 
-    private static final int OPTION_HEAD = 16;
-    private static final int REQUEST_HEAD = 28;
+    private static final int OPTION_HEAD_BYTES = 16;
+    private static final int REQUEST_HEAD_BYTES = 28;
 
     /** Options longer than this are not kept; longer than the second, the connection ends. */
-    private static final int LONGEST_OPTION = 64 << 10;
+    private static final int MAX_OPTION_BYTES = 64 << 10;
 
-    private static final int LONGEST_SKIPPED_OPTION = 1 << 20;
+    private static final int MAX_SKIPPED_OPTION_BYTES = 1 << 20;
 
     private enum Phase {
         FLAGS,
         OPTION,
         OPTION_DATA,
-        TOO_BIG,
+        SKIPPED_OPTION_DATA,
         REQUEST,
         PAYLOAD,
-        UNWANTED
+        SKIPPED_PAYLOAD
     }
 
     private final AdmissionGate gate;
     private Phase phase = Phase.FLAGS;
-    private int mostBlock;
-    private int option;
-    private long admitted;
+    private int maxBlockSize;
+    private int optionCode;
+    private long admittedBytes;
     private NbdRequest request;
 
     NbdServerDecoder(AdmissionGate gate) {
@@ -45,52 +45,52 @@
     }
 
     /** The handshake is over: what comes next are requests, with writes of up to so many bytes. */
-    void startTransmission(int most) {
-        mostBlock = most;
+    void startTransmission(int maxBlockSize) {
+        this.maxBlockSize = maxBlockSize;
         phase = Phase.REQUEST;
-        expect(REQUEST_HEAD);
+        expect(REQUEST_HEAD_BYTES);
     }
 
     /** Whether a message has begun that has not fully come. */
     boolean isInsideMessage() {
-        return phase != Phase.REQUEST || inMiddle();
+        return phase != Phase.REQUEST || isInsideSegment();
     }
 
     @Override
-    protected void piece(ChannelHandlerContext ctx, ByteBuf piece)
+    protected void segmentReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         switch (phase) {
             case FLAGS -> {
-                int flags = piece.readInt();
-                piece.release();
+                int flags = segment.readInt();
+                segment.release();
                 expectOption();
                 ctx.fireChannelRead(flags);
             }
-            case OPTION -> option(piece);
+            case OPTION -> optionCode(segment);
             case OPTION_DATA -> {
                 expectOption();
-                ctx.fireChannelRead(new NbdOption(option, piece));
+                ctx.fireChannelRead(new NbdOption(optionCode, segment));
             }
-            case TOO_BIG -> {
+            case SKIPPED_OPTION_DATA -> {
                 expectOption();
-                ctx.fireChannelRead(new NbdOption(option, null));
+                ctx.fireChannelRead(new NbdOption(optionCode, null));
             }
-            case REQUEST -> request(ctx, piece);
+            case REQUEST -> request(ctx, segment);
             case PAYLOAD -> {
                 expectRequest();
-                NbdRequest whole =
+                NbdRequest complete =
                         new NbdRequest(
                                 request.flags(),
                                 request.command(),
                                 request.cookie(),
                                 request.offset(),
                                 request.length(),
-                                piece,
-                                admitted);
-                admitted = 0;
-                ctx.fireChannelRead(whole);
+                                segment,
+                                admittedBytes);
+                admittedBytes = 0;
+                ctx.fireChannelRead(complete);
             }
-            case UNWANTED -> {
+            case SKIPPED_PAYLOAD -> {
                 expectRequest();
                 ctx.fireChannelRead(request);
             }
@@ -99,28 +99,28 @@
 
     private void expectOption() {
         phase = Phase.OPTION;
-        expect(OPTION_HEAD);
+        expect(OPTION_HEAD_BYTES);
     }
 
     private void expectRequest() {
         phase = Phase.REQUEST;
-        expect(REQUEST_HEAD);
+        expect(REQUEST_HEAD_BYTES);
     }
 
-    private void option(ByteBuf piece) throws MalformedMessageException {
-        long magic = piece.readLong();
-        option = piece.readInt();
-        long length = piece.readUnsignedInt();
-        piece.release();
+    private void optionCode(ByteBuf segment) throws MalformedMessageException {
+        long magic = segment.readLong();
+        optionCode = segment.readInt();
+        long length = segment.readUnsignedInt();
+        segment.release();
         if (magic != NbdConstants.IHAVEOPT) {
             throw new MalformedMessageException("option starts with 0x" + Long.toHexString(magic));
         }
-        if (length > LONGEST_SKIPPED_OPTION) {
+        if (length > MAX_SKIPPED_OPTION_BYTES) {
             throw new MalformedMessageException(
-                    "option of " + length + " bytes, at most " + LONGEST_SKIPPED_OPTION);
+                    "option of " + length + " bytes, at most " + MAX_SKIPPED_OPTION_BYTES);
         }
-        if (length > LONGEST_OPTION) {
-            phase = Phase.TOO_BIG;
+        if (length > MAX_OPTION_BYTES) {
+            phase = Phase.SKIPPED_OPTION_DATA;
             skip(length);
         } else {
             phase = Phase.OPTION_DATA;
@@ -128,42 +128,42 @@
         }
     }
 
-    private void request(ChannelHandlerContext ctx, ByteBuf piece)
+    private void request(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
-        int magic = piece.readInt();
-        int flags = piece.readUnsignedShort();
-        int command = piece.readUnsignedShort();
-        long cookie = piece.readLong();
-        long offset = piece.readLong();
-        int length = piece.readInt();
-        piece.release();
+        int magic = segment.readInt();
+        int flags = segment.readUnsignedShort();
+        int command = segment.readUnsignedShort();
+        long cookie = segment.readLong();
+        long offset = segment.readLong();
+        int length = segment.readInt();
+        segment.release();
         if (magic != NbdConstants.REQUEST_MAGIC) {
             throw new MalformedMessageException(
                     "request starts with 0x" + Integer.toHexString(magic));
         }
         long bytes = Integer.toUnsignedLong(length);
         request = new NbdRequest(flags, command, cookie, offset, length, Unpooled.EMPTY_BUFFER, 0);
-        if (command == NbdConstants.CMD_WRITE && bytes > mostBlock) {
+        if (command == NbdConstants.CMD_WRITE && bytes > maxBlockSize) {
             // The text lets the server end the connection, or read it all and answer EINVAL: the
             // second, while it is not out of all proportion.
-            if (bytes > 4L * mostBlock) {
+            if (bytes > 4L * maxBlockSize) {
                 throw new MalformedMessageException(
-                        "write of " + bytes + " bytes, at most " + mostBlock);
+                        "write of " + bytes + " bytes, at most " + maxBlockSize);
             }
-            phase = Phase.UNWANTED;
+            phase = Phase.SKIPPED_PAYLOAD;
             skip(bytes);
             return;
         }
-        boolean moves =
+        boolean movesData =
                 command == NbdConstants.CMD_WRITE
-                        || (command == NbdConstants.CMD_READ && bytes <= mostBlock);
+                        || (command == NbdConstants.CMD_READ && bytes <= maxBlockSize);
         phase = Phase.PAYLOAD;
         expect(command == NbdConstants.CMD_WRITE ? length : 0);
-        admit(ctx, (moves ? bytes : 0) + REQUEST_WEIGHT);
+        admit(ctx, (movesData ? bytes : 0) + REQUEST_OVERHEAD_BYTES);
     }
 
     private void admit(ChannelHandlerContext ctx, long bytes) {
-        Runnable later =
+        Runnable retry =
                 () ->
                         ctx.channel()
                                 .eventLoop()
@@ -174,8 +174,8 @@
                                             }
                                             admit(ctx, bytes);
                                         });
-        if (gate.admit(bytes, later)) {
-            admitted = bytes;
+        if (gate.admit(bytes, retry)) {
+            admittedBytes = bytes;
             resume();
         } else {
             halt();
@@ -184,9 +184,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-        if (admitted > 0) {
-            gate.returned(admitted);
-            admitted = 0;
+        if (admittedBytes > 0) {
+            gate.release(admittedBytes);
+            admittedBytes = 0;
         }
         super.channelInactive(ctx);
     }
--- a/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
+++ b/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
@@ -67,11 +67,6 @@
         }
 
         @Override
-        public void returned(long bytes) {
-            release(bytes);
-        }
-
-        /** Returns bytes that were admitted. */
         public void release(long bytes) {
             synchronized (BufferBudget.this) {
                 usedClientBytes -= bytes;
--- a/src/test/java/sagepulley/codec/frame/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -53,7 +53,7 @@
     }
 
     @Property(tries = 200, seed = "11")
-    void anySplitGivesTheSameFrames(
+    void anyFragmentationGivesTheSameFrames(
             @ForAll @Size(min = 1, max = 5) List<@Size(max = 300) byte[]> payloads,
             @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 90) Integer> lengths) {
         EmbeddedChannel in = new EmbeddedChannel(new FrameDecoder(300));
@@ -71,7 +71,7 @@
     }
 
     @Property(tries = 300, seed = "12")
-    void aFlippedBitEndsTheConnectionAndNothingElse(
+    void flippedBitEndsOnlyItsConnection(
             @ForAll @Size(max = 100) byte[] payload,
             @ForAll @IntRange(min = 0, max = 10_000) int where) {
         byte[] bytes = encode(List.of(payload, payload));
@@ -91,8 +91,7 @@
     }
 
     @Property(tries = 300, seed = "13")
-    void randomBytesNeverDoMoreThanEndTheConnection(
-            @ForAll @Size(min = 24, max = 200) byte[] bytes) {
+    void randomBytesAtMostEndTheConnection(@ForAll @Size(min = 24, max = 200) byte[] bytes) {
         EmbeddedChannel in = new EmbeddedChannel(new FrameDecoder(100));
         Throwable thrown = null;
         List<ByteBuf> fed = List.of();
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -58,7 +58,7 @@
                         }
 
                         @Override
-                        public void returned(long bytes) {}
+                        public void release(long bytes) {}
                     };
             channel = new EmbeddedChannel();
             NbdServer.addTo(
@@ -157,7 +157,7 @@
     }
 
     @Property(tries = 200, seed = "21")
-    void anySplitGivesTheSameRequests(
+    void anyFragmentationGivesTheSameRequests(
             @ForAll @Size(min = 1, max = 4) List<@Size(max = 200) byte[]> payloads,
             @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 70) Integer> lengths) {
         Server server = new Server();
@@ -216,7 +216,7 @@
             ByteBuf data =
                     told instanceof NbdClientDecoder.Chunk chunk
                             ? chunk.data()
-                            : told instanceof NbdClientDecoder.Simple simple
+                            : told instanceof NbdClientDecoder.SimpleReply simple
                                     ? simple.data()
                                     : told instanceof NbdClientDecoder.OptionReply reply
                                             ? reply.data()
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void optionsAreAnsweredAsTheTextSays() {
+    void optionsAreAnsweredAsTheProtocolTextSays() {
         Server server = new Server();
         ByteBuf all = Unpooled.buffer().writeInt(3);
         option(all, NbdConstants.OPT_LIST, new byte[0]);
@@ -267,7 +267,7 @@
     }
 
     @Test
-    void anOptionOfFourGigabytesIsNotWaitedFor() {
+    void optionOfFourGigabytesEndsTheConnection() {
         Server server = new Server();
         server.feed(
                 ByteBufUtil.getBytes(
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void whatTheGateHoldsBackIsNotReadUntilItOpens() {
+    void requestsAreNotReadUntilTheGateAdmitsThem() {
         Server server = new Server();
         server.open = false;
         server.feed(session(List.of(new byte[512])), List.of(1000));
--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void theFloodIsNamed() throws Exception {
+    void accountsNameTheTenantThatCausedTheDelay() throws Exception {
         List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
             traits.add(
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -44,7 +44,7 @@
         "7, 0, 0, 0, 22",
         "99, 0, 0, 0, 22",
     })
-    void aWrongRequestIsAnsweredAndTheRestGoesOn(
+    void invalidRequestGetsItsErrorAndOthersContinue(
             int command, int flags, long offset, int length, int error) throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(1)) {
             NbdClient client = rig.client();
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void writesPastTheEndOrTooLongOrToAReadOnlyExportAreRefused() throws Exception {
+    void writesOutOfRangeTooLongOrToReadOnlyExportsFail() throws Exception {
         try (NbdTestFixture rig =
                 new NbdTestFixture(1, TrafficRecorder.NOBODY, "most-request", "; most-request")) {
             NbdClient client = rig.client();
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void clientsThatStopAnywhereLeaveNothingBehind() throws Exception {
+    void clientsThatDisconnectAnywhereLeakNothing() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(2)) {
             NbdClient good = rig.client();
             byte[] write =
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void garbageEndsItsOwnConnection() throws Exception {
+    void malformedBytesEndOnlyTheirConnection() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(1)) {
             NbdClient good = rig.client();
             Random random = new Random(3);
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aClientThatReadsNoRepliesIsHeldToItsBytes() throws Exception {
+    void clientThatReadsNoRepliesStaysWithinItsBudget() throws Exception {
         // 8 MiB for one client, 16 MiB in all.
         try (NbdTestFixture rig =
                 new NbdTestFixture(
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void writesWithoutEndStayWithinTheBoundAndOthersGoOn() throws Exception {
+    void endlessWritesStayWithinTheBudgetAndOthersContinue() throws Exception {
         try (NbdTestFixture rig =
                 new NbdTestFixture(
                         3,
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -82,7 +82,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void eachOperationGetsOneAnswerInTime(Fault fault) throws Exception {
+    void eachOperationGetsOneAnswerBeforeItsDeadline(Fault fault) throws Exception {
         // Patience is a second, so that each fault outlasts it.
         try (StallDetector machine = new StallDetector();
                 NbdTestFixture rig =
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aClientThatLeavesTakesNothingWithIt() throws Exception {
+    void disconnectingClientLeaksNothing() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient other = rig.client();
             NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void onePartThatFailsIsToldWithItsOffset() throws Exception {
+    void failedPartIsReportedWithItsOffset() throws Exception {
         try (NbdTestFixture rig =
                 new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void twoFirstWritesAtOnceEndWithOneHolder() throws Exception {
+    void concurrentFirstWritesEndWithOneHolder() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(6)) {
             NbdGateway second = rig.cluster.open(rig.site(1, 2), 2);
             NbdClient a = rig.client();
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void withASilentDirectoryFirstWritesAreDeclinedAndTheRestGoesOn() throws Exception {
+    void unresponsiveDirectoryRejectsFirstWritesOnly() throws Exception {
         try (NbdTestFixture rig =
                 new NbdTestFixture(3, TrafficRecorder.NOBODY, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
@@ -256,7 +256,7 @@
     }
 
     @Test
-    void aGatewayStartedWhileTheDirectoryIsSilentGetsReadyOnceItSpeaks() throws Exception {
+    void gatewayStartedWithoutDirectoryBecomesReadyOnceItAnswers() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(2)) {
             rig.cluster.directory().silent(true);
             NbdGateway second = new NbdGateway(SiteConfig.read("second", rig.site(1, 2)), 5);
@@ -273,7 +273,7 @@
     }
 
     @Test
-    void stoppingAnswersWhatIsInHand() throws Exception {
+    void gracefulShutdownAnswersRequestsInFlight() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
@@ -298,7 +298,7 @@
     }
 
     @Test
-    void aKilledGatewayLosesNothingThatItAcknowledged() throws Exception {
+    void killedGatewayLosesNoAcknowledgedWrite() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(4)) {
             NbdClient client = rig.client();
             List<Integer> acknowledged = new ArrayList<>();
--- a/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -16,7 +16,7 @@
 class FullPathTest {
     @ParameterizedTest
     @EnumSource(NbdClient.Style.class)
-    void whatIsWrittenIsReadInEveryStyle(NbdClient.Style style) throws Exception {
+    void writtenDataIsReadBackInEveryStyle(NbdClient.Style style) throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client(rig.gateway, style);
             assertEquals(64L * NbdTestFixture.MIB, client.size());
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void trimZeroFlushAndStatus() throws Exception {
+    void trimWriteZeroesFlushAndBlockStatus() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client();
             assertTrue(client.hasBaseAllocation());
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void manyRequestsAtOnceAllEndOnce() throws Exception {
+    void concurrentRequestsEachEndOnce() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(6)) {
             NbdClient client = rig.client();
             java.util.List<java.util.concurrent.CompletableFuture<NbdReply>> all =
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void startsWithListsOfAnyAgeAndReadsWhatItKnows() throws Exception {
+    void startsWithStoredListOfAnyAgeAndReadsKnownExtents() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             NbdTestFixture.await(rig.cluster.directory().stop());
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aDrainedNodeSaysSoAtFirstContactAndGetsNothing() throws Exception {
+    void drainingNodeAnnouncesItInHandshakeAndGetsNoAttempts() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             NbdTestFixture.await(rig.cluster.directory().stop());
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void firstWritesAreHeldAndDeclinedUntilTheDirectoryIsBack() throws Exception {
+    void firstWritesAreRejectedUntilTheDirectoryIsReachable() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             NbdTestFixture.await(rig.cluster.directory().stop());
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aHolderThatTheDiskNamesWronglyDeniesItAndIsFound() throws Exception {
+    void wrongStoredHolderDeniesAndRightOneIsFound() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             HolderFile file = new HolderFile(folder.resolve("holders"), SITE);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aTornListGivesWayAndAListOfAnotherSiteIsNotUsed() throws Exception {
+    void tornListFallsBackAndListOfAnotherSiteIsIgnored() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             age(0); // writes a second generation
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void aDirectoryOfAnotherSiteOrAnEmptyOneChangesNothing() throws Exception {
+    void listOfAnotherSiteOrEmptyListChangesNothing() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             String site = firstLife(rig);
             NbdGateway again = start(site, 70);
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void returned(long bytes) {}
+        public void release(long bytes) {}
 
         void later(double milliseconds, Runnable task) {
             group.next().schedule(task, (long) milliseconds, TimeUnit.MILLISECONDS);
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aWriteThatComesAfterAnotherGatewayTookThePenNeverRuns() throws Exception {
+    void lateWriteWithRevokedTokenNeverRuns() throws Exception {
         try (Socket late = new Socket(node.address().getAddress(), node.address().getPort())) {
             late.getOutputStream()
                     .write(bytes(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aGatewayThatHeardOfItTakesThePenBack() {
+    void gatewayWithRevokedTokenAcquiresItAgain() {
         Peer a = peer(1, 3);
         Peer b = peer(2, 3);
         for (long attempt = 1; attempt < 9; attempt++) {
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aNewLinkOfTheSameGatewayEndsTheOlder() {
+    void newConnectionOfTheSameGatewayEndsTheOlder() {
         Peer old = peer(1, 3);
         old.write(1, 1);
         assertEquals(StoreMessages.Code.SERVED.name(), old.end(1));
@@ -196,14 +196,14 @@
     }
 
     @Test
-    void aNodeOfAnotherNumberGetsNothing() {
+    void nodeWithAnotherIdGetsNoAttempts() {
         Peer wrong = peer(1, 4);
         wrong.write(1, 1);
         assertEquals("NEVER_SENT", wrong.end(1));
     }
 
     @Test
-    void whatIsGivenUpBeforeAConnectionStandsNeverWent() {
+    void attemptCancelledBeforeTheConnectionIsReadyIsNeverSent() {
         Peer peer = peer(1, 3);
         boolean[] went = {true};
         run(
--- a/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
@@ -37,7 +37,7 @@
                     frame -> FrameFields.string(frame.head()));
 
     @Property(tries = 2000, seed = "41")
-    void randomFieldsAreReadOrRefused(
+    void randomFieldsAreReadOrRejected(
             @ForAll @Size(max = 120) byte[] bytes,
             @ForAll @IntRange(min = 0, max = 8) int which,
             @ForAll boolean small) {
@@ -56,7 +56,7 @@
     }
 
     @Property(tries = 200, seed = "42")
-    void whatIsWrittenIsRead(
+    void writtenMessagesAreReadBack(
             @ForAll long mark,
             @ForAll @IntRange(min = 0, max = 1 << 20) int offset,
             @ForAll @Size(max = 64) byte[] data,
