--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void eachOperationGetsOneAnswerInTime(Fault fault) throws Exception {
+    void eachOperationGetsOneAnswerBeforeItsDeadline(Fault fault) throws Exception {
         // Patience is a second, so that each fault outlasts it.
 
         try (StallDetector machine = new StallDetector();
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aClientThatLeavesTakesNothingWithIt() throws Exception {
+    void disconnectingClientLeaksNothing() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient other = rig.client();
             NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void onePartThatFailsIsToldWithItsOffset() throws Exception {
+    void failedPartIsReportedWithItsOffset() throws Exception {
         try (NbdTestFixture rig =
                 new NbdTestFixture(3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void twoFirstWritesAtOnceEndWithOneHolder() throws Exception {
+    void concurrentFirstWritesEndWithOneHolder() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(6)) {
             NbdGateway second = rig.cluster.open(rig.site(1, 2), 2);
             NbdClient a = rig.client();
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void withASilentDirectoryFirstWritesAreDeclinedAndTheRestGoesOn() throws Exception {
+    void unresponsiveDirectoryRejectsFirstWritesOnly() throws Exception {
         try (NbdTestFixture rig =
                 new NbdTestFixture(3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
             NbdClient client = rig.client();
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void aGatewayStartedWhileTheDirectoryIsSilentGetsReadyOnceItSpeaks() throws Exception {
+    void gatewayStartedWithoutDirectoryBecomesReadyOnceItAnswers() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(2)) {
             rig.cluster.directory().setUnresponsive(true);
             NbdGateway second = new NbdGateway(SiteConfig.read("second", rig.site(1, 2)), 5);
@@ -284,7 +284,7 @@
     }
 
     @Test
-    void stoppingAnswersWhatIsInHand() throws Exception {
+    void gracefulShutdownAnswersRequestsInFlight() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(3)) {
             NbdClient client = rig.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
@@ -311,7 +311,7 @@
     }
 
     @Test
-    void aKilledGatewayLosesNothingThatItAcknowledged() throws Exception {
+    void killedGatewayLosesNoAcknowledgedWrite() throws Exception {
         try (NbdTestFixture rig = new NbdTestFixture(4)) {
             NbdClient client = rig.client();
             List<Integer> acknowledged = new ArrayList<>();
