--- a/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
@@ -10,5 +10,7 @@
  */
 record DiscoveryTimeouts(long firstListMillis, long silenceMillis) {
     static final DiscoveryTimeouts DEFAULT =
-            new DiscoveryTimeouts(EndpointPollPolicy.FIRST_LIST_TIMEOUT_MILLIS, EndpointPollPolicy.IDLE_TIMEOUT_MILLIS);
+            new DiscoveryTimeouts(
+                    EndpointPollPolicy.FIRST_LIST_TIMEOUT_MILLIS,
+                    EndpointPollPolicy.IDLE_TIMEOUT_MILLIS);
 }
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -1,382 +1,141 @@
-package
-sagepulley.scenario;
+package sagepulley.scenario;
 
-import
-com.fasterxml.jackson.annotation.JsonProperty;
-import
-java.util.ArrayList;
-import
-java.util.HashMap;
-import
-java.util.List;
-import
-java.util.Map;
-import
-sagepulley.accounts.Cause;
-import
-sagepulley.accounts.FleetMerger;
-import
-sagepulley.accounts.LatencyReport;
-import
-sagepulley.config.SiteConfigException;
-import
-sagepulley.persistence.GatewayAccounts;
+import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import sagepulley.accounts.Cause;
+import sagepulley.accounts.FleetMerger;
+import sagepulley.accounts.LatencyReport;
+import sagepulley.config.SiteConfigException;
+import sagepulley.persistence.GatewayAccounts;
 
-/** Plays days whose troubles are known, and holds what the accounts name as main causes against them. */
-public
-final
-class
-AttributionExperiment
-{
-/** The days that come with the program, one for each kind of cause. */
-public
-static
-final
-List<String>
-KINDS
-=
-List.of(
-"flood",
-"slow-node",
-"flood-and-slow-node",
-"silent-node",
-"cold-restart",
-"hall-cut",
-"own-surge",
-"limit",
-"directory-lag",
-"deferred-writes",
-"flood-elsewhere");
+/**
+ * Plays days whose troubles are known, and holds what the accounts name as main causes against
+ * them.
+ */
+public final class AttributionExperiment {
+    /** The days that come with the program, one for each kind of cause. */
+    public static final List<String> KINDS =
+            List.of(
+                    "flood",
+                    "slow-node",
+                    "flood-and-slow-node",
+                    "silent-node",
+                    "cold-restart",
+                    "hall-cut",
+                    "own-surge",
+                    "limit",
+                    "directory-lag",
+                    "deferred-writes",
+                    "flood-elsewhere");
 
-/** One volume of one day: the causes that are right, the one named first and the second, whether that is a hit, and whether a wrong one was named with high confidence, by all gateways' books or by any one's alone. */
-public
-record
-Row(
-String
-day,
-long
-seed,
-String
-volume,
-@JsonProperty("right")
-List<String>
-expected,
-String
-named,
-double
-share,
-LatencyReport.Confidence
-confidence,
-String
-second,
-boolean
-hit,
-boolean
-falseBlame,
-@JsonProperty("rulesKept")
-boolean
-rulesSatisfied)
-{}
+    /**
+     * One volume of one day: the causes that are right, the one named first and the second, whether
+     * that is a hit, and whether a wrong one was named with high confidence, by all gateways' books
+     * or by any one's alone.
+     */
+    public record Row(
+            String day,
+            long seed,
+            String volume,
+            @JsonProperty("right") List<String> expected,
+            String named,
+            double share,
+            LatencyReport.Confidence confidence,
+            String second,
+            boolean hit,
+            boolean falseBlame,
+            @JsonProperty("rulesKept") boolean rulesSatisfied) {}
 
-private
-AttributionExperiment()
-{}
+    private AttributionExperiment() {}
 
-/** Plays one day with a seed of its own. */
-public
-static
-List<Row>
-play(String
-kind,
-long
-seed)
-throws
-ScenarioException,
-SiteConfigException
-{
-Scenario
-scenario
-=
-ScenarioReader.read(
-kind,
-ScenarioRunner.builtIn("causes/"
-+
-kind)
-.replace("seed 1\n",
-"seed "
-+
-seed
-+
-"\n"));
-ScenarioRunner
-runner
-=
-new
-ScenarioRunner(scenario);
-ScenarioRunner.Result
-result
-=
-runner.run();
-Map<Long,
-String>
-names
-=
-new
-HashMap<>();
-List<FleetMerger.GatewayAccount>
-members
-=
-new
-ArrayList<>();
-for
-(GatewayAccounts
-book
-:
-runner.accounts())
-{
-names.putAll(book.volumeNames());
-members.add(
-new
-FleetMerger.GatewayAccount(
-book.gateway(),
-book.accounts().toAccount(),
-book.versionNotifiedAt()));
-}
-FleetMerger.Merged
-merged
-=
-FleetMerger.merge(members);
-List<Row>
-rows
-=
-new
-ArrayList<>();
-for
-(Scenario.KnownCause
-known
-:
-scenario.causes())
-{
-long
-volume
-=
-names.entrySet().stream()
-.filter(entry
-->
-entry.getValue().equals(known.volume()))
-.findFirst()
-.orElseThrow(
-()
-->
-new
-SiteConfigException(
-"no volume is called "
-+
-known.volume()))
-.getKey();
-LatencyReport
-report
-=
-merged.account().report(volume,
-0,
-Double.MAX_VALUE
-/
-2);
-List<LatencyReport.CauseReport>
-waits
-=
-report.causes().stream()
-.filter(charged
-->
-charged.kind()
-!=
-Cause.Kind.OWN_WORK)
-.toList();
-LatencyReport.CauseReport
-main
-=
-report.mainCause();
-boolean
-hit
-=
-main
-!=
-null
-&&
-isExpected(known,
-main,
-names);
-boolean
-falseBlame
-=
-namesWrongCause(known,
-main,
-names);
-for
-(FleetMerger.GatewayAccount
-member
-:
-members)
-{
-LatencyReport.CauseReport
-alone
-=
-member.account().report(volume,
-0,
-Double.MAX_VALUE
-/
-2).mainCause();
-falseBlame
-|=
-namesWrongCause(known,
-alone,
-names);
-}
-rows.add(
-new
-Row(
-kind,
-seed,
-known.volume(),
-known.causes(),
-name(main,
-names),
-main
-==
-null
-?
-0
-:
-main.share(),
-main
-==
-null
-?
-null
-:
-main.confidence(),
-waits.size()
-<
-2
-?
-""
-:
-name(waits.get(1),
-names),
-hit,
-falseBlame,
-result.verdicts().stream().allMatch(RuleVerdict::satisfied)));
-}
-return
-rows;
-}
+    /** Plays one day with a seed of its own. */
+    public static List<Row> play(String kind, long seed)
+            throws ScenarioException, SiteConfigException {
+        Scenario scenario =
+                ScenarioReader.read(
+                        kind,
+                        ScenarioRunner.builtIn("causes/" + kind)
+                                .replace("seed 1\n", "seed " + seed + "\n"));
+        ScenarioRunner runner = new ScenarioRunner(scenario);
+        ScenarioRunner.Result result = runner.run();
+        Map<Long, String> names = new HashMap<>();
+        List<FleetMerger.GatewayAccount> members = new ArrayList<>();
+        for (GatewayAccounts book : runner.accounts()) {
+            names.putAll(book.volumeNames());
+            members.add(
+                    new FleetMerger.GatewayAccount(
+                            book.gateway(), book.accounts().toAccount(), book.versionNotifiedAt()));
+        }
+        FleetMerger.Merged merged = FleetMerger.merge(members);
+        List<Row> rows = new ArrayList<>();
+        for (Scenario.KnownCause known : scenario.causes()) {
+            long volume =
+                    names.entrySet().stream()
+                            .filter(entry -> entry.getValue().equals(known.volume()))
+                            .findFirst()
+                            .orElseThrow(
+                                    () ->
+                                            new SiteConfigException(
+                                                    "no volume is called " + known.volume()))
+                            .getKey();
+            LatencyReport report = merged.account().report(volume, 0, Double.MAX_VALUE / 2);
+            List<LatencyReport.CauseReport> waits =
+                    report.causes().stream()
+                            .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
+                            .toList();
+            LatencyReport.CauseReport main = report.mainCause();
+            boolean hit = main != null && isExpected(known, main, names);
+            boolean falseBlame = namesWrongCause(known, main, names);
+            for (FleetMerger.GatewayAccount member : members) {
+                LatencyReport.CauseReport alone =
+                        member.account().report(volume, 0, Double.MAX_VALUE / 2).mainCause();
+                falseBlame |= namesWrongCause(known, alone, names);
+            }
+            rows.add(
+                    new Row(
+                            kind,
+                            seed,
+                            known.volume(),
+                            known.causes(),
+                            name(main, names),
+                            main == null ? 0 : main.share(),
+                            main == null ? null : main.confidence(),
+                            waits.size() < 2 ? "" : name(waits.get(1), names),
+                            hit,
+                            falseBlame,
+                            result.verdicts().stream().allMatch(RuleVerdict::satisfied)));
+        }
+        return rows;
+    }
 
-private
-static
-boolean
-namesWrongCause(
-Scenario.KnownCause
-known,
-LatencyReport.CauseReport
-main,
-Map<Long,
-String>
-names)
-{
-return
-main
-!=
-null
-&&
-main.confidence()
-==
-LatencyReport.Confidence.HIGH
-&&
-!isExpected(known,
-main,
-names);
-}
+    private static boolean namesWrongCause(
+            Scenario.KnownCause known, LatencyReport.CauseReport main, Map<Long, String> names) {
+        return main != null
+                && main.confidence() == LatencyReport.Confidence.HIGH
+                && !isExpected(known, main, names);
+    }
 
-private
-static
-boolean
-isExpected(
-Scenario.KnownCause
-known,
-LatencyReport.CauseReport
-main,
-Map<Long,
-String>
-names)
-{
-String
-name
-=
-name(main,
-names);
-return
-known.causes().stream()
-.anyMatch(right
-->
-name.equals(right)
-||
-name.startsWith(right
-+
-":"));
-}
+    private static boolean isExpected(
+            Scenario.KnownCause known, LatencyReport.CauseReport main, Map<Long, String> names) {
+        String name = name(main, names);
+        return known.causes().stream()
+                .anyMatch(right -> name.equals(right) || name.startsWith(right + ":"));
+    }
 
-/** As scripts write causes: the kind, and a volume's name or a node where it has one. */
-private
-static
-String
-name(LatencyReport.CauseReport
-charged,
-Map<Long,
-String>
-names)
-{
-if
-(charged
-==
-null)
-{
-return
-"nothing";
-}
-String
-kind
-=
-charged.kind().externalName();
-return
-switch
-(charged.kind())
-{
-case
-NEIGHBOUR,
-PAUSE
-->
-kind
-+
-":"
-+
-names.getOrDefault(charged.volume(),
-""
-+
-charged.volume());
-case
-SLOW_NODE,
-WARMING_UP_NODE,
-FAULT,
-NETWORK
-->
-kind
-+
-":"
-+
-charged.node();
-default
-->
-kind;
-};
-}
+    /** As scripts write causes: the kind, and a volume's name or a node where it has one. */
+    private static String name(LatencyReport.CauseReport charged, Map<Long, String> names) {
+        if (charged == null) {
+            return "nothing";
+        }
+        String kind = charged.kind().externalName();
+        return switch (charged.kind()) {
+            case NEIGHBOUR, PAUSE ->
+                    kind + ":" + names.getOrDefault(charged.volume(), "" + charged.volume());
+            case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> kind + ":" + charged.node();
+            default -> kind;
+        };
+    }
 }
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -1,666 +1,264 @@
-package
-sagepulley.scenario;
+package sagepulley.scenario;
 
-import
-com.fasterxml.jackson.annotation.JsonProperty;
-import
-java.io.IOException;
-import
-java.io.InputStream;
-import
-java.net.InetSocketAddress;
-import
-java.nio.charset.StandardCharsets;
-import
-java.util.ArrayList;
-import
-java.util.List;
-import
-java.util.Map;
-import
-java.util.concurrent.CompletableFuture;
-import
-java.util.concurrent.Executors;
-import
-java.util.concurrent.ScheduledExecutorService;
-import
-java.util.concurrent.TimeUnit;
-import
-java.util.function.Supplier;
-import
-sagepulley.config.SiteConfig;
-import
-sagepulley.config.SiteConfigException;
-import
-sagepulley.config.VolumeSettings;
-import
-sagepulley.frontend.nbd.NbdGateway;
-import
-sagepulley.model.ServicePolicy;
-import
-sagepulley.persistence.GatewayAccounts;
-import
-sagepulley.standin.NodeProfile;
+import com.fasterxml.jackson.annotation.JsonProperty;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.Executors;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import sagepulley.config.SiteConfig;
+import sagepulley.config.SiteConfigException;
+import sagepulley.config.VolumeSettings;
+import sagepulley.frontend.nbd.NbdGateway;
+import sagepulley.model.ServicePolicy;
+import sagepulley.persistence.GatewayAccounts;
+import sagepulley.standin.NodeProfile;
 
-/** Plays a scripted scenario through real gateways on loopback and judges it by what passed on the sockets. Scripted events happen on one thread of its own. */
-public
-final
-class
-ScenarioRunner
-{
-private
-static
-final
-int
-CLUSTER_LOOPS
-=
-3;
-private
-static
-final
-long
-MAX_END_WAIT_MILLIS
-=
-30_000;
-private
-static
-final
-long
-END_POLL_MILLIS
-=
-10;
+/**
+ * Plays a scripted scenario through real gateways on loopback and judges it by what passed on the
+ * sockets. Scripted events happen on one thread of its own.
+ */
+public final class ScenarioRunner {
+    private static final int CLUSTER_LOOPS = 3;
+    private static final long MAX_END_WAIT_MILLIS = 30_000;
+    private static final long END_POLL_MILLIS = 10;
 
-/** The result of a scenario.
+    /**
+     * The result of a scenario.
      *
-     * @param service for each volume, the share of its requests served within their objective @param unmet sentences for the expectations that were not met @param stallMillis how long the machine stalled at the worst */
-public
-record
-Result(
-String
-day,
-List<RuleVerdict>
-verdicts,
-Map<String,
-Double>
-service,
-List<String>
-unmet,
-long
-requests,
-long
-attempts,
-@JsonProperty("stoodStill")
-double
-stallMillis)
-{
-/** Whether every rule and promise was kept, and every expectation met. */
-public
-boolean
-good()
-{
-return
-unmet.isEmpty()
-&&
-verdicts.stream().allMatch(RuleVerdict::satisfied);
-}
-}
+     * @param service for each volume, the share of its requests served within their objective
+     * @param unmet sentences for the expectations that were not met
+     * @param stallMillis how long the machine stalled at the worst
+     */
+    public record Result(
+            String day,
+            List<RuleVerdict> verdicts,
+            Map<String, Double> service,
+            List<String> unmet,
+            long requests,
+            long attempts,
+            @JsonProperty("stoodStill") double stallMillis) {
+        /** Whether every rule and promise was kept, and every expectation met. */
+        public boolean good() {
+            return unmet.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
+        }
+    }
 
-/** Opens a gateway; tests put a broken one in its place. */
-public
-interface
-Opener
-{
-/** A running gateway: where clients connect, its end as by a kill, and its accounts. */
-record
-Opened(
-InetSocketAddress
-address,
-Runnable
-kill,
-Supplier<GatewayAccounts>
-accounts)
-{}
+    /** Opens a gateway; tests put a broken one in its place. */
+    public interface Opener {
+        /** A running gateway: where clients connect, its end as by a kill, and its accounts. */
+        record Opened(
+                InetSocketAddress address, Runnable kill, Supplier<GatewayAccounts> accounts) {}
 
-/** Opens a gateway; the seed is also the number of its incarnation. */
-Opened
-open(SiteConfig
-site,
-long
-seed);
-}
+        /** Opens a gateway; the seed is also the number of its incarnation. */
+        Opened open(SiteConfig site, long seed);
+    }
 
-private
-final
-Scenario
-scenario;
-private
-final
-Opener
-opener;
-private
-final
-SocketEventLog
-eventLog
-=
-new
-SocketEventLog();
-private
-final
-BlockHistory
-history
-=
-new
-BlockHistory();
-private
-final
-List<LoadGenerator>
-loads
-=
-new
-ArrayList<>();
-private
-final
-List<GatewayAccounts>
-accounts
-=
-new
-ArrayList<>();
-private
-final
-ScheduledExecutorService
-script
-=
-Executors.newSingleThreadScheduledExecutor(
-task
-->
-{
-Thread
-thread
-=
-new
-Thread(task,
-"script");
-thread.setDaemon(true);
-return
-thread;
-});
+    private final Scenario scenario;
+    private final Opener opener;
+    private final SocketEventLog eventLog = new SocketEventLog();
+    private final BlockHistory history = new BlockHistory();
+    private final List<LoadGenerator> loads = new ArrayList<>();
+    private final List<GatewayAccounts> accounts = new ArrayList<>();
+    private final ScheduledExecutorService script =
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> {
+                        Thread thread = new Thread(task, "script");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
 
-/** A run of a scenario through this program's own gateways. */
-public
-ScenarioRunner(Scenario
-scenario)
-{
-this(scenario,
-ScenarioRunner::openGateway);
-}
+    /** A run of a scenario through this program's own gateways. */
+    public ScenarioRunner(Scenario scenario) {
+        this(scenario, ScenarioRunner::openGateway);
+    }
 
-/** A run of a scenario through gateways of another kind. */
-public
-ScenarioRunner(Scenario
-scenario,
-Opener
-opener)
-{
-this.scenario
-=
-scenario;
-this.opener
-=
-opener;
-}
+    /** A run of a scenario through gateways of another kind. */
+    public ScenarioRunner(Scenario scenario, Opener opener) {
+        this.scenario = scenario;
+        this.opener = opener;
+    }
 
-private
-static
-Opener.Opened
-openGateway(SiteConfig
-site,
-long
-seed)
-{
-NbdGateway
-gateway
-=
-LocalCluster.await(new
-NbdGateway(site,
-seed).start());
-return
-new
-Opener.Opened(
-gateway.address(),
-()
-->
-LocalCluster.await(gateway.kill()),
-()
-->
-LocalCluster.await(gateway.accountSnapshot()));
-}
+    private static Opener.Opened openGateway(SiteConfig site, long seed) {
+        NbdGateway gateway = LocalCluster.await(new NbdGateway(site, seed).start());
+        return new Opener.Opened(
+                gateway.address(),
+                () -> LocalCluster.await(gateway.kill()),
+                () -> LocalCluster.await(gateway.accountSnapshot()));
+    }
 
-/** Plays the scenario to its end. */
-public
-Result
-run()
-throws
-SiteConfigException
-{
-SiteConfig
-site
-=
-ScenarioGateways.site(scenario,
-0,
-new
-InetSocketAddress("127.0.0.1",
-1));
-List<NodeProfile>
-profiles
-=
-profiles(site);
-try
-(StallDetector
-stalls
-=
-new
-StallDetector();
-LocalCluster
-cluster
-=
-LocalCluster.start(profiles,
-eventLog,
-CLUSTER_LOOPS))
-{
-stalls.watch(cluster.loops());
-ScenarioGateways
-gateways
-=
-new
-ScenarioGateways(scenario,
-opener,
-eventLog,
-cluster.directory().address());
-gateways.openAll();
-for
-(Scenario.Load
-load
-:
-scenario.loads())
-{
-loads.add(
-new
-LoadGenerator(
-load,
-site,
-volume(site,
-load),
-gateways.targets(),
-eventLog,
-history,
-cluster.loops(),
-scenario.seed()
-*
-31
-+
-loads.size()));
-}
-play(new
-FaultInjector(cluster,
-gateways,
-loads));
-accounts.addAll(gateways.closeAll());
-synchronized
-(eventLog)
-{
-double
-stallMillis
-=
-stalls.worstStallMillis();
-return
-result(new
-RuleChecker(eventLog,
-site,
-profiles,
-stallMillis),
-stallMillis);
-}
-}
-finally
-{
-script.shutdownNow();
-}
-}
+    /** Plays the scenario to its end. */
+    public Result run() throws SiteConfigException {
+        SiteConfig site = ScenarioGateways.site(scenario, 0, new InetSocketAddress("127.0.0.1", 1));
+        List<NodeProfile> profiles = profiles(site);
+        try (StallDetector stalls = new StallDetector();
+                LocalCluster cluster = LocalCluster.start(profiles, eventLog, CLUSTER_LOOPS)) {
+            stalls.watch(cluster.loops());
+            ScenarioGateways gateways =
+                    new ScenarioGateways(scenario, opener, eventLog, cluster.directory().address());
+            gateways.openAll();
+            for (Scenario.Load load : scenario.loads()) {
+                loads.add(
+                        new LoadGenerator(
+                                load,
+                                site,
+                                volume(site, load),
+                                gateways.targets(),
+                                eventLog,
+                                history,
+                                cluster.loops(),
+                                scenario.seed() * 31 + loads.size()));
+            }
+            play(new FaultInjector(cluster, gateways, loads));
+            accounts.addAll(gateways.closeAll());
+            synchronized (eventLog) {
+                double stallMillis = stalls.worstStallMillis();
+                return result(new RuleChecker(eventLog, site, profiles, stallMillis), stallMillis);
+            }
+        } finally {
+            script.shutdownNow();
+        }
+    }
 
-/** The accounts of the gateways that stood at the end, as they would go to disk. */
-public
-List<GatewayAccounts>
-accounts()
-{
-return
-accounts;
-}
+    /** The accounts of the gateways that stood at the end, as they would go to disk. */
+    public List<GatewayAccounts> accounts() {
+        return accounts;
+    }
 
-private
-List<NodeProfile>
-profiles(SiteConfig
-site)
-{
-ServicePolicy
-policy
-=
-site.deployment().policy();
-Scenario.Nodes
-nodes
-=
-scenario.nodes();
-List<NodeProfile>
-profiles
-=
-new
-ArrayList<>();
-for
-(int
-i
-=
-1;
-i
-<=
-nodes.count();
-i++)
-{
-profiles.add(
-new
-NodeProfile(
-i,
-i,
-(i
--
-1)
-%
-nodes.zones(),
-0,
-nodes.slots(),
-nodes.readCostMillis(),
-nodes.writeCostMillis(),
-nodes.queue(),
-site.extentBytes(),
-policy.slowStartShare(),
-policy.slowStartTime(),
-policy.overloadMultiple(),
-policy.overloadWindow(),
-policy.slowStartUnits(),
-nodes.deferredShare(),
-nodes.deferIntervalMillis(),
-null));
-}
-return
-profiles;
-}
+    private List<NodeProfile> profiles(SiteConfig site) {
+        ServicePolicy policy = site.deployment().policy();
+        Scenario.Nodes nodes = scenario.nodes();
+        List<NodeProfile> profiles = new ArrayList<>();
+        for (int i = 1; i <= nodes.count(); i++) {
+            profiles.add(
+                    new NodeProfile(
+                            i,
+                            i,
+                            (i - 1) % nodes.zones(),
+                            0,
+                            nodes.slots(),
+                            nodes.readCostMillis(),
+                            nodes.writeCostMillis(),
+                            nodes.queue(),
+                            site.extentBytes(),
+                            policy.slowStartShare(),
+                            policy.slowStartTime(),
+                            policy.overloadMultiple(),
+                            policy.overloadWindow(),
+                            policy.slowStartUnits(),
+                            nodes.deferredShare(),
+                            nodes.deferIntervalMillis(),
+                            null));
+        }
+        return profiles;
+    }
 
-private
-static
-VolumeSettings
-volume(SiteConfig
-site,
-Scenario.Load
-load)
-throws
-SiteConfigException
-{
-return
-site.volumes().stream()
-.filter(volume
-->
-volume.name().equals(load.volume()))
-.findFirst()
-.orElseThrow(
-()
-->
-new
-SiteConfigException(
-"load "
-+
-load.name()
-+
-": no volume is called "
-+
-load.volume()));
-}
+    private static VolumeSettings volume(SiteConfig site, Scenario.Load load)
+            throws SiteConfigException {
+        return site.volumes().stream()
+                .filter(volume -> volume.name().equals(load.volume()))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new SiteConfigException(
+                                        "load "
+                                                + load.name()
+                                                + ": no volume is called "
+                                                + load.volume()));
+    }
 
-private
-void
-play(FaultInjector
-faults)
-{
-long
-start
-=
-System.nanoTime();
-for
-(Scenario.Event
-event
-:
-scenario.events())
-{
-script.schedule(
-()
-->
-faults.begin(event),
-(long)
-event.atMillis(),
-TimeUnit.MILLISECONDS);
-if
-(!Double.isNaN(event.untilMillis()))
-{
-script.schedule(
-()
-->
-faults.end(event),
-(long)
-event.untilMillis(),
-TimeUnit.MILLISECONDS);
-}
-}
-loads.forEach(load
-->
-load.start(start));
-CompletableFuture<Void>
-over
-=
-new
-CompletableFuture<>();
-script.schedule(
-()
-->
-over.complete(null),
-(long)
-scenario.endMillis(),
-TimeUnit.MILLISECONDS);
-over.join();
-loads.forEach(LoadGenerator::stop);
-awaitOpenRequests();
-loads.forEach(LoadGenerator::close);
-}
+    private void play(FaultInjector faults) {
+        long start = System.nanoTime();
+        for (Scenario.Event event : scenario.events()) {
+            script.schedule(
+                    () -> faults.begin(event), (long) event.atMillis(), TimeUnit.MILLISECONDS);
+            if (!Double.isNaN(event.untilMillis())) {
+                script.schedule(
+                        () -> faults.end(event), (long) event.untilMillis(), TimeUnit.MILLISECONDS);
+            }
+        }
+        loads.forEach(load -> load.start(start));
+        CompletableFuture<Void> over = new CompletableFuture<>();
+        script.schedule(
+                () -> over.complete(null), (long) scenario.endMillis(), TimeUnit.MILLISECONDS);
+        over.join();
+        loads.forEach(LoadGenerator::stop);
+        awaitOpenRequests();
+        loads.forEach(LoadGenerator::close);
+    }
 
-private
-void
-awaitOpenRequests()
-{
-long
-until
-=
-System.nanoTime()
-+
-TimeUnit.MILLISECONDS.toNanos(MAX_END_WAIT_MILLIS);
-while
-(loads.stream().anyMatch(load
-->
-load.openRequests()
->
-0)
-&&
-System.nanoTime()
-<
-until)
-{
-try
-{
-Thread.sleep(END_POLL_MILLIS);
-}
-catch
-(InterruptedException
-e)
-{
-Thread.currentThread().interrupt();
-return;
-}
-}
-}
+    private void awaitOpenRequests() {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_END_WAIT_MILLIS);
+        while (loads.stream().anyMatch(load -> load.openRequests() > 0)
+                && System.nanoTime() < until) {
+            try {
+                Thread.sleep(END_POLL_MILLIS);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+                return;
+            }
+        }
+    }
 
-private
-Result
-result(RuleChecker
-checker,
-double
-stallMillis)
-{
-List<RuleVerdict>
-verdicts
-=
-new
-ArrayList<>(checker.verdicts());
-verdicts.add(
-new
-RuleVerdict(
-"reads show the last acknowledged write",
-history.breaches().isEmpty(),
-history.checkedBlocks()
-+
-" blocks read",
-"all of them",
-history.breaches()));
-Map<String,
-Double>
-service
-=
-checker.service();
-return
-new
-Result(
-scenario.name(),
-verdicts,
-service,
-unmet(service),
-eventLog.requests.size(),
-eventLog.received.size(),
-stallMillis);
-}
+    private Result result(RuleChecker checker, double stallMillis) {
+        List<RuleVerdict> verdicts = new ArrayList<>(checker.verdicts());
+        verdicts.add(
+                new RuleVerdict(
+                        "reads show the last acknowledged write",
+                        history.breaches().isEmpty(),
+                        history.checkedBlocks() + " blocks read",
+                        "all of them",
+                        history.breaches()));
+        Map<String, Double> service = checker.service();
+        return new Result(
+                scenario.name(),
+                verdicts,
+                service,
+                unmet(service),
+                eventLog.requests.size(),
+                eventLog.received.size(),
+                stallMillis);
+    }
 
-private
-List<String>
-unmet(Map<String,
-Double>
-service)
-{
-List<String>
-unmet
-=
-new
-ArrayList<>();
-for
-(Scenario.Expectation
-expected
-:
-scenario.expectations())
-{
-double
-share
-=
-service.getOrDefault(expected.volume(),
-0.0);
-if
-(!(share
->
-expected.minService()))
-{
-unmet.add(
-"service of "
-+
-expected.volume()
-+
-" is "
-+
-Math.round(100
-*
-share)
-+
-" %, expected over "
-+
-Math.round(100
-*
-expected.minService())
-+
-" %");
-}
-}
-return
-unmet;
-}
+    private List<String> unmet(Map<String, Double> service) {
+        List<String> unmet = new ArrayList<>();
+        for (Scenario.Expectation expected : scenario.expectations()) {
+            double share = service.getOrDefault(expected.volume(), 0.0);
+            if (!(share > expected.minService())) {
+                unmet.add(
+                        "service of "
+                                + expected.volume()
+                                + " is "
+                                + Math.round(100 * share)
+                                + " %, expected over "
+                                + Math.round(100 * expected.minService())
+                                + " %");
+            }
+        }
+        return unmet;
+    }
 
-/** The script of a scenario that comes with the program. */
-public
-static
-String
-builtIn(String
-name)
-throws
-ScenarioException
-{
-return
-readResource(name
-+
-".day");
-}
+    /** The script of a scenario that comes with the program. */
+    public static String builtIn(String name) throws ScenarioException {
+        return readResource(name + ".day");
+    }
 
-/** A file from the program's scenarios. */
-static
-String
-readResource(String
-name)
-throws
-ScenarioException
-{
-try
-(InputStream
-from
-=
-ScenarioRunner.class.getResourceAsStream("/days/"
-+
-name))
-{
-if
-(from
-==
-null)
-{
-throw
-new
-ScenarioException(name
-+
-": no such file comes with the program");
-}
-return
-new
-String(from.readAllBytes(),
-StandardCharsets.UTF_8);
-}
-catch
-(IOException
-e)
-{
-throw
-new
-ScenarioException(name
-+
-": cannot be read: "
-+
-e.getMessage());
-}
-}
+    /** A file from the program's scenarios. */
+    static String readResource(String name) throws ScenarioException {
+        try (InputStream from = ScenarioRunner.class.getResourceAsStream("/days/" + name)) {
+            if (from == null) {
+                throw new ScenarioException(name + ": no such file comes with the program");
+            }
+            return new String(from.readAllBytes(), StandardCharsets.UTF_8);
+        } catch (IOException e) {
+            throw new ScenarioException(name + ": cannot be read: " + e.getMessage());
+        }
+    }
 }
