--- a/src/main/java/sagepulley/scheduler/QueuedRequest.java
+++ b/src/main/java/sagepulley/scheduler/QueuedRequest.java
@@ -10,7 +10,7 @@
     long sequence;
 
     /** The group that it belongs to in its queue; owned by {@link WaitQueue}. */
-    Object groupKey;
+    WaitQueue.GroupKey groupKey;
 
     /**
      * When its latency objective ends, in milliseconds, counted from the client's first attempt.
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -207,7 +207,7 @@
 
     /** The usage of a volume with its reservation refilled up to now. */
     private TenantUsage usage(Volume volume, double now) {
-        TenantUsage usage = (TenantUsage) volume.schedulerState;
+        TenantUsage usage = TenantUsage.of(volume);
         double rate = volume.plan.reservation();
         double full = rate > 0 ? rate + deployment.maxUnits() : 0;
         if (usage == null) {
--- a/src/main/java/sagepulley/scheduler/TenantUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantUsage.java
@@ -1,6 +1,7 @@
 package sagepulley.scheduler;
 
 import sagepulley.model.SlidingWindowCounter;
+import sagepulley.model.Volume;
 
 /** What a volume has used of its quota; owned by {@link QuotaTracker}. Times are milliseconds. */
 final class TenantUsage {
@@ -30,4 +31,9 @@
         this.reservationUpdatedAt = now;
         this.limitUpdatedAt = now;
     }
+
+    /** The scheduler's state of a volume; null before its first operation. */
+    static TenantUsage of(Volume volume) {
+        return (TenantUsage) volume.schedulerState;
+    }
 }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -21,7 +21,7 @@
      * What the scheduler cannot tell apart but by deadline. An operation that had an attempt, or
      * keeps the order of a key, is alone in its group by its sequence number; others have 0 there.
      */
-    private record GroupKey(long volume, int trafficClass, double units, long sequence) {
+    record GroupKey(long volume, int trafficClass, double units, long sequence) {
         static GroupKey of(QueuedRequest request) {
             Operation operation = request.operation;
             boolean interchangeable = operation.attempts.isEmpty() && request.keyQueue == null;
@@ -65,8 +65,7 @@
     void add(QueuedRequest request) {
         bySequence.put(request.sequence, request.operation);
         request.groupKey = GroupKey.of(request);
-        groups.computeIfAbsent((GroupKey) request.groupKey, any -> new TreeSet<>(BY_DEADLINE))
-                .add(request);
+        groups.computeIfAbsent(request.groupKey, any -> new TreeSet<>(BY_DEADLINE)).add(request);
         if (request.operation.extent != 0) {
             byExtent.computeIfAbsent(request.operation.extent, any -> new TreeMap<>())
                     .put(request.sequence, request.operation);
@@ -75,10 +74,10 @@
 
     void remove(QueuedRequest request) {
         bySequence.remove(request.sequence);
-        NavigableSet<QueuedRequest> group = groups.get((GroupKey) request.groupKey);
+        NavigableSet<QueuedRequest> group = groups.get(request.groupKey);
         group.remove(request);
         if (group.isEmpty()) {
-            groups.remove((GroupKey) request.groupKey);
+            groups.remove(request.groupKey);
         }
         TreeMap<Long, Operation> sameExtent = byExtent.get(request.operation.extent);
         if (sameExtent != null) {
