--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -12,7 +12,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.RoutingDecision;
 
-/** What a gateway keeps of nodes that come and go. */
+/** What a gateway keeps of endpoints that are removed and listed again. */
 class GatewayEngineTest {
     private static final String SETTINGS =
             """
@@ -76,7 +76,7 @@
                     });
 
     @Test
-    void nodesThatAreGoneForLongAreForgottenOnceTheirLastAttemptHasEnded() {
+    void removedEndpointsAreForgottenOnceTheirLastAttemptHasEnded() {
         engine.onEndpointList(List.of(entry(1, 0), entry(2, 1)), true, 0);
         Operation operation =
                 new Operation(
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aNodeThatComesBackSoonIsTheSame() {
+    void anEndpointThatIsListedAgainSoonIsTheSame() {
         engine.onEndpointList(List.of(entry(1, 0)), true, 0);
         Node node = engine.nodes().iterator().next();
         engine.onEndpointList(List.of(), true, 1000);
--- a/src/test/java/sagepulley/scheduler/DiscoveryCrowdTest.java
+++ b/src/test/java/sagepulley/scheduler/DiscoveryLoadTest.java
@@ -15,7 +15,7 @@
  * on calls that have been given up as well, so that callers who come back too soon keep it busy
  * with nothing for good.
  */
-class DiscoveryCrowdTest {
+class DiscoveryLoadTest {
     private static final double SERVICE_MS = 60;
     private static final double CALL_TIMEOUT_MS = 2_000;
     private static final double STEP_MS = 5;
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -20,7 +20,7 @@
     private final EndpointLease lease = new EndpointLease(SPAN, GRACE);
 
     @Test
-    void aProcessWithoutAnyConfirmationHoldsNoLease() {
+    void aProcessWithoutConfirmationHoldsNoLease() {
         assertFalse(lease.holds(0));
     }
 
@@ -82,24 +82,24 @@
     }
 
     @Test
-    void whereNothingArrivesLateItAlwaysHolds() {
+    void anUnboundedLeaseAlwaysHolds() {
         EndpointLease unbounded = new EndpointLease(Double.POSITIVE_INFINITY, GRACE);
         unbounded.reloadTold(5);
         assertTrue(unbounded.holds(1e12));
     }
 
     @Test
-    void withoutALeaseNothingIsSentAndTheClientIsToldThatItMayComeAgain() {
+    void withoutALeaseNothingIsSentAndTheClientMayRetry() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         harness.scheduler.onListConfirmed(harness.now);
         assertEquals(1, harness.take(SchedulerHarness.READ, 0).attempts.size());
-        harness.satisfyAllOut();
+        harness.serveAllInFlight();
         harness.passTime(SPAN + GRACE);
         Operation waiting = harness.take(SchedulerHarness.READ, 0);
         assertEquals(0, waiting.attempts.size());
         assertEquals(Reason.NO_LEASE, WaitExplainer.why(harness.scheduler, waiting, harness.now));
         harness.passTime(260);
-        assertTrue(harness.declined.contains(waiting));
+        assertTrue(harness.rejected.contains(waiting));
         Operation next = harness.take(SchedulerHarness.READ, 0);
         harness.scheduler.onListConfirmed(harness.now);
         harness.passTime(2);
@@ -108,7 +108,7 @@
 
     /** Its connection comes up only when the lease has ended. */
     @Test
-    void anAttemptThatIsHeldUpBeyondTheLeaseDoesNotBegin() {
+    void anAttemptThatIsDelayedBeyondTheLeaseDoesNotStart() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         harness.scheduler.onListConfirmed(harness.now - SPAN);
         Operation read = harness.take(SchedulerHarness.BULK, 0);
--- a/src/test/java/sagepulley/scheduler/HealthTest.java
+++ b/src/test/java/sagepulley/scheduler/HealthTest.java
@@ -11,10 +11,10 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** Nodes that take work and do not answer, or answer slowly. */
+/** Endpoints that do not answer, or answer slowly or with faults; cancellations and polls. */
 class HealthTest {
     @Test
-    void aSilentNodeGetsOneTrialAtATimeAndNoNewObjects() {
+    void anUnresponsiveEndpointGetsOneProbationRequestAtATimeAndNoNewObjects() {
         SchedulerHarness harness = new SchedulerHarness(2);
         harness.take(SchedulerHarness.BULK, 0);
         harness.passTime(200);
@@ -22,7 +22,8 @@
             harness.take(SchedulerHarness.BULK, 0);
             harness.take(SchedulerHarness.WRITE, -1);
             harness.end(
-                    harness.lastAttempt(harness.held.get(harness.held.size() - 1)), Outcome.SERVED);
+                    harness.lastAttempt(harness.taken.get(harness.taken.size() - 1)),
+                    Outcome.SERVED);
         }
         assertEquals(2, sentTo(harness, 0), "the hop that found it silent, and one trial");
         harness.passTime(70);
@@ -43,7 +44,7 @@
     }
 
     @Test
-    void aFullAnswerRestoresNoTrust() {
+    void aRejectionEndsNoEjection() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Operation lost = harness.take(SchedulerHarness.BULK, 0);
         harness.passTime(500);
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void aFullAnswerMakesNoNodeSilent() {
+    void aRejectionMakesNoEndpointUnresponsive() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Operation refused = harness.take(SchedulerHarness.BULK, 0);
         harness.end(harness.lastAttempt(refused), Outcome.REJECTED);
@@ -67,9 +68,9 @@
     }
 
     @Test
-    void anAttemptThatHadLittleTimeLeftMakesNoNodeSilent() {
+    void anAttemptWithAShortTimeoutMakesNoEndpointUnresponsive() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation hurried = harness.takeHurried(SchedulerHarness.BULK, 1, 0, 60);
+        Operation hurried = harness.takeWithDeadline(SchedulerHarness.BULK, 1, 0, 60);
         harness.passTime(60);
         harness.end(harness.lastAttempt(hurried), Outcome.TIMED_OUT);
         harness.take(SchedulerHarness.BULK, 0);
@@ -78,43 +79,43 @@
     }
 
     @Test
-    void clientsThatLeaveEarlySetAShorterTargetAndTheirWorkIsCalledOff() {
+    void earlyCancellationsShortenTheObjectiveAndCancelAttempts() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 8; i++) {
             Operation operation = harness.take(SchedulerHarness.BULK, 0);
             harness.passTime(60);
-            harness.leave(operation);
+            harness.cancel(operation);
             harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
         }
-        assertEquals(8, harness.calledOff.size());
+        assertEquals(8, harness.cancelled.size());
         harness.passTime(2000);
-        harness.declined.clear();
+        harness.rejected.clear();
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
-        harness.relist();
+        harness.updateEndpointList();
         harness.take(SchedulerHarness.BULK, 0);
         harness.passTime(70);
-        assertEquals(1, harness.declined.size(), "long before its target time of 1.5 s");
+        assertEquals(1, harness.rejected.size(), "long before its target time of 1.5 s");
     }
 
     @Test
-    void clientsThatLeaveBeforeAnyAnswerCouldComeTellNothing() {
+    void cancellationsBeforeAnyAnswerCouldComeAreIgnored() {
         SchedulerHarness harness = new SchedulerHarness(1);
         serve(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
             Operation operation = harness.take(SchedulerHarness.READ, 0);
             harness.passTime(4);
-            harness.leave(operation);
+            harness.cancel(operation);
             harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
         }
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
-        harness.relist();
+        harness.updateEndpointList();
         harness.take(SchedulerHarness.READ, 0);
         harness.passTime(100);
-        assertEquals(0, harness.declined.size(), "the target time is still 250 ms");
+        assertEquals(0, harness.rejected.size(), "the target time is still 250 ms");
     }
 
     @Test
-    void clientsThatLeftOnceDoNotForbidAllAttemptsForGood() {
+    void pastCancellationsDoNotForbidAllAttemptsForEver() {
         SchedulerHarness harness = new SchedulerHarness(1);
         serve(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
@@ -123,7 +124,7 @@
             if (operation.ended) {
                 continue;
             }
-            harness.leave(operation);
+            harness.cancel(operation);
             harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
             // The node takes long for a while, so that no answer would come in the time that
             // clients stay.
@@ -152,14 +153,14 @@
     }
 
     @Test
-    void aSurgeAtOneNodeForbidsNoFurtherAttemptAtAnother() {
+    void anOverloadOfOneEndpointForbidsNoRetryAtAnother() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Volume surging = harness.volume(0);
         for (int i = 0; i < 40; i++) {
             harness.take(SchedulerHarness.READ, surging, 100 + i, 2, 0);
         }
         harness.passTime(260);
-        assertTrue(harness.declined.size() > 20, "declined at the one " + harness.declined.size());
+        assertTrue(harness.rejected.size() > 20, "declined at the one " + harness.rejected.size());
         Operation read = harness.take(SchedulerHarness.READ, 1);
         harness.passTime(10);
         harness.end(harness.lastAttempt(read), Outcome.FAILED);
@@ -167,7 +168,7 @@
     }
 
     @Test
-    void aNodeThatIsForgottenLeavesItsPlaceToAnother() {
+    void theIndexOfAForgottenEndpointIsUsedAgain() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Volume volume = harness.volume(1);
         for (int i = 0; i < 50; i++) {
@@ -176,12 +177,12 @@
             harness.passTime(20);
             harness.end(harness.lastAttempt(read), Outcome.SERVED);
             old.phase = Node.Phase.REMOVED;
-            harness.relist();
+            harness.updateEndpointList();
             old.forgotten = true;
             Node fresh = new Node(1000 + i);
             fresh.cell = 0;
             harness.nodes.set(0, fresh);
-            harness.relist();
+            harness.updateEndpointList();
             // Cold at first: it is served once it is warm.
             harness.passTime(10_000);
         }
@@ -191,7 +192,7 @@
     }
 
     @Test
-    void aNodeThatFailsAtOnceDrawsNoNewObjects() {
+    void anEndpointThatFailsAtOnceDrawsNoNewObjects() {
         SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 40; i++) {
             Operation write = harness.take(SchedulerHarness.WRITE, -1);
@@ -208,7 +209,7 @@
     }
 
     @Test
-    void aSlowNodeGetsFewerOperationsAtATime() {
+    void aSlowEndpointGetsALowerConcurrencyLimit() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 40; i++) {
             Operation read = harness.take(SchedulerHarness.READ, 0);
@@ -228,10 +229,10 @@
     }
 
     @Test
-    void noFurtherAttemptUnderOverloadButInAnOutage() {
+    void noRetryUnderOverloadButInAnOutage() {
         SchedulerHarness outage = new SchedulerHarness(3);
         outage.nodes.get(0).phase = Node.Phase.DRAINING;
-        outage.relist();
+        outage.updateEndpointList();
         SchedulerHarness overload = new SchedulerHarness(3);
         for (SchedulerHarness harness : new SchedulerHarness[] {outage, overload}) {
             for (int i = 0; i < 8; i++) {
@@ -239,7 +240,7 @@
             }
             if (harness == outage) {
                 harness.passTime(252);
-                assertEquals(8, harness.declined.size());
+                assertEquals(8, harness.rejected.size());
             }
             Operation write = harness.take(SchedulerHarness.WRITE, -1);
             harness.end(harness.lastAttempt(write), Outcome.FAILED);
@@ -248,67 +249,67 @@
     }
 
     @Test
-    void theListIsAskedForAtTheStartAndAnewAfterAFailureWithoutFlooding() {
+    void theListIsPolledAtTheStartAndAfterAFailureWithBackoff() {
         SchedulerHarness harness = new SchedulerHarness(1, 1, 3, true, Double.NaN);
-        assertEquals(0, harness.listCalls, "staggered by the gateway's number");
+        assertEquals(0, harness.polls, "staggered by the gateway's number");
         harness.passTime(300);
-        assertEquals(1, harness.listCalls);
+        assertEquals(1, harness.polls);
         for (int i = 0; i < 5; i++) {
             harness.scheduler.onPollFailed(harness.now);
             harness.passTime(400);
         }
-        int calls = harness.listCalls;
+        int calls = harness.polls;
         assertTrue(calls <= 3, "asked " + calls);
         harness.passTime(9000);
-        assertTrue(harness.listCalls > calls, "but it does ask again");
+        assertTrue(harness.polls > calls, "but it does ask again");
     }
 
     /**
-     * However often it failed, discovery is asked again within less than the time after which what
-     * it has counts as told, and not so often that a crowd of callers never ends
-     * (DiscoveryCrowdTest). What has not come by then, the lease covers.
+     * However often it failed, discovery is polled again within less than the time after which a
+     * change counts as notified, and not so often that it is overloaded (DiscoveryLoadTest). What
+     * has not come by then, the lease covers.
      */
     @Test
-    void howeverLongTheListCannotBeHadItIsAskedForSoonAgain() {
+    void theBackoffOfPollsIsBounded() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         double lastCall = harness.now;
         double longest = 0;
         for (int seen = 0; harness.now < 160_000; harness.passTime(2)) {
-            if (harness.listCalls > seen) {
+            if (harness.polls > seen) {
                 longest = Math.max(longest, harness.now - lastCall);
                 lastCall = harness.now;
-                seen = harness.listCalls;
+                seen = harness.polls;
                 harness.scheduler.onPollFailed(harness.now);
             }
         }
         assertTrue(longest <= 4_600, "at most " + longest + " ms between two calls");
-        assertTrue(harness.listCalls < 45, "in a minute " + harness.listCalls);
+        assertTrue(harness.polls < 45, "in a minute " + harness.polls);
     }
 
     @Test
-    void aListThatMovedIsAskedForAtOnceWhateverFailedBefore() {
+    void aMovedDiscoveryIsPolledAtOnceWhateverFailedBefore() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         harness.passTime(10);
         for (int i = 0; i < 10; i++) {
             harness.scheduler.onPollFailed(harness.now);
         }
-        int calls = harness.listCalls;
+        int calls = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
         harness.passTime(302);
-        assertEquals(calls + 1, harness.listCalls);
+        assertEquals(calls + 1, harness.polls);
     }
 
     /** The old address may still tell changes before the new one has been called. */
     @Test
-    void aListFromTheFormerAddressDoesNotPutOffTheCallAtTheNewOne() {
+    void aListFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
         harness.passTime(10);
         harness.scheduler.onListConfirmed(harness.now);
-        int calls = harness.listCalls;
+        int calls = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
-        harness.relist();
+        harness.updateEndpointList();
         harness.passTime(302);
-        assertEquals(calls + 1, harness.listCalls);
+        assertEquals(calls + 1, harness.polls);
     }
 
     /**
@@ -316,17 +317,17 @@
      * told to all.
      */
     @Test
-    void theLastOfManyGatewaysHasAskedForTheListBeforeItCountsAsTold() {
+    void theLastOfManyGatewaysHasPolledBeforeAChangeCountsAsNotified() {
         SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
         harness.passTime(2_500);
-        assertEquals(1, harness.listCalls);
-        harness.relist();
-        harness.passTime(harness.site.pollInterval() - 2_600);
-        assertEquals(1, harness.listCalls, "it was answered");
+        assertEquals(1, harness.polls);
+        harness.updateEndpointList();
+        harness.passTime(harness.deployment.pollInterval() - 2_600);
+        assertEquals(1, harness.polls, "it was answered");
     }
 
     @Test
-    void whatIsOverItsLevelWaitsForAShorterQueueThanTheReserve() {
+    void operationsAboveTheirShareWaitForAShorterQueueThanReservedOnes() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 10; i++) {
             Operation read = harness.take(SchedulerHarness.READ, 0);
@@ -338,7 +339,7 @@
             harness.take(SchedulerHarness.READ, surging, 1000 + i, 6, 0);
         }
         harness.passTime(90);
-        harness.satisfyAllOut();
+        harness.serveAllInFlight();
         Operation over = harness.take(SchedulerHarness.READ, surging, 2000, 6, 0);
         Operation reserved = harness.take(SchedulerHarness.READ, 0);
         assertTrue(over.attempts.isEmpty());
@@ -356,7 +357,7 @@
     }
 
     @Test
-    void anAttemptEndsWithTheTargetTimeWhereLateAnswersAreWorthLittle() {
+    void anAttemptTimesOutAtTheObjectiveWhereLateAnswersHaveLittleValue() {
         SchedulerHarness harness = new SchedulerHarness(1);
         harness.passTime(40);
         Operation read = harness.take(SchedulerHarness.READ, 0);
@@ -364,52 +365,53 @@
     }
 
     @Test
-    void whatIsLateGetsNoFurtherAttempt() {
+    void aLateOperationGetsNoRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Operation read = harness.take(SchedulerHarness.READ, 0);
         harness.passTime(250);
         harness.end(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(1, read.attempts.size());
-        assertEquals(List.of(read), harness.declined, "at once, not near its patience");
+        assertEquals(List.of(read), harness.rejected, "at once, not near its patience");
     }
 
     @Test
-    void hurriedClientsAreNotTakenForRepeatsOfLateOperations() {
+    void anEarlyDeadlineAloneMakesNoClientRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Operation first = harness.take(SchedulerHarness.READ, 0);
         harness.passTime(250);
         harness.end(harness.lastAttempt(first), Outcome.TIMED_OUT);
         harness.passTime(15_000);
         Operation hurried =
-                harness.takeHurried(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
+                harness.takeWithDeadline(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
         assertEquals(98, harness.timeoutOf(hurried), 2, "all the patience it has");
         harness.end(harness.lastAttempt(hurried), Outcome.SERVED);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
-        harness.relist();
-        Operation repeat = harness.takeHurried(SchedulerHarness.READ, first.extent, 0, 1700);
-        assertTrue(harness.declined.contains(repeat), "its first try's target time is over");
+        harness.updateEndpointList();
+        Operation repeat = harness.takeWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
+        assertTrue(harness.rejected.contains(repeat), "its first try's target time is over");
     }
 
     @Test
-    void aDeclineTellsAShortWaitForAQueueAndTheLongestWhereTheNodeDoesNotServe() {
+    void retryAfterFollowsTheQueueAndIsMaximalForAnUnresponsiveEndpoint() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
             harness.take(SchedulerHarness.BULK, 0);
         }
         harness.passTime(100);
-        harness.satisfyAllOut();
+        harness.serveAllInFlight();
         for (int i = 0; i < 40; i++) {
             harness.take(SchedulerHarness.READ, harness.volume(0), 5000 + i, 6, 0);
         }
         harness.passTime(120);
-        harness.satisfyAllOut();
+        harness.serveAllInFlight();
         harness.passTime(140);
-        assertTrue(harness.advice > 0 && harness.advice < 500, "told " + harness.advice);
+        assertTrue(
+                harness.retryAfter > 0 && harness.retryAfter < 500, "told " + harness.retryAfter);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
-        harness.relist();
+        harness.updateEndpointList();
         harness.take(SchedulerHarness.READ, 0);
         harness.passTime(252);
-        assertEquals(harness.site.maxRetryAfter(), harness.advice);
+        assertEquals(harness.deployment.maxRetryAfter(), harness.retryAfter);
     }
 
     private static long sentTo(SchedulerHarness harness, int node) {
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -10,10 +10,10 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** The page's path: the score, the bound, the run of an extent, the earliest deadline. */
+/** The placement score, the concurrency limit, runs of an extent, and the earliest deadline. */
 class PlacementTest {
     @Test
-    void theBoundStartsAtFourAndARunGoesTogetherBeforeTheEarliestDeadline() {
+    void theConcurrencyLimitStartsAtFourAndARunGoesBeforeTheEarliestDeadline() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
             harness.take(SchedulerHarness.READ, 0);
@@ -29,11 +29,11 @@
         harness.end(harness.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
         assertEquals(
-                1, run2.attempts.size(), "the rest of the run goes along, a few over the bound");
+                1, run2.attempts.size(), "the rest of the run goes along, a few over the limit");
     }
 
     @Test
-    void newObjectsLeaveABusyNode() {
+    void newObjectsAvoidAnEndpointWithAHighLatencyRatio() {
         SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 60; i++) {
             Operation read = harness.take(SchedulerHarness.READ, i % 2);
@@ -57,11 +57,11 @@
     }
 
     @Test
-    void newObjectsDoNotPourOntoANodeThatTurnsUp() {
+    void newObjectsDoNotFloodANewEndpoint() {
         SchedulerHarness harness = new SchedulerHarness(2);
         harness.passTime(3000);
         harness.nodes.add(harness.node(2));
-        harness.relist();
+        harness.updateEndpointList();
         for (int i = 0; i < 8; i++) {
             harness.take(SchedulerHarness.WRITE, -1);
         }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void utilityStillDueGoesBeforeAnEarlierDeadline() {
+    void higherPriorityGoesBeforeAnEarlierDeadline() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume surging = harness.volume(0);
         for (int i = 0; i < 8; i++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void whatOthersUsedDrawsOnTheReserve() {
+    void usageThroughOtherGatewaysDrawsOnTheReservation() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume heavyElsewhere = harness.volume(1);
         Operation told = harness.take(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aLateOperationIsDeclinedAtOnceWhenOthersTakeTheSlots() {
+    void aLateOperationIsRejectedAtOnceWhenOthersTakeTheCapacity() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
             harness.take(SchedulerHarness.BULK, 0);
@@ -118,6 +118,6 @@
         assertTrue(read.attempts.isEmpty() && !read.ended);
         harness.passTime(52);
         assertTrue(read.ended, "its target time is past, its patience is not");
-        assertEquals(1, harness.declined.size());
+        assertEquals(1, harness.rejected.size());
     }
 }
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -17,77 +17,93 @@
 import sagepulley.model.Volume;
 
 /**
- * The smallest host of one gateway: a clock moved by hand, idle nodes, and a log of what was sent.
+ * The smallest host of a scheduler: a clock moved by hand, idle nodes, and a log of what was sent.
  */
 final class SchedulerHarness {
     /**
-     * Bands by place: read, write, bulk read, deduplicated within a cell, unrepeatable, in order.
+     * Traffic classes by index: read, write, bulk read, deduplicated within a cell, non-idempotent,
+     * ordered by key.
      */
     static final int READ = 0;
 
     static final int WRITE = 1;
     static final int BULK = 2;
     static final int DEDUPLICATED = 3;
-    static final int UNREPEATABLE = 4;
+    static final int NON_IDEMPOTENT = 4;
     static final int ORDERED = 5;
 
     final List<Node> nodes = new ArrayList<>();
     final List<Attempt> sent = new ArrayList<>();
     private final IdentityHashMap<Attempt, Double> timeouts = new IdentityHashMap<>();
-    final List<Operation> declined = new ArrayList<>();
-    final List<Operation> scrapped = new ArrayList<>();
-    final List<Attempt> calledOff = new ArrayList<>();
-    final List<Operation> held = new ArrayList<>();
+    final List<Operation> rejected = new ArrayList<>();
+    final List<Operation> abandoned = new ArrayList<>();
+    final List<Attempt> cancelled = new ArrayList<>();
+    final List<Operation> taken = new ArrayList<>();
     final Scheduler scheduler;
-    final Deployment site;
+    final Deployment deployment;
 
-    /** When the client declined last should come back. */
-    double advice = Double.NaN;
+    /** The Retry-After of the client that was rejected last, in milliseconds. */
+    double retryAfter = Double.NaN;
 
-    int listCalls;
-    int probes;
+    int polls;
+    int healthChecks;
     double now = 100_000;
     private long ids;
 
-    /** Of an operation, as the settings say the usual one has. */
+    /** Of a typical operation by the settings. */
     static final double UNITS = 2;
 
     SchedulerHarness(int nodeCount) {
         this(nodeCount, 0, 1, false, Double.NaN);
     }
 
-    SchedulerHarness(int nodeCount, int me, int gateways, boolean mustAsk, double budgetFree) {
-        this(nodeCount, me, gateways, mustAsk, budgetFree, Double.POSITIVE_INFINITY);
+    SchedulerHarness(
+            int nodeCount,
+            int gatewayIndex,
+            int gatewayCount,
+            boolean mustPoll,
+            double retryBudgetFloor) {
+        this(
+                nodeCount,
+                gatewayIndex,
+                gatewayCount,
+                mustPoll,
+                retryBudgetFloor,
+                Double.POSITIVE_INFINITY);
     }
 
-    /** The same where a change of the list counts as notified within a span. */
+    /** The same where a change of the endpoint list counts as notified within a span. */
     SchedulerHarness(
             int nodeCount,
-            int me,
-            int gateways,
-            boolean mustAsk,
-            double budgetFree,
+            int gatewayIndex,
+            int gatewayCount,
+            boolean mustPoll,
+            double retryBudgetFloor,
             double notifiedWithin) {
-        List<TrafficClass> bands =
+        List<TrafficClass> trafficClasses =
                 List.of(
-                        band(READ, TrafficClass.Idempotency.IDEMPOTENT, false, 250, 2000, 3),
-                        band(WRITE, TrafficClass.Idempotency.IDEMPOTENT, false, 300, 2000, 3),
-                        band(BULK, TrafficClass.Idempotency.IDEMPOTENT, false, 1500, 5000, 1),
-                        band(
+                        trafficClass(
+                                READ, TrafficClass.Idempotency.IDEMPOTENT, false, 250, 2000, 3),
+                        trafficClass(
+                                WRITE, TrafficClass.Idempotency.IDEMPOTENT, false, 300, 2000, 3),
+                        trafficClass(
+                                BULK, TrafficClass.Idempotency.IDEMPOTENT, false, 1500, 5000, 1),
+                        trafficClass(
                                 DEDUPLICATED,
                                 TrafficClass.Idempotency.DEDUPLICATED,
                                 false,
                                 300,
                                 2000,
                                 3),
-                        band(
-                                UNREPEATABLE,
+                        trafficClass(
+                                NON_IDEMPOTENT,
                                 TrafficClass.Idempotency.NON_IDEMPOTENT,
                                 false,
                                 300,
                                 2000,
                                 3),
-                        band(ORDERED, TrafficClass.Idempotency.IDEMPOTENT, true, 300, 2000, 3));
+                        trafficClass(
+                                ORDERED, TrafficClass.Idempotency.IDEMPOTENT, true, 300, 2000, 3));
         List<TenantPlan> plans =
                 List.of(
                         new TenantPlan(0, "plain", 10, 0, 1, 1, 0, 0, 0),
@@ -103,17 +119,17 @@
                         2000,
                         6,
                         200,
-                        budgetFree,
+                        retryBudgetFloor,
                         0.1,
-                        Double.isNaN(budgetFree) ? Double.NaN : 1000,
+                        Double.isNaN(retryBudgetFloor) ? Double.NaN : 1000,
                         4,
                         false);
-        site =
+        deployment =
                 new Deployment(
-                        me,
-                        gateways,
+                        gatewayIndex,
+                        gatewayCount,
                         0,
-                        bands,
+                        trafficClasses,
                         plans,
                         policy,
                         2,
@@ -124,7 +140,7 @@
                         0.05,
                         1000,
                         true,
-                        mustAsk,
+                        mustPoll,
                         10_000,
                         notifiedWithin,
                         true,
@@ -136,33 +152,33 @@
                         0.05,
                         false,
                         List.of());
-        scheduler = new Scheduler(site, 7 + me);
+        scheduler = new Scheduler(deployment, 7 + gatewayIndex);
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(node(i));
         }
         scheduler.onEndpointList(nodes, now);
-        settle();
+        runDueWork();
     }
 
-    private static TrafficClass band(
+    private static TrafficClass trafficClass(
             int index,
-            TrafficClass.Idempotency repeat,
-            boolean inOrder,
-            double target,
-            double patience,
-            double utility) {
+            TrafficClass.Idempotency idempotency,
+            boolean ordered,
+            double objective,
+            double deadlineMillis,
+            double priorityWeight) {
         return new TrafficClass(
                 index,
                 "band " + index,
-                repeat,
+                idempotency,
                 TrafficClass.DeduplicationScope.CELL,
                 1000,
-                inOrder,
+                ordered,
                 index == WRITE,
-                target,
+                objective,
                 0,
-                patience,
-                utility,
+                deadlineMillis,
+                priorityWeight,
                 0.2);
     }
 
@@ -173,41 +189,53 @@
     }
 
     Volume volume(int plan) {
-        return new Volume(++ids, site.plans().get(plan));
+        return new Volume(++ids, deployment.plans().get(plan));
     }
 
     /**
-     * An operation of two units on a shard, of a volume with a reserve and an extent of its own.
+     * An operation of two units on a shard, of a volume with a reservation and an extent of its
+     * own.
      */
-    Operation take(int band, int shard) {
-        return take(band, volume(1), ++ids, UNITS, shard);
+    Operation take(int classIndex, int shard) {
+        return take(classIndex, volume(1), ++ids, UNITS, shard);
     }
 
-    Operation take(int band, Volume volume, long extent, double units, int shard) {
-        return take(band, volume, extent, units, shard, site.trafficClasses().get(band).deadline());
+    Operation take(int classIndex, Volume volume, long extent, double units, int shard) {
+        return take(
+                classIndex,
+                volume,
+                extent,
+                units,
+                shard,
+                deployment.trafficClasses().get(classIndex).deadline());
     }
 
-    /** An operation whose client has only so much patience left. */
-    Operation takeHurried(int band, long extent, int shard, double patience) {
-        return take(band, volume(1), extent, 2, shard, patience);
+    /** An operation whose deadline is only so many milliseconds away. */
+    Operation takeWithDeadline(int classIndex, long extent, int shard, double deadlineMillis) {
+        return take(classIndex, volume(1), extent, 2, shard, deadlineMillis);
     }
 
     private Operation take(
-            int band, Volume volume, long extent, double units, int shard, double patience) {
+            int classIndex,
+            Volume volume,
+            long extent,
+            double units,
+            int shard,
+            double deadlineMillis) {
         Operation operation =
                 new Operation(
                         ++ids,
-                        site.trafficClasses().get(band),
+                        deployment.trafficClasses().get(classIndex),
                         volume,
                         extent,
                         units,
                         shard,
                         now,
-                        now + patience,
+                        now + deadlineMillis,
                         false);
-        held.add(operation);
-        answer(operation, scheduler.route(operation, now));
-        settle();
+        taken.add(operation);
+        carryOut(operation, scheduler.route(operation, now));
+        runDueWork();
         return operation;
     }
 
@@ -217,57 +245,57 @@
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended |= outcome == Outcome.SERVED;
         if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            answer(attempt.operation, scheduler.route(attempt.operation, now));
+            carryOut(attempt.operation, scheduler.route(attempt.operation, now));
         }
-        settle();
+        runDueWork();
     }
 
-    /** Satisfies every attempt that is out now. */
-    void satisfyAllOut() {
+    /** Serves every attempt that is in flight now. */
+    void serveAllInFlight() {
         sent.stream()
                 .filter(attempt -> attempt.outcome == null)
                 .toList()
                 .forEach(attempt -> end(attempt, Outcome.SERVED));
     }
 
-    void leave(Operation operation) {
+    void cancel(Operation operation) {
         operation.ended = true;
         scheduler.onClientCancelled(operation, now);
-        settle();
+        runDueWork();
     }
 
-    /** Moves the clock, asking whenever the module wants to be asked. */
+    /** Moves the clock in small steps, and runs what is due after each. */
     void passTime(double length) {
         double until = now + length;
         while (now < until) {
             now = Math.min(until, now + 2);
-            settle();
+            runDueWork();
         }
     }
 
-    void relist() {
+    void updateEndpointList() {
         scheduler.onEndpointList(nodes, now);
-        settle();
+        runDueWork();
     }
 
-    void settle() {
+    void runDueWork() {
         for (int round = 0; round < 1000; round++) {
             SchedulerTurn turn = scheduler.nextTurn(now);
-            probes += turn.healthChecks().size();
-            calledOff.addAll(turn.cancellations());
+            healthChecks += turn.healthChecks().size();
+            cancelled.addAll(turn.cancellations());
             if (turn.poll() != SchedulerTurn.EndpointPoll.NONE) {
-                listCalls++;
+                polls++;
             }
             if (turn.due().isEmpty()) {
                 return;
             }
             for (Operation operation : turn.due()) {
-                answer(operation, scheduler.route(operation, now));
+                carryOut(operation, scheduler.route(operation, now));
             }
         }
     }
 
-    /** The longest time given to the operation's last attempt. */
+    /** The timeout of the operation's latest attempt, in milliseconds. */
     double timeoutOf(Operation operation) {
         return timeouts.get(lastAttempt(operation));
     }
@@ -276,17 +304,17 @@
         return operation.attempts.get(operation.attempts.size() - 1);
     }
 
-    private void answer(Operation operation, RoutingDecision decision) {
+    private void carryOut(Operation operation, RoutingDecision decision) {
         switch (decision.kind()) {
             case SEND -> {
                 sent.add(lastAttempt(operation));
                 timeouts.put(lastAttempt(operation), decision.timeout());
             }
             case REJECT -> {
-                declined.add(operation);
-                advice = decision.retryAfter();
+                rejected.add(operation);
+                retryAfter = decision.retryAfter();
             }
-            case ABANDON -> scrapped.add(operation);
+            case ABANDON -> abandoned.add(operation);
             case WAIT -> {}
         }
     }
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -18,11 +18,11 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** A story for each of the seven rules. */
+/** Each rule of the service policy, by example. */
 class ServicePolicyTest {
     @ParameterizedTest
     @CsvSource({"0", "1", "2", "3", "4", "5"})
-    void everyOperationIsAnsweredBeforeItsPatienceEnds(int band) {
+    void everyOperationIsAnsweredBeforeItsDeadline(int band) {
         SchedulerHarness harness = new SchedulerHarness(1);
         Operation sent = harness.take(band, 0);
         Operation homeless = harness.take(band, 7);
@@ -30,19 +30,19 @@
         assertTrue(homeless.ended, "an operation whose shard no node holds");
         harness.end(harness.lastAttempt(sent), Outcome.TIMED_OUT);
         assertTrue(sent.ended, "an operation whose only hop was never answered");
-        assertEquals(2, harness.declined.size() + harness.scrapped.size());
+        assertEquals(2, harness.rejected.size() + harness.abandoned.size());
     }
 
     @ParameterizedTest
     @EnumSource(Outcome.class)
-    void anUnrepeatableOperationRunsAgainOnlyAfterProof(Outcome outcome) {
+    void aNonIdempotentOperationIsRetriedOnlyAfterProofOfNoExecution(Outcome outcome) {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation operation = harness.take(SchedulerHarness.UNREPEATABLE, -1);
+        Operation operation = harness.take(SchedulerHarness.NON_IDEMPOTENT, -1);
         harness.end(harness.lastAttempt(operation), outcome);
         harness.passTime(100);
         if (!outcome.provesNotExecuted) {
             assertEquals(1, operation.attempts.size());
-            assertTrue(harness.declined.isEmpty());
+            assertTrue(harness.rejected.isEmpty());
         } else {
             assertTrue(operation.attempts.size() > 1);
         }
@@ -50,12 +50,12 @@
 
     /** Between the decision and the first byte a connection has to come up. */
     @Test
-    void anAttemptThatIsHeldUpBeginsOnlyWhileTheRulesStillAllowIt() {
+    void aDelayedAttemptStartsOnlyWhileTheRulesStillAllowIt() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Operation drained = harness.take(SchedulerHarness.READ, 0);
         Operation left = harness.take(SchedulerHarness.READ, 1);
         Operation repeated = harness.take(SchedulerHarness.DEDUPLICATED, 1);
-        Operation once = harness.take(SchedulerHarness.UNREPEATABLE, 0);
+        Operation once = harness.take(SchedulerHarness.NON_IDEMPOTENT, 0);
         harness.passTime(10);
         for (Operation operation : List.of(drained, left, repeated, once)) {
             assertTrue(harness.scheduler.mayStart(harness.lastAttempt(operation), harness.now));
@@ -78,17 +78,17 @@
                 harness.scheduler.mayStart(harness.lastAttempt(once), harness.now),
                 "or else it may not");
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
-        harness.relist();
+        harness.updateEndpointList();
         assertFalse(harness.scheduler.mayStart(harness.lastAttempt(drained), harness.now));
-        harness.leave(left);
+        harness.cancel(left);
         assertFalse(harness.scheduler.mayStart(harness.lastAttempt(left), harness.now));
     }
 
     @Test
-    void aDrainingNodeGetsNothingNew() {
+    void aDrainingEndpointGetsNothingNew() {
         SchedulerHarness harness = new SchedulerHarness(2);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
-        harness.relist();
+        harness.updateEndpointList();
         for (int i = 0; i < 4; i++) {
             harness.take(SchedulerHarness.WRITE, -1);
             harness.take(SchedulerHarness.READ, 0);
@@ -100,7 +100,7 @@
     /** The even demand of all gateways is all that the node does when warm. */
     @ParameterizedTest
     @CsvSource({"1", "3", "40"})
-    void allGatewaysTogetherNeverSendAColdNodeMoreThanItBears(int gateways) {
+    void allGatewaysTogetherKeepTheSlowStartOfAnEndpoint(int gateways) {
         List<SchedulerHarness> hosts = new ArrayList<>();
         for (int me = 0; me < gateways; me++) {
             hosts.add(new SchedulerHarness(1, me, gateways, false, Double.NaN));
@@ -111,7 +111,7 @@
             harness.passTime(10.0 * gateways);
             if (turn / gateways == 400 / gateways) {
                 harness.nodes.get(0).startedAt = harness.now;
-                harness.relist();
+                harness.updateEndpointList();
             }
             harness.take(SchedulerHarness.READ, 0);
             for (Attempt attempt : List.copyOf(harness.sent)) {
@@ -141,7 +141,7 @@
      */
     @ParameterizedTest
     @CsvSource({"20, 1", "30, 1", "30, 1.5", "100, 1.5"})
-    void aFleetOfUnevenAndRestartedGatewaysNeverPushesAColdNodeOver(int gateways, double burst) {
+    void unevenAndRestartedGatewaysNeverOverloadAnEndpointInSlowStart(int gateways, double burst) {
         double warm = 100;
         double step = 10;
         RandomGenerator random = new SplittableRandom(5L * gateways);
@@ -160,12 +160,12 @@
                 SchedulerHarness harness = hosts[me];
                 if (now == startedAt) {
                     harness.nodes.get(0).startedAt = startedAt;
-                    harness.relist();
+                    harness.updateEndpointList();
                 } else if (now == startedAt + 100 * (me + 1) && me % 2 == 0) {
                     harness = new SchedulerHarness(2, me, gateways, false, Double.NaN);
                     harness.passTime(now - harness.now);
                     harness.nodes.get(0).startedAt = startedAt;
-                    harness.relist();
+                    harness.updateEndpointList();
                     hosts[me] = harness;
                 }
                 harness.passTime(step);
@@ -202,10 +202,10 @@
     }
 
     @Test
-    void aSurgeAtAColdNodeIsCappedAndWhatIsBeyondItsShareGoesToNone() {
+    void aSurgeInSlowStartIsCappedAndNothingAboveTheShareIsSent() {
         SchedulerHarness harness = new SchedulerHarness(2);
         harness.nodes.get(0).startedAt = harness.now;
-        harness.relist();
+        harness.updateEndpointList();
         double units = 0;
         for (int i = 0; i < 60; i++) {
             Operation read = harness.take(SchedulerHarness.READ, 0);
@@ -214,7 +214,7 @@
                 harness.end(harness.lastAttempt(read), Outcome.SERVED);
             }
         }
-        assertTrue(units > 0 && units <= harness.site.maxUnits(), "sent " + units);
+        assertTrue(units > 0 && units <= harness.deployment.maxUnits(), "sent " + units);
         harness.passTime(5000);
         Volume surging = harness.volume(0);
         int sent = 0;
@@ -229,18 +229,18 @@
     }
 
     @Test
-    void whatMayHaveRunAndMustNotTwiceIsScrappedNotDeclined() {
+    void aNonIdempotentOperationThatMayHaveExecutedIsAbandonedNotRejected() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation operation = harness.take(SchedulerHarness.UNREPEATABLE, 0);
+        Operation operation = harness.take(SchedulerHarness.NON_IDEMPOTENT, 0);
         harness.passTime(100);
         harness.end(harness.lastAttempt(operation), Outcome.RESET);
         harness.passTime(400);
-        assertEquals(List.of(operation), harness.scrapped);
-        assertTrue(harness.declined.isEmpty());
+        assertEquals(List.of(operation), harness.abandoned);
+        assertTrue(harness.rejected.isEmpty());
     }
 
     @Test
-    void orderedOperationsOfAKeyRunOneByOneAndRestAfterATimeOut() {
+    void orderedOperationsOfAKeyRunOneByOneWithIdleTimeAfterATimeOut() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume volume = harness.volume(0);
         Operation first = harness.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void aVolumeKeepsToItsPartOfTheLimit() {
+    void aVolumeKeepsToThisGatewaysPartOfItsLimit() {
         SchedulerHarness harness = new SchedulerHarness(4);
         Volume volume = harness.volume(2);
         volume.gatewayCount = 2;
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void furtherAttemptsKeepToTheBudgetOfTheWindow() {
+    void retriesKeepToTheRetryBudgetOfTheWindow() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, false, 1);
         List<Operation> taken = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -294,7 +294,7 @@
     }
 
     @Test
-    void aDeduplicatedOperationThatMayHaveRunStaysInItsGroupAndMemory() {
+    void aDeduplicatedOperationIsRetriedOnlyInItsScopeAndWindow() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Operation kept = harness.take(SchedulerHarness.DEDUPLICATED, -1);
         Node first = harness.lastAttempt(kept).node;
@@ -302,7 +302,7 @@
         harness.passTime(100);
         assertTrue(kept.attempts.stream().allMatch(attempt -> attempt.node == first));
         assertTrue(
-                harness.declined.isEmpty(),
+                harness.rejected.isEmpty(),
                 "a decline would promise that asking again is harmless");
         harness.passTime(2000);
         assertTrue(kept.ended || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
@@ -315,11 +315,11 @@
     }
 
     @Test
-    void noSecondCopyWhereNoneIsAllowedAndNoThirdFurtherAttempt() {
+    void noHedgedRequestWhereNotAllowedAndNoThirdRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Operation operation = harness.take(SchedulerHarness.BULK, 0);
         for (int i = 0; i < 5 && !operation.ended; i++) {
-            harness.settle();
+            harness.runDueWork();
             assertTrue(
                     operation.attempts.stream().filter(attempt -> attempt.outcome == null).count()
                             <= 1);
@@ -327,17 +327,17 @@
         }
         assertTrue(operation.ended);
         assertEquals(3, operation.attempts.size());
-        assertEquals(1, harness.declined.size());
+        assertEquals(1, harness.rejected.size());
     }
 
     @Test
-    void nothingIsSentForAnOperationThatIsOver() {
+    void nothingIsSentForAnOperationThatHasEnded() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
             harness.take(SchedulerHarness.READ, 0);
         }
         Operation waiting = harness.take(SchedulerHarness.READ, 0);
-        harness.leave(waiting);
+        harness.cancel(waiting);
         harness.end(harness.sent.get(0), Outcome.SERVED);
         harness.passTime(100);
         assertTrue(waiting.attempts.isEmpty());
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagepulley.model.Node;
 
-/** A node's start is told by a wall clock that may be off, by seconds or by an hour. */
+/** An endpoint's start is reported by a wall clock that may be off, by seconds or by an hour. */
 class StartTimesTest {
     private static final double HOUR = 3_600_000;
     private static final double SPAN = 6_000;
@@ -27,32 +27,32 @@
         harness.passTime(500);
         Node node = harness.nodes.get(0);
         node.startedAt = harness.now - 100 + clockError;
-        harness.relist();
+        harness.updateEndpointList();
         double age = harness.now - EndpointState.of(node).startedAt;
         assertTrue(age >= 0 && age <= 500, "counts as started " + age + " ms ago");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR, HOUR})
-    void whatTheFirstListTellsIsNeitherInTheFutureNorLongAgo(double clockError) {
+    void aReportedStartIsNeitherInTheFutureNorLongAgo(double clockError) {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         Node fresh = new Node(77);
         fresh.startedAt = harness.now + clockError;
         harness.nodes.add(fresh);
-        harness.relist();
+        harness.updateEndpointList();
         assertEquals(harness.now, EndpointState.of(fresh).startedAt);
     }
 
     @Test
-    void aStartThatIsToldAgainIsNoRestart() {
+    void aStartThatIsReportedAgainIsNoRestart() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         harness.scheduler.onListConfirmed(harness.now);
         Node node = harness.nodes.get(0);
         node.startedAt = harness.now + HOUR;
-        harness.relist();
+        harness.updateEndpointList();
         double startedAt = EndpointState.of(node).startedAt;
         harness.passTime(3_000);
-        harness.relist();
+        harness.updateEndpointList();
         assertEquals(startedAt, EndpointState.of(node).startedAt);
     }
 }
