--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -116,6 +116,22 @@
                             "sagepulley.membership..",
                             "sagepulley.model..");
 
+    /** The two views show what the scheduler has learned; no decision depends on them. */
+    @ArchTest
+    static final ArchRule NO_CONCERN_KNOWS_THE_SCHEDULER_THAT_COMPOSES_IT =
+            noClasses()
+                    .that()
+                    .resideInAPackage("sagepulley.scheduler..")
+                    .and()
+                    .doNotHaveSimpleName("Scheduler")
+                    .and()
+                    .doNotHaveSimpleName("WaitExplainer")
+                    .and()
+                    .doNotHaveSimpleName("TrafficClassView")
+                    .should()
+                    .dependOnClassesThat()
+                    .haveFullyQualifiedName("sagepulley.scheduler.Scheduler");
+
     @ArchTest
     static final ArchRule ENGINE_KNOWS_NO_PROTOCOL =
             noClasses()
