--- a/src/main/java/sagepulley/model/Deployment.java
+++ b/src/main/java/sagepulley/model/Deployment.java
@@ -4,8 +4,35 @@
 
 /**
  * The settings of a gateway's deployment, which it reads at its start. Times are milliseconds,
- * rates are units a second. Within notifiedWithin a change of the endpoint list counts as notified,
- * arrived or not; it is infinite where changes cannot be missed.
+ * rates are units a second.
+ *
+ * @param gatewayIndex the number of this gateway, from 0
+ * @param gatewayCount how many gateways serve the same endpoints
+ * @param zone the zone of this gateway
+ * @param trafficClasses all traffic classes, by index
+ * @param plans all tenant plans, by index
+ * @param policy the rules that every gateway keeps
+ * @param tick the step of the clock
+ * @param shards how many shards there are; each lies at the endpoint of one cell
+ * @param typicalUnits the size of a usual operation
+ * @param maxUnits the size of the largest operation
+ * @param shareWeightFraction the part of its price that an operation inside the share is worth
+ * @param excessWeightFraction the part of its price that an operation in excess of it is worth
+ * @param usagePeriod the period over which endpoints report a plan's usage
+ * @param reportsOtherGateways whether endpoints report what they served through other gateways
+ * @param mustPoll whether discovery sends the endpoint list only where it is asked for
+ * @param pollInterval the longest time between two polls of the endpoint list
+ * @param notifiedWithin the time after which a change of the endpoint list counts as notified,
+ *     arrived or not; infinite where changes cannot be missed
+ * @param mayCheckHealth whether endpoints answer health checks
+ * @param mayCancel whether attempts may be cancelled
+ * @param mayRetryAfter whether a rejection may advise when to retry
+ * @param maxRetryAfter the longest such advice
+ * @param crossZonePrice the price of an attempt in another zone
+ * @param healthCheckPrice the price of a health check
+ * @param wastePrice the price of work for nobody
+ * @param hasNodeWeights whether the endpoint list gives weights
+ * @param reportFields the names of a load report's values, in their order
  */
 public record Deployment(
         int gatewayIndex,
@@ -35,10 +62,10 @@
         boolean hasNodeWeights,
         List<String> reportFields) {
     /**
-     * The same where lists come only on a watch that this gateway opens (those that are pushed, at
-     * once), and a change counts as notified within a span, whether or not it arrived.
+     * The same deployment where lists come only on a watch that this gateway opens, at once where
+     * they are pushed otherwise, and a change counts as notified within a time.
      */
-    public Deployment onWatch(double span) {
+    public Deployment onWatch(double notifiedWithin) {
         return new Deployment(
                 gatewayIndex,
                 gatewayCount,
@@ -56,7 +83,7 @@
                 reportsOtherGateways,
                 true,
                 mustPoll ? pollInterval : 0,
-                span,
+                notifiedWithin,
                 mayCheckHealth,
                 mayCancel,
                 mayRetryAfter,
