--- a/src/main/java/sagepulley/tracing/OperationTrace.java
+++ b/src/main/java/sagepulley/tracing/OperationTrace.java
@@ -8,9 +8,14 @@
 import sagepulley.model.Reason;
 
 /**
- * One operation's life as plain values. The arrival is wall-clock milliseconds; steps follow one
- * another from it, and attempts are told from it too. Why it was kept, and how many such it stands
- * for.
+ * One operation's life as plain values. Durations are milliseconds.
+ *
+ * @param cookie the client's number for the request
+ * @param trafficClass its name
+ * @param arrivedAt wall-clock milliseconds; steps follow one another from it
+ * @param mainCause of its waits, in words
+ * @param sampleReason why its trace is kept
+ * @param sampleWeight for how many operations it stands
  */
 public record OperationTrace(
         String gateway,
@@ -30,12 +35,14 @@
         double sampleWeight,
         List<Step> steps,
         List<Attempt> attempts) {
-    /** A stretch of time: what it went to, at which node (0: none), and how long. */
+    /** A step: where its time went, and at which node (0: none). */
     public record Step(LatencyComponent component, int node, double duration) {}
 
     /**
-     * One sending: whereto, in which part of the plan, how long after the arrival, and how it ended
-     * (null: out).
+     * An attempt.
+     *
+     * @param sentAfter milliseconds after the arrival
+     * @param outcome null while it is in flight
      */
     public record Attempt(
             int number,
--- a/src/main/java/sagepulley/tracing/SpanFile.java
+++ b/src/main/java/sagepulley/tracing/SpanFile.java
@@ -21,12 +21,14 @@
 import java.util.Map;
 
 /**
- * Writes spans to a file, a line of JSON each; a file that is full is moved on, and the oldest
- * goes.
+ * Writes spans to a file, a line of JSON each; a file that is full is rotated, and the oldest
+ * deleted.
  */
 final class SpanFile implements SpanExporter {
     private static final JsonMapper JSON = new JsonMapper();
 
+    private static final Duration SIZE_CHECK_INTERVAL = Duration.buildByMilliseconds(200);
+
     private final LoggerContext context = new LoggerContext();
     private final Logger lines;
 
@@ -40,25 +42,34 @@
         appender.setContext(context);
         appender.setFile(file.toString());
         appender.setEncoder(encoder);
-        FixedWindowRollingPolicy window = new FixedWindowRollingPolicy();
-        window.setContext(context);
-        window.setParent(appender);
-        window.setFileNamePattern(file + ".%i");
-        window.setMinIndex(1);
-        window.setMaxIndex(Math.max(1, files - 1));
-        window.start();
-        SizeBasedTriggeringPolicy<ILoggingEvent> size = new SizeBasedTriggeringPolicy<>();
-        size.setContext(context);
-        size.setMaxFileSize(new FileSize(bytes));
-        size.setCheckIncrement(Duration.buildByMilliseconds(200));
-        size.start();
-        appender.setRollingPolicy(window);
-        appender.setTriggeringPolicy(size);
+        appender.setRollingPolicy(rolling(file, files, appender));
+        appender.setTriggeringPolicy(triggering(bytes));
         appender.start();
         lines = context.getLogger("traces");
         lines.addAppender(appender);
     }
 
+    private FixedWindowRollingPolicy rolling(
+            Path file, int files, RollingFileAppender<ILoggingEvent> appender) {
+        FixedWindowRollingPolicy policy = new FixedWindowRollingPolicy();
+        policy.setContext(context);
+        policy.setParent(appender);
+        policy.setFileNamePattern(file + ".%i");
+        policy.setMinIndex(1);
+        policy.setMaxIndex(Math.max(1, files - 1));
+        policy.start();
+        return policy;
+    }
+
+    private SizeBasedTriggeringPolicy<ILoggingEvent> triggering(long bytes) {
+        SizeBasedTriggeringPolicy<ILoggingEvent> policy = new SizeBasedTriggeringPolicy<>();
+        policy.setContext(context);
+        policy.setMaxFileSize(new FileSize(bytes));
+        policy.setCheckIncrement(SIZE_CHECK_INTERVAL);
+        policy.start();
+        return policy;
+    }
+
     @Override
     public CompletableResultCode export(Collection<SpanData> spans) {
         for (SpanData span : spans) {
--- /dev/null
+++ b/src/main/java/sagepulley/tracing/SpanMaker.java
@@ -0,0 +1,97 @@
+package sagepulley.tracing;
+
+import io.opentelemetry.api.trace.Span;
+import io.opentelemetry.api.trace.SpanBuilder;
+import io.opentelemetry.api.trace.StatusCode;
+import io.opentelemetry.api.trace.Tracer;
+import io.opentelemetry.context.Context;
+import java.util.concurrent.TimeUnit;
+import sagepulley.accounts.Accounts;
+import sagepulley.model.ExternalName;
+
+/**
+ * Makes an operation's spans: one for the operation, and within it one for each attempt and each
+ * step. The only place that knows the names of spans and attributes, which are the span file's.
+ */
+final class SpanMaker {
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    private final Tracer tracer;
+
+    SpanMaker(Tracer tracer) {
+        this.tracer = tracer;
+    }
+
+    void make(OperationTrace trace, Context parent) {
+        Span operation = startOperation(trace, parent);
+        Context context = parent.with(operation);
+        double end = trace.arrivedAt() + trace.duration();
+        for (OperationTrace.Attempt attempt : trace.attempts()) {
+            makeAttempt(attempt, trace.arrivedAt(), end, context);
+        }
+        double stepStart = trace.arrivedAt();
+        for (OperationTrace.Step step : trace.steps()) {
+            makeStep(step, stepStart, context);
+            stepStart += step.duration();
+        }
+        if (trace.end() == Accounts.End.ABANDONED || trace.end() == Accounts.End.REJECTED) {
+            operation.setStatus(StatusCode.ERROR, ExternalName.of(trace.reason()));
+        }
+        operation.end(nanos(end), TimeUnit.NANOSECONDS);
+    }
+
+    private Span startOperation(OperationTrace trace, Context parent) {
+        return start("operation", parent, trace.arrivedAt())
+                .setAttribute("gateway", trace.gateway())
+                .setAttribute("operation", trace.operation())
+                .setAttribute("cookie", trace.cookie())
+                .setAttribute("volume", trace.volume())
+                .setAttribute("band", trace.trafficClass())
+                .setAttribute("kind", trace.kind())
+                .setAttribute("extent", trace.extent())
+                .setAttribute("units", trace.units())
+                .setAttribute("result", ExternalName.of(trace.end()))
+                .setAttribute("reason", ExternalName.of(trace.reason()))
+                .setAttribute("main_cause", trace.mainCause())
+                .setAttribute("kept", ExternalName.of(trace.sampleReason()))
+                .setAttribute("stands_for", trace.sampleWeight())
+                .startSpan();
+    }
+
+    private void makeAttempt(
+            OperationTrace.Attempt attempt,
+            double arrivedAt,
+            double operationEnd,
+            Context context) {
+        boolean inFlight = attempt.outcome() == null;
+        double sentAt = arrivedAt + attempt.sentAfter();
+        String quotaTier = attempt.quotaTier() == null ? "" : ExternalName.of(attempt.quotaTier());
+        start("hop", context, sentAt)
+                .setAttribute("number", attempt.number())
+                .setAttribute("node", attempt.node())
+                .setAttribute("owed", quotaTier)
+                .setAttribute("result", inFlight ? "out" : ExternalName.of(attempt.outcome()))
+                .startSpan()
+                .end(
+                        nanos(inFlight ? operationEnd : sentAt + attempt.duration()),
+                        TimeUnit.NANOSECONDS);
+    }
+
+    private void makeStep(OperationTrace.Step step, double startedAt, Context context) {
+        start("step", context, startedAt)
+                .setAttribute("spent", ExternalName.of(step.component()))
+                .setAttribute("node", step.node())
+                .startSpan()
+                .end(nanos(startedAt + step.duration()), TimeUnit.NANOSECONDS);
+    }
+
+    private SpanBuilder start(String name, Context parent, double wallMillis) {
+        return tracer.spanBuilder(name)
+                .setParent(parent)
+                .setStartTimestamp(nanos(wallMillis), TimeUnit.NANOSECONDS);
+    }
+
+    private static long nanos(double wallMillis) {
+        return (long) (wallMillis * NANOS_PER_MILLI);
+    }
+}
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -6,26 +6,33 @@
 import sagepulley.model.ExternalName;
 
 /**
- * Decides after an operation's end whether its trace is kept: what was scrapped, declined, missed
- * its target time or is among the slowest of its band, and of the others some by chance, all within
- * a budget a second. Each kind has a part of the budget of its own, and what one leaves others may
- * use. Where a kind has more than its part, a share of it is kept by chance, evenly over the
- * second, and each kept one says for how many it stands. No clock: times are milliseconds handed
- * in.
+ * Decides after an operation's end whether its trace is kept: those that were abandoned, rejected,
+ * missed their latency objective or are among the slowest of their traffic class, and of the others
+ * some at random, all within a budget (docs/accounts.md). Each reason has a part of the budget, and
+ * what one leaves others may use. Where there are more than its part allows, a random sample is
+ * kept, evenly over time, and each one has the weight of those it stands for. No clock: times are
+ * milliseconds handed in. For one thread.
  */
 public final class TailSampler {
     /** Why an operation's trace is kept. */
     public enum SampleReason implements ExternalName {
-        ABANDONED("scrapped"),
-        REJECTED("declined"),
-        MISSED("missed"),
-        SLOWEST("slowest"),
-        RANDOM("chance");
+        /** It may have been executed or not. */
+        ABANDONED("scrapped", 0.2),
+        /** It was rejected before execution. */
+        REJECTED("declined", 0.2),
+        /** It was not served within its latency objective. */
+        MISSED("missed", 0.3),
+        /** It is among the slowest of its traffic class. */
+        SLOWEST("slowest", 0.2),
+        /** It is an ordinary one. */
+        RANDOM("chance", 0.1);
 
         private final String externalName;
+        private final double budgetPart;
 
-        SampleReason(String externalName) {
+        SampleReason(String externalName, double budgetPart) {
             this.externalName = externalName;
+            this.budgetPart = budgetPart;
         }
 
         @Override
@@ -34,73 +41,118 @@
         }
     }
 
-    private static final double[] PARTS = {0.2, 0.2, 0.3, 0.2, 0.1};
-    private static final double RATE_WINDOW = 2_000;
-    private static final double FILL_EVERY = 5;
-    private static final double SLOW_SHARE = 0.005;
-    private static final double SLOW_STEP = 0.05;
-    private static final int SLOW_KNOWN = 200;
+    private static final SampleReason[] REASONS = SampleReason.values();
 
-    private final double perSecond;
-    private final double chance;
+    /** Time constant of the decay with which the rate of candidates is measured. */
+    private static final double RATE_WINDOW_MILLIS = 2_000;
+
+    private static final double MIN_REFILL_MILLIS = 5;
+
+    /** The slowest are those beyond the quantile that this fraction exceeds. */
+    private static final double SLOW_FRACTION = 0.005;
+
+    /** A step of the quantile's estimate: a part of it, and a constant that gets it off zero. */
+    private static final double QUANTILE_STEP = 0.05;
+
+    private static final double MIN_QUANTILE_STEP_MILLIS = 0.01;
+
+    /** With fewer operations of a traffic class its quantile is the maximum so far. */
+    private static final int MIN_QUANTILE_SAMPLES = 200;
+
+    private static final double MIN_RATE = 1e-9;
+
+    private final double maxTracesPerSecond;
+    private final double sampleProbability;
     private final RandomGenerator random;
-    private final double[] tokens = new double[PARTS.length];
-    private final double[] counts = new double[PARTS.length];
-    private double spare;
-    private double at;
 
-    /** By band: the time that few exceed, and how many have been seen. */
-    private double[] slow = new double[0];
+    /** By reason: traces that may be kept now, and candidates within the rate window. */
+    private final double[] tokens = new double[REASONS.length];
+
+    private final double[] candidates = new double[REASONS.length];
+
+    /** Tokens that no reason had room for. */
+    private double spareTokens;
+
+    private double refilledAt;
+
+    /** By traffic class: the quantile of durations, and how many of them were seen. */
+    private double[] slowQuantile = new double[0];
 
-    private int[] seen = new int[0];
+    private int[] samples = new int[0];
     private SampleReason reason;
     private long overBudget;
 
-    /** At most so many a second; an ordinary one with this chance (0 to 1). */
-    public TailSampler(double perSecond, double chance, RandomGenerator random) {
-        this.perSecond = perSecond;
-        this.chance = chance;
+    /**
+     * A sampler with a full budget.
+     *
+     * @param sampleProbability of an ordinary operation, 0 to 1
+     */
+    public TailSampler(
+            double maxTracesPerSecond, double sampleProbability, RandomGenerator random) {
+        this.maxTracesPerSecond = maxTracesPerSecond;
+        this.sampleProbability = sampleProbability;
         this.random = random;
-        for (int i = 0; i < PARTS.length; i++) {
-            tokens[i] = capacity(i);
+        for (SampleReason each : REASONS) {
+            tokens[each.ordinal()] = capacity(each);
         }
     }
 
-    private double capacity(int kind) {
-        return Math.max(1, PARTS[kind] * perSecond);
+    private double capacity(SampleReason ofReason) {
+        return Math.max(1, ofReason.budgetPart * maxTracesPerSecond);
     }
 
-    /** For how many operations this one's trace is kept to stand; 0 if it is not kept. */
-    public double sample(Accounts.End end, boolean missed, int band, double took, double now) {
-        fill(now);
-        boolean slowest = slowest(band, took);
-        reason =
-                switch (end) {
-                    case ABANDONED -> SampleReason.ABANDONED;
-                    case REJECTED -> SampleReason.REJECTED;
-                    case SERVED, CANCELLED ->
-                            missed
-                                    ? SampleReason.MISSED
-                                    : slowest ? SampleReason.SLOWEST : SampleReason.RANDOM;
-                };
-        int kind = reason.ordinal();
-        counts[kind]++;
-        double rate = counts[kind] * 1000 / RATE_WINDOW;
-        double wanted = reason == SampleReason.RANDOM ? chance : 1;
-        double bears = (PARTS[kind] * perSecond + spare) / Math.max(1e-9, rate);
-        double part = Math.min(wanted, bears);
-        if (part < 1 && random.nextDouble() >= part) {
+    /**
+     * Decides on an operation.
+     *
+     * @param missed whether it was not served within its latency objective
+     * @param trafficClass its index
+     * @param duration milliseconds
+     * @return the weight of its trace, for how many operations it stands; 0 if it is not kept
+     */
+    public double sample(
+            Accounts.End end, boolean missed, int trafficClass, double duration, double now) {
+        refill(now);
+        reason = reason(end, missed, isAmongSlowest(trafficClass, duration));
+        int index = reason.ordinal();
+        candidates[index]++;
+        double rate = candidates[index] * 1000 / RATE_WINDOW_MILLIS;
+        double wanted = reason == SampleReason.RANDOM ? sampleProbability : 1;
+        double affordable =
+                (reason.budgetPart * maxTracesPerSecond + spareTokens) / Math.max(MIN_RATE, rate);
+        double probability = Math.min(wanted, affordable);
+        if (probability < 1 && random.nextDouble() >= probability) {
             return 0;
         }
-        if (tokens[kind] >= 1) {
-            tokens[kind]--;
-        } else if (spare >= 1) {
-            spare--;
-        } else {
+        if (!takeToken(index)) {
             overBudget++;
             return 0;
         }
-        return 1 / part;
+        return 1 / probability;
+    }
+
+    private static SampleReason reason(Accounts.End end, boolean missed, boolean isAmongSlowest) {
+        return switch (end) {
+            case ABANDONED -> SampleReason.ABANDONED;
+            case REJECTED -> SampleReason.REJECTED;
+            case SERVED, CANCELLED -> {
+                if (missed) {
+                    yield SampleReason.MISSED;
+                }
+                yield isAmongSlowest ? SampleReason.SLOWEST : SampleReason.RANDOM;
+            }
+        };
+    }
+
+    private boolean takeToken(int index) {
+        if (tokens[index] >= 1) {
+            tokens[index]--;
+            return true;
+        }
+        if (spareTokens >= 1) {
+            spareTokens--;
+            return true;
+        }
+        return false;
     }
 
     /** Why the latest was kept, or would have been. */
@@ -109,42 +161,46 @@
     }
 
     /**
-     * How many were wanted and not kept since the start, because the budget was spent at that
+     * How many were chosen and not kept since the start, because the budget was spent at that
      * moment.
      */
     public long overBudget() {
         return overBudget;
     }
 
-    private void fill(double now) {
-        double passed = Math.max(0, now - at);
-        if (passed < FILL_EVERY) {
+    private void refill(double now) {
+        double passed = Math.max(0, now - refilledAt);
+        if (passed < MIN_REFILL_MILLIS) {
             return;
         }
-        at = now;
-        double left = Math.exp(-passed / RATE_WINDOW);
-        for (int i = 0; i < PARTS.length; i++) {
-            counts[i] *= left;
-            double filled = tokens[i] + PARTS[i] * perSecond * passed / 1000;
-            tokens[i] = Math.min(capacity(i), filled);
-            spare += filled - tokens[i];
+        refilledAt = now;
+        double decay = Math.exp(-passed / RATE_WINDOW_MILLIS);
+        for (SampleReason each : REASONS) {
+            int index = each.ordinal();
+            candidates[index] *= decay;
+            double filled = tokens[index] + each.budgetPart * maxTracesPerSecond * passed / 1000;
+            tokens[index] = Math.min(capacity(each), filled);
+            spareTokens += filled - tokens[index];
         }
-        spare = Math.min(spare, perSecond);
+        spareTokens = Math.min(spareTokens, maxTracesPerSecond);
     }
 
-    /** Follows the time that only a small share of a band's operations exceed. */
-    private boolean slowest(int band, double took) {
-        if (band >= slow.length) {
-            slow = Arrays.copyOf(slow, band + 1);
-            seen = Arrays.copyOf(seen, band + 1);
+    /** Follows the duration that only a small fraction of a traffic class exceeds. */
+    private boolean isAmongSlowest(int trafficClass, double duration) {
+        if (trafficClass >= slowQuantile.length) {
+            slowQuantile = Arrays.copyOf(slowQuantile, trafficClass + 1);
+            samples = Arrays.copyOf(samples, trafficClass + 1);
         }
-        boolean over = took > slow[band];
-        slow[band] += (SLOW_STEP * slow[band] + 0.01) * (over ? 1 - SLOW_SHARE : -SLOW_SHARE);
-        if (seen[band] < SLOW_KNOWN) {
-            seen[band]++;
-            slow[band] = Math.max(slow[band], took);
+        double quantile = slowQuantile[trafficClass];
+        boolean exceeds = duration > quantile;
+        double step = QUANTILE_STEP * quantile + MIN_QUANTILE_STEP_MILLIS;
+        quantile += step * (exceeds ? 1 - SLOW_FRACTION : -SLOW_FRACTION);
+        if (samples[trafficClass] < MIN_QUANTILE_SAMPLES) {
+            samples[trafficClass]++;
+            slowQuantile[trafficClass] = Math.max(quantile, duration);
             return false;
         }
-        return over;
+        slowQuantile[trafficClass] = quantile;
+        return exceeds;
     }
 }
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -2,9 +2,6 @@
 
 import io.opentelemetry.api.common.AttributeKey;
 import io.opentelemetry.api.common.Attributes;
-import io.opentelemetry.api.trace.Span;
-import io.opentelemetry.api.trace.SpanBuilder;
-import io.opentelemetry.api.trace.StatusCode;
 import io.opentelemetry.context.Context;
 import io.opentelemetry.exporter.otlp.http.trace.OtlpHttpSpanExporter;
 import io.opentelemetry.sdk.resources.Resource;
@@ -17,85 +14,84 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import sagepulley.accounts.Accounts;
 import sagepulley.config.TracingSettings;
-import sagepulley.model.ExternalName;
 
 /**
- * Makes traces of stories that were found worth keeping, on a thread of its own, and sends them to
- * a file and an OTLP receiver. What neither can take in time is dropped and counted; no operation
- * ever waits for it.
+ * Makes spans of sampled operations, on a thread of its own, and exports them to a file and an OTLP
+ * receiver. What they cannot take in time is dropped and counted; no operation ever waits for it.
  */
 public final class Tracer implements AutoCloseable {
-    private static final int MOST_WAITING = 1024;
-    private static final int MOST_SPANS = 8192;
-    private static final Duration LONGEST_EXPORT = Duration.ofSeconds(5);
-    private static final long LONGEST_END_SECONDS = 3;
-    private static final double NS = 1e6;
+    private static final int MAX_QUEUED_TRACES = 1024;
+    private static final int MAX_QUEUED_SPANS = 8192;
+    private static final Duration EXPORT_INTERVAL = Duration.ofMillis(500);
+    private static final Duration EXPORT_TIMEOUT = Duration.ofSeconds(5);
+    private static final long POLL_MILLIS = 100;
+    private static final long CLOSE_TIMEOUT_SECONDS = 3;
     private static final AttributeKey<String> SERVICE = AttributeKey.stringKey("service.name");
 
     private final SdkTracerProvider provider;
-    private final io.opentelemetry.api.trace.Tracer spans;
-    private final BlockingQueue<OperationTrace> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final Thread maker = new Thread(this::work, "traces");
+    private final SpanMaker spans;
+    private final BlockingQueue<OperationTrace> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TRACES);
+    private final Thread thread = new Thread(this::run, "traces");
     private final LongAdder exported = new LongAdder();
     private final LongAdder dropped = new LongAdder();
-    private volatile boolean ending;
+    private volatile boolean closing;
 
-    public Tracer(TracingSettings line, String gateway) {
+    /** Starts the thread and the exporters. */
+    public Tracer(TracingSettings settings, String gateway) {
+        Attributes service = Attributes.of(SERVICE, "sagepulley/" + gateway);
         SdkTracerProviderBuilder builder =
-                SdkTracerProvider.builder()
-                        .setResource(
-                                Resource.create(Attributes.of(SERVICE, "sagepulley/" + gateway)));
-        if (line.file() != null) {
+                SdkTracerProvider.builder().setResource(Resource.create(service));
+        if (settings.file() != null) {
             builder.addSpanProcessor(
-                    batches(new SpanFile(line.file(), line.fileBytes(), line.files())));
+                    batches(new SpanFile(settings.file(), settings.fileBytes(), settings.files())));
         }
-        if (!line.otlp().isEmpty()) {
+        if (!settings.otlp().isEmpty()) {
             builder.addSpanProcessor(
                     batches(
                             OtlpHttpSpanExporter.builder()
-                                    .setEndpoint(line.otlp())
-                                    .setTimeout(LONGEST_EXPORT)
-                                    .setConnectTimeout(LONGEST_EXPORT)
+                                    .setEndpoint(settings.otlp())
+                                    .setTimeout(EXPORT_TIMEOUT)
+                                    .setConnectTimeout(EXPORT_TIMEOUT)
                                     .build()));
         }
         provider = builder.build();
-        spans = provider.get("sagepulley");
-        maker.setDaemon(true);
-        maker.start();
+        spans = new SpanMaker(provider.get("sagepulley"));
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private static BatchSpanProcessor batches(SpanExporter exporter) {
         return BatchSpanProcessor.builder(exporter)
-                .setMaxQueueSize(MOST_SPANS)
-                .setScheduleDelay(Duration.ofMillis(500))
-                .setExporterTimeout(LONGEST_EXPORT)
+                .setMaxQueueSize(MAX_QUEUED_SPANS)
+                .setScheduleDelay(EXPORT_INTERVAL)
+                .setExporterTimeout(EXPORT_TIMEOUT)
                 .build();
     }
 
-    /** Takes a story; drops it if too many wait. From any thread, without waiting. */
+    /** Queues a trace; drops it if the queue is full. From any thread, without waiting. */
     public void submit(OperationTrace trace) {
-        if (!waiting.offer(trace)) {
+        if (!queue.offer(trace)) {
             dropped.increment();
         }
     }
 
-    /** Stories made into traces, and dropped, since the start. */
+    /** Traces that were made into spans since the start. */
     public long exported() {
         return exported.sum();
     }
 
+    /** Traces that were dropped since the start. */
     public long dropped() {
         return dropped.sum();
     }
 
-    private void work() {
+    private void run() {
         try {
-            while (!ending || !waiting.isEmpty()) {
-                OperationTrace trace = waiting.poll(100, TimeUnit.MILLISECONDS);
+            while (!closing || !queue.isEmpty()) {
+                OperationTrace trace = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 if (trace != null) {
-                    make(trace);
+                    spans.make(trace, Context.root());
                     exported.increment();
                 }
             }
@@ -104,82 +100,15 @@
         }
     }
 
-    private static long at(double wall) {
-        return (long) (wall * NS);
-    }
-
-    private static String word(Enum<?> constant) {
-        return ExternalName.of(constant);
-    }
-
-    private void make(OperationTrace trace) {
-        double end = trace.arrivedAt() + trace.duration();
-        Span root =
-                spans.spanBuilder("operation")
-                        .setNoParent()
-                        .setStartTimestamp(at(trace.arrivedAt()), TimeUnit.NANOSECONDS)
-                        .setAttribute("gateway", trace.gateway())
-                        .setAttribute("operation", trace.operation())
-                        .setAttribute("cookie", trace.cookie())
-                        .setAttribute("volume", trace.volume())
-                        .setAttribute("band", trace.trafficClass())
-                        .setAttribute("kind", trace.kind())
-                        .setAttribute("extent", trace.extent())
-                        .setAttribute("units", trace.units())
-                        .setAttribute("result", word(trace.end()))
-                        .setAttribute("reason", word(trace.reason()))
-                        .setAttribute("main_cause", trace.mainCause())
-                        .setAttribute("kept", word(trace.sampleReason()))
-                        .setAttribute("stands_for", trace.sampleWeight())
-                        .startSpan();
-        Context within = Context.root().with(root);
-        for (OperationTrace.Attempt attempt : trace.attempts()) {
-            SpanBuilder one =
-                    spans.spanBuilder("hop")
-                            .setParent(within)
-                            .setStartTimestamp(
-                                    at(trace.arrivedAt() + attempt.sentAfter()),
-                                    TimeUnit.NANOSECONDS)
-                            .setAttribute("number", attempt.number())
-                            .setAttribute("node", attempt.node())
-                            .setAttribute(
-                                    "owed",
-                                    attempt.quotaTier() == null ? "" : word(attempt.quotaTier()))
-                            .setAttribute(
-                                    "result",
-                                    attempt.outcome() == null ? "out" : word(attempt.outcome()));
-            double ended =
-                    attempt.outcome() == null
-                            ? end
-                            : trace.arrivedAt() + attempt.sentAfter() + attempt.duration();
-            one.startSpan().end(at(ended), TimeUnit.NANOSECONDS);
-        }
-        double at = trace.arrivedAt();
-        for (OperationTrace.Step step : trace.steps()) {
-            spans.spanBuilder("step")
-                    .setParent(within)
-                    .setStartTimestamp(at(at), TimeUnit.NANOSECONDS)
-                    .setAttribute("spent", word(step.component()))
-                    .setAttribute("node", step.node())
-                    .startSpan()
-                    .end(at(at + step.duration()), TimeUnit.NANOSECONDS);
-            at += step.duration();
-        }
-        if (trace.end() == Accounts.End.ABANDONED || trace.end() == Accounts.End.REJECTED) {
-            root.setStatus(StatusCode.ERROR, word(trace.reason()));
-        }
-        root.end(at(end), TimeUnit.NANOSECONDS);
-    }
-
-    /** Makes and exports what waits, as far as that goes within seconds. */
+    /** Exports what is queued, as far as that goes within seconds. */
     @Override
     public void close() {
-        ending = true;
+        closing = true;
         try {
-            maker.join(TimeUnit.SECONDS.toMillis(LONGEST_END_SECONDS));
+            thread.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        provider.shutdown().join(LONGEST_END_SECONDS, TimeUnit.SECONDS);
+        provider.shutdown().join(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -11,13 +11,11 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.accounts.Accounts.End;
 
-/** Which operations a tail sampler keeps. */
+/** Which operations' traces are kept, and with which weight. */
 class TailSamplerTest {
-    /**
-     * Whatever comes, no stretch of time holds more than its budget and what was saved up before.
-     */
+    /** For any operations, no time has more traces than its budget and what was saved up before. */
     @Property(tries = 40, seed = "3")
-    void theBudgetHolds(
+    void theBudgetIsNeverExceeded(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 50) int perSecond,
             @ForAll @DoubleRange(min = 0.05, max = 20) double gap) {
@@ -39,12 +37,12 @@
                             ? 1
                             : 0;
         }
-        double most = perSecond * (now / 1000) + 2 * perSecond + 5;
-        assertTrue(kept <= most, kept + " kept, bound " + most);
+        double bound = perSecond * (now / 1000) + 2 * perSecond + 5;
+        assertTrue(kept <= bound, kept + " kept, bound " + bound);
     }
 
     @Test
-    void aScrappedOneIsKeptAmidAFloodOfDeclines() {
+    void anAbandonedOperationIsKeptAmongManyRejected() {
         TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(1));
         int kept = 0;
         for (int i = 0; i < 100_000; i++) {
@@ -59,31 +57,31 @@
     }
 
     @Test
-    void whatIsKeptStandsForTheRest() {
+    void weightsSumToTheNumberOfOperations() {
         TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(2));
-        double stands = 0;
+        double weights = 0;
         int kept = 0;
         int all = 200_000;
         for (int i = 0; i < all; i++) {
-            double one = sampler.sample(End.REJECTED, true, 0, 10, i);
-            stands += one;
-            kept += one > 0 ? 1 : 0;
+            double weight = sampler.sample(End.REJECTED, true, 0, 10, i);
+            weights += weight;
+            kept += weight > 0 ? 1 : 0;
         }
         assertTrue(kept > 200 && kept < 200 * 20, "kept " + kept);
-        assertEquals(all, stands, 0.2 * all);
+        assertEquals(all, weights, 0.2 * all);
     }
 
     @Test
-    void theSlowestOfABandAreKeptThoughTheyAreInTime() {
+    void theSlowestOfATrafficClassAreKeptThoughTheyMetTheirObjective() {
         TailSampler sampler = new TailSampler(50, 0, new SplittableRandom(3));
         SplittableRandom random = new SplittableRandom(4);
         int slow = 0;
         int other = 0;
         for (int i = 0; i < 20_000; i++) {
-            boolean odd = i > 5_000 && i % 500 == 0;
-            double took = odd ? 190 : 10 + random.nextDouble();
-            if (sampler.sample(End.SERVED, false, 1, took, i * 5.0) > 0) {
-                if (odd) {
+            boolean isSlow = i > 5_000 && i % 500 == 0;
+            double duration = isSlow ? 190 : 10 + random.nextDouble();
+            if (sampler.sample(End.SERVED, false, 1, duration, i * 5.0) > 0) {
+                if (isSlow) {
                     slow++;
                 } else {
                     other++;
