--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -36,20 +36,35 @@
 import sagepulley.persistence.GatewayAccounts;
 
 /**
- * A gateway's figures over HTTP, for Prometheus (/metrics, text) for 'top' (/accounts, JSON) and
- * for 'nodes' (/nodes, JSON). Labels are bounded: volumes with an account of their own in the sums,
- * and fixed words.
+ * A gateway's metrics and views over HTTP: for Prometheus (/metrics, text), for 'top' (/accounts,
+ * JSON) and for 'nodes' (/nodes, JSON). Labels are bounded: volumes with totals of their own, and
+ * fixed words. Answers are made on the server's own threads of what the gateway's engine hands
+ * over.
  */
 public final class MonitoringServer implements AutoCloseable {
     private static final int THREADS = 2;
-    private static final int MOST_WAITING = 32;
+    private static final int MAX_QUEUED_REQUESTS = 32;
+    private static final String TEXT = "text/plain; version=0.0.4";
+    private static final String JSON = "application/json";
+    private static final int OK = 200;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int NO_BODY = -1;
+    private static final double MILLIS_PER_SECOND = 1000;
     private static final long LONGEST_SECONDS = 5;
-    private static final double LATELY = 600_000;
+
+    /** /accounts reports on so much time. */
+    private static final double REPORT_MILLIS = 600_000;
+
     private static final Logger LOG = LoggerFactory.getLogger(MonitoringServer.class);
 
     /**
-     * What 'top' shows: the volumes' names and reports of the last minutes, and units by node and
-     * volume.
+     * What /accounts answers and 'top' shows; the property names are those of the JSON.
+     *
+     * @param at wall-clock milliseconds
+     * @param names by the volumes' numbers
+     * @param volumes reports of the last minutes
+     * @param nodes units worked on by node and volume: all, and the writes
      */
     public record View(
             String gateway,
@@ -63,9 +78,11 @@
     private final ThreadPoolExecutor threads;
     private final PrometheusMeterRegistry registry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+
+    /** As of the latest scrape. */
     private volatile Totals totals = new Totals(Set.of());
 
-    /** Listens from now on. */
+    /** Listens from now on; fails if the address cannot be bound. */
     public MonitoringServer(SiteConfig site, NbdGateway gateway, InetSocketAddress address)
             throws IOException {
         this.gateway = gateway;
@@ -73,58 +90,64 @@
         // Whoever is slow to ask or to read is ended.
         System.setProperty("sun.net.httpserver.maxReqTime", "5");
         System.setProperty("sun.net.httpserver.maxRspTime", "10");
-        server = HttpServer.create(address, MOST_WAITING);
-        threads =
-                new ThreadPoolExecutor(
-                        THREADS,
-                        THREADS,
-                        1,
-                        TimeUnit.SECONDS,
-                        new ArrayBlockingQueue<>(MOST_WAITING),
-                        task -> {
-                            Thread thread = new Thread(task, "watch");
-                            thread.setDaemon(true);
-                            return thread;
-                        });
+        server = HttpServer.create(address, MAX_QUEUED_REQUESTS);
+        threads = newThreads();
         server.setExecutor(threads);
-        server.createContext(
-                "/metrics",
-                exchange -> answer(exchange, "text/plain; version=0.0.4", this::metrics));
-        server.createContext(
-                "/accounts", exchange -> answer(exchange, "application/json", this::view));
-        server.createContext(
-                "/nodes", exchange -> answer(exchange, "application/json", this::nodes));
+        serve("/metrics", TEXT, this::metrics);
+        serve("/accounts", JSON, this::accounts);
+        serve("/nodes", JSON, this::nodes);
         server.start();
         LOG.atInfo().addKeyValue("watch", server.getAddress()).log("figures over HTTP");
     }
 
+    private static ThreadPoolExecutor newThreads() {
+        return new ThreadPoolExecutor(
+                THREADS,
+                THREADS,
+                1,
+                TimeUnit.SECONDS,
+                new ArrayBlockingQueue<>(MAX_QUEUED_REQUESTS),
+                task -> {
+                    Thread thread = new Thread(task, "watch");
+                    thread.setDaemon(true);
+                    return thread;
+                });
+    }
+
+    /** Where it listens; the port is the one that was bound. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
 
-    private interface Body {
-        String text()
-                throws IOException, InterruptedException, ExecutionException, TimeoutException;
+    // ---- answers ----
+
+    private interface Content {
+        String get() throws IOException, InterruptedException, ExecutionException, TimeoutException;
+    }
+
+    private void serve(String path, String type, Content content) {
+        server.createContext(path, exchange -> answer(exchange, type, content));
     }
 
-    private static void answer(HttpExchange exchange, String type, Body body) throws IOException {
+    private static void answer(HttpExchange exchange, String type, Content content)
+            throws IOException {
         try (exchange) {
             if (!exchange.getRequestMethod().equals("GET")) {
-                exchange.sendResponseHeaders(405, -1);
+                exchange.sendResponseHeaders(METHOD_NOT_ALLOWED, NO_BODY);
                 return;
             }
             byte[] bytes;
             try {
-                bytes = body.text().getBytes(StandardCharsets.UTF_8);
+                bytes = content.get().getBytes(StandardCharsets.UTF_8);
             } catch (ExecutionException | TimeoutException e) {
-                exchange.sendResponseHeaders(503, -1);
+                exchange.sendResponseHeaders(SERVICE_UNAVAILABLE, NO_BODY);
                 return;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
             exchange.getResponseHeaders().set("Content-Type", type);
-            exchange.sendResponseHeaders(200, bytes.length);
+            exchange.sendResponseHeaders(OK, bytes.length);
             exchange.getResponseBody().write(bytes);
         }
     }
@@ -134,14 +157,14 @@
         return registry.scrape();
     }
 
-    private String view()
+    private String accounts()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         GatewayAccounts written = gateway.writtenBook().get(LONGEST_SECONDS, TimeUnit.SECONDS);
         LatencyAccount book = written.accounts().toAccount();
         double now = written.writtenAt();
         List<LatencyReport> reports =
                 book.volumes().stream()
-                        .map(volume -> book.report(volume, now - LATELY, now))
+                        .map(volume -> book.report(volume, now - REPORT_MILLIS, now))
                         .toList();
         return new JsonMapper()
                 .writeValueAsString(
@@ -150,7 +173,7 @@
                                 written.writtenAt(),
                                 written.volumeNames(),
                                 reports,
-                                book.flows(now - LATELY, now)));
+                                book.flows(now - REPORT_MILLIS, now)));
     }
 
     private String nodes()
@@ -159,7 +182,7 @@
                 .writeValueAsString(gateway.nodes().get(LONGEST_SECONDS, TimeUnit.SECONDS));
     }
 
-    // ---- figures ----
+    // ---- metrics ----
 
     private void register(SiteConfig site) {
         Map<Long, String> names = new LinkedHashMap<>();
@@ -168,65 +191,15 @@
             names.put((long) line.id(), line.name());
         }
         names.put(0L, "others");
-        names.forEach(
-                (id, name) -> {
-                    volume(id, name, "met", sum -> sum.met);
-                    volume(id, name, "declined", sum -> sum.rejected);
-                    volume(id, name, "scrapped", sum -> sum.abandoned);
-                    volume(id, name, "left", sum -> sum.cancelled);
-                    volume(
-                            id,
-                            name,
-                            "late",
-                            sum -> sum.missed - sum.rejected - sum.abandoned - sum.cancelled);
-                    of(
-                            id,
-                            "sagepulley.volume.units",
-                            "units of operations ended",
-                            name,
-                            sum -> sum.units);
-                    of(
-                            id,
-                            "sagepulley.volume.waited.seconds",
-                            "time not worked on by a node",
-                            name,
-                            sum -> sum.waitedMillis / 1000);
-                    of(
-                            id,
-                            "sagepulley.volume.utility.lost",
-                            "utility of what was not met",
-                            name,
-                            sum -> sum.lostWeight);
-                });
-        for (LatencyComponent part : LatencyComponent.values()) {
-            sum(
-                    "sagepulley.spent.seconds",
-                    "where operations' time went",
-                    "part",
-                    part,
-                    now -> now.millisIn(part) / 1000);
-        }
-        for (Cause.Kind kind : Cause.Kind.values()) {
-            sum(
-                    "sagepulley.cause.seconds",
-                    "waiting by its cause",
-                    "cause",
-                    kind,
-                    now -> now.waitedMillis(kind) / 1000);
-            sum(
-                    "sagepulley.cause.utility.lost",
-                    "utility lost by the cause of the wait",
-                    "cause",
-                    kind,
-                    now -> now.lostWeight(kind));
-        }
-        for (PlanTier part : PlanTier.values()) {
-            sum(
+        names.forEach(this::registerVolume);
+        registerTimes();
+        for (PlanTier tier : PlanTier.values()) {
+            total(
                     "sagepulley.plan.units",
                     "units of operations ended, by part of the plan",
                     "part",
-                    part,
-                    now -> now.units(part));
+                    tier,
+                    now -> now.units(tier));
         }
         counter("sagepulley.hops", "hops sent to nodes", gate -> gate.tally().attempts.sum());
         counter(
@@ -257,46 +230,102 @@
                 .register(registry);
     }
 
-    private void volume(
+    private void registerVolume(long id, String name) {
+        operations(id, name, "met", volume -> volume.met);
+        operations(id, name, "declined", volume -> volume.rejected);
+        operations(id, name, "scrapped", volume -> volume.abandoned);
+        operations(id, name, "left", volume -> volume.cancelled);
+        operations(
+                id,
+                name,
+                "late",
+                volume -> volume.missed - volume.rejected - volume.abandoned - volume.cancelled);
+        volumeTotal(
+                "sagepulley.volume.units",
+                "units of operations ended",
+                Tags.of("volume", name),
+                id,
+                volume -> volume.units);
+        volumeTotal(
+                "sagepulley.volume.waited.seconds",
+                "time not worked on by a node",
+                Tags.of("volume", name),
+                id,
+                volume -> volume.waitedMillis / MILLIS_PER_SECOND);
+        volumeTotal(
+                "sagepulley.volume.utility.lost",
+                "utility of what was not met",
+                Tags.of("volume", name),
+                id,
+                volume -> volume.lostWeight);
+    }
+
+    private void operations(
             long id, String name, String end, ToDoubleFunction<Totals.OfVolume> figure) {
-        FunctionCounter.builder("sagepulley.operations", this, watch -> watch.figure(id, figure))
-                .description("operations by their end")
-                .tags(Tags.of("volume", name, "end", end))
-                .register(registry);
+        volumeTotal(
+                "sagepulley.operations",
+                "operations by their end",
+                Tags.of("volume", name, "end", end),
+                id,
+                figure);
     }
 
-    private void of(
-            long id,
+    private void volumeTotal(
             String metric,
-            String what,
-            String name,
+            String description,
+            Tags tags,
+            long id,
             ToDoubleFunction<Totals.OfVolume> figure) {
-        FunctionCounter.builder(metric, this, watch -> watch.figure(id, figure))
-                .description(what)
-                .tags(Tags.of("volume", name))
+        FunctionCounter.builder(metric, this, server -> figure.applyAsDouble(server.totals.of(id)))
+                .description(description)
+                .tags(tags)
                 .register(registry);
     }
 
-    private double figure(long id, ToDoubleFunction<Totals.OfVolume> figure) {
-        return figure.applyAsDouble(totals.of(id));
+    private void registerTimes() {
+        for (LatencyComponent component : LatencyComponent.values()) {
+            total(
+                    "sagepulley.spent.seconds",
+                    "where operations' time went",
+                    "part",
+                    component,
+                    now -> now.millisIn(component) / MILLIS_PER_SECOND);
+        }
+        for (Cause.Kind kind : Cause.Kind.values()) {
+            total(
+                    "sagepulley.cause.seconds",
+                    "waiting by its cause",
+                    "cause",
+                    kind,
+                    now -> now.waitedMillis(kind) / MILLIS_PER_SECOND);
+            total(
+                    "sagepulley.cause.utility.lost",
+                    "utility lost by the cause of the wait",
+                    "cause",
+                    kind,
+                    now -> now.lostWeight(kind));
+        }
     }
 
-    private void sum(
+    private void total(
             String metric,
-            String what,
+            String description,
             String label,
-            Enum<?> word,
+            Enum<?> constant,
             ToDoubleFunction<Totals> figure) {
-        FunctionCounter.builder(metric, this, watch -> figure.applyAsDouble(watch.totals))
-                .description(what)
-                .tags(Tags.of(label, ExternalName.of(word)))
+        FunctionCounter.builder(metric, this, server -> figure.applyAsDouble(server.totals))
+                .description(description)
+                .tags(Tags.of(label, ExternalName.of(constant)))
                 .register(registry);
     }
 
-    private void counter(String metric, String what, ToDoubleFunction<NbdGateway> figure) {
-        FunctionCounter.builder(metric, gateway, figure).description(what).register(registry);
+    private void counter(String metric, String description, ToDoubleFunction<NbdGateway> figure) {
+        FunctionCounter.builder(metric, gateway, figure)
+                .description(description)
+                .register(registry);
     }
 
+    /** Stops at once; requests in progress are ended. */
     @Override
     public void close() {
         server.stop(0);
