--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -11,16 +11,17 @@
 import sagepulley.simulator.MalformedFrameException;
 import sagepulley.simulator.SimulatorAdapter;
 
-/** Picks the command; simhost and serve start without anything of the others. */
+/** Entry point of all commands; simhost and serve load no class of the others. */
 public final class Main {
     private Main() {}
 
-    public static void main(String[] words) {
-        switch (words.length == 1 ? words[0] : "") {
+    /** Runs the command that the first argument names; exits with its status. */
+    public static void main(String[] arguments) {
+        switch (arguments.length == 1 ? arguments[0] : "") {
             case "simhost" -> simhost();
             case "serve" -> serve(() -> GatewayServer.run(System.getenv()));
             case "rehearse" -> serve(WarmUpRun::onLoopback);
-            default -> System.exit(Commands.run(words));
+            default -> System.exit(Commands.run(arguments));
         }
     }
 
@@ -29,8 +30,8 @@
     }
 
     /**
-     * Status 1 and one line if the configuration cannot be used; 0 after a signal, once all is
-     * answered.
+     * Exits with status 1 and one line if the configuration is invalid; with 0 after a signal, once
+     * the gateway has stopped.
      */
     private static void serve(Service service) {
         try {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -109,10 +109,8 @@
     private DiscoveryRequest newRequest(boolean isWatch) {
         return new DiscoveryRequest(
                 transport,
-                address,
+                new EndpointListQuery(address, isWatch, revision),
                 ++requestCount,
-                isWatch,
-                revision,
                 timeouts,
                 receiveTime,
                 clock,
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -9,23 +9,15 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.NetUtil;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import sagepulley.logging.LogWriter;
@@ -39,8 +31,6 @@
  * other request. Runs on the event loop; times are milliseconds on the monotonic clock.
  */
 final class DiscoveryRequest extends SimpleChannelInboundHandler<HttpObject> {
-    private static final String PATH = "/v1/endpoints";
-
     /** An indented list of 3,200 endpoints takes about 1 MB. */
     private static final int MAX_LIST_BYTES = 8 << 20;
 
@@ -66,10 +56,8 @@
     private final DoubleSupplier clock;
     private final KernelReceiveTime receiveTime;
     private final DiscoveryTimeouts timeouts;
-    private final SocketAddress address;
+    private final EndpointListQuery query;
     private final int requestNumber;
-    private final boolean isWatch;
-    private final long afterRevision;
     private final JsonValueDecoder valueDecoder = new JsonValueDecoder(MAX_LIST_BYTES);
     private final ResponseTiming timing = new ResponseTiming();
     private final double startedAt;
@@ -83,24 +71,19 @@
 
     /**
      * @param requestNumber names the request in the log
-     * @param isWatch whether to request the changes after a revision, else the complete list
      */
     DiscoveryRequest(
             Transport transport,
-            SocketAddress address,
+            EndpointListQuery query,
             int requestNumber,
-            boolean isWatch,
-            long afterRevision,
             DiscoveryTimeouts timeouts,
             KernelReceiveTime receiveTime,
             DoubleSupplier clock,
             DiscoveryRequestListener listener) {
         this.transport = transport;
         this.loop = transport.eventLoops().next();
-        this.address = address;
+        this.query = query;
         this.requestNumber = requestNumber;
-        this.isWatch = isWatch;
-        this.afterRevision = afterRevision;
         this.timeouts = timeouts;
         this.receiveTime = receiveTime;
         this.clock = clock;
@@ -117,11 +100,11 @@
                 "request",
                 requestNumber,
                 "watch",
-                isWatch,
+                query.isWatch(),
                 "after-revision",
-                afterRevision,
+                query.afterRevision(),
                 "address",
-                address);
+                query.address());
         ChannelFuture connecting =
                 transport
                         .connector()
@@ -129,7 +112,7 @@
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 EndpointPollPolicy.CONNECT_WITHIN)
                         .handler(pipeline())
-                        .connect(address);
+                        .connect(query.address());
         channel = Transport.channelOf(connecting);
         scheduleTimeout(timeouts.firstListMillis());
         Transport.onConnectFailure(connecting, loop, this::onConnectFailure);
@@ -196,12 +179,12 @@
     }
 
     boolean isWatch() {
-        return isWatch;
+        return query.isWatch();
     }
 
     /** The revision that was known when this request was opened. */
     long afterRevision() {
-        return afterRevision;
+        return query.afterRevision();
     }
 
     Role role() {
@@ -254,7 +237,7 @@
     }
 
     private void restartSilenceTimeout() {
-        if (isWatch && role != Role.FORMER) {
+        if (query.isWatch() && role != Role.FORMER) {
             scheduleTimeout(timeouts.silenceMillis());
         }
     }
@@ -264,17 +247,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         timing.onRequested(clock.getAsDouble());
-        String query = isWatch ? "?watch=1&after=" + afterRevision : "";
-        FullHttpRequest request =
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, PATH + query);
-        request.headers().set(HttpHeaderNames.HOST, hostOf(address));
-        ctx.writeAndFlush(request);
-    }
-
-    private static String hostOf(SocketAddress address) {
-        return address instanceof InetSocketAddress socket
-                ? NetUtil.toSocketAddressString(socket)
-                : "here";
+        ctx.writeAndFlush(query.toHttpRequest());
     }
 
     @Override
@@ -331,7 +304,7 @@
     }
 
     private void onBodyEnd() {
-        if (isWatch) {
+        if (query.isWatch()) {
             fail("watch closed by discovery");
         } else if (!isAnswered() || valueDecoder.isMidValue()) {
             fail("response without a complete list");
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -25,6 +25,12 @@
     private static final int MAX_LINE_BYTES = 64;
     private static final int MAX_ARGUMENTS = 8;
     private static final int MAX_OTHER_ARGUMENTS_BYTES = 4096;
+    private static final RespLimits LIMITS =
+            RespLimits.commands(
+                    MAX_LINE_BYTES,
+                    RespLimits.MAX_VALUE_BYTES,
+                    RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ARGUMENTS_BYTES,
+                    MAX_ARGUMENTS);
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int WRITE_BUFFER_LOW_BYTES = 65_536;
     private static final int WRITE_BUFFER_HIGH_BYTES = 262_144;
@@ -77,12 +83,6 @@
 
     /** Begins to accept; completes once the address is bound. */
     ChannelFuture listen(SocketAddress address) {
-        RespLimits limits =
-                RespLimits.commands(
-                        MAX_LINE_BYTES,
-                        RespLimits.MAX_VALUE_BYTES,
-                        RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ARGUMENTS_BYTES,
-                        MAX_ARGUMENTS);
         ServerBootstrap server =
                 new ServerBootstrap()
                         .group(transport.eventLoops())
@@ -92,23 +92,7 @@
                                 new WriteBufferWaterMark(
                                         WRITE_BUFFER_LOW_BYTES, WRITE_BUFFER_HIGH_BYTES))
                         .handler(new AcceptErrorHandler())
-                        .childHandler(
-                                new ChannelInitializer<Channel>() {
-                                    @Override
-                                    protected void initChannel(Channel channel) {
-                                        accepted++;
-                                        if (!hasCapacity()) {
-                                            rejected++;
-                                            channel.close();
-                                            return;
-                                        }
-                                        RespDecoder decoder = new RespDecoder(limits);
-                                        ClientConnection connection =
-                                                new ClientConnection(handler, decoder);
-                                        connections.add(connection);
-                                        channel.pipeline().addLast(decoder, connection);
-                                    }
-                                });
+                        .childHandler(childInitializer());
         if (address instanceof InetSocketAddress) {
             server.option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                     .option(ChannelOption.SO_REUSEADDR, true)
@@ -119,6 +103,24 @@
         return bound;
     }
 
+    private ChannelInitializer<Channel> childInitializer() {
+        return new ChannelInitializer<>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                accepted++;
+                if (!hasCapacity()) {
+                    rejected++;
+                    channel.close();
+                    return;
+                }
+                RespDecoder decoder = new RespDecoder(LIMITS);
+                ClientConnection connection = new ClientConnection(handler, decoder);
+                connections.add(connection);
+                channel.pipeline().addLast(decoder, connection);
+            }
+        };
+    }
+
     /** Forgets a connection that is closed. */
     void remove(ClientConnection connection) {
         connections.remove(connection);
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -41,11 +41,6 @@
      */
     private static final double STALL_TIMEOUT_FRACTION = 0.3;
 
-    /** Descriptors that the program itself needs; the rest is split between the two sides. */
-    private static final int RESERVED_SOCKETS = 40;
-
-    private static final double CLIENT_SOCKETS_FRACTION = 0.7;
-
     /** The part of the memory that commands in flight may take. */
     private static final double COMMAND_MEMORY_FRACTION = 0.1;
 
@@ -76,14 +71,14 @@
     private boolean listening;
     private boolean stopping;
 
+    /** Composes a gateway; nothing is opened before {@link #connectToDiscovery}. */
     public RespGateway(GatewayConfig config, Transport transport) {
         this.config = config;
         this.loop = transport.eventLoops().next();
         this.engine = new GatewayEngine(config.deployment(), config.seed(), this);
         this.dueWork = new DueWorkScheduler(loop, clock, engine);
         this.endpoints = new EndpointRegistry(config.zones(), config.kinds(), clock);
-        int sockets = config.maxSockets() - RESERVED_SOCKETS;
-        int clientSockets = (int) (sockets * CLIENT_SOCKETS_FRACTION);
+        SocketBudget sockets = SocketBudget.of(config.maxSockets());
         this.requests =
                 new RequestHandler(
                         config,
@@ -95,24 +90,12 @@
                         endpoints::describeAttempts,
                         handler ->
                                 new ClientListener(
-                                        transport, clientSockets, maxDeadline(config), handler),
+                                        transport,
+                                        sockets.forClients(),
+                                        maxDeadline(config),
+                                        handler),
                         requestListener());
-        this.connections =
-                new EndpointConnectionPool(
-                        transport,
-                        sockets - clientSockets,
-                        config.connectTimeoutMillis(),
-                        config.idleTimeoutMillis() * IDLE_TIMEOUT_FRACTION,
-                        minLatencyObjective(config) * STALL_TIMEOUT_FRACTION,
-                        clock::now);
-        this.connections.onClose(
-                (address, reason) ->
-                        eventLog.info(
-                                "endpoint connection closed",
-                                "address",
-                                address,
-                                "reason",
-                                reason));
+        this.connections = connectionPool(transport, sockets.forEndpoints());
         this.attempts =
                 new AttemptDispatcher(
                         config.deployment(),
@@ -137,6 +120,26 @@
                         clock, engine, metrics, requests, connections, endpoints, discovery);
     }
 
+    private EndpointConnectionPool connectionPool(Transport transport, int maxConnections) {
+        EndpointConnectionPool pool =
+                new EndpointConnectionPool(
+                        transport,
+                        maxConnections,
+                        config.connectTimeoutMillis(),
+                        config.idleTimeoutMillis() * IDLE_TIMEOUT_FRACTION,
+                        minLatencyObjective(config) * STALL_TIMEOUT_FRACTION,
+                        clock::now);
+        pool.onClose(
+                (address, reason) ->
+                        eventLog.info(
+                                "endpoint connection closed",
+                                "address",
+                                address,
+                                "reason",
+                                reason));
+        return pool;
+    }
+
     private RequestHandler.Listener requestListener() {
         return new RequestHandler.Listener() {
             @Override
--- a/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** RESP2 in any split of the bytes, and what is refused of it. */
+/** RESP2 in any split of the bytes, and what is invalid. */
 class RespDecoderTest {
     private static final RespLimits COMMANDS = RespLimits.commands(32, 1000, 2000, 8);
     private static final RespLimits REPLIES = RespLimits.replies(32, 1000, 2000, 3);
 
     @Property(tries = 300)
-    void commandsComeOutAsWrittenHoweverTheBytesAreSplit(
+    void commandsAreDecodedHoweverTheBytesAreSplit(
             @ForAll @Size(min = 1, max = 5)
                     List<@Size(min = 1, max = 8) List<@Size(max = 60) byte[]>> commands,
             @ForAll @Size(max = 40) List<@IntRange(min = 1, max = 50) Integer> splits) {
@@ -90,7 +90,7 @@
                 "*3\r\n$1000\r\nBULK$1000\r\nBULK$1\r\n",
                 "*11111111111111111111111111111111111111111111111111111111"
             })
-    void aCommandThatIsNoneIsRefusedAtItsFirstWrongByte(String text) {
+    void malformedCommandFailsAtItsFirstWrongByte(String text) {
         String bytes = text.replace("BULK", "x".repeat(1000) + "\r\n");
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(COMMANDS));
         assertThrows(CorruptedFrameException.class, () -> channel.writeInbound(ascii(bytes)));
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aHugeLengthIsRefusedBeforeAnyOfItComes() {
+    void hugeLengthFailsBeforeAnyOfItComes() {
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(REPLIES));
         assertThrows(
                 CorruptedFrameException.class,
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void repliesOfEveryKindAreRead() {
+    void repliesOfEveryKindAreDecoded() {
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(REPLIES));
         channel.writeInbound(
                 ascii(
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.lifecycle.WarmUpConfig;
 
-/** What a gateway is told at its start. */
+/** The configuration file of a gateway, and what is reported of an invalid one. */
 class GatewayConfigTest {
     @TempDir private Path folder;
 
@@ -43,8 +43,7 @@
                 "{\"name\" | [{\"name\" | not a JSON object",
                 "\"discovery\": \"127.0.0.1:1\", | '' | discovery is missing"
             })
-    void anUnusableFileIsNamedWithWhatIsWrongInOneLine(String good, String bad, String what)
-            throws Exception {
+    void invalidFileIsReportedInOneLine(String good, String bad, String what) throws Exception {
         String text = WarmUpConfig.text();
         assertTrue(text.contains(good));
         ConfigException error =
@@ -57,7 +56,7 @@
     }
 
     @Test
-    void aMissingFileOrVariableIsNamed() {
+    void missingFileOrVariableIsReported() {
         assertEquals(
                 "GW_CONFIG is not set",
                 assertThrows(ConfigException.class, () -> GatewayConfig.read(Map.of()))
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -33,7 +33,7 @@
     private static final Path FOLDER = Path.of("src/test/resources/external");
     @TempDir private Path folder;
 
-    /** What first-message.txt and config.json say alike. */
+    /** What first-message.txt and config.json both contain. */
     private static Deployment expectedDeployment() {
         return new Deployment(
                 2,
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -29,7 +29,7 @@
 import sagepulley.testing.ScriptedPeers;
 import sagepulley.transport.Transport;
 
-/** Calls to discovery: what is told, and that each failure is told once. */
+/** Requests to discovery: what is reported, and that each failure is reported once. */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
@@ -41,7 +41,7 @@
     private final Clock clock = new Clock();
     private EventLoop loop;
 
-    /** Where the link asks; the gateway of the peers has a discovery of its own. */
+    /** Where the client connects; the peers' gateway has a discovery of its own. */
     private SocketAddress discovery;
 
     private DiscoveryClient openClient(ScriptedPeers peers) throws Exception {
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aWatchTellsEachChangeAndSkipsEmptyLinesAndEntriesThatCannotBeRead() throws Exception {
+    void watchReportsEachChangeAndSkipsHeartbeatsAndUnreadableEntries() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -124,7 +124,7 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"broken\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n"
             })
-    void aCallThatFailsIsToldOnce(String answer) throws Exception {
+    void failureIsReportedOnce(String answer) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void aDiscoveryThatSaysNothingHasFailedAfterAWhile() throws Exception {
+    void silentDiscoveryIsOverdue() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aNewAddressIsAskedFromThenOnAndTheOldWatchsEndIsNoFailure() throws Exception {
+    void newAddressIsRequestedAndTheFormerWatchsEndIsNoFailure() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -170,11 +170,11 @@
     }
 
     /**
-     * The watch stands and is silent, and each new call takes longer than its time: the one that
-     * answers is heard.
+     * The watch is silent, and each new request takes longer than its timeout: the response is
+     * taken all the same.
      */
     @Test
-    void aSlowAnswerIsTakenThoughASilentWatchStands() throws Exception {
+    void slowResponseIsTakenBesideASilentWatch() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -192,11 +192,10 @@
         }
     }
 
-    /** A living watch that is reset was current up to its end, unless a list was under way. */
+    /** A watch that is reset was current up to its end, unless a list was under way. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aWatchThatIsResetWasCurrentUpToItsEndUnlessAListWasUnderWay(boolean underWay)
-            throws Exception {
+    void resetWatchWasCurrentUnlessAListWasUnderWay(boolean underWay) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -216,11 +215,11 @@
     }
 
     /**
-     * What the old address still writes counts as told; it proves nothing any more once discovery
-     * has moved.
+     * What the former address still sends is reported; it confirms nothing once discovery has
+     * moved.
      */
     @Test
-    void theOldAddressIsHeardAndConfirmsNothingUntilTheNewOneHasToldAList() throws Exception {
+    void formerAddressConfirmsNothingAndIsTakenUntilTheNewOneResponds() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -258,9 +257,9 @@
         }
     }
 
-    /** A gateway whose calls fail asks the new address soon. */
+    /** A gateway whose requests fail connects to the new address soon. */
     @Test
-    void aGatewayAsksTheNewAddressSoonThoughNoCallWasOut() throws Exception {
+    void newAddressIsRequestedSoonWithoutARequestUnderWay() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -285,7 +284,7 @@
     }
 
     @Test
-    void aListIsReadInWhateverPiecesAndWhiteSpaceItComes() throws Exception {
+    void listIsReadInAnyPiecesAndWhiteSpace() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -308,7 +307,7 @@
         }
     }
 
-    /** Announced first, then in pieces, with or without a length: all are forms of HTTP. */
+    /** After an informational response, in chunks, with or without a length: all are HTTP. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -316,7 +315,7 @@
                 "HTTP/1.1 100 Continue\r\n\r\n",
                 "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
             })
-    void anAnswerWithoutLengthOrBehindAnAnnouncementIsRead(String ahead) throws Exception {
+    void responseWithoutLengthOrAfterAnInformationalOneIsRead(String ahead) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -334,7 +333,7 @@
     }
 
     @Test
-    void halfAListThatTricklesIsSilence() throws Exception {
+    void tricklingPartOfAListIsNoHeartbeat() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -342,7 +341,7 @@
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             watch.send("1\r\n{\r\n");
-            // It goes on for as long as it is taken for life.
+            // It goes on for as long as it counts as a heartbeat.
             while (failures.isEmpty()) {
                 try {
                     watch.send("1\r\n\n\r\n");
@@ -387,11 +386,11 @@
     }
 
     /**
-     * However long a list is on its way, it tells what discovery had when it was begun, and its
-     * line's end no more.
+     * However long a list is on its way, it is what discovery had when it was begun, and its line
+     * end confirms no more.
      */
     @Test
-    void aListThatComesSlowlyConfirmsNoMoreThanWhatWasKnownWhenItWasBegun() throws Exception {
+    void slowListConfirmsNothingLaterThanItsBeginning() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -419,7 +418,7 @@
         }
     }
 
-    /** Half of a list, a pause, and the rest with its line's end by itself. */
+    /** Sends half of a list, and after a pause the rest, with its line end by itself. */
     private static void slowly(ScriptedPeers.Connection connection, String head, String list)
             throws Exception {
         int middle = list.length() / 2;
@@ -432,7 +431,7 @@
     }
 
     @Test
-    void whatIsOlderThanWhatIsHeldIsNotToldAndADiscoveryThatStartsAnewIs() throws Exception {
+    void olderListIsNotReportedUnlessDiscoveryRestarted() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -454,9 +453,9 @@
         }
     }
 
-    /** A fetch that was answered late, behind a newer line of the watch. */
+    /** A poll whose response comes late, after a newer line of the watch. */
     @Test
-    void aWholeListThatSomethingNewerHasOvertakenIsNotTold() throws Exception {
+    void completeListThatANewerOneHasOvertakenIsNotReported() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -471,7 +470,7 @@
             ScriptedPeers.Connection late = last(peers.unansweredRequests);
             String whole = "{\"revision\":8,\"complete\":true,\"members\":[]}";
             late.send("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
-            assertEquals(-1, late.input.read(), "the call is over");
+            assertEquals(-1, late.input.read(), "the request has ended");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
             assertEquals(71, client.revision());
@@ -480,7 +479,7 @@
     }
 
     @Test
-    void anAnswerWithoutLengthThatIsResetInsideIsNoList() throws Exception {
+    void responseWithoutLengthThatIsResetInsideIsNoList() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -500,8 +499,8 @@
     }
 
     /**
-     * Pushed or asked for, it counts as told 6 s after it could be had, to a process that has just
-     * begun too.
+     * Pushed or polled, a list counts as notified 6 s after discovery had it, for a process that
+     * has just started too.
      */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
@@ -535,7 +534,7 @@
     }
 
     @Test
-    void aListThatIsPushedIsWatchedAndKnownBeforeAnybodyIsServed() throws Exception {
+    void pushedListIsWatchedAndKnownBeforeAnybodyIsServed() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY),
@@ -552,7 +551,7 @@
         return last(peers.watches);
     }
 
-    /** The last that the link opened. */
+    /** The last one that the client opened. */
     private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> talks) {
         List<ScriptedPeers.Connection> own =
                 talks.stream()
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -28,9 +28,9 @@
 import sagepulley.transport.Transport;
 
 /**
- * Clients' connections on real sockets while they end. The loop is held by hand, so that what a
- * test puts into the kernel meanwhile is always there, unread, when the end begins; the time of the
- * front is the test's own.
+ * How clients' connections on real sockets end. The test holds the event loop, so that what it puts
+ * into the kernel meanwhile is there, unread, when draining begins; the listener's clock is the
+ * test's own.
  */
 @Timeout(60)
 class ClientListenerTest {
@@ -112,7 +112,7 @@
     }
 
     /**
-     * The first step is done while the loop stands still, the second then on the loop before it
+     * Runs the first step while the event loop is held, then the second on the loop before it
      * reads.
      */
     private void whileLoopIsHeld(Step meanwhile, Step then) throws Exception {
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void theLastAnswerArrivesWholeThoughBytesLieUnreadWhenItsConnectionEnds() throws Exception {
+    void lastReplyArrivesCompleteWhenUnreadBytesRemainAtDrain() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void whatComesAfterTheEndWasSaidIsDropped() throws Exception {
+    void commandsAfterHalfCloseAreDropped() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void whatIsReadBehindAnOpenCommandWhileTheConnectionEndsIsAnsweredToo() throws Exception {
+    void commandsReadWhileDrainingAreRepliedTo() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void whomTheKernelAcceptedBeforeTheListenerClosesIsAnswered() throws Exception {
+    void connectionsInTheBacklogAreRepliedToBeforeTheListenerCloses() throws Exception {
         List<ScriptedPeers.Connection> clients = new ArrayList<>();
         whileLoopIsHeld(
                 () -> {
@@ -214,7 +214,7 @@
         await().until(() -> listener.isDrained());
     }
 
-    /** How a client ends its connection. */
+    /** How a client disconnects. */
     enum DisconnectKind {
         FIN,
         HALF_CLOSE,
@@ -223,7 +223,7 @@
 
     @ParameterizedTest
     @EnumSource(DisconnectKind.class)
-    void aCloseIsSeenWhileReadingIsPausedForManyOpenCommands(DisconnectKind way) throws Exception {
+    void disconnectIsSeenWhileReadingIsPaused(DisconnectKind way) throws Exception {
         ScriptedPeers.Connection client = client();
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 100; i++) {
@@ -240,11 +240,11 @@
             }
         }
         await().until(() -> listener.connectionCount() == 0);
-        assertEquals(requests.size(), cancelled.get(), "all that was asked has left");
+        assertEquals(requests.size(), cancelled.get(), "all requests are cancelled");
     }
 
     @Test
-    void aCommandThatComesSlowlyAfterARestIsWaitedForAndOneThatStopsIsNot() throws Exception {
+    void slowCommandIsAwaitedAndStalledCommandIsNot() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
@@ -265,13 +265,13 @@
         assertNull(client.readReply());
     }
 
-    /** Until the first part has been read and noted. */
+    /** Waits until part of a command has been read. */
     private void awaitPartial() {
         await().until(() -> loop.submit(() -> listener.isReadingCommand()).get());
     }
 
     @Test
-    void whoeverNeverAnswersTheEndIsClosedInTheEnd() throws Exception {
+    void peerThatNeverSendsFinIsClosedAfterTheLingerTimeout() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
@@ -284,7 +284,7 @@
     }
 
     @Test
-    void roomIsMadeByAnEndAndNotByAReset() throws Exception {
+    void connectionsGiveWayByFinAndNotByReset() throws Exception {
         List<ScriptedPeers.Connection> clients = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS * 2; i++) {
             ScriptedPeers.Connection client = client();
@@ -295,8 +295,7 @@
         }
         await().until(() -> listener.connectionCount() <= MAX_CONNECTIONS);
         int ended = 0;
-        // The oldest of those that wait for the peer's end is closed for good, with nothing unread
-        // on it.
+        // The oldest of those that linger is closed, with nothing unread on it.
         for (ScriptedPeers.Connection client : clients.subList(0, MAX_CONNECTIONS)) {
             assertNull(client.readReply());
             ended++;
@@ -305,6 +304,6 @@
         ScriptedPeers.Connection last = clients.get(clients.size() - 1);
         last.sendCommand("PING");
         assertEquals("+PONG", last.readReply());
-        assertTrue(listener.rejected() == 0, "nobody was turned away");
+        assertTrue(listener.rejected() == 0, "no connection was rejected");
     }
 }
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -26,14 +26,14 @@
 import sagepulley.testing.ScriptedPeers;
 import sagepulley.transport.Transport;
 
-/** The whole way on sockets: a client, the gateway, a scripted node and a scripted discovery. */
+/** The way of a request on sockets: client, gateway, scripted endpoint, scripted discovery. */
 @Timeout(60)
 class RespGatewayTest {
     private static final ScriptedPeers.Script SERVING_ENDPOINT =
             (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
 
     @Test
-    void readsAndWritesAreServedAndGoOnAsTheyCameButForThePatience() throws Exception {
+    void readsAndWritesAreForwardedUnchangedButForTheDeadline() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand("PING");
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void answersKeepTheOrderOfTheCommandsThoughALaterOneIsReadyFirst() throws Exception {
+    void repliesKeepTheOrderOfTheCommands() throws Exception {
         CountDownLatch later = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
@@ -99,7 +99,7 @@
                 "",
                 "c=get,,t=any"
             })
-    void aCommandWithWrongFieldsGetsAnErrorAndNothingGoesToANode(String fields) throws Exception {
+    void invalidCommandGetsAnErrorAndIsNotForwarded(String fields) throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void bytesThatAreNoCommandGetAnErrorAndTheEndAndHarmNobodyElse() throws Exception {
+    void malformedInputEndsItsOwnConnectionOnly() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection good = peers.connectClient();
             for (String bad :
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void anIdThatIsInHandIsRefusedAndTheFirstIsServed() throws Exception {
+    void idInFlightIsRejectedAndTheFirstRequestIsServed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void aConnectionThatNeverAsksIsClosedAndOneThatAskedStays() throws Exception {
+    void connectionWithoutACommandIsClosedAndOneWithACommandStays() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection commandCount = peers.connectClient();
             commandCount.sendCommand(ScriptedPeers.readCommand(1));
@@ -192,7 +192,7 @@
                 "*3\r\n$2\r\nvalue\r\n",
                 ":7\r\n"
             })
-    void aSpoiltAnswerIsNeverServedAndItsConnectionNeverUsedAgain(String invalidReply)
+    void invalidReplyIsNeverServedAndItsConnectionNeverReused(String invalidReply)
             throws Exception {
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
@@ -204,13 +204,13 @@
                                                 : ScriptedPeers.VALUE_REPLY))) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", client.readReply(), "by a second hop");
+            assertEquals("$5 value", client.readReply(), "by a second attempt");
             assertEquals(2, peers.commands.size());
         }
     }
 
     @Test
-    void anAnswerThatStopsInsideIsNotWaitedForToTheEnd() throws Exception {
+    void stalledReplyIsNotAwaitedUntilTheDeadline() throws Exception {
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
@@ -227,7 +227,7 @@
     }
 
     @Test
-    void aSecondCopyBehindAnAnswerIsNotTakenForTheNext() throws Exception {
+    void duplicateReplyIsNotTakenForTheNext() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> {
@@ -243,7 +243,7 @@
     }
 
     @Test
-    void figuresThatCannotBeReadLeaveAGoodAnswerGood() throws Exception {
+    void unreadableFiguresLeaveAReplyValid() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) ->
@@ -256,7 +256,7 @@
     }
 
     @Test
-    void aClientThatClosesHasItsAttemptCalledOff() throws Exception {
+    void attemptIsCancelledWhenItsClientDisconnects() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
@@ -274,10 +274,10 @@
     }
 
     /**
-     * Its command and its end lie in the kernel together, and a free connection to the node stands.
+     * Command and FIN lie in the kernel together, and an idle connection to the endpoint is open.
      */
     @Test
-    void whatAClientAskedThatHasGoneIsNotSent() throws Exception {
+    void commandOfADisconnectedClientIsNotForwarded() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection good = peers.connectClient();
             good.sendCommand(ScriptedPeers.readCommand(1));
@@ -314,7 +314,7 @@
     }
 
     @Test
-    void aGatewayThatIsToldToEndBeforeItIsReadyNeverListens() throws Exception {
+    void gatewayStoppedBeforeItIsReadyNeverListens() throws Exception {
         Transport transport = Transport.sockets();
         try {
             int port = WarmUpConfig.freePort();
@@ -332,7 +332,7 @@
         }
     }
 
-    /** Scheduler asks for none yet; what is written, and that any answer or none harms nobody. */
+    /** The scheduler requests no health check yet: what is sent, and that no reply does harm. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -343,7 +343,7 @@
                 "$3\r\n???\r\n",
                 "noise\r\n"
             })
-    void aProbeIsWrittenAsTheSettingsSayAndItsAnswerIsNotTakenForAnother(String answer)
+    void healthCheckFollowsTheSettingsAndItsReplyIsNotTakenForAnother(String answer)
             throws Exception {
         for (String fields : List.of("[]", "[\"mean_ms\"]")) {
             try (ScriptedPeers peers =
@@ -374,7 +374,7 @@
     }
 
     @Test
-    void aNodeThatClosesMidwayGetsTheOperationOnceMore() throws Exception {
+    void operationIsRetriedWhenTheEndpointClosesMidway() throws Exception {
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
@@ -392,7 +392,7 @@
     }
 
     @Test
-    void afterTheStopClientsAreServedOnTheirConnectionsUntilThoseEnd() throws Exception {
+    void clientsAreServedOnOpenConnectionsAfterStop() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(ScriptedPeers.readCommand(1));
@@ -406,9 +406,9 @@
     }
 
     @Test
-    void whoConnectsAndSaysNothingLeavesRoomForThoseWhoAsk() throws Exception {
+    void silentConnectionsGiveWayToActiveClients() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            // The configuration has 256 descriptors for all.
+            // The configuration has 256 descriptors in all.
             for (int i = 0; i < 400; i++) {
                 peers.connectClient();
             }
@@ -445,7 +445,7 @@
                     continue;
                 }
             } catch (IOException closed) {
-                // What is left unread makes the close a reset.
+                // Unread bytes turn the close into a reset.
             }
             good.sendCommand(ScriptedPeers.readCommand(5));
             assertEquals("$5 value", good.readReply());
@@ -454,7 +454,7 @@
     }
 
     @Test
-    void aClientThatReadsNothingIsHeldUpAndThenClosed() throws Exception {
+    void clientThatReadsNothingIsPausedAndThenClosed() throws Exception {
         String value = "*3\r\n$60000\r\n" + "v".repeat(60_000) + "\r\n$-1\r\n$-1\r\n";
         try (ScriptedPeers peers =
                 new ScriptedPeers((words, connection) -> connection.send(value))) {
@@ -468,7 +468,7 @@
                     }
                 }
             } catch (IOException closed) {
-                // By the gateway, for it read nothing for long.
+                // By the gateway, after the write timeout.
             }
             assertTrue(
                     peers.commands.size() < commandCount,
--- a/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
@@ -20,7 +20,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.upstream.resp.EndpointResponse;
 
-/** Words of 'serve' on its wire and in its log, and how the program is started. */
+/** Names that 'serve' uses on its wire and in its log, and how the program is started. */
 class ServeNamesTest {
     private static final String FIELDS =
             "c=get,t=any,d=900,volume=0000000000000007,units=1,shard=0,hosts=3,r=1";
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void figuresOfANodesAnswer() throws Exception {
+    void figuresOfAnEndpointsReply() throws Exception {
         TrafficClass trafficClass =
                 WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
         Operation operation = new Operation(1, trafficClass, null, 0, 1, 0, 0, 900, false);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void countsInTheLog() throws Exception {
+    void countersInTheLog() throws Exception {
         GatewayMetrics counts = new GatewayMetrics();
         TrafficClass trafficClass =
                 WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
@@ -98,9 +98,9 @@
                 counts.toString());
     }
 
-    /** The class that pom.xml and GatewayProcess name, with the word that starts the service. */
+    /** The class that pom.xml and GatewayProcess name, with the command that starts the service. */
     @Test
-    void theProgramIsStartedBySagepulleyMainServe() throws Exception {
+    void programIsStartedBySagepulleyMainServe() throws Exception {
         ProcessBuilder builder =
                 new ProcessBuilder(
                         System.getProperty("java.home") + "/bin/java",
--- a/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -27,7 +27,7 @@
 
     /** The first file is a pipe whose reading is held up until the second signal is on its way. */
     @Test
-    void theFileOfTheLastHangUpHoldsThoughAnEarlierOneIsReadSlowly() throws Exception {
+    void fileOfTheLastHangUpAppliesThoughAnEarlierOneIsReadSlowly() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
@@ -48,7 +48,7 @@
                 Files.delete(file);
                 Files.writeString(file, config(port, late));
                 hangUp();
-                // Where nothing keeps the order the second file is heard by then.
+                // If nothing kept the order, the second file would have been applied by then.
                 for (int i = 0; i < 50 && !watched(peers, late); i++) {
                     Thread.sleep(10);
                 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Runs one on a thread of its own; completes when it has ended. */
+    /** Runs a gateway on a thread of its own; completes when it has stopped. */
     private static CompletableFuture<Void> serve(
             Map<String, String> environment, CompletableFuture<RespGateway> ready) {
         return CompletableFuture.runAsync(
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void atHangUpDiscoveryMovesAndABadFileLeavesAllAsItWas() throws Exception {
+    void discoveryMovesAtHangUpAndAnInvalidFileChangesNothing() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
--- a/src/test/java/sagepulley/testing/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * What the kernel's book of TCP connections says of the reading end, so that a test knows what lies
- * unread there.
+ * The kernel's table of TCP connections, by which a test knows what lies unread at the receiving
+ * end.
  */
 public final class KernelTcpTable {
     private static final List<Path> TABLES =
@@ -20,7 +20,7 @@
 
     private KernelTcpTable() {}
 
-    /** Until the end that the far port sent lies unread at the near one. */
+    /** Waits until the FIN of the far port has arrived at the near one. */
     public static void awaitFin(int near, int far) {
         await().until(
                         () ->
@@ -31,7 +31,7 @@
                                                                 == CLOSE_WAIT));
     }
 
-    /** Until bytes lie unread at the near one. */
+    /** Waits until bytes lie unread at the near port. */
     public static void awaitUnread(int near, int far) {
         await().until(
                         () ->
@@ -42,7 +42,7 @@
                                                                 > 0));
     }
 
-    /** Until the near one's connection has been reset, or is gone. */
+    /** Waits until the near port's connection is gone. */
     public static void awaitGone(int near, int far) {
         await().until(() -> lines(near, far).isEmpty());
     }
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -24,14 +24,14 @@
 import sagepulley.lifecycle.WarmUpConfig;
 import sagepulley.transport.Transport;
 
-/** A gateway on loopback with one node and a discovery that do as a test's script says. */
+/** A gateway on loopback with one endpoint and a discovery that follow a test's script. */
 public final class ScriptedPeers implements Closeable {
     private static final int TIMEOUT_MILLIS = 20_000;
     public static final String VALUE_REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
     private static final String LIST_RESPONSE_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** What a node does with one command. */
+    /** What the endpoint does with one command. */
     public interface Script {
         void answer(List<String> words, Connection connection) throws IOException;
     }
@@ -54,7 +54,7 @@
             out.flush();
         }
 
-        /** A line without its end; null where the connection has ended. */
+        /** A line without CR LF; null where the connection has ended. */
         public String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = input.read(); next != '\n'; next = input.read()) {
@@ -67,8 +67,8 @@
         }
 
         /**
-         * The first line of an HTTP request, read to its end; null where the caller left before
-         * that.
+         * The first line of an HTTP request, which is read in full; null where the peer left
+         * before.
          */
         public String readRequestLine() throws IOException {
             String request = readLine();
@@ -93,7 +93,7 @@
             return words;
         }
 
-        /** One answer: its line, and its value behind a blank where there is one. */
+        /** One reply: its line, and its value after a blank where there is one. */
         public String readReply() throws IOException {
             String head = readLine();
             return head != null && head.startsWith("$") ? head + " " + readLine() : head;
@@ -108,13 +108,13 @@
     public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
     public final List<Connection> watches = new CopyOnWriteArrayList<>();
 
-    /** Calls to discovery that were not answered. */
+    /** Requests to discovery without a response. */
     public final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
 
     public final RespGateway gateway;
     public final Transport transport = Transport.sockets();
 
-    /** What discovery answers a call with; null: it says nothing. */
+    /** What discovery responds to a request; null: nothing. */
     public volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
 
     private final List<Closeable> open = new CopyOnWriteArrayList<>();
@@ -125,7 +125,7 @@
         this(script, text -> text);
     }
 
-    /** The same with another configuration file. */
+    /** With a changed configuration file. */
     public ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
         ServerSocket node =
                 serve(
@@ -154,7 +154,7 @@
         clientAddress = gateway.start().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One more discovery; it answers as the listing says, and keeps the watch open. */
+    /** One more discovery; it responds with the endpoint list, and keeps watches open. */
     public SocketAddress discovery() throws IOException {
         return serve(
                         connection -> {
@@ -204,7 +204,7 @@
         return command.toString();
     }
 
-    /** Words of a read with this id. */
+    /** Arguments of a read with this id. */
     public static String[] readCommand(long id) {
         return new String[] {
             "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(id), fields("get", 9000, 0)
@@ -257,7 +257,7 @@
                             try {
                                 work.run();
                             } catch (IOException ended) {
-                                // The other end, or the test, has closed it.
+                                // The peer or the test has closed it.
                             }
                         },
                         "peer");
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -22,7 +22,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.transport.Transport;
 
-/** How a call to a node ends, by what its connection does. */
+/** The outcome of a request, by what its connection does. */
 class EndpointConnectionPoolTest {
     private static final long NEVER_MILLIS = 600_000;
     private static final long HELD_MILLIS = 300;
@@ -31,7 +31,7 @@
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
     private ServerSocket node;
 
-    /** A node that says this to whoever connects, and then nothing more. */
+    /** An endpoint that sends this on each connection, and then nothing more. */
     private SocketAddress node(String says) throws IOException {
         node = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread =
@@ -75,31 +75,28 @@
     }
 
     @Test
-    void whoeverHasBegunToAnswerByTheTimeOutIsAtFaultAndNotSilent() throws IOException {
+    void endpointThatHasBegunToReplyAtTheTimeoutHasFailed() throws IOException {
         SocketAddress address = node("*3\r\n$5\r\nva");
         EndpointConnectionPool pool = pool(NEVER_MILLIS);
-        // The first bytes may come after a time-out, on a slow machine; not after every one.
+        // On a slow machine the first bytes may come after a timeout; not after each one.
         await().until(() -> call(pool, address, 50) == Outcome.FAILED);
     }
 
     @Test
-    void whoeverSaysNothingTimesOut() throws IOException {
+    void silentEndpointTimesOut() throws IOException {
         SocketAddress address = node("");
         EndpointConnectionPool pool = pool(1);
         await().until(() -> call(pool, address, 50) == Outcome.TIMED_OUT);
     }
 
     @Test
-    void anAnswerThatPausesForTheStallTimeIsAFault() throws IOException {
+    void replyThatPausesForTheStallTimeoutHasFailed() throws IOException {
         assertEquals(Outcome.FAILED, call(pool(20), node("*3\r\n$5\r\nva"), NEVER_MILLIS));
     }
 
-    /**
-     * The loop is held up by hand until the kernel's own clock says that the answer has lain there
-     * for long.
-     */
+    /** Holds the loop until the reply has been in the kernel for long. */
     @Test
-    void aLoopThatWasHeldUpTellsWhenTheAnswerCame() throws IOException {
+    void receiveTimeIsTheKernelsWhenTheLoopWasHeldUp() throws IOException {
         assumeTrue(
                 transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
         SocketAddress address = node("+PONG\r\n");
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -34,8 +34,8 @@
 import sagepulley.transport.Transport;
 
 /**
- * Calls to a node whose connection ends, comes up late or brings what nobody asked for; the loop is
- * held by hand.
+ * Requests to an endpoint whose connection ends, comes up late or brings unexpected bytes. The test
+ * holds the event loop.
  */
 @Timeout(60)
 class EndpointConnectionRaceTest {
@@ -84,7 +84,7 @@
         transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** On the loop; the command tells the time that is left. */
+    /** Called on the loop; the command carries the remaining time. */
     private CompletableFuture<End> call(Attempt attempt, double timeout) {
         CompletableFuture<End> end = new CompletableFuture<>();
         pool.send(
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aSecondAnswerThatLiesUnreadIsNotTakenForTheNextOne() throws Exception {
+    void unreadDuplicateReplyIsNotTakenForTheNext() throws Exception {
         assertServedOnAnotherConnectionAfter(
                 connection -> {
                     serve(connection, "stale");
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aConnectionThatTheNodeHasClosedIsNotUsedAgain() throws Exception {
+    void connectionClosedByTheEndpointIsNotReused() throws Exception {
         assertServedOnAnotherConnectionAfter(
                 connection -> {
                     int port = connection.socket.getPort();
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aConnectionThatTheNodeHasResetIsNotUsedAgain() throws Exception {
+    void connectionResetByTheEndpointIsNotReused() throws Exception {
         assertServedOnAnotherConnectionAfter(
                 connection -> {
                     int port = connection.socket.getPort();
@@ -164,7 +164,7 @@
         void run(ScriptedPeers.Connection connection) throws IOException;
     }
 
-    /** What the step does to the free connection must not reach the second call. */
+    /** What the step does to the idle connection must not reach the second request. */
     private void assertServedOnAnotherConnectionAfter(Step step) throws Exception {
         CompletableFuture<End> second = secondCallOn(new ArrayList<>(), step);
         ScriptedPeers.Connection fresh = accepted.take();
@@ -174,8 +174,8 @@
     }
 
     /**
-     * One call is served and its connection free; then, before the loop looks again, the step and a
-     * second call.
+     * One request is served and its connection idle; then, before the loop polls again, the step
+     * and a second request.
      */
     private CompletableFuture<End> secondCallOn(List<ScriptedPeers.Connection> kept, Step step)
             throws Exception {
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void aFreeConnectionOnWhichNothingHappenedIsUsedAgain() throws Exception {
+    void idleConnectionIsReused() throws Exception {
         List<ScriptedPeers.Connection> first = new ArrayList<>();
         CompletableFuture<End> second = secondCallOn(first, connection -> {});
         first.get(0).readCommand();
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void aNodeIsToldWhatIsLeftThoughTheConnectionComesUpLate() throws Exception {
+    void endpointGetsTheRemainingTimeAfterASlowConnect() throws Exception {
         CompletableFuture<End> end =
                 loop.submit(
                                 () -> {
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void nothingIsSentOnAConnectionThatComesUpWhenTheTimeIsOver() throws Exception {
+    void nothingIsSentWhenTheConnectionComesUpAfterTheDeadline() throws Exception {
         CompletableFuture<End> end =
                 loop.submit(
                                 () -> {
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void whatMayNotBeginAnyMoreWhenTheConnectionIsUpIsNeverSent() throws Exception {
+    void commandThatMayNoLongerStartIsNeverSent() throws Exception {
         CompletableFuture<Outcome> end = new CompletableFuture<>();
         loop.execute(
                 () ->
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void whatIsCalledOffBeforeItIsWrittenIsNeverSent() throws Exception {
+    void attemptCancelledBeforeItIsWrittenIsNeverSent() throws Exception {
         Attempt attempt = attempt();
         CompletableFuture<End> end =
                 loop.submit(
@@ -282,7 +282,7 @@
     }
 
     @Test
-    void whatIsWrittenIsLeftToWhoeverMayCallItOff() throws Exception {
+    void writtenAttemptIsNotCancelledAsUnwritten() throws Exception {
         Attempt attempt = attempt();
         CompletableFuture<End> end = loop.submit(() -> call(attempt, LONG_MILLIS)).get();
         ScriptedPeers.Connection connection = accepted.take();
@@ -293,7 +293,7 @@
     }
 
     @Test
-    void anAnswerAndTheTimeOutInOneTurnAreOneEnd() throws Exception {
+    void replyAndTimeoutInOneTurnAreOneOutcome() throws Exception {
         CompletableFuture<End> end = loop.submit(() -> call(attempt(), 2 * HELD_MILLIS)).get();
         ScriptedPeers.Connection connection = accepted.take();
         connection.readCommand();
