--- a/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -8,9 +8,10 @@
 import java.util.ArrayDeque;
 
 /**
- * Cuts a stream of bytes into pieces whose lengths the subclass asks for, one after the other,
- * without copying: a piece is a slice of what the socket delivered, or several in a row. Nothing is
- * kept that was not asked for, but for what one read of the socket delivered beyond it.
+ * Cuts a stream of bytes into segments whose lengths the subclass asks for, one after the other,
+ * without copying: a segment is a slice of what the socket delivered, or several in a row. Nothing
+ * is kept that was not asked for, but for what one read of the socket delivered beyond it. Owns the
+ * buffers until the subclass receives them; confined to the channel's event loop.
  */
 public abstract class SegmentDecoder extends ChannelInboundHandlerAdapter {
     private final ArrayDeque<ByteBuf> unreadBuffers = new ArrayDeque<>(2);
@@ -23,31 +24,31 @@
     private ChannelHandlerContext context;
 
     /**
-     * The piece that was expected; empty after a skip. The subclass owns it and must say what comes
-     * next.
+     * The segment that was expected; empty after a skip. The subclass owns it and must say what
+     * comes next.
      */
-    protected abstract void segmentReceived(ChannelHandlerContext ctx, ByteBuf piece)
+    protected abstract void segmentReceived(ChannelHandlerContext ctx, ByteBuf complete)
             throws MalformedMessageException;
 
-    /** The next piece has so many bytes, which are kept until all are there. */
+    /** The next segment has so many bytes, which are kept until all have come. */
     protected final void expect(int bytes) {
         remainingBytes = bytes;
         skipping = false;
     }
 
-    /** So many bytes come next that nobody wants. */
+    /** Drops the next so many bytes. */
     protected final void skip(long bytes) {
         remainingBytes = bytes;
         skipping = true;
     }
 
-    /** Nothing more is read from the socket until {@link #resume}. */
+    /** Reads nothing more from the socket until {@link #resume}. */
     protected final void halt() {
         halted = true;
         context.channel().config().setAutoRead(false);
     }
 
-    /** Goes on after a halt. On the channel's own loop only. */
+    /** Goes on after a halt. */
     protected final void resume() {
         if (!halted) {
             return;
@@ -60,13 +61,13 @@
         decode(context);
     }
 
-    /** What still comes is dropped unread. */
+    /** Drops whatever still comes. */
     protected final void end() {
         ended = true;
         releaseBuffers();
     }
 
-    /** Whether some of a message has come, but not all. */
+    /** Whether a segment has come in part. */
     protected final boolean isInsideSegment() {
         return segment != null;
     }
@@ -122,10 +123,10 @@
     }
 
     private void deliver(ChannelHandlerContext ctx) throws MalformedMessageException {
-        ByteBuf piece = segment == null ? Unpooled.EMPTY_BUFFER : segment;
+        ByteBuf complete = segment == null ? Unpooled.EMPTY_BUFFER : segment;
         segment = null;
         remainingBytes = -1;
-        segmentReceived(ctx, piece);
+        segmentReceived(ctx, complete);
         if (remainingBytes < 0 && !ended) {
             throw new IllegalStateException("nothing is expected next");
         }
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -7,9 +7,17 @@
 import sagepulley.codec.frame.SegmentDecoder;
 
 /**
- * What a server sends, cut into its messages; the client says of each cookie how long its data is.
+ * Decodes what a server sends. Each message passes on the pipeline with the ownership of its data;
+ * bytes that are not the protocol end the connection.
  */
 final class NbdClientDecoder extends SegmentDecoder {
+    private static final int GREETING_BYTES = 18;
+    private static final int OPTION_HEAD_BYTES = 20;
+    private static final int EXPORT_BYTES = 10;
+    private static final int EXPORT_ZERO_BYTES = 124;
+    private static final int MAGIC_BYTES = 4;
+    private static final int SIMPLE_REPLY_BYTES = 12;
+    private static final int CHUNK_HEAD_BYTES = 16;
     private static final int MAX_OPTION_REPLY_BYTES = 64 << 10;
     private static final int MAX_CHUNK_BYTES = (64 << 20) + 64;
 
@@ -29,8 +37,9 @@
             String message,
             ByteBuf data) {}
 
-    /** Tells how much data follows a simple reply without error, or -1 for an unknown cookie. */
+    /** Knows how much data follows a simple reply without error, or -1 for an unknown cookie. */
     interface DataLengths {
+        /** Bytes. */
         int dataLength(long cookie);
     }
 
@@ -54,19 +63,20 @@
 
     NbdClientDecoder(DataLengths dataLengths) {
         this.dataLengths = dataLengths;
-        expect(18);
+        expect(GREETING_BYTES);
     }
 
     /**
-     * After NBD_OPT_EXPORT_NAME the server sends size and flags with no head; zeroes unless given
-     * up.
+     * After NBD_OPT_EXPORT_NAME the server sends size and flags without a head, then zeroes unless
+     * both sides have set NBD_FLAG_NO_ZEROES.
      */
     void expectExport(boolean zeroes) {
-        next(Phase.EXPORT, zeroes ? 134 : 10);
+        next(Phase.EXPORT, zeroes ? EXPORT_BYTES + EXPORT_ZERO_BYTES : EXPORT_BYTES);
     }
 
+    /** Replies come next. */
     void startTransmission() {
-        next(Phase.MAGIC, 4);
+        next(Phase.MAGIC, MAGIC_BYTES);
     }
 
     private void next(Phase what, int bytes) {
@@ -78,30 +88,10 @@
     protected void segmentReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         switch (phase) {
-            case GREETING -> {
-                boolean known =
-                        segment.readLong() == NbdConstants.NBDMAGIC
-                                && segment.readLong() == NbdConstants.IHAVEOPT;
-                int flags = segment.readUnsignedShort();
-                segment.release();
-                if (!known || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
-                    throw new MalformedMessageException("not a server of fixed newstyle");
-                }
-                next(Phase.OPTION, 20);
-                ctx.fireChannelRead(flags);
-            }
-            case OPTION -> {
-                boolean known = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
-                option = new OptionReply(segment.readInt(), segment.readInt(), null);
-                int length = segment.readInt();
-                segment.release();
-                if (!known || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
-                    throw new MalformedMessageException("malformed option reply");
-                }
-                next(Phase.OPTION_DATA, length);
-            }
+            case GREETING -> greeting(ctx, segment);
+            case OPTION -> optionHead(segment);
             case OPTION_DATA -> {
-                next(Phase.OPTION, 20);
+                next(Phase.OPTION, OPTION_HEAD_BYTES);
                 ctx.fireChannelRead(new OptionReply(option.option(), option.type(), segment));
             }
             case EXPORT -> {
@@ -110,57 +100,13 @@
                         new OptionReply(
                                 NbdConstants.OPT_EXPORT_NAME, NbdConstants.REP_ACK, segment));
             }
-            case MAGIC -> {
-                int magic = segment.readInt();
-                segment.release();
-                if (magic == NbdConstants.SIMPLE_REPLY_MAGIC) {
-                    next(Phase.SIMPLE, 12);
-                } else if (magic == NbdConstants.STRUCTURED_REPLY_MAGIC) {
-                    next(Phase.CHUNK, 16);
-                } else {
-                    throw new MalformedMessageException(
-                            "reply starts with 0x" + Integer.toHexString(magic));
-                }
-            }
-            case SIMPLE -> {
-                int error = segment.readInt();
-                long cookie = segment.readLong();
-                segment.release();
-                int length = dataLengths.dataLength(cookie);
-                if (length < 0) {
-                    throw new MalformedMessageException("reply to unknown cookie " + cookie);
-                }
-                simple = new SimpleReply(cookie, error, null);
-                next(Phase.SIMPLE_DATA, error == 0 ? length : 0);
-            }
+            case MAGIC -> replyMagic(segment);
+            case SIMPLE -> simpleReplyHead(segment);
             case SIMPLE_DATA -> {
                 startTransmission();
                 ctx.fireChannelRead(new SimpleReply(simple.cookie(), simple.error(), segment));
             }
-            case CHUNK -> {
-                int flags = segment.readUnsignedShort();
-                int type = segment.readUnsignedShort();
-                long cookie = segment.readLong();
-                int length = segment.readInt();
-                segment.release();
-                if (length < 0 || length > MAX_CHUNK_BYTES || dataLengths.dataLength(cookie) < 0) {
-                    throw new MalformedMessageException(
-                            "chunk of "
-                                    + Integer.toUnsignedString(length)
-                                    + " bytes for cookie "
-                                    + cookie);
-                }
-                chunk =
-                        new Chunk(
-                                (flags & NbdConstants.CHUNK_DONE) != 0,
-                                type,
-                                cookie,
-                                -1,
-                                0,
-                                "",
-                                null);
-                next(Phase.CHUNK_DATA, length);
-            }
+            case CHUNK -> chunkHead(segment);
             case CHUNK_DATA -> {
                 startTransmission();
                 ctx.fireChannelRead(parseChunk(segment));
@@ -168,52 +114,126 @@
         }
     }
 
-    private Chunk parseChunk(ByteBuf segment) throws MalformedMessageException {
-        int type = chunk.type();
-        int minBytes =
-                switch (type) {
-                    case NbdConstants.CHUNK_NONE -> 0;
-                    case NbdConstants.CHUNK_OFFSET_DATA -> 9;
-                    case NbdConstants.CHUNK_OFFSET_HOLE, NbdConstants.CHUNK_BLOCK_STATUS -> 12;
-                    case NbdConstants.CHUNK_ERROR -> 6;
-                    case NbdConstants.CHUNK_ERROR_OFFSET -> 14;
-                    default -> -1;
-                };
-        boolean error = (type & 0x8000) != 0;
-        int size = segment.readableBytes();
-        boolean fits =
-                minBytes >= 0
-                        && size >= minBytes
-                        && (error
-                                || type == NbdConstants.CHUNK_OFFSET_DATA
-                                || type == NbdConstants.CHUNK_BLOCK_STATUS
-                                || size == minBytes);
-        if (fits && error) {
-            fits = size == minBytes + segment.getUnsignedShort(segment.readerIndex() + 4);
+    private void greeting(ChannelHandlerContext ctx, ByteBuf segment)
+            throws MalformedMessageException {
+        boolean known =
+                segment.readLong() == NbdConstants.NBDMAGIC
+                        && segment.readLong() == NbdConstants.IHAVEOPT;
+        int flags = segment.readUnsignedShort();
+        segment.release();
+        if (!known || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
+            throw new MalformedMessageException("not a server of fixed newstyle");
+        }
+        next(Phase.OPTION, OPTION_HEAD_BYTES);
+        ctx.fireChannelRead(flags);
+    }
+
+    private void optionHead(ByteBuf segment) throws MalformedMessageException {
+        boolean known = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
+        option = new OptionReply(segment.readInt(), segment.readInt(), null);
+        int length = segment.readInt();
+        segment.release();
+        if (!known || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
+            throw new MalformedMessageException("malformed option reply");
+        }
+        next(Phase.OPTION_DATA, length);
+    }
+
+    private void replyMagic(ByteBuf segment) throws MalformedMessageException {
+        int magic = segment.readInt();
+        segment.release();
+        if (magic == NbdConstants.SIMPLE_REPLY_MAGIC) {
+            next(Phase.SIMPLE, SIMPLE_REPLY_BYTES);
+        } else if (magic == NbdConstants.STRUCTURED_REPLY_MAGIC) {
+            next(Phase.CHUNK, CHUNK_HEAD_BYTES);
+        } else {
+            throw new MalformedMessageException(
+                    "reply starts with 0x" + Integer.toHexString(magic));
+        }
+    }
+
+    private void simpleReplyHead(ByteBuf segment) throws MalformedMessageException {
+        int error = segment.readInt();
+        long cookie = segment.readLong();
+        segment.release();
+        int length = dataLengths.dataLength(cookie);
+        if (length < 0) {
+            throw new MalformedMessageException("reply to unknown cookie " + cookie);
         }
-        if (!fits) {
-            segment.release();
+        simple = new SimpleReply(cookie, error, null);
+        next(Phase.SIMPLE_DATA, error == 0 ? length : 0);
+    }
+
+    private void chunkHead(ByteBuf segment) throws MalformedMessageException {
+        int flags = segment.readUnsignedShort();
+        int type = segment.readUnsignedShort();
+        long cookie = segment.readLong();
+        int length = segment.readInt();
+        segment.release();
+        if (length < 0 || length > MAX_CHUNK_BYTES || dataLengths.dataLength(cookie) < 0) {
+            throw new MalformedMessageException(
+                    "chunk of " + Integer.toUnsignedString(length) + " bytes for cookie " + cookie);
+        }
+        boolean done = (flags & NbdConstants.CHUNK_DONE) != 0;
+        chunk = new Chunk(done, type, cookie, -1, 0, "", null);
+        next(Phase.CHUNK_DATA, length);
+    }
+
+    /** 'Structured reply types': the data of a chunk, whose head came before. */
+    private Chunk parseChunk(ByteBuf data) throws MalformedMessageException {
+        int type = chunk.type();
+        if (!hasValidLength(type, data)) {
+            int size = data.readableBytes();
+            data.release();
             throw new MalformedMessageException(
                     "chunk of type " + type + " with " + size + " bytes");
         }
-        if (error) {
-            int number = segment.readInt();
-            String message =
-                    segment.readCharSequence(segment.readUnsignedShort(), StandardCharsets.UTF_8)
-                            .toString();
-            long offset = type == NbdConstants.CHUNK_ERROR_OFFSET ? segment.readLong() : -1;
-            segment.release();
-            return new Chunk(chunk.done(), type, chunk.cookie(), offset, number, message, null);
+        if (isError(type)) {
+            return parseError(data);
         }
-        boolean placed =
+        boolean hasOffset =
                 type == NbdConstants.CHUNK_OFFSET_DATA || type == NbdConstants.CHUNK_OFFSET_HOLE;
-        return new Chunk(
-                chunk.done(),
-                type,
-                chunk.cookie(),
-                placed ? segment.readLong() : -1,
-                0,
-                "",
-                segment);
+        long offset = hasOffset ? data.readLong() : -1;
+        return new Chunk(chunk.done(), type, chunk.cookie(), offset, 0, "", data);
+    }
+
+    private Chunk parseError(ByteBuf data) {
+        int error = data.readInt();
+        String message =
+                data.readCharSequence(data.readUnsignedShort(), StandardCharsets.UTF_8).toString();
+        long offset = chunk.type() == NbdConstants.CHUNK_ERROR_OFFSET ? data.readLong() : -1;
+        data.release();
+        return new Chunk(chunk.done(), chunk.type(), chunk.cookie(), offset, error, message, null);
+    }
+
+    private static boolean hasValidLength(int type, ByteBuf data) {
+        int size = data.readableBytes();
+        int minBytes = minBytes(type);
+        if (minBytes < 0 || size < minBytes) {
+            return false;
+        }
+        if (isError(type)) {
+            int messageBytes = data.getUnsignedShort(data.readerIndex() + 4);
+            return size == minBytes + messageBytes;
+        }
+        boolean variable =
+                type == NbdConstants.CHUNK_OFFSET_DATA || type == NbdConstants.CHUNK_BLOCK_STATUS;
+        return variable || size == minBytes;
+    }
+
+    /** The least bytes of a chunk's data; -1 for an unknown type. */
+    private static int minBytes(int type) {
+        return switch (type) {
+            case NbdConstants.CHUNK_NONE -> 0;
+            case NbdConstants.CHUNK_OFFSET_DATA -> 9;
+            case NbdConstants.CHUNK_OFFSET_HOLE, NbdConstants.CHUNK_BLOCK_STATUS -> 12;
+            case NbdConstants.CHUNK_ERROR -> 6;
+            case NbdConstants.CHUNK_ERROR_OFFSET -> 14;
+            default -> -1;
+        };
+    }
+
+    private static boolean isError(int type) {
+        return (type & 0x8000) != 0;
     }
 }
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -7,19 +7,20 @@
 import sagepulley.codec.frame.SegmentDecoder;
 
 /**
- * What a client sends: its flags, options, then requests. Reads no payload before the gate admits
- * it, and stops reading from the socket until then.
+ * Decodes what a client sends: its flags, options, then requests. Reads no payload before the gate
+ * admits it, and stops reading from the socket until then. Data passes on with its ownership.
  */
 final class NbdServerDecoder extends SegmentDecoder {
-    /** What a request weighs besides its bytes: it bounds how many may be in hand. */
+    /** Counted for a request besides its data, so that the budget bounds their number too. */
     static final int REQUEST_OVERHEAD_BYTES = 1024;
 
     private static final int OPTION_HEAD_BYTES = 16;
     private static final int REQUEST_HEAD_BYTES = 28;
 
-    /** Options longer than this are not kept; longer than the second, the connection ends. */
+    /** Longer options are skipped and refused. */
     private static final int MAX_OPTION_BYTES = 64 << 10;
 
+    /** Longer options end the connection. */
     private static final int MAX_SKIPPED_OPTION_BYTES = 1 << 20;
 
     private enum Phase {
@@ -44,7 +45,7 @@
         expect(4);
     }
 
-    /** The handshake is over: what comes next are requests, with writes of up to so many bytes. */
+    /** The handshake has ended: requests come next, with writes of up to so many bytes. */
     void startTransmission(int maxBlockSize) {
         this.maxBlockSize = maxBlockSize;
         phase = Phase.REQUEST;
