--- /dev/null
+++ b/src/test/java/sagepulley/scheduler/CancellationTest.java
@@ -0,0 +1,86 @@
+package sagepulley.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import sagepulley.model.Node;
+import sagepulley.model.Operation;
+import sagepulley.model.Outcome;
+
+/** What cancellations of clients teach, and what they cancel. */
+class CancellationTest {
+    @Test
+    void earlyCancellationsShortenTheObjectiveAndCancelAttempts() {
+        SchedulerHarness harness = new SchedulerHarness(1);
+        for (int i = 0; i < 8; i++) {
+            Operation operation = harness.take(SchedulerHarness.BULK, 0);
+            harness.passTime(60);
+            harness.cancel(operation);
+            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
+        }
+        assertEquals(8, harness.cancelled.size());
+        harness.passTime(2000);
+        harness.rejected.clear();
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.updateEndpointList();
+        harness.take(SchedulerHarness.BULK, 0);
+        harness.passTime(70);
+        assertEquals(1, harness.rejected.size(), "long before its target time of 1.5 s");
+    }
+
+    @Test
+    void cancellationsBeforeAnyAnswerCouldComeAreIgnored() {
+        SchedulerHarness harness = new SchedulerHarness(1);
+        serve(harness, 30, 20);
+        for (int i = 0; i < 10; i++) {
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(4);
+            harness.cancel(operation);
+            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
+        }
+        harness.nodes.get(0).phase = Node.Phase.DRAINING;
+        harness.updateEndpointList();
+        harness.take(SchedulerHarness.READ, 0);
+        harness.passTime(100);
+        assertEquals(0, harness.rejected.size(), "the target time is still 250 ms");
+    }
+
+    @Test
+    void pastCancellationsDoNotForbidAllAttemptsForEver() {
+        SchedulerHarness harness = new SchedulerHarness(1);
+        serve(harness, 30, 20);
+        for (int i = 0; i < 10; i++) {
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(22);
+            if (operation.ended) {
+                continue;
+            }
+            harness.cancel(operation);
+            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
+            // The node takes long for a while, so that no answer would come in the time that
+            // clients stay.
+            serve(harness, 2, 60);
+        }
+        int before = harness.sent.size();
+        for (int i = 0; i < 200; i++) {
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(10);
+            if (!operation.ended) {
+                harness.end(harness.lastAttempt(operation), Outcome.SERVED);
+            }
+        }
+        assertTrue(harness.sent.size() - before > 100, "sent " + (harness.sent.size() - before));
+    }
+
+    /** So many reads, one after the other, each answered after a time. */
+    private static void serve(SchedulerHarness harness, int count, double time) {
+        for (int i = 0; i < count; i++) {
+            Operation operation = harness.take(SchedulerHarness.READ, 0);
+            harness.passTime(time);
+            if (!operation.ended) {
+                harness.end(harness.lastAttempt(operation), Outcome.SERVED);
+            }
+        }
+    }
+}
