--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -6,8 +6,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Runs one task at the earliest of the times that were asked for; then it must be asked anew. On
- * the loop.
+ * Runs one task at the earliest of the times that were requested, once. Confined to its event loop.
  */
 public final class EventLoopTimer {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -19,14 +18,14 @@
     private ScheduledFuture<?> scheduled;
     private double scheduledAt;
 
-    /** The clock tells milliseconds. */
+    /** A timer by a clock in milliseconds. */
     public EventLoopTimer(EventLoop loop, DoubleSupplier clock, Runnable task) {
         this.loop = loop;
         this.clock = clock;
         this.task = task;
     }
 
-    /** At this time at the latest; infinite: whenever it was asked for before. */
+    /** Runs the task at this time at the latest; an infinite time changes nothing. */
     public void by(double time) {
         if ((scheduled != null && time >= scheduledAt) || time == Double.POSITIVE_INFINITY) {
             return;
@@ -49,7 +48,7 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    /** Forgets the time that was asked for. */
+    /** Forgets the time that was requested. */
     public void cancel() {
         if (scheduled != null) {
             scheduled.cancel(false);
--- a/src/main/java/sagepulley/codec/frame/EventLoops.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoops.java
@@ -13,13 +13,13 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
 
-/** Event loops and channels of the best kind that this machine has: epoll, else NIO. */
+/** Event loops and channels of one kind: epoll where the machine has it, else NIO. */
 public final class EventLoops {
     private static final boolean EPOLL = Epoll.isAvailable();
 
     private EventLoops() {}
 
-    /** Loops whose threads bear the name and do not keep the program running. */
+    /** Event loops on daemon threads of that name. */
     public static EventLoopGroup group(int loops, String name) {
         return new MultiThreadIoEventLoopGroup(
                 loops,
@@ -27,10 +27,12 @@
                 EPOLL ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
     }
 
+    /** The class of client sockets. */
     public static Class<? extends Channel> socket() {
         return EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
+    /** The class of listening sockets. */
     public static Class<? extends ServerChannel> server() {
         return EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
--- a/src/main/java/sagepulley/codec/frame/Frame.java
+++ b/src/main/java/sagepulley/codec/frame/Frame.java
@@ -4,9 +4,13 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * One message between the program's own parts (docs/protocols.md, Frames): a type, the number that
- * an answer repeats, a short head of fields and a payload that nobody on the way looks into. Its
- * holder owns both buffers.
+ * One message between the program's own processes (docs/protocols.md, Frames). Its holder owns both
+ * buffers.
+ *
+ * @param type what it says, by the protocol of the connection
+ * @param id a number that the answer repeats
+ * @param head the fields
+ * @param payload data that nobody on the way looks into
  */
 public record Frame(int type, long id, ByteBuf head, ByteBuf payload) {
     static final int MAGIC = 0x5350;
@@ -18,18 +22,20 @@
     /** Bytes after the payload: the checksum of head and payload. */
     static final int SUFFIX = 4;
 
-    /** The longest head that is taken. */
+    /** The longest head that is accepted. */
     public static final int MAX_HEAD_BYTES = 1 << 20;
 
+    /** A frame without payload. */
     public Frame(int type, long id, ByteBuf head) {
         this(type, id, head, Unpooled.EMPTY_BUFFER);
     }
 
+    /** A frame with neither fields nor payload. */
     public Frame(int type, long id) {
         this(type, id, Unpooled.EMPTY_BUFFER, Unpooled.EMPTY_BUFFER);
     }
 
-    /** Gives both buffers back. */
+    /** Releases both buffers. */
     public void release() {
         head.release();
         payload.release();
--- a/src/main/java/sagepulley/codec/frame/FrameEncoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameEncoder.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelOutboundHandlerAdapter;
 import io.netty.channel.ChannelPromise;
 
-/** Writes frames; the payload goes out as it is. */
+/** Writes frames, which it owns; the payload goes out uncopied. */
 public final class FrameEncoder extends ChannelOutboundHandlerAdapter {
     private final Crc32c crc = new Crc32c();
 
@@ -14,9 +14,9 @@
         Frame frame = (Frame) message;
         int headLength = frame.head().readableBytes();
         int payloadLength = frame.payload().readableBytes();
-        boolean apart = payloadLength > 0;
+        boolean hasPayload = payloadLength > 0;
         ByteBuf start =
-                ctx.alloc().ioBuffer(Frame.PREFIX + headLength + (apart ? 0 : Frame.SUFFIX));
+                ctx.alloc().ioBuffer(Frame.PREFIX + headLength + (hasPayload ? 0 : Frame.SUFFIX));
         start.writeShort(Frame.MAGIC)
                 .writeByte(Frame.VERSION)
                 .writeByte(frame.type())
@@ -29,7 +29,7 @@
                 .add(frame.payload(), frame.payload().readerIndex(), payloadLength);
         start.writeBytes(frame.head());
         frame.head().release();
-        if (!apart) {
+        if (!hasPayload) {
             frame.payload().release();
             ctx.write(start.writeInt(crc.value()), promise);
             return;
--- a/src/main/java/sagepulley/codec/frame/FrameFields.java
+++ b/src/main/java/sagepulley/codec/frame/FrameFields.java
@@ -9,7 +9,7 @@
 
     private FrameFields() {}
 
-    /** The frame's head, of which at least so many bytes must be there. */
+    /** The frame's head; throws if it has fewer bytes. */
     public static ByteBuf requireHead(Frame frame, int bytes) throws MalformedMessageException {
         if (frame.head().readableBytes() < bytes) {
             throw new MalformedMessageException(
@@ -23,15 +23,14 @@
         return frame.head();
     }
 
-    /**
-     * A name of up to 255 bytes of UTF-8, its length before it; the rest of a longer one is cut.
-     */
+    /** Writes a name of up to 255 bytes of UTF-8, its length before it; a longer one is cut. */
     public static ByteBuf string(ByteBuf to, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, MAX_NAME_BYTES);
         return to.writeByte(length).writeBytes(bytes, 0, length);
     }
 
+    /** Reads such a name; throws if it is cut off. */
     public static String string(ByteBuf from) throws MalformedMessageException {
         int length = from.isReadable() ? from.readUnsignedByte() : -1;
         if (length < 0 || from.readableBytes() < length) {
--- a/src/main/java/sagepulley/codec/frame/MalformedMessageException.java
+++ b/src/main/java/sagepulley/codec/frame/MalformedMessageException.java
@@ -1,10 +1,14 @@
 package sagepulley.codec.frame;
 
-/** What came from a socket is not what its protocol allows: that connection ends. */
+/**
+ * Bytes from a socket that its protocol does not allow: that connection ends. Carries no stack
+ * trace, for what a peer sends may raise it at any rate.
+ */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public MalformedMessageException(String what) {
-        super(what, null, false, false);
+    /** Says which message was wrong, and how. */
+    public MalformedMessageException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -14,7 +14,7 @@
  * buffers until the subclass receives them; confined to the channel's event loop.
  */
 public abstract class SegmentDecoder extends ChannelInboundHandlerAdapter {
-    private final ArrayDeque<ByteBuf> unreadBuffers = new ArrayDeque<>(2);
+    private final ArrayDeque<ByteBuf> pendingBuffers = new ArrayDeque<>(2);
     private ByteBuf segment;
     private long remainingBytes = -1;
     private boolean skipping;
@@ -84,7 +84,7 @@
             bytes.release();
             return;
         }
-        unreadBuffers.add(bytes);
+        pendingBuffers.add(bytes);
         decode(ctx);
     }
 
@@ -99,7 +99,7 @@
                     deliver(ctx);
                     continue;
                 }
-                ByteBuf first = unreadBuffers.peek();
+                ByteBuf first = pendingBuffers.peek();
                 if (first == null) {
                     break;
                 }
@@ -111,7 +111,7 @@
                 }
                 remainingBytes -= part;
                 if (!first.isReadable()) {
-                    unreadBuffers.poll().release();
+                    pendingBuffers.poll().release();
                 }
             }
         } catch (MalformedMessageException bad) {
@@ -162,7 +162,7 @@
             segment.release();
             segment = null;
         }
-        for (ByteBuf bytes = unreadBuffers.poll(); bytes != null; bytes = unreadBuffers.poll()) {
+        for (ByteBuf bytes = pendingBuffers.poll(); bytes != null; bytes = pendingBuffers.poll()) {
             bytes.release();
         }
     }
--- a/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
+++ b/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
@@ -1,16 +1,14 @@
 package sagepulley.codec.nbd;
 
-/** Says whether a connection may take another request into its hands. */
+/** Decides whether a connection may take in another request. Used from the connections' loops. */
 public interface AdmissionGate {
     /**
-     * Counts so many bytes (payload to come, or data asked for) and tells true; or tells false and
-     * calls later, on any thread, once it is worth asking again.
+     * Counts bytes (payload to come, or data asked for) if they are admitted.
+     *
+     * @param later runs once it is worth asking again after a refusal, on any thread
      */
     boolean admit(long bytes, Runnable later);
 
-    /**
-     * What was admitted but will never become a request, for its connection ended before it was
-     * whole.
-     */
+    /** Returns admitted bytes. */
     void release(long bytes);
 }
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -12,9 +12,13 @@
 import java.util.List;
 import sagepulley.codec.frame.MalformedMessageException;
 
-/** The server's side of fixed newstyle negotiation ('Negotiation' of the protocol text). */
+/**
+ * The server's side of fixed newstyle negotiation ('Fixed newstyle negotiation' of the protocol
+ * text): answers options until the client has chosen an export, then passes requests on. Owns the
+ * data of each option; confined to the client's event loop.
+ */
 final class Handshake extends ChannelInboundHandlerAdapter {
-    /** A client may ask so many things before it must come to an end. */
+    /** A client may send so many options before it must choose an export. */
     private static final int MAX_OPTIONS = 256;
 
     private static final int ZERO_BYTES = 124;
@@ -100,7 +104,7 @@
                 }
             }
             case NbdConstants.OPT_LIST_META_CONTEXT, NbdConstants.OPT_SET_META_CONTEXT ->
-                    meta(ctx, code, option.data());
+                    metaContext(ctx, code, option.data());
             default ->
                     replyError(
                             ctx,
@@ -150,14 +154,15 @@
         reply(ctx, NbdConstants.OPT_LIST, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
+    /** 'NBD_OPT_INFO' and 'NBD_OPT_GO'. */
     private void info(ChannelHandlerContext ctx, int code, ByteBuf data) {
         String name = string(data);
         if (name == null || data.readableBytes() < 2) {
             replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
             return;
         }
-        int wanted = data.readUnsignedShort();
-        if (data.readableBytes() != 2 * wanted) {
+        int count = data.readUnsignedShort();
+        if (data.readableBytes() != 2 * count) {
             replyError(
                     ctx,
                     code,
@@ -170,50 +175,45 @@
             replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
+        replyInfo(ctx, code, export, data);
+        reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
+        if (code == NbdConstants.OPT_GO) {
+            attach(ctx, export);
+        }
+    }
+
+    private void replyInfo(
+            ChannelHandlerContext ctx, int code, Export export, ByteBuf requestedTypes) {
         boolean wantsName = false;
-        boolean wantsText = false;
-        while (data.isReadable()) {
-            int kind = data.readUnsignedShort();
-            wantsName |= kind == NbdConstants.INFO_NAME;
-            wantsText |= kind == NbdConstants.INFO_DESCRIPTION;
+        boolean wantsDescription = false;
+        while (requestedTypes.isReadable()) {
+            int type = requestedTypes.readUnsignedShort();
+            wantsName |= type == NbdConstants.INFO_NAME;
+            wantsDescription |= type == NbdConstants.INFO_DESCRIPTION;
         }
-        reply(
-                ctx,
-                code,
-                NbdConstants.REP_INFO,
+        ByteBuf size =
                 ctx.alloc()
                         .ioBuffer()
                         .writeShort(NbdConstants.INFO_EXPORT)
                         .writeLong(export.size())
-                        .writeShort(export.flags(structured)));
+                        .writeShort(export.flags(structured));
+        reply(ctx, code, NbdConstants.REP_INFO, size);
         // A server with limits should tell them even when not asked; it then serves any client.
-        reply(
-                ctx,
-                code,
-                NbdConstants.REP_INFO,
+        ByteBuf blockSizes =
                 ctx.alloc()
                         .ioBuffer()
                         .writeShort(NbdConstants.INFO_BLOCK_SIZE)
                         .writeInt(export.minBlockSize())
                         .writeInt(export.preferredBlockSize())
-                        .writeInt(export.maxBlockSize()));
+                        .writeInt(export.maxBlockSize());
+        reply(ctx, code, NbdConstants.REP_INFO, blockSizes);
         if (wantsName) {
-            reply(
-                    ctx,
-                    code,
-                    NbdConstants.REP_INFO,
-                    text(ctx, NbdConstants.INFO_NAME, export.name()));
+            ByteBuf name = text(ctx, NbdConstants.INFO_NAME, export.name());
+            reply(ctx, code, NbdConstants.REP_INFO, name);
         }
-        if (wantsText) {
-            reply(
-                    ctx,
-                    code,
-                    NbdConstants.REP_INFO,
-                    text(ctx, NbdConstants.INFO_DESCRIPTION, export.description()));
-        }
-        reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
-        if (code == NbdConstants.OPT_GO) {
-            attach(ctx, export);
+        if (wantsDescription) {
+            ByteBuf description = text(ctx, NbdConstants.INFO_DESCRIPTION, export.description());
+            reply(ctx, code, NbdConstants.REP_INFO, description);
         }
     }
 
@@ -223,24 +223,15 @@
         return reply;
     }
 
-    private void meta(ChannelHandlerContext ctx, int code, ByteBuf data) {
+    /** 'NBD_OPT_LIST_META_CONTEXT' and 'NBD_OPT_SET_META_CONTEXT'. */
+    private void metaContext(ChannelHandlerContext ctx, int code, ByteBuf data) {
         boolean set = code == NbdConstants.OPT_SET_META_CONTEXT;
         if (set) {
             baseAllocationExport = null; // whatever the answer, an earlier choice is gone
         }
         String name = string(data);
-        List<String> queries = new ArrayList<>();
-        boolean whole = name != null && data.readableBytes() >= 4;
-        if (whole) {
-            long count = data.readUnsignedInt();
-            for (long i = 0; i < count && whole; i++) {
-                String query = string(data);
-                whole = query != null;
-                queries.add(query);
-            }
-            whole &= !data.isReadable();
-        }
-        if (!whole) {
+        List<String> queries = name == null ? null : queries(data);
+        if (queries == null) {
             replyError(
                     ctx,
                     code,
@@ -261,14 +252,11 @@
             replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
-        boolean chosen =
+        boolean matches =
                 queries.contains(NbdConstants.BASE_ALLOCATION)
                         || (!set && (queries.isEmpty() || queries.contains("base:")));
-        if (chosen) {
-            ByteBuf reply =
-                    ctx.alloc().ioBuffer().writeInt(set ? NbdConstants.BASE_ALLOCATION_ID : 0);
-            ByteBufUtil.writeUtf8(reply, NbdConstants.BASE_ALLOCATION);
-            reply(ctx, code, NbdConstants.REP_META_CONTEXT, reply);
+        if (matches) {
+            replyBaseAllocation(ctx, code, set ? NbdConstants.BASE_ALLOCATION_ID : 0);
             if (set) {
                 baseAllocationExport = export.name();
             }
@@ -276,6 +264,29 @@
         reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
+    private static void replyBaseAllocation(ChannelHandlerContext ctx, int code, int contextId) {
+        ByteBuf reply = ctx.alloc().ioBuffer().writeInt(contextId);
+        ByteBufUtil.writeUtf8(reply, NbdConstants.BASE_ALLOCATION);
+        reply(ctx, code, NbdConstants.REP_META_CONTEXT, reply);
+    }
+
+    /** The queries that fill the rest of the data; null if they don't fit it. */
+    private static List<String> queries(ByteBuf data) {
+        if (data.readableBytes() < 4) {
+            return null;
+        }
+        long count = data.readUnsignedInt();
+        List<String> queries = new ArrayList<>();
+        for (long i = 0; i < count; i++) {
+            String query = string(data);
+            if (query == null) {
+                return null;
+            }
+            queries.add(query);
+        }
+        return data.isReadable() ? null : queries;
+    }
+
     private void attach(ChannelHandlerContext ctx, Export export) {
         finished = true;
         decoder.startTransmission(export.maxBlockSize());
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -2,7 +2,6 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -23,18 +22,23 @@
 
 /**
  * A client's connection to one export: fixed newstyle, structured replies and base:allocation where
- * the server has them. Requests may be asked from any thread; their ends are told on the
- * connection's loop.
+ * the server has them. Requests may be sent from any thread; each ends exactly once, on the
+ * connection's event loop.
  */
 public final class NbdClient {
-    /** How an attempt to open an export goes about it. */
+    private static final int CONNECT_TIMEOUT_MILLIS = 5_000;
+
+    /** How an export is opened. */
     public enum Style {
+        /** NBD_OPT_GO, with structured replies and base:allocation if the server has them. */
         GO,
+        /** NBD_OPT_GO with simple replies. */
         GO_SIMPLE,
+        /** NBD_OPT_EXPORT_NAME with simple replies. */
         EXPORT_NAME
     }
 
-    /** Told the reply, which it must release, or why there will be none. */
+    /** Receives the reply, which it owns, or null with the reason why there is none. */
     public interface ReplyHandler extends BiConsumer<NbdReply, Throwable> {}
 
     private record PendingRequest(int dataLength, NbdReply reply, ReplyHandler handler) {}
@@ -65,7 +69,7 @@
                 .group(loops)
                 .channel(kind)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 5000)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -75,7 +79,7 @@
                                 channel.pipeline()
                                         .addLast(
                                                 decoder,
-                                                client.new Talk(decoder, export, style, opened));
+                                                client.new Handler(decoder, export, style, opened));
                             }
                         })
                 .connect(server)
@@ -88,6 +92,7 @@
         return opened;
     }
 
+    /** The size of the export in bytes. */
     public long size() {
         return size;
     }
@@ -97,18 +102,22 @@
         return flags;
     }
 
+    /** Minimum block size in bytes ('Block size constraints'). */
     public int minBlockSize() {
         return minBlockSize;
     }
 
+    /** Maximum block size in bytes ('Block size constraints'). */
     public int maxBlockSize() {
         return maxBlockSize;
     }
 
+    /** Whether the metadata context base:allocation was chosen. */
     public boolean hasBaseAllocation() {
         return baseAllocation;
     }
 
+    /** The connection. */
     public Channel channel() {
         return channel;
     }
@@ -142,7 +151,7 @@
         }
     }
 
-    /** The same, with the end as a future. */
+    /** Sends a request; the future completes with the reply, which its receiver owns. */
     public CompletableFuture<NbdReply> request(
             int command, int commandFlags, long offset, int length, ByteBuf payload) {
         CompletableFuture<NbdReply> future = new CompletableFuture<>();
@@ -162,10 +171,12 @@
         return future;
     }
 
+    /** Reads bytes. */
     public CompletableFuture<NbdReply> read(long offset, int length) {
         return request(NbdConstants.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
     }
 
+    /** Writes bytes. */
     public CompletableFuture<NbdReply> write(long offset, byte[] data) {
         return request(
                 NbdConstants.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
@@ -219,15 +230,14 @@
         return request == null ? -1 : request.dataLength();
     }
 
-    /** The connection's side: negotiates, then matches replies to what was asked. */
-    private final class Talk extends ChannelInboundHandlerAdapter {
+    /** Negotiates, then matches replies to the pending requests. */
+    private final class Handler extends ChannelInboundHandlerAdapter {
         private final NbdClientDecoder decoder;
         private final String export;
         private final Style style;
         private final CompletableFuture<NbdClient> opened;
-        private boolean structured;
 
-        Talk(
+        Handler(
                 NbdClientDecoder decoder,
                 String export,
                 Style style,
@@ -241,20 +251,9 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             if (message instanceof NbdClientDecoder.Chunk chunk) {
-                chunk(chunk);
+                chunkReceived(chunk);
             } else if (message instanceof NbdClientDecoder.SimpleReply simple) {
-                PendingRequest request = pending.remove(simple.cookie());
-                request.reply().error = simple.error();
-                if (simple.data().isReadable()) {
-                    request.reply()
-                            .chunks
-                            .add(
-                                    new NbdReply.Chunk(
-                                            0, simple.data().readableBytes(), simple.data()));
-                } else {
-                    simple.data().release();
-                }
-                request.handler().accept(request.reply(), null);
+                simpleReplyReceived(simple);
             } else if (message instanceof NbdClientDecoder.OptionReply reply) {
                 try {
                     optionReply(ctx, reply);
@@ -262,27 +261,37 @@
                     reply.data().release();
                 }
             } else {
-                ctx.write(
-                        ctx.alloc()
-                                .ioBuffer(4)
-                                .writeInt(
-                                        (Integer) message
-                                                & (NbdConstants.FLAG_FIXED_NEWSTYLE
-                                                        | NbdConstants.FLAG_NO_ZEROES)));
-                if (style == Style.EXPORT_NAME) {
-                    decoder.expectExport(((Integer) message & NbdConstants.FLAG_NO_ZEROES) == 0);
-                    option(
-                            ctx,
-                            NbdConstants.OPT_EXPORT_NAME,
-                            ByteBufUtil.writeUtf8(ctx.alloc(), export));
-                } else if (style == Style.GO_SIMPLE) {
-                    go(ctx);
-                } else {
-                    option(ctx, NbdConstants.OPT_STRUCTURED_REPLY, Unpooled.EMPTY_BUFFER);
+                beginNegotiation(ctx, (Integer) message);
+            }
+        }
+
+        private void beginNegotiation(ChannelHandlerContext ctx, int handshakeFlags) {
+            int clientFlags =
+                    handshakeFlags
+                            & (NbdConstants.FLAG_FIXED_NEWSTYLE | NbdConstants.FLAG_NO_ZEROES);
+            ctx.write(ctx.alloc().ioBuffer(4).writeInt(clientFlags));
+            switch (style) {
+                case EXPORT_NAME -> {
+                    decoder.expectExport((handshakeFlags & NbdConstants.FLAG_NO_ZEROES) == 0);
+                    OptionWriter.exportName(ctx, export);
                 }
+                case GO_SIMPLE -> OptionWriter.go(ctx, export);
+                case GO -> OptionWriter.structuredReply(ctx);
             }
         }
 
+        private void simpleReplyReceived(NbdClientDecoder.SimpleReply simple) {
+            PendingRequest request = pending.remove(simple.cookie());
+            request.reply().error = simple.error();
+            ByteBuf data = simple.data();
+            if (data.isReadable()) {
+                request.reply().chunks.add(new NbdReply.Chunk(0, data.readableBytes(), data));
+            } else {
+                data.release();
+            }
+            request.handler().accept(request.reply(), null);
+        }
+
         private void optionReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
                 throws MalformedMessageException {
             boolean failed = reply.type() < 0;
@@ -293,41 +302,38 @@
                     opened.complete(NbdClient.this);
                 }
                 case NbdConstants.OPT_STRUCTURED_REPLY -> {
-                    structured = !failed;
-                    if (structured) {
-                        ByteBuf data = ctx.alloc().ioBuffer();
-                        string(data, export);
-                        string(data.writeInt(1), NbdConstants.BASE_ALLOCATION);
-                        option(ctx, NbdConstants.OPT_SET_META_CONTEXT, data);
+                    if (failed) {
+                        OptionWriter.go(ctx, export);
                     } else {
-                        go(ctx);
+                        OptionWriter.setMetaContext(ctx, export);
                     }
                 }
                 case NbdConstants.OPT_SET_META_CONTEXT -> {
                     if (reply.type() == NbdConstants.REP_META_CONTEXT) {
                         baseAllocation = true;
                     } else {
-                        go(ctx);
-                    }
-                }
-                case NbdConstants.OPT_GO -> {
-                    if (failed) {
-                        opened.completeExceptionally(
-                                new IOException(
-                                        "the server refuses: "
-                                                + reply.data().toString(StandardCharsets.UTF_8)));
-                        ctx.close();
-                    } else if (reply.type() == NbdConstants.REP_INFO) {
-                        info(reply.data());
-                    } else {
-                        decoder.startTransmission();
-                        opened.complete(NbdClient.this);
+                        OptionWriter.go(ctx, export);
                     }
                 }
+                case NbdConstants.OPT_GO -> goReply(ctx, reply);
                 default -> throw new MalformedMessageException("reply to option " + reply.option());
             }
         }
 
+        private void goReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
+                throws MalformedMessageException {
+            if (reply.type() < 0) {
+                String why = reply.data().toString(StandardCharsets.UTF_8);
+                opened.completeExceptionally(new IOException("the server refuses: " + why));
+                ctx.close();
+            } else if (reply.type() == NbdConstants.REP_INFO) {
+                info(reply.data());
+            } else {
+                decoder.startTransmission();
+                opened.complete(NbdClient.this);
+            }
+        }
+
         private void info(ByteBuf data) throws MalformedMessageException {
             int kind = data.readableBytes() < 2 ? -1 : data.readUnsignedShort();
             if (kind == NbdConstants.INFO_EXPORT && data.readableBytes() == 10) {
@@ -344,67 +350,12 @@
             }
         }
 
-        private void go(ChannelHandlerContext ctx) {
-            ByteBuf data = ctx.alloc().ioBuffer();
-            string(data, export);
-            option(
-                    ctx,
-                    NbdConstants.OPT_GO,
-                    data.writeShort(1).writeShort(NbdConstants.INFO_BLOCK_SIZE));
-        }
-
-        private void string(ByteBuf to, String text) {
-            byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            to.writeInt(bytes.length).writeBytes(bytes);
-        }
-
-        private void option(ChannelHandlerContext ctx, int code, ByteBuf data) {
-            ctx.write(
-                    ctx.alloc()
-                            .ioBuffer(16)
-                            .writeLong(NbdConstants.IHAVEOPT)
-                            .writeInt(code)
-                            .writeInt(data.readableBytes()));
-            ctx.writeAndFlush(data);
-        }
-
-        private void chunk(NbdClientDecoder.Chunk chunk) {
+        private void chunkReceived(NbdClientDecoder.Chunk chunk) {
             PendingRequest request = pending.get(chunk.cookie());
-            NbdReply reply = request.reply();
-            switch (chunk.type()) {
-                case NbdConstants.CHUNK_OFFSET_DATA ->
-                        reply.chunks.add(
-                                new NbdReply.Chunk(
-                                        chunk.offset(),
-                                        chunk.data().readableBytes(),
-                                        chunk.data()));
-                case NbdConstants.CHUNK_OFFSET_HOLE -> {
-                    reply.chunks.add(
-                            new NbdReply.Chunk(chunk.offset(), chunk.data().readInt(), null));
-                    chunk.data().release();
-                }
-                case NbdConstants.CHUNK_BLOCK_STATUS -> {
-                    chunk.data().readInt();
-                    List<Integer> blocks = new ArrayList<>();
-                    while (chunk.data().readableBytes() >= 4) {
-                        blocks.add(chunk.data().readInt());
-                    }
-                    reply.blocks = blocks.stream().mapToInt(Integer::intValue).toArray();
-                    chunk.data().release();
-                }
-                case NbdConstants.CHUNK_NONE -> chunk.data().release();
-                default -> {
-                    if (reply.error == 0) {
-                        reply.error = chunk.error();
-                        reply.message = chunk.message();
-                        reply.errorOffset = chunk.offset();
-                    }
-                    reply.errorOffsets.add(chunk.offset());
-                }
-            }
+            request.reply().add(chunk);
             if (chunk.done()) {
                 pending.remove(chunk.cookie());
-                request.handler().accept(reply, null);
+                request.handler().accept(request.reply(), null);
             }
         }
 
--- a/src/main/java/sagepulley/codec/nbd/NbdServer.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServer.java
@@ -3,13 +3,14 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelPipeline;
 
-/** Puts the server's side of the protocol onto a new connection. */
+/** The server's side of the protocol on a connection. */
 public final class NbdServer {
     private NbdServer() {}
 
     /**
-     * Decoder, handshake, and behind them the session: it is told {@link Attached} as an event,
-     * then gets each {@link NbdRequest}; what is wrong with the bytes comes to it as an exception.
+     * Adds decoder, handshake and the session behind them. The session receives an {@link
+     * AttachedExport} as an event, then each {@link NbdRequest}, which it owns; malformed bytes
+     * come to it as an exception.
      */
     public static void addTo(
             ChannelPipeline pipeline, Exports exports, AdmissionGate gate, ChannelHandler session) {
@@ -18,7 +19,7 @@
     }
 
     /**
-     * Whether a client has begun a message, or the handshake, and not finished it. On its own loop.
+     * Whether a client has begun the handshake or a message and not finished it. On its event loop.
      */
     public static boolean isInsideMessage(ChannelPipeline pipeline) {
         return pipeline.get(NbdServerDecoder.class).isInsideMessage();
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -136,7 +136,7 @@
 
     // ---- parts that look for their holder ----
 
-    /** Finds the holder of a part's extent; the listener is told, at once or later. */
+    /** Finds the holder of a part's extent; the listener receives it, at once or later. */
     void locate(RequestPart part) {
         long key = part.operation.extent;
         int cell = holders.cell(key);
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -107,20 +107,31 @@
         /** An attempt that a node without the extent may run. */
         public Send(
                 Kind kind,
-                int band,
+                int trafficClass,
                 boolean durable,
-                int repeat,
-                long mark,
-                int number,
+                int idempotency,
+                long operationId,
+                int attemptNumber,
                 int volume,
                 long extent,
                 int offset,
                 int length,
                 float units,
-                long since) {
+                long expectedNodeStart) {
             this(
-                    kind, band, durable, repeat, mark, number, volume, extent, offset, length,
-                    units, since, false);
+                    kind,
+                    trafficClass,
+                    durable,
+                    idempotency,
+                    operationId,
+                    attemptNumber,
+                    volume,
+                    extent,
+                    offset,
+                    length,
+                    units,
+                    expectedNodeStart,
+                    false);
         }
     }
 
@@ -226,7 +237,7 @@
         if (kind >= Kind.values().length) {
             throw new MalformedMessageException("operation of kind " + kind);
         }
-        int band = head.readUnsignedByte();
+        int trafficClass = head.readUnsignedByte();
         int flags = head.readUnsignedByte();
         if (flags > 3) {
             throw new MalformedMessageException("operation with unknown flags " + flags);
@@ -234,7 +245,7 @@
         Send send =
                 new Send(
                         Kind.values()[kind],
-                        band,
+                        trafficClass,
                         (flags & 1) != 0,
                         head.readUnsignedByte(),
                         head.readLong(),
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -61,22 +61,22 @@
     }
 
     /** Of one request: when it went, what came, and when. */
-    private record Told(long sent, long ended, NbdReply reply) {
+    private record TimedReply(long sent, long ended, NbdReply reply) {
         double took() {
             return (ended - sent) / 1e6;
         }
     }
 
-    private static CompletableFuture<Told> ask(NbdClient client, int i) {
+    private static CompletableFuture<TimedReply> ask(NbdClient client, int i) {
         long sent = System.nanoTime();
         long offset = i * 37L % 128 * (NbdTestFixture.MIB / 2);
         CompletableFuture<NbdReply> reply =
                 i % 2 == 0 ? client.read(offset, 16384) : client.write(offset, new byte[16384]);
         return reply.thenApply(
                 answer -> {
-                    Told told = new Told(sent, System.nanoTime(), answer);
+                    TimedReply timed = new TimedReply(sent, System.nanoTime(), answer);
                     answer.release();
-                    return told;
+                    return timed;
                 });
     }
 
@@ -94,16 +94,16 @@
                 NbdTestFixture.await(client.write(i * 2L * NbdTestFixture.MIB, new byte[4096]));
             }
             fault.begin.accept(rig, rig.cluster.nodes().get(0));
-            List<CompletableFuture<Told>> asked = new ArrayList<>();
+            List<CompletableFuture<TimedReply>> asked = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 asked.add(ask(client, i));
                 Thread.sleep(2); // a pace, not a bound: nothing below depends on it
             }
-            for (CompletableFuture<Told> one : asked) {
+            for (CompletableFuture<TimedReply> one : asked) {
                 NbdTestFixture.await(one);
             }
             int satisfied = 0;
-            for (CompletableFuture<Told> one : asked) {
+            for (CompletableFuture<TimedReply> one : asked) {
                 satisfied += one.join().reply().error == 0 ? 1 : 0;
                 // Reads have a patience of 2.5 s, writes of 1 s, besides what this machine stood
                 // still.
@@ -164,7 +164,7 @@
                 NbdReply read =
                         NbdTestFixture.await(client.read(extent * (long) NbdTestFixture.MIB, 4096));
                 boolean failed = reply.errorOffsets.contains(extent * (long) NbdTestFixture.MIB);
-                // What is told to have failed lies on the dead node; the rest is written.
+                // What is reported as failed lies on the dead node; the rest is written.
                 assertEquals(failed, read.error != 0);
                 if (!failed) {
                     assertTrue(
@@ -179,7 +179,7 @@
         }
     }
 
-    /** Writes until it is satisfied: what is declined may be asked again. */
+    /** Writes until it is served: a rejected write may be retried. */
     private static CompletableFuture<Void> asked(NbdClient client, long at, byte[] data) {
         return client.write(at, data)
                 .thenCompose(
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -13,7 +13,7 @@
 import sagepulley.standin.NodeProfile;
 import sagepulley.standin.TrafficRecorder;
 
-/** A small town with a gateway, and clients of it. */
+/** A small local cluster with a gateway, and clients of it. */
 final class NbdTestFixture implements AutoCloseable {
     static final int MIB = 1 << 20;
     final LocalCluster cluster;
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -32,7 +32,7 @@
     private final EventLoopGroup loops = EventLoops.group(2, "test");
     private StandInNode node;
 
-    /** One gateway's link, and how its attempts ended. */
+    /** One gateway's connection, and how its attempts ended. */
     private final class Peer implements NodeConnection.Listener {
         final Map<Long, String> ends = new ConcurrentHashMap<>();
         final NodeConnection link;
@@ -146,7 +146,7 @@
                             bytes(
                                     StoreMessages.writeToken(
                                             StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
-            // Its welcome (49 bytes) and its pen (40 bytes).
+            // Its handshake reply (49 bytes) and its write token (40 bytes).
             DataInputStream in = new DataInputStream(late.getInputStream());
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
             Peer b = peer(2, 3);
@@ -160,7 +160,7 @@
                             bytes(
                                     StoreMessages.send(
                                             8, send, Unpooled.wrappedBuffer(new byte[512]))));
-            in.readFully(new byte[24 + 12 + 4]); // that the pen is lost
+            in.readFully(new byte[24 + 12 + 4]); // the write token was revoked
             byte[] answer = new byte[25];
             in.readFully(answer);
             assertEquals(StoreMessages.ANSWER, answer[3]);
