--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -1,6 +1,5 @@
 package sagepulley.accounts;
 
-import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Set;
 import sagepulley.model.ExternalName;
@@ -14,8 +13,8 @@
  * waited behind (docs/accounts.md). No I/O and no clock; times are milliseconds on the monotonic
  * clock, handed in. Memory is bounded, whatever comes. Owned by the engine's thread.
  *
- * <p>This class follows operations through their events; {@link WaitAttribution} charges their
- * waits to causes, {@link VolumeWindows} holds the sums over time.
+ * <p>This class follows operations through their events; {@link OperationSteps} adds up their time,
+ * {@link WaitAttribution} charges their waits to causes, {@link VolumeWindows} holds the sums.
  */
 public final class Accounts {
     /**
@@ -38,8 +37,6 @@
     /** What an operation is charged that did not wait, so that its lost weight has a cause. */
     private static final double TOKEN_WAIT_MILLIS = 1e-9;
 
-    private static final int MAX_SPARE_TABLES = 4096;
-
     /** How an operation ended. */
     public enum End implements ExternalName {
         /** With a result. */
@@ -68,11 +65,9 @@
     private final VolumeWindows windows;
     private final NodeActivities nodes;
     private final WaitAttribution attribution;
+    private final OperationSteps steps;
     private final Totals totals;
 
-    /** Tables of ended operations, to be used again. */
-    private final ArrayDeque<OutstandingWork> spareTables = new ArrayDeque<>();
-
     /**
      * Empty accounts.
      *
@@ -90,6 +85,7 @@
         this.windows = new VolumeWindows(bounds.volumes(), bounds.windows());
         this.nodes = new NodeActivities(bounds.nodes());
         this.attribution = new WaitAttribution(nodes);
+        this.steps = new OperationSteps(nodes, attribution);
         this.totals = new Totals(summedVolumes);
     }
 
@@ -118,8 +114,8 @@
         if (timer == null) {
             return;
         }
-        endStep(timer, now);
-        startStep(timer, component, node);
+        steps.end(timer, now);
+        steps.start(timer, component, node);
         timer.rateLimited |= component == LatencyComponent.LIMIT;
         timer.quotaTier =
                 switch (component) {
@@ -134,8 +130,8 @@
         if (timer == null) {
             return;
         }
-        endStep(timer, now);
-        startStep(timer, LatencyComponent.DIRECTORY, 0);
+        steps.end(timer, now);
+        steps.start(timer, LatencyComponent.DIRECTORY, 0);
         timer.claimNode = node;
         nodes.claimStarted(node, timer.units);
     }
@@ -152,9 +148,9 @@
         if (timer == null) {
             return;
         }
-        endStep(timer, now);
+        steps.end(timer, now);
         endClaim(timer);
-        startStep(timer, LatencyComponent.NETWORK, node);
+        steps.start(timer, LatencyComponent.NETWORK, node);
         timer.quotaTier = quotaTier;
         timer.wasSent = true;
         NodeActivity activity = nodes.getOrCreate(node);
@@ -195,8 +191,8 @@
             activity.answered(timer.writes, timer.units, waited, worked, length, queue, now);
             activity.flows.at(wallAtZero + now).worked(timer.volume, timer.writes, timer.units);
         }
-        endAttempt(timer);
-        startStep(timer, LatencyComponent.LOWER_PRIORITY, 0);
+        steps.endAttempt(timer);
+        steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
     }
 
     /** Splits an answered attempt's time into network, queue and work. */
@@ -233,9 +229,9 @@
         }
         if (timer.claimNode != 0) {
             // It was never sent: the claim was lost, or the directory did not answer.
-            endStep(timer, now);
+            steps.end(timer, now);
             endClaim(timer);
-            startStep(timer, LatencyComponent.LOWER_PRIORITY, 0);
+            steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
             return;
         }
         double length = Math.max(0, now - timer.since);
@@ -244,8 +240,8 @@
             chargeFailure(timer, outcome, length, now);
         }
         timer.since = now;
-        endAttempt(timer);
-        startStep(timer, LatencyComponent.LOWER_PRIORITY, 0);
+        steps.endAttempt(timer);
+        steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
     }
 
     private void chargeFailure(OperationTimer timer, Outcome outcome, double length, double now) {
@@ -268,7 +264,7 @@
         if (timer == null || timer.ended) {
             return;
         }
-        endStep(timer, now);
+        steps.end(timer, now);
         endClaim(timer);
         timer.ended = true;
         double duration = now - timer.arrivedAt;
@@ -282,7 +278,7 @@
         windows.at(timer.volume, wallAtZero + now).add(ended);
         totals.add(ended);
         if (timer.attemptActivity == null) {
-            releaseTable(timer);
+            steps.releaseTable(timer);
         }
     }
 
@@ -308,67 +304,11 @@
                     case OBJECTIVE_MISSED, DEADLINE -> LatencyComponent.SHARE_FULL;
                     default -> LatencyComponent.of(reason);
                 };
-        startStep(timer, component, node);
+        steps.start(timer, component, node);
         attribution.charge(timer, component, TOKEN_WAIT_MILLIS, now);
         timer.component = LatencyComponent.LOWER_PRIORITY;
     }
 
-    // ---- steps of an operation ----
-
-    private void endStep(OperationTimer timer, double now) {
-        double length = Math.max(0, now - timer.since);
-        if (length > 0 && !timer.ended) {
-            timer.addStep(timer.component, timer.node, length);
-            attribution.charge(timer, timer.component, length, now);
-        }
-        timer.since = now;
-    }
-
-    private void startStep(OperationTimer timer, LatencyComponent component, int node) {
-        timer.component = component;
-        if (timer.node != node || timer.activity == null) {
-            timer.node = node;
-            timer.activity = node == 0 ? null : nodes.get(node);
-        }
-        if (!waitsBehindOthers(timer)) {
-            releaseTable(timer);
-            return;
-        }
-        if (timer.workAhead == null) {
-            timer.workAhead = spareTables.isEmpty() ? new OutstandingWork() : spareTables.pop();
-        }
-        timer.workAhead.copyFrom(node == 0 ? nodes.outstanding : timer.activity.outstanding);
-    }
-
-    private static boolean waitsBehindOthers(OperationTimer timer) {
-        if (timer.node != 0) {
-            return timer.activity != null;
-        }
-        return timer.component == LatencyComponent.RESERVATION_FULL
-                || timer.component == LatencyComponent.SHARE_FULL
-                || timer.component == LatencyComponent.EXCESS_FULL;
-    }
-
-    private void releaseTable(OperationTimer timer) {
-        if (timer.workAhead != null && spareTables.size() < MAX_SPARE_TABLES) {
-            spareTables.push(timer.workAhead);
-        }
-        timer.workAhead = null;
-    }
-
-    private void endAttempt(OperationTimer timer) {
-        NodeActivity activity = timer.attemptActivity;
-        if (activity != null) {
-            activity.outstanding.add(timer.attemptKey, -timer.units);
-            nodes.outstanding.add(timer.totalAttemptKey, -timer.units);
-            activity.attemptEnded();
-        }
-        timer.attemptActivity = null;
-        if (timer.ended) {
-            releaseTable(timer);
-        }
-    }
-
     // ---- results ----
 
     /** A volume's account from a time to another on the clock handed in. */
--- a/src/main/java/sagepulley/accounts/DecayingUsage.java
+++ b/src/main/java/sagepulley/accounts/DecayingUsage.java
@@ -4,7 +4,7 @@
 
 /**
  * Recent units by volume, with exponential decay, in a table of bounded size; the volume with the
- * least is evicted. Times are milliseconds.
+ * fewest is evicted. Times are milliseconds.
  */
 final class DecayingUsage {
     private static final int MAX_VOLUMES = 16;
@@ -25,19 +25,19 @@
             index++;
         }
         if (index == size) {
-            index = size < MAX_VOLUMES ? size++ : indexOfLeast();
+            index = size < MAX_VOLUMES ? size++ : indexOfSmallest();
             volumes[index] = volume;
             units[index] = 0;
         }
         units[index] += amount;
     }
 
-    private int indexOfLeast() {
-        int least = 0;
+    private int indexOfSmallest() {
+        int smallest = 0;
         for (int i = 1; i < size; i++) {
-            least = units[i] < units[least] ? i : least;
+            smallest = units[i] < units[smallest] ? i : smallest;
         }
-        return least;
+        return smallest;
     }
 
     void decay(double now) {
--- /dev/null
+++ b/src/main/java/sagepulley/accounts/OperationSteps.java
@@ -0,0 +1,80 @@
+package sagepulley.accounts;
+
+import java.util.ArrayDeque;
+
+/**
+ * Begins and ends the steps of operations: adds up their time, and notes behind which units in
+ * flight each step waits.
+ */
+final class OperationSteps {
+    private static final int MAX_SPARE_TABLES = 4096;
+
+    private final NodeActivities nodes;
+    private final WaitAttribution attribution;
+
+    /** Tables of ended operations, to be used again. */
+    private final ArrayDeque<OutstandingWork> spareTables = new ArrayDeque<>();
+
+    OperationSteps(NodeActivities nodes, WaitAttribution attribution) {
+        this.nodes = nodes;
+        this.attribution = attribution;
+    }
+
+    /** Ends what the operation spends its time in. */
+    void end(OperationTimer timer, double now) {
+        double length = Math.max(0, now - timer.since);
+        if (length > 0 && !timer.ended) {
+            timer.addStep(timer.component, timer.node, length);
+            attribution.charge(timer, timer.component, length, now);
+        }
+        timer.since = now;
+    }
+
+    /** From now on its time goes to a component, at a node or for one (0: none). */
+    void start(OperationTimer timer, LatencyComponent component, int node) {
+        timer.component = component;
+        if (timer.node != node || timer.activity == null) {
+            timer.node = node;
+            timer.activity = node == 0 ? null : nodes.get(node);
+        }
+        if (!waitsBehindOthers(timer)) {
+            releaseTable(timer);
+            return;
+        }
+        if (timer.workAhead == null) {
+            timer.workAhead = spareTables.isEmpty() ? new OutstandingWork() : spareTables.pop();
+        }
+        timer.workAhead.copyFrom(node == 0 ? nodes.outstanding : timer.activity.outstanding);
+    }
+
+    private static boolean waitsBehindOthers(OperationTimer timer) {
+        if (timer.node != 0) {
+            return timer.activity != null;
+        }
+        return timer.component == LatencyComponent.RESERVATION_FULL
+                || timer.component == LatencyComponent.SHARE_FULL
+                || timer.component == LatencyComponent.EXCESS_FULL;
+    }
+
+    /** It waits behind no others any more. */
+    void releaseTable(OperationTimer timer) {
+        if (timer.workAhead != null && spareTables.size() < MAX_SPARE_TABLES) {
+            spareTables.push(timer.workAhead);
+        }
+        timer.workAhead = null;
+    }
+
+    /** Its attempt is no longer in flight. */
+    void endAttempt(OperationTimer timer) {
+        NodeActivity activity = timer.attemptActivity;
+        if (activity != null) {
+            activity.outstanding.add(timer.attemptKey, -timer.units);
+            nodes.outstanding.add(timer.totalAttemptKey, -timer.units);
+            activity.attemptEnded();
+        }
+        timer.attemptActivity = null;
+        if (timer.ended) {
+            releaseTable(timer);
+        }
+    }
+}
--- a/src/main/java/sagepulley/accounts/VolumeWindows.java
+++ b/src/main/java/sagepulley/accounts/VolumeWindows.java
@@ -33,7 +33,7 @@
         int before = timeline.size();
         AccountWindow window = timeline.at(wall);
         size += timeline.size() - before;
-        keepWithinBound(timeline);
+        enforceBound(timeline);
         return window;
     }
 
@@ -46,7 +46,7 @@
                     own.merge(timeline, 0);
                     size += own.size() - before;
                 });
-        keepWithinBound(null);
+        enforceBound(null);
     }
 
     void forEach(BiConsumer<Long, Timeline<AccountWindow>> consumer) {
@@ -70,7 +70,7 @@
         return timeline;
     }
 
-    private void keepWithinBound(Timeline<AccountWindow> spared) {
+    private void enforceBound(Timeline<AccountWindow> spared) {
         while (size > maxWindows && (coarsenIdlest(spared) || shareIdlest(spared))) {
             // once for each window too many
         }
--- a/src/main/java/sagepulley/accounts/WaitAttribution.java
+++ b/src/main/java/sagepulley/accounts/WaitAttribution.java
@@ -102,12 +102,7 @@
         double paused = rest - otherGateways;
         if (otherGateways > 0) {
             double lowerBound = length * minOthers / (own + minOthers);
-            timer.charges.add(
-                    Cause.key(Cause.Kind.OTHER_GATEWAYS, 0, activity.id, true),
-                    otherGateways,
-                    Math.min(lowerBound, otherGateways),
-                    length,
-                    0);
+            chargeOtherGateways(timer, activity, new Estimate(otherGateways, lowerBound, length));
         }
         chargePause(timer, activity, paused, now);
         if (behindOwn > 0) {
@@ -119,6 +114,16 @@
         }
     }
 
+    private static void chargeOtherGateways(
+            OperationTimer timer, NodeActivity activity, Estimate wait) {
+        timer.charges.add(
+                Cause.key(Cause.Kind.OTHER_GATEWAYS, 0, activity.id, true),
+                wait.length,
+                Math.min(wait.lowerBound, wait.length),
+                wait.upperBound,
+                0);
+    }
+
     /**
      * Held here for a slot at a node, or by the queue estimate of it: its slots turn over as fast
      * as its attempts end. What the node's silence, its slow start, pauses or other gateways' work
