--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -8,16 +8,14 @@
 import java.util.Map;
 import sagepulley.accounts.Cause;
 import sagepulley.accounts.FleetMerger;
+import sagepulley.accounts.LatencyAccount;
 import sagepulley.accounts.LatencyReport;
 import sagepulley.config.SiteConfigException;
 import sagepulley.persistence.GatewayAccounts;
 
-/**
- * Plays days whose troubles are known, and holds what the accounts name as main causes against
- * them.
- */
+/** Plays scenarios whose faults are known, and compares what the accounts name as main causes. */
 public final class AttributionExperiment {
-    /** The days that come with the program, one for each kind of cause. */
+    /** The scenarios that come with the program, one for each kind of cause. */
     public static final List<String> KINDS =
             List.of(
                     "flood",
@@ -33,9 +31,9 @@
                     "flood-elsewhere");
 
     /**
-     * One volume of one day: the causes that are right, the one named first and the second, whether
-     * that is a hit, and whether a wrong one was named with high confidence, by all gateways' books
-     * or by any one's alone.
+     * One volume of one scenario: the causes that are right, the one named first and the second,
+     * whether that is a hit, and whether a wrong one was named with high confidence, by all
+     * gateways' accounts or by any one's alone.
      */
     public record Row(
             String day,
@@ -52,7 +50,7 @@
 
     private AttributionExperiment() {}
 
-    /** Plays one day with a seed of its own. */
+    /** Plays one scenario with a seed of its own. */
     public static List<Row> play(String kind, long seed)
             throws ScenarioException, SiteConfigException {
         Scenario scenario =
@@ -62,36 +60,22 @@
                                 .replace("seed 1\n", "seed " + seed + "\n"));
         ScenarioRunner runner = new ScenarioRunner(scenario);
         ScenarioRunner.Result result = runner.run();
+        boolean rulesSatisfied = result.verdicts().stream().allMatch(RuleVerdict::satisfied);
         Map<Long, String> names = new HashMap<>();
         List<FleetMerger.Member> members = new ArrayList<>();
         for (GatewayAccounts book : runner.accounts()) {
             names.putAll(book.names());
             members.add(new FleetMerger.Member(book.gateway(), book.kept().book(), book.told()));
         }
-        FleetMerger.Merged merged = FleetMerger.merge(members);
+        LatencyAccount merged = FleetMerger.merge(members).book();
         List<Row> rows = new ArrayList<>();
         for (Scenario.KnownCause known : scenario.causes()) {
-            long volume =
-                    names.entrySet().stream()
-                            .filter(entry -> entry.getValue().equals(known.volume()))
-                            .findFirst()
-                            .orElseThrow(
-                                    () ->
-                                            new SiteConfigException(
-                                                    "no volume is called " + known.volume()))
-                            .getKey();
-            LatencyReport report = merged.book().report(volume, 0, Double.MAX_VALUE / 2);
-            List<LatencyReport.Charged> waits =
-                    report.causes().stream()
-                            .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
-                            .toList();
+            long volume = volumeNumber(known.volume(), names);
+            LatencyReport report = report(merged, volume);
             LatencyReport.Charged main = report.main();
-            boolean hit = main != null && isExpected(known, main, names);
             boolean falseBlame = namesWrongCause(known, main, names);
             for (FleetMerger.Member member : members) {
-                LatencyReport.Charged alone =
-                        member.book().report(volume, 0, Double.MAX_VALUE / 2).main();
-                falseBlame |= namesWrongCause(known, alone, names);
+                falseBlame |= namesWrongCause(known, report(member.book(), volume).main(), names);
             }
             rows.add(
                     new Row(
@@ -102,14 +86,36 @@
                             name(main, names),
                             main == null ? 0 : main.share(),
                             main == null ? null : main.confidence(),
-                            waits.size() < 2 ? "" : name(waits.get(1), names),
-                            hit,
+                            secondCause(report, names),
+                            main != null && isExpected(known, main, names),
                             falseBlame,
-                            result.verdicts().stream().allMatch(RuleVerdict::satisfied)));
+                            rulesSatisfied));
         }
         return rows;
     }
 
+    private static LatencyReport report(LatencyAccount account, long volume) {
+        return account.report(volume, 0, Double.MAX_VALUE / 2);
+    }
+
+    private static long volumeNumber(String name, Map<Long, String> names)
+            throws SiteConfigException {
+        return names.entrySet().stream()
+                .filter(entry -> entry.getValue().equals(name))
+                .findFirst()
+                .orElseThrow(() -> new SiteConfigException("no volume is called " + name))
+                .getKey();
+    }
+
+    private static String secondCause(LatencyReport report, Map<Long, String> names) {
+        return report.causes().stream()
+                .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
+                .skip(1)
+                .findFirst()
+                .map(charged -> name(charged, names))
+                .orElse("");
+    }
+
     private static boolean namesWrongCause(
             Scenario.KnownCause known, LatencyReport.Charged main, Map<Long, String> names) {
         return main != null
--- a/src/main/java/sagepulley/scenario/BlockHistory.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -8,14 +8,15 @@
 import java.util.Map;
 
 /**
- * Knows what each block may hold. Every write fills its blocks with a stamp of its own; a read may
- * show a write only if no later one was acknowledged between that write's end and the read's begin.
- * Used on any thread.
+ * Checks reads against the writes of a run. Every write fills its blocks with a stamp of its own; a
+ * read may show a write only if no later one was acknowledged between that write's end and the
+ * read's begin. Thread-safe.
  */
 public final class BlockHistory {
+    private static final int MAX_DESCRIBED_BREACHES = 100;
     static final int BLOCK_BYTES = 4096;
 
-    /** One write: its time from asking to its end, and whether it was acknowledged. */
+    /** One write: when it was sent and ended, and whether it was acknowledged. */
     public static final class Write {
         final long stamp;
         final long begin;
@@ -27,7 +28,7 @@
             this.begin = begin;
         }
 
-        /** The write ended, with this gateway's last word on it or with the connection. */
+        /** The write ended, with its gateway's final answer or with the connection. */
         public void complete(long nanos, boolean good) {
             acknowledged = good;
             end = nanos;
@@ -41,7 +42,7 @@
     private long lastStamp;
     private long checkedBlocks;
 
-    /** A write of whole blocks is about to be asked. */
+    /** A write of complete blocks is about to be sent. */
     public synchronized Write begin(int volume, long offset, int length, long nanos) {
         Write write = new Write(++lastStamp, nanos);
         for (long block = offset / BLOCK_BYTES; block < (offset + length) / BLOCK_BYTES; block++) {
@@ -60,7 +61,7 @@
         return data;
     }
 
-    /** Checks what a read showed that was asked at a time. */
+    /** Checks the data of a read that was sent at one time and answered at another. */
     public synchronized void check(int volume, long offset, ByteBuf data, long begin, long end) {
         for (int at = 0; at + BLOCK_BYTES <= data.readableBytes(); at += BLOCK_BYTES) {
             long stamp = data.getLong(data.readerIndex() + at);
@@ -114,15 +115,17 @@
     }
 
     private void breach(String what) {
-        if (breaches.size() < 100) {
+        if (breaches.size() < MAX_DESCRIBED_BREACHES) {
             breaches.add(what);
         }
     }
 
+    /** How many blocks were checked. */
     public synchronized long checkedBlocks() {
         return checkedBlocks;
     }
 
+    /** Sentences for the first reads that showed what they may not. */
     public synchronized List<String> breaches() {
         return List.copyOf(breaches);
     }
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -119,6 +119,7 @@
 
     private final Path folder;
 
+    /** An experiment whose gateways keep their files in a folder. */
     public ColdStartExperiment(Path folder) {
         this.folder = folder;
     }
@@ -270,11 +271,11 @@
             gateways.add(gateway);
         }
         AtomicLong first = new AtomicLong();
-        AtomicLong asked = new AtomicLong();
+        AtomicLong sentRequests = new AtomicLong();
         AtomicLong intact = new AtomicLong();
         AtomicLong inTime = new AtomicLong();
         AtomicLong open = new AtomicLong();
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         double target =
                 SiteConfig.read("site", sites.get(0))
                                 .deployment()
@@ -288,18 +289,18 @@
                 next < end;
                 next +=
                         (long)
-                                (-Math.log(1 - chance.nextDouble())
+                                (-Math.log(1 - random.nextDouble())
                                         / (REQUESTS_PER_SECOND * GATEWAYS)
                                         * 1e9)) {
             sleepUntil(next);
-            long extent = chance.nextInt(EXTENTS);
-            asked.incrementAndGet();
+            long extent = random.nextInt(EXTENTS);
+            sentRequests.incrementAndGet();
             if (clients.isEmpty()) {
                 continue;
             }
             long sent = System.nanoTime();
             open.incrementAndGet();
-            clients.get(chance.nextInt(clients.size()))
+            clients.get(random.nextInt(clients.size()))
                     .ask(
                             NbdConstants.CMD_READ,
                             0,
@@ -333,7 +334,7 @@
                 since == Since.DRAINED || since == Since.REPLACED
                         ? 1 - (double) changed / NODES
                         : 1;
-        double service = (double) inTime.get() / Math.max(1, asked.get());
+        double service = (double) inTime.get() / Math.max(1, sentRequests.get());
         return new Row(
                 way,
                 ageHours,
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -13,6 +13,7 @@
 import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
 import sagepulley.codec.nbd.NbdConstants;
+import sagepulley.codec.nbd.NbdReply;
 import sagepulley.config.SiteConfig;
 import sagepulley.config.VolumeSettings;
 import sagepulley.upstream.frame.StoreMessages;
@@ -188,55 +189,85 @@
         long extents = Math.min(load.extents(), volume.size() / site.extentBytes());
         long places = Math.max(1, extents * site.extentBytes() / load.bytes());
         long offset = random.nextLong(places) * load.bytes();
-        boolean reads = random.nextDouble() < load.readShare();
-        StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
+        if (random.nextDouble() < load.readShare()) {
+            sendRead(connection, offset);
+        } else {
+            sendWrite(connection, offset);
+        }
+    }
+
+    private void sendRead(ClientConnection connection, long offset) {
         int trafficClass =
-                !reads
-                        ? volume.writeBand()
-                        : load.bytes() >= volume.bulkFrom() ? volume.bulkBand() : volume.readBand();
-        long now = System.nanoTime();
+                load.bytes() >= volume.bulkFrom() ? volume.bulkBand() : volume.readBand();
         SocketEventLog.ClientRequest request =
-                eventLog.requestSent(
-                        connection.gateway,
-                        volume.id(),
-                        kind,
-                        trafficClass,
-                        offset,
-                        load.bytes(),
-                        now);
-        BlockHistory.Write write =
-                reads ? null : history.begin(volume.id(), offset, load.bytes(), now);
-        ByteBuf payload =
-                reads
-                        ? Unpooled.EMPTY_BUFFER
-                        : BlockHistory.payload(
-                                connection.client.channel().alloc(), write, load.bytes());
-        openRequests.incrementAndGet();
+                recordRequest(connection, StoreMessages.Kind.READ, trafficClass, offset);
         connection.client.ask(
-                reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
+                NbdConstants.CMD_READ,
                 0,
                 offset,
                 load.bytes(),
-                payload,
+                Unpooled.EMPTY_BUFFER,
                 (reply, failure) -> {
-                    long end = System.nanoTime();
-                    request.endedAt = end;
-                    if (failure != null) {
-                        request.connectionLost = true;
-                    } else {
-                        request.replies++;
-                        request.error = reply.error;
-                        if (reads && reply.error == 0) {
-                            ByteBuf data = reply.data();
-                            history.check(volume.id(), offset, data, now, end);
-                            data.release();
-                        }
+                    recordAnswer(request, reply, failure);
+                    if (failure == null) {
+                        checkData(request, reply);
                         reply.release();
                     }
-                    if (write != null) {
-                        write.complete(end, failure == null && reply.error == 0);
+                    openRequests.decrementAndGet();
+                });
+    }
+
+    private void sendWrite(ClientConnection connection, long offset) {
+        SocketEventLog.ClientRequest request =
+                recordRequest(connection, StoreMessages.Kind.WRITE, volume.writeBand(), offset);
+        BlockHistory.Write write = history.begin(volume.id(), offset, load.bytes(), request.sentAt);
+        connection.client.ask(
+                NbdConstants.CMD_WRITE,
+                0,
+                offset,
+                load.bytes(),
+                BlockHistory.payload(connection.client.channel().alloc(), write, load.bytes()),
+                (reply, failure) -> {
+                    recordAnswer(request, reply, failure);
+                    if (failure == null) {
+                        reply.release();
                     }
+                    write.complete(request.endedAt, failure == null && reply.error == 0);
                     openRequests.decrementAndGet();
                 });
     }
+
+    private SocketEventLog.ClientRequest recordRequest(
+            ClientConnection connection, StoreMessages.Kind kind, int trafficClass, long offset) {
+        openRequests.incrementAndGet();
+        return eventLog.requestSent(
+                connection.gateway,
+                volume.id(),
+                kind,
+                trafficClass,
+                offset,
+                load.bytes(),
+                System.nanoTime());
+    }
+
+    /** Records how a request ended; the reply is null where its connection was lost. */
+    private static void recordAnswer(
+            SocketEventLog.ClientRequest request, NbdReply reply, Throwable failure) {
+        request.endedAt = System.nanoTime();
+        if (failure != null) {
+            request.connectionLost = true;
+        } else {
+            request.replies++;
+            request.error = reply.error;
+        }
+    }
+
+    private void checkData(SocketEventLog.ClientRequest request, NbdReply reply) {
+        if (reply.error != 0) {
+            return;
+        }
+        ByteBuf data = reply.data();
+        history.check(volume.id(), request.offset, data, request.sentAt, request.endedAt);
+        data.release();
+    }
 }
--- a/src/main/java/sagepulley/scenario/LocalCluster.java
+++ b/src/main/java/sagepulley/scenario/LocalCluster.java
@@ -86,7 +86,7 @@
         return gateway;
     }
 
-    /** Writes a node's line into the directory's list. */
+    /** Lists a node in the directory in a phase. */
     public void list(StandInNode node, DirectoryMessages.Phase phase) {
         directory.put(
                 new DirectoryMessages.EndpointLine(
@@ -101,30 +101,34 @@
                         node.address().getPort()));
     }
 
-    /** A node crashes and comes back cold, and the directory hears of it. */
+    /** A node crashes and comes back in slow start, and the directory lists it anew. */
     public void restartCold(StandInNode node) {
         await(node.restartCold());
         list(node, DirectoryMessages.Phase.READY);
     }
 
-    /** A node takes nothing new, and the directory hears of it. */
+    /** A node takes nothing new, and the directory lists it as draining. */
     public void drain(StandInNode node) {
         node.drain();
         list(node, DirectoryMessages.Phase.DRAINING);
     }
 
+    /** Its directory. */
     public StandInDirectory directory() {
         return directory;
     }
 
+    /** Its nodes, in the order of their numbers. */
     public List<StandInNode> nodes() {
         return nodes;
     }
 
+    /** The gateways that were opened. */
     public List<NbdGateway> gateways() {
         return gateways;
     }
 
+    /** The event loops of directory and nodes, for clients too. */
     public EventLoopGroup loops() {
         return loops;
     }
@@ -145,7 +149,9 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Waits for what must come soon; fails if it does not. */
+    /**
+     * Waits for a future for up to 20 s; fails with IllegalStateException if it does not end well.
+     */
     public static <T> T await(CompletableFuture<T> future) {
         try {
             return future.get(WAIT_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/sagepulley/scenario/Scenario.java
+++ b/src/main/java/sagepulley/scenario/Scenario.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A scripted day as plain values. Times are milliseconds from the day's start, shares 0 to 1. */
+/** A scripted scenario. Times are milliseconds from its start, shares 0 to 1. */
 public record Scenario(
         String name,
         long seed,
@@ -15,7 +15,7 @@
         List<Expectation> expectations,
         List<KnownCause> causes) {
 
-    /** The nodes, numbered from 1, by turns in the halls. */
+    /** The nodes, numbered from 1 and spread over the zones in turn. */
     public record Nodes(
             int count,
             int slots,
@@ -27,8 +27,8 @@
             double deferIntervalMillis) {}
 
     /**
-     * Requests that come by chance at a rate, whether or not answers keep up; through one gateway,
-     * numbered from 1, or (0) through all of the volume's.
+     * Requests that come at random times at a rate, whether or not answers keep up; through one
+     * gateway, numbered from 1, or (0) through all of the volume's.
      */
     public record Load(
             String name,
@@ -67,8 +67,8 @@
     }
 
     /**
-     * One fault: whom it meets (node numbers, or the gateway's), how much, and until when; NaN for
-     * good.
+     * One fault: its targets (node numbers, or the gateway's), its magnitude, and until when; NaN
+     * for good.
      */
     public record Event(
             double atMillis,
--- a/src/main/java/sagepulley/scenario/ScenarioException.java
+++ b/src/main/java/sagepulley/scenario/ScenarioException.java
@@ -4,6 +4,7 @@
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** A mistake, or several, one a line. */
     public ScenarioException(String message) {
         super(message);
     }
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -19,7 +19,7 @@
 import sagepulley.scenario.grammar.ScenarioLexer;
 import sagepulley.scenario.grammar.ScenarioParser;
 
-/** Reads scripts of days; every mistake is told with line and column. */
+/** Reads scripts of scenarios; every mistake is reported with its line and column. */
 public final class ScenarioReader {
     private static final double MAX_TIME_MILLIS = 3_600_000;
     private static final int MAX_NODES = 64;
@@ -28,6 +28,7 @@
 
     private ScenarioReader() {}
 
+    /** Reads a script from a file. */
     public static Scenario read(Path file) throws ScenarioException {
         try {
             return read(file.toString(), Files.readString(file));
@@ -36,7 +37,7 @@
         }
     }
 
-    /** Reads a script; the name stands in errors. */
+    /** Reads a script; errors name it so. */
     public static Scenario read(String name, String text) throws ScenarioException {
         List<String> mistakes = new ArrayList<>();
         BaseErrorListener listener =
--- a/src/main/java/sagepulley/scenario/SocketEventLog.java
+++ b/src/main/java/sagepulley/scenario/SocketEventLog.java
@@ -7,8 +7,8 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * What was noted at the sockets of nodes, directory and clients; the gateways' own word is not
- * asked.
+ * What was recorded at the sockets of nodes, directory and clients; nothing that gateways say of
+ * themselves. Thread-safe; lists are read under its lock or once a run is over.
  */
 public final class SocketEventLog implements TrafficRecorder {
     /** An attempt at a node. */
@@ -27,20 +27,20 @@
             boolean lost,
             long at) {}
 
-    /** An attempt that its gateway gave up, as the node heard it. */
+    /** An attempt that its gateway cancelled. */
     public record AttemptCancelled(int node, long gateway, long mark, int number, long at) {}
 
-    /** A node's start, cold if it has a capacity in units a second. */
+    /** A node's start; its capacity in units a second is NaN where it started warm. */
     public record NodeStarted(int node, double unitsPerSecond, long at) {}
 
-    /** A node ended without notice. */
+    /** A node collapsed under overload. */
     public record NodeCollapsed(int node, long at) {}
 
-    /** What a gateway was told of the list. */
+    /** What a gateway was sent of the endpoint list. */
     public record EndpointListSent(
             long gateway, boolean complete, List<DirectoryMessages.EndpointLine> lines, long at) {}
 
-    /** A gateway's life, from its opening to its kill. */
+    /** A gateway's incarnation, from its opening to its kill. */
     public static final class GatewayIncarnation {
         public final int index;
         public final long gateway;
@@ -67,7 +67,7 @@
         public volatile int error;
         public volatile int replies;
 
-        /** Its connection ended: no answer is owed. */
+        /** Its connection ended: no answer is due. */
         public volatile boolean connectionLost;
 
         ClientRequest(
@@ -154,7 +154,7 @@
         return incarnation;
     }
 
-    /** A client sends a request; the answer is noted into what is given back. */
+    /** A client sends a request; its answer is recorded in what this returns. */
     public synchronized ClientRequest requestSent(
             long gateway,
             int volume,
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -9,27 +9,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells how long this machine, or a loop of the stand-ins and clients, stood still: beats that are
- * due every few milliseconds are noted where they come late. What is judged by the clock allows for
- * that much, or a loaded machine would be judged instead of a gateway.
+ * Measures how long this machine, or an event loop of the stand-ins and clients, stalled: ticks
+ * that are due every few milliseconds are recorded where they come late. What is judged by the
+ * clock allows for that much, or a loaded machine would be judged instead of a gateway.
  */
 public final class StallDetector implements AutoCloseable {
+    private static final double NANOS_PER_MILLI = 1e6;
     private static final double TICK_MILLIS = 5;
     private static final double EXPECTED_DELAY_MILLIS = 2;
 
     /** What is judged takes no longer than this; stalls further apart do not add up. */
     private static final double WINDOW_MILLIS = 3_000;
 
-    /** One who beats. */
+    /** A tick that came late, in milliseconds of System.nanoTime. */
+    private record Stall(double atMillis, double lateMillis) {}
+
+    /** The ticks of one thread. */
     private static final class TickSource {
-        private final List<double[]> stalls = new ArrayList<>();
+        private final List<Stall> stalls = new ArrayList<>();
         private long lastTickNanos = System.nanoTime();
 
         synchronized void tick() {
             long now = System.nanoTime();
-            double late = (now - lastTickNanos) / 1e6 - TICK_MILLIS - EXPECTED_DELAY_MILLIS;
+            double late =
+                    (now - lastTickNanos) / NANOS_PER_MILLI - TICK_MILLIS - EXPECTED_DELAY_MILLIS;
             if (late > 0) {
-                stalls.add(new double[] {now / 1e6, late});
+                stalls.add(new Stall(now / NANOS_PER_MILLI, late));
             }
             lastTickNanos = now;
         }
@@ -39,9 +44,9 @@
             double worst = 0;
             double sum = 0;
             for (int first = 0, i = 0; i < stalls.size(); i++) {
-                sum += stalls.get(i)[1];
-                while (stalls.get(i)[0] - stalls.get(first)[0] > WINDOW_MILLIS) {
-                    sum -= stalls.get(first++)[1];
+                sum += stalls.get(i).lateMillis();
+                while (stalls.get(i).atMillis() - stalls.get(first).atMillis() > WINDOW_MILLIS) {
+                    sum -= stalls.get(first++).lateMillis();
                 }
                 worst = Math.max(worst, sum);
             }
@@ -52,26 +57,26 @@
     private final List<TickSource> sources = new CopyOnWriteArrayList<>();
     private volatile boolean closed;
 
+    /** Starts to watch with a thread of its own. */
     public StallDetector() {
         TickSource source = new TickSource();
         sources.add(source);
-        Thread thread =
-                new Thread(
-                        () -> {
-                            while (!closed) {
-                                try {
-                                    Thread.sleep((long) TICK_MILLIS);
-                                } catch (InterruptedException e) {
-                                    return;
-                                }
-                                source.tick();
-                            }
-                        },
-                        "metronome");
+        Thread thread = new Thread(() -> tickUntilClosed(source), "stall-detector");
         thread.setDaemon(true);
         thread.start();
     }
 
+    private void tickUntilClosed(TickSource source) {
+        while (!closed) {
+            try {
+                Thread.sleep((long) TICK_MILLIS);
+            } catch (InterruptedException e) {
+                return;
+            }
+            source.tick();
+        }
+    }
+
     /** Watches the loops of a group as well. */
     public StallDetector watch(EventLoopGroup loops) {
         for (EventExecutor loop : loops) {
@@ -95,7 +100,7 @@
     }
 
     /**
-     * The most milliseconds of standing still within any three seconds, here or on a watched loop.
+     * The longest stall within any three seconds, in milliseconds, summed over all that is watched.
      */
     public double worstStallMillis() {
         return sources.stream().mapToDouble(TickSource::worstStallMillis).sum();
