--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -8,6 +8,7 @@
 import picocli.CommandLine.Option;
 import sagepulley.config.SiteConfigException;
 import sagepulley.scenario.ColdStartExperiment;
+import sagepulley.scenario.ReconnectStorm;
 
 /** Measures how gateways start from a stored endpoint list while discovery is down. */
 @Command(
@@ -78,8 +79,8 @@
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int gateways : STORM_GATEWAYS) {
             for (boolean spread : new boolean[] {false, true}) {
-                ColdStartExperiment.ReconnectStorm storm =
-                        ColdStartExperiment.simulateStorm(
+                ReconnectStorm storm =
+                        ReconnectStorm.simulate(
                                 gateways,
                                 spread,
                                 STORM_OUTAGE_MILLIS,
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -20,7 +20,6 @@
 import sagepulley.frontend.nbd.NbdGateway;
 import sagepulley.membership.ListFreshness;
 import sagepulley.membership.Membership;
-import sagepulley.membership.ReconnectBackoff;
 import sagepulley.membership.StoredEndpointList;
 import sagepulley.persistence.EndpointListFile;
 import sagepulley.standin.NodeProfile;
@@ -357,62 +356,4 @@
             Thread.currentThread().interrupt();
         }
     }
-
-    /**
-     * Gateways that come back to one directory: the most calls in a tenth of a second once it was
-     * gone for a second, and when all hold a list.
-     */
-    public record ReconnectStorm(
-            int gateways,
-            boolean spread,
-            int maxCallsInTenthSecond,
-            long calls,
-            double allListedMillis) {}
-
-    /**
-     * Gateways that lost a directory together and ask it for a list until it answers, played in one
-     * thread: it is down for so long and then serves so many calls a second, one after another,
-     * with a queue of so many; the rest get no answer for two seconds. Spread as the gateway does,
-     * or every 250 ms.
-     */
-    public static ReconnectStorm simulateStorm(
-            int gateways, boolean spread, double downMs, double perSecond, int queue, long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        java.util.PriorityQueue<double[]> tries =
-                new java.util.PriorityQueue<>(
-                        java.util.Comparator.comparingDouble((double[] one) -> one[0]));
-        ReconnectBackoff[] pauses = new ReconnectBackoff[gateways];
-        for (int i = 0; i < gateways; i++) {
-            pauses[i] = new ReconnectBackoff(100, 5_000, random.split());
-            tries.add(new double[] {random.nextDouble(), i});
-        }
-        java.util.Map<Long, Integer> tenths = new java.util.HashMap<>();
-        double busyUntil = downMs;
-        double last = 0;
-        long calls = 0;
-        while (!tries.isEmpty()) {
-            double[] one = tries.poll();
-            double now = one[0];
-            int who = (int) one[1];
-            calls++;
-            if (now >= 1_000) { // the moment at which all lost it is the same either way
-                tenths.merge((long) (now / 100), 1, Integer::sum);
-            }
-            double again = spread ? pauses[who].next() : 250;
-            if (now < downMs) {
-                tries.add(new double[] {now + again, who});
-            } else if (busyUntil - now > queue * 1000 / perSecond) {
-                tries.add(new double[] {now + 2_000 + again, who});
-            } else {
-                busyUntil = Math.max(busyUntil, now) + 1000 / perSecond;
-                last = Math.max(last, busyUntil);
-            }
-        }
-        return new ReconnectStorm(
-                gateways,
-                spread,
-                tenths.values().stream().mapToInt(Integer::intValue).max().orElse(0),
-                calls,
-                last - downMs);
-    }
 }
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -8,11 +8,10 @@
 import java.lang.management.ThreadInfo;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
@@ -20,10 +19,7 @@
 import sagepulley.config.SiteConfigException;
 import sagepulley.frontend.nbd.NbdGateway;
 import sagepulley.standin.NodeProfile;
-import sagepulley.standin.StandInNode;
 import sagepulley.standin.TrafficRecorder;
-import sagepulley.upstream.frame.NodeConnection;
-import sagepulley.upstream.frame.StoreMessages;
 
 /**
  * Measures the way through the gateway against the way from client to node directly, by turns in
@@ -66,7 +62,7 @@
 
     /** Asks one request; told whether it went well. */
     private interface RequestSender {
-        void send(int number, java.util.function.Consumer<Boolean> ended);
+        void send(int number, Consumer<Boolean> ended);
     }
 
     /** Runs all kinds, sizes and depths. */
@@ -89,7 +85,7 @@
                 LocalCluster.await(client.write(i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
                         .release();
             }
-            DirectClient direct = new DirectClient(cluster.nodes(), clients.next());
+            DirectClient direct = new DirectClient(cluster.nodes(), EXTENT_BYTES, clients.next());
             for (boolean reads : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
                     for (int depth : depths) {
@@ -341,84 +337,4 @@
         }
         return sums;
     }
-
-    /** The client's own links to the nodes. */
-    private static final class DirectClient {
-        private final List<NodeLink> peers = new ArrayList<>();
-        private long attempts;
-
-        DirectClient(List<StandInNode> nodes, EventLoop loop) {
-            for (StandInNode node : nodes) {
-                peers.add(new NodeLink(node, loop));
-            }
-        }
-
-        void send(
-                boolean reads,
-                int extent,
-                int offset,
-                int bytes,
-                ByteBuf data,
-                java.util.function.Consumer<Boolean> ended) {
-            NodeLink peer = peers.get(extent % peers.size());
-            long attempt = ++attempts;
-            peer.waiting.put(attempt, ended);
-            // A volume of its own, so that its pens are not the gateway's.
-            peer.connection.send(
-                    attempt,
-                    new StoreMessages.Send(
-                            reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE,
-                            0,
-                            false,
-                            0,
-                            attempt,
-                            0,
-                            2,
-                            extent,
-                            offset,
-                            bytes,
-                            1,
-                            0),
-                    reads ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate());
-        }
-    }
-
-    private static final class NodeLink implements NodeConnection.Listener {
-        final NodeConnection connection;
-        final Map<Long, java.util.function.Consumer<Boolean>> waiting = new HashMap<>();
-
-        NodeLink(StandInNode node, EventLoop loop) {
-            connection =
-                    new NodeConnection(
-                            loop,
-                            EventLoops.socket(),
-                            EXTENT_BYTES,
-                            node.profile().id(),
-                            node.address(),
-                            new StoreMessages.Hello(99, "direct"),
-                            this);
-        }
-
-        @Override
-        public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
-            payload.release();
-            waiting.remove(attempt).accept(answer.code() == StoreMessages.Code.SATISFIED);
-        }
-
-        @Override
-        public void broken(long attempt, NodeConnection.ConnectionFailure how) {
-            waiting.remove(attempt).accept(false);
-        }
-
-        @Override
-        public void probed(long id, float[] report) {
-            // none is asked for
-        }
-
-        @Override
-        public boolean welcomed(StoreMessages.Welcome welcome) {
-            // nothing hangs on it
-            return true;
-        }
-    }
 }
