--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -20,7 +20,6 @@
 import sagepulley.frontend.nbd.NbdGateway;
 import sagepulley.membership.ListFreshness;
 import sagepulley.membership.Membership;
-import sagepulley.membership.ReconnectBackoff;
 import sagepulley.membership.StoredEndpointList;
 import sagepulley.persistence.EndpointListFile;
 import sagepulley.standin.NodeProfile;
@@ -75,8 +74,8 @@
             double serviceOfAll) {}
 
     private static final class UncheckedMembership extends Membership {
-        UncheckedMembership(String site, Policy bounds) {
-            super(site, bounds, new SplittableRandom(1));
+        UncheckedMembership(String site, Policy policy) {
+            super(site, policy, new SplittableRandom(1));
         }
 
         @Override
@@ -93,7 +92,6 @@
         @Override
         public void drainAnnounced(int node) {
             // believes its list only
-
         }
     }
 
@@ -120,6 +118,7 @@
 
     private final Path folder;
 
+    /** An experiment whose gateways keep their files in a folder. */
     public ColdStartExperiment(Path folder) {
         this.folder = folder;
     }
@@ -235,9 +234,7 @@
         }
     }
 
-    @SuppressWarnings("UnnecessaryAsync")
-    // counted on the event loops of the clients
-
+    @SuppressWarnings("UnnecessaryAsync") // counted on the event loops of the clients
     private static Row serve(
             LocalCluster cluster,
             Way way,
@@ -273,11 +270,11 @@
             gateways.add(gateway);
         }
         AtomicLong first = new AtomicLong();
-        AtomicLong asked = new AtomicLong();
+        AtomicLong sentRequests = new AtomicLong();
         AtomicLong intact = new AtomicLong();
         AtomicLong inTime = new AtomicLong();
         AtomicLong open = new AtomicLong();
-        SplittableRandom chance = new SplittableRandom(seed);
+        SplittableRandom random = new SplittableRandom(seed);
         double target =
                 SiteConfig.read("site", sites.get(0))
                                 .deployment()
@@ -291,18 +288,18 @@
                 next < end;
                 next +=
                         (long)
-                                (-Math.log(1 - chance.nextDouble())
+                                (-Math.log(1 - random.nextDouble())
                                         / (REQUESTS_PER_SECOND * GATEWAYS)
                                         * 1e9)) {
             sleepUntil(next);
-            long extent = chance.nextInt(EXTENTS);
-            asked.incrementAndGet();
+            long extent = random.nextInt(EXTENTS);
+            sentRequests.incrementAndGet();
             if (clients.isEmpty()) {
                 continue;
             }
             long sent = System.nanoTime();
             open.incrementAndGet();
-            clients.get(chance.nextInt(clients.size()))
+            clients.get(random.nextInt(clients.size()))
                     .request(
                             NbdConstants.CMD_READ,
                             0,
@@ -336,7 +333,7 @@
                 since == Since.DRAINED || since == Since.REPLACED
                         ? 1 - (double) changed / NODES
                         : 1;
-        double service = (double) inTime.get() / Math.max(1, asked.get());
+        double service = (double) inTime.get() / Math.max(1, sentRequests.get());
         return new Row(
                 way,
                 ageHours,
@@ -359,64 +356,4 @@
             Thread.currentThread().interrupt();
         }
     }
-
-    /**
-     * Gateways that come back to one directory: the most calls in a tenth of a second once it was
-     * gone for a second, and when all hold a list.
-     */
-    public record ReconnectStorm(
-            int gateways,
-            boolean spread,
-            int maxCallsInTenthSecond,
-            long calls,
-            double allListedMillis) {}
-
-    /**
-     * Gateways that lost a directory together and ask it for a list until it answers, played in one
-     * thread: it is down for so long and then serves so many calls a second, one after another,
-     * with a queue of so many; the rest get no answer for two seconds. Spread as the gateway does,
-     * or every 250 ms.
-     */
-    public static ReconnectStorm simulateStorm(
-            int gateways, boolean spread, double downMs, double perSecond, int queue, long seed) {
-        SplittableRandom random = new SplittableRandom(seed);
-        java.util.PriorityQueue<double[]> tries =
-                new java.util.PriorityQueue<>(
-                        java.util.Comparator.comparingDouble((double[] one) -> one[0]));
-        ReconnectBackoff[] pauses = new ReconnectBackoff[gateways];
-        for (int i = 0; i < gateways; i++) {
-            pauses[i] = new ReconnectBackoff(100, 5_000, random.split());
-            tries.add(new double[] {random.nextDouble(), i});
-        }
-        java.util.Map<Long, Integer> tenths = new java.util.HashMap<>();
-        double busyUntil = downMs;
-        double last = 0;
-        long calls = 0;
-        while (!tries.isEmpty()) {
-            double[] one = tries.poll();
-            double now = one[0];
-            int who = (int) one[1];
-            calls++;
-            if (now >= 1_000) {
-                // the moment at which all lost it is the same either way
-
-                tenths.merge((long) (now / 100), 1, Integer::sum);
-            }
-            double again = spread ? pauses[who].nextDelayMillis() : 250;
-            if (now < downMs) {
-                tries.add(new double[] {now + again, who});
-            } else if (busyUntil - now > queue * 1000 / perSecond) {
-                tries.add(new double[] {now + 2_000 + again, who});
-            } else {
-                busyUntil = Math.max(busyUntil, now) + 1000 / perSecond;
-                last = Math.max(last, busyUntil);
-            }
-        }
-        return new ReconnectStorm(
-                gateways,
-                spread,
-                tenths.values().stream().mapToInt(Integer::intValue).max().orElse(0),
-                calls,
-                last - downMs);
-    }
 }
