--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -48,6 +48,9 @@
     /** A change of the endpoint list counts as notified this long after discovery had it. */
     private static final double NOTIFICATION_DELAY_MILLIS = 6_000;
 
+    private static final double DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
+    private static final double DEFAULT_IDLE_TIMEOUT_MILLIS = 15_000;
+    private static final double DEFAULT_MAX_IN_FLIGHT = 20_000;
     private static final int MIN_SOCKETS = 64;
     private static final int MIN_MEMORY_MB = 16;
 
@@ -87,13 +90,13 @@
     }
 
     private static String firstLine(Exception failure) {
-        String text =
-                failure instanceof NoSuchFileException
-                        ? "there is no such file"
-                        : failure.getMessage() == null
-                                ? failure.getClass().getSimpleName()
-                                : failure.getMessage();
-        return text.lines().findFirst().orElse("cannot be read");
+        if (failure instanceof NoSuchFileException) {
+            return "there is no such file";
+        }
+        if (failure.getMessage() == null) {
+            return failure.getClass().getSimpleName();
+        }
+        return failure.getMessage().lines().findFirst().orElse("cannot be read");
     }
 
     /** This configuration at other addresses, with all initial endpoints at one. */
@@ -139,9 +142,12 @@
                 reader.deployment().onWatch(NOTIFICATION_DELAY_MILLIS),
                 strings(settings.get("zones")),
                 strings(settings.get("kinds")),
-                reader.time("limits.dialTimeoutNs", 250),
-                reader.time("limits.connIdleNs", 15_000),
-                (int) Math.min(Integer.MAX_VALUE, reader.optionalNumber("limits.maxOpen", 20_000)));
+                reader.time("limits.dialTimeoutNs", DEFAULT_CONNECT_TIMEOUT_MILLIS),
+                reader.time("limits.connIdleNs", DEFAULT_IDLE_TIMEOUT_MILLIS),
+                (int)
+                        Math.min(
+                                Integer.MAX_VALUE,
+                                reader.optionalNumber("limits.maxOpen", DEFAULT_MAX_IN_FLIGHT)));
     }
 
     /** Paths and values, in the form that {@link SettingsReader} takes. */
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -133,10 +133,10 @@
     }
 
     private void onConnectFailure(Throwable cause) {
-        if (!isClosed() && ConnectFailure.isRefused(cause)) {
+        if (!isClosed() && Transport.isRefused(cause)) {
             listener.onRefused(this);
         }
-        fail("connect failed: " + ConnectFailure.systemMessage(cause));
+        fail("connect failed: " + Transport.systemMessage(cause));
     }
 
     /** Ends the request; the listener is not called. */
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -26,6 +26,11 @@
 
     private static final int MAX_FIELDS = 32;
     private static final int READ_ARGUMENTS = 4;
+    private static final int EXTENT_ARGUMENT = 1;
+    private static final int ID_ARGUMENT = 2;
+    private static final int FIELDS_ARGUMENT = 3;
+    private static final String DEADLINE_FIELD = "d=";
+    private static final double MAX_GATEWAYS = 1e6;
     private static final double MAX_DEADLINE_MILLIS = 24 * 3_600_000;
 
     final long id;
@@ -47,21 +52,25 @@
 
     private BlockCommand(List<byte[]> arguments, Deployment deployment) throws BadCommandException {
         this.arguments = arguments;
-        this.extent = parseId(text(arguments.get(1)), "the piece");
-        this.id = parseId(text(arguments.get(2)), "the id");
-        String fieldList = text(arguments.get(3));
+        this.extent = parseId(text(arguments.get(EXTENT_ARGUMENT)), "the piece");
+        this.id = parseId(text(arguments.get(ID_ARGUMENT)), "the id");
+        String fieldList = text(arguments.get(FIELDS_ARGUMENT));
         Map<String, String> fields = parseFields(fieldList);
         this.trafficClass = findTrafficClass(required(fields, "c"), deployment);
-        this.plan = plan(required(fields, "t"), deployment);
+        this.plan = findPlan(required(fields, "t"), deployment);
         this.deadlineMillis = parsePositive(required(fields, "d"), "d", MAX_DEADLINE_MILLIS);
         this.volume = parseId(required(fields, "volume"), "volume");
         this.units = parsePositive(required(fields, "units"), "units", deployment.maxUnits());
-        this.shard = shard(required(fields, "shard"), deployment.shards());
-        this.gatewayCount = (int) parsePositive(required(fields, "hosts"), "hosts", 1e6);
+        this.shard = parseShard(required(fields, "shard"), deployment.shards());
+        this.gatewayCount = (int) parsePositive(required(fields, "hosts"), "hosts", MAX_GATEWAYS);
         this.clientRetry = "1".equals(fields.get("r"));
-        int valueStart = fieldList.startsWith("d=") ? 0 : fieldList.indexOf(",d=") + 1;
-        this.fieldsBeforeDeadline = fieldList.substring(0, valueStart + 2);
-        this.fieldsAfterDeadline = fieldList.substring(valueStart + 2 + fields.get("d").length());
+        int fieldStart =
+                fieldList.startsWith(DEADLINE_FIELD)
+                        ? 0
+                        : fieldList.indexOf("," + DEADLINE_FIELD) + 1;
+        int valueStart = fieldStart + DEADLINE_FIELD.length();
+        this.fieldsBeforeDeadline = fieldList.substring(0, valueStart);
+        this.fieldsAfterDeadline = fieldList.substring(valueStart + fields.get("d").length());
     }
 
     /**
@@ -83,6 +92,7 @@
         return command;
     }
 
+    /** The arguments of a decoded command, its name first. */
     static List<byte[]> arguments(Resp.Array command) {
         List<byte[]> arguments = new ArrayList<>(command.items().size());
         for (Resp item : command.items()) {
@@ -91,10 +101,12 @@
         return arguments;
     }
 
+    /** An argument as ISO-8859-1, one character a byte. */
     static String text(byte[] argument) {
         return new String(argument, StandardCharsets.ISO_8859_1);
     }
 
+    /** Bytes of all arguments together. */
     int sizeBytes() {
         int bytes = 0;
         for (byte[] argument : arguments) {
@@ -104,11 +116,12 @@
     }
 
     /** The arguments for an endpoint that has this long, in whole milliseconds of at least 1. */
-    List<byte[]> withTimeout(double timeout) {
-        List<byte[]> out = new ArrayList<>(arguments);
-        String fieldList = fieldsBeforeDeadline + Math.max(1, (long) timeout) + fieldsAfterDeadline;
-        out.set(3, fieldList.getBytes(StandardCharsets.ISO_8859_1));
-        return out;
+    List<byte[]> withTimeout(double timeoutMillis) {
+        List<byte[]> forwarded = new ArrayList<>(arguments);
+        String fieldList =
+                fieldsBeforeDeadline + Math.max(1, (long) timeoutMillis) + fieldsAfterDeadline;
+        forwarded.set(FIELDS_ARGUMENT, fieldList.getBytes(StandardCharsets.ISO_8859_1));
+        return forwarded;
     }
 
     private static Map<String, String> parseFields(String fieldList) throws BadCommandException {
@@ -169,7 +182,7 @@
         return value;
     }
 
-    private static int shard(String text, int shards) throws BadCommandException {
+    private static int parseShard(String text, int shards) throws BadCommandException {
         if (text.equals("-1")) {
             return -1;
         }
@@ -190,7 +203,8 @@
         throw new BadCommandException("there is no such class");
     }
 
-    private static TenantPlan plan(String name, Deployment deployment) throws BadCommandException {
+    private static TenantPlan findPlan(String name, Deployment deployment)
+            throws BadCommandException {
         for (TenantPlan plan : deployment.plans()) {
             if (plan.name().equals(name)) {
                 return plan;
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -198,27 +198,15 @@
     void closeExpired() {
         double now = handler.now();
         boolean isBusy = connections.size() > maxConnections / 2;
+        double idleTimeoutMillis = isBusy ? BUSY_IDLE_TIMEOUT_MILLIS : IDLE_TIMEOUT_MILLIS;
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            double idleMillis = now - connection.lastActiveAt;
-            double silentMillis = now - connection.lastReadAt;
-            if (now - connection.unwritableSince > WRITE_TIMEOUT_MILLIS
-                    || now - connection.drainedSince > LINGER_TIMEOUT_MILLIS) {
-                connection.close(
-                        now - connection.unwritableSince > WRITE_TIMEOUT_MILLIS
-                                ? "write timeout"
-                                : "linger timeout");
+            if (now - connection.unwritableSince > WRITE_TIMEOUT_MILLIS) {
+                connection.close("write timeout");
+            } else if (now - connection.drainedSince > LINGER_TIMEOUT_MILLIS) {
+                connection.close("linger timeout");
             } else if (connection.hasPendingReplies()) {
                 continue;
-            } else if (connection.isReadingCommand()
-                    ? silentMillis > READ_TIMEOUT_MILLIS
-                            || now - connection.partialCommandSince > maxCommandMillis
-                    : !connection.hasSentCommand
-                            ? now - connection.connectedAt > READ_TIMEOUT_MILLIS
-                            : !idleTimeoutDisabled
-                                    && idleMillis
-                                            > (isBusy
-                                                    ? BUSY_IDLE_TIMEOUT_MILLIS
-                                                    : IDLE_TIMEOUT_MILLIS)) {
+            } else if (isExpired(connection, idleTimeoutMillis, now)) {
                 connection.drain("idle");
             } else if (draining && now - connection.connectedAt > FIRST_COMMAND_GRACE_MILLIS) {
                 connection.drain("shutdown");
@@ -226,6 +214,17 @@
         }
     }
 
+    private boolean isExpired(ClientConnection connection, double idleTimeoutMillis, double now) {
+        if (connection.isReadingCommand()) {
+            return now - connection.lastReadAt > READ_TIMEOUT_MILLIS
+                    || now - connection.partialCommandSince > maxCommandMillis;
+        }
+        if (!connection.hasSentCommand) {
+            return now - connection.connectedAt > READ_TIMEOUT_MILLIS;
+        }
+        return !idleTimeoutDisabled && now - connection.lastActiveAt > idleTimeoutMillis;
+    }
+
     /** From now on connections stay open however long they are idle. */
     void disableIdleTimeout() {
         idleTimeoutDisabled = true;
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -73,10 +73,12 @@
                 member.weight());
     }
 
+    /** Where the endpoint listens; null if that was never known. */
     SocketAddress address(Node node) {
         return addresses.get(node.id);
     }
 
+    /** The endpoint's id at discovery. */
     String name(Node node) {
         return names.getOrDefault(node.id, "node " + node.id);
     }
--- a/src/main/java/sagepulley/lifecycle/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -56,7 +56,7 @@
             return;
         }
         LogWriter.warn("SIGHUP is ignored, polling the configuration file instead");
-        contents = contents();
+        contents = readContents();
         checkedAt = gateway.now();
         onReloadRequested(checkedAt); // the file may have changed since the start read it
         executor.scheduleWithFixedDelay(
@@ -66,8 +66,8 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void onReloadRequested(double at) {
-        gateway.onReloadNotified(at);
+    private void onReloadRequested(double requestedAt) {
+        gateway.onReloadNotified(requestedAt);
         try {
             executor.execute(this::reload);
         } catch (RejectedExecutionException ended) {
@@ -76,16 +76,16 @@
     }
 
     private void checkFile() {
-        double before = checkedAt;
+        double lastCheckedAt = checkedAt;
         checkedAt = gateway.now();
-        byte[] fresh = contents();
-        if (!Arrays.equals(fresh, contents)) {
-            contents = fresh;
-            onReloadRequested(before);
+        byte[] newContents = readContents();
+        if (!Arrays.equals(newContents, contents)) {
+            contents = newContents;
+            onReloadRequested(lastCheckedAt);
         }
     }
 
-    private byte[] contents() {
+    private byte[] readContents() {
         try {
             return Files.readAllBytes(Path.of(environment.getOrDefault("GW_CONFIG", "")));
         } catch (IOException | InvalidPathException unreadable) {
@@ -99,17 +99,17 @@
         try {
             gateway.onConfigurationRead(GatewayConfig.read(environment), readAt);
             lastFailure = null;
-        } catch (UnreadableConfigException unknown) {
-            retryAfter(unknown);
-        } catch (ConfigException bad) {
+        } catch (UnreadableConfigException unreadable) {
+            retryAfter(unreadable);
+        } catch (ConfigException invalid) {
             gateway.onConfigurationUnusable(readAt);
-            retryAfter(bad);
+            retryAfter(invalid);
         }
     }
 
-    private void retryAfter(ConfigException bad) {
-        if (!bad.getMessage().equals(lastFailure)) {
-            lastFailure = bad.getMessage();
+    private void retryAfter(ConfigException failure) {
+        if (!failure.getMessage().equals(lastFailure)) {
+            lastFailure = failure.getMessage();
             LogWriter.warn("configuration reload failed", "reason", lastFailure);
         }
         if (!retryScheduled) {
--- a/src/main/java/sagepulley/lifecycle/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -43,6 +43,17 @@
     private static final int OPERATIONS = 300;
     private static final long SHUTDOWN_QUIET_MILLIS = 100;
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
+    private static final long BUILD_TIMEOUT_MILLIS = 10_000;
+    private static final RespLimits COMMAND_LIMITS = RespLimits.commands(64, 2048, 4096, 8);
+    private static final RespLimits REPLY_LIMITS = RespLimits.replies(512, 2048, 4096, 8);
+
+    /** Each so many requests one writes, one has an unknown class, one is a PING. */
+    private static final int WRITE_INTERVAL = 3;
+
+    private static final int UNKNOWN_CLASS_INTERVAL = 20;
+    private static final int PING_INTERVAL = 50;
+    private static final int VOLUMES = 7;
+    private static final int EXTENTS = 30;
     private static final byte[] ENDPOINT_REPLY =
             "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] ENDPOINT_LIST_RESPONSE =
@@ -63,7 +74,7 @@
 
     /** The build's run: inside the program, on loopback, and from a file as in service. */
     public static void onLoopback() throws IOException, ConfigException {
-        inProcess(OPERATIONS, 10_000);
+        inProcess(OPERATIONS, BUILD_TIMEOUT_MILLIS);
         run(
                 Transport.sockets(),
                 Transport.sockets(),
@@ -71,7 +82,7 @@
                 loopback(),
                 loopback(),
                 OPERATIONS,
-                10_000);
+                BUILD_TIMEOUT_MILLIS);
         serveFromFile();
     }
 
@@ -176,7 +187,7 @@
     private static void serveEndpoint(Channel channel) {
         channel.pipeline()
                 .addLast(
-                        new RespDecoder(RespLimits.commands(64, 2048, 4096, 8)),
+                        new RespDecoder(COMMAND_LIMITS),
                         new SimpleChannelInboundHandler<Resp>() {
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, Resp command) {
@@ -214,45 +225,42 @@
                                 channel ->
                                         channel.pipeline()
                                                 .addLast(
-                                                        new RespDecoder(
-                                                                RespLimits.replies(
-                                                                        512, 2048, 4096, 8)),
-                                                        new SimpleChannelInboundHandler<Resp>() {
-                                                            @Override
-                                                            public void channelActive(
-                                                                    ChannelHandlerContext ctx) {
-                                                                sendRequest(ctx);
-                                                            }
-
-                                                            @Override
-                                                            protected void channelRead0(
-                                                                    ChannelHandlerContext ctx,
-                                                                    Resp answer) {
-                                                                remaining.countDown();
-                                                                sendRequest(ctx);
-                                                            }
-                                                        })))
+                                                        new RespDecoder(REPLY_LIMITS),
+                                                        new ClientHandler())))
                 .connect(listen);
     }
 
+    private final class ClientHandler extends SimpleChannelInboundHandler<Resp> {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            sendRequest(ctx);
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, Resp reply) {
+            remaining.countDown();
+            sendRequest(ctx);
+        }
+    }
+
     private void sendRequest(ChannelHandlerContext ctx) {
         long number = ++requestCount;
-        boolean isWrite = number % 3 == 0;
+        boolean isWrite = number % WRITE_INTERVAL == 0;
         String fields =
                 "c="
-                        + (number % 20 == 0 ? "none" : isWrite ? "put" : "get")
+                        + (number % UNKNOWN_CLASS_INTERVAL == 0 ? "none" : isWrite ? "put" : "get")
                         + ",t=any,d=900,volume="
-                        + NumberParser.formatId(number % 7)
+                        + NumberParser.formatId(number % VOLUMES)
                         + ",units=1,shard="
                         + (isWrite ? -1 : 0)
                         + ",hosts=1";
         List<byte[]> arguments = new ArrayList<>();
         for (String argument :
-                number % 50 == 0
+                number % PING_INTERVAL == 0
                         ? List.of("PING")
                         : List.of(
                                 isWrite ? BlockCommand.WRITE : BlockCommand.READ,
-                                NumberParser.formatId(number % 30),
+                                NumberParser.formatId(number % EXTENTS),
                                 NumberParser.formatId(number),
                                 fields,
                                 "value")) {
--- a/src/main/java/sagepulley/transport/Transport.java
+++ b/src/main/java/sagepulley/transport/Transport.java
@@ -4,6 +4,7 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ConnectTimeoutException;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -13,6 +14,7 @@
 import io.netty.channel.local.LocalServerChannel;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
+import java.net.ConnectException;
 import java.util.function.Consumer;
 import sagepulley.codec.frame.EventLoops;
 import sagepulley.logging.LogWriter;
@@ -72,4 +74,20 @@
                 LocalChannel.class,
                 LocalServerChannel.class);
     }
+
+    /** Whether a connection failed because no process listens at the port. */
+    public static boolean isRefused(Throwable cause) {
+        return cause instanceof ConnectException
+                && !(cause instanceof ConnectTimeoutException)
+                && String.valueOf(cause.getMessage()).contains("refused");
+    }
+
+    /** What the operating system said of a failure, below the exceptions that Netty wraps. */
+    public static String systemMessage(Throwable failure) {
+        Throwable root = failure;
+        while (root.getCause() != null) {
+            root = root.getCause();
+        }
+        return root.getMessage();
+    }
 }
