--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -30,12 +30,12 @@
     public String toString() {
         return String.format(
                 Locale.ROOT,
-                "bound:%.1f,queue:%.2f,out:%d,waiting:%d,faults:%.2f%s",
+                "limit:%.1f,queue:%.2f,in-flight:%d,waiting:%d,faults:%.2f%s",
                 concurrencyLimit,
                 queueEstimate,
                 inFlight,
                 waiting,
                 faultRatio,
-                ejected ? ",silent" : "");
+                ejected ? ",ejected" : "");
     }
 }
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -32,7 +32,7 @@
     public String toString() {
         return String.format(
                 Locale.ROOT,
-                "base:%.1f,mean:%.1f,left-age:%.0f,left-share:%.3f,ease:%.2f",
+                "base-ms:%.1f,mean-ms:%.1f,cancel-age-ms:%.0f,cancel-ratio:%.3f,admission-factor:%.2f",
                 baseServiceTime,
                 meanServiceTime,
                 cancellationAge,
