--- a/src/test/java/sagepulley/faultinjection/FleetChecks.java
+++ b/src/test/java/sagepulley/faultinjection/FleetChecks.java
@@ -9,7 +9,7 @@
 
 /** What several tests on a fleet of real processes do and check. */
 final class FleetChecks {
-    private static final long SERVED_WITHIN_S = 10;
+    private static final long MAX_RECOVERY_SECONDS = 10;
 
     private FleetChecks() {}
 
@@ -38,7 +38,7 @@
     /** Some request that is sent from now on is served. */
     static void assertServedAgain(TestFleet fleet) {
         long from = System.nanoTime();
-        await().atMost(SERVED_WITHIN_S, TimeUnit.SECONDS)
+        await().atMost(MAX_RECOVERY_SECONDS, TimeUnit.SECONDS)
                 .until(
                         () ->
                                 fleet.requests().stream()
--- a/src/test/java/sagepulley/faultinjection/SoakTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakTest.java
@@ -18,16 +18,16 @@
 @Timeout(180)
 @Execution(ExecutionMode.CONCURRENT)
 class SoakTest {
-    private static final long LENGTH_MS = 24_000;
-    private static final int SHOWN = 12;
-    private static final int LEAST_SERVED = 100;
+    private static final long LENGTH_MILLIS = 24_000;
+    private static final int MAX_SHOWN = 12;
+    private static final int MIN_SERVED = 100;
 
     @TempDir Path folder;
 
     @ParameterizedTest(name = "seed {0}")
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void noRuleIsBroken(long seed) throws Exception {
-        try (SoakRun run = new SoakRun(seed, folder, LENGTH_MS)) {
+        try (SoakRun run = new SoakRun(seed, folder, LENGTH_MILLIS)) {
             List<String> broken = run.violations();
             assertTrue(
                     broken.isEmpty(),
@@ -36,10 +36,10 @@
                                     + " violations; "
                                     + String.join(
                                             "\n  ",
-                                            broken.subList(0, Math.min(SHOWN, broken.size())))
+                                            broken.subList(0, Math.min(MAX_SHOWN, broken.size())))
                                     + "\n"
                                     + run.journalText());
-            assertTrue(run.served() > LEAST_SERVED, run::journalText);
+            assertTrue(run.served() > MIN_SERVED, run::journalText);
         }
     }
 }
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -19,7 +19,7 @@
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
 class StaleEndpointsTest {
-    private static final long WATCHED_MS = 13_000;
+    private static final long WATCHED_MILLIS = 13_000;
 
     @TempDir Path folder;
 
@@ -44,7 +44,7 @@
             FleetChecks.drain(fleet, 0);
             restarted.awaitReady();
             fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 1);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(WATCHED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
     }
@@ -71,7 +71,7 @@
             fleet.discovery.behaviour = DiscoveryBehaviour.unresponsive();
             fleet.discovery.watchesSilent = true;
             FleetChecks.drain(fleet, 0);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(WATCHED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
     }
@@ -104,11 +104,11 @@
             fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 5);
             Thread.sleep(1_000);
             fleet.discovery.goDown();
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(WATCHED_MILLIS);
             FleetChecks.assertServedAgain(fleet);
             FleetChecks.drain(fleet, 0);
             fleet.discovery.comeBack();
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(WATCHED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
     }
@@ -121,7 +121,7 @@
         fleet.discovery.behaviour = behaviour;
         fleet.discovery.resetAll();
         FleetChecks.drain(fleet, 0);
-        Thread.sleep(WATCHED_MS);
+        Thread.sleep(WATCHED_MILLIS);
         FleetChecks.assertNoSendAfterGrace(fleet);
     }
 }
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -17,11 +17,11 @@
  */
 @Timeout(60)
 class StopTest {
-    private static final long KILL_AFTER_MS = TestFleet.MAX_DEADLINE_MILLIS + 700;
-    private static final String HOLD_UP_SECONDS = "0.14";
+    private static final long KILL_AFTER_MILLIS = TestFleet.MAX_DEADLINE_MILLIS + 700;
+    private static final String SUSPEND_SECONDS = "0.14";
 
     /** When no more is taken, and just before the kill. */
-    private static final long[] HELD_UP_BEFORE_KILL_MS = {620, 160};
+    private static final long[] SUSPENDED_BEFORE_KILL_MILLIS = {620, 160};
 
     @TempDir Path folder;
 
@@ -37,13 +37,13 @@
             gateway.signal("TERM");
             Thread.sleep(400);
             load.connectElsewhere(true);
-            for (long beforeKill : HELD_UP_BEFORE_KILL_MS) {
-                sleepUntil(toldAt, KILL_AFTER_MS - beforeKill);
+            for (long beforeKill : SUSPENDED_BEFORE_KILL_MILLIS) {
+                sleepUntil(toldAt, KILL_AFTER_MILLIS - beforeKill);
                 if (gateway.isAlive()) {
-                    gateway.suspend(HOLD_UP_SECONDS);
+                    gateway.suspend(SUSPEND_SECONDS);
                 }
             }
-            sleepUntil(toldAt, KILL_AFTER_MS);
+            sleepUntil(toldAt, KILL_AFTER_MILLIS);
             boolean alive = gateway.isAlive();
             long killedAt = System.nanoTime();
             gateway.kill();
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void theShortBadDayIsKept() throws Exception {
+    void theShortBadEveningKeepsAllRules() throws Exception {
         Scenario day = ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
         ScenarioRunner.Result result = new ScenarioRunner(day).run();
         result.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void theLedgerKnowsWhatAReadMayShow() {
+    void theHistoryKnowsWhatAReadMayShow() {
         BlockHistory history = new BlockHistory();
         BlockHistory.Write first = history.begin(1, 0, 4096, 10);
         BlockHistory.Write second = history.begin(1, 0, 4096, 30);
@@ -125,7 +125,7 @@
                 "gateways 1000|x:1:10: the number of gateways is 1000",
                 "day 'single'|x:1:5: ",
             })
-    void aMistakeInAScriptIsToldWithLineAndColumn(String text, String told) {
+    void aMistakeInAScriptIsReportedWithLineAndColumn(String text, String told) {
         ScenarioException error =
                 org.junit.jupiter.api.Assertions.assertThrows(
                         ScenarioException.class, () -> ScenarioReader.read("x", text));
