--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import sagepulley.codec.frame.EventLoops;
 import sagepulley.codec.nbd.NbdClient;
-import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.config.SiteConfig;
 import sagepulley.config.SiteConfigException;
 import sagepulley.frontend.nbd.NbdGateway;
@@ -38,6 +38,7 @@
     private static final int GATEWAYS = 4;
     private static final double REQUESTS_PER_SECOND = 150;
     private static final long MEASURED_MILLIS = 3_000;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     /** What became of some nodes while the list lay. */
     public enum Since {
@@ -234,7 +235,6 @@
         }
     }
 
-    @SuppressWarnings("UnnecessaryAsync") // counted on the event loops of the clients
     private static Row serve(
             LocalCluster cluster,
             Way way,
@@ -247,93 +247,24 @@
             throws SiteConfigException {
         long start = System.nanoTime();
         List<NbdClient> clients = new ArrayList<>();
-        List<NbdGateway> gateways = new ArrayList<>();
-        for (int i = 0; i < GATEWAYS; i++) {
-            String text =
-                    way == Way.WAITING
-                            ? sites.get(i).substring(0, sites.get(i).indexOf("[membership]"))
-                            : sites.get(i);
-            SiteConfig site = SiteConfig.read("site", text);
-            NbdGateway gateway =
-                    way == Way.BLINDLY
-                            ? new NbdGateway(
-                                    site,
-                                    seed * 1000 + i,
-                                    new UncheckedMembership(
-                                            site.siteName(), Membership.Policy.DEFAULT))
-                            : new NbdGateway(site, seed * 1000 + i);
-            var ready = gateway.start();
-            if (way != Way.WAITING) {
-                LocalCluster.await(ready);
-                clients.add(open(cluster.loops(), gateway));
-            }
-            gateways.add(gateway);
-        }
-        AtomicLong first = new AtomicLong();
-        AtomicLong sentRequests = new AtomicLong();
-        AtomicLong intact = new AtomicLong();
-        AtomicLong inTime = new AtomicLong();
-        AtomicLong open = new AtomicLong();
-        SplittableRandom random = new SplittableRandom(seed);
-        double target =
-                SiteConfig.read("site", sites.get(0))
-                                .deployment()
-                                .trafficClasses()
-                                .get(0)
-                                .latencyObjective()
-                        * 1e6;
-        Set<Long> lost = new HashSet<>();
-        long end = System.nanoTime() + MEASURED_MILLIS * 1_000_000;
-        for (long next = System.nanoTime();
-                next < end;
-                next +=
-                        (long)
-                                (-Math.log(1 - random.nextDouble())
-                                        / (REQUESTS_PER_SECOND * GATEWAYS)
-                                        * 1e9)) {
-            sleepUntil(next);
-            long extent = random.nextInt(EXTENTS);
-            sentRequests.incrementAndGet();
-            if (clients.isEmpty()) {
-                continue;
-            }
-            long sent = System.nanoTime();
-            open.incrementAndGet();
-            clients.get(random.nextInt(clients.size()))
-                    .request(
-                            NbdConstants.CMD_READ,
-                            0,
-                            extent * EXTENT_BYTES,
-                            4096,
-                            io.netty.buffer.Unpooled.EMPTY_BUFFER,
-                            (reply, failure) -> {
-                                long now = System.nanoTime();
-                                if (failure == null && reply.error == 0) {
-                                    first.compareAndSet(0, now);
-                                    inTime.addAndGet(now - sent <= target ? 1 : 0);
-                                    intact.incrementAndGet();
-                                } else if (failure == null) {
-                                    synchronized (lost) {
-                                        lost.add(extent);
-                                    }
-                                }
-                                if (reply != null) {
-                                    reply.release();
-                                }
-                                open.decrementAndGet();
-                            });
-        }
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (open.get() > 0 && System.nanoTime() < until) {
-            sleepUntil(System.nanoTime() + 1_000_000);
-        }
+        List<NbdGateway> gateways = startGateways(cluster, way, sites, seed, clients);
+        ColdStartReadLoad load =
+                new ColdStartReadLoad(
+                        REQUESTS_PER_SECOND * GATEWAYS,
+                        EXTENTS,
+                        EXTENT_BYTES,
+                        latencyObjectiveNanos(sites.get(0)),
+                        ColdStartExperiment::sleepUntil,
+                        seed);
+        load.send(clients, MEASURED_MILLIS);
+        load.awaitReplies();
         clients.forEach(client -> client.channel().close().syncUninterruptibly());
         gateways.forEach(gateway -> LocalCluster.await(gateway.kill()));
-        double could =
+        double reachable =
                 since == Since.DRAINED || since == Since.REPLACED
                         ? 1 - (double) changed / NODES
                         : 1;
-        double service = (double) inTime.get() / Math.max(1, sentRequests.get());
+        long firstServedAt = load.firstServedAt();
         return new Row(
                 way,
                 ageHours,
@@ -341,9 +272,46 @@
                 changed,
                 counter.wrong.get(),
                 counter.collapsed.get(),
-                first.get() == 0 ? Double.NaN : (first.get() - start) / 1e6,
-                Math.min(1, service / could),
-                service);
+                firstServedAt == 0 ? Double.NaN : (firstServedAt - start) / NANOS_PER_MILLI,
+                Math.min(1, load.service() / reachable),
+                load.service());
+    }
+
+    /** Starts all gateways; adds a client for each that is ready without discovery. */
+    private static List<NbdGateway> startGateways(
+            LocalCluster cluster, Way way, List<String> sites, long seed, List<NbdClient> clients)
+            throws SiteConfigException {
+        List<NbdGateway> gateways = new ArrayList<>();
+        for (int i = 0; i < GATEWAYS; i++) {
+            NbdGateway gateway = gateway(way, sites.get(i), seed * 1000 + i);
+            CompletableFuture<NbdGateway> ready = gateway.start();
+            if (way != Way.WAITING) {
+                LocalCluster.await(ready);
+                clients.add(open(cluster.loops(), gateway));
+            }
+            gateways.add(gateway);
+        }
+        return gateways;
+    }
+
+    private static NbdGateway gateway(Way way, String siteText, long seed)
+            throws SiteConfigException {
+        String text =
+                way == Way.WAITING
+                        ? siteText.substring(0, siteText.indexOf("[membership]"))
+                        : siteText;
+        SiteConfig site = SiteConfig.read("site", text);
+        return way == Way.BLINDLY
+                ? new NbdGateway(
+                        site,
+                        seed,
+                        new UncheckedMembership(site.siteName(), Membership.Policy.DEFAULT))
+                : new NbdGateway(site, seed);
+    }
+
+    private static double latencyObjectiveNanos(String siteText) throws SiteConfigException {
+        SiteConfig site = SiteConfig.read("site", siteText);
+        return site.deployment().trafficClasses().get(0).latencyObjective() * NANOS_PER_MILLI;
     }
 
     private static void sleepUntil(long until) {
