--- a/src/jmh/java/sagepulley/bench/ControlBench.java
+++ b/src/jmh/java/sagepulley/bench/SchedulerBench.java
@@ -42,7 +42,7 @@
 @Fork(1)
 @Warmup(iterations = 4)
 @Measurement(iterations = 6)
-public class ControlBench {
+public class SchedulerBench {
     private static final int OPERATIONS = 1_000;
     private static final double SERVICE = 10;
     private static final int SLOTS = 4;
