--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -64,6 +64,7 @@
     private final EndpointListHandler endpointLists;
     private final DiscoveryClient discovery;
     private final StateReporter reporter;
+    private final ShutdownSchedule shutdownSchedule;
     private final GatewayMetrics metrics = new GatewayMetrics();
     private final RateLimitedLog eventLog = new RateLimitedLog(clock::now);
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
@@ -75,6 +76,7 @@
     public RespGateway(GatewayConfig config, Transport transport) {
         this.config = config;
         this.loop = transport.eventLoops().next();
+        this.shutdownSchedule = ShutdownSchedule.of(maxDeadline(config));
         this.engine = new GatewayEngine(config.deployment(), config.seed(), this);
         this.dueWork = new DueWorkScheduler(loop, clock, engine);
         this.endpoints = new EndpointRegistry(config.zones(), config.kinds(), clock);
@@ -342,15 +344,16 @@
                     }
                     stopping = true;
                     if (listening) {
-                        beginShutdown(ShutdownSchedule.after(signalledAt, maxDeadline(config)));
+                        beginShutdown(signalledAt);
                     } else {
                         endpointLists.firstList().complete(null);
                     }
                 });
     }
 
-    private void beginShutdown(ShutdownSchedule schedule) {
-        requests.limitDeadlines(schedule.failAt());
+    private void beginShutdown(double signalledAt) {
+        double failAt = shutdownSchedule.failAt(signalledAt);
+        requests.limitDeadlines(failAt);
         double now = clock.now();
         requests.clients().disableIdleTimeout();
         LogWriter.info("graceful shutdown started", "in-flight", engine.inFlight().size());
@@ -359,9 +362,9 @@
                     requests.clients().drain();
                     stopIfDrained();
                 },
-                (long) (schedule.drainAt() - now),
+                (long) (shutdownSchedule.drainAt(signalledAt) - now),
                 TimeUnit.MILLISECONDS);
-        loop.schedule(this::failAll, (long) (schedule.failAt() - now), TimeUnit.MILLISECONDS);
+        loop.schedule(this::failAll, (long) (failAt - now), TimeUnit.MILLISECONDS);
     }
 
     private void failAll() {
--- a/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
+++ b/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
@@ -1,12 +1,12 @@
 package sagepulley.frontend.resp;
 
 /**
- * When a graceful shutdown takes its steps, in milliseconds of the gateway's clock.
+ * When a graceful shutdown takes its steps, in milliseconds of the gateway's clock. Made at the
+ * start: a process without file descriptors may be unable to load a class when it stops.
  *
- * @param drainAt connections are drained, and no new command is accepted, from this time on
- * @param failAt operations still in flight are failed at this time
+ * @param failDelayMillis operations still in flight are failed this long after the signal
  */
-record ShutdownSchedule(double drainAt, double failAt) {
+record ShutdownSchedule(double failDelayMillis) {
     /**
      * SIGKILL follows SIGTERM no sooner than the longest deadline, capped at this, and the grace
      * period after it. Clients keep using the connections that they have and find no other gateway,
@@ -21,13 +21,21 @@
 
     private static final double DRAIN_MILLIS = 250;
 
-    /** The schedule after a signal at a time, where no request has a longer deadline than this. */
-    static ShutdownSchedule after(double signalledAt, double maxDeadlineMillis) {
-        double remaining =
+    /** The schedule where no request has a longer deadline than this. */
+    static ShutdownSchedule of(double maxDeadlineMillis) {
+        return new ShutdownSchedule(
                 Math.min(maxDeadlineMillis, MAX_SERVING_MILLIS)
                         + KILL_GRACE_MILLIS
-                        - REPLY_MARGIN_MILLIS;
-        double failAt = signalledAt + remaining;
-        return new ShutdownSchedule(failAt - DRAIN_MILLIS, failAt);
+                        - REPLY_MARGIN_MILLIS);
+    }
+
+    /** Operations still in flight are failed at this time. */
+    double failAt(double signalledAt) {
+        return signalledAt + failDelayMillis;
+    }
+
+    /** Connections are drained, and no new command is accepted, from this time on. */
+    double drainAt(double signalledAt) {
+        return failAt(signalledAt) - DRAIN_MILLIS;
     }
 }
