--- a/src/main/java/sagepulley/faultinjection/TricklingOutput.java
+++ b/src/main/java/sagepulley/faultinjection/TricklingOutput.java
@@ -7,7 +7,7 @@
 
 /** Writes HTTP answers to a socket, at once or in pieces that are spread over a time. */
 final class TricklingOutput {
-    private static final long PIECE_INTERVAL_MILLIS = 50;
+    private static final long CHUNK_INTERVAL_MILLIS = 50;
 
     private final OutputStream out;
 
@@ -28,7 +28,7 @@
     /** Writes a text in pieces spread evenly over a time; at once where that is 0. */
     void write(String text, long trickleMillis) throws IOException, InterruptedException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
-        long intervals = trickleMillis / PIECE_INTERVAL_MILLIS;
+        long intervals = trickleMillis / CHUNK_INTERVAL_MILLIS;
         int pieces = (int) Math.max(1, Math.min(bytes.length, intervals));
         for (int i = 0; i < pieces; i++) {
             int from = (int) ((long) bytes.length * i / pieces);
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -51,7 +51,7 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int NO_BODY = -1;
     private static final double MILLIS_PER_SECOND = 1000;
-    private static final long LONGEST_SECONDS = 5;
+    private static final long ENGINE_TIMEOUT_SECONDS = 5;
 
     /** /accounts reports on so much time. */
     private static final double REPORT_MILLIS = 600_000;
@@ -154,13 +154,14 @@
     }
 
     private String metrics() throws InterruptedException, ExecutionException, TimeoutException {
-        totals = gateway.totals().get(LONGEST_SECONDS, TimeUnit.SECONDS);
+        totals = gateway.totals().get(ENGINE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         return registry.scrape();
     }
 
     private String accounts()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        GatewayAccounts written = gateway.accountSnapshot().get(LONGEST_SECONDS, TimeUnit.SECONDS);
+        GatewayAccounts written =
+                gateway.accountSnapshot().get(ENGINE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         LatencyAccount book = written.accounts().toAccount();
         double now = written.writtenAt();
         List<LatencyReport> reports =
@@ -180,7 +181,7 @@
     private String nodes()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         return new JsonMapper()
-                .writeValueAsString(gateway.nodes().get(LONGEST_SECONDS, TimeUnit.SECONDS));
+                .writeValueAsString(gateway.nodes().get(ENGINE_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     // ---- metrics ----
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -420,7 +420,7 @@
         return new float[] {queue.size()};
     }
 
-    private StoreMessages.HandshakeReply welcome() {
+    private StoreMessages.HandshakeReply handshakeReply() {
         return new StoreMessages.HandshakeReply(
                 profile.id(),
                 profile.cell(),
@@ -445,7 +445,7 @@
                     older.close();
                 }
             }
-            session.send(StoreMessages.handshakeReply(welcome()));
+            session.send(StoreMessages.handshakeReply(handshakeReply()));
         }
 
         @Override
