--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -139,7 +139,7 @@
                 file.get("known") instanceof Map<?, ?> known
                         ? EndpointListUpdate.parse(withStringKeys(known))
                         : new EndpointListUpdate(0, true, List.of(), List.of()),
-                reader.deployment().onWatch(NOTIFICATION_DELAY_MILLIS),
+                reader.deployment().withWatch(NOTIFICATION_DELAY_MILLIS),
                 strings(settings.get("zones")),
                 strings(settings.get("kinds")),
                 reader.time("limits.dialTimeoutNs", DEFAULT_CONNECT_TIMEOUT_MILLIS),
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -173,7 +173,7 @@
     private void markOverdue(DiscoveryRequest request) {
         request.setRole(Role.OVERDUE);
         overdueRequests.add(request);
-        if (overdueRequests.size() > EndpointPollPolicy.MAX_OVERDUE) {
+        if (overdueRequests.size() > EndpointPollPolicy.MAX_OVERDUE_POLLS) {
             DiscoveryRequest oldest = overdueRequests.peekFirst();
             DiscoveryRequest dropped =
                     EndpointPollPolicy.shouldDropOldest(
--- a/src/main/java/sagepulley/engine/Clock.java
+++ b/src/main/java/sagepulley/engine/Clock.java
@@ -19,12 +19,12 @@
      * The wall-clock time, in milliseconds since 1970, at a time of this clock; steps of the wall
      * clock since the start change nothing.
      */
-    public double wall(double time) {
+    public double toWallClock(double time) {
         return wallAtStart + time;
     }
 
     /** This clock's time at a wall-clock time in milliseconds since 1970; 0 is long ago. */
-    public double atWall(long wall) {
+    public double fromWallClock(long wall) {
         return wall == 0 ? Double.NEGATIVE_INFINITY : wall - wallAtStart;
     }
 }
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -71,9 +71,9 @@
         for (EndpointEntry entry : entries) {
             entry.copyTo(nodes.computeIfAbsent(entry.node(), Node::new));
         }
-        List<Node> forgotten = forgetRemoved(now);
+        List<Node> pruned = forgetRemoved(now);
         scheduler.onEndpointList(new ArrayList<>(nodes.values()), now);
-        return forgotten;
+        return pruned;
     }
 
     /**
@@ -82,21 +82,21 @@
      */
     private List<Node> forgetRemoved(double now) {
         Set<Node> inUse = nodesInUse();
-        List<Node> forgotten = new ArrayList<>(0);
+        List<Node> pruned = new ArrayList<>(0);
         for (Node node : nodes.values()) {
             if (node.phase != Node.Phase.REMOVED) {
                 removedSince.remove(node.id);
             } else if (now - removedSince.computeIfAbsent(node.id, any -> now) > MAX_REMOVED_MILLIS
                     && !inUse.contains(node)) {
-                node.forgotten = true;
-                forgotten.add(node);
+                node.pruned = true;
+                pruned.add(node);
             }
         }
-        for (Node node : forgotten) {
+        for (Node node : pruned) {
             nodes.remove(node.id);
             removedSince.remove(node.id);
         }
-        return forgotten;
+        return pruned;
     }
 
     private Set<Node> nodesInUse() {
@@ -182,7 +182,7 @@
         Map<Reason, Integer> waiting = new EnumMap<>(Reason.class);
         for (Operation operation : operations.values()) {
             if (!operation.ended && !operation.isInFlight() && !arrivals.contains(operation)) {
-                waiting.merge(WaitExplainer.why(scheduler, operation, now), 1, Integer::sum);
+                waiting.merge(WaitExplainer.reasonFor(scheduler, operation, now), 1, Integer::sum);
             }
         }
         return waiting;
--- a/src/main/java/sagepulley/frontend/nbd/AccountReports.java
+++ b/src/main/java/sagepulley/frontend/nbd/AccountReports.java
@@ -65,8 +65,8 @@
                                 name,
                                 account.report(
                                         volume.settings.id(),
-                                        clock.wall(now - millis),
-                                        clock.wall(now))));
+                                        clock.toWallClock(now - millis),
+                                        clock.toWallClock(now))));
         return reports;
     }
 
@@ -96,7 +96,7 @@
         volumes.forEach((name, volume) -> names.put((long) volume.settings.id(), name));
         return new GatewayAccounts(
                 gatewayName,
-                (long) clock.wall(clock.now()),
+                (long) clock.toWallClock(clock.now()),
                 names,
                 copy.listVersions(),
                 StoredAccounts.of(copy.account()));
--- a/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
+++ b/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
@@ -299,7 +299,7 @@
     }
 
     private double wallMillis() {
-        return clock.wall(clock.now());
+        return clock.toWallClock(clock.now());
     }
 
     /** What the endpoint list is now, for operators; the caller adds what it knows itself. */
--- a/src/main/java/sagepulley/frontend/nbd/NodeConnectionRegistry.java
+++ b/src/main/java/sagepulley/frontend/nbd/NodeConnectionRegistry.java
@@ -133,7 +133,7 @@
         node.zone = endpoint.zone();
         node.kind = endpoint.kind();
         node.weight = endpoint.weight();
-        node.startedAt = clock.atWall(endpoint.startedAt());
+        node.startedAt = clock.fromWallClock(endpoint.startedAt());
         node.acceptsNewObjects = member.acceptsNewObjects();
         node.phase =
                 switch (member.phase()) {
--- a/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
@@ -55,7 +55,7 @@
         this.accounts =
                 new Accounts(
                         site.accounts().enabled() ? Accounts.Bounds.DEFAULT : Accounts.Bounds.NONE,
-                        clock.wall(0),
+                        clock.toWallClock(0),
                         site.volumes().stream()
                                 .limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS)
                                 .map(volume -> (long) volume.id())
@@ -179,7 +179,7 @@
             return; // no accounts are kept
         }
         LatencyComponent component =
-                LatencyComponent.of(WaitExplainer.why(scheduler, part.operation, now));
+                LatencyComponent.of(WaitExplainer.reasonFor(scheduler, part.operation, now));
         accounts.waitStarted(
                 part.timer, component, connections.readyNodeOf(part.operation.shard), now);
     }
--- a/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -58,7 +58,7 @@
                 toText(part.kind),
                 part.extent,
                 operation.units,
-                clock.wall(operation.arrivedAt),
+                clock.toWallClock(operation.arrivedAt),
                 duration,
                 end,
                 reason,
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -68,7 +68,7 @@
                 member.cell(),
                 number,
                 member.phase(),
-                clock.atWall(member.startedAtMillis()),
+                clock.fromWallClock(member.startedAtMillis()),
                 kinds.indexOf(member.flavor()),
                 member.weight());
     }
--- a/src/main/java/sagepulley/membership/EndpointPollPolicy.java
+++ b/src/main/java/sagepulley/membership/EndpointPollPolicy.java
@@ -19,7 +19,7 @@
     public static final long FIRST_LIST_TIMEOUT_MILLIS = 2_200;
 
     /** Overdue polls that stay open: discovery may be slow, and what it still answers is taken. */
-    public static final int MAX_OVERDUE = 1;
+    public static final int MAX_OVERDUE_POLLS = 1;
 
     /** An overdue poll that has brought something is dropped when it is quiet for longer. */
     private static final double STALLED_AFTER_MILLIS = 2_500;
--- a/src/main/java/sagepulley/model/Deployment.java
+++ b/src/main/java/sagepulley/model/Deployment.java
@@ -65,7 +65,7 @@
      * The same deployment where lists come only on a watch that this gateway opens, at once where
      * they are pushed otherwise, and a change counts as notified within a time.
      */
-    public Deployment onWatch(double notifiedWithin) {
+    public Deployment withWatch(double notifiedWithin) {
         return new Deployment(
                 gatewayIndex,
                 gatewayCount,
--- a/src/main/java/sagepulley/model/Node.java
+++ b/src/main/java/sagepulley/model/Node.java
@@ -26,7 +26,7 @@
      * Set once it is removed for good and none of its attempts is in flight: it never comes back as
      * this object.
      */
-    public boolean forgotten;
+    public boolean pruned;
 
     /** What the scheduler keeps of the endpoint; nobody else reads it. */
     public Object schedulerState;
--- a/src/main/java/sagepulley/model/QuotaTier.java
+++ b/src/main/java/sagepulley/model/QuotaTier.java
@@ -21,7 +21,7 @@
     }
 
     /** Why an operation of this tier waits at a node whose concurrency limit is reached. */
-    public Reason full() {
+    public Reason fullReason() {
         return switch (this) {
             case RESERVATION -> Reason.RESERVATION_FULL;
             case SHARE -> Reason.SHARE_FULL;
--- a/src/main/java/sagepulley/model/RoutingDecision.java
+++ b/src/main/java/sagepulley/model/RoutingDecision.java
@@ -19,7 +19,7 @@
     }
 
     /** The operation waits. */
-    public static final RoutingDecision NOT_YET =
+    public static final RoutingDecision WAITING =
             new RoutingDecision(Kind.WAIT, null, 0, 0, Reason.NONE);
 
     /** The operation is given up, and may have been executed. */
--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -95,7 +95,7 @@
         if (endpoint.queueEstimate <= MIN_QUEUE_ESTIMATE) {
             return false;
         }
-        if (latencies.lateAt(operation) <= now) {
+        if (latencies.latestStartAt(operation) <= now) {
             return true;
         }
         if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * HELD_BACK_FRACTION)) {
@@ -125,7 +125,7 @@
     }
 
     /** Whether so much of what came lately for an endpoint was rejected that retries would harm. */
-    boolean rejectsTooMuch(EndpointState endpoint, double now) {
+    boolean exceedsRejectionRatio(EndpointState endpoint, double now) {
         ArrivalWindow window = arrivalWindow(endpoint);
         return window.rejections().sumOverestimate(now)
                 > MAX_REJECTION_RATIO * window.arrivals().sumOverestimate(now) + 1;
@@ -157,27 +157,27 @@
     }
 
     /** A served attempt shows the queue by its queueing delay; late answers shorten all queues. */
-    void onServed(Attempt attempt, EndpointState endpoint, double queuedTime, double now) {
+    void onServed(Attempt attempt, EndpointState endpoint, double queueingDelay, double now) {
         double objective = latencies.objective(attempt.operation.trafficClass);
         admissionFactor =
                 attempt.duration > LATE_ANSWER_FRACTION * objective
                         ? Math.max(MIN_ADMISSION_FACTOR, admissionFactor * (1 - ADMISSION_DECREASE))
                         : Math.min(
                                 MAX_ADMISSION_FACTOR, admissionFactor * (1 + ADMISSION_INCREASE));
-        observeQueue(endpoint, queuedTime, 1, now);
+        observeQueue(endpoint, queueingDelay, 1, now);
     }
 
     /**
      * Few answers must tell as much as many: one counts the more, the longer the last one is ago.
      */
     private void observeQueue(
-            EndpointState endpoint, double queuedTime, double weight, double now) {
+            EndpointState endpoint, double queueingDelay, double weight, double now) {
         double smoothing =
                 Math.max(
                         MIN_ESTIMATE_SMOOTHING,
                         1 - Math.exp((endpoint.queueObservedAt - now) / ESTIMATE_AGING_MILLIS));
         endpoint.queueObservedAt = now;
-        double seen = Math.min(MAX_QUEUE_ESTIMATE, queuedTime / latencies.acceptableQueueing());
+        double seen = Math.min(MAX_QUEUE_ESTIMATE, queueingDelay / latencies.acceptableQueueing());
         endpoint.queueEstimate += weight * smoothing * (seen - endpoint.queueEstimate);
     }
 
--- a/src/main/java/sagepulley/scheduler/AttemptTimeout.java
+++ b/src/main/java/sagepulley/scheduler/AttemptTimeout.java
@@ -20,7 +20,7 @@
     /** The longest time of an attempt that is sent now, in milliseconds. */
     static double of(Operation operation, double deadlineMarginMillis, double now) {
         TrafficClass trafficClass = operation.trafficClass;
-        double end = QueuedRequest.of(operation).objectiveAt;
+        double end = QueuedRequest.of(operation).objectiveEndsAt;
         if (end <= now || trafficClass.lateWeightFraction() >= MIN_LATE_WEIGHT_FRACTION) {
             end = Math.max(end, now) + GRACE_FRACTION * trafficClass.latencyObjective();
         }
--- a/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
+++ b/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
@@ -34,7 +34,7 @@
     }
 
     /** When the latency objective of an operation that arrives now ends, in milliseconds. */
-    double objectiveAt(Operation operation, double now) {
+    double objectiveEndsAt(Operation operation, double now) {
         TrafficClass trafficClass = operation.trafficClass;
         int index = trafficClass.index();
         double left = operation.deadline - now;
@@ -50,7 +50,7 @@
     /** Remembers the objective of an operation that was not served, for the client's retry. */
     void onUnserved(Operation operation) {
         if (operation.extent != 0) {
-            unserved.put(operation.extent, QueuedRequest.of(operation).objectiveAt);
+            unserved.put(operation.extent, QueuedRequest.of(operation).objectiveEndsAt);
         }
     }
 }
--- a/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
+++ b/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
@@ -62,8 +62,8 @@
     }
 
     /** A served attempt shows by its queueing delay whether the limit is too high or too low. */
-    void onServed(Attempt attempt, EndpointState endpoint, double queuedTime, double now) {
-        if (queuedTime > latencies.acceptableQueueing()) {
+    void onServed(Attempt attempt, EndpointState endpoint, double queueingDelay, double now) {
+        if (queueingDelay > latencies.acceptableQueueing()) {
             reduce(attempt, endpoint, now);
         } else if (endpoint.concurrencyLimit < MAX_LIMIT) {
             endpoint.concurrencyLimit =
--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -51,7 +51,7 @@
     static final class Group {
         final TrafficClass trafficClass;
         final double units;
-        final NavigableSet<QueuedRequest> byObjective = sorted(request -> request.objectiveAt);
+        final NavigableSet<QueuedRequest> byObjective = sorted(request -> request.objectiveEndsAt);
         final NavigableSet<QueuedRequest> byArrival =
                 sorted(request -> request.operation.arrivedAt);
         final NavigableSet<QueuedRequest> byDeadline =
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -151,6 +151,6 @@
 
     /** Whether its place may go to another endpoint. */
     boolean isVacant() {
-        return node.forgotten && waitQueue.isEmpty();
+        return node.pruned && waitQueue.isEmpty();
     }
 }
--- a/src/main/java/sagepulley/scheduler/LatencyTracker.java
+++ b/src/main/java/sagepulley/scheduler/LatencyTracker.java
@@ -63,7 +63,7 @@
     /**
      * How long a served attempt was queued at its endpoint, by the service time without a queue.
      */
-    double queuedTime(Attempt attempt) {
+    double queueingDelay(Attempt attempt) {
         Operation operation = attempt.operation;
         return attempt.duration - operation.units * stats(operation.trafficClass).baseServiceTime;
     }
@@ -124,10 +124,10 @@
     }
 
     /** From when on an operation, if sent, would miss its latency objective. */
-    double lateAt(Operation operation) {
+    double latestStartAt(Operation operation) {
         double end =
                 Math.min(
-                        QueuedRequest.of(operation).objectiveAt,
+                        QueuedRequest.of(operation).objectiveEndsAt,
                         operation.arrivedAt + objective(operation.trafficClass));
         return end - requiredServiceTime(operation.trafficClass, operation.units);
     }
--- a/src/main/java/sagepulley/scheduler/QueuedRequest.java
+++ b/src/main/java/sagepulley/scheduler/QueuedRequest.java
@@ -15,7 +15,7 @@
     /**
      * When its latency objective ends, in milliseconds, counted from the client's first attempt.
      */
-    double objectiveAt;
+    double objectiveEndsAt;
 
     /** Whether it stands in a queue. */
     boolean queued;
--- a/src/main/java/sagepulley/scheduler/RequestPriority.java
+++ b/src/main/java/sagepulley/scheduler/RequestPriority.java
@@ -32,7 +32,7 @@
      * The priority level of an operation at an endpoint, the lowest first; null for any endpoint.
      */
     int level(Operation operation, EndpointState endpoint, double now) {
-        if (latencies.lateAt(operation) <= now) {
+        if (latencies.latestStartAt(operation) <= now) {
             return LATE_LEVEL;
         }
         TrafficClass trafficClass = operation.trafficClass;
--- a/src/main/java/sagepulley/scheduler/RequestQueues.java
+++ b/src/main/java/sagepulley/scheduler/RequestQueues.java
@@ -137,7 +137,7 @@
             // Sorted by each of the three times that may end it: only the overdue are visited.
             group.collectOverdue(
                     group.byObjective,
-                    request -> request.objectiveAt - required,
+                    request -> request.objectiveEndsAt - required,
                     now,
                     overdue,
                     wakeUp::noLaterThan);
--- a/src/main/java/sagepulley/scheduler/RequestSelector.java
+++ b/src/main/java/sagepulley/scheduler/RequestSelector.java
@@ -206,6 +206,6 @@
     }
 
     private boolean isInTime(Operation operation, double now) {
-        return latencies.lateAt(operation) > now && !rules.isPastDeadline(operation, now);
+        return latencies.latestStartAt(operation) > now && !rules.isPastDeadline(operation, now);
     }
 }
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -184,7 +184,7 @@
         QueuedRequest request = request(operation, now);
         if (operation.ended) {
             remove(operation);
-            return RoutingDecision.NOT_YET;
+            return RoutingDecision.WAITING;
         }
         if (!request.queued) {
             queues.enqueue(operation);
@@ -199,10 +199,10 @@
         }
         if (!mayAttempt
                 || rules.isPastDeadline(operation, now)
-                || latencies.lateAt(operation) <= now) {
+                || latencies.latestStartAt(operation) <= now) {
             return giveUp(operation, now);
         }
-        return RoutingDecision.NOT_YET;
+        return RoutingDecision.WAITING;
     }
 
     private void countArrival(QueuedRequest request, double now) {
@@ -269,7 +269,7 @@
 
     private RoutingDecision giveUp(Operation operation, double now) {
         if (operation.isInFlight()) {
-            return RoutingDecision.NOT_YET;
+            return RoutingDecision.WAITING;
         }
         remove(operation);
         clientRetries.onUnserved(operation);
@@ -291,7 +291,7 @@
         if (rules.isPastDeadline(operation, now)) {
             return Reason.DEADLINE;
         }
-        return latencies.lateAt(operation) <= now ? Reason.OBJECTIVE_MISSED : Reason.NO_RETRY;
+        return latencies.latestStartAt(operation) <= now ? Reason.OBJECTIVE_MISSED : Reason.NO_RETRY;
     }
 
     /** Whether a retry is wanted at all; whether the rules allow it is asked for each endpoint. */
@@ -299,7 +299,7 @@
         return rules.retryPolicy().hasAttemptsLeft(operation)
                 && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
-                && latencies.lateAt(operation) > now;
+                && latencies.latestStartAt(operation) > now;
     }
 
     /**
@@ -311,7 +311,7 @@
                 endpoint == null
                         ? queues.size() > endpoints.size()
                         : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
-        return queueIsLong || admission.rejectsTooMuch(endpoint, now);
+        return queueIsLong || admission.exceedsRejectionRatio(endpoint, now);
     }
 
     /** Lets the statistics of all concerns fade and be taken anew, once a period. */
@@ -350,7 +350,7 @@
         latencies.onServed(attempt);
         slowStart.onServed(operation.units);
         EndpointLatencies.onServed(attempt, endpoint);
-        double queued = latencies.queuedTime(attempt);
+        double queued = latencies.queueingDelay(attempt);
         admission.onServed(attempt, endpoint, queued, now);
         concurrency.onServed(attempt, endpoint, queued, now);
     }
@@ -363,7 +363,7 @@
         QueuedRequest request = new QueuedRequest(operation, random.nextDouble());
         operation.schedulerState = request;
         retryBudget.onArrival(now);
-        request.objectiveAt = clientRetries.objectiveAt(operation, now);
+        request.objectiveEndsAt = clientRetries.objectiveEndsAt(operation, now);
         keyOrdering.onArrival(request);
         return request;
     }
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -9,7 +9,7 @@
     private WaitExplainer() {}
 
     /** The first of the scheduler's concerns that holds the operation back now. */
-    public static Reason why(Scheduler scheduler, Operation operation, double now) {
+    public static Reason reasonFor(Scheduler scheduler, Operation operation, double now) {
         if (!scheduler.lease.holds(now)) {
             return Reason.NO_LEASE;
         }
@@ -41,6 +41,6 @@
         if (scheduler.concurrency.hasCapacity(endpoint, now)) {
             return Reason.LOWER_PRIORITY;
         }
-        return scheduler.quota.tier(operation, endpoint, now).full();
+        return scheduler.quota.tier(operation, endpoint, now).fullReason();
     }
 }
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -151,7 +151,7 @@
                                 member("two", Node.Phase.DRAINING, 82),
                                 member("three", Node.Phase.REMOVED, 83)),
                         List.of()),
-                expectedDeployment().onWatch(6_000),
+                expectedDeployment().withWatch(6_000),
                 List.of("here", "there"),
                 List.of("plain", "fast"),
                 91,
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -153,7 +153,7 @@
             Deployment deployment = SettingsReader.ofLines(SETTINGS).deployment();
             this.engine =
                     new GatewayEngine(
-                            leaseIsBounded ? deployment.onWatch(WATCH_SPAN_MILLIS) : deployment,
+                            leaseIsBounded ? deployment.withWatch(WATCH_SPAN_MILLIS) : deployment,
                             seed,
                             this);
             for (int i = 0; i < ENDPOINTS; i++) {
--- a/src/test/java/sagepulley/scheduler/CancellationTest.java
+++ b/src/test/java/sagepulley/scheduler/CancellationTest.java
@@ -14,18 +14,18 @@
     void earlyCancellationsShortenTheObjectiveAndCancelAttempts() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 8; i++) {
-            Operation operation = harness.take(SchedulerHarness.BULK, 0);
-            harness.passTime(60);
+            Operation operation = harness.submit(SchedulerHarness.BULK, 0);
+            harness.advanceClock(60);
             harness.cancel(operation);
-            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
+            harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
         }
         assertEquals(8, harness.cancelled.size());
-        harness.passTime(2000);
+        harness.advanceClock(2000);
         harness.rejected.clear();
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
-        harness.take(SchedulerHarness.BULK, 0);
-        harness.passTime(70);
+        harness.submit(SchedulerHarness.BULK, 0);
+        harness.advanceClock(70);
         assertEquals(1, harness.rejected.size(), "long before its target time of 1.5 s");
     }
 
@@ -34,15 +34,15 @@
         SchedulerHarness harness = new SchedulerHarness(1);
         serve(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
-            Operation operation = harness.take(SchedulerHarness.READ, 0);
-            harness.passTime(4);
+            Operation operation = harness.submit(SchedulerHarness.READ, 0);
+            harness.advanceClock(4);
             harness.cancel(operation);
-            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
+            harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
         }
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
-        harness.take(SchedulerHarness.READ, 0);
-        harness.passTime(100);
+        harness.submit(SchedulerHarness.READ, 0);
+        harness.advanceClock(100);
         assertEquals(0, harness.rejected.size(), "the target time is still 250 ms");
     }
 
@@ -51,23 +51,23 @@
         SchedulerHarness harness = new SchedulerHarness(1);
         serve(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
-            Operation operation = harness.take(SchedulerHarness.READ, 0);
-            harness.passTime(22);
+            Operation operation = harness.submit(SchedulerHarness.READ, 0);
+            harness.advanceClock(22);
             if (operation.ended) {
                 continue;
             }
             harness.cancel(operation);
-            harness.end(harness.lastAttempt(operation), Outcome.CANCELLED);
+            harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
             // The node takes long for a while, so that no answer would come in the time that
             // clients stay.
             serve(harness, 2, 60);
         }
         int before = harness.sent.size();
         for (int i = 0; i < 200; i++) {
-            Operation operation = harness.take(SchedulerHarness.READ, 0);
-            harness.passTime(10);
+            Operation operation = harness.submit(SchedulerHarness.READ, 0);
+            harness.advanceClock(10);
             if (!operation.ended) {
-                harness.end(harness.lastAttempt(operation), Outcome.SERVED);
+                harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
         assertTrue(harness.sent.size() - before > 100, "sent " + (harness.sent.size() - before));
@@ -76,10 +76,10 @@
     /** So many reads, one after the other, each answered after a time. */
     private static void serve(SchedulerHarness harness, int count, double time) {
         for (int i = 0; i < count; i++) {
-            Operation operation = harness.take(SchedulerHarness.READ, 0);
-            harness.passTime(time);
+            Operation operation = harness.submit(SchedulerHarness.READ, 0);
+            harness.advanceClock(time);
             if (!operation.ended) {
-                harness.end(harness.lastAttempt(operation), Outcome.SERVED);
+                harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
     }
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -92,17 +92,17 @@
     void withoutALeaseNothingIsSentAndTheClientMayRetry() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         harness.scheduler.onListConfirmed(harness.now);
-        assertEquals(1, harness.take(SchedulerHarness.READ, 0).attempts.size());
+        assertEquals(1, harness.submit(SchedulerHarness.READ, 0).attempts.size());
         harness.serveAllInFlight();
-        harness.passTime(SPAN + GRACE);
-        Operation waiting = harness.take(SchedulerHarness.READ, 0);
+        harness.advanceClock(SPAN + GRACE);
+        Operation waiting = harness.submit(SchedulerHarness.READ, 0);
         assertEquals(0, waiting.attempts.size());
-        assertEquals(Reason.NO_LEASE, WaitExplainer.why(harness.scheduler, waiting, harness.now));
-        harness.passTime(260);
+        assertEquals(Reason.NO_LEASE, WaitExplainer.reasonFor(harness.scheduler, waiting, harness.now));
+        harness.advanceClock(260);
         assertTrue(harness.rejected.contains(waiting));
-        Operation next = harness.take(SchedulerHarness.READ, 0);
+        Operation next = harness.submit(SchedulerHarness.READ, 0);
         harness.scheduler.onListConfirmed(harness.now);
-        harness.passTime(2);
+        harness.advanceClock(2);
         assertEquals(1, next.attempts.size(), "with the next confirmation it goes");
     }
 
@@ -111,7 +111,7 @@
     void anAttemptThatIsDelayedBeyondTheLeaseDoesNotStart() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
         harness.scheduler.onListConfirmed(harness.now - SPAN);
-        Operation read = harness.take(SchedulerHarness.BULK, 0);
+        Operation read = harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(1, read.attempts.size());
         assertTrue(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now));
         assertFalse(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now + GRACE));
--- a/src/test/java/sagepulley/scheduler/EndpointPollTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointPollTest.java
@@ -11,15 +11,15 @@
     void theListIsPolledAtTheStartAndAfterAFailureWithBackoff() {
         SchedulerHarness harness = new SchedulerHarness(1, 1, 3, true, Double.NaN);
         assertEquals(0, harness.polls, "staggered by the gateway's number");
-        harness.passTime(300);
+        harness.advanceClock(300);
         assertEquals(1, harness.polls);
         for (int i = 0; i < 5; i++) {
             harness.scheduler.onPollFailed(harness.now);
-            harness.passTime(400);
+            harness.advanceClock(400);
         }
         int calls = harness.polls;
         assertTrue(calls <= 3, "asked " + calls);
-        harness.passTime(9000);
+        harness.advanceClock(9000);
         assertTrue(harness.polls > calls, "but it does ask again");
     }
 
@@ -33,7 +33,7 @@
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         double lastCall = harness.now;
         double longest = 0;
-        for (int seen = 0; harness.now < 160_000; harness.passTime(2)) {
+        for (int seen = 0; harness.now < 160_000; harness.advanceClock(2)) {
             if (harness.polls > seen) {
                 longest = Math.max(longest, harness.now - lastCall);
                 lastCall = harness.now;
@@ -48,13 +48,13 @@
     @Test
     void aMovedDiscoveryIsPolledAtOnceWhateverFailedBefore() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
-        harness.passTime(10);
+        harness.advanceClock(10);
         for (int i = 0; i < 10; i++) {
             harness.scheduler.onPollFailed(harness.now);
         }
         int calls = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
-        harness.passTime(302);
+        harness.advanceClock(302);
         assertEquals(calls + 1, harness.polls);
     }
 
@@ -62,12 +62,12 @@
     @Test
     void aListFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
-        harness.passTime(10);
+        harness.advanceClock(10);
         harness.scheduler.onListConfirmed(harness.now);
         int calls = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
         harness.updateEndpointList();
-        harness.passTime(302);
+        harness.advanceClock(302);
         assertEquals(calls + 1, harness.polls);
     }
 
@@ -78,10 +78,10 @@
     @Test
     void theLastOfManyGatewaysHasPolledBeforeAChangeCountsAsNotified() {
         SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
-        harness.passTime(2_500);
+        harness.advanceClock(2_500);
         assertEquals(1, harness.polls);
         harness.updateEndpointList();
-        harness.passTime(harness.deployment.pollInterval() - 2_600);
+        harness.advanceClock(harness.deployment.pollInterval() - 2_600);
         assertEquals(1, harness.polls, "it was answered");
     }
 }
--- a/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
+++ b/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
@@ -17,13 +17,13 @@
         SchedulerHarness harness = new SchedulerHarness(2);
         Volume surging = harness.volume(0);
         for (int i = 0; i < 40; i++) {
-            harness.take(SchedulerHarness.READ, surging, 100 + i, 2, 0);
+            harness.submit(SchedulerHarness.READ, surging, 100 + i, 2, 0);
         }
-        harness.passTime(260);
+        harness.advanceClock(260);
         assertTrue(harness.rejected.size() > 20, "declined at the one " + harness.rejected.size());
-        Operation read = harness.take(SchedulerHarness.READ, 1);
-        harness.passTime(10);
-        harness.end(harness.lastAttempt(read), Outcome.FAILED);
+        Operation read = harness.submit(SchedulerHarness.READ, 1);
+        harness.advanceClock(10);
+        harness.endAttempt(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(2, read.attempts.size(), "the other is idle");
     }
 
@@ -35,14 +35,14 @@
         SchedulerHarness overload = new SchedulerHarness(3);
         for (SchedulerHarness harness : new SchedulerHarness[] {outage, overload}) {
             for (int i = 0; i < 8; i++) {
-                harness.take(SchedulerHarness.READ, 0);
+                harness.submit(SchedulerHarness.READ, 0);
             }
             if (harness == outage) {
-                harness.passTime(252);
+                harness.advanceClock(252);
                 assertEquals(8, harness.rejected.size());
             }
-            Operation write = harness.take(SchedulerHarness.WRITE, -1);
-            harness.end(harness.lastAttempt(write), Outcome.FAILED);
+            Operation write = harness.submit(SchedulerHarness.WRITE, -1);
+            harness.endAttempt(harness.lastAttempt(write), Outcome.FAILED);
             assertEquals(harness == outage ? 2 : 1, write.attempts.size());
         }
     }
@@ -51,25 +51,25 @@
     void operationsAboveTheirShareWaitForAShorterQueueThanReservedOnes() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 10; i++) {
-            Operation read = harness.take(SchedulerHarness.READ, 0);
-            harness.passTime(i < 4 ? 10 : 90);
-            harness.end(harness.lastAttempt(read), Outcome.SERVED);
+            Operation read = harness.submit(SchedulerHarness.READ, 0);
+            harness.advanceClock(i < 4 ? 10 : 90);
+            harness.endAttempt(harness.lastAttempt(read), Outcome.SERVED);
         }
         Volume surging = harness.volume(0);
         for (int i = 0; i < 8; i++) {
-            harness.take(SchedulerHarness.READ, surging, 1000 + i, 6, 0);
+            harness.submit(SchedulerHarness.READ, surging, 1000 + i, 6, 0);
         }
-        harness.passTime(90);
+        harness.advanceClock(90);
         harness.serveAllInFlight();
-        Operation over = harness.take(SchedulerHarness.READ, surging, 2000, 6, 0);
-        Operation reserved = harness.take(SchedulerHarness.READ, 0);
+        Operation over = harness.submit(SchedulerHarness.READ, surging, 2000, 6, 0);
+        Operation reserved = harness.submit(SchedulerHarness.READ, 0);
         assertTrue(over.attempts.isEmpty());
         assertEquals(1, reserved.attempts.size());
-        harness.end(harness.lastAttempt(reserved), Outcome.SERVED);
-        harness.passTime(60_000);
+        harness.endAttempt(harness.lastAttempt(reserved), Outcome.SERVED);
+        harness.advanceClock(60_000);
         surging = harness.volume(0);
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.READ, surging, 3000 + i, 6, 0);
+            harness.submit(SchedulerHarness.READ, surging, 3000 + i, 6, 0);
         }
         assertEquals(
                 4,
@@ -80,17 +80,17 @@
     @Test
     void anAttemptTimesOutAtTheObjectiveWhereLateAnswersHaveLittleValue() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        harness.passTime(40);
-        Operation read = harness.take(SchedulerHarness.READ, 0);
+        harness.advanceClock(40);
+        Operation read = harness.submit(SchedulerHarness.READ, 0);
         assertEquals(250, harness.timeoutOf(read), 1e-6);
     }
 
     @Test
     void aLateOperationGetsNoRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation read = harness.take(SchedulerHarness.READ, 0);
-        harness.passTime(250);
-        harness.end(harness.lastAttempt(read), Outcome.FAILED);
+        Operation read = harness.submit(SchedulerHarness.READ, 0);
+        harness.advanceClock(250);
+        harness.endAttempt(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(1, read.attempts.size());
         assertEquals(List.of(read), harness.rejected, "at once, not near its patience");
     }
@@ -98,17 +98,17 @@
     @Test
     void anEarlyDeadlineAloneMakesNoClientRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation first = harness.take(SchedulerHarness.READ, 0);
-        harness.passTime(250);
-        harness.end(harness.lastAttempt(first), Outcome.TIMED_OUT);
-        harness.passTime(15_000);
+        Operation first = harness.submit(SchedulerHarness.READ, 0);
+        harness.advanceClock(250);
+        harness.endAttempt(harness.lastAttempt(first), Outcome.TIMED_OUT);
+        harness.advanceClock(15_000);
         Operation hurried =
-                harness.takeWithDeadline(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
+                harness.submitWithDeadline(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
         assertEquals(98, harness.timeoutOf(hurried), 2, "all the patience it has");
-        harness.end(harness.lastAttempt(hurried), Outcome.SERVED);
+        harness.endAttempt(harness.lastAttempt(hurried), Outcome.SERVED);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
-        Operation repeat = harness.takeWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
+        Operation repeat = harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
         assertTrue(harness.rejected.contains(repeat), "its first try's target time is over");
     }
 
@@ -116,22 +116,22 @@
     void retryAfterFollowsTheQueueAndIsMaximalForAnUnresponsiveEndpoint() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.BULK, 0);
+            harness.submit(SchedulerHarness.BULK, 0);
         }
-        harness.passTime(100);
+        harness.advanceClock(100);
         harness.serveAllInFlight();
         for (int i = 0; i < 40; i++) {
-            harness.take(SchedulerHarness.READ, harness.volume(0), 5000 + i, 6, 0);
+            harness.submit(SchedulerHarness.READ, harness.volume(0), 5000 + i, 6, 0);
         }
-        harness.passTime(120);
+        harness.advanceClock(120);
         harness.serveAllInFlight();
-        harness.passTime(140);
+        harness.advanceClock(140);
         assertTrue(
                 harness.retryAfter > 0 && harness.retryAfter < 500, "told " + harness.retryAfter);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
-        harness.take(SchedulerHarness.READ, 0);
-        harness.passTime(252);
+        harness.submit(SchedulerHarness.READ, 0);
+        harness.advanceClock(252);
         assertEquals(harness.deployment.maxRetryAfter(), harness.retryAfter);
     }
 }
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -16,17 +16,17 @@
     void theConcurrencyLimitStartsAtFourAndARunGoesBeforeTheEarliestDeadline() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.READ, 0);
+            harness.submit(SchedulerHarness.READ, 0);
         }
         Volume volume = harness.volume(1);
-        Operation early = harness.take(SchedulerHarness.READ, 0);
-        harness.passTime(4);
-        Operation run1 = harness.take(SchedulerHarness.READ, volume, 5, 1, 0);
-        Operation run2 = harness.take(SchedulerHarness.READ, volume, 5, 1, 0);
+        Operation early = harness.submit(SchedulerHarness.READ, 0);
+        harness.advanceClock(4);
+        Operation run1 = harness.submit(SchedulerHarness.READ, volume, 5, 1, 0);
+        Operation run2 = harness.submit(SchedulerHarness.READ, volume, 5, 1, 0);
         assertEquals(4, harness.sent.size());
-        harness.end(harness.sent.get(0), Outcome.SERVED);
+        harness.endAttempt(harness.sent.get(0), Outcome.SERVED);
         assertEquals(1, early.attempts.size(), "the earliest deadline");
-        harness.end(harness.sent.get(1), Outcome.SERVED);
+        harness.endAttempt(harness.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
         assertEquals(
                 1, run2.attempts.size(), "the rest of the run goes along, a few over the limit");
@@ -36,21 +36,21 @@
     void newObjectsAvoidAnEndpointWithAHighLatencyRatio() {
         SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 60; i++) {
-            Operation read = harness.take(SchedulerHarness.READ, i % 2);
-            harness.passTime(10);
+            Operation read = harness.submit(SchedulerHarness.READ, i % 2);
+            harness.advanceClock(10);
             Attempt slow = i % 2 == 0 ? harness.lastAttempt(read) : null;
             if (slow == null) {
-                harness.end(harness.lastAttempt(read), Outcome.SERVED);
+                harness.endAttempt(harness.lastAttempt(read), Outcome.SERVED);
             } else {
-                harness.passTime(50);
-                harness.end(slow, Outcome.SERVED);
+                harness.advanceClock(50);
+                harness.endAttempt(slow, Outcome.SERVED);
             }
         }
         harness.sent.clear();
         for (int i = 0; i < 10; i++) {
-            Operation write = harness.take(SchedulerHarness.WRITE, -1);
-            harness.passTime(10);
-            harness.end(harness.lastAttempt(write), Outcome.SERVED);
+            Operation write = harness.submit(SchedulerHarness.WRITE, -1);
+            harness.advanceClock(10);
+            harness.endAttempt(harness.lastAttempt(write), Outcome.SERVED);
         }
         Node quick = harness.nodes.get(1);
         assertTrue(harness.sent.stream().filter(attempt -> attempt.node == quick).count() >= 7);
@@ -59,11 +59,11 @@
     @Test
     void newObjectsDoNotFloodANewEndpoint() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        harness.passTime(3000);
+        harness.advanceClock(3000);
         harness.nodes.add(harness.node(2));
         harness.updateEndpointList();
         for (int i = 0; i < 8; i++) {
-            harness.take(SchedulerHarness.WRITE, -1);
+            harness.submit(SchedulerHarness.WRITE, -1);
         }
         assertEquals(8, harness.sent.size());
         assertTrue(
@@ -75,12 +75,12 @@
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume surging = harness.volume(0);
         for (int i = 0; i < 8; i++) {
-            harness.take(SchedulerHarness.READ, surging, 1000 + i, 2, 0);
+            harness.submit(SchedulerHarness.READ, surging, 1000 + i, 2, 0);
         }
-        harness.passTime(10);
-        Operation reserved = harness.take(SchedulerHarness.READ, 0);
+        harness.advanceClock(10);
+        Operation reserved = harness.submit(SchedulerHarness.READ, 0);
         assertTrue(reserved.attempts.isEmpty());
-        harness.end(harness.sent.get(0), Outcome.SERVED);
+        harness.endAttempt(harness.sent.get(0), Outcome.SERVED);
         assertEquals(1, reserved.attempts.size());
     }
 
@@ -88,16 +88,16 @@
     void usageThroughOtherGatewaysDrawsOnTheReservation() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume heavyElsewhere = harness.volume(1);
-        Operation told = harness.take(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
+        Operation told = harness.submit(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
         harness.lastAttempt(told).otherGatewaysUnits = 40;
-        harness.end(harness.lastAttempt(told), Outcome.SERVED);
+        harness.endAttempt(harness.lastAttempt(told), Outcome.SERVED);
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.READ, 0);
+            harness.submit(SchedulerHarness.READ, 0);
         }
-        Operation spent = harness.take(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
-        harness.passTime(4);
-        Operation due = harness.take(SchedulerHarness.READ, 0);
-        harness.end(harness.sent.get(1), Outcome.SERVED);
+        Operation spent = harness.submit(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
+        harness.advanceClock(4);
+        Operation due = harness.submit(SchedulerHarness.READ, 0);
+        harness.endAttempt(harness.sent.get(1), Outcome.SERVED);
         assertTrue(spent.attempts.isEmpty());
         assertEquals(1, due.attempts.size());
     }
@@ -106,17 +106,17 @@
     void aLateOperationIsRejectedAtOnceWhenOthersTakeTheCapacity() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.BULK, 0);
+            harness.submit(SchedulerHarness.BULK, 0);
         }
-        Operation read = harness.take(SchedulerHarness.READ, harness.volume(0), 1, 2, 0);
+        Operation read = harness.submit(SchedulerHarness.READ, harness.volume(0), 1, 2, 0);
         // The node goes on answering: it is no trial that the read waits for.
         for (int i = 0; i < 4; i++) {
-            harness.passTime(50);
-            harness.take(SchedulerHarness.READ, 0);
-            harness.end(harness.sent.get(i), Outcome.SERVED);
+            harness.advanceClock(50);
+            harness.submit(SchedulerHarness.READ, 0);
+            harness.endAttempt(harness.sent.get(i), Outcome.SERVED);
         }
         assertTrue(read.attempts.isEmpty() && !read.ended);
-        harness.passTime(52);
+        harness.advanceClock(52);
         assertTrue(read.ended, "its target time is past, its patience is not");
         assertEquals(1, harness.rejected.size());
     }
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -38,7 +38,7 @@
     final List<Operation> rejected = new ArrayList<>();
     final List<Operation> abandoned = new ArrayList<>();
     final List<Attempt> cancelled = new ArrayList<>();
-    final List<Operation> taken = new ArrayList<>();
+    final List<Operation> submitted = new ArrayList<>();
     final Scheduler scheduler;
     final Deployment deployment;
 
@@ -196,12 +196,12 @@
      * An operation of two units on a shard, of a volume with a reservation and an extent of its
      * own.
      */
-    Operation take(int classIndex, int shard) {
-        return take(classIndex, volume(1), ++ids, UNITS, shard);
+    Operation submit(int classIndex, int shard) {
+        return submit(classIndex, volume(1), ++ids, UNITS, shard);
     }
 
-    Operation take(int classIndex, Volume volume, long extent, double units, int shard) {
-        return take(
+    Operation submit(int classIndex, Volume volume, long extent, double units, int shard) {
+        return submit(
                 classIndex,
                 volume,
                 extent,
@@ -211,11 +211,11 @@
     }
 
     /** An operation whose deadline is only so many milliseconds away. */
-    Operation takeWithDeadline(int classIndex, long extent, int shard, double deadlineMillis) {
-        return take(classIndex, volume(1), extent, 2, shard, deadlineMillis);
+    Operation submitWithDeadline(int classIndex, long extent, int shard, double deadlineMillis) {
+        return submit(classIndex, volume(1), extent, 2, shard, deadlineMillis);
     }
 
-    private Operation take(
+    private Operation submit(
             int classIndex,
             Volume volume,
             long extent,
@@ -233,14 +233,14 @@
                         now,
                         now + deadlineMillis,
                         false);
-        taken.add(operation);
+        submitted.add(operation);
         carryOut(operation, scheduler.route(operation, now));
         runDueWork();
         return operation;
     }
 
     /** Ends an attempt and carries out what follows. */
-    void end(Attempt attempt, Outcome outcome) {
+    void endAttempt(Attempt attempt, Outcome outcome) {
         attempt.outcome = outcome;
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended |= outcome == Outcome.SERVED;
@@ -255,7 +255,7 @@
         sent.stream()
                 .filter(attempt -> attempt.outcome == null)
                 .toList()
-                .forEach(attempt -> end(attempt, Outcome.SERVED));
+                .forEach(attempt -> endAttempt(attempt, Outcome.SERVED));
     }
 
     void cancel(Operation operation) {
@@ -265,7 +265,7 @@
     }
 
     /** Moves the clock in small steps, and runs what is due after each. */
-    void passTime(double length) {
+    void advanceClock(double length) {
         double until = now + length;
         while (now < until) {
             now = Math.min(until, now + 2);
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -24,11 +24,11 @@
     @CsvSource({"0", "1", "2", "3", "4", "5"})
     void everyOperationIsAnsweredBeforeItsDeadline(int band) {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation sent = harness.take(band, 0);
-        Operation homeless = harness.take(band, 7);
-        harness.passTime(sent.trafficClass.deadline() - 2);
+        Operation sent = harness.submit(band, 0);
+        Operation homeless = harness.submit(band, 7);
+        harness.advanceClock(sent.trafficClass.deadline() - 2);
         assertTrue(homeless.ended, "an operation whose shard no node holds");
-        harness.end(harness.lastAttempt(sent), Outcome.TIMED_OUT);
+        harness.endAttempt(harness.lastAttempt(sent), Outcome.TIMED_OUT);
         assertTrue(sent.ended, "an operation whose only hop was never answered");
         assertEquals(2, harness.rejected.size() + harness.abandoned.size());
     }
@@ -37,9 +37,9 @@
     @EnumSource(Outcome.class)
     void aNonIdempotentOperationIsRetriedOnlyAfterProofOfNoExecution(Outcome outcome) {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation operation = harness.take(SchedulerHarness.NON_IDEMPOTENT, -1);
-        harness.end(harness.lastAttempt(operation), outcome);
-        harness.passTime(100);
+        Operation operation = harness.submit(SchedulerHarness.NON_IDEMPOTENT, -1);
+        harness.endAttempt(harness.lastAttempt(operation), outcome);
+        harness.advanceClock(100);
         if (!outcome.provesNotExecuted) {
             assertEquals(1, operation.attempts.size());
             assertTrue(harness.rejected.isEmpty());
@@ -52,15 +52,15 @@
     @Test
     void aDelayedAttemptStartsOnlyWhileTheRulesStillAllowIt() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation drained = harness.take(SchedulerHarness.READ, 0);
-        Operation left = harness.take(SchedulerHarness.READ, 1);
-        Operation repeated = harness.take(SchedulerHarness.DEDUPLICATED, 1);
-        Operation once = harness.take(SchedulerHarness.NON_IDEMPOTENT, 0);
-        harness.passTime(10);
+        Operation drained = harness.submit(SchedulerHarness.READ, 0);
+        Operation left = harness.submit(SchedulerHarness.READ, 1);
+        Operation repeated = harness.submit(SchedulerHarness.DEDUPLICATED, 1);
+        Operation once = harness.submit(SchedulerHarness.NON_IDEMPOTENT, 0);
+        harness.advanceClock(10);
         for (Operation operation : List.of(drained, left, repeated, once)) {
             assertTrue(harness.scheduler.mayStart(harness.lastAttempt(operation), harness.now));
         }
-        harness.end(harness.lastAttempt(repeated), Outcome.RESET);
+        harness.endAttempt(harness.lastAttempt(repeated), Outcome.RESET);
         assertEquals(2, repeated.attempts.size(), "sent again while the node remembers");
         assertTrue(harness.scheduler.mayStart(harness.lastAttempt(repeated), harness.now));
         double forgets =
@@ -68,7 +68,7 @@
         assertFalse(
                 harness.scheduler.mayStart(harness.lastAttempt(repeated), forgets),
                 "not when it has forgotten");
-        harness.end(harness.lastAttempt(once), Outcome.REJECTED);
+        harness.endAttempt(harness.lastAttempt(once), Outcome.REJECTED);
         assertTrue(
                 harness.scheduler.mayStart(harness.lastAttempt(once), harness.now),
                 "the first has proved that it never ran");
@@ -90,8 +90,8 @@
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.WRITE, -1);
-            harness.take(SchedulerHarness.READ, 0);
+            harness.submit(SchedulerHarness.WRITE, -1);
+            harness.submit(SchedulerHarness.READ, 0);
         }
         assertEquals(4, harness.sent.size());
         assertTrue(harness.sent.stream().allMatch(attempt -> attempt.node == harness.nodes.get(1)));
@@ -108,16 +108,16 @@
         double[] sent = new double[200];
         for (int turn = 0; turn < 1800; turn++) {
             SchedulerHarness harness = hosts.get(turn % gateways);
-            harness.passTime(10.0 * gateways);
+            harness.advanceClock(10.0 * gateways);
             if (turn / gateways == 400 / gateways) {
                 harness.nodes.get(0).startedAt = harness.now;
                 harness.updateEndpointList();
             }
-            harness.take(SchedulerHarness.READ, 0);
+            harness.submit(SchedulerHarness.READ, 0);
             for (Attempt attempt : List.copyOf(harness.sent)) {
                 sent[(int) ((harness.now - 100_000) / 500)] += attempt.operation.units;
                 harness.sent.remove(attempt);
-                harness.end(attempt, Outcome.SERVED);
+                harness.endAttempt(attempt, Outcome.SERVED);
             }
         }
         double warm = 200 / 2.0;
@@ -163,12 +163,12 @@
                     harness.updateEndpointList();
                 } else if (now == startedAt + 100 * (me + 1) && me % 2 == 0) {
                     harness = new SchedulerHarness(2, me, gateways, false, Double.NaN);
-                    harness.passTime(now - harness.now);
+                    harness.advanceClock(now - harness.now);
                     harness.nodes.get(0).startedAt = startedAt;
                     harness.updateEndpointList();
                     hosts[me] = harness;
                 }
-                harness.passTime(step);
+                harness.advanceClock(step);
             }
             double rate = warm / SchedulerHarness.UNITS * (now >= startedAt ? burst : 1);
             for (double due = rate * step / 1000; random.nextDouble() < due; due--) {
@@ -177,7 +177,7 @@
                 for (; me < gateways - 1 && pick >= weight[me]; me++) {
                     pick -= weight[me];
                 }
-                hosts[me].take(SchedulerHarness.READ, 0);
+                hosts[me].submit(SchedulerHarness.READ, 0);
             }
             for (SchedulerHarness harness : hosts) {
                 for (Attempt attempt : List.copyOf(harness.sent)) {
@@ -185,7 +185,7 @@
                         sentAt.add(now);
                     }
                     harness.sent.remove(attempt);
-                    harness.end(attempt, Outcome.SERVED);
+                    harness.endAttempt(attempt, Outcome.SERVED);
                 }
             }
         }
@@ -208,21 +208,21 @@
         harness.updateEndpointList();
         double units = 0;
         for (int i = 0; i < 60; i++) {
-            Operation read = harness.take(SchedulerHarness.READ, 0);
+            Operation read = harness.submit(SchedulerHarness.READ, 0);
             if (!read.attempts.isEmpty()) {
                 units += read.units;
-                harness.end(harness.lastAttempt(read), Outcome.SERVED);
+                harness.endAttempt(harness.lastAttempt(read), Outcome.SERVED);
             }
         }
         assertTrue(units > 0 && units <= harness.deployment.maxUnits(), "sent " + units);
-        harness.passTime(5000);
+        harness.advanceClock(5000);
         Volume surging = harness.volume(0);
         int sent = 0;
         for (int i = 0; i < 60; i++) {
-            Operation read = harness.take(SchedulerHarness.READ, surging, 2000 + i, 1, 0);
+            Operation read = harness.submit(SchedulerHarness.READ, surging, 2000 + i, 1, 0);
             sent += read.attempts.size();
             if (!read.attempts.isEmpty()) {
-                harness.end(harness.lastAttempt(read), Outcome.SERVED);
+                harness.endAttempt(harness.lastAttempt(read), Outcome.SERVED);
             }
         }
         assertTrue(sent > 0 && sent <= 4, "sent " + sent);
@@ -231,10 +231,10 @@
     @Test
     void aNonIdempotentOperationThatMayHaveExecutedIsAbandonedNotRejected() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation operation = harness.take(SchedulerHarness.NON_IDEMPOTENT, 0);
-        harness.passTime(100);
-        harness.end(harness.lastAttempt(operation), Outcome.RESET);
-        harness.passTime(400);
+        Operation operation = harness.submit(SchedulerHarness.NON_IDEMPOTENT, 0);
+        harness.advanceClock(100);
+        harness.endAttempt(harness.lastAttempt(operation), Outcome.RESET);
+        harness.advanceClock(400);
         assertEquals(List.of(operation), harness.abandoned);
         assertTrue(harness.rejected.isEmpty());
     }
@@ -243,17 +243,17 @@
     void orderedOperationsOfAKeyRunOneByOneWithIdleTimeAfterATimeOut() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume volume = harness.volume(0);
-        Operation first = harness.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
-        Operation second = harness.take(SchedulerHarness.ORDERED, volume, 77, 2, 0);
-        Operation other = harness.take(SchedulerHarness.READ, 0);
+        Operation first = harness.submit(SchedulerHarness.ORDERED, volume, 77, 2, 0);
+        Operation second = harness.submit(SchedulerHarness.ORDERED, volume, 77, 2, 0);
+        Operation other = harness.submit(SchedulerHarness.READ, 0);
         assertEquals(2, harness.sent.size());
         first.ended = true;
         harness.scheduler.onClientCancelled(first, harness.now);
-        harness.end(harness.lastAttempt(first), Outcome.TIMED_OUT);
-        harness.end(harness.lastAttempt(other), Outcome.SERVED);
-        harness.passTime(150);
+        harness.endAttempt(harness.lastAttempt(first), Outcome.TIMED_OUT);
+        harness.endAttempt(harness.lastAttempt(other), Outcome.SERVED);
+        harness.advanceClock(150);
         assertTrue(second.attempts.isEmpty(), "the key rests");
-        harness.passTime(60);
+        harness.advanceClock(60);
         assertEquals(1, second.attempts.size());
     }
 
@@ -264,11 +264,11 @@
         volume.gatewayCount = 2;
         double units = 0;
         for (int i = 0; i < 100; i++) {
-            harness.take(SchedulerHarness.WRITE, volume, 1000 + i, 2, -1);
-            harness.passTime(20);
+            harness.submit(SchedulerHarness.WRITE, volume, 1000 + i, 2, -1);
+            harness.advanceClock(20);
             while (!harness.sent.isEmpty()) {
                 units += harness.sent.get(0).operation.units;
-                harness.end(harness.sent.remove(0), Outcome.SERVED);
+                harness.endAttempt(harness.sent.remove(0), Outcome.SERVED);
             }
         }
         assertTrue(units > 4 && units <= 10 / 2.0 * 2 + 0.1, "sent " + units);
@@ -277,53 +277,53 @@
     @Test
     void retriesKeepToTheRetryBudgetOfTheWindow() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, false, 1);
-        List<Operation> taken = new ArrayList<>();
+        List<Operation> submitted = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            taken.add(harness.take(SchedulerHarness.BULK, 0));
+            submitted.add(harness.submit(SchedulerHarness.BULK, 0));
         }
-        for (Operation operation : taken) {
-            harness.end(harness.lastAttempt(operation), Outcome.NO_CONNECTION);
-            harness.passTime(302);
+        for (Operation operation : submitted) {
+            harness.endAttempt(harness.lastAttempt(operation), Outcome.NO_CONNECTION);
+            harness.advanceClock(302);
         }
-        assertEquals(1, taken.stream().mapToInt(operation -> operation.attempts.size() - 1).sum());
-        harness.passTime(200);
+        assertEquals(1, submitted.stream().mapToInt(operation -> operation.attempts.size() - 1).sum());
+        harness.advanceClock(200);
         assertEquals(
                 2,
-                taken.stream().mapToInt(operation -> operation.attempts.size() - 1).sum(),
+                submitted.stream().mapToInt(operation -> operation.attempts.size() - 1).sum(),
                 "a window later");
     }
 
     @Test
     void aDeduplicatedOperationIsRetriedOnlyInItsScopeAndWindow() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation kept = harness.take(SchedulerHarness.DEDUPLICATED, -1);
+        Operation kept = harness.submit(SchedulerHarness.DEDUPLICATED, -1);
         Node first = harness.lastAttempt(kept).node;
-        harness.end(harness.lastAttempt(kept), Outcome.FAILED);
-        harness.passTime(100);
+        harness.endAttempt(harness.lastAttempt(kept), Outcome.FAILED);
+        harness.advanceClock(100);
         assertTrue(kept.attempts.stream().allMatch(attempt -> attempt.node == first));
         assertTrue(
                 harness.rejected.isEmpty(),
                 "a decline would promise that asking again is harmless");
-        harness.passTime(2000);
+        harness.advanceClock(2000);
         assertTrue(kept.ended || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
-        Operation old = harness.take(SchedulerHarness.DEDUPLICATED, 0);
-        harness.passTime(1100);
+        Operation old = harness.submit(SchedulerHarness.DEDUPLICATED, 0);
+        harness.advanceClock(1100);
         int attempts = old.attempts.size();
-        harness.end(harness.lastAttempt(old), Outcome.TIMED_OUT);
-        harness.passTime(500);
+        harness.endAttempt(harness.lastAttempt(old), Outcome.TIMED_OUT);
+        harness.advanceClock(500);
         assertEquals(attempts, old.attempts.size(), "the group no longer remembers it");
     }
 
     @Test
     void noHedgedRequestWhereNotAllowedAndNoThirdRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation operation = harness.take(SchedulerHarness.BULK, 0);
+        Operation operation = harness.submit(SchedulerHarness.BULK, 0);
         for (int i = 0; i < 5 && !operation.ended; i++) {
             harness.runDueWork();
             assertTrue(
                     operation.attempts.stream().filter(attempt -> attempt.outcome == null).count()
                             <= 1);
-            harness.end(harness.lastAttempt(operation), Outcome.FAILED);
+            harness.endAttempt(harness.lastAttempt(operation), Outcome.FAILED);
         }
         assertTrue(operation.ended);
         assertEquals(3, operation.attempts.size());
@@ -334,12 +334,12 @@
     void nothingIsSentForAnOperationThatHasEnded() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
-            harness.take(SchedulerHarness.READ, 0);
+            harness.submit(SchedulerHarness.READ, 0);
         }
-        Operation waiting = harness.take(SchedulerHarness.READ, 0);
+        Operation waiting = harness.submit(SchedulerHarness.READ, 0);
         harness.cancel(waiting);
-        harness.end(harness.sent.get(0), Outcome.SERVED);
-        harness.passTime(100);
+        harness.endAttempt(harness.sent.get(0), Outcome.SERVED);
+        harness.advanceClock(100);
         assertTrue(waiting.attempts.isEmpty());
     }
 }
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -22,9 +22,9 @@
     void aRestartCountsFromWhenItIsFirstSeen(double clockError) {
         SchedulerHarness harness = new SchedulerHarness(2, 0, 1, true, Double.NaN, SPAN);
         harness.scheduler.onListConfirmed(harness.now);
-        harness.passTime(2_000);
+        harness.advanceClock(2_000);
         harness.scheduler.onListConfirmed(harness.now);
-        harness.passTime(500);
+        harness.advanceClock(500);
         Node node = harness.nodes.get(0);
         node.startedAt = harness.now - 100 + clockError;
         harness.updateEndpointList();
@@ -51,7 +51,7 @@
         node.startedAt = harness.now + HOUR;
         harness.updateEndpointList();
         double startedAt = EndpointState.of(node).startedAt;
-        harness.passTime(3_000);
+        harness.advanceClock(3_000);
         harness.updateEndpointList();
         assertEquals(startedAt, EndpointState.of(node).startedAt);
     }
