--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -71,18 +71,18 @@
         /** Adds those that have ended by now, and hands over when the next one ends. */
         void collectOverdue(
                 NavigableSet<QueuedRequest> order,
-                ToDoubleFunction<QueuedRequest> end,
+                ToDoubleFunction<QueuedRequest> endTime,
                 double now,
-                List<Operation> ended,
-                DoubleConsumer next) {
+                List<Operation> overdue,
+                DoubleConsumer nextEndTime) {
             for (QueuedRequest request : order) {
-                double at = end.applyAsDouble(request);
+                double at = endTime.applyAsDouble(request);
                 if (at <= now) {
-                    if (!ended.contains(request.operation)) {
-                        ended.add(request.operation);
+                    if (!overdue.contains(request.operation)) {
+                        overdue.add(request.operation);
                     }
-                } else if (!ended.contains(request.operation)) {
-                    next.accept(at);
+                } else if (!overdue.contains(request.operation)) {
+                    nextEndTime.accept(at);
                     return;
                 }
             }
--- a/src/main/java/sagepulley/scheduler/DispatchRules.java
+++ b/src/main/java/sagepulley/scheduler/DispatchRules.java
@@ -65,13 +65,13 @@
         if (!isUsable(endpoint.node, now) || !holdsCell(endpoint, operation)) {
             return false;
         }
-        boolean retry = !operation.attempts.isEmpty();
-        if (retry && !allowsRetry(operation, endpoint, now)) {
+        boolean isRetry = !operation.attempts.isEmpty();
+        if (isRetry && !allowsRetry(operation, endpoint, now)) {
             return false;
         }
         return fitsSlowStart(operation, endpoint, now)
                 && keyOrdering.isFirstOfKey(operation, now)
-                && (retry || fitsLimit(operation, now));
+                && (isRetry || fitsLimit(operation, now));
     }
 
     /** Nothing new goes to an endpoint that drains or is removed, or may be without our knowing. */
--- a/src/main/java/sagepulley/scheduler/EndpointTable.java
+++ b/src/main/java/sagepulley/scheduler/EndpointTable.java
@@ -71,7 +71,7 @@
                 add(node, now);
             } else if (hasRestarted(endpoint)) {
                 endpoint.reportedStart = node.startedAt;
-                endpoint.startedAt = possibleStart(node.startedAt, now);
+                endpoint.startedAt = clampStart(node.startedAt, now);
                 concurrency.onRestart(endpoint);
             }
         }
@@ -88,7 +88,7 @@
         int index = vacant == null ? endpoints.size() : vacant.index;
         EndpointState endpoint = new EndpointState(index, node, policy.overloadWindow());
         node.schedulerState = endpoint;
-        endpoint.startedAt = possibleStart(node.startedAt, now);
+        endpoint.startedAt = clampStart(node.startedAt, now);
         if (vacant == null) {
             endpoints.add(endpoint);
         } else {
@@ -112,7 +112,7 @@
      * never later than now, and, once a list was confirmed, not before that list, which knew
      * nothing of it. A start that is reported at all was recent.
      */
-    private double possibleStart(double reported, double now) {
+    private double clampStart(double reported, double now) {
         if (!lease.isBounded() || reported == Double.NEGATIVE_INFINITY) {
             return reported;
         }
--- a/src/main/java/sagepulley/scheduler/RequestPriority.java
+++ b/src/main/java/sagepulley/scheduler/RequestPriority.java
@@ -9,10 +9,10 @@
  */
 final class RequestPriority {
     /** Values within this factor of each other rank equal. */
-    private static final double LEVEL_FACTOR = 2;
+    private static final double LEVEL_BASE = 2;
 
     /** The value for a millisecond that ranks at level 0. */
-    private static final double TOP_VALUE = 1000;
+    private static final double LEVEL_ZERO_VALUE_PER_MILLI = 1000;
 
     /** The level of an operation that would miss its objective. */
     private static final int LATE_LEVEL = 1000;
@@ -43,7 +43,7 @@
                         * operation.volume.plan.price()
                         * trafficClass.priorityWeight()
                         / serviceTime;
-        return (int) (Math.log(TOP_VALUE / value) / Math.log(LEVEL_FACTOR));
+        return (int) (Math.log(LEVEL_ZERO_VALUE_PER_MILLI / value) / Math.log(LEVEL_BASE));
     }
 
     /** Whether the first operation goes before the second. */
@@ -57,7 +57,7 @@
 
     /** Of two on one level, whether the first has the earlier deadline or was queued before. */
     static boolean isEarlier(QueuedRequest first, QueuedRequest second) {
-        double apart = first.operation.deadline - second.operation.deadline;
-        return apart < 0 || (apart == 0 && first.sequence < second.sequence);
+        double difference = first.operation.deadline - second.operation.deadline;
+        return difference < 0 || (difference == 0 && first.sequence < second.sequence);
     }
 }
--- a/src/main/java/sagepulley/scheduler/RequestQueues.java
+++ b/src/main/java/sagepulley/scheduler/RequestQueues.java
@@ -118,7 +118,7 @@
     }
 
     private void requeue(WaitQueue queue) {
-        for (Operation operation : queue.inOrder()) {
+        for (Operation operation : queue.copyInOrder()) {
             dequeue(operation);
             enqueue(operation);
         }
--- a/src/main/java/sagepulley/scheduler/RequestSelector.java
+++ b/src/main/java/sagepulley/scheduler/RequestSelector.java
@@ -55,7 +55,7 @@
                 i = queues.nextEndpointWithQueue(i + 1)) {
             EndpointState endpoint = endpoints.get(i);
             Operation selected = select(endpoint, now);
-            if (selected != null && goesBefore(selected, newObject, endpoint, now)) {
+            if (selected != null && precedesNewObject(selected, newObject, endpoint, now)) {
                 due.add(selected);
             }
             next = addOverdue(overdue, next, endpoint, due);
@@ -90,19 +90,19 @@
         if (endpoint == null || select(endpoint, now) != operation) {
             return null;
         }
-        return goesBefore(operation, firstNewObject(now), endpoint, now) ? endpoint : null;
+        return precedesNewObject(operation, firstNewObject(now), endpoint, now) ? endpoint : null;
     }
 
     /** The new object that ranks first; null if none waits. */
     private Operation firstNewObject(double now) {
-        return first(queues.newObjects(), null, now);
+        return highestPriority(queues.newObjects(), null, now);
     }
 
     /**
      * Whether an operation selected for an endpoint goes there before the first new object, which
      * may rank lower, go elsewhere or be null.
      */
-    private boolean goesBefore(
+    private boolean precedesNewObject(
             Operation selected, Operation newObject, EndpointState endpoint, double now) {
         return newObject == null
                 || !priority.outranks(newObject, selected, endpoint, now)
@@ -123,15 +123,15 @@
         if (!concurrency.hasCapacity(endpoint, now)
                 || !concurrency.isBelowLimit(endpoint)
                 || !outliers.isHealthy(endpoint, now)
-                || !mayGo(operation, endpoint, now)
+                || !isDispatchable(operation, endpoint, now)
                 || !endpoint.node.acceptsNewObjects) {
             return false;
         }
-        Operation rival = select(endpoint, now);
-        return rival == null || priority.outranks(operation, rival, endpoint, now);
+        Operation head = select(endpoint, now);
+        return head == null || priority.outranks(operation, head, endpoint, now);
     }
 
-    private boolean mayGo(Operation operation, EndpointState endpoint, double now) {
+    private boolean isDispatchable(Operation operation, EndpointState endpoint, double now) {
         return rules.isAllowed(operation, endpoint, now)
                 && !admission.isHeldBack(operation, endpoint, now);
     }
@@ -146,22 +146,22 @@
         }
         // Often asked again with nothing changed, by nextTurn and route one after the other.
         if (endpoint.selectedAt != now || endpoint.selectedVersion != queues.version()) {
-            endpoint.selected = selectAnew(endpoint, now);
+            endpoint.selected = computeSelection(endpoint, now);
             endpoint.selectedAt = now;
             endpoint.selectedVersion = queues.version();
         }
         return endpoint.selected;
     }
 
-    private Operation selectAnew(EndpointState endpoint, double now) {
+    private Operation computeSelection(EndpointState endpoint, double now) {
         if (endpoint.runRemaining > 0) {
-            for (Operation operation : endpoint.waitQueue.ofExtent(endpoint.lastExtent)) {
-                if (mayGo(operation, endpoint, now)) {
+            for (Operation operation : endpoint.waitQueue.operationsOfExtent(endpoint.lastExtent)) {
+                if (isDispatchable(operation, endpoint, now)) {
                     return operation;
                 }
             }
         }
-        Operation best = first(endpoint.waitQueue, endpoint, now);
+        Operation best = highestPriority(endpoint.waitQueue, endpoint, now);
         return concurrency.isBelowLimit(endpoint) || outliers.isUnresponsive(endpoint, now)
                 ? best
                 : null;
@@ -173,15 +173,15 @@
      * late stands for the rest, except at an endpoint in slow start, where each has a draw of its
      * own.
      */
-    private Operation first(WaitQueue queue, EndpointState endpoint, double now) {
-        boolean eachOnItsOwn = endpoint != null && slowStart.isWarmingUp(endpoint, now);
+    private Operation highestPriority(WaitQueue queue, EndpointState endpoint, double now) {
+        boolean drawsDiffer = endpoint != null && slowStart.isWarmingUp(endpoint, now);
         QueuedRequest best = null;
         int bestLevel = -1;
         for (NavigableSet<QueuedRequest> group : queue.groups()) {
             for (QueuedRequest request : group) {
                 Operation operation = request.operation;
-                boolean standsForGroup = !eachOnItsOwn && isInTime(operation, now);
-                if (endpoint == null || mayGo(operation, endpoint, now)) {
+                boolean representsGroup = !drawsDiffer && isOnTime(operation, now);
+                if (endpoint == null || isDispatchable(operation, endpoint, now)) {
                     // A level is taken only where there is another to compare it with.
                     if (best != null && bestLevel < 0) {
                         bestLevel = priority.level(best.operation, endpoint, now);
@@ -197,7 +197,7 @@
                         bestLevel = level;
                     }
                 }
-                if (standsForGroup) {
+                if (representsGroup) {
                     break;
                 }
             }
@@ -205,7 +205,7 @@
         return best == null ? null : best.operation;
     }
 
-    private boolean isInTime(Operation operation, double now) {
+    private boolean isOnTime(Operation operation, double now) {
         return latencies.latestStartAt(operation) > now && !rules.isPastDeadline(operation, now);
     }
 }
--- a/src/main/java/sagepulley/scheduler/Router.java
+++ b/src/main/java/sagepulley/scheduler/Router.java
@@ -17,7 +17,7 @@
     private static final double PREFERENCE_WEIGHT = 0.2;
 
     /** What each attempt in flight adds to an endpoint's load. */
-    private static final double IN_FLIGHT_FRACTION = 0.5;
+    private static final double LOAD_PER_ATTEMPT = 0.5;
 
     private final Deployment deployment;
 
@@ -29,13 +29,13 @@
     EndpointState lowestScore(
             List<EndpointState> endpoints, Predicate<EndpointState> isEligible, double now) {
         double placements = 0;
-        double weight = 0;
-        int ready = 0;
+        double totalWeight = 0;
+        int readyCount = 0;
         for (EndpointState endpoint : endpoints) {
             if (endpoint.node.phase == Node.Phase.READY) {
                 placements += endpoint.placements.sumOverestimate(now);
-                weight += endpoint.node.weight;
-                ready++;
+                totalWeight += endpoint.node.weight;
+                readyCount++;
             }
         }
         EndpointState best = null;
@@ -47,10 +47,10 @@
             double score =
                     PLACEMENTS_WEIGHT
                                     * (endpoint.placements.sumOverestimate(now) + 1)
-                                    / (placements / ready + 1)
-                            + LOAD_WEIGHT * load(endpoint)
+                                    / (placements / readyCount + 1)
+                            + LOAD_WEIGHT * currentLoad(endpoint)
                             + WRITE_READ_WEIGHT * endpoint.writeReadRatio
-                            + PREFERENCE_WEIGHT * preference(endpoint, weight, ready);
+                            + PREFERENCE_WEIGHT * preference(endpoint, totalWeight, readyCount);
             if (score < lowest) {
                 lowest = score;
                 best = endpoint;
@@ -63,15 +63,15 @@
      * A latency ratio as old as the last refresh sends all new objects one way until the next: what
      * is in flight now, and the queue that the latest answers showed, count with it.
      */
-    private static double load(EndpointState endpoint) {
-        return endpoint.latencyRatio * (1 + IN_FLIGHT_FRACTION * endpoint.inFlight.size())
+    private static double currentLoad(EndpointState endpoint) {
+        return endpoint.latencyRatio * (1 + LOAD_PER_ATTEMPT * endpoint.inFlight.size())
                 + endpoint.queueEstimate;
     }
 
-    private double preference(EndpointState endpoint, double totalWeight, int ready) {
+    private double preference(EndpointState endpoint, double totalWeight, int readyCount) {
         double preference =
                 deployment.hasNodeWeights() && endpoint.node.weight > 0
-                        ? totalWeight / ready / endpoint.node.weight
+                        ? totalWeight / readyCount / endpoint.node.weight
                         : 1;
         if (deployment.crossZonePrice() > 0 && endpoint.node.zone != deployment.zone()) {
             preference += 1;
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -60,7 +60,7 @@
     final AdmissionController admission;
 
     /** Attempts in flight whose client has cancelled, until the next turn. */
-    private final List<Attempt> cancellations = new ArrayList<>();
+    private final List<Attempt> pendingCancellations = new ArrayList<>();
 
     private double nextRefreshAt = Double.NEGATIVE_INFINITY;
 
@@ -101,10 +101,10 @@
 
     /** Takes over the endpoint list; an endpoint that is gone from it has the phase REMOVED. */
     public void onEndpointList(List<Node> nodes, double now) {
-        boolean first = !endpoints.hasList();
+        boolean isFirstList = !endpoints.hasList();
         endpoints.update(nodes, now);
         queues.markChanged();
-        if (first) {
+        if (isFirstList) {
             slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
@@ -156,12 +156,12 @@
      * turn.
      */
     public void onClientCancelled(Operation operation, double now) {
-        remove(operation);
+        removeFromQueues(operation);
         clientRetries.onUnserved(operation);
         latencies.onCancelled(operation, now);
         for (Attempt attempt : operation.attempts) {
             if (attempt.outcome == null && deployment.mayCancel()) {
-                cancellations.add(attempt);
+                pendingCancellations.add(attempt);
             }
         }
     }
@@ -176,20 +176,20 @@
 
     /** The operation has ended without an endpoint, as there is nothing to read or to do. */
     public void onEndedWithoutNode(Operation operation) {
-        remove(operation);
+        removeFromQueues(operation);
     }
 
     /** Where to send this operation, or not yet, or never. */
     public RoutingDecision route(Operation operation, double now) {
-        QueuedRequest request = request(operation, now);
+        QueuedRequest request = requestFor(operation, now);
         if (operation.ended) {
-            remove(operation);
+            removeFromQueues(operation);
             return RoutingDecision.WAITING;
         }
         if (!request.queued) {
             queues.enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                countArrival(request, now);
+                recordArrival(request, now);
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayRetry(operation, now);
@@ -205,7 +205,7 @@
         return RoutingDecision.WAITING;
     }
 
-    private void countArrival(QueuedRequest request, double now) {
+    private void recordArrival(QueuedRequest request, double now) {
         admission.onArrival(request.endpoint, now);
         if (request.endpoint != null) {
             quota.onDemand(request.operation, request.endpoint, now);
@@ -218,10 +218,10 @@
         EndpointState endpoint = EndpointState.of(attempt.node);
         endpoint.inFlight.remove(attempt);
         queues.markChanged();
-        learn(attempt, endpoint, now);
+        recordOutcome(attempt, endpoint, now);
         keyOrdering.onAttemptEnded(attempt, now);
         if (operation.ended) {
-            remove(operation);
+            removeFromQueues(operation);
             return FollowUp.NONE;
         }
         return operation.isInFlight() ? FollowUp.NONE : FollowUp.ROUTE_AGAIN;
@@ -238,8 +238,8 @@
                         ? SchedulerTurn.EndpointPoll.SUBSCRIBE
                         : SchedulerTurn.EndpointPoll.NONE;
         wakeUp.noLaterThan(discovery.nextAt());
-        List<Attempt> cancelled = List.copyOf(cancellations);
-        cancellations.clear();
+        List<Attempt> cancelled = List.copyOf(pendingCancellations);
+        pendingCancellations.clear();
         return new SchedulerTurn(wakeUp.delay(now), due, List.of(), cancelled, poll);
     }
 
@@ -249,13 +249,13 @@
     }
 
     private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
-        boolean first = operation.attempts.isEmpty();
+        boolean isFirstAttempt = operation.attempts.isEmpty();
         queues.dequeue(operation);
         Attempt attempt = new Attempt(operation, endpoint.node, operation.attempts.size(), now);
         operation.attempts.add(attempt);
         endpoint.onSent(attempt, now);
         attempt.quotaTier = quota.tier(operation, endpoint, now);
-        if (first) {
+        if (isFirstAttempt) {
             if (operation.shard < 0) {
                 quota.onDemand(operation, endpoint, now);
             }
@@ -271,7 +271,7 @@
         if (operation.isInFlight()) {
             return RoutingDecision.WAITING;
         }
-        remove(operation);
+        removeFromQueues(operation);
         clientRetries.onUnserved(operation);
         operation.ended = true;
         latencies.onGivenUp(operation.trafficClass);
@@ -307,11 +307,11 @@
      * overload of one endpoint forbids no retry at another.
      */
     private boolean isOverloaded(EndpointState endpoint, double now) {
-        boolean queueIsLong =
+        boolean queueExceedsLimit =
                 endpoint == null
                         ? queues.size() > endpoints.size()
                         : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
-        return queueIsLong || admission.exceedsRejectionRatio(endpoint, now);
+        return queueExceedsLimit || admission.exceedsRejectionRatio(endpoint, now);
     }
 
     /** Lets the statistics of all concerns fade and be taken anew, once a period. */
@@ -329,7 +329,7 @@
         EndpointLatencies.refresh(endpoints.all());
     }
 
-    private void learn(Attempt attempt, EndpointState endpoint, double now) {
+    private void recordOutcome(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
             quota.onOtherGatewaysUsage(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
@@ -356,7 +356,7 @@
     }
 
     /** The state of an operation, which has just arrived if it has none. */
-    private QueuedRequest request(Operation operation, double now) {
+    private QueuedRequest requestFor(Operation operation, double now) {
         if (operation.schedulerState != null) {
             return QueuedRequest.of(operation);
         }
@@ -369,7 +369,7 @@
     }
 
     /** Takes an operation that has ended out of its queue, and out of its key's once it may. */
-    private void remove(Operation operation) {
+    private void removeFromQueues(Operation operation) {
         queues.dequeue(operation);
         keyOrdering.onOperationEnded(operation);
     }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -94,13 +94,13 @@
     }
 
     /** The operations of an extent in the order in which they came; none for extent 0. */
-    Collection<Operation> ofExtent(long extent) {
+    Collection<Operation> operationsOfExtent(long extent) {
         TreeMap<Long, Operation> sameExtent = byExtent.get(extent);
         return sameExtent == null ? List.of() : sameExtent.values();
     }
 
     /** All operations in the order in which they came, as a copy. */
-    List<Operation> inOrder() {
+    List<Operation> copyInOrder() {
         return new ArrayList<>(bySequence.values());
     }
 }
--- a/src/test/java/sagepulley/scheduler/CancellationTest.java
+++ b/src/test/java/sagepulley/scheduler/CancellationTest.java
@@ -30,9 +30,9 @@
     }
 
     @Test
-    void cancellationsBeforeAnyAnswerCouldComeAreIgnored() {
+    void cancellationsEarlierThanTheMeanServiceTimeAreIgnored() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        serve(harness, 30, 20);
+        serveReads(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
             harness.advanceClock(4);
@@ -47,9 +47,9 @@
     }
 
     @Test
-    void pastCancellationsDoNotForbidAllAttemptsForEver() {
+    void attemptsResumeAfterManyEarlyCancellations() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        serve(harness, 30, 20);
+        serveReads(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
             harness.advanceClock(22);
@@ -60,9 +60,9 @@
             harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
             // The node takes long for a while, so that no answer would come in the time that
             // clients stay.
-            serve(harness, 2, 60);
+            serveReads(harness, 2, 60);
         }
-        int before = harness.sent.size();
+        int sentBefore = harness.sent.size();
         for (int i = 0; i < 200; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
             harness.advanceClock(10);
@@ -70,14 +70,14 @@
                 harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
-        assertTrue(harness.sent.size() - before > 100, "sent " + (harness.sent.size() - before));
+        assertTrue(harness.sent.size() - sentBefore > 100, "sent " + (harness.sent.size() - sentBefore));
     }
 
     /** So many reads, one after the other, each answered after a time. */
-    private static void serve(SchedulerHarness harness, int count, double time) {
+    private static void serveReads(SchedulerHarness harness, int count, double serviceMillis) {
         for (int i = 0; i < count; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
-            harness.advanceClock(time);
+            harness.advanceClock(serviceMillis);
             if (!operation.ended) {
                 harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
--- a/src/test/java/sagepulley/scheduler/DiscoveryLoadTest.java
+++ b/src/test/java/sagepulley/scheduler/DiscoveryLoadTest.java
@@ -16,58 +16,58 @@
  * with nothing for good.
  */
 class DiscoveryLoadTest {
-    private static final double SERVICE_MS = 60;
-    private static final double CALL_TIMEOUT_MS = 2_000;
-    private static final double STEP_MS = 5;
-    private static final double LENGTH_MS = 20_000;
+    private static final double SERVICE_TIME_MILLIS = 60;
+    private static final double POLL_TIMEOUT_MILLIS = 2_000;
+    private static final double STEP_MILLIS = 5;
+    private static final double DURATION_MILLIS = 20_000;
 
-    private record Call(int gateway, double at) {}
+    private record Poll(int gateway, double at) {}
 
     @ParameterizedTest
     @ValueSource(ints = {20, 66, 100})
-    void everyProcessHasAListInTheEnd(int gateways) {
-        List<SchedulerHarness> hosts = new ArrayList<>();
+    void everyGatewayReceivesAList(int gateways) {
+        List<SchedulerHarness> harnesses = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            hosts.add(new SchedulerHarness(1, i, gateways, true, Double.NaN, 6_000));
+            harnesses.add(new SchedulerHarness(1, i, gateways, true, Double.NaN, 6_000));
         }
-        boolean[] listed = new boolean[gateways];
-        Deque<Call> queue = new ArrayDeque<>();
-        List<Call> waiting = new ArrayList<>();
-        double now = hosts.get(0).now;
-        double idleAt = now;
-        for (double end = now + LENGTH_MS; now < end; now += STEP_MS) {
+        boolean[] hasList = new boolean[gateways];
+        Deque<Poll> queue = new ArrayDeque<>();
+        List<Poll> pending = new ArrayList<>();
+        double now = harnesses.get(0).now;
+        double freeAt = now;
+        for (double end = now + DURATION_MILLIS; now < end; now += STEP_MILLIS) {
             for (int i = 0; i < gateways; i++) {
-                if (!listed[i]
-                        && hosts.get(i).scheduler.nextTurn(now).poll()
+                if (!hasList[i]
+                        && harnesses.get(i).scheduler.nextTurn(now).poll()
                                 == SchedulerTurn.EndpointPoll.SUBSCRIBE) {
-                    Call call = new Call(i, now);
-                    queue.add(call);
-                    waiting.add(call);
+                    Poll request = new Poll(i, now);
+                    queue.add(request);
+                    pending.add(request);
                 }
             }
-            for (Call call : List.copyOf(waiting)) {
-                if (now - call.at() > CALL_TIMEOUT_MS) {
-                    waiting.remove(call);
-                    hosts.get(call.gateway()).scheduler.onPollFailed(now);
+            for (Poll request : List.copyOf(pending)) {
+                if (now - request.at() > POLL_TIMEOUT_MILLIS) {
+                    pending.remove(request);
+                    harnesses.get(request.gateway()).scheduler.onPollFailed(now);
                 }
             }
             for (;
-                    !queue.isEmpty() && idleAt <= now;
-                    idleAt = Math.max(idleAt, queue.poll().at()) + SERVICE_MS) {
-                Call served = queue.peek();
-                if (waiting.remove(served)) {
-                    SchedulerHarness harness = hosts.get(served.gateway());
+                    !queue.isEmpty() && freeAt <= now;
+                    freeAt = Math.max(freeAt, queue.poll().at()) + SERVICE_TIME_MILLIS) {
+                Poll served = queue.peek();
+                if (pending.remove(served)) {
+                    SchedulerHarness harness = harnesses.get(served.gateway());
                     harness.scheduler.onEndpointList(harness.nodes, now);
                     harness.scheduler.onListConfirmed(now);
-                    listed[served.gateway()] = true;
+                    hasList[served.gateway()] = true;
                 }
             }
-            idleAt = Math.max(idleAt, now);
+            freeAt = Math.max(freeAt, now);
         }
         int count = 0;
-        for (boolean each : listed) {
-            count += each ? 1 : 0;
+        for (boolean received : hasList) {
+            count += received ? 1 : 0;
         }
-        assertEquals(gateways, count, "processes with a list after " + LENGTH_MS + " ms");
+        assertEquals(gateways, count, "processes with a list after " + DURATION_MILLIS + " ms");
     }
 }
--- a/src/test/java/sagepulley/scheduler/EndpointPollTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointPollTest.java
@@ -8,7 +8,7 @@
 /** When discovery is polled for the endpoint list. */
 class EndpointPollTest {
     @Test
-    void theListIsPolledAtTheStartAndAfterAFailureWithBackoff() {
+    void listIsPolledAtStartAndAfterFailuresWithBackoff() {
         SchedulerHarness harness = new SchedulerHarness(1, 1, 3, true, Double.NaN);
         assertEquals(0, harness.polls, "staggered by the gateway's number");
         harness.advanceClock(300);
@@ -17,10 +17,10 @@
             harness.scheduler.onPollFailed(harness.now);
             harness.advanceClock(400);
         }
-        int calls = harness.polls;
-        assertTrue(calls <= 3, "asked " + calls);
+        int pollsBefore = harness.polls;
+        assertTrue(pollsBefore <= 3, "asked " + pollsBefore);
         harness.advanceClock(9000);
-        assertTrue(harness.polls > calls, "but it does ask again");
+        assertTrue(harness.polls > pollsBefore, "but it does ask again");
     }
 
     /**
@@ -29,46 +29,46 @@
      * has not come by then, the lease covers.
      */
     @Test
-    void theBackoffOfPollsIsBounded() {
+    void pollBackoffIsBounded() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
-        double lastCall = harness.now;
-        double longest = 0;
-        for (int seen = 0; harness.now < 160_000; harness.advanceClock(2)) {
-            if (harness.polls > seen) {
-                longest = Math.max(longest, harness.now - lastCall);
-                lastCall = harness.now;
-                seen = harness.polls;
+        double lastPollAt = harness.now;
+        double longestGap = 0;
+        for (int pollsSeen = 0; harness.now < 160_000; harness.advanceClock(2)) {
+            if (harness.polls > pollsSeen) {
+                longestGap = Math.max(longestGap, harness.now - lastPollAt);
+                lastPollAt = harness.now;
+                pollsSeen = harness.polls;
                 harness.scheduler.onPollFailed(harness.now);
             }
         }
-        assertTrue(longest <= 4_600, "at most " + longest + " ms between two calls");
+        assertTrue(longestGap <= 4_600, "at most " + longestGap + " ms between two calls");
         assertTrue(harness.polls < 45, "in a minute " + harness.polls);
     }
 
     @Test
-    void aMovedDiscoveryIsPolledAtOnceWhateverFailedBefore() {
+    void newDiscoveryAddressIsPolledWithoutTheBackoffOfTheOldOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         harness.advanceClock(10);
         for (int i = 0; i < 10; i++) {
             harness.scheduler.onPollFailed(harness.now);
         }
-        int calls = harness.polls;
+        int pollsBefore = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
         harness.advanceClock(302);
-        assertEquals(calls + 1, harness.polls);
+        assertEquals(pollsBefore + 1, harness.polls);
     }
 
     /** The old address may still tell changes before the new one has been called. */
     @Test
-    void aListFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
+    void listFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
         harness.advanceClock(10);
         harness.scheduler.onListConfirmed(harness.now);
-        int calls = harness.polls;
+        int pollsBefore = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
         harness.updateEndpointList();
         harness.advanceClock(302);
-        assertEquals(calls + 1, harness.polls);
+        assertEquals(pollsBefore + 1, harness.polls);
     }
 
     /**
@@ -76,7 +76,7 @@
      * told to all.
      */
     @Test
-    void theLastOfManyGatewaysHasPolledBeforeAChangeCountsAsNotified() {
+    void lastOfManyGatewaysPollsBeforeAChangeCountsAsNotified() {
         SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
         harness.advanceClock(2_500);
         assertEquals(1, harness.polls);
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -13,19 +13,19 @@
 /** The placement score, the concurrency limit, runs of an extent, and the earliest deadline. */
 class PlacementTest {
     @Test
-    void theConcurrencyLimitStartsAtFourAndARunGoesBeforeTheEarliestDeadline() {
+    void concurrencyLimitStartsAtFourAndTheRestOfARunMayExceedIt() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
             harness.submit(SchedulerHarness.READ, 0);
         }
         Volume volume = harness.volume(1);
-        Operation early = harness.submit(SchedulerHarness.READ, 0);
+        Operation earliest = harness.submit(SchedulerHarness.READ, 0);
         harness.advanceClock(4);
         Operation run1 = harness.submit(SchedulerHarness.READ, volume, 5, 1, 0);
         Operation run2 = harness.submit(SchedulerHarness.READ, volume, 5, 1, 0);
         assertEquals(4, harness.sent.size());
         harness.endAttempt(harness.sent.get(0), Outcome.SERVED);
-        assertEquals(1, early.attempts.size(), "the earliest deadline");
+        assertEquals(1, earliest.attempts.size(), "the earliest deadline");
         harness.endAttempt(harness.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
         assertEquals(
@@ -52,12 +52,12 @@
             harness.advanceClock(10);
             harness.endAttempt(harness.lastAttempt(write), Outcome.SERVED);
         }
-        Node quick = harness.nodes.get(1);
-        assertTrue(harness.sent.stream().filter(attempt -> attempt.node == quick).count() >= 7);
+        Node fast = harness.nodes.get(1);
+        assertTrue(harness.sent.stream().filter(attempt -> attempt.node == fast).count() >= 7);
     }
 
     @Test
-    void newObjectsDoNotFloodANewEndpoint() {
+    void newObjectsAvoidAnEndpointInSlowStart() {
         SchedulerHarness harness = new SchedulerHarness(2);
         harness.advanceClock(3000);
         harness.nodes.add(harness.node(2));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void higherPriorityGoesBeforeAnEarlierDeadline() {
+    void reservedOperationGoesBeforeAnEarlierDeadline() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume surging = harness.volume(0);
         for (int i = 0; i < 8; i++) {
@@ -85,25 +85,25 @@
     }
 
     @Test
-    void usageThroughOtherGatewaysDrawsOnTheReservation() {
+    void usageThroughOtherGatewaysConsumesTheReservation() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Volume heavyElsewhere = harness.volume(1);
-        Operation told = harness.submit(SchedulerHarness.READ, heavyElsewhere, 1, 1, 0);
-        harness.lastAttempt(told).otherGatewaysUnits = 40;
-        harness.endAttempt(harness.lastAttempt(told), Outcome.SERVED);
+        Volume sharedVolume = harness.volume(1);
+        Operation reported = harness.submit(SchedulerHarness.READ, sharedVolume, 1, 1, 0);
+        harness.lastAttempt(reported).otherGatewaysUnits = 40;
+        harness.endAttempt(harness.lastAttempt(reported), Outcome.SERVED);
         for (int i = 0; i < 4; i++) {
             harness.submit(SchedulerHarness.READ, 0);
         }
-        Operation spent = harness.submit(SchedulerHarness.READ, heavyElsewhere, 2, 2, 0);
+        Operation beyondReservation = harness.submit(SchedulerHarness.READ, sharedVolume, 2, 2, 0);
         harness.advanceClock(4);
-        Operation due = harness.submit(SchedulerHarness.READ, 0);
+        Operation withinReservation = harness.submit(SchedulerHarness.READ, 0);
         harness.endAttempt(harness.sent.get(1), Outcome.SERVED);
-        assertTrue(spent.attempts.isEmpty());
-        assertEquals(1, due.attempts.size());
+        assertTrue(beyondReservation.attempts.isEmpty());
+        assertEquals(1, withinReservation.attempts.size());
     }
 
     @Test
-    void aLateOperationIsRejectedAtOnceWhenOthersTakeTheCapacity() {
+    void lateOperationIsRejectedBeforeItsDeadlineWhenOthersTakeTheCapacity() {
         SchedulerHarness harness = new SchedulerHarness(1);
         for (int i = 0; i < 4; i++) {
             harness.submit(SchedulerHarness.BULK, 0);
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -48,7 +48,7 @@
     int polls;
     int healthChecks;
     double now = 100_000;
-    private long ids;
+    private long lastId;
 
     /** Of a typical operation by the settings. */
     static final double UNITS = 2;
@@ -189,7 +189,7 @@
     }
 
     Volume volume(int plan) {
-        return new Volume(++ids, deployment.plans().get(plan));
+        return new Volume(++lastId, deployment.plans().get(plan));
     }
 
     /**
@@ -197,7 +197,7 @@
      * own.
      */
     Operation submit(int classIndex, int shard) {
-        return submit(classIndex, volume(1), ++ids, UNITS, shard);
+        return submit(classIndex, volume(1), ++lastId, UNITS, shard);
     }
 
     Operation submit(int classIndex, Volume volume, long extent, double units, int shard) {
@@ -224,7 +224,7 @@
             double deadlineMillis) {
         Operation operation =
                 new Operation(
-                        ++ids,
+                        ++lastId,
                         deployment.trafficClasses().get(classIndex),
                         volume,
                         extent,
@@ -234,7 +234,7 @@
                         now + deadlineMillis,
                         false);
         submitted.add(operation);
-        carryOut(operation, scheduler.route(operation, now));
+        applyDecision(operation, scheduler.route(operation, now));
         runDueWork();
         return operation;
     }
@@ -245,7 +245,7 @@
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended |= outcome == Outcome.SERVED;
         if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            carryOut(attempt.operation, scheduler.route(attempt.operation, now));
+            applyDecision(attempt.operation, scheduler.route(attempt.operation, now));
         }
         runDueWork();
     }
@@ -290,7 +290,7 @@
                 return;
             }
             for (Operation operation : turn.due()) {
-                carryOut(operation, scheduler.route(operation, now));
+                applyDecision(operation, scheduler.route(operation, now));
             }
         }
     }
@@ -304,7 +304,7 @@
         return operation.attempts.get(operation.attempts.size() - 1);
     }
 
-    private void carryOut(Operation operation, RoutingDecision decision) {
+    private void applyDecision(Operation operation, RoutingDecision decision) {
         switch (decision.kind()) {
             case SEND -> {
                 sent.add(lastAttempt(operation));
