--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -13,13 +13,13 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * All operations that wait, sorted by the times that may end their wait, so that the overdue are
+ * Indexes all waiting operations by the times that may end their wait, so that overdue ones are
  * found without visiting the others.
  */
 final class DeadlineIndex {
     /**
-     * The order of the queues: the endpoints' by index, new objects, those without endpoint; in
-     * each queue as they came.
+     * Orders operations by queue: those of the endpoints by index, new objects, then those without
+     * an endpoint. Within a queue they are in the order in which they were queued.
      */
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
@@ -47,7 +47,10 @@
         }
     }
 
-    /** Operations of one traffic class and size: what moves the end of one moves all alike. */
+    /**
+     * Operations of one traffic class and size. Changes of the objective or the required service
+     * time shift the end times of all of them alike, so the sort orders stay valid.
+     */
     static final class Group {
         final TrafficClass trafficClass;
         final double units;
@@ -68,7 +71,10 @@
                             .thenComparingLong(request -> request.sequence));
         }
 
-        /** Adds those that have ended by now, and hands over when the next one ends. */
+        /**
+         * Adds the operations whose end time is reached to the overdue ones, and passes on the
+         * first end time after now.
+         */
         void collectOverdue(
                 NavigableSet<QueuedRequest> order,
                 ToDoubleFunction<QueuedRequest> endTime,
--- a/src/main/java/sagepulley/scheduler/DispatchRules.java
+++ b/src/main/java/sagepulley/scheduler/DispatchRules.java
@@ -7,11 +7,11 @@
 import sagepulley.model.Operation;
 
 /**
- * The rules of the service that every attempt must keep; whatever the other concerns prefer,
- * nothing is sent that breaks one. Times are milliseconds.
+ * Checks the service rules that every attempt must keep, whatever the other classes of this package
+ * prefer. Times are milliseconds.
  */
 final class DispatchRules {
-    /** An answer must leave the gateway by the deadline, and the clock moves in ticks. */
+    /** The reply must leave the gateway by the deadline, and the clock advances in ticks. */
     private static final double DEADLINE_MARGIN_TICKS = 1.5;
 
     private final Deployment deployment;
@@ -43,7 +43,7 @@
         this.retryPolicy = new RetryPolicy(deployment.policy(), deadlineMargin);
     }
 
-    /** The time before its deadline in which nothing is sent for an operation any more. */
+    /** Returns the time before an operation's deadline in which no attempt is sent. */
     double deadlineMargin() {
         return deadlineMargin;
     }
@@ -52,12 +52,12 @@
         return retryPolicy;
     }
 
-    /** Whether the operation's deadline is too close for anything but its final answer. */
+    /** Returns whether the operation's deadline is too close for another attempt. */
     boolean isPastDeadline(Operation operation, double now) {
         return now >= operation.deadline - deadlineMargin;
     }
 
-    /** Whether the operation may be sent to the endpoint now. */
+    /** Returns whether the operation may be sent to the endpoint now. */
     boolean isAllowed(Operation operation, EndpointState endpoint, double now) {
         if (operation.ended || isPastDeadline(operation, now)) {
             return false;
@@ -74,7 +74,10 @@
                 && (isRetry || fitsLimit(operation, now));
     }
 
-    /** Nothing new goes to an endpoint that drains or is removed, or may be without our knowing. */
+    /**
+     * Returns whether an endpoint may get new attempts: the lease on the endpoint list holds, and
+     * the endpoint is neither draining nor removed.
+     */
     private boolean isUsable(Node node, double now) {
         return lease.holds(now) && node.phase == Node.Phase.READY;
     }
@@ -88,7 +91,10 @@
                 && retryBudget.allowsRetry(now);
     }
 
-    /** Whether an endpoint is warm, or its slow start lets the operation pass inside its share. */
+    /**
+     * Returns whether an endpoint is warm, or its slow-start budget admits the operation and the
+     * operation is within its volume's reservation or share.
+     */
     boolean fitsSlowStart(Operation operation, EndpointState endpoint, double now) {
         return !slowStart.isWarmingUp(endpoint, now)
                 || (slowStart.allows(operation, endpoint, endpoints.size(), now)
@@ -96,14 +102,13 @@
                                 >= deployment.shareWeightFraction());
     }
 
-    /** Whether the operation fits into this gateway's part of its volume's rate limit. */
+    /** Returns whether the operation fits into this gateway's part of its volume's rate limit. */
     boolean fitsLimit(Operation operation, double now) {
         return operation.units <= quota.limitRemaining(operation.volume, now);
     }
 
     /**
-     * Whether an attempt sent a while ago, of which the endpoint has seen nothing yet, may begin
-     * there now.
+     * Returns whether an attempt of which nothing has reached its endpoint yet may start there now.
      */
     boolean mayStart(Attempt attempt, double now) {
         Operation operation = attempt.operation;
--- a/src/main/java/sagepulley/scheduler/EndpointTable.java
+++ b/src/main/java/sagepulley/scheduler/EndpointTable.java
@@ -10,12 +10,12 @@
 import sagepulley.model.ServicePolicy;
 
 /**
- * The state of every listed endpoint, by index and by cell. The place of an endpoint that is gone
- * for good is taken by the next new one, so that there are as many places as the fleet is wide.
+ * Holds the state of every listed endpoint, by index and by cell. A new endpoint takes over the
+ * index of one that was removed for good, so that the table does not grow with every replacement.
  * Times are milliseconds.
  */
 final class EndpointTable {
-    /** A start that looks longer ago was reported by another clock. */
+    /** The age above which a reported start is attributed to a clock error. */
     private static final double MAX_REPORTED_AGE_MILLIS = 3_000_000;
 
     private final ServicePolicy policy;
@@ -32,7 +32,7 @@
         this.concurrency = concurrency;
     }
 
-    /** All endpoints in the order of their index. */
+    /** Returns all endpoints in the order of their index. */
     List<EndpointState> all() {
         return readOnlyEndpoints;
     }
@@ -45,12 +45,15 @@
         return endpoints.get(index);
     }
 
-    /** Whether an endpoint list was ever seen. */
+    /** Returns whether an endpoint list was ever received. */
     boolean hasList() {
         return hasList;
     }
 
-    /** The endpoint that holds a cell, one that is ready before others; null if there is none. */
+    /**
+     * Returns the endpoint that holds a cell, preferring one that is ready, or null if there is
+     * none.
+     */
     EndpointState holderOf(int cell) {
         EndpointState holder = null;
         for (EndpointState endpoint : byCell.getOrDefault(cell, List.of())) {
@@ -63,7 +66,7 @@
         return holder;
     }
 
-    /** Takes over the endpoint list as it now stands. */
+    /** Applies the current endpoint list. */
     void update(List<Node> nodes, double now) {
         for (Node node : nodes) {
             EndpointState endpoint = EndpointState.of(node);
@@ -94,7 +97,7 @@
         } else {
             endpoints.set(index, endpoint);
         }
-        // An endpoint that turns up later has just started, whatever start is reported of it.
+        // An endpoint added after the first list has just started, whatever start is reported.
         if (hasList && node.startedAt < now - policy.slowStartTime()) {
             endpoint.startedAt = now;
         }
@@ -108,9 +111,12 @@
     }
 
     /**
-     * The start of an endpoint, which is reported by a wall clock that may be off here or there:
-     * never later than now, and, once a list was confirmed, not before that list, which knew
-     * nothing of it. A start that is reported at all was recent.
+     * Returns the reported start of an endpoint, limited to what is possible, as wall clocks may be
+     * off. A start is never in the future and, since the latest confirmed list did not report it,
+     * not before that confirmation. Only recent starts are reported, so one that appears very old
+     * counts as now.
+     *
+     * <p>An unbounded lease and an unreported start, negative infinity, leave the value unchanged.
      */
     private double clampStart(double reported, double now) {
         if (!lease.isBounded() || reported == Double.NEGATIVE_INFINITY) {
--- a/src/main/java/sagepulley/scheduler/KeyOrdering.java
+++ b/src/main/java/sagepulley/scheduler/KeyOrdering.java
@@ -7,9 +7,9 @@
 import sagepulley.model.Outcome;
 
 /**
- * Keeps operations of one key in the order in which they arrived, for the traffic classes that ask
- * for it: one operation of a key at a time. After an attempt whose effect is unknown the key stays
- * idle for a while before its next operation starts.
+ * Runs operations on one key one at a time in the order of their arrival, for traffic classes that
+ * require it. After an attempt whose effect is unknown, the key stays idle for a while before its
+ * next operation starts.
  */
 final class KeyOrdering {
     private final double idleMillis;
@@ -24,7 +24,8 @@
     }
 
     /**
-     * Puts an operation that has arrived at the end of its key's queue, if its class is ordered.
+     * Adds an arrived operation to the end of its key's queue, if its traffic class is ordered and
+     * it has an extent.
      */
     void onArrival(QueuedRequest request) {
         Operation operation = request.operation;
@@ -34,7 +35,10 @@
         }
     }
 
-    /** Whether the operation is the first of its key, and the key's idle time is over for it. */
+    /**
+     * Returns whether the operation is the first of its key and, before its first attempt, whether
+     * the key's idle time is over.
+     */
     boolean isFirstOfKey(Operation operation, double now) {
         KeyQueue queue = QueuedRequest.of(operation).keyQueue;
         if (queue == null) {
@@ -64,7 +68,7 @@
                 || outcome == Outcome.CANCELLED;
     }
 
-    /** Lets the next operation of the key go once the ended one has no attempt in flight. */
+    /** Removes an ended operation from its key's queue, unless an attempt is still in flight. */
     void onOperationEnded(Operation operation) {
         KeyQueue queue = QueuedRequest.of(operation).keyQueue;
         if (queue != null && !operation.isInFlight()) {
--- a/src/main/java/sagepulley/scheduler/KeyQueue.java
+++ b/src/main/java/sagepulley/scheduler/KeyQueue.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import sagepulley.model.Operation;
 
-/** The operations of one key in the order in which they arrived; owned by {@link KeyOrdering}. */
+/** The operations on one key in the order of their arrival; owned by {@link KeyOrdering}. */
 final class KeyQueue {
     final List<Operation> operations = new ArrayList<>(2);
 
-    /** Until when no operation of the key starts, in milliseconds. */
+    /** The time up to which no operation of the key starts, in milliseconds. */
     double idleUntil = Double.NEGATIVE_INFINITY;
 }
--- a/src/main/java/sagepulley/scheduler/QueuedRequest.java
+++ b/src/main/java/sagepulley/scheduler/QueuedRequest.java
@@ -2,31 +2,40 @@
 
 import sagepulley.model.Operation;
 
-/** What the scheduler keeps of an operation from its arrival to its end. */
+/** The scheduler's state of an operation, from its first routing to its end. */
 final class QueuedRequest {
     final Operation operation;
 
-    /** Its number among all that were ever queued; unset before its first wait. */
+    /** The position among all operations ever queued, assigned anew each time it is queued. */
     long sequence;
 
-    /** The group that it belongs to in its queue; owned by {@link WaitQueue}. */
+    /** The group in the wait queue; owned by {@link WaitQueue}. */
     WaitQueue.GroupKey groupKey;
 
     /**
-     * When its latency objective ends, in milliseconds, counted from the client's first attempt.
+     * The end of the latency objective, in milliseconds; a recognised client retry keeps that of
+     * the first request.
      */
     double objectiveEndsAt;
 
-    /** Whether it stands in a queue. */
+    /** Whether the operation is in a wait queue. */
     boolean queued;
 
-    /** The endpoint in whose queue it stands; null for a new object or a cell without endpoint. */
+    /**
+     * The endpoint of the current or latest wait queue; null for a new object or a cell without an
+     * endpoint.
+     */
     EndpointState endpoint;
 
-    /** The queue of its key; null where its traffic class is not ordered. */
+    /**
+     * The queue of the operation's key; null if its traffic class is not ordered or it has no
+     * extent.
+     */
     KeyQueue keyQueue;
 
-    /** Drawn once from 0 to 1: an endpoint in slow start takes those with the lowest draw. */
+    /**
+     * A random number from 0 to 1; an endpoint in slow start admits operations with low numbers.
+     */
     final double slowStartDraw;
 
     QueuedRequest(Operation operation, double slowStartDraw) {
@@ -34,7 +43,7 @@
         this.slowStartDraw = slowStartDraw;
     }
 
-    /** The scheduler's state of an operation; null before it was first routed. */
+    /** Returns the scheduler's state of an operation, or null before it was first routed. */
     static QueuedRequest of(Operation operation) {
         return (QueuedRequest) operation.schedulerState;
     }
--- a/src/main/java/sagepulley/scheduler/RequestPriority.java
+++ b/src/main/java/sagepulley/scheduler/RequestPriority.java
@@ -4,20 +4,20 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Ranks operations by the value that is still due for them, for the time that they take of an
- * endpoint; among equals the earliest deadline goes first.
+ * Ranks operations by their value, from plan price, priority weight and quota tier, per millisecond
+ * of service time. On the same priority level the earliest deadline goes first.
  */
 final class RequestPriority {
-    /** Values within this factor of each other rank equal. */
+    /** The ratio of the values of adjacent priority levels. */
     private static final double LEVEL_BASE = 2;
 
-    /** The value for a millisecond that ranks at level 0. */
+    /** The value per millisecond of service time at level 0. */
     private static final double LEVEL_ZERO_VALUE_PER_MILLI = 1000;
 
-    /** The level of an operation that would miss its objective. */
+    /** The level of an operation that can no longer meet its latency objective. */
     private static final int LATE_LEVEL = 1000;
 
-    /** Keeps the value finite before the first answer. */
+    /** Keeps the value finite before the first operation is served. */
     private static final double MIN_SERVICE_TIME_MILLIS = 1e-9;
 
     private final LatencyTracker latencies;
@@ -29,7 +29,8 @@
     }
 
     /**
-     * The priority level of an operation at an endpoint, the lowest first; null for any endpoint.
+     * Returns the priority level of an operation at an endpoint, or at any endpoint if it is null.
+     * Lower levels go first.
      */
     int level(Operation operation, EndpointState endpoint, double now) {
         if (latencies.latestStartAt(operation) <= now) {
@@ -46,7 +47,7 @@
         return (int) (Math.log(LEVEL_ZERO_VALUE_PER_MILLI / value) / Math.log(LEVEL_BASE));
     }
 
-    /** Whether the first operation goes before the second. */
+    /** Returns whether the first operation goes before the second. */
     boolean outranks(Operation first, Operation second, EndpointState endpoint, double now) {
         int firstLevel = level(first, endpoint, now);
         int secondLevel = level(second, endpoint, now);
@@ -55,7 +56,10 @@
                 : first.deadline < second.deadline;
     }
 
-    /** Of two on one level, whether the first has the earlier deadline or was queued before. */
+    /**
+     * Returns whether the first of two requests on one level has the earlier deadline or, with the
+     * same deadline, was queued first.
+     */
     static boolean isEarlier(QueuedRequest first, QueuedRequest second) {
         double difference = first.operation.deadline - second.operation.deadline;
         return difference < 0 || (difference == 0 && first.sequence < second.sequence);
--- a/src/main/java/sagepulley/scheduler/RequestQueues.java
+++ b/src/main/java/sagepulley/scheduler/RequestQueues.java
@@ -7,8 +7,9 @@
 import sagepulley.model.Operation;
 
 /**
- * All operations that wait: in the queue of the endpoint that holds their data, among the new
- * objects, or apart where no listed endpoint holds their cell. Times are milliseconds.
+ * Holds all waiting operations: in the queue of the endpoint that holds their cell, in the queue of
+ * new objects, or in a separate queue if no listed endpoint holds their cell. Times are
+ * milliseconds.
  */
 final class RequestQueues {
     private final EndpointTable endpoints;
@@ -19,7 +20,7 @@
 
     private final DeadlineIndex deadlines = new DeadlineIndex();
 
-    /** Indexes of the endpoints with a queue: of thousands of endpoints most have none. */
+    /** Indexes of the endpoints with a non-empty queue, usually few of thousands. */
     private final BitSet endpointsWithQueue = new BitSet();
 
     private int size;
@@ -29,32 +30,37 @@
         this.endpoints = endpoints;
     }
 
-    /** How many operations wait in all. */
+    /** Returns the number of waiting operations in all queues. */
     int size() {
         return size;
     }
 
-    /** The new objects that wait. */
+    /** Returns the queue of new objects. */
     WaitQueue newObjects() {
         return newObjects;
     }
 
-    /** Changes with everything that may change whose turn it is. */
+    /**
+     * Returns a number that increases with every change that may affect which operation goes next.
+     */
     long version() {
         return version;
     }
 
-    /** Something outside of the queues may have changed whose turn it is. */
+    /** Records a change outside the queues that may affect which operation goes next. */
     void markChanged() {
         version++;
     }
 
-    /** The next index from the given one of an endpoint with a queue; -1 if there is none. */
+    /**
+     * Returns the index of the first endpoint with a non-empty queue from the given index on, or -1
+     * if there is none.
+     */
     int nextEndpointWithQueue(int from) {
         return endpointsWithQueue.nextSetBit(from);
     }
 
-    /** Puts an operation into the queue where it belongs now. */
+    /** Adds an operation to the queue for its cell under the current endpoint list. */
     void enqueue(Operation operation) {
         version++;
         QueuedRequest request = QueuedRequest.of(operation);
@@ -75,7 +81,7 @@
         endpointsWithQueue.set(request.endpoint.index);
     }
 
-    /** Takes an operation out of its queue, if it stands in one. */
+    /** Removes an operation from its queue, if it is queued. */
     void dequeue(Operation operation) {
         QueuedRequest request = QueuedRequest.of(operation);
         if (!request.queued) {
@@ -97,7 +103,10 @@
         }
     }
 
-    /** The cell of an operation became known (-1: it is a new object); its queue may be another. */
+    /**
+     * Sets the cell of an operation, -1 for a new object, and moves it to the queue for that cell
+     * if it is queued.
+     */
     void relocate(Operation operation, int cell) {
         boolean queued = QueuedRequest.of(operation).queued;
         dequeue(operation);
@@ -107,7 +116,10 @@
         }
     }
 
-    /** Queues anew whoever waits for an endpoint that is not ready, or for a cell without one. */
+    /**
+     * Requeues operations that wait for an endpoint that is not ready or for a cell without an
+     * endpoint.
+     */
     void onEndpointList() {
         requeue(withoutEndpoint);
         for (EndpointState endpoint : endpoints.all()) {
@@ -125,8 +137,9 @@
     }
 
     /**
-     * The operations that wait and would be late, or whose deadline is reached, in the order of
-     * their queues: the endpoints', new objects, those without endpoint.
+     * Returns the waiting operations that can no longer meet their latency objective or whose
+     * deadline is reached, in the order of {@link DeadlineIndex#BY_QUEUE}. Records in wakeUp when
+     * the next operation becomes overdue.
      */
     List<Operation> overdue(
             LatencyTracker latencies, double deadlineMarginMillis, WakeUpTime wakeUp, double now) {
@@ -134,7 +147,8 @@
         for (DeadlineIndex.Group group : deadlines.groups()) {
             double required = latencies.requiredServiceTime(group.trafficClass, group.units);
             double objective = latencies.objective(group.trafficClass);
-            // Sorted by each of the three times that may end it: only the overdue are visited.
+            // Each set is sorted by one of the three times that may end a wait, so only overdue
+            // operations are visited.
             group.collectOverdue(
                     group.byObjective,
                     request -> request.objectiveEndsAt - required,
--- a/src/main/java/sagepulley/scheduler/RequestSelector.java
+++ b/src/main/java/sagepulley/scheduler/RequestSelector.java
@@ -5,7 +5,7 @@
 import java.util.NavigableSet;
 import sagepulley.model.Operation;
 
-/** Whose turn it is: which of the operations that wait goes to which endpoint next. */
+/** Selects which waiting operation is sent to which endpoint next. */
 final class RequestSelector {
     private final EndpointTable endpoints;
     private final RequestQueues queues;
@@ -42,8 +42,9 @@
     }
 
     /**
-     * The operations to route now: by endpoint whose turn it is and who is overdue there, then the
-     * same of new objects. Notes when the next one is overdue.
+     * Returns the operations to route now: for each endpoint the selected operation and the overdue
+     * ones of its queue, then the same for new objects, then overdue operations without an
+     * endpoint. Records in wakeUp when the next operation becomes overdue.
      */
     List<Operation> dueOperations(WakeUpTime wakeUp, double now) {
         List<Operation> due = new ArrayList<>(4);
@@ -67,7 +68,10 @@
         return due;
     }
 
-    /** Adds the overdue of an endpoint's queue, or all that are left, and gives the next index. */
+    /**
+     * Adds the overdue operations of an endpoint's queue, or all remaining ones if the endpoint is
+     * null, and returns the index of the next one.
+     */
     private static int addOverdue(
             List<Operation> overdue, int from, EndpointState endpoint, List<Operation> due) {
         int next = from;
@@ -81,7 +85,7 @@
         return next;
     }
 
-    /** The endpoint to which an operation may go now, if it is its turn there; null if it waits. */
+    /** Returns the endpoint to which the operation may be sent now, or null if it waits. */
     EndpointState endpointFor(Operation operation, double now) {
         if (operation.shard < 0) {
             return firstNewObject(now) == operation ? placementFor(operation, now) : null;
@@ -93,14 +97,15 @@
         return precedesNewObject(operation, firstNewObject(now), endpoint, now) ? endpoint : null;
     }
 
-    /** The new object that ranks first; null if none waits. */
+    /** Returns the new object of the highest priority, or null if none waits. */
     private Operation firstNewObject(double now) {
         return highestPriority(queues.newObjects(), null, now);
     }
 
     /**
-     * Whether an operation selected for an endpoint goes there before the first new object, which
-     * may rank lower, go elsewhere or be null.
+     * Returns whether the operation selected for an endpoint is sent before the first new object.
+     * This holds if there is no new object, if it does not outrank the selected operation, or if it
+     * is not placed at this endpoint.
      */
     private boolean precedesNewObject(
             Operation selected, Operation newObject, EndpointState endpoint, double now) {
@@ -109,15 +114,19 @@
                 || placementFor(newObject, now) != endpoint;
     }
 
-    /** Where a new object goes now by its placement score; null if no endpoint may take it. */
+    /**
+     * Returns the endpoint with the lowest placement score for a new object, or null if none is
+     * eligible.
+     */
     private EndpointState placementFor(Operation newObject, double now) {
         return router.lowestScore(
                 endpoints.all(), endpoint -> isEligible(endpoint, newObject, now), now);
     }
 
     /**
-     * Whether an endpoint may take a new object before what waits for it. An endpoint that fails at
-     * once, or that is in slow start, has few placements and no latency: it would draw all of them.
+     * Returns whether a new object may be placed at an endpoint now, ahead of the operations that
+     * wait there. Endpoints that fail fast or are in slow start are excluded: with few placements
+     * and no latency history their scores would attract all new objects.
      */
     private boolean isEligible(EndpointState endpoint, Operation operation, double now) {
         if (!concurrency.hasCapacity(endpoint, now)
@@ -137,14 +146,15 @@
     }
 
     /**
-     * The operation of an endpoint's queue whose turn it is: one of the extent sent there last, a
-     * few in a row, then the one that ranks first; null if none may go.
+     * Returns the operation to send next from an endpoint's queue, or null if none may be sent. A
+     * few operations on the extent that was sent last go first, then the one of the highest
+     * priority.
      */
     private Operation select(EndpointState endpoint, double now) {
         if (endpoint.waitQueue.isEmpty() || !concurrency.hasCapacity(endpoint, now)) {
             return null;
         }
-        // Often asked again with nothing changed, by nextTurn and route one after the other.
+        // Cached, as nextTurn and the following route calls need the same selection.
         if (endpoint.selectedAt != now || endpoint.selectedVersion != queues.version()) {
             endpoint.selected = computeSelection(endpoint, now);
             endpoint.selectedAt = now;
@@ -168,10 +178,12 @@
     }
 
     /**
-     * The operation of a queue that ranks first and may go; the endpoint is null for new objects.
-     * Those of a group differ only in their deadline and in being late, so that one that is not
-     * late stands for the rest, except at an endpoint in slow start, where each has a draw of its
-     * own.
+     * Returns the dispatchable operation of the highest priority in a queue. For new objects the
+     * endpoint is null and all count as dispatchable.
+     *
+     * <p>Operations in a group differ only in deadline and lateness, so the first that is on time
+     * represents the rest. At an endpoint in slow start all are examined, as their slow-start draws
+     * differ.
      */
     private Operation highestPriority(WaitQueue queue, EndpointState endpoint, double now) {
         boolean drawsDiffer = endpoint != null && slowStart.isWarmingUp(endpoint, now);
@@ -182,7 +194,7 @@
                 Operation operation = request.operation;
                 boolean representsGroup = !drawsDiffer && isOnTime(operation, now);
                 if (endpoint == null || isDispatchable(operation, endpoint, now)) {
-                    // A level is taken only where there is another to compare it with.
+                    // Computes a level only where there is another operation to compare with.
                     if (best != null && bestLevel < 0) {
                         bestLevel = priority.level(best.operation, endpoint, now);
                     }
--- a/src/main/java/sagepulley/scheduler/Router.java
+++ b/src/main/java/sagepulley/scheduler/Router.java
@@ -6,9 +6,9 @@
 import sagepulley.model.Node;
 
 /**
- * Where a new object goes: to the eligible endpoint with the lowest placement score, a weighted sum
- * of its recent placements, its load, its write to read ratio and the deployment's preference. Each
- * term is 1 on average.
+ * Places new objects at the eligible endpoint with the lowest placement score: a weighted sum of
+ * its recent placements, its load, its write to read ratio and the deployment's preference. Each
+ * term is about 1 for an average idle endpoint.
  */
 final class Router {
     private static final double PLACEMENTS_WEIGHT = 1;
@@ -16,7 +16,7 @@
     private static final double WRITE_READ_WEIGHT = 0.2;
     private static final double PREFERENCE_WEIGHT = 0.2;
 
-    /** What each attempt in flight adds to an endpoint's load. */
+    /** The load of one attempt in flight, as a fraction of the latency ratio. */
     private static final double LOAD_PER_ATTEMPT = 0.5;
 
     private final Deployment deployment;
@@ -25,7 +25,10 @@
         this.deployment = deployment;
     }
 
-    /** The eligible endpoint with the lowest score, the first of equals; null if there is none. */
+    /**
+     * Returns the eligible endpoint with the lowest score, the first of equals, or null if there is
+     * none.
+     */
     EndpointState lowestScore(
             List<EndpointState> endpoints, Predicate<EndpointState> isEligible, double now) {
         double placements = 0;
@@ -60,8 +63,9 @@
     }
 
     /**
-     * A latency ratio as old as the last refresh sends all new objects one way until the next: what
-     * is in flight now, and the queue that the latest answers showed, count with it.
+     * Returns the load of an endpoint: its latency ratio, scaled by its attempts in flight, plus
+     * its queue estimate. The latency ratio changes only at a refresh and would, on its own, send
+     * all new objects to one endpoint until the next.
      */
     private static double currentLoad(EndpointState endpoint) {
         return endpoint.latencyRatio * (1 + LOAD_PER_ATTEMPT * endpoint.inFlight.size())
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -18,19 +18,21 @@
 import sagepulley.model.ServicePolicy;
 
 /**
- * Decides for one gateway which operation goes to which endpoint, when, and which is given up. It
- * composes the concerns, each a class of this package with state of its own, and keeps the order in
- * which they are called; the order of random draws is part of its behaviour.
+ * Decides for one gateway which operation is sent to which endpoint and when, and which operations
+ * are rejected or abandoned. It composes the classes of this package and fixes the order of their
+ * calls, and with it the order of random draws.
  *
- * <p>Its caller keeps the operations and the timer, and calls from one thread:
+ * <p>The caller owns the operations and the timer, and makes all calls from one thread:
  *
  * <ul>
- *   <li>{@link #route}: where to send an operation, or not yet, or never; it has added the attempt
- *       that is to be sent
- *   <li>{@link #onAttemptEnded}: what to do for the operation of an attempt with an outcome
- *   <li>{@link #nextTurn}: how long to wait, and what is due now; asked again until no operation is
- *       due
- *   <li>the other methods tell it of events and have no answer
+ *   <li>{@link #route} decides whether an operation is sent now, waits, or is given up; if it is
+ *       sent, the attempt has already been added to it
+ *   <li>{@link #onAttemptEnded} records the outcome of an attempt and returns what to do for its
+ *       operation
+ *   <li>{@link #nextTurn} returns what is due now and the delay until the next turn; the caller
+ *       routes the due operations and repeats the call until none of them stops waiting
+ *   <li>{@link #mayStart} returns whether an attempt that is not written yet may still start
+ *   <li>the other methods report events
  * </ul>
  *
  * <p>Times are milliseconds on the caller's monotonic clock.
@@ -48,7 +50,7 @@
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
 
-    // The views of this package read these.
+    // Package-private for WaitExplainer and the views.
     final EndpointLease lease;
     final EndpointTable endpoints;
     final DispatchRules rules;
@@ -59,12 +61,12 @@
     final ConcurrencyLimiter concurrency;
     final AdmissionController admission;
 
-    /** Attempts in flight whose client has cancelled, until the next turn. */
+    /** Attempts whose client has cancelled; the next turn returns them. */
     private final List<Attempt> pendingCancellations = new ArrayList<>();
 
     private double nextRefreshAt = Double.NEGATIVE_INFINITY;
 
-    /** A scheduler without endpoints; the seed makes its random draws repeatable. */
+    /** Creates a scheduler without endpoints; the seed makes its random draws repeatable. */
     public Scheduler(Deployment deployment, long seed) {
         ServicePolicy policy = deployment.policy();
         this.deployment = deployment;
@@ -99,7 +101,7 @@
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
-    /** Takes over the endpoint list; an endpoint that is gone from it has the phase REMOVED. */
+    /** Applies a new endpoint list; endpoints that are no longer listed have the phase REMOVED. */
     public void onEndpointList(List<Node> nodes, double now) {
         boolean isFirstList = !endpoints.hasList();
         endpoints.update(nodes, now);
@@ -108,52 +110,57 @@
             slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
-            // With a bounded lease onListConfirmed says so: a list may also come from an address
-            // that discovery has left, which answers no poll.
+            // With a bounded lease only onListConfirmed counts as a successful poll: a list may
+            // also come from a former discovery address, which answers no poll of the current one.
             discovery.pollSucceeded();
         }
         queues.onEndpointList();
     }
 
-    /** The endpoint list is known to have been current at a time. */
+    /** Records that the endpoint list is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
         queues.markChanged();
         discovery.pollSucceeded();
     }
 
-    /** Nobody could reach discovery at a time. */
+    /** Records that discovery refused connections at a time, so that no gateway could reach it. */
     public void onDiscoveryUnreachable(double at) {
         lease.unreachable(at);
     }
 
-    /** A poll of the endpoint list failed, or its watch ended. */
+    /** Records that a poll of the endpoint list failed or its watch ended. */
     public void onPollFailed(double now) {
         discovery.pollFailed(now);
     }
 
-    /** A new configuration, which may move discovery, was notified at a time. */
+    /**
+     * Records that a new configuration, which may change the discovery address, was notified at a
+     * time.
+     */
     public void onReloadNotified(double at) {
         lease.reloadNotified(at);
     }
 
-    /** A configuration whose reading began at a time is known, or known to be of no use. */
+    /**
+     * Records that a configuration whose reading began at a time is known, or known to be unusable.
+     */
     public void onConfigurationRead(double readAt) {
         lease.reloadCompleted(readAt);
     }
 
-    /** Discovery is at another address from now on, and was not polled there yet. */
+    /** Records that discovery has a new address, which has not been polled yet. */
     public void onDiscoveryMoved(double now) {
         discovery.addressChanged(now);
     }
 
-    /** A health check ended; none is asked for yet, so nothing is learned. */
+    /** Ignores the outcome of a health check, as the scheduler requests none. */
     public void onHealthCheck(
             Node node, Outcome outcome, double took, double[] report, double now) {}
 
     /**
-     * The client has cancelled an operation: what is in flight for it is cancelled at the next
-     * turn.
+     * Removes an operation that its client has cancelled. Its attempts in flight are cancelled at
+     * the next turn if the deployment allows cancellation.
      */
     public void onClientCancelled(Operation operation, double now) {
         removeFromQueues(operation);
@@ -166,20 +173,17 @@
         }
     }
 
-    /**
-     * The cell of an operation's extent became known (-1: it is a new object) while it waits or is
-     * in flight.
-     */
+    /** Sets the cell of an operation that waits or is in flight; -1 stands for a new object. */
     public void onExtentLocated(Operation operation, int cell) {
         queues.relocate(operation, cell);
     }
 
-    /** The operation has ended without an endpoint, as there is nothing to read or to do. */
+    /** Removes an operation that has ended without needing an endpoint. */
     public void onEndedWithoutNode(Operation operation) {
         removeFromQueues(operation);
     }
 
-    /** Where to send this operation, or not yet, or never. */
+    /** Decides whether an operation is sent now, waits, or is given up. */
     public RoutingDecision route(Operation operation, double now) {
         QueuedRequest request = requestFor(operation, now);
         if (operation.ended) {
@@ -212,7 +216,7 @@
         }
     }
 
-    /** Learns from the outcome of an attempt, and says what to do for its operation. */
+    /** Records the outcome of an attempt and returns what to do for its operation. */
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
         EndpointState endpoint = EndpointState.of(attempt.node);
@@ -227,7 +231,7 @@
         return operation.isInFlight() ? FollowUp.NONE : FollowUp.ROUTE_AGAIN;
     }
 
-    /** How long to wait before asking again, and what is due now. */
+    /** Returns what is due now and the delay until the next turn. */
     public SchedulerTurn nextTurn(double now) {
         wakeUp.reset();
         queues.markChanged();
@@ -243,7 +247,7 @@
         return new SchedulerTurn(wakeUp.delay(now), due, List.of(), cancelled, poll);
     }
 
-    /** Whether an attempt that was not written yet may begin at its endpoint now. */
+    /** Returns whether an attempt that is not written yet may start at its endpoint now. */
     public boolean mayStart(Attempt attempt, double now) {
         return rules.mayStart(attempt, now);
     }
@@ -291,10 +295,15 @@
         if (rules.isPastDeadline(operation, now)) {
             return Reason.DEADLINE;
         }
-        return latencies.latestStartAt(operation) <= now ? Reason.OBJECTIVE_MISSED : Reason.NO_RETRY;
+        return latencies.latestStartAt(operation) <= now
+                ? Reason.OBJECTIVE_MISSED
+                : Reason.NO_RETRY;
     }
 
-    /** Whether a retry is wanted at all; whether the rules allow it is asked for each endpoint. */
+    /**
+     * Returns whether the operation may be retried at all; {@link DispatchRules} then checks the
+     * endpoint.
+     */
     private boolean mayRetry(Operation operation, double now) {
         return rules.retryPolicy().hasAttemptsLeft(operation)
                 && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
@@ -303,8 +312,10 @@
     }
 
     /**
-     * Whether more waits for an endpoint than it can have in flight, or too much was rejected. An
-     * overload of one endpoint forbids no retry at another.
+     * Returns whether more operations wait for an endpoint than its concurrency limit, or too many
+     * of its arrivals were rejected. With a null endpoint, all waiting operations are compared with
+     * the number of endpoints. Overload is judged per endpoint, so that it does not prevent retries
+     * elsewhere.
      */
     private boolean isOverloaded(EndpointState endpoint, double now) {
         boolean queueExceedsLimit =
@@ -314,7 +325,7 @@
         return queueExceedsLimit || admission.exceedsRejectionRatio(endpoint, now);
     }
 
-    /** Lets the statistics of all concerns fade and be taken anew, once a period. */
+    /** Refreshes the latency, admission and endpoint statistics once per refresh period. */
     private void refresh(double now) {
         if (now < nextRefreshAt) {
             return;
@@ -355,7 +366,7 @@
         concurrency.onServed(attempt, endpoint, queued, now);
     }
 
-    /** The state of an operation, which has just arrived if it has none. */
+    /** Returns the state of an operation, which counts as an arrival on the first call. */
     private QueuedRequest requestFor(Operation operation, double now) {
         if (operation.schedulerState != null) {
             return QueuedRequest.of(operation);
@@ -368,7 +379,10 @@
         return request;
     }
 
-    /** Takes an operation that has ended out of its queue, and out of its key's once it may. */
+    /**
+     * Removes an operation from its wait queue, and from its key's queue unless an attempt is in
+     * flight.
+     */
     private void removeFromQueues(Operation operation) {
         queues.dequeue(operation);
         keyOrdering.onOperationEnded(operation);
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -4,11 +4,11 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Reason;
 
-/** Why an operation waits, for accounts and tracing; nothing is decided by it. */
+/** Determines why an operation waits, for accounts and tracing; no decision depends on it. */
 public final class WaitExplainer {
     private WaitExplainer() {}
 
-    /** The first of the scheduler's concerns that holds the operation back now. */
+    /** Returns the first reason that applies to an operation that waits now. */
     public static Reason reasonFor(Scheduler scheduler, Operation operation, double now) {
         if (!scheduler.lease.holds(now)) {
             return Reason.NO_LEASE;
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -11,15 +11,18 @@
 import java.util.TreeSet;
 import sagepulley.model.Operation;
 
-/** One queue of operations in the order in which they came, with access by group and by extent. */
+/**
+ * A queue of operations in the order in which they were queued, indexed by group and by extent.
+ */
 final class WaitQueue {
     private static final Comparator<QueuedRequest> BY_DEADLINE =
             Comparator.comparingDouble((QueuedRequest request) -> request.operation.deadline)
                     .thenComparingLong(request -> request.sequence);
 
     /**
-     * What the scheduler cannot tell apart but by deadline. An operation that had an attempt, or
-     * keeps the order of a key, is alone in its group by its sequence number; others have 0 there.
+     * Identifies a group of operations that differ only in deadline and lateness. An operation that
+     * was attempted or belongs to an ordered key forms a group of its own, identified by its
+     * sequence number; the sequence number of all other groups is 0.
      */
     record GroupKey(long volume, int trafficClass, double units, long sequence) {
         static GroupKey of(QueuedRequest request) {
@@ -32,7 +35,8 @@
                     interchangeable ? 0 : request.sequence);
         }
 
-        // Written out, as a record's own methods are linked at first use, which slows the start.
+        // Written out because generated record methods are linked at first use, which slows the
+        // start.
         @Override
         public int hashCode() {
             return (Long.hashCode(volume) * 31 + trafficClass) * 31
@@ -88,18 +92,18 @@
         }
     }
 
-    /** The groups in the order in which they came, each sorted by deadline. */
+    /** Returns the groups in the order of their creation, each sorted by deadline. */
     Collection<NavigableSet<QueuedRequest>> groups() {
         return groups.values();
     }
 
-    /** The operations of an extent in the order in which they came; none for extent 0. */
+    /** Returns the operations of an extent in queue order; empty for extent 0. */
     Collection<Operation> operationsOfExtent(long extent) {
         TreeMap<Long, Operation> sameExtent = byExtent.get(extent);
         return sameExtent == null ? List.of() : sameExtent.values();
     }
 
-    /** All operations in the order in which they came, as a copy. */
+    /** Returns a copy of all operations in queue order. */
     List<Operation> copyInOrder() {
         return new ArrayList<>(bySequence.values());
     }
--- a/src/main/java/sagepulley/scheduler/WakeUpTime.java
+++ b/src/main/java/sagepulley/scheduler/WakeUpTime.java
@@ -1,23 +1,26 @@
 package sagepulley.scheduler;
 
 /**
- * The earliest time at which a decision taken now may turn out differently, on the monotonic clock
- * in milliseconds. Each concern that answers "not yet" notes when it is worth asking again.
+ * Tracks the earliest time at which a decision made now may change, on the monotonic clock in
+ * milliseconds. A class that defers an operation records when to check it again.
  */
 final class WakeUpTime {
     private double earliest;
 
-    /** Forgets what was noted; the next turn collects it anew. */
+    /** Clears the recorded time, at the start of a turn. */
     void reset() {
         earliest = Double.POSITIVE_INFINITY;
     }
 
-    /** Notes that a decision may change at a time. */
+    /** Records that a decision may change at a time. */
     void noLaterThan(double time) {
         earliest = Math.min(earliest, time);
     }
 
-    /** How long to wait from now, in milliseconds; infinite if nothing was noted. */
+    /**
+     * Returns the time from now to the recorded time, in milliseconds; infinite if none is
+     * recorded.
+     */
     double delay(double now) {
         return Math.max(0, earliest - now);
     }
--- a/src/test/java/sagepulley/scheduler/CancellationTest.java
+++ b/src/test/java/sagepulley/scheduler/CancellationTest.java
@@ -8,7 +8,7 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 
-/** What cancellations of clients teach, and what they cancel. */
+/** Effects of client cancellations on the latency objective and on attempts in flight. */
 class CancellationTest {
     @Test
     void earlyCancellationsShortenTheObjectiveAndCancelAttempts() {
@@ -26,7 +26,7 @@
         harness.updateEndpointList();
         harness.submit(SchedulerHarness.BULK, 0);
         harness.advanceClock(70);
-        assertEquals(1, harness.rejected.size(), "long before its target time of 1.5 s");
+        assertEquals(1, harness.rejected.size(), "rejected long before its objective of 1.5 s");
     }
 
     @Test
@@ -43,7 +43,7 @@
         harness.updateEndpointList();
         harness.submit(SchedulerHarness.READ, 0);
         harness.advanceClock(100);
-        assertEquals(0, harness.rejected.size(), "the target time is still 250 ms");
+        assertEquals(0, harness.rejected.size(), "the objective is still 250 ms");
     }
 
     @Test
@@ -58,8 +58,7 @@
             }
             harness.cancel(operation);
             harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
-            // The node takes long for a while, so that no answer would come in the time that
-            // clients stay.
+            // The node is slow for a while: no reply arrives before clients cancel.
             serveReads(harness, 2, 60);
         }
         int sentBefore = harness.sent.size();
@@ -70,10 +69,12 @@
                 harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
-        assertTrue(harness.sent.size() - sentBefore > 100, "sent " + (harness.sent.size() - sentBefore));
+        assertTrue(
+                harness.sent.size() - sentBefore > 100,
+                "sent " + (harness.sent.size() - sentBefore));
     }
 
-    /** So many reads, one after the other, each answered after a time. */
+    /** Serves reads one after the other, each after the given time. */
     private static void serveReads(SchedulerHarness harness, int count, double serviceMillis) {
         for (int i = 0; i < count; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
--- a/src/test/java/sagepulley/scheduler/DiscoveryLoadTest.java
+++ b/src/test/java/sagepulley/scheduler/DiscoveryLoadTest.java
@@ -11,9 +11,9 @@
 import sagepulley.model.SchedulerTurn;
 
 /**
- * Many processes that start anew together and a discovery that serves their calls in turn. It works
- * on calls that have been given up as well, so that callers who come back too soon keep it busy
- * with nothing for good.
+ * Guards against a poll schedule that overloads discovery when many gateways start together.
+ * Discovery serves polls in order, including those that have timed out, so polls repeated too soon
+ * would keep it busy forever.
  */
 class DiscoveryLoadTest {
     private static final double SERVICE_TIME_MILLIS = 60;
@@ -68,6 +68,6 @@
         for (boolean received : hasList) {
             count += received ? 1 : 0;
         }
-        assertEquals(gateways, count, "processes with a list after " + DURATION_MILLIS + " ms");
+        assertEquals(gateways, count, "gateways with a list after " + DURATION_MILLIS + " ms");
     }
 }
--- a/src/test/java/sagepulley/scheduler/EndpointPollTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointPollTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When discovery is polled for the endpoint list. */
+/** The schedule of endpoint list polls. */
 class EndpointPollTest {
     @Test
     void listIsPolledAtStartAndAfterFailuresWithBackoff() {
         SchedulerHarness harness = new SchedulerHarness(1, 1, 3, true, Double.NaN);
-        assertEquals(0, harness.polls, "staggered by the gateway's number");
+        assertEquals(0, harness.polls, "the first poll is staggered by gateway index");
         harness.advanceClock(300);
         assertEquals(1, harness.polls);
         for (int i = 0; i < 5; i++) {
@@ -18,15 +18,14 @@
             harness.advanceClock(400);
         }
         int pollsBefore = harness.polls;
-        assertTrue(pollsBefore <= 3, "asked " + pollsBefore);
+        assertTrue(pollsBefore <= 3, "polls with backoff: " + pollsBefore);
         harness.advanceClock(9000);
-        assertTrue(harness.polls > pollsBefore, "but it does ask again");
+        assertTrue(harness.polls > pollsBefore, "polls again after the backoff");
     }
 
     /**
-     * However often it failed, discovery is polled again within less than the time after which a
-     * change counts as notified, and not so often that it is overloaded (DiscoveryLoadTest). What
-     * has not come by then, the lease covers.
+     * Guards against a backoff longer than the time after which a change counts as notified, and
+     * against polls that overload discovery (see DiscoveryLoadTest).
      */
     @Test
     void pollBackoffIsBounded() {
@@ -41,8 +40,8 @@
                 harness.scheduler.onPollFailed(harness.now);
             }
         }
-        assertTrue(longestGap <= 4_600, "at most " + longestGap + " ms between two calls");
-        assertTrue(harness.polls < 45, "in a minute " + harness.polls);
+        assertTrue(longestGap <= 4_600, "longest gap between polls: " + longestGap + " ms");
+        assertTrue(harness.polls < 45, "polls in a minute: " + harness.polls);
     }
 
     @Test
@@ -58,7 +57,7 @@
         assertEquals(pollsBefore + 1, harness.polls);
     }
 
-    /** The old address may still tell changes before the new one has been called. */
+    /** The former address may still send lists before the new one is polled. */
     @Test
     void listFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
@@ -71,10 +70,7 @@
         assertEquals(pollsBefore + 1, harness.polls);
     }
 
-    /**
-     * Many start anew at once while nodes drain: 6 s after a change that could be had it counts as
-     * told to all.
-     */
+    /** Many gateways start together; 6 s after a change it counts as notified to all of them. */
     @Test
     void lastOfManyGatewaysPollsBeforeAChangeCountsAsNotified() {
         SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
@@ -82,6 +78,6 @@
         assertEquals(1, harness.polls);
         harness.updateEndpointList();
         harness.advanceClock(harness.deployment.pollInterval() - 2_600);
-        assertEquals(1, harness.polls, "it was answered");
+        assertEquals(1, harness.polls, "no poll after an answered one");
     }
 }
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -10,7 +10,9 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** The placement score, the concurrency limit, runs of an extent, and the earliest deadline. */
+/**
+ * Placement scores, the concurrency limit, runs on one extent, and the order of waiting operations.
+ */
 class PlacementTest {
     @Test
     void concurrencyLimitStartsAtFourAndTheRestOfARunMayExceedIt() {
@@ -25,11 +27,11 @@
         Operation run2 = harness.submit(SchedulerHarness.READ, volume, 5, 1, 0);
         assertEquals(4, harness.sent.size());
         harness.endAttempt(harness.sent.get(0), Outcome.SERVED);
-        assertEquals(1, earliest.attempts.size(), "the earliest deadline");
+        assertEquals(1, earliest.attempts.size(), "the earliest deadline goes first");
         harness.endAttempt(harness.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
         assertEquals(
-                1, run2.attempts.size(), "the rest of the run goes along, a few over the limit");
+                1, run2.attempts.size(), "the rest of the run may exceed the limit");
     }
 
     @Test
@@ -109,7 +111,7 @@
             harness.submit(SchedulerHarness.BULK, 0);
         }
         Operation read = harness.submit(SchedulerHarness.READ, harness.volume(0), 1, 2, 0);
-        // The node goes on answering: it is no trial that the read waits for.
+        // The node keeps replying, so the read does not wait for a probation request.
         for (int i = 0; i < 4; i++) {
             harness.advanceClock(50);
             harness.submit(SchedulerHarness.READ, 0);
@@ -117,7 +119,7 @@
         }
         assertTrue(read.attempts.isEmpty() && !read.ended);
         harness.advanceClock(52);
-        assertTrue(read.ended, "its target time is past, its patience is not");
+        assertTrue(read.ended, "its objective is missed, its deadline is not reached");
         assertEquals(1, harness.rejected.size());
     }
 }
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -16,13 +16,11 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
-/**
- * The smallest host of a scheduler: a clock moved by hand, idle nodes, and a log of what was sent.
- */
+/** Hosts a scheduler with a manual clock and passive nodes, and records its decisions. */
 final class SchedulerHarness {
     /**
-     * Traffic classes by index: read, write, bulk read, deduplicated within a cell, non-idempotent,
-     * ordered by key.
+     * Indexes of the traffic classes: read, write, bulk read, deduplicated within a cell,
+     * non-idempotent, ordered by key.
      */
     static final int READ = 0;
 
@@ -42,7 +40,7 @@
     final Scheduler scheduler;
     final Deployment deployment;
 
-    /** The Retry-After of the client that was rejected last, in milliseconds. */
+    /** The Retry-After of the latest rejection, in milliseconds. */
     double retryAfter = Double.NaN;
 
     int polls;
@@ -50,7 +48,7 @@
     double now = 100_000;
     private long lastId;
 
-    /** Of a typical operation by the settings. */
+    /** The units of a typical operation. */
     static final double UNITS = 2;
 
     SchedulerHarness(int nodeCount) {
@@ -72,7 +70,10 @@
                 Double.POSITIVE_INFINITY);
     }
 
-    /** The same where a change of the endpoint list counts as notified within a span. */
+    /**
+     * Creates a harness in which a change of the endpoint list counts as notified within a time in
+     * milliseconds.
+     */
     SchedulerHarness(
             int nodeCount,
             int gatewayIndex,
@@ -169,7 +170,7 @@
             double priorityWeight) {
         return new TrafficClass(
                 index,
-                "band " + index,
+                "class " + index,
                 idempotency,
                 TrafficClass.DeduplicationScope.CELL,
                 1000,
@@ -193,8 +194,8 @@
     }
 
     /**
-     * An operation of two units on a shard, of a volume with a reservation and an extent of its
-     * own.
+     * Submits an operation of two units on a shard, with a new extent on a new volume that has a
+     * reservation.
      */
     Operation submit(int classIndex, int shard) {
         return submit(classIndex, volume(1), ++lastId, UNITS, shard);
@@ -210,7 +211,7 @@
                 deployment.trafficClasses().get(classIndex).deadline());
     }
 
-    /** An operation whose deadline is only so many milliseconds away. */
+    /** Submits an operation whose deadline is the given number of milliseconds away. */
     Operation submitWithDeadline(int classIndex, long extent, int shard, double deadlineMillis) {
         return submit(classIndex, volume(1), extent, 2, shard, deadlineMillis);
     }
@@ -239,7 +240,7 @@
         return operation;
     }
 
-    /** Ends an attempt and carries out what follows. */
+    /** Ends an attempt and applies the scheduler's follow-up. */
     void endAttempt(Attempt attempt, Outcome outcome) {
         attempt.outcome = outcome;
         attempt.duration = now - attempt.sentAt;
@@ -250,7 +251,7 @@
         runDueWork();
     }
 
-    /** Serves every attempt that is in flight now. */
+    /** Serves all attempts in flight. */
     void serveAllInFlight() {
         sent.stream()
                 .filter(attempt -> attempt.outcome == null)
@@ -264,7 +265,7 @@
         runDueWork();
     }
 
-    /** Moves the clock in small steps, and runs what is due after each. */
+    /** Advances the clock in steps of up to 2 ms, and runs the due work after each. */
     void advanceClock(double length) {
         double until = now + length;
         while (now < until) {
@@ -295,7 +296,7 @@
         }
     }
 
-    /** The timeout of the operation's latest attempt, in milliseconds. */
+    /** Returns the timeout of the operation's latest attempt, in milliseconds. */
     double timeoutOf(Operation operation) {
         return timeouts.get(lastAttempt(operation));
     }
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -8,19 +8,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagepulley.model.Node;
 
-/** An endpoint's start is reported by a wall clock that may be off, by seconds or by an hour. */
+/** Start times are reported by wall clocks that may be off by seconds or by an hour. */
 class StartTimesTest {
     private static final double HOUR_MILLIS = 3_600_000;
     private static final double NOTIFICATION_SPAN_MILLIS = 6_000;
 
     /**
-     * Off by so much, a node that has just restarted still counts as cold from when that is first
-     * seen.
+     * Guards against an endpoint that skips slow start after a restart because of a clock error.
      */
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MILLIS, -30_000, -11_000, 0, 5_000, HOUR_MILLIS})
     void restartCountsFromItsFirstObservation(double clockErrorMillis) {
-        SchedulerHarness harness = new SchedulerHarness(2, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
+        SchedulerHarness harness =
+                new SchedulerHarness(2, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
         harness.scheduler.onListConfirmed(harness.now);
         harness.advanceClock(2_000);
         harness.scheduler.onListConfirmed(harness.now);
@@ -29,13 +29,15 @@
         node.startedAt = harness.now - 100 + clockErrorMillis;
         harness.updateEndpointList();
         double ageMillis = harness.now - EndpointState.of(node).startedAt;
-        assertTrue(ageMillis >= 0 && ageMillis <= 500, "counts as started " + ageMillis + " ms ago");
+        assertTrue(
+                ageMillis >= 0 && ageMillis <= 500, "counted as started " + ageMillis + " ms ago");
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-HOUR_MILLIS, HOUR_MILLIS})
     void newEndpointWithAnImplausibleStartCountsAsStartedNow(double clockErrorMillis) {
-        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
+        SchedulerHarness harness =
+                new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
         Node added = new Node(77);
         added.startedAt = harness.now + clockErrorMillis;
         harness.nodes.add(added);
@@ -45,7 +47,8 @@
 
     @Test
     void repeatedReportOfTheSameStartIsNoRestart() {
-        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
+        SchedulerHarness harness =
+                new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
         harness.scheduler.onListConfirmed(harness.now);
         Node node = harness.nodes.get(0);
         node.startedAt = harness.now + HOUR_MILLIS;
