--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -103,7 +103,7 @@
         Operation operation = request.operation;
         Group group =
                 groups.computeIfAbsent(
-                        key(operation), any -> new Group(operation.trafficClass, operation.units));
+                        key(operation), key -> new Group(operation.trafficClass, operation.units));
         group.byObjective.add(request);
         group.byArrival.add(request);
         group.byDeadline.add(request);
--- a/src/main/java/sagepulley/scheduler/EndpointTable.java
+++ b/src/main/java/sagepulley/scheduler/EndpointTable.java
@@ -80,7 +80,7 @@
         }
         byCell.clear();
         for (EndpointState endpoint : endpoints) {
-            byCell.computeIfAbsent(endpoint.node.cell, any -> new ArrayList<>(1)).add(endpoint);
+            byCell.computeIfAbsent(endpoint.node.cell, cell -> new ArrayList<>(1)).add(endpoint);
         }
         hasList = true;
     }
--- a/src/main/java/sagepulley/scheduler/KeyOrdering.java
+++ b/src/main/java/sagepulley/scheduler/KeyOrdering.java
@@ -30,7 +30,7 @@
     void onArrival(QueuedRequest request) {
         Operation operation = request.operation;
         if (operation.trafficClass.ordered() && operation.extent != 0) {
-            request.keyQueue = queues.computeIfAbsent(operation.extent, any -> new KeyQueue());
+            request.keyQueue = queues.computeIfAbsent(operation.extent, key -> new KeyQueue());
             request.keyQueue.operations.add(operation);
         }
     }
--- a/src/main/java/sagepulley/scheduler/WaitQueue.java
+++ b/src/main/java/sagepulley/scheduler/WaitQueue.java
@@ -11,9 +11,7 @@
 import java.util.TreeSet;
 import sagepulley.model.Operation;
 
-/**
- * A queue of operations in the order in which they were queued, indexed by group and by extent.
- */
+/** A queue of operations in the order in which they were queued, indexed by group and by extent. */
 final class WaitQueue {
     private static final Comparator<QueuedRequest> BY_DEADLINE =
             Comparator.comparingDouble((QueuedRequest request) -> request.operation.deadline)
@@ -69,9 +67,9 @@
     void add(QueuedRequest request) {
         bySequence.put(request.sequence, request.operation);
         request.groupKey = GroupKey.of(request);
-        groups.computeIfAbsent(request.groupKey, any -> new TreeSet<>(BY_DEADLINE)).add(request);
+        groups.computeIfAbsent(request.groupKey, key -> new TreeSet<>(BY_DEADLINE)).add(request);
         if (request.operation.extent != 0) {
-            byExtent.computeIfAbsent(request.operation.extent, any -> new TreeMap<>())
+            byExtent.computeIfAbsent(request.operation.extent, key -> new TreeMap<>())
                     .put(request.sequence, request.operation);
         }
     }
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -30,8 +30,7 @@
         assertEquals(1, earliest.attempts.size(), "the earliest deadline goes first");
         harness.endAttempt(harness.sent.get(1), Outcome.SERVED);
         assertEquals(1, run1.attempts.size());
-        assertEquals(
-                1, run2.attempts.size(), "the rest of the run may exceed the limit");
+        assertEquals(1, run2.attempts.size(), "the rest of the run may exceed the limit");
     }
 
     @Test
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -266,8 +266,8 @@
     }
 
     /** Advances the clock in steps of up to 2 ms, and runs the due work after each. */
-    void advanceClock(double length) {
-        double until = now + length;
+    void advanceClock(double millis) {
+        double until = now + millis;
         while (now < until) {
             now = Math.min(until, now + 2);
             runDueWork();
