--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -13,13 +13,13 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * All operations that wait, sorted by the times that may end their wait, so that the overdue are
+ * Indexes all waiting operations by the times that may end their wait, so that overdue ones are
  * found without visiting the others.
  */
 final class DeadlineIndex {
     /**
-     * The order of the queues: the endpoints' by index, new objects, those without endpoint; in
-     * each queue as they came.
+     * Orders operations by queue: those of the endpoints by index, new objects, then those without
+     * an endpoint. Within a queue they are in the order in which they were queued.
      */
     static final Comparator<Operation> BY_QUEUE =
             Comparator.comparingInt(
@@ -47,7 +47,10 @@
         }
     }
 
-    /** Operations of one traffic class and size: what moves the end of one moves all alike. */
+    /**
+     * Operations of one traffic class and size. Changes of the objective or the required service
+     * time shift the end times of all of them alike, so the sort orders stay valid.
+     */
     static final class Group {
         final TrafficClass trafficClass;
         final double units;
@@ -68,21 +71,24 @@
                             .thenComparingLong(request -> request.sequence));
         }
 
-        /** Adds those that have ended by now, and hands over when the next one ends. */
+        /**
+         * Adds the operations whose end time is reached to the overdue ones, and passes on the
+         * first end time after now.
+         */
         void collectOverdue(
                 NavigableSet<QueuedRequest> order,
-                ToDoubleFunction<QueuedRequest> end,
+                ToDoubleFunction<QueuedRequest> endTime,
                 double now,
-                List<Operation> ended,
-                DoubleConsumer next) {
+                List<Operation> overdue,
+                DoubleConsumer nextEndTime) {
             for (QueuedRequest request : order) {
-                double at = end.applyAsDouble(request);
+                double at = endTime.applyAsDouble(request);
                 if (at <= now) {
-                    if (!ended.contains(request.operation)) {
-                        ended.add(request.operation);
+                    if (!overdue.contains(request.operation)) {
+                        overdue.add(request.operation);
                     }
-                } else if (!ended.contains(request.operation)) {
-                    next.accept(at);
+                } else if (!overdue.contains(request.operation)) {
+                    nextEndTime.accept(at);
                     return;
                 }
             }
@@ -97,7 +103,7 @@
         Operation operation = request.operation;
         Group group =
                 groups.computeIfAbsent(
-                        key(operation), any -> new Group(operation.trafficClass, operation.units));
+                        key(operation), key -> new Group(operation.trafficClass, operation.units));
         group.byObjective.add(request);
         group.byArrival.add(request);
         group.byDeadline.add(request);
--- a/src/test/java/sagepulley/scheduler/CancellationTest.java
+++ b/src/test/java/sagepulley/scheduler/CancellationTest.java
@@ -8,7 +8,7 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 
-/** What cancellations of clients teach, and what they cancel. */
+/** Effects of client cancellations on the latency objective and on attempts in flight. */
 class CancellationTest {
     @Test
     void earlyCancellationsShortenTheObjectiveAndCancelAttempts() {
@@ -26,13 +26,13 @@
         harness.updateEndpointList();
         harness.submit(SchedulerHarness.BULK, 0);
         harness.advanceClock(70);
-        assertEquals(1, harness.rejected.size(), "long before its target time of 1.5 s");
+        assertEquals(1, harness.rejected.size(), "rejected long before its objective of 1.5 s");
     }
 
     @Test
-    void cancellationsBeforeAnyAnswerCouldComeAreIgnored() {
+    void cancellationsEarlierThanTheMeanServiceTimeAreIgnored() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        serve(harness, 30, 20);
+        serveReads(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
             harness.advanceClock(4);
@@ -43,13 +43,13 @@
         harness.updateEndpointList();
         harness.submit(SchedulerHarness.READ, 0);
         harness.advanceClock(100);
-        assertEquals(0, harness.rejected.size(), "the target time is still 250 ms");
+        assertEquals(0, harness.rejected.size(), "the objective is still 250 ms");
     }
 
     @Test
-    void pastCancellationsDoNotForbidAllAttemptsForEver() {
+    void attemptsResumeAfterManyEarlyCancellations() {
         SchedulerHarness harness = new SchedulerHarness(1);
-        serve(harness, 30, 20);
+        serveReads(harness, 30, 20);
         for (int i = 0; i < 10; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
             harness.advanceClock(22);
@@ -58,11 +58,10 @@
             }
             harness.cancel(operation);
             harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
-            // The node takes long for a while, so that no answer would come in the time that
-            // clients stay.
-            serve(harness, 2, 60);
+            // The node is slow for a while: no reply arrives before clients cancel.
+            serveReads(harness, 2, 60);
         }
-        int before = harness.sent.size();
+        int sentBefore = harness.sent.size();
         for (int i = 0; i < 200; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
             harness.advanceClock(10);
@@ -70,14 +69,16 @@
                 harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
         }
-        assertTrue(harness.sent.size() - before > 100, "sent " + (harness.sent.size() - before));
+        assertTrue(
+                harness.sent.size() - sentBefore > 100,
+                "sent " + (harness.sent.size() - sentBefore));
     }
 
-    /** So many reads, one after the other, each answered after a time. */
-    private static void serve(SchedulerHarness harness, int count, double time) {
+    /** Serves reads one after the other, each after the given time. */
+    private static void serveReads(SchedulerHarness harness, int count, double serviceMillis) {
         for (int i = 0; i < count; i++) {
             Operation operation = harness.submit(SchedulerHarness.READ, 0);
-            harness.advanceClock(time);
+            harness.advanceClock(serviceMillis);
             if (!operation.ended) {
                 harness.endAttempt(harness.lastAttempt(operation), Outcome.SERVED);
             }
--- a/src/test/java/sagepulley/scheduler/EndpointPollTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointPollTest.java
@@ -5,83 +5,79 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When discovery is polled for the endpoint list. */
+/** The schedule of endpoint list polls. */
 class EndpointPollTest {
     @Test
-    void theListIsPolledAtTheStartAndAfterAFailureWithBackoff() {
+    void listIsPolledAtStartAndAfterFailuresWithBackoff() {
         SchedulerHarness harness = new SchedulerHarness(1, 1, 3, true, Double.NaN);
-        assertEquals(0, harness.polls, "staggered by the gateway's number");
+        assertEquals(0, harness.polls, "the first poll is staggered by gateway index");
         harness.advanceClock(300);
         assertEquals(1, harness.polls);
         for (int i = 0; i < 5; i++) {
             harness.scheduler.onPollFailed(harness.now);
             harness.advanceClock(400);
         }
-        int calls = harness.polls;
-        assertTrue(calls <= 3, "asked " + calls);
+        int pollsBefore = harness.polls;
+        assertTrue(pollsBefore <= 3, "polls with backoff: " + pollsBefore);
         harness.advanceClock(9000);
-        assertTrue(harness.polls > calls, "but it does ask again");
+        assertTrue(harness.polls > pollsBefore, "polls again after the backoff");
     }
 
     /**
-     * However often it failed, discovery is polled again within less than the time after which a
-     * change counts as notified, and not so often that it is overloaded (DiscoveryLoadTest). What
-     * has not come by then, the lease covers.
+     * Guards against a backoff longer than the time after which a change counts as notified, and
+     * against polls that overload discovery (see DiscoveryLoadTest).
      */
     @Test
-    void theBackoffOfPollsIsBounded() {
+    void pollBackoffIsBounded() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
-        double lastCall = harness.now;
-        double longest = 0;
-        for (int seen = 0; harness.now < 160_000; harness.advanceClock(2)) {
-            if (harness.polls > seen) {
-                longest = Math.max(longest, harness.now - lastCall);
-                lastCall = harness.now;
-                seen = harness.polls;
+        double lastPollAt = harness.now;
+        double longestGap = 0;
+        for (int pollsSeen = 0; harness.now < 160_000; harness.advanceClock(2)) {
+            if (harness.polls > pollsSeen) {
+                longestGap = Math.max(longestGap, harness.now - lastPollAt);
+                lastPollAt = harness.now;
+                pollsSeen = harness.polls;
                 harness.scheduler.onPollFailed(harness.now);
             }
         }
-        assertTrue(longest <= 4_600, "at most " + longest + " ms between two calls");
-        assertTrue(harness.polls < 45, "in a minute " + harness.polls);
+        assertTrue(longestGap <= 4_600, "longest gap between polls: " + longestGap + " ms");
+        assertTrue(harness.polls < 45, "polls in a minute: " + harness.polls);
     }
 
     @Test
-    void aMovedDiscoveryIsPolledAtOnceWhateverFailedBefore() {
+    void newDiscoveryAddressIsPolledWithoutTheBackoffOfTheOldOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN);
         harness.advanceClock(10);
         for (int i = 0; i < 10; i++) {
             harness.scheduler.onPollFailed(harness.now);
         }
-        int calls = harness.polls;
+        int pollsBefore = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
         harness.advanceClock(302);
-        assertEquals(calls + 1, harness.polls);
+        assertEquals(pollsBefore + 1, harness.polls);
     }
 
-    /** The old address may still tell changes before the new one has been called. */
+    /** The former address may still send lists before the new one is polled. */
     @Test
-    void aListFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
+    void listFromTheFormerAddressDoesNotDelayThePollOfTheNewOne() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 100, true, Double.NaN, 6_000);
         harness.advanceClock(10);
         harness.scheduler.onListConfirmed(harness.now);
-        int calls = harness.polls;
+        int pollsBefore = harness.polls;
         harness.scheduler.onDiscoveryMoved(harness.now);
         harness.updateEndpointList();
         harness.advanceClock(302);
-        assertEquals(calls + 1, harness.polls);
+        assertEquals(pollsBefore + 1, harness.polls);
     }
 
-    /**
-     * Many start anew at once while nodes drain: 6 s after a change that could be had it counts as
-     * told to all.
-     */
+    /** Many gateways start together; 6 s after a change it counts as notified to all of them. */
     @Test
-    void theLastOfManyGatewaysHasPolledBeforeAChangeCountsAsNotified() {
+    void lastOfManyGatewaysPollsBeforeAChangeCountsAsNotified() {
         SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
         harness.advanceClock(2_500);
         assertEquals(1, harness.polls);
         harness.updateEndpointList();
         harness.advanceClock(harness.deployment.pollInterval() - 2_600);
-        assertEquals(1, harness.polls, "it was answered");
+        assertEquals(1, harness.polls, "no poll after an answered one");
     }
 }
