--- a/src/main/java/sagepulley/model/SlidingWindowCounter.java
+++ b/src/main/java/sagepulley/model/SlidingWindowCounter.java
@@ -6,54 +6,54 @@
 public final class SlidingWindowCounter {
     private final double bucketMillis;
     private final double[] sums;
-    private long newest = Long.MIN_VALUE;
+    private long newestBucket = Long.MIN_VALUE;
 
     /**
      * A counter over a window that divides into so many buckets; one more is kept for the bucket
      * that is being filled.
      */
-    public SlidingWindowCounter(double window, int buckets) {
-        this.bucketMillis = window / buckets;
+    public SlidingWindowCounter(double windowMillis, int buckets) {
+        this.bucketMillis = windowMillis / buckets;
         this.sums = new double[buckets + 1];
     }
 
     /** Adds an amount at a time. */
     public void add(double now, double amount) {
         advance(now);
-        sums[slot(newest)] += amount;
+        sums[slot(newestBucket)] += amount;
     }
 
     /** The sum of the window and of up to one bucket more. */
     public double sumOverestimate(double now) {
         advance(now);
         double sum = 0;
-        for (double part : sums) {
-            sum += part;
+        for (double bucketSum : sums) {
+            sum += bucketSum;
         }
         return sum;
     }
 
     /** The sum of the window less up to one bucket: nothing older than the window. */
     public double sumUnderestimate(double now) {
-        return sumOverestimate(now) - sums[slot(newest + 1)];
+        return sumOverestimate(now) - sums[slot(newestBucket + 1)];
     }
 
     private void advance(double now) {
-        long at = (long) Math.floor(now / bucketMillis);
-        if (at <= newest) {
+        long bucket = (long) Math.floor(now / bucketMillis);
+        if (bucket <= newestBucket) {
             return;
         }
-        if (newest == Long.MIN_VALUE || at - newest >= sums.length) {
+        if (newestBucket == Long.MIN_VALUE || bucket - newestBucket >= sums.length) {
             Arrays.fill(sums, 0);
         } else {
-            for (long i = newest + 1; i <= at; i++) {
+            for (long i = newestBucket + 1; i <= bucket; i++) {
                 sums[slot(i)] = 0;
             }
         }
-        newest = at;
+        newestBucket = bucket;
     }
 
-    private int slot(long at) {
-        return (int) Math.floorMod(at, (long) sums.length);
+    private int slot(long bucket) {
+        return (int) Math.floorMod(bucket, (long) sums.length);
     }
 }
--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -36,7 +36,7 @@
     private static final double MAX_QUEUE_SHARE = 1.2;
 
     /** The same at its even level; above it, it falls with the multiple of that level. */
-    private static final double MAX_QUEUE_EVEN_LEVEL = 1.6;
+    private static final double MAX_QUEUE_AT_PROPORTIONAL_SHARE = 1.6;
 
     /** Up to this estimate nothing is held back. */
     private static final double MIN_QUEUE_ESTIMATE = 0.25;
@@ -63,7 +63,7 @@
     private final LatencyTracker latencies;
     private final QuotaTracker quota;
     private final OutlierDetector outliers;
-    private final ArrivalWindow newObjects = newArrivalWindow();
+    private final ArrivalWindow unassignedArrivals = newArrivalWindow();
     private double admissionFactor = 1;
 
     AdmissionController(
@@ -104,8 +104,8 @@
         if (quota.fitsReservation(operation.volume, operation.units, now)) {
             return endpoint.queueEstimate > admissionFactor * MAX_QUEUE_RESERVATION;
         }
-        double used = quota.usedOfEvenLevel(operation.volume, endpoint, operation.units, now);
-        double maxEstimate = Math.min(MAX_QUEUE_SHARE, MAX_QUEUE_EVEN_LEVEL / used);
+        double utilization = quota.proportionalShareUtilization(operation.volume, endpoint, operation.units, now);
+        double maxEstimate = Math.min(MAX_QUEUE_SHARE, MAX_QUEUE_AT_PROPORTIONAL_SHARE / utilization);
         return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * maxEstimate);
     }
 
@@ -132,7 +132,7 @@
     }
 
     private ArrivalWindow arrivalWindow(EndpointState endpoint) {
-        return endpoint == null ? newObjects : endpoint.arrivalWindow;
+        return endpoint == null ? unassignedArrivals : endpoint.arrivalWindow;
     }
 
     /**
@@ -146,9 +146,9 @@
         if (endpoint != null && !outliers.isHealthy(endpoint, now)) {
             return deployment.maxRetryAfter();
         }
-        double queue =
-                (endpoint == null ? 1 : endpoint.queueEstimate) * latencies.acceptableQueueing();
-        return Math.min(deployment.maxRetryAfter(), queue);
+        double drainMillis =
+                (endpoint == null ? 1 : endpoint.queueEstimate) * latencies.acceptableQueueingDelay();
+        return Math.min(deployment.maxRetryAfter(), drainMillis);
     }
 
     /** A time-out shows a queue at least as long, unless its answer was lost. */
@@ -177,8 +177,8 @@
                         MIN_ESTIMATE_SMOOTHING,
                         1 - Math.exp((endpoint.queueObservedAt - now) / ESTIMATE_AGING_MILLIS));
         endpoint.queueObservedAt = now;
-        double seen = Math.min(MAX_QUEUE_ESTIMATE, queueingDelay / latencies.acceptableQueueing());
-        endpoint.queueEstimate += weight * smoothing * (seen - endpoint.queueEstimate);
+        double sample = Math.min(MAX_QUEUE_ESTIMATE, queueingDelay / latencies.acceptableQueueingDelay());
+        endpoint.queueEstimate += weight * smoothing * (sample - endpoint.queueEstimate);
     }
 
     /** What was seen of one endpoint fades into what is seen of all; once a refresh period. */
--- a/src/main/java/sagepulley/scheduler/AttemptTimeout.java
+++ b/src/main/java/sagepulley/scheduler/AttemptTimeout.java
@@ -20,10 +20,10 @@
     /** The longest time of an attempt that is sent now, in milliseconds. */
     static double of(Operation operation, double deadlineMarginMillis, double now) {
         TrafficClass trafficClass = operation.trafficClass;
-        double end = QueuedRequest.of(operation).objectiveEndsAt;
-        if (end <= now || trafficClass.lateWeightFraction() >= MIN_LATE_WEIGHT_FRACTION) {
-            end = Math.max(end, now) + GRACE_FRACTION * trafficClass.latencyObjective();
+        double timeoutAt = QueuedRequest.of(operation).objectiveEndsAt;
+        if (timeoutAt <= now || trafficClass.lateWeightFraction() >= MIN_LATE_WEIGHT_FRACTION) {
+            timeoutAt = Math.max(timeoutAt, now) + GRACE_FRACTION * trafficClass.latencyObjective();
         }
-        return Math.min(end, operation.deadline - deadlineMarginMillis) - now;
+        return Math.min(timeoutAt, operation.deadline - deadlineMarginMillis) - now;
     }
 }
--- a/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
+++ b/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
@@ -18,32 +18,32 @@
     private static final double MIN_ELAPSED_FRACTION = 0.1;
 
     /** By traffic class, the longest time from arrival to deadline that was seen, in ms. */
-    private final double[] maxDeadlines;
+    private final double[] maxTimesToDeadline;
 
     /** By extent, when the objective of an operation ends that lately was not served. */
     private final Map<Long, Double> unserved =
             new LinkedHashMap<>() {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<Long, Double> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<Long, Double> oldest) {
                     return size() > MAX_UNSERVED_OPERATIONS;
                 }
             };
 
     ClientRetryTracker(int trafficClassCount) {
-        this.maxDeadlines = new double[trafficClassCount];
+        this.maxTimesToDeadline = new double[trafficClassCount];
     }
 
     /** When the latency objective of an operation that arrives now ends, in milliseconds. */
     double objectiveEndsAt(Operation operation, double now) {
         TrafficClass trafficClass = operation.trafficClass;
         int index = trafficClass.index();
-        double left = operation.deadline - now;
-        maxDeadlines[index] = Math.max(maxDeadlines[index], left);
-        double elapsed = maxDeadlines[index] - left;
-        boolean retried = elapsed > MIN_ELAPSED_FRACTION * trafficClass.latencyObjective();
-        Double first = retried ? unserved.get(operation.extent) : null;
-        return first != null
-                ? first
+        double timeToDeadline = operation.deadline - now;
+        maxTimesToDeadline[index] = Math.max(maxTimesToDeadline[index], timeToDeadline);
+        double elapsed = maxTimesToDeadline[index] - timeToDeadline;
+        boolean isRetry = elapsed > MIN_ELAPSED_FRACTION * trafficClass.latencyObjective();
+        Double originalObjectiveAt = isRetry ? unserved.get(operation.extent) : null;
+        return originalObjectiveAt != null
+                ? originalObjectiveAt
                 : now + trafficClass.latencyObjective() - (operation.clientRetry ? elapsed : 0);
     }
 
--- a/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
+++ b/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
@@ -63,7 +63,7 @@
 
     /** A served attempt shows by its queueing delay whether the limit is too high or too low. */
     void onServed(Attempt attempt, EndpointState endpoint, double queueingDelay, double now) {
-        if (queueingDelay > latencies.acceptableQueueing()) {
+        if (queueingDelay > latencies.acceptableQueueingDelay()) {
             reduce(attempt, endpoint, now);
         } else if (endpoint.concurrencyLimit < MAX_LIMIT) {
             endpoint.concurrencyLimit =
--- a/src/main/java/sagepulley/scheduler/EndpointLatencies.java
+++ b/src/main/java/sagepulley/scheduler/EndpointLatencies.java
@@ -27,10 +27,10 @@
     /** Takes the ratios of all endpoints anew from what was served since the last refresh. */
     static void refresh(List<EndpointState> endpoints) {
         for (EndpointState endpoint : endpoints) {
-            takeServiceTimes(endpoint);
+            updateServiceTimes(endpoint);
         }
         double meanServiceTime = mean(endpoints, endpoint -> endpoint.smoothedServiceTime);
-        double meanWriteToRead = mean(endpoints, EndpointLatencies::countedWriteToRead);
+        double meanWriteToRead = mean(endpoints, EndpointLatencies::writeToReadOrNaN);
         for (EndpointState endpoint : endpoints) {
             endpoint.latencyRatio =
                     Double.isNaN(endpoint.smoothedServiceTime) || !(meanServiceTime > 0)
@@ -49,9 +49,9 @@
         double sum = 0;
         int count = 0;
         for (EndpointState endpoint : endpoints) {
-            double each = value.applyAsDouble(endpoint);
-            if (!Double.isNaN(each)) {
-                sum += each;
+            double sample = value.applyAsDouble(endpoint);
+            if (!Double.isNaN(sample)) {
+                sum += sample;
                 count++;
             }
         }
@@ -67,13 +67,13 @@
         return endpoint.serviceTimes[WRITES] / endpoint.serviceTimes[READS];
     }
 
-    private static double countedWriteToRead(EndpointState endpoint) {
+    private static double writeToReadOrNaN(EndpointState endpoint) {
         return hasReadsAndWrites(endpoint) && endpoint.serviceTimes[READS] > 0
                 ? writeToRead(endpoint)
                 : Double.NaN;
     }
 
-    private static void takeServiceTimes(EndpointState endpoint) {
+    private static void updateServiceTimes(EndpointState endpoint) {
         double units = endpoint.servedUnits[READS] + endpoint.servedUnits[WRITES];
         if (units > 0) {
             double millis = endpoint.responseMillis[READS] + endpoint.responseMillis[WRITES];
@@ -89,7 +89,7 @@
         }
     }
 
-    private static double smooth(double old, double latest) {
-        return Double.isNaN(old) ? latest : SMOOTHING * old + (1 - SMOOTHING) * latest;
+    private static double smooth(double previous, double latest) {
+        return Double.isNaN(previous) ? latest : SMOOTHING * previous + (1 - SMOOTHING) * latest;
     }
 }
--- a/src/main/java/sagepulley/scheduler/LatencyTracker.java
+++ b/src/main/java/sagepulley/scheduler/LatencyTracker.java
@@ -103,8 +103,8 @@
                 serviceTime < stats.baseServiceTime
                         ? 1 - SERVICE_TIME_SMOOTHING * (1 - BASE_QUANTILE)
                         : 1 + SERVICE_TIME_SMOOTHING * BASE_QUANTILE;
-        double bounded = Math.min(serviceTime, MAX_OUTLIER_FACTOR * stats.meanServiceTime);
-        stats.meanServiceTime += SERVICE_TIME_SMOOTHING * (bounded - stats.meanServiceTime);
+        double capped = Math.min(serviceTime, MAX_OUTLIER_FACTOR * stats.meanServiceTime);
+        stats.meanServiceTime += SERVICE_TIME_SMOOTHING * (capped - stats.meanServiceTime);
     }
 
     /**
@@ -125,11 +125,11 @@
 
     /** From when on an operation, if sent, would miss its latency objective. */
     double latestStartAt(Operation operation) {
-        double end =
+        double objectiveEnd =
                 Math.min(
                         QueuedRequest.of(operation).objectiveEndsAt,
                         operation.arrivedAt + objective(operation.trafficClass));
-        return end - requiredServiceTime(operation.trafficClass, operation.units);
+        return objectiveEnd - requiredServiceTime(operation.trafficClass, operation.units);
     }
 
     /** The shortest objective of all classes, as of the latest refresh; 0 before the first. */
@@ -138,7 +138,7 @@
     }
 
     /** The longest queueing delay at an endpoint that is acceptable, in milliseconds. */
-    double acceptableQueueing() {
+    double acceptableQueueingDelay() {
         return ACCEPTABLE_QUEUEING_FRACTION * minObjective;
     }
 
--- a/src/main/java/sagepulley/scheduler/MaxMinFairness.java
+++ b/src/main/java/sagepulley/scheduler/MaxMinFairness.java
@@ -12,29 +12,29 @@
     /** The fair level, in units for each unit of weight; infinite if no tenant wants more. */
     static double level(List<TenantEndpointUsage> usages, double now) {
         double capacity = 0;
-        double weights = 0;
+        double totalWeight = 0;
         int unsatisfied = 0;
         for (TenantEndpointUsage usage : usages) {
-            usage.measure(now);
+            usage.updateDemand(now);
             capacity += usage.served;
             if (usage.unsatisfied) {
-                weights += usage.weight;
+                totalWeight += usage.weight;
                 unsatisfied++;
             }
         }
         // Whoever wants less than an even level is content with it; the rest is dealt out anew.
-        for (boolean again = true; again && unsatisfied > 0; ) {
-            again = false;
+        for (boolean changed = true; changed && unsatisfied > 0; ) {
+            changed = false;
             for (TenantEndpointUsage usage : usages) {
-                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / weights) {
+                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / totalWeight) {
                     usage.unsatisfied = false;
                     unsatisfied--;
                     capacity -= usage.shareDemand;
-                    weights -= usage.weight;
-                    again = true;
+                    totalWeight -= usage.weight;
+                    changed = true;
                 }
             }
         }
-        return unsatisfied == 0 ? Double.POSITIVE_INFINITY : capacity / weights;
+        return unsatisfied == 0 ? Double.POSITIVE_INFINITY : capacity / totalWeight;
     }
 }
--- a/src/main/java/sagepulley/scheduler/OutlierDetector.java
+++ b/src/main/java/sagepulley/scheduler/OutlierDetector.java
@@ -50,20 +50,20 @@
         if (endpoint.inFlight.isEmpty()) {
             return false;
         }
-        double since = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
-        double limit = latencies.minObjective() * UNRESPONSIVE_FRACTION;
-        if (now - since > limit) {
+        double waitingSince = Math.max(endpoint.inFlight.get(0).sentAt, endpoint.lastResponseAt);
+        double maxWait = latencies.minObjective() * UNRESPONSIVE_FRACTION;
+        if (now - waitingSince > maxWait) {
             return true;
         }
-        wakeUp.noLaterThan(since + limit);
+        wakeUp.noLaterThan(waitingSince + maxWait);
         return false;
     }
 
     /** Whether the next probation request may go to an unresponsive endpoint. */
     boolean isProbationDue(EndpointState endpoint, double now) {
-        double next = endpoint.lastSentAt + PROBATION_FRACTION * latencies.minObjective();
-        if (now < next) {
-            wakeUp.noLaterThan(next);
+        double dueAt = endpoint.lastSentAt + PROBATION_FRACTION * latencies.minObjective();
+        if (now < dueAt) {
+            wakeUp.noLaterThan(dueAt);
             return false;
         }
         return true;
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -69,9 +69,9 @@
     }
 
     /** The part of its even level that a volume uses at an endpoint, with so many units more. */
-    double usedOfEvenLevel(Volume volume, EndpointState endpoint, double units, double now) {
+    double proportionalShareUtilization(Volume volume, EndpointState endpoint, double units, double now) {
         double used = usedBeyondReservation(usage(volume, now), endpoint, units, now);
-        return used / evenLevel(volume);
+        return used / proportionalShare(volume);
     }
 
     /** Units used beyond the reservation, at all endpoints if none is given, and half of these. */
@@ -88,7 +88,7 @@
      * A volume's units in the share window if each took by weight what all that were met are sized
      * for.
      */
-    private double evenLevel(Volume volume) {
+    private double proportionalShare(Volume volume) {
         return volume.plan.weight()
                 * totalShareRate
                 / totalWeight
@@ -108,7 +108,7 @@
         // Where many gateways share an endpoint, none sees enough of it to deal it out: a volume
         // that takes far more than its weight of what all volumes are sized for is in a surge.
         double used = usedBeyondReservation(usage, endpoint, units, now);
-        if (used > SURGE_FACTOR * evenLevel(volume)) {
+        if (used > SURGE_FACTOR * proportionalShare(volume)) {
             return deployment.excessWeightFraction();
         }
         if (endpoint == null || endpoint.isInSlowStart(now, slowStartMillis)) {
@@ -125,12 +125,12 @@
         if (usage.reservationLeft >= operation.units) {
             return QuotaTier.RESERVATION;
         }
-        double top =
+        double shareLimit =
                 Math.min(
-                        SURGE_FACTOR * evenLevel(operation.volume),
+                        SURGE_FACTOR * proportionalShare(operation.volume),
                         usage.weight * endpoint.fairLevel);
         double used = usageAt(usage, endpoint).beyondReservation.sumOverestimate(now);
-        return used <= top - operation.units / 2 ? QuotaTier.SHARE : QuotaTier.EXCESS;
+        return used <= shareLimit - operation.units / 2 ? QuotaTier.SHARE : QuotaTier.EXCESS;
     }
 
     private static double fairLevel(EndpointState endpoint, double now) {
@@ -151,12 +151,12 @@
     void onSent(Operation operation, EndpointState endpoint, double now) {
         TenantUsage usage = usage(operation.volume, now);
         usage.limitLeft -= operation.units;
-        TenantEndpointUsage here = usageAt(usage, endpoint);
+        TenantEndpointUsage endpointUsage = usageAt(usage, endpoint);
         if (usage.reservationLeft >= operation.units) {
             usage.reservationLeft -= operation.units;
-            here.reserved.add(now, operation.units);
+            endpointUsage.reserved.add(now, operation.units);
         } else {
-            here.beyondReservation.add(now, operation.units);
+            endpointUsage.beyondReservation.add(now, operation.units);
             usage.beyondReservation.add(now, operation.units);
         }
     }
@@ -173,16 +173,16 @@
      */
     void onOtherGatewaysUsage(Volume volume, EndpointState endpoint, double units, double now) {
         TenantUsage usage = usage(volume, now);
-        TenantEndpointUsage here = usageAt(usage, endpoint);
-        double unspent = Math.min(usage.reservationOverflow, units);
-        usage.reservationOverflow -= unspent;
-        double reserved = Math.min(Math.max(0, usage.reservationLeft), units - unspent);
+        TenantEndpointUsage endpointUsage = usageAt(usage, endpoint);
+        double offset = Math.min(usage.reservationOverflow, units);
+        usage.reservationOverflow -= offset;
+        double reserved = Math.min(Math.max(0, usage.reservationLeft), units - offset);
         usage.reservationLeft -= reserved;
-        double recent = Math.min(1, SHARE_WINDOW_MILLIS / Math.max(1, now - here.reportedAt));
-        here.reserved.add(now, (unspent + reserved) * recent);
-        here.beyondReservation.add(now, (units - unspent - reserved) * recent);
-        usage.beyondReservation.add(now, (units - unspent - reserved) * recent);
-        here.demand.add(now, units * recent);
+        double recentFraction = Math.min(1, SHARE_WINDOW_MILLIS / Math.max(1, now - endpointUsage.reportedAt));
+        endpointUsage.reserved.add(now, (offset + reserved) * recentFraction);
+        endpointUsage.beyondReservation.add(now, (units - offset - reserved) * recentFraction);
+        usage.beyondReservation.add(now, (units - offset - reserved) * recentFraction);
+        endpointUsage.demand.add(now, units * recentFraction);
     }
 
     private static SlidingWindowCounter shareWindow() {
@@ -194,37 +194,37 @@
             int length = Math.max(endpoint.index + 1, 2 * usage.byEndpoint.length);
             usage.byEndpoint = Arrays.copyOf(usage.byEndpoint, length);
         }
-        TenantEndpointUsage here = usage.byEndpoint[endpoint.index];
-        if (here == null || here.endpoint != endpoint) {
-            here =
+        TenantEndpointUsage endpointUsage = usage.byEndpoint[endpoint.index];
+        if (endpointUsage == null || endpointUsage.endpoint != endpoint) {
+            endpointUsage =
                     new TenantEndpointUsage(
                             endpoint, usage.weight, shareWindow(), shareWindow(), shareWindow());
-            usage.byEndpoint[endpoint.index] = here;
-            endpoint.tenantUsages.add(here);
+            usage.byEndpoint[endpoint.index] = endpointUsage;
+            endpoint.tenantUsages.add(endpointUsage);
         }
-        return here;
+        return endpointUsage;
     }
 
     /** The usage of a volume with its reservation refilled up to now. */
     private TenantUsage usage(Volume volume, double now) {
         TenantUsage usage = TenantUsage.of(volume);
         double rate = volume.plan.reservation();
-        double full = rate > 0 ? rate + deployment.maxUnits() : 0;
+        double capacity = rate > 0 ? rate + deployment.maxUnits() : 0;
         if (usage == null) {
             usage = new TenantUsage(volume.plan.weight(), now, shareWindow());
             totalWeight += volume.plan.weight();
             totalShareRate += Math.max(volume.plan.rate() / 2, volume.plan.rate() - rate);
-            usage.reservationLeft = full;
+            usage.reservationLeft = capacity;
             volume.schedulerState = usage;
         }
         if (now > usage.reservationUpdatedAt) {
-            double filled =
+            double refilled =
                     usage.reservationLeft
                             + rate * (now - usage.reservationUpdatedAt) / MILLIS_PER_SECOND;
-            usage.reservationLeft = Math.min(full, filled);
+            usage.reservationLeft = Math.min(capacity, refilled);
             usage.reservationOverflow =
                     Math.min(
-                            usage.reservationOverflow + filled - usage.reservationLeft,
+                            usage.reservationOverflow + refilled - usage.reservationLeft,
                             rate * MAX_OVERFLOW_MILLIS / MILLIS_PER_SECOND);
             usage.reservationUpdatedAt = now;
         }
--- a/src/main/java/sagepulley/scheduler/SlowStartBudget.java
+++ b/src/main/java/sagepulley/scheduler/SlowStartBudget.java
@@ -56,16 +56,16 @@
                         + (1 - policy.slowStartShare())
                                 * Math.max(0, age - policy.overloadWindow())
                                 / policy.slowStartTime();
-        double part = Math.min(1, SAFETY_FRACTION * policy.overloadMultiple() * ramp);
-        if (QueuedRequest.of(operation).slowStartDraw > part) {
+        double fraction = Math.min(1, SAFETY_FRACTION * policy.overloadMultiple() * ramp);
+        if (QueuedRequest.of(operation).slowStartDraw > fraction) {
             wakeUp.noLaterThan(now + RECHECK_MILLIS);
             return false;
         }
         double windows = Math.max(1, (now - startedAt) / policy.overloadWindow());
-        double usual = servedUnits / windows / endpointCount;
+        double averageUnits = servedUnits / windows / endpointCount;
         double spent = endpoint.slowStartSpent.sumOverestimate(now);
         return operation.attempts.isEmpty()
                 && spent + operation.units
-                        <= Math.max(deployment.maxUnits(), MAX_BURST_FACTOR * part * usual);
+                        <= Math.max(deployment.maxUnits(), MAX_BURST_FACTOR * fraction * averageUnits);
     }
 }
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -39,7 +39,7 @@
     }
 
     /** Sets the working values from the sliding windows. */
-    void measure(double now) {
+    void updateDemand(double now) {
         served = beyondReservation.sumOverestimate(now);
         shareDemand = Math.max(served, demand.sumOverestimate(now) - reserved.sumOverestimate(now));
         unsatisfied = shareDemand > 0;
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -11,90 +11,90 @@
 
 /** How long a list of endpoints may be relied on, and what routing does once that time is over. */
 class EndpointLeaseTest {
-    private static final double SPAN = 6_000;
-    private static final double GRACE = 1_000;
+    private static final double NOTIFICATION_SPAN_MILLIS = 6_000;
+    private static final double DRAIN_GRACE_MILLIS = 1_000;
 
     /** What the lease keeps back of the grace, for a process that is held up before it writes. */
-    private static final double RESERVED = 200;
+    private static final double SAFETY_MARGIN_MILLIS = 200;
 
-    private final EndpointLease lease = new EndpointLease(SPAN, GRACE);
+    private final EndpointLease lease = new EndpointLease(NOTIFICATION_SPAN_MILLIS, DRAIN_GRACE_MILLIS);
 
     @Test
-    void aProcessWithoutConfirmationHoldsNoLease() {
+    void noLeaseIsHeldBeforeTheFirstConfirmation() {
         assertFalse(lease.holds(0));
     }
 
     @Test
-    void itEndsOneSpanAndTheGraceAfterTheLatestConfirmation() {
+    void theLeaseExpiresOneSpanAndTheGraceAfterTheLatestConfirmation() {
         lease.confirmed(100);
         lease.confirmed(50);
-        assertTrue(lease.holds(100 + SPAN + GRACE - RESERVED - 1));
-        assertFalse(lease.holds(100 + SPAN + GRACE - RESERVED));
+        assertTrue(lease.holds(100 + NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS - SAFETY_MARGIN_MILLIS - 1));
+        assertFalse(lease.holds(100 + NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS - SAFETY_MARGIN_MILLIS));
     }
 
     @Test
-    void anOutageRenewsALeaseUnderWhichNothingUnknownCountsAsNotified() {
+    void anOutageWithinTheNotificationSpanRenewsTheLease() {
         lease.confirmed(0);
-        lease.unreachable(SPAN - 1);
-        assertTrue(lease.holds(2 * SPAN));
+        lease.unreachable(NOTIFICATION_SPAN_MILLIS - 1);
+        assertTrue(lease.holds(2 * NOTIFICATION_SPAN_MILLIS));
     }
 
     @Test
-    void anOutageRenewsNoLeaseUnderWhichSomethingMayCountAsNotifiedAlready() {
+    void anOutageAfterTheNotificationSpanDoesNotRenewTheLease() {
         lease.confirmed(0);
-        lease.unreachable(SPAN + 1);
-        assertFalse(lease.holds(SPAN + GRACE));
-        lease.unreachable(SPAN + GRACE);
-        assertFalse(lease.holds(SPAN + GRACE));
+        lease.unreachable(NOTIFICATION_SPAN_MILLIS + 1);
+        assertFalse(lease.holds(NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS));
+        lease.unreachable(NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS);
+        assertFalse(lease.holds(NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS));
     }
 
     @Test
-    void aRefusalRenewsNothingForAProcessThatNeverHadAList() {
+    void anOutageBeforeTheFirstConfirmationGrantsNoLease() {
         lease.unreachable(0);
         assertFalse(lease.holds(1));
     }
 
     @Test
-    void aNewConfigurationShortensItUntilDiscoveryConfirms() {
+    void aReloadShortensTheLeaseUntilTheNextConfirmation() {
         lease.confirmed(0);
         lease.reloadNotified(100);
         lease.reloadCompleted(110);
-        assertFalse(lease.holds(100 + 4_000 + GRACE));
+        assertFalse(lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS));
         lease.confirmed(300);
-        assertTrue(lease.holds(100 + 4_000 + GRACE));
+        assertTrue(lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS));
     }
 
     @Test
-    void nothingRenewsItWhileANewConfigurationIsNotRead() {
+    void theLeaseIsNotRenewedWhileAReloadIsPending() {
         lease.confirmed(0);
         lease.reloadNotified(100);
         lease.confirmed(200);
         lease.unreachable(250);
-        assertFalse(lease.holds(100 + 4_000 + GRACE));
+        assertFalse(lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS));
         lease.reloadNotified(300);
         lease.reloadCompleted(299);
         lease.confirmed(400);
         assertFalse(
-                lease.holds(100 + 4_000 + GRACE), "what was read is older than what was told last");
+                lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS), "what was read is older than what was told last");
         lease.reloadCompleted(500);
         lease.confirmed(600);
-        assertTrue(lease.holds(100 + 4_000 + GRACE));
+        assertTrue(lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS));
     }
 
     @Test
     void anUnboundedLeaseAlwaysHolds() {
-        EndpointLease unbounded = new EndpointLease(Double.POSITIVE_INFINITY, GRACE);
+        EndpointLease unbounded = new EndpointLease(Double.POSITIVE_INFINITY, DRAIN_GRACE_MILLIS);
         unbounded.reloadNotified(5);
         assertTrue(unbounded.holds(1e12));
     }
 
     @Test
-    void withoutALeaseNothingIsSentAndTheClientMayRetry() {
-        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
+    void withoutALeaseNothingIsSentAndTheOperationIsRejected() {
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
         harness.scheduler.onListConfirmed(harness.now);
         assertEquals(1, harness.submit(SchedulerHarness.READ, 0).attempts.size());
         harness.serveAllInFlight();
-        harness.advanceClock(SPAN + GRACE);
+        harness.advanceClock(NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS);
         Operation waiting = harness.submit(SchedulerHarness.READ, 0);
         assertEquals(0, waiting.attempts.size());
         assertEquals(Reason.NO_LEASE, WaitExplainer.reasonFor(harness.scheduler, waiting, harness.now));
@@ -108,12 +108,12 @@
 
     /** Its connection comes up only when the lease has ended. */
     @Test
-    void anAttemptThatIsDelayedBeyondTheLeaseDoesNotStart() {
-        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, SPAN);
-        harness.scheduler.onListConfirmed(harness.now - SPAN);
+    void anAttemptDelayedBeyondTheLeaseDoesNotStart() {
+        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
+        harness.scheduler.onListConfirmed(harness.now - NOTIFICATION_SPAN_MILLIS);
         Operation read = harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(1, read.attempts.size());
         assertTrue(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now));
-        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now + GRACE));
+        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now + DRAIN_GRACE_MILLIS));
     }
 }
--- a/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
+++ b/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
@@ -13,7 +13,7 @@
 /** Overload, late operations, client retries and Retry-After. */
 class LoadSheddingTest {
     @Test
-    void anOverloadOfOneEndpointForbidsNoRetryAtAnother() {
+    void anOverloadedEndpointDoesNotPreventRetriesAtAnother() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Volume surging = harness.volume(0);
         for (int i = 0; i < 40; i++) {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void noRetryUnderOverloadButInAnOutage() {
+    void anOverloadPreventsRetriesAndAnOutageDoesNot() {
         SchedulerHarness outage = new SchedulerHarness(3);
         outage.nodes.get(0).phase = Node.Phase.DRAINING;
         outage.updateEndpointList();
@@ -61,9 +61,9 @@
         }
         harness.advanceClock(90);
         harness.serveAllInFlight();
-        Operation over = harness.submit(SchedulerHarness.READ, surging, 2000, 6, 0);
+        Operation beyondShare = harness.submit(SchedulerHarness.READ, surging, 2000, 6, 0);
         Operation reserved = harness.submit(SchedulerHarness.READ, 0);
-        assertTrue(over.attempts.isEmpty());
+        assertTrue(beyondShare.attempts.isEmpty());
         assertEquals(1, reserved.attempts.size());
         harness.endAttempt(harness.lastAttempt(reserved), Outcome.SERVED);
         harness.advanceClock(60_000);
@@ -96,20 +96,20 @@
     }
 
     @Test
-    void anEarlyDeadlineAloneMakesNoClientRetry() {
+    void anEarlyDeadlineAloneIsNotTreatedAsAClientRetry() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Operation first = harness.submit(SchedulerHarness.READ, 0);
         harness.advanceClock(250);
         harness.endAttempt(harness.lastAttempt(first), Outcome.TIMED_OUT);
         harness.advanceClock(15_000);
-        Operation hurried =
+        Operation shortDeadline =
                 harness.submitWithDeadline(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
-        assertEquals(98, harness.timeoutOf(hurried), 2, "all the patience it has");
-        harness.endAttempt(harness.lastAttempt(hurried), Outcome.SERVED);
+        assertEquals(98, harness.timeoutOf(shortDeadline), 2, "all the patience it has");
+        harness.endAttempt(harness.lastAttempt(shortDeadline), Outcome.SERVED);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
-        Operation repeat = harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
-        assertTrue(harness.rejected.contains(repeat), "its first try's target time is over");
+        Operation clientRetry = harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
+        assertTrue(harness.rejected.contains(clientRetry), "its first try's target time is over");
     }
 
     @Test
--- a/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
@@ -43,22 +43,22 @@
     }
 
     @Test
-    void aRejectionEndsNoEjection() {
+    void aRejectionDoesNotEndAnEjection() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation lost = harness.submit(SchedulerHarness.BULK, 0);
+        Operation timedOut = harness.submit(SchedulerHarness.BULK, 0);
         harness.advanceClock(500);
-        harness.endAttempt(harness.lastAttempt(lost), Outcome.TIMED_OUT);
+        harness.endAttempt(harness.lastAttempt(timedOut), Outcome.TIMED_OUT);
         assertEquals(2, sentTo(harness, 0), "it is the trial itself");
-        harness.endAttempt(harness.lastAttempt(lost), Outcome.REJECTED);
+        harness.endAttempt(harness.lastAttempt(timedOut), Outcome.REJECTED);
         harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(2, sentTo(harness, 0), "the next trial waits for its time");
     }
 
     @Test
-    void aRejectionMakesNoEndpointUnresponsive() {
+    void aRejectionDoesNotMakeAnEndpointUnresponsive() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation refused = harness.submit(SchedulerHarness.BULK, 0);
-        harness.endAttempt(harness.lastAttempt(refused), Outcome.REJECTED);
+        Operation rejected = harness.submit(SchedulerHarness.BULK, 0);
+        harness.endAttempt(harness.lastAttempt(rejected), Outcome.REJECTED);
         harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(
                 3,
@@ -67,31 +67,31 @@
     }
 
     @Test
-    void anAttemptWithAShortTimeoutMakesNoEndpointUnresponsive() {
+    void aTimeoutOfAShortAttemptDoesNotMakeAnEndpointUnresponsive() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation hurried = harness.submitWithDeadline(SchedulerHarness.BULK, 1, 0, 60);
+        Operation shortDeadline = harness.submitWithDeadline(SchedulerHarness.BULK, 1, 0, 60);
         harness.advanceClock(60);
-        harness.endAttempt(harness.lastAttempt(hurried), Outcome.TIMED_OUT);
+        harness.endAttempt(harness.lastAttempt(shortDeadline), Outcome.TIMED_OUT);
         harness.submit(SchedulerHarness.BULK, 0);
         harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(3, sentTo(harness, 0), "none of them is a trial");
     }
 
     @Test
-    void theIndexOfAForgottenEndpointIsUsedAgain() {
+    void theIndexOfAPrunedEndpointIsReused() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Volume volume = harness.volume(1);
         for (int i = 0; i < 50; i++) {
-            Node old = harness.nodes.get(0);
+            Node removed = harness.nodes.get(0);
             Operation read = harness.submit(SchedulerHarness.READ, volume, 7 + i, 2, 0);
             harness.advanceClock(20);
             harness.endAttempt(harness.lastAttempt(read), Outcome.SERVED);
-            old.phase = Node.Phase.REMOVED;
+            removed.phase = Node.Phase.REMOVED;
             harness.updateEndpointList();
-            old.pruned = true;
-            Node fresh = new Node(1000 + i);
-            fresh.cell = 0;
-            harness.nodes.set(0, fresh);
+            removed.pruned = true;
+            Node added = new Node(1000 + i);
+            added.cell = 0;
+            harness.nodes.set(0, added);
             harness.updateEndpointList();
             // Cold at first: it is served once it is warm.
             harness.advanceClock(10_000);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void anEndpointThatFailsAtOnceDrawsNoNewObjects() {
+    void anEndpointThatFailsImmediatelyGetsFewNewObjects() {
         SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 40; i++) {
             Operation write = harness.submit(SchedulerHarness.WRITE, -1);
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -22,12 +22,12 @@
 class ServicePolicyTest {
     @ParameterizedTest
     @CsvSource({"0", "1", "2", "3", "4", "5"})
-    void everyOperationIsAnsweredBeforeItsDeadline(int band) {
+    void everyOperationIsAnsweredBeforeItsDeadline(int classIndex) {
         SchedulerHarness harness = new SchedulerHarness(1);
-        Operation sent = harness.submit(band, 0);
-        Operation homeless = harness.submit(band, 7);
+        Operation sent = harness.submit(classIndex, 0);
+        Operation unplaced = harness.submit(classIndex, 7);
         harness.advanceClock(sent.trafficClass.deadline() - 2);
-        assertTrue(homeless.ended, "an operation whose shard no node holds");
+        assertTrue(unplaced.ended, "an operation whose shard no node holds");
         harness.endAttempt(harness.lastAttempt(sent), Outcome.TIMED_OUT);
         assertTrue(sent.ended, "an operation whose only hop was never answered");
         assertEquals(2, harness.rejected.size() + harness.abandoned.size());
@@ -53,39 +53,39 @@
     void aDelayedAttemptStartsOnlyWhileTheRulesStillAllowIt() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Operation drained = harness.submit(SchedulerHarness.READ, 0);
-        Operation left = harness.submit(SchedulerHarness.READ, 1);
-        Operation repeated = harness.submit(SchedulerHarness.DEDUPLICATED, 1);
-        Operation once = harness.submit(SchedulerHarness.NON_IDEMPOTENT, 0);
+        Operation clientCancelled = harness.submit(SchedulerHarness.READ, 1);
+        Operation retried = harness.submit(SchedulerHarness.DEDUPLICATED, 1);
+        Operation nonIdempotent = harness.submit(SchedulerHarness.NON_IDEMPOTENT, 0);
         harness.advanceClock(10);
-        for (Operation operation : List.of(drained, left, repeated, once)) {
+        for (Operation operation : List.of(drained, clientCancelled, retried, nonIdempotent)) {
             assertTrue(harness.scheduler.mayStart(harness.lastAttempt(operation), harness.now));
         }
-        harness.endAttempt(harness.lastAttempt(repeated), Outcome.RESET);
-        assertEquals(2, repeated.attempts.size(), "sent again while the node remembers");
-        assertTrue(harness.scheduler.mayStart(harness.lastAttempt(repeated), harness.now));
-        double forgets =
-                repeated.attempts.get(0).sentAt + repeated.trafficClass.deduplicationWindow();
+        harness.endAttempt(harness.lastAttempt(retried), Outcome.RESET);
+        assertEquals(2, retried.attempts.size(), "sent again while the node remembers");
+        assertTrue(harness.scheduler.mayStart(harness.lastAttempt(retried), harness.now));
+        double deduplicationEnd =
+                retried.attempts.get(0).sentAt + retried.trafficClass.deduplicationWindow();
         assertFalse(
-                harness.scheduler.mayStart(harness.lastAttempt(repeated), forgets),
+                harness.scheduler.mayStart(harness.lastAttempt(retried), deduplicationEnd),
                 "not when it has forgotten");
-        harness.endAttempt(harness.lastAttempt(once), Outcome.REJECTED);
+        harness.endAttempt(harness.lastAttempt(nonIdempotent), Outcome.REJECTED);
         assertTrue(
-                harness.scheduler.mayStart(harness.lastAttempt(once), harness.now),
+                harness.scheduler.mayStart(harness.lastAttempt(nonIdempotent), harness.now),
                 "the first has proved that it never ran");
-        assertEquals(2, once.attempts.size());
-        once.attempts.get(0).outcome = Outcome.RESET;
+        assertEquals(2, nonIdempotent.attempts.size());
+        nonIdempotent.attempts.get(0).outcome = Outcome.RESET;
         assertFalse(
-                harness.scheduler.mayStart(harness.lastAttempt(once), harness.now),
+                harness.scheduler.mayStart(harness.lastAttempt(nonIdempotent), harness.now),
                 "or else it may not");
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         assertFalse(harness.scheduler.mayStart(harness.lastAttempt(drained), harness.now));
-        harness.cancel(left);
-        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(left), harness.now));
+        harness.cancel(clientCancelled);
+        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(clientCancelled), harness.now));
     }
 
     @Test
-    void aDrainingEndpointGetsNothingNew() {
+    void aDrainingEndpointGetsNoNewAttempts() {
         SchedulerHarness harness = new SchedulerHarness(2);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
@@ -100,10 +100,10 @@
     /** The even demand of all gateways is all that the node does when warm. */
     @ParameterizedTest
     @CsvSource({"1", "3", "40"})
-    void allGatewaysTogetherKeepTheSlowStartOfAnEndpoint(int gateways) {
+    void allGatewaysTogetherStayWithinTheSlowStartLimit(int gateways) {
         List<SchedulerHarness> hosts = new ArrayList<>();
-        for (int me = 0; me < gateways; me++) {
-            hosts.add(new SchedulerHarness(1, me, gateways, false, Double.NaN));
+        for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
+            hosts.add(new SchedulerHarness(1, gatewayIndex, gateways, false, Double.NaN));
         }
         double[] sent = new double[200];
         for (int turn = 0; turn < 1800; turn++) {
@@ -120,17 +120,17 @@
                 harness.endAttempt(attempt, Outcome.SERVED);
             }
         }
-        double warm = 200 / 2.0;
+        double warmUnits = 200 / 2.0;
         for (int i = 9; i < 28; i++) {
             double ramp = 0.25 + 0.75 * Math.max(0, (i - 9) * 500) / 10_000;
             double window = sent[i] + sent[i + 1] + sent[i + 2] + sent[i + 3];
-            assertTrue(window <= 2 * ramp * 4 * warm, window + " units in the window " + i);
+            assertTrue(window <= 2 * ramp * 4 * warmUnits, window + " units in the window " + i);
             assertTrue(window > 0, "a cold node is used all the time");
         }
         assertEquals(
-                4 * warm,
+                4 * warmUnits,
                 sent[30] + sent[31] + sent[32] + sent[33],
-                warm / 2,
+                warmUnits / 2,
                 "a warm node is no longer held");
     }
 
@@ -142,42 +142,42 @@
     @ParameterizedTest
     @CsvSource({"20, 1", "30, 1", "30, 1.5", "100, 1.5"})
     void unevenAndRestartedGatewaysNeverOverloadAnEndpointInSlowStart(int gateways, double burst) {
-        double warm = 100;
+        double warmUnits = 100;
         double step = 10;
         RandomGenerator random = new SplittableRandom(5L * gateways);
         SchedulerHarness[] hosts = new SchedulerHarness[gateways];
         double[] weight = new double[gateways];
         double weights = 0;
-        for (int me = 0; me < gateways; me++) {
-            hosts[me] = new SchedulerHarness(2, me, gateways, false, Double.NaN);
-            weight[me] = 1.0 / (me + 1);
-            weights += weight[me];
+        for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
+            hosts[gatewayIndex] = new SchedulerHarness(2, gatewayIndex, gateways, false, Double.NaN);
+            weight[gatewayIndex] = 1.0 / (gatewayIndex + 1);
+            weights += weight[gatewayIndex];
         }
         double startedAt = 110_000;
         List<Double> sentAt = new ArrayList<>();
         for (double now = 100_000; now < 122_000; now += step) {
-            for (int me = 0; me < gateways; me++) {
-                SchedulerHarness harness = hosts[me];
+            for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
+                SchedulerHarness harness = hosts[gatewayIndex];
                 if (now == startedAt) {
                     harness.nodes.get(0).startedAt = startedAt;
                     harness.updateEndpointList();
-                } else if (now == startedAt + 100 * (me + 1) && me % 2 == 0) {
-                    harness = new SchedulerHarness(2, me, gateways, false, Double.NaN);
+                } else if (now == startedAt + 100 * (gatewayIndex + 1) && gatewayIndex % 2 == 0) {
+                    harness = new SchedulerHarness(2, gatewayIndex, gateways, false, Double.NaN);
                     harness.advanceClock(now - harness.now);
                     harness.nodes.get(0).startedAt = startedAt;
                     harness.updateEndpointList();
-                    hosts[me] = harness;
+                    hosts[gatewayIndex] = harness;
                 }
                 harness.advanceClock(step);
             }
-            double rate = warm / SchedulerHarness.UNITS * (now >= startedAt ? burst : 1);
+            double rate = warmUnits / SchedulerHarness.UNITS * (now >= startedAt ? burst : 1);
             for (double due = rate * step / 1000; random.nextDouble() < due; due--) {
                 double pick = random.nextDouble() * weights;
-                int me = 0;
-                for (; me < gateways - 1 && pick >= weight[me]; me++) {
-                    pick -= weight[me];
+                int gatewayIndex = 0;
+                for (; gatewayIndex < gateways - 1 && pick >= weight[gatewayIndex]; gatewayIndex++) {
+                    pick -= weight[gatewayIndex];
                 }
-                hosts[me].submit(SchedulerHarness.READ, 0);
+                hosts[gatewayIndex].submit(SchedulerHarness.READ, 0);
             }
             for (SchedulerHarness harness : hosts) {
                 for (Attempt attempt : List.copyOf(harness.sent)) {
@@ -193,7 +193,7 @@
             double start = from;
             long sent = sentAt.stream().filter(at -> at >= start && at < start + 2_000).count();
             double ramp = 0.25 + 0.75 * (start - startedAt) / 10_000;
-            double allowed = 2 * ramp * warm / SchedulerHarness.UNITS * 2;
+            double allowed = 2 * ramp * warmUnits / SchedulerHarness.UNITS * 2;
             assertTrue(
                     sent <= allowed + 2 * Math.sqrt(allowed) + 2,
                     sent + " sent from " + start + ", N " + allowed);
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void orderedOperationsOfAKeyRunOneByOneWithIdleTimeAfterATimeOut() {
+    void orderedOperationsOfAKeyRunOneByOneWithIdleTimeAfterATimeout() {
         SchedulerHarness harness = new SchedulerHarness(1);
         Volume volume = harness.volume(0);
         Operation first = harness.submit(SchedulerHarness.ORDERED, volume, 77, 2, 0);
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void aVolumeKeepsToThisGatewaysPartOfItsLimit() {
+    void aVolumeStaysWithinThisGatewaysPartOfItsLimit() {
         SchedulerHarness harness = new SchedulerHarness(4);
         Volume volume = harness.volume(2);
         volume.gatewayCount = 2;
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void retriesKeepToTheRetryBudgetOfTheWindow() {
+    void retriesStayWithinTheRetryBudgetOfTheWindow() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, false, 1);
         List<Operation> submitted = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
@@ -296,22 +296,22 @@
     @Test
     void aDeduplicatedOperationIsRetriedOnlyInItsScopeAndWindow() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation kept = harness.submit(SchedulerHarness.DEDUPLICATED, -1);
-        Node first = harness.lastAttempt(kept).node;
-        harness.endAttempt(harness.lastAttempt(kept), Outcome.FAILED);
+        Operation deduplicated = harness.submit(SchedulerHarness.DEDUPLICATED, -1);
+        Node first = harness.lastAttempt(deduplicated).node;
+        harness.endAttempt(harness.lastAttempt(deduplicated), Outcome.FAILED);
         harness.advanceClock(100);
-        assertTrue(kept.attempts.stream().allMatch(attempt -> attempt.node == first));
+        assertTrue(deduplicated.attempts.stream().allMatch(attempt -> attempt.node == first));
         assertTrue(
                 harness.rejected.isEmpty(),
                 "a decline would promise that asking again is harmless");
         harness.advanceClock(2000);
-        assertTrue(kept.ended || kept.attempts.get(kept.attempts.size() - 1).outcome == null);
-        Operation old = harness.submit(SchedulerHarness.DEDUPLICATED, 0);
+        assertTrue(deduplicated.ended || deduplicated.attempts.get(deduplicated.attempts.size() - 1).outcome == null);
+        Operation expired = harness.submit(SchedulerHarness.DEDUPLICATED, 0);
         harness.advanceClock(1100);
-        int attempts = old.attempts.size();
-        harness.endAttempt(harness.lastAttempt(old), Outcome.TIMED_OUT);
+        int attempts = expired.attempts.size();
+        harness.endAttempt(harness.lastAttempt(expired), Outcome.TIMED_OUT);
         harness.advanceClock(500);
-        assertEquals(attempts, old.attempts.size(), "the group no longer remembers it");
+        assertEquals(attempts, expired.attempts.size(), "the group no longer remembers it");
     }
 
     @Test
