--- a/src/main/java/sagepulley/model/Attempt.java
+++ b/src/main/java/sagepulley/model/Attempt.java
@@ -1,6 +1,6 @@
 package sagepulley.model;
 
-/** One sending of an operation to an endpoint. Times are milliseconds. */
+/** An attempt of an operation at an endpoint. Times are milliseconds. */
 public final class Attempt {
     public final Operation operation;
     public final Node node;
@@ -13,28 +13,31 @@
     /** Null while the attempt is in flight. */
     public Outcome outcome;
 
-    /** How long it took, in milliseconds, once it has an outcome. */
+    /** The time from sending to the outcome, in milliseconds; set with the outcome. */
     public double duration;
 
     /**
-     * Percent of its plan's rate that the volume got at all endpoints in a finished period; NaN if
-     * not reported.
+     * The volume's usage at all endpoints in a completed usage period, as a percentage of its
+     * plan's rate; NaN if not reported.
      */
     public double planUsagePercent = Double.NaN;
 
     /**
-     * Units that the endpoint served the volume through other gateways since its last answer to
-     * this one.
+     * Units that the endpoint served the volume through other gateways since its last response to
+     * this gateway.
      */
     public double otherGatewaysUnits;
 
     /**
-     * The endpoint's load report, in the order of the deployment's report fields; null if none
-     * came.
+     * The endpoint's load report, in the order of the deployment's report fields; null if none was
+     * received.
      */
     public double[] report;
 
-    /** An attempt that is sent at a time; its number counts from 0 within the operation. */
+    /**
+     * Creates an attempt that is sent at the given time; its number counts from 0 within the
+     * operation.
+     */
     public Attempt(Operation operation, Node node, int number, double sentAt) {
         this.operation = operation;
         this.node = node;
--- a/src/main/java/sagepulley/model/Deployment.java
+++ b/src/main/java/sagepulley/model/Deployment.java
@@ -3,36 +3,38 @@
 import java.util.List;
 
 /**
- * The settings of a gateway's deployment, which it reads at its start. Times are milliseconds,
- * rates are units a second.
+ * The settings of a gateway's deployment, read at startup. Times are milliseconds, rates are units
+ * per second.
  *
- * @param gatewayIndex the number of this gateway, from 0
- * @param gatewayCount how many gateways serve the same endpoints
+ * @param gatewayIndex the index of this gateway, from 0
+ * @param gatewayCount the number of gateways that serve the same endpoints
  * @param zone the zone of this gateway
  * @param trafficClasses all traffic classes, by index
  * @param plans all tenant plans, by index
- * @param policy the rules that every gateway keeps
- * @param tick the step of the clock
- * @param shards how many shards there are; each lies at the endpoint of one cell
- * @param typicalUnits the size of a usual operation
- * @param maxUnits the size of the largest operation
- * @param shareWeightFraction the part of its price that an operation inside the share is worth
- * @param excessWeightFraction the part of its price that an operation in excess of it is worth
+ * @param policy the rules that all gateways follow
+ * @param tick the resolution of the clock
+ * @param shards the number of shards; each is held by the endpoint of one cell
+ * @param typicalUnits the units of a typical operation
+ * @param maxUnits the units of the largest operation
+ * @param shareWeightFraction the fraction of its price at which an operation inside the share is
+ *     valued
+ * @param excessWeightFraction the fraction of its price at which an operation in excess of the
+ *     share is valued
  * @param usagePeriod the period over which endpoints report a plan's usage
  * @param reportsOtherGateways whether endpoints report what they served through other gateways
- * @param mustPoll whether discovery sends the endpoint list only where it is asked for
- * @param pollInterval the longest time between two polls of the endpoint list
+ * @param mustPoll whether discovery sends the endpoint list only on request
+ * @param pollInterval the maximum time between two polls of the endpoint list
  * @param notifiedWithin the time after which a change of the endpoint list counts as notified,
- *     arrived or not; infinite where changes cannot be missed
+ *     whether or not it arrived; infinite where no change can be missed
  * @param mayCheckHealth whether endpoints answer health checks
  * @param mayCancel whether attempts may be cancelled
  * @param mayRetryAfter whether a rejection may advise when to retry
- * @param maxRetryAfter the longest such advice
+ * @param maxRetryAfter the maximum retry delay that a rejection may advise
  * @param crossZonePrice the price of an attempt in another zone
  * @param healthCheckPrice the price of a health check
- * @param wastePrice the price of work for nobody
+ * @param wastePrice the price of work whose result is not used
  * @param hasNodeWeights whether the endpoint list gives weights
- * @param reportFields the names of a load report's values, in their order
+ * @param reportFields the names of the values in a load report, in order
  */
 public record Deployment(
         int gatewayIndex,
@@ -62,8 +64,10 @@
         boolean hasNodeWeights,
         List<String> reportFields) {
     /**
-     * The same deployment where lists come only on a watch that this gateway opens, at once where
-     * they are pushed otherwise, and a change counts as notified within a time.
+     * Returns this deployment for endpoint lists that arrive only on a watch. The gateway opens the
+     * watch without delay where discovery would otherwise push the lists.
+     *
+     * @param notifiedWithin the time after which a change of the endpoint list counts as notified
      */
     public Deployment withWatch(double notifiedWithin) {
         return new Deployment(
--- a/src/main/java/sagepulley/model/ExternalName.java
+++ b/src/main/java/sagepulley/model/ExternalName.java
@@ -3,14 +3,16 @@
 import java.util.Locale;
 
 /**
- * An enum whose constants have a fixed name outside of the program: in spans, metrics and messages
- * to clients. The constants may be renamed; the external names may not.
+ * An enum whose constants have a fixed name outside the program: in spans, metrics and messages to
+ * clients. A constant may be renamed; its external name may not.
  */
 public interface ExternalName {
-    /** The name in lower case, its words separated by underscores. */
+    /** Returns the name in lower case, with its words separated by underscores. */
     String externalName();
 
-    /** The external name of any constant; that of one without an explicit name is its own. */
+    /**
+     * Returns the external name of any constant: its own name in lower case if it defines none.
+     */
     static String of(Enum<?> constant) {
         return constant instanceof ExternalName named
                 ? named.externalName()
--- a/src/main/java/sagepulley/model/FollowUp.java
+++ b/src/main/java/sagepulley/model/FollowUp.java
@@ -1,9 +1,9 @@
 package sagepulley.model;
 
-/** What to do for an operation after one of its attempts has ended. */
+/** The next step for an operation after one of its attempts has ended. */
 public enum FollowUp {
-    /** Nothing: it has ended, or another attempt is still in flight. */
+    /** No step: the operation has ended, or another attempt is in flight. */
     NONE,
-    /** Ask the scheduler where to send it next. */
+    /** Route the operation again. */
     ROUTE_AGAIN
 }
--- a/src/main/java/sagepulley/model/Node.java
+++ b/src/main/java/sagepulley/model/Node.java
@@ -1,8 +1,8 @@
 package sagepulley.model;
 
-/** An endpoint, a storage node, as this gateway's endpoint list has it. */
+/** A storage node as it appears as an endpoint in this gateway's endpoint list. */
 public final class Node {
-    /** What the endpoint list says of an endpoint. */
+    /** The phase of an endpoint in the endpoint list. */
     public enum Phase {
         READY,
         DRAINING,
@@ -16,22 +16,24 @@
     public double weight = 1;
     public Phase phase = Phase.READY;
 
-    /** Whether new objects may go there; extents that it holds are read and written regardless. */
+    /**
+     * False if no new objects may be placed on it; the extents that it holds are used regardless.
+     */
     public boolean acceptsNewObjects = true;
 
-    /** When it last started, in milliseconds; negative infinity for long ago. */
+    /** The time of its last start, in milliseconds; negative infinity if it started long ago. */
     public double startedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * Set once it is removed for good and none of its attempts is in flight: it never comes back as
-     * this object.
+     * Set when it was removed for good and none of its attempts is in flight. If the node is listed
+     * again, it is represented by a new object.
      */
     public boolean pruned;
 
-    /** What the scheduler keeps of the endpoint; nobody else reads it. */
+    /** The scheduler's state of the endpoint; accessed only by the scheduler. */
     public Object schedulerState;
 
-    /** An endpoint of which only the number is known yet. */
+    /** Creates an endpoint of which only the id is known. */
     public Node(int id) {
         this.id = id;
     }
--- a/src/main/java/sagepulley/model/Operation.java
+++ b/src/main/java/sagepulley/model/Operation.java
@@ -3,41 +3,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's read or write that this gateway has taken and gives one final answer. */
+/** A client's read or write that this gateway has accepted and answers exactly once. */
 public final class Operation {
     public final long id;
     public final TrafficClass trafficClass;
     public final Volume volume;
 
-    /** The extent that it reads or writes; 0 for none. */
+    /** The extent that is read or written; 0 for none. */
     public final long extent;
 
     public final double units;
 
     /**
-     * The cell whose endpoint holds the extent, or -1 for a new object; once the scheduler knows
-     * the operation, only Scheduler.onExtentLocated changes it.
+     * The cell of the endpoint that holds the extent, or -1 for a new object. Once the scheduler
+     * has received the operation, only Scheduler.onExtentLocated changes it.
      */
     public int shard;
 
     public final double arrivedAt;
 
-    /** When the client gives up on this request, in milliseconds. */
+    /** The time at which the client stops waiting for this request, in milliseconds. */
     public final double deadline;
 
     public final boolean clientRetry;
     public final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** Set once its one final answer is given, or the client has cancelled it. */
+    /** Set when the final answer was given or the client has cancelled the operation. */
     public boolean ended;
 
-    /** What the scheduler keeps of the operation; nobody else reads it. */
+    /** The scheduler's state of the operation; accessed only by the scheduler. */
     public Object schedulerState;
 
-    /** What the host of the scheduler keeps of the operation; the scheduler does not read it. */
+    /**
+     * The state that the scheduler's caller keeps of the operation; the scheduler does not read it.
+     */
     public Object engineState;
 
-    /** An operation that has just arrived, at arrivedAt. */
+    /** Creates an operation that has just arrived, at arrivedAt. */
     public Operation(
             long id,
             TrafficClass trafficClass,
@@ -59,7 +61,7 @@
         this.clientRetry = clientRetry;
     }
 
-    /** Whether an attempt of it has no outcome yet. */
+    /** Returns whether any attempt has no outcome yet. */
     public boolean isInFlight() {
         for (Attempt attempt : attempts) {
             if (attempt.outcome == null) {
--- a/src/main/java/sagepulley/model/Outcome.java
+++ b/src/main/java/sagepulley/model/Outcome.java
@@ -1,27 +1,27 @@
 package sagepulley.model;
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 public enum Outcome implements ExternalName {
     /** The node answered with success. */
     SERVED("satisfied", false),
-    /** The node answered with an error, or with what is no answer. */
+    /** The node answered with an error, or with an invalid response. */
     FAILED("fault", false),
     /** The node rejected the attempt because it was at capacity. */
     REJECTED("full", true),
-    /** No answer came in time. */
+    /** No response arrived before the timeout. */
     TIMED_OUT("timed_out", false),
-    /** No connection to the node came up, or nothing was written to it. */
+    /** No connection to the node was established, or nothing was written to it. */
     NO_CONNECTION("no_connection", true),
     /** The connection broke after the attempt had been written. */
     RESET("reset", false),
     /** The gateway cancelled the attempt. */
     CANCELLED("called_off", false),
-    /** The node did not execute the attempt, and says so. */
+    /** The attempt was not executed: the node reported so, or the gateway did not send it. */
     NOT_EXECUTED("moot", true);
 
     private final String externalName;
 
-    /** Whether it proves that the operation was not executed there. */
+    /** True if the outcome proves that the node did not execute the operation. */
     public final boolean provesNotExecuted;
 
     Outcome(String externalName, boolean provesNotExecuted) {
--- a/src/main/java/sagepulley/model/QuotaTier.java
+++ b/src/main/java/sagepulley/model/QuotaTier.java
@@ -1,8 +1,8 @@
 package sagepulley.model;
 
 /**
- * The tier of a tenant's quota that an operation's units are taken from: reservation, weighted
- * share, or in excess of both.
+ * The tier of a tenant's quota to which an operation's units are charged: the reservation, the
+ * weighted share, or the excess over both.
  */
 public enum QuotaTier implements ExternalName {
     RESERVATION("reserve"),
@@ -20,7 +20,9 @@
         return externalName;
     }
 
-    /** Why an operation of this tier waits at a node whose concurrency limit is reached. */
+    /**
+     * Returns why an operation of this tier waits at a node whose concurrency limit is reached.
+     */
     public Reason fullReason() {
         return switch (this) {
             case RESERVATION -> Reason.RESERVATION_FULL;
--- a/src/main/java/sagepulley/model/Reason.java
+++ b/src/main/java/sagepulley/model/Reason.java
@@ -1,6 +1,6 @@
 package sagepulley.model;
 
-/** Why an operation waits, or ended without being served. */
+/** The reason why an operation waits or ended without being served. */
 public enum Reason implements ExternalName {
     /** It does not wait. */
     NONE("none"),
@@ -12,27 +12,27 @@
     EXCESS_FULL("beyond_share"),
     /** The queue estimate of its node is too high for it. */
     QUEUE_AT_NODE("held_back"),
-    /** Its node started lately and is in slow start. */
+    /** Its node is in slow start. */
     WARMING_UP("cold"),
-    /** Its node gives no answers. */
+    /** Its node is unresponsive. */
     UNRESPONSIVE("silent"),
     /** Its node is draining or removed. */
     NOT_READY("not_ready"),
     /** No listed node holds its cell. */
     NO_NODE("no_node"),
-    /** The endpoint list is too old to be relied on. */
+    /** The lease on the endpoint list does not hold. */
     NO_LEASE("no_lease"),
-    /** The volume's rate limit. */
+    /** The volume's rate limit is reached. */
     LIMIT("limit"),
-    /** The retry budget is spent. */
+    /** The retry budget is exhausted. */
     RETRY_BUDGET("budget"),
-    /** An earlier operation of the same key has not ended. */
+    /** An earlier operation of the same key has not ended, or the key is idle after it. */
     KEY_ORDER("order"),
-    /** There is capacity, and an operation of higher priority takes it. */
+    /** There is capacity, but an operation of higher priority takes it. */
     LOWER_PRIORITY("ranks_later"),
     /** Rejected: it would miss its latency objective. */
     OBJECTIVE_MISSED("late"),
-    /** Rejected: its deadline is reached. */
+    /** Rejected: its deadline is reached or too close. */
     DEADLINE("patience"),
     /** Rejected: no retry is allowed. */
     NO_RETRY("no_further_hop"),
--- a/src/main/java/sagepulley/model/SchedulerTurn.java
+++ b/src/main/java/sagepulley/model/SchedulerTurn.java
@@ -3,8 +3,13 @@
 import java.util.List;
 
 /**
- * How long to wait before asking again, in milliseconds, and what is due now: operations to route,
- * endpoints to check, attempts to cancel, and a poll of the endpoint list.
+ * The result of one turn of the scheduler.
+ *
+ * @param delay the time to the next turn, in milliseconds
+ * @param due the operations to route now
+ * @param healthChecks the endpoints to check now
+ * @param cancellations the attempts to cancel now
+ * @param poll the request for the endpoint list that is due now
  */
 public record SchedulerTurn(
         double delay,
@@ -12,7 +17,7 @@
         List<Node> healthChecks,
         List<Attempt> cancellations,
         EndpointPoll poll) {
-    /** How discovery is asked for the endpoint list: not now, by a watch, or once. */
+    /** A request for the endpoint list: none, a watch, or a single fetch. */
     public enum EndpointPoll {
         NONE,
         SUBSCRIBE,
--- a/src/main/java/sagepulley/model/SlidingWindowCounter.java
+++ b/src/main/java/sagepulley/model/SlidingWindowCounter.java
@@ -2,28 +2,28 @@
 
 import java.util.Arrays;
 
-/** A sum over a sliding window of time, in a ring of buckets. Times are milliseconds. */
+/** Sums amounts over a sliding time window, in a ring of buckets. Times are milliseconds. */
 public final class SlidingWindowCounter {
     private final double bucketMillis;
     private final double[] sums;
     private long newestBucket = Long.MIN_VALUE;
 
     /**
-     * A counter over a window that divides into so many buckets; one more is kept for the bucket
-     * that is being filled.
+     * Creates a counter whose window is divided into the given number of buckets. One more bucket
+     * is kept, as the newest is only partly filled.
      */
     public SlidingWindowCounter(double windowMillis, int buckets) {
         this.bucketMillis = windowMillis / buckets;
         this.sums = new double[buckets + 1];
     }
 
-    /** Adds an amount at a time. */
+    /** Adds an amount at the given time. */
     public void add(double now, double amount) {
         advance(now);
         sums[slot(newestBucket)] += amount;
     }
 
-    /** The sum of the window and of up to one bucket more. */
+    /** Returns the sum over the window and up to one bucket more. */
     public double sumOverestimate(double now) {
         advance(now);
         double sum = 0;
@@ -33,7 +33,10 @@
         return sum;
     }
 
-    /** The sum of the window less up to one bucket: nothing older than the window. */
+    /**
+     * Returns the sum over the window less up to one bucket; includes nothing older than the
+     * window.
+     */
     public double sumUnderestimate(double now) {
         return sumOverestimate(now) - sums[slot(newestBucket + 1)];
     }
--- a/src/main/java/sagepulley/model/TenantPlan.java
+++ b/src/main/java/sagepulley/model/TenantPlan.java
@@ -2,7 +2,7 @@
 
 /**
  * The quota of each volume of a plan, across all gateways and endpoints: reservation and limit in
- * units a second, the weight of its share, and the price of a unit.
+ * units per second, the weight of its share, and the price of a unit.
  */
 public record TenantPlan(
         int index,
--- a/src/main/java/sagepulley/model/TrafficClass.java
+++ b/src/main/java/sagepulley/model/TrafficClass.java
@@ -18,14 +18,16 @@
         double priorityWeight,
         double lateWeightFraction) {
 
-    /** Whether an operation of the class may be executed a second time. */
+    /** The condition under which an operation of the class may be executed again. */
     public enum Idempotency {
         IDEMPOTENT,
         DEDUPLICATED,
         NON_IDEMPOTENT
     }
 
-    /** The endpoints that recognise each other's executions of a deduplicated operation. */
+    /**
+     * The endpoints that recognise duplicates of a deduplicated operation executed by each other.
+     */
     public enum DeduplicationScope {
         ALL,
         ZONE,
--- a/src/main/java/sagepulley/model/Volume.java
+++ b/src/main/java/sagepulley/model/Volume.java
@@ -1,17 +1,19 @@
 package sagepulley.model;
 
-/** A volume as this gateway sees it. */
+/** A volume and its tenant plan. */
 public final class Volume {
     public final long id;
     public final TenantPlan plan;
 
-    /** Through how many gateways its operations come, by the latest operation. */
+    /**
+     * The number of gateways through which its operations arrive, as given by the latest operation.
+     */
     public int gatewayCount = 1;
 
-    /** What the scheduler keeps of the volume; nobody else reads it. */
+    /** The scheduler's state of the volume; accessed only by the scheduler. */
     public Object schedulerState;
 
-    /** A volume under a plan. */
+    /** Creates a volume with a tenant plan. */
     public Volume(long id, TenantPlan plan) {
         this.id = id;
         this.plan = plan;
--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -6,48 +6,63 @@
 import sagepulley.model.Operation;
 
 /**
- * Sheds load before an endpoint is overloaded: it estimates the queue at each endpoint from the
- * answers, holds operations back by that estimate and their quota tier, and tells when operations
- * are rejected instead of retried. An estimate is in units of the longest queueing delay that is
- * acceptable. Times are milliseconds.
+ * Limits the load at each endpoint. Estimates the queue at each endpoint from the responses of
+ * attempts, holds operations back according to that estimate and their quota tier, and decides when
+ * too many operations are rejected to allow retries.
+ *
+ * <p>Queue estimates are in units of the longest acceptable queueing delay. Times are milliseconds.
  */
 final class AdmissionController {
-    /** The least weight of an answer in the queue estimate. */
+    /** The smallest weight of a new sample in the queue estimate. */
     private static final double MIN_ESTIMATE_SMOOTHING = 0.2;
 
-    /** The time after which a new answer has nearly all the weight. */
+    /** The time constant with which an old queue estimate loses weight against a new sample. */
     private static final double ESTIMATE_AGING_MILLIS = 4_000;
 
     private static final double MAX_QUEUE_ESTIMATE = 4;
 
-    /** The weight of a time-out against an answer: its answer may only be lost. */
+    /** The relative weight of a timed-out attempt: its response may merely have been lost. */
     private static final double TIMEOUT_WEIGHT = 0.5;
 
-    /** What stays of an endpoint's own estimate at each refresh; the rest is the fleet's mean. */
+    /**
+     * The fraction of its own estimate that an endpoint keeps at each refresh; the rest is the
+     * mean.
+     */
     private static final double OWN_ESTIMATE_FRACTION = 0.8;
 
-    /** What stays of all estimates at each refresh. */
+    /** The factor applied to every estimate at each refresh. */
     private static final double ESTIMATE_DECAY = 0.95;
 
-    /** The estimate above which an operation inside its reservation is held back. */
+    /** The queue limit of an operation inside its reservation, before the admission factor. */
     private static final double MAX_QUEUE_RESERVATION = 1.6;
 
-    /** The same inside the share. */
+    /**
+     * The highest queue limit of an operation beyond its reservation, before the admission factor.
+     */
     private static final double MAX_QUEUE_SHARE = 1.2;
 
-    /** The same at its even level; above it, it falls with the multiple of that level. */
+    /**
+     * The queue limit of a volume that uses exactly its proportional share, before the cap
+     * MAX_QUEUE_SHARE. The limit is inversely proportional to that usage.
+     */
     private static final double MAX_QUEUE_AT_PROPORTIONAL_SHARE = 1.6;
 
-    /** Up to this estimate nothing is held back. */
+    /** No operation is held back at or below this estimate. */
     private static final double MIN_QUEUE_ESTIMATE = 0.25;
 
-    /** Below this part of the concurrency limit only late operations are held back. */
+    /** Below this fraction of the concurrency limit only late operations are held back. */
     private static final double HELD_BACK_FRACTION = 0.5;
 
-    /** An answer that takes longer than this part of the objective counts as late. */
+    /**
+     * A response that takes longer than this fraction of the objective reduces the admission
+     * factor.
+     */
     private static final double LATE_ANSWER_FRACTION = 0.7;
 
-    /** The admission factor's steps; one late answer in eleven leaves it where it is. */
+    /**
+     * The relative steps of the admission factor; they balance at one slow response in about
+     * eleven.
+     */
     private static final double ADMISSION_DECREASE = 0.08;
 
     private static final double ADMISSION_INCREASE = 0.008;
@@ -56,7 +71,7 @@
 
     private static final double OVERLOAD_WINDOW_MILLIS = 1_000;
 
-    /** The part of arrivals that may be rejected before retries are. */
+    /** The ratio of rejections to arrivals above which operations are not retried. */
     private static final double MAX_REJECTION_RATIO = 0.03;
 
     private final Deployment deployment;
@@ -77,19 +92,25 @@
         this.outliers = outliers;
     }
 
-    /** A window over arrivals and rejections as an endpoint needs one. */
+    /** Returns an empty window for arrivals and rejections. */
     static ArrivalWindow newArrivalWindow() {
         return ArrivalWindow.over(OVERLOAD_WINDOW_MILLIS);
     }
 
-    /** How long queues may be before operations are held back, against the usual; about 1. */
+    /**
+     * Returns the factor that scales the queue limits above which operations are held back; about
+     * 1.
+     */
     double admissionFactor() {
         return admissionFactor;
     }
 
     /**
-     * Whether an operation is held back from an endpoint: a late one by any queue, others past part
-     * of the concurrency limit by a queue that is too long for their quota tier.
+     * Returns whether an operation must wait because of the queue at an endpoint.
+     *
+     * <p>Nothing is held back at a low queue estimate. Above it, a late operation always is; any
+     * other operation is held back if a part of the concurrency limit is in use and the estimate
+     * exceeds the queue limit of its quota tier.
      */
     boolean isHeldBack(Operation operation, EndpointState endpoint, double now) {
         if (endpoint.queueEstimate <= MIN_QUEUE_ESTIMATE) {
@@ -109,14 +130,14 @@
         return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * maxEstimate);
     }
 
-    /** Counts an operation that arrives for an endpoint; null for a new object. */
+    /** Counts an operation that arrives for an endpoint; null if it has no endpoint yet. */
     void onArrival(EndpointState endpoint, double now) {
         arrivalWindow(endpoint).arrivals().add(now, 1);
     }
 
     /**
-     * Counts an operation that was given up. Overload is what is rejected though its endpoint
-     * serves; an outage must not forbid retries elsewhere.
+     * Counts an operation that was rejected or abandoned. Operations given up because their
+     * endpoint is unhealthy are not a sign of overload and do not suppress retries.
      */
     void onGivenUp(EndpointState endpoint, double now) {
         if (endpoint == null || outliers.isHealthy(endpoint, now)) {
@@ -124,7 +145,10 @@
         }
     }
 
-    /** Whether so much of what came lately for an endpoint was rejected that retries would harm. */
+    /**
+     * Returns whether recent rejections for an endpoint exceed the ratio above which operations are
+     * not retried; null for operations without an endpoint.
+     */
     boolean exceedsRejectionRatio(EndpointState endpoint, double now) {
         ArrivalWindow window = arrivalWindow(endpoint);
         return window.rejections().sumOverestimate(now)
@@ -136,8 +160,9 @@
     }
 
     /**
-     * When the client of a rejected operation should retry, in milliseconds from now: once the
-     * queue has drained, or as late as may be told of an unhealthy endpoint. 0 for no advice.
+     * Returns the delay after which the client of a rejected operation should retry, in
+     * milliseconds: the estimated time for the queue to drain, or the maximum for an unhealthy
+     * endpoint. Returns 0 if the deployment gives no retry advice.
      */
     double retryAfter(EndpointState endpoint, double now) {
         if (!deployment.mayRetryAfter()) {
@@ -151,12 +176,17 @@
         return Math.min(deployment.maxRetryAfter(), drainMillis);
     }
 
-    /** A time-out shows a queue at least as long, unless its answer was lost. */
+    /**
+     * Updates the queue estimate from a timed-out attempt, whose duration counts as queueing delay.
+     */
     void onTimedOut(Attempt attempt, EndpointState endpoint, double now) {
         observeQueue(endpoint, attempt.duration, TIMEOUT_WEIGHT, now);
     }
 
-    /** A served attempt shows the queue by its queueing delay; late answers shorten all queues. */
+    /**
+     * Updates the queue estimate from the queueing delay of a served attempt. Lowers the admission
+     * factor after a slow response and raises it after any other.
+     */
     void onServed(Attempt attempt, EndpointState endpoint, double queueingDelay, double now) {
         double objective = latencies.objective(attempt.operation.trafficClass);
         admissionFactor =
@@ -168,7 +198,8 @@
     }
 
     /**
-     * Few answers must tell as much as many: one counts the more, the longer the last one is ago.
+     * Moves the queue estimate toward a new sample. The sample has more weight the longer ago the
+     * previous one was, so that an endpoint with few responses is also tracked.
      */
     private void observeQueue(
             EndpointState endpoint, double queueingDelay, double weight, double now) {
@@ -181,7 +212,9 @@
         endpoint.queueEstimate += weight * smoothing * (sample - endpoint.queueEstimate);
     }
 
-    /** What was seen of one endpoint fades into what is seen of all; once a refresh period. */
+    /**
+     * Decays all queue estimates and moves each toward the mean. Called once per refresh period.
+     */
     void refresh(List<EndpointState> endpoints) {
         double sum = endpoints.stream().mapToDouble(endpoint -> endpoint.queueEstimate).sum();
         for (EndpointState endpoint : endpoints) {
--- a/src/main/java/sagepulley/scheduler/ArrivalWindow.java
+++ b/src/main/java/sagepulley/scheduler/ArrivalWindow.java
@@ -3,8 +3,9 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * What lately came for one endpoint, or as new objects, and what of it was rejected though it could
- * be served; counted by {@link AdmissionController}.
+ * Counts the recent arrivals for one endpoint, or for operations without an endpoint, and those of
+ * them that were given up although their endpoint was healthy. Updated by
+ * {@link AdmissionController}.
  */
 record ArrivalWindow(SlidingWindowCounter arrivals, SlidingWindowCounter rejections) {
     private static final int BUCKETS = 10;
--- a/src/main/java/sagepulley/scheduler/AttemptTimeout.java
+++ b/src/main/java/sagepulley/scheduler/AttemptTimeout.java
@@ -4,20 +4,24 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * How long an attempt may take. It ends with the latency objective: one that is never answered, as
- * by an endpoint that hangs or is cut off, must not use up the concurrency limit until the client's
- * deadline, and late work delays every other gateway's at the endpoint.
+ * Computes the timeout of an attempt. An attempt normally ends with the latency objective: one
+ * without a response, because its endpoint hangs or is unreachable, must not occupy the concurrency
+ * limit until the client's deadline, and late work delays the operations of other gateways at the
+ * endpoint.
  */
 final class AttemptTimeout {
-    /** The part of the objective that an attempt goes on after it where late answers have worth. */
+    /**
+     * The extension of the timeout, as a fraction of the objective, for an operation that is
+     * already late or whose class values late responses.
+     */
     private static final double GRACE_FRACTION = 0.5;
 
-    /** The part of its value that a late answer must have for that. */
+    /** The fraction of its value that a late response must keep for the extension. */
     private static final double MIN_LATE_WEIGHT_FRACTION = 0.5;
 
     private AttemptTimeout() {}
 
-    /** The longest time of an attempt that is sent now, in milliseconds. */
+    /** Returns the timeout of an attempt that is sent now, in milliseconds. */
     static double of(Operation operation, double deadlineMarginMillis, double now) {
         TrafficClass trafficClass = operation.trafficClass;
         double timeoutAt = QueuedRequest.of(operation).objectiveEndsAt;
--- a/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
+++ b/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
@@ -6,21 +6,26 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Recognises a client's retry of an operation that was not served, so that it keeps the latency
- * objective of the first attempt: it names the same extent and has less time left to its deadline
- * than others of its traffic class. Any other operation with an early deadline is only hurried; its
- * latency objective has just begun.
+ * Recognises client retries of operations that were not served, so that a retry keeps the latency
+ * objective of the first attempt. A retry addresses the same extent and has less time to its
+ * deadline than is usual for its traffic class.
+ *
+ * <p>An operation with an early deadline that matches no unserved operation gets a full latency
+ * objective, unless its client marks it as a retry.
  */
 final class ClientRetryTracker {
     private static final int MAX_UNSERVED_OPERATIONS = 200;
 
-    /** The part of the latency objective by which a retry's deadline is nearer than others'. */
+    /**
+     * The minimum by which a retry's deadline is nearer than usual, as a fraction of the latency
+     * objective.
+     */
     private static final double MIN_ELAPSED_FRACTION = 0.1;
 
-    /** By traffic class, the longest time from arrival to deadline that was seen, in ms. */
+    /** The longest time from arrival to deadline seen, in milliseconds, by traffic class index. */
     private final double[] maxTimesToDeadline;
 
-    /** By extent, when the objective of an operation ends that lately was not served. */
+    /** The end of the latency objective of recent operations that were not served, by extent. */
     private final Map<Long, Double> unserved =
             new LinkedHashMap<>() {
                 @Override
@@ -33,7 +38,9 @@
         this.maxTimesToDeadline = new double[trafficClassCount];
     }
 
-    /** When the latency objective of an operation that arrives now ends, in milliseconds. */
+    /**
+     * Returns when the latency objective of an operation that arrives now ends, in milliseconds.
+     */
     double objectiveEndsAt(Operation operation, double now) {
         TrafficClass trafficClass = operation.trafficClass;
         int index = trafficClass.index();
@@ -47,7 +54,9 @@
                 : now + trafficClass.latencyObjective() - (operation.clientRetry ? elapsed : 0);
     }
 
-    /** Remembers the objective of an operation that was not served, for the client's retry. */
+    /**
+     * Records the latency objective of an operation that was not served, for a later client retry.
+     */
     void onUnserved(Operation operation) {
         if (operation.extent != 0) {
             unserved.put(operation.extent, QueuedRequest.of(operation).objectiveEndsAt);
--- a/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
+++ b/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
@@ -4,29 +4,31 @@
 import sagepulley.model.Node;
 
 /**
- * The number of attempts that may be in flight at each endpoint. The limit moves by additive
- * increase and multiplicative decrease, on the queueing delay that answers show. Times are
+ * Limits the number of attempts in flight at each endpoint. The limit follows additive increase and
+ * multiplicative decrease (AIMD), driven by the queueing delay of responses. Times are
  * milliseconds.
  */
 final class ConcurrencyLimiter {
-    /** The limit of an endpoint that was never sent to. */
+    /** The limit of an endpoint to which nothing was sent yet. */
     static final double INITIAL_LIMIT = 4;
 
     private static final double MIN_LIMIT = 1;
     private static final double MAX_LIMIT = 8;
 
     /**
-     * How far the rest of a run may exceed the limit: an endpoint caches an extent only briefly.
+     * The number of attempts by which a run of operations on one extent may exceed the limit. The
+     * endpoint caches the extent only briefly.
      */
     private static final int MAX_RUN_EXCESS = 3;
 
     private static final double DECREASE_FACTOR = 0.7;
 
-    /** Added for each limit's worth of answers without a queue. */
+    /** The increase after as many responses without a long queue as the limit allows in flight. */
     private static final double INCREASE_STEP = 0.25;
 
     /**
-     * Added at each refresh to a limit that was not reduced lately and is below the initial one.
+     * The increase at each refresh of a limit that is below the initial one and was not reduced
+     * recently.
      */
     private static final double RECOVERY_STEP = 1;
 
@@ -38,7 +40,10 @@
         this.outliers = outliers;
     }
 
-    /** Whether one more attempt may be in flight at an endpoint. */
+    /**
+     * Returns whether one more attempt may be in flight at an endpoint. An unresponsive endpoint
+     * only takes probation requests; a run of operations on one extent may exceed the limit.
+     */
     boolean hasCapacity(EndpointState endpoint, double now) {
         if (endpoint.node.phase != Node.Phase.READY) {
             return false;
@@ -51,17 +56,17 @@
         return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit + excess;
     }
 
-    /** Whether the limit itself, without a run's excess, has room. */
+    /** Returns whether the endpoint is below its limit, without the excess for a run. */
     boolean isBelowLimit(EndpointState endpoint) {
         return endpoint.inFlight.size() < (int) endpoint.concurrencyLimit;
     }
 
-    /** An endpoint that has started anew begins at the least limit. */
+    /** Resets the limit of a restarted endpoint to the minimum. */
     void onRestart(EndpointState endpoint) {
         endpoint.concurrencyLimit = MIN_LIMIT;
     }
 
-    /** A served attempt shows by its queueing delay whether the limit is too high or too low. */
+    /** Reduces the limit if a served attempt was queued for too long, and raises it otherwise. */
     void onServed(Attempt attempt, EndpointState endpoint, double queueingDelay, double now) {
         if (queueingDelay > latencies.acceptableQueueingDelay()) {
             reduce(attempt, endpoint, now);
@@ -73,7 +78,7 @@
         }
     }
 
-    /** Reduces the limit, once for all attempts that were sent before the latest reduction. */
+    /** Reduces the limit, at most once for all attempts sent before the latest reduction. */
     void reduce(Attempt attempt, EndpointState endpoint, double now) {
         if (attempt.sentAt >= endpoint.limitReducedAt) {
             endpoint.concurrencyLimit =
@@ -82,7 +87,7 @@
         }
     }
 
-    /** Raises a low limit that was not reduced within the refresh period. */
+    /** Raises a limit below the initial one that was not reduced within the refresh period. */
     void refresh(EndpointState endpoint, double now, double periodMillis) {
         if (now - endpoint.limitReducedAt > periodMillis
                 && endpoint.concurrencyLimit < INITIAL_LIMIT) {
--- a/src/main/java/sagepulley/scheduler/EndpointLatencies.java
+++ b/src/main/java/sagepulley/scheduler/EndpointLatencies.java
@@ -5,26 +5,27 @@
 import sagepulley.model.Attempt;
 
 /**
- * How slow each endpoint is against the others: its latency ratio, and the ratio of its write to
- * its read service time against theirs. Both are 1 on average, and are taken anew at each refresh.
+ * Compares the service times of the endpoints. Maintains each endpoint's latency ratio and its
+ * ratio of write to read service time, both relative to the mean of all endpoints, and recomputes
+ * them at each refresh.
  */
 final class EndpointLatencies {
     private static final int READS = 0;
     private static final int WRITES = 1;
 
-    /** What stays of a service time at each refresh. */
+    /** The weight of the previous service time at each refresh. */
     private static final double SMOOTHING = 0.5;
 
     private EndpointLatencies() {}
 
-    /** Counts a served attempt. */
+    /** Records the duration and units of a served attempt. */
     static void onServed(Attempt attempt, EndpointState endpoint) {
         int direction = attempt.operation.trafficClass.writes() ? WRITES : READS;
         endpoint.responseMillis[direction] += attempt.duration;
         endpoint.servedUnits[direction] += attempt.operation.units;
     }
 
-    /** Takes the ratios of all endpoints anew from what was served since the last refresh. */
+    /** Recomputes the ratios of all endpoints from the attempts served since the last refresh. */
     static void refresh(List<EndpointState> endpoints) {
         for (EndpointState endpoint : endpoints) {
             updateServiceTimes(endpoint);
@@ -43,7 +44,7 @@
         }
     }
 
-    /** The mean of the values that are not NaN; NaN if there is none. */
+    /** Returns the mean of the values that are not NaN, or NaN if there is none. */
     private static double mean(
             List<EndpointState> endpoints, ToDoubleFunction<EndpointState> value) {
         double sum = 0;
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -8,11 +8,11 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * What the scheduler keeps of an endpoint. Each group of fields is written by the class that its
- * comment names. Times are milliseconds.
+ * Holds the scheduler's state of one endpoint. Each group of fields is written by the class named
+ * above it. Times are milliseconds.
  */
 final class EndpointState {
-    /** How many operations of one extent go in a row before others. */
+    /** The maximum number of operations on one extent that are sent in a row. */
     private static final int RUN_LENGTH = 4;
 
     private static final double PLACEMENTS_WINDOW_MILLIS = 10_000;
@@ -24,46 +24,49 @@
 
     // RequestQueues
 
-    /** Operations whose data lies here, waiting for their turn. */
+    /** The waiting operations whose data this endpoint holds. */
     final WaitQueue waitQueue = new WaitQueue();
 
-    // Scheduler, which sends
+    // Scheduler, when it sends an attempt
 
     final List<Attempt> inFlight = new ArrayList<>();
     double lastSentAt = Double.NEGATIVE_INFINITY;
 
-    /** The extent that was sent last, and how many more of it go first. */
+    /**
+     * The extent of the last attempt sent, and the number of its operations that may still precede
+     * others.
+     */
     long lastExtent;
 
     int runRemaining;
 
-    /** New objects that were sent here lately. */
+    /** New objects recently sent to this endpoint. */
     final SlidingWindowCounter placements =
             new SlidingWindowCounter(PLACEMENTS_WINDOW_MILLIS, PLACEMENTS_BUCKETS);
 
-    /** Units that were sent here lately, as far as slow start asks for them. */
+    /** Units recently sent to this endpoint, within the window of slow start. */
     final SlidingWindowCounter slowStartSpent;
 
     // ConcurrencyLimiter
 
-    /** How many attempts may be in flight; its whole part counts. */
+    /** The maximum number of attempts in flight; the fraction is ignored. */
     double concurrencyLimit = ConcurrencyLimiter.INITIAL_LIMIT;
 
     double limitReducedAt = Double.NEGATIVE_INFINITY;
 
     // AdmissionController
 
-    /** The queue that the latest answers showed, in units of the longest acceptable one. */
+    /** The estimated queue, in units of the longest acceptable queueing delay. */
     double queueEstimate;
 
     double queueObservedAt = Double.NEGATIVE_INFINITY;
 
-    /** What lately came for it, and what of it was rejected though it could be served. */
+    /** Recent arrivals for this endpoint and rejections of them. */
     final ArrivalWindow arrivalWindow = AdmissionController.newArrivalWindow();
 
     // RequestSelector
 
-    /** The operation whose turn it was found to be, when, and at which version of the queues. */
+    /** The operation selected to be sent next, cached for a time and a version of the queues. */
     Operation selected;
 
     double selectedAt = Double.NaN;
@@ -71,17 +74,17 @@
 
     // QuotaTracker
 
-    /** The volumes that use the endpoint, in the order in which they were met. */
+    /** The usage of each volume at this endpoint, in the order of first use. */
     final List<TenantEndpointUsage> tenantUsages = new ArrayList<>();
 
-    /** Units for each unit of weight that are fair, and until when this holds. */
+    /** The fair level in units per unit of weight, cached until fairLevelValidUntil. */
     double fairLevel = Double.POSITIVE_INFINITY;
 
     double fairLevelValidUntil = Double.NEGATIVE_INFINITY;
 
     // EndpointTable
 
-    /** When it started as it was reported, and as far as that is possible. */
+    /** The start time as reported, and as corrected for differences between clocks. */
     double reportedStart;
 
     double startedAt;
@@ -90,28 +93,30 @@
 
     double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-    /** Whether only an answer to a probation request makes it an endpoint like others again. */
+    /** True while the endpoint is ejected; a served attempt ends the ejection. */
     boolean ejected;
 
-    /** The part of its latest answers that were faults. */
+    /** The smoothed fraction of recent responses that were faults. */
     double faultRatio;
 
-    // EndpointLatencies; reads at 0, writes at 1
+    // EndpointLatencies; arrays hold reads at index 0 and writes at index 1
 
-    /** Time and units that were served since the last refresh. */
+    /** The duration and units of the attempts served since the last refresh. */
     final double[] responseMillis = new double[2];
 
     final double[] servedUnits = new double[2];
 
-    /** The service time of a unit by direction and in all; NaN before the first answer. */
+    /**
+     * The smoothed service time of a unit, by direction and overall; NaN before the first response.
+     */
     final double[] serviceTimes = {Double.NaN, Double.NaN};
 
     double smoothedServiceTime = Double.NaN;
 
-    /** The service time against the mean of all endpoints. */
+    /** The service time relative to the mean of all endpoints. */
     double latencyRatio = 1;
 
-    /** The ratio of write to read service time against the mean of all endpoints. */
+    /** The ratio of write to read service time, relative to the mean of all endpoints. */
     double writeReadRatio = 1;
 
     EndpointState(int index, Node node, double slowStartWindowMillis) {
@@ -122,17 +127,17 @@
         this.startedAt = node.startedAt;
     }
 
-    /** The scheduler's state of an endpoint; null before it was first listed. */
+    /** Returns the scheduler's state of a node, or null before it was first listed. */
     static EndpointState of(Node node) {
         return (EndpointState) node.schedulerState;
     }
 
-    /** Whether it started less than the slow start time ago. */
+    /** Returns whether the endpoint started less than the slow start time ago. */
     boolean isInSlowStart(double now, double slowStartMillis) {
         return now - startedAt < slowStartMillis;
     }
 
-    /** Counts an attempt that is sent here. */
+    /** Records an attempt that is sent to this endpoint. */
     void onSent(Attempt attempt, double now) {
         Operation operation = attempt.operation;
         inFlight.add(attempt);
@@ -149,7 +154,10 @@
         }
     }
 
-    /** Whether its place may go to another endpoint. */
+    /**
+     * Returns whether the index of this endpoint may be reused: its node was removed for good, and
+     * no operation waits for it.
+     */
     boolean isVacant() {
         return node.pruned && waitQueue.isEmpty();
     }
--- a/src/main/java/sagepulley/scheduler/EndpointView.java
+++ b/src/main/java/sagepulley/scheduler/EndpointView.java
@@ -4,8 +4,8 @@
 import sagepulley.model.Node;
 
 /**
- * What the scheduler has learned of an endpoint, for monitoring; nothing is decided by it. The
- * queue estimate is in units of the longest acceptable queueing delay, the fault ratio a part of 1.
+ * A snapshot of the scheduler's state of an endpoint, for monitoring. The queue estimate is in
+ * units of the longest acceptable queueing delay; the fault ratio is a fraction of 1.
  */
 public record EndpointView(
         double concurrencyLimit,
@@ -14,7 +14,7 @@
         int waiting,
         boolean ejected,
         double faultRatio) {
-    /** The view of an endpoint that was listed. */
+    /** Returns the view of an endpoint that was listed. */
     public static EndpointView of(Node node) {
         EndpointState endpoint = EndpointState.of(node);
         return new EndpointView(
--- a/src/main/java/sagepulley/scheduler/LatencyTracker.java
+++ b/src/main/java/sagepulley/scheduler/LatencyTracker.java
@@ -6,32 +6,36 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Latency statistics by traffic class: the service time of a unit, the age at which clients cancel,
- * and the latency objective that follows from them. Times are milliseconds.
+ * Tracks latency statistics by traffic class: the service time of a unit and the age at which
+ * clients cancel operations. Derives the effective latency objective from them. Times are
+ * milliseconds.
  */
 final class LatencyTracker {
-    /** Weight of one operation in the age and ratio of cancellations. */
+    /** The weight of one operation in the age and ratio of cancellations. */
     private static final double CANCELLATION_SMOOTHING = 0.02;
 
-    /** Above this ratio the age at which clients cancel replaces the latency objective. */
+    /** Above this ratio the age at which clients cancel bounds the latency objective. */
     private static final double MIN_CANCELLATION_RATIO = 0.05;
 
-    /** Weight of one answer in the service times. */
+    /** The weight of one response in the service times. */
     private static final double SERVICE_TIME_SMOOTHING = 0.05;
 
-    /** The quantile of service times that counts as that without a queue. */
+    /** The quantile of service times that is taken as the service time without a queue. */
     private static final double BASE_QUANTILE = 0.2;
 
-    /** A first answer says nothing of the base yet: it starts at this part of it. */
+    /**
+     * The initial base service time as a fraction of the first service time, which may include a
+     * queue.
+     */
     private static final double INITIAL_BASE_FRACTION = 0.5;
 
-    /** A single answer counts in the mean as at most so many times the mean. */
+    /** The cap on a single response in the mean service time, as a multiple of that mean. */
     private static final double MAX_OUTLIER_FACTOR = 4;
 
-    /** The part of the mean service time that has to be left when an attempt starts. */
+    /** The fraction of the mean service time that must be left when an attempt starts. */
     private static final double REQUIRED_SERVICE_FRACTION = 0.7;
 
-    /** The part of the shortest objective that an operation may be queued at an endpoint. */
+    /** The acceptable queueing delay at an endpoint, as a fraction of the shortest objective. */
     private static final double ACCEPTABLE_QUEUEING_FRACTION = 0.25;
 
     private final List<TrafficClass> trafficClasses;
@@ -46,7 +50,7 @@
         }
     }
 
-    /** The statistics of all traffic classes in their order. */
+    /** Returns the statistics of all traffic classes, by index. */
     List<TrafficClassStats> all() {
         return List.of(statsByClass);
     }
@@ -55,24 +59,28 @@
         return statsByClass[trafficClass.index()];
     }
 
-    /** The mean service time of a unit of the class, in milliseconds. */
+    /** Returns the mean service time of a unit in a traffic class, in milliseconds. */
     double meanServiceTime(TrafficClass trafficClass) {
         return stats(trafficClass).meanServiceTime;
     }
 
     /**
-     * How long a served attempt was queued at its endpoint, by the service time without a queue.
+     * Returns the queueing delay of a served attempt: its duration less the service time without a
+     * queue.
      */
     double queueingDelay(Attempt attempt) {
         Operation operation = attempt.operation;
         return attempt.duration - operation.units * stats(operation.trafficClass).baseServiceTime;
     }
 
-    /** The client cancelled an operation: many that do so early shorten the latency objective. */
+    /**
+     * Records that the client cancelled an operation. Frequent early cancellations shorten the
+     * latency objective.
+     */
     void onCancelled(Operation operation, double now) {
         TrafficClassStats stats = stats(operation.trafficClass);
         double age = now - operation.arrivedAt;
-        // A client that cancels before an answer usually comes has reasons other than waiting.
+        // A cancellation before the mean service time has passed is not due to a slow response.
         if (age > stats.meanServiceTime * operation.units) {
             stats.cancellationAge =
                     stats.cancellationRatio == 0
@@ -84,13 +92,14 @@
     }
 
     /**
-     * An operation was given up: without this a ratio that forbids every attempt would never fall.
+     * Decays the cancellation ratio when an operation is rejected or abandoned. A ratio that
+     * prevents every attempt would otherwise never fall.
      */
     void onGivenUp(TrafficClass trafficClass) {
         stats(trafficClass).cancellationRatio *= 1 - CANCELLATION_SMOOTHING;
     }
 
-    /** Learns from an attempt that was served. */
+    /** Updates the statistics from a served attempt. */
     void onServed(Attempt attempt) {
         TrafficClassStats stats = stats(attempt.operation.trafficClass);
         stats.cancellationRatio -= CANCELLATION_SMOOTHING * stats.cancellationRatio;
@@ -108,8 +117,8 @@
     }
 
     /**
-     * The latency objective of a class, or the age at which its clients cancel where many cancel
-     * before it.
+     * Returns the latency objective of a class, or the mean age at which its clients cancel if that
+     * is shorter and cancellations are frequent.
      */
     double objective(TrafficClass trafficClass) {
         TrafficClassStats stats = stats(trafficClass);
@@ -118,12 +127,15 @@
                 : trafficClass.latencyObjective();
     }
 
-    /** How long before its objective an attempt must start, or it would be late. */
+    /**
+     * Returns the time before the end of the objective at which an attempt must start at the
+     * latest.
+     */
     double requiredServiceTime(TrafficClass trafficClass, double units) {
         return REQUIRED_SERVICE_FRACTION * (stats(trafficClass).meanServiceTime * units);
     }
 
-    /** From when on an operation, if sent, would miss its latency objective. */
+    /** Returns the time from which on an operation, if sent, would miss its latency objective. */
     double latestStartAt(Operation operation) {
         double objectiveEnd =
                 Math.min(
@@ -132,17 +144,20 @@
         return objectiveEnd - requiredServiceTime(operation.trafficClass, operation.units);
     }
 
-    /** The shortest objective of all classes, as of the latest refresh; 0 before the first. */
+    /**
+     * Returns the shortest objective of all classes as of the latest refresh, or 0 before the
+     * first.
+     */
     double minObjective() {
         return minObjective;
     }
 
-    /** The longest queueing delay at an endpoint that is acceptable, in milliseconds. */
+    /** Returns the longest acceptable queueing delay at an endpoint, in milliseconds. */
     double acceptableQueueingDelay() {
         return ACCEPTABLE_QUEUEING_FRACTION * minObjective;
     }
 
-    /** Takes the shortest objective anew. */
+    /** Recomputes the shortest objective. */
     void refresh() {
         minObjective = trafficClasses.stream().mapToDouble(this::objective).min().orElse(0);
     }
--- a/src/main/java/sagepulley/scheduler/MaxMinFairness.java
+++ b/src/main/java/sagepulley/scheduler/MaxMinFairness.java
@@ -3,13 +3,16 @@
 import java.util.List;
 
 /**
- * Weighted max-min fairness (water-filling): what an endpoint lately served beyond reservations is
- * dealt out by weight among the tenants that want more. No tenant gets more than it asked for.
+ * Computes weighted max-min fairness (water-filling): the units that an endpoint recently served
+ * beyond reservations are divided by weight among the tenants, and no tenant gets more than its
+ * demand.
  */
 final class MaxMinFairness {
     private MaxMinFairness() {}
 
-    /** The fair level, in units for each unit of weight; infinite if no tenant wants more. */
+    /**
+     * Returns the fair level in units per unit of weight, or infinity if every demand is satisfied.
+     */
     static double level(List<TenantEndpointUsage> usages, double now) {
         double capacity = 0;
         double totalWeight = 0;
@@ -22,7 +25,8 @@
                 unsatisfied++;
             }
         }
-        // Whoever wants less than an even level is content with it; the rest is dealt out anew.
+        // A tenant that demands no more than its weighted part is satisfied, and the rest is
+        // divided again.
         for (boolean changed = true; changed && unsatisfied > 0; ) {
             changed = false;
             for (TenantEndpointUsage usage : usages) {
--- a/src/main/java/sagepulley/scheduler/OutlierDetector.java
+++ b/src/main/java/sagepulley/scheduler/OutlierDetector.java
@@ -4,24 +4,26 @@
 import sagepulley.model.Node;
 
 /**
- * Detects endpoints that serve worse than they should: unresponsive ones, which are ejected until
- * one of their probation requests is answered, and ones whose answers are faults. Times are
- * milliseconds.
+ * Detects endpoints that are unresponsive or respond with too many faults. An ejected endpoint gets
+ * only probation requests until one of its attempts is served. Times are milliseconds.
  */
 final class OutlierDetector {
-    /** Without any answer for this part of the shortest objective an endpoint is unresponsive. */
+    /**
+     * The time without a response after which an endpoint is unresponsive, as a fraction of the
+     * shortest objective.
+     */
     private static final double UNRESPONSIVE_FRACTION = 0.5;
 
-    /** The part of the shortest objective between probation requests. */
+    /** The time between probation requests, as a fraction of the shortest objective. */
     private static final double PROBATION_FRACTION = 0.3;
 
-    /** Weight of one answer in the fault ratio. */
+    /** The weight of one response in the fault ratio. */
     private static final double FAULT_SMOOTHING = 0.2;
 
-    /** What stays of the fault ratio at each refresh. */
+    /** The factor applied to the fault ratio at each refresh. */
     private static final double FAULT_DECAY = 0.9;
 
-    /** The fault ratio above which an endpoint gets no new objects. */
+    /** The fault ratio above which an endpoint is unhealthy and gets no new objects. */
     private static final double MAX_FAULT_RATIO = 0.3;
 
     private final double slowStartMillis;
@@ -34,7 +36,10 @@
         this.wakeUp = wakeUp;
     }
 
-    /** Whether an endpoint serves as it should: ready, responsive, warm and without many faults. */
+    /**
+     * Returns whether an endpoint is ready, responsive, past its slow start and without many
+     * faults.
+     */
     boolean isHealthy(EndpointState endpoint, double now) {
         return endpoint.node.phase == Node.Phase.READY
                 && !isUnresponsive(endpoint, now)
@@ -42,7 +47,10 @@
                 && endpoint.faultRatio <= MAX_FAULT_RATIO;
     }
 
-    /** Whether an endpoint is ejected, or has work in flight and has given no answer for long. */
+    /**
+     * Returns whether an endpoint is ejected, or has attempts in flight and has not responded for
+     * too long. Otherwise requests a wake-up for when that time is over.
+     */
     boolean isUnresponsive(EndpointState endpoint, double now) {
         if (endpoint.ejected) {
             return true;
@@ -59,7 +67,10 @@
         return false;
     }
 
-    /** Whether the next probation request may go to an unresponsive endpoint. */
+    /**
+     * Returns whether the next probation request may go to an unresponsive endpoint; if not,
+     * requests a wake-up for when it may.
+     */
     boolean isProbationDue(EndpointState endpoint, double now) {
         double dueAt = endpoint.lastSentAt + PROBATION_FRACTION * latencies.minObjective();
         if (now < dueAt) {
@@ -69,7 +80,7 @@
         return true;
     }
 
-    /** Learns from the outcome of an attempt. */
+    /** Updates the endpoint's state from the outcome of an attempt. */
     void onAttemptEnded(Attempt attempt, EndpointState endpoint, double now) {
         switch (attempt.outcome) {
             case SERVED -> {
@@ -81,11 +92,12 @@
                 endpoint.lastResponseAt = now;
                 endpoint.faultRatio += FAULT_SMOOTHING * (1 - endpoint.faultRatio);
             }
-            // An endpoint at capacity is up, but one that hangs rejects as well: only an answer
-            // ends the ejection. A connection that breaks may be the only fault: if the endpoint
-            // is down, the next one shows it.
+            // REJECTED changes nothing: an endpoint that hangs may reject as well, and only a
+            // served attempt ends an ejection. RESET changes nothing either: only the connection
+            // may be at fault, and if the endpoint is down, the next attempt gets no connection.
             case NO_CONNECTION -> endpoint.ejected |= endpoint.lastResponseAt < attempt.sentAt;
-            // An attempt that had little time left shows as little.
+            // The timeout of an attempt with little time left does not show that the endpoint is
+            // unresponsive.
             case TIMED_OUT ->
                     endpoint.ejected |=
                             endpoint.lastResponseAt < attempt.sentAt
@@ -95,7 +107,7 @@
         }
     }
 
-    /** Lets the fault ratio fade; called once a refresh period. */
+    /** Decays the fault ratio; called once per refresh period. */
     void refresh(EndpointState endpoint) {
         endpoint.faultRatio *= FAULT_DECAY;
     }
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -8,19 +8,23 @@
 import sagepulley.model.Volume;
 
 /**
- * What each tenant has used of its quota: the reservation (a token bucket), the weighted share of
- * each endpoint, and the rate limit, as the three figures of dmClock. Units that other gateways
- * report count like our own. Rates are units a second, times milliseconds.
+ * Tracks what each tenant has used of its quota: the reservation (a token bucket), the weighted
+ * share of each endpoint, and the rate limit, as in dmClock. Usage that endpoints report for other
+ * gateways counts against the reservation and the share. Rates are units per second, times are
+ * milliseconds.
  */
 final class QuotaTracker {
     private static final double SHARE_WINDOW_MILLIS = 1_000;
     private static final int SHARE_WINDOW_BUCKETS = 5;
     private static final double FAIR_LEVEL_VALID_MILLIS = 50;
 
-    /** How much of an unused reservation may be set off against what other gateways report. */
+    /**
+     * The maximum unused reservation that may offset the reported usage of other gateways, as a
+     * time at its rate.
+     */
     private static final double MAX_OVERFLOW_MILLIS = 5_000;
 
-    /** A volume that takes so many times its even level is in a surge. */
+    /** The multiple of its proportional share above which the usage of a volume is a surge. */
     private static final double SURGE_FACTOR = 2.5;
 
     private static final double LIMIT_RECHECK_MILLIS = 20;
@@ -30,10 +34,12 @@
     private final double slowStartMillis;
     private final WakeUpTime wakeUp;
 
-    /** Sum of the weights of all volumes met. */
+    /** The sum of the weights of all volumes seen. */
     private double totalWeight;
 
-    /** Units a second beyond reservations that all volumes met are sized for. */
+    /**
+     * The rate beyond reservations for which all volumes seen are provisioned, in units per second.
+     */
     private double totalShareRate;
 
     QuotaTracker(Deployment deployment, WakeUpTime wakeUp) {
@@ -42,7 +48,10 @@
         this.wakeUp = wakeUp;
     }
 
-    /** Units that the volume may still send through this gateway by its rate limit. */
+    /**
+     * Returns the units that the volume may still send through this gateway under its rate limit,
+     * or infinity if it has none. Requests a wake-up, as the limit refills with time.
+     */
     double limitRemaining(Volume volume, double now) {
         double rate = volume.plan.limit();
         if (!(rate > 0)) {
@@ -63,18 +72,26 @@
         return usage.limitLeft;
     }
 
-    /** Whether an operation of so many units fits into what is left of the reservation. */
+    /**
+     * Returns whether an operation of the given units fits into what is left of the reservation.
+     */
     boolean fitsReservation(Volume volume, double units, double now) {
         return usage(volume, now).reservationLeft >= units;
     }
 
-    /** The part of its even level that a volume uses at an endpoint, with so many units more. */
+    /**
+     * Returns a volume's recent usage at an endpoint as a fraction of its proportional share, with
+     * half of the given units added.
+     */
     double proportionalShareUtilization(Volume volume, EndpointState endpoint, double units, double now) {
         double used = usedBeyondReservation(usage(volume, now), endpoint, units, now);
         return used / proportionalShare(volume);
     }
 
-    /** Units used beyond the reservation, at all endpoints if none is given, and half of these. */
+    /**
+     * Returns the recent usage beyond the reservation at an endpoint, or at all endpoints if it is
+     * null, with half of the given units added.
+     */
     private double usedBeyondReservation(
             TenantUsage usage, EndpointState endpoint, double units, double now) {
         SlidingWindowCounter used =
@@ -85,8 +102,8 @@
     }
 
     /**
-     * A volume's units in the share window if each took by weight what all that were met are sized
-     * for.
+     * Returns the units of a volume in the share window if the rate for which all volumes are
+     * provisioned is divided by weight.
      */
     private double proportionalShare(Volume volume) {
         return volume.plan.weight()
@@ -97,16 +114,16 @@
     }
 
     /**
-     * The part of its price that so many units of a volume are still worth: all inside the
-     * reservation, less inside the share, least in excess of it.
+     * Returns the fraction of its price at which an operation of the given units is valued: 1
+     * inside the reservation, less inside the share, least in excess of the share.
      */
     double weightFraction(Volume volume, double units, EndpointState endpoint, double now) {
         TenantUsage usage = usage(volume, now);
         if (usage.reservationLeft >= units) {
             return 1;
         }
-        // Where many gateways share an endpoint, none sees enough of it to deal it out: a volume
-        // that takes far more than its weight of what all volumes are sized for is in a surge.
+        // A gateway that shares an endpoint with many others sees too little of its traffic for the
+        // fair level to detect a surge, so the volume is also compared with its proportional share.
         double used = usedBeyondReservation(usage, endpoint, units, now);
         if (used > SURGE_FACTOR * proportionalShare(volume)) {
             return deployment.excessWeightFraction();
@@ -119,7 +136,7 @@
                 : deployment.excessWeightFraction();
     }
 
-    /** The tier of its quota that an operation is in, by the fair level last dealt out. */
+    /** Returns the quota tier of an operation at an endpoint, by the fair level computed last. */
     QuotaTier tier(Operation operation, EndpointState endpoint, double now) {
         TenantUsage usage = usage(operation.volume, now);
         if (usage.reservationLeft >= operation.units) {
@@ -142,12 +159,15 @@
         return endpoint.fairLevel;
     }
 
-    /** Counts an operation that asks for an endpoint. */
+    /** Counts the units of an operation as demand at an endpoint. */
     void onDemand(Operation operation, EndpointState endpoint, double now) {
         usageAt(usage(operation.volume, now), endpoint).demand.add(now, operation.units);
     }
 
-    /** Takes the units of a first attempt from the limit and from the reservation or the share. */
+    /**
+     * Charges the units of a first attempt to the limit and to the reservation, or to the share if
+     * they do not fit into the reservation.
+     */
     void onSent(Operation operation, EndpointState endpoint, double now) {
         TenantUsage usage = usage(operation.volume, now);
         usage.limitLeft -= operation.units;
@@ -161,15 +181,22 @@
         }
     }
 
-    /** The endpoint has answered for the volume: its next report counts from here. */
+    /**
+     * Records that the endpoint served the volume; the endpoint's next usage report counts from
+     * now.
+     */
     void onServed(Volume volume, EndpointState endpoint, double now) {
         usageAt(usage(volume, now), endpoint).reportedAt = now;
     }
 
     /**
      * Counts units that the endpoint served the volume through other gateways since its last
-     * answer. A sum over many seconds must not look like a surge: of the reservation it costs what
-     * our own count did not lose while full, and of the latest window its part.
+     * response.
+     *
+     * <p>Unused reservation that was lost here while the bucket was full offsets the units first;
+     * then they are charged to the reservation and to the share. The sliding windows only get the
+     * part of the units that falls into the share window, so that a report over many seconds does
+     * not look like a surge.
      */
     void onOtherGatewaysUsage(Volume volume, EndpointState endpoint, double units, double now) {
         TenantUsage usage = usage(volume, now);
@@ -205,7 +232,9 @@
         return endpointUsage;
     }
 
-    /** The usage of a volume with its reservation refilled up to now. */
+    /**
+     * Returns the usage of a volume, created on first use, with its reservation refilled up to now.
+     */
     private TenantUsage usage(Volume volume, double now) {
         TenantUsage usage = TenantUsage.of(volume);
         double rate = volume.plan.reservation();
--- a/src/main/java/sagepulley/scheduler/RetryBudget.java
+++ b/src/main/java/sagepulley/scheduler/RetryBudget.java
@@ -4,9 +4,9 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * Bounds retries to a floor plus a ratio of the operations that arrived within a sliding window, as
- * the retry budget of Finagle and Envoy does. Where a window cuts a bucket, the count goes against
- * the retry.
+ * Limits retries to a floor plus a ratio of the operations that arrived within a sliding window,
+ * like the retry budgets of Finagle and Envoy. Partial buckets at the edge of the window are
+ * counted against the retry.
  */
 final class RetryBudget {
     private static final int WINDOW_BUCKETS = 50;
@@ -22,7 +22,7 @@
         this.retries = new SlidingWindowCounter(window, WINDOW_BUCKETS);
     }
 
-    /** Counts an operation that has arrived. */
+    /** Counts an operation that arrives. */
     void onArrival(double now) {
         arrivals.add(now, 1);
     }
@@ -32,7 +32,9 @@
         retries.add(now, 1);
     }
 
-    /** Whether one more retry stays inside the budget; always where the deployment has none. */
+    /**
+     * Returns whether one more retry is within the budget; always true if the deployment has none.
+     */
     boolean allowsRetry(double now) {
         return !policy.hasRetryBudget()
                 || !(retries.sumOverestimate(now) + 1
--- a/src/main/java/sagepulley/scheduler/RetryPolicy.java
+++ b/src/main/java/sagepulley/scheduler/RetryPolicy.java
@@ -7,12 +7,12 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Whether an operation may be executed another time: by its idempotency, by the endpoints that
- * recognise a duplicate of it, and by the number of attempts. It has no state; the retry budget is
- * counted by {@link RetryBudget}.
+ * Decides whether an operation may be executed again, by its idempotency, by the nodes that
+ * recognise a duplicate of it, and by the number of its attempts. Stateless; retries are counted by
+ * {@link RetryBudget}.
  */
 final class RetryPolicy {
-    /** Retries beyond the first attempt; the deployment may allow fewer. */
+    /** The maximum number of retries of an operation; the deployment may allow fewer. */
     private static final int MAX_RETRIES = 2;
 
     private final ServicePolicy policy;
@@ -23,22 +23,23 @@
         this.deadlineMarginMillis = deadlineMarginMillis;
     }
 
-    /** Whether the deployment's rules allow one more attempt at this endpoint. */
+    /** Returns whether the service policy allows another attempt of the operation at a node. */
     boolean allowsAnotherAttempt(Operation operation, Node node, double now) {
         return mayRepeat(operation, node, null, now)
                 && operation.attempts.size() < policy.maxAttempts()
                 && (policy.hedgingAllowed() || !operation.isInFlight());
     }
 
-    /** Whether an operation has attempts left of those that this gateway makes by itself. */
+    /** Returns whether an operation has had fewer attempts than this gateway may make. */
     boolean hasAttemptsLeft(Operation operation) {
         return operation.attempts.size() < Math.min(MAX_RETRIES + 1, policy.maxAttempts());
     }
 
     /**
-     * Whether an attempt at the endpoint can have no effect twice, whatever the other attempts did.
+     * Returns whether an attempt at a node cannot take effect twice, whatever the outcome of the
+     * other attempts.
      *
-     * @param excluded the attempt that is asked about, if it was already made; may be null
+     * @param excluded the attempt to be checked, if the operation already contains it; may be null
      */
     boolean mayRepeat(Operation operation, Node node, Attempt excluded, double now) {
         TrafficClass trafficClass = operation.trafficClass;
@@ -76,7 +77,9 @@
                                 - deadlineMarginMillis);
     }
 
-    /** Whether the operation may be rejected, which promises that a client's retry does no harm. */
+    /**
+     * Returns whether the operation may be rejected, which tells the client that a retry is safe.
+     */
     boolean mayReject(Operation operation) {
         TrafficClass trafficClass = operation.trafficClass;
         if (trafficClass.idempotency() == TrafficClass.Idempotency.IDEMPOTENT
--- a/src/main/java/sagepulley/scheduler/SlowStartBudget.java
+++ b/src/main/java/sagepulley/scheduler/SlowStartBudget.java
@@ -5,18 +5,22 @@
 import sagepulley.model.ServicePolicy;
 
 /**
- * What an endpoint gets while it warms up after its start: only first attempts, and of those a part
- * by a draw that each operation keeps, the same at every gateway. All shares together are at most
- * what the endpoint serves when warm, so the part that may pass is the multiple of what it serves
- * now on the even ramp (the slowest allowed, at the start of the rule's window), less a margin. It
- * needs no count of gateways, of what they sent or of what was sent before our own start. Times are
- * milliseconds.
+ * Limits what is sent to an endpoint in slow start: only first attempts, and of those the fraction
+ * whose random draw, fixed per operation, is low enough.
+ *
+ * <p>All gateways together are assumed to send an endpoint at most what it serves when warm. The
+ * fraction is therefore the overload multiple times the part of its full capacity that the endpoint
+ * has on a linear ramp at the start of the current overload window, less a margin. It does not
+ * depend on the number of gateways or on earlier traffic. A cap on the units sent limits surges.
+ * Times are milliseconds.
  */
 final class SlowStartBudget {
-    /** The part of what a warming endpoint bears that is asked of it. */
+    /** The fraction of the load allowed by the policy that is used. */
     private static final double SAFETY_FRACTION = 0.8;
 
-    /** The cap on one gateway, in usual parts: a surge must not follow the draw all the way. */
+    /**
+     * The cap on the units sent in a window, as a multiple of the average that the fraction admits.
+     */
     private static final double MAX_BURST_FACTOR = 2;
 
     private static final double RECHECK_MILLIS = 20;
@@ -33,22 +37,25 @@
         this.wakeUp = wakeUp;
     }
 
-    /** The gateway has got its first endpoint list. */
+    /** Records the time of the first endpoint list. */
     void onGatewayStarted(double now) {
         startedAt = now;
     }
 
-    /** Counts units that any endpoint has served. */
+    /** Counts units served by any endpoint. */
     void onServed(double units) {
         servedUnits += units;
     }
 
-    /** Whether an endpoint is warming up. */
+    /** Returns whether an endpoint is warming up. */
     boolean isWarmingUp(EndpointState endpoint, double now) {
         return endpoint.isInSlowStart(now, policy.slowStartTime());
     }
 
-    /** Whether the operation's draw and the budget let it go to an endpoint that warms up. */
+    /**
+     * Returns whether an operation may be sent to an endpoint in slow start, by its draw and the
+     * budget.
+     */
     boolean allows(Operation operation, EndpointState endpoint, int endpointCount, double now) {
         double age = now - endpoint.startedAt;
         double ramp =
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -3,8 +3,8 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * What a volume lately asked of an endpoint and was served there, in units, through all gateways
- * where the endpoint reports it; owned by {@link QuotaTracker}.
+ * Tracks the recent demand and usage of a volume at one endpoint, in units, including the usage
+ * through other gateways as far as the endpoint reports it. Owned by {@link QuotaTracker}.
  */
 final class TenantEndpointUsage {
     final EndpointState endpoint;
@@ -13,16 +13,20 @@
     final SlidingWindowCounter reserved;
     final SlidingWindowCounter beyondReservation;
 
-    /** When the endpoint last answered for the volume, in milliseconds. */
+    /**
+     * The time at which the endpoint last served the volume through this gateway, in milliseconds.
+     */
     double reportedAt = Double.NEGATIVE_INFINITY;
 
-    /** Units served beyond the reservation; a working value of {@link MaxMinFairness}. */
+    /** Units served beyond the reservation; set for {@link MaxMinFairness}. */
     double served;
 
-    /** Units wanted beyond the reservation; a working value of {@link MaxMinFairness}. */
+    /** Units demanded beyond the reservation; set for {@link MaxMinFairness}. */
     double shareDemand;
 
-    /** Whether it wants more than its level so far; a working value of {@link MaxMinFairness}. */
+    /**
+     * True if the demand exceeds the level computed so far; also set by {@link MaxMinFairness}.
+     */
     boolean unsatisfied;
 
     TenantEndpointUsage(
@@ -38,7 +42,7 @@
         this.beyondReservation = beyondReservation;
     }
 
-    /** Sets the working values from the sliding windows. */
+    /** Sets the fields for {@link MaxMinFairness} from the sliding windows. */
     void updateDemand(double now) {
         served = beyondReservation.sumOverestimate(now);
         shareDemand = Math.max(served, demand.sumOverestimate(now) - reserved.sumOverestimate(now));
--- a/src/main/java/sagepulley/scheduler/TenantUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantUsage.java
@@ -3,14 +3,18 @@
 import sagepulley.model.SlidingWindowCounter;
 import sagepulley.model.Volume;
 
-/** What a volume has used of its quota; owned by {@link QuotaTracker}. Times are milliseconds. */
+/**
+ * Holds what a volume has used of its quota. Owned by {@link QuotaTracker}. Times are milliseconds.
+ */
 final class TenantUsage {
     /** Units left of the reservation, as of reservationUpdatedAt. */
     double reservationLeft;
 
     double reservationUpdatedAt;
 
-    /** Units by which the reservation did not fill because it was full. */
+    /**
+     * Unused reservation that was lost while the bucket was full and offset no usage yet, in units.
+     */
     double reservationOverflow;
 
     /** Units left of this gateway's part of the rate limit, as of limitUpdatedAt. */
@@ -19,10 +23,13 @@
     double limitUpdatedAt;
     final double weight;
 
-    /** Units beyond the reservation at all endpoints, through all gateways that are reported. */
+    /**
+     * Units used beyond the reservation at all endpoints, with the reported usage of other
+     * gateways.
+     */
     final SlidingWindowCounter beyondReservation;
 
-    /** By the endpoint's index; null where the volume was never met. */
+    /** Usage by endpoint index; null where the volume has not used the endpoint. */
     TenantEndpointUsage[] byEndpoint = new TenantEndpointUsage[0];
 
     TenantUsage(double weight, double now, SlidingWindowCounter beyondReservation) {
@@ -32,7 +39,7 @@
         this.limitUpdatedAt = now;
     }
 
-    /** The scheduler's state of a volume; null before its first operation. */
+    /** Returns the scheduler's state of a volume, or null before its first operation. */
     static TenantUsage of(Volume volume) {
         return (TenantUsage) volume.schedulerState;
     }
--- a/src/main/java/sagepulley/scheduler/TrafficClassStats.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassStats.java
@@ -1,18 +1,21 @@
 package sagepulley.scheduler;
 
-/** What was learned of one traffic class; owned by {@link LatencyTracker}. */
+/** Holds the latency statistics of one traffic class. Owned by {@link LatencyTracker}. */
 final class TrafficClassStats {
     /**
-     * The service time of a unit at an endpoint without a queue, in milliseconds: a low quantile.
+     * The service time of a unit without a queue, in milliseconds, estimated as a low quantile.
      */
     double baseServiceTime;
 
     /** The mean service time of a unit, in milliseconds. */
     double meanServiceTime;
 
-    /** The mean age at which clients cancel, in milliseconds. */
+    /** The mean age at which clients cancel operations, in milliseconds. */
     double cancellationAge;
 
-    /** The fraction of operations that clients cancel before an answer usually comes. */
+    /**
+     * The smoothed fraction of operations that clients cancel after the mean service time has
+     * passed.
+     */
     double cancellationRatio;
 }
--- a/src/main/java/sagepulley/scheduler/TrafficClassView.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassView.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /**
- * What the scheduler has learned of a traffic class, for monitoring; nothing is decided by it. The
- * service times of a unit (without a queue, and on average) and the age at which clients cancel are
- * milliseconds; the cancellation ratio is a part of 1, the admission factor about 1.
+ * A snapshot of the statistics of a traffic class, for monitoring. The service times of a unit
+ * (without a queue, and mean) and the mean age at which clients cancel are in milliseconds; the
+ * cancellation ratio is a fraction of 1. The admission factor is common to all classes.
  */
 public record TrafficClassView(
         double baseServiceTime,
@@ -14,7 +14,7 @@
         double cancellationAge,
         double cancellationRatio,
         double admissionFactor) {
-    /** The views of all traffic classes in their order. */
+    /** Returns the views of all traffic classes, by index. */
     public static List<TrafficClassView> of(Scheduler scheduler) {
         return scheduler.latencies.all().stream()
                 .map(
