--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -9,12 +9,14 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Reason;
 
-/** How long a list of endpoints may be relied on, and what routing does once that time is over. */
+/** Tests how long the lease on the endpoint list holds, and that nothing is sent without it. */
 class EndpointLeaseTest {
     private static final double NOTIFICATION_SPAN_MILLIS = 6_000;
     private static final double DRAIN_GRACE_MILLIS = 1_000;
 
-    /** What the lease keeps back of the grace, for a process that is held up before it writes. */
+    /**
+     * The part of the drain grace that the lease reserves for stalls of the process and its timers.
+     */
     private static final double SAFETY_MARGIN_MILLIS = 200;
 
     private final EndpointLease lease = new EndpointLease(NOTIFICATION_SPAN_MILLIS, DRAIN_GRACE_MILLIS);
@@ -75,7 +77,7 @@
         lease.reloadCompleted(299);
         lease.confirmed(400);
         assertFalse(
-                lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS), "what was read is older than what was told last");
+                lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS), "the configuration read is older than the latest notification");
         lease.reloadCompleted(500);
         lease.confirmed(600);
         assertTrue(lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS));
@@ -103,10 +105,10 @@
         Operation next = harness.submit(SchedulerHarness.READ, 0);
         harness.scheduler.onListConfirmed(harness.now);
         harness.advanceClock(2);
-        assertEquals(1, next.attempts.size(), "with the next confirmation it goes");
+        assertEquals(1, next.attempts.size(), "sent after the next confirmation");
     }
 
-    /** Its connection comes up only when the lease has ended. */
+    /** The connection of the attempt is established only after the lease has expired. */
     @Test
     void anAttemptDelayedBeyondTheLeaseDoesNotStart() {
         SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
--- a/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
+++ b/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
@@ -10,7 +10,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** Overload, late operations, client retries and Retry-After. */
+/** Tests load shedding: overload, late operations, client retries and Retry-After. */
 class LoadSheddingTest {
     @Test
     void anOverloadedEndpointDoesNotPreventRetriesAtAnother() {
@@ -20,11 +20,11 @@
             harness.submit(SchedulerHarness.READ, surging, 100 + i, 2, 0);
         }
         harness.advanceClock(260);
-        assertTrue(harness.rejected.size() > 20, "declined at the one " + harness.rejected.size());
+        assertTrue(harness.rejected.size() > 20, "rejected at the overloaded endpoint: " + harness.rejected.size());
         Operation read = harness.submit(SchedulerHarness.READ, 1);
         harness.advanceClock(10);
         harness.endAttempt(harness.lastAttempt(read), Outcome.FAILED);
-        assertEquals(2, read.attempts.size(), "the other is idle");
+        assertEquals(2, read.attempts.size(), "the other endpoint is idle");
     }
 
     @Test
@@ -74,7 +74,7 @@
         assertEquals(
                 4,
                 harness.sent.stream().filter(attempt -> attempt.outcome == null).count(),
-                "the queue is forgotten");
+                "the queue estimate has decayed");
     }
 
     @Test
@@ -92,7 +92,7 @@
         harness.advanceClock(250);
         harness.endAttempt(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(1, read.attempts.size());
-        assertEquals(List.of(read), harness.rejected, "at once, not near its patience");
+        assertEquals(List.of(read), harness.rejected, "immediately, not near its deadline");
     }
 
     @Test
@@ -104,12 +104,12 @@
         harness.advanceClock(15_000);
         Operation shortDeadline =
                 harness.submitWithDeadline(SchedulerHarness.READ, first.extent + 1_000, 0, 100);
-        assertEquals(98, harness.timeoutOf(shortDeadline), 2, "all the patience it has");
+        assertEquals(98, harness.timeoutOf(shortDeadline), 2, "the time to its deadline");
         harness.endAttempt(harness.lastAttempt(shortDeadline), Outcome.SERVED);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         Operation clientRetry = harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
-        assertTrue(harness.rejected.contains(clientRetry), "its first try's target time is over");
+        assertTrue(harness.rejected.contains(clientRetry), "the objective of its first attempt has ended");
     }
 
     @Test
@@ -127,7 +127,7 @@
         harness.serveAllInFlight();
         harness.advanceClock(140);
         assertTrue(
-                harness.retryAfter > 0 && harness.retryAfter < 500, "told " + harness.retryAfter);
+                harness.retryAfter > 0 && harness.retryAfter < 500, "retry after " + harness.retryAfter);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         harness.submit(SchedulerHarness.READ, 0);
--- a/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
@@ -10,7 +10,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** Endpoints that do not answer, reject, fail or are slow. */
+/** Tests the handling of endpoints that are unresponsive, reject attempts, fail or are slow. */
 class OutlierDetectorTest {
     @Test
     void anUnresponsiveEndpointGetsOneProbationRequestAtATimeAndNoNewObjects() {
@@ -24,12 +24,12 @@
                     harness.lastAttempt(harness.submitted.get(harness.submitted.size() - 1)),
                     Outcome.SERVED);
         }
-        assertEquals(2, sentTo(harness, 0), "the hop that found it silent, and one trial");
+        assertEquals(2, sentTo(harness, 0), "the attempt that found it unresponsive, and one probation request");
         harness.advanceClock(70);
         assertEquals(
-                2, sentTo(harness, 0), "the next waits for a part of the shortest target time");
+                2, sentTo(harness, 0), "the next probation request waits for a fraction of the shortest objective");
         harness.advanceClock(10);
-        assertEquals(3, sentTo(harness, 0), "one more trial");
+        assertEquals(3, sentTo(harness, 0), "one more probation request");
         for (int i = 0; i < harness.sent.size(); i++) {
             if (harness.sent.get(i).outcome == null) {
                 harness.endAttempt(harness.sent.get(i), Outcome.SERVED);
@@ -39,7 +39,7 @@
         long before = sentTo(harness, 0);
         harness.submit(SchedulerHarness.READ, 0);
         harness.submit(SchedulerHarness.READ, 0);
-        assertEquals(before + 2, sentTo(harness, 0), "an answer restores trust");
+        assertEquals(before + 2, sentTo(harness, 0), "a served attempt ends the ejection");
     }
 
     @Test
@@ -48,10 +48,10 @@
         Operation timedOut = harness.submit(SchedulerHarness.BULK, 0);
         harness.advanceClock(500);
         harness.endAttempt(harness.lastAttempt(timedOut), Outcome.TIMED_OUT);
-        assertEquals(2, sentTo(harness, 0), "it is the trial itself");
+        assertEquals(2, sentTo(harness, 0), "the retry is the probation request");
         harness.endAttempt(harness.lastAttempt(timedOut), Outcome.REJECTED);
         harness.submit(SchedulerHarness.BULK, 0);
-        assertEquals(2, sentTo(harness, 0), "the next trial waits for its time");
+        assertEquals(2, sentTo(harness, 0), "the next probation request is not due");
     }
 
     @Test
@@ -63,7 +63,7 @@
         assertEquals(
                 3,
                 sentTo(harness, 0),
-                "the hop refused, the one after it, and the next operation's");
+                "the rejected attempt, its retry, and the attempt of the next operation");
     }
 
     @Test
@@ -74,7 +74,7 @@
         harness.endAttempt(harness.lastAttempt(shortDeadline), Outcome.TIMED_OUT);
         harness.submit(SchedulerHarness.BULK, 0);
         harness.submit(SchedulerHarness.BULK, 0);
-        assertEquals(3, sentTo(harness, 0), "none of them is a trial");
+        assertEquals(3, sentTo(harness, 0), "none of them is a probation request");
     }
 
     @Test
@@ -93,7 +93,7 @@
             added.cell = 0;
             harness.nodes.set(0, added);
             harness.updateEndpointList();
-            // Cold at first: it is served once it is warm.
+            // Waits until the added endpoint is past its slow start.
             harness.advanceClock(10_000);
         }
         assertEquals(2, harness.scheduler.endpoints.size());
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -18,7 +18,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** Each rule of the service policy, by example. */
+/** Tests each rule of the service policy. */
 class ServicePolicyTest {
     @ParameterizedTest
     @CsvSource({"0", "1", "2", "3", "4", "5"})
@@ -29,7 +29,7 @@
         harness.advanceClock(sent.trafficClass.deadline() - 2);
         assertTrue(unplaced.ended, "an operation whose shard no node holds");
         harness.endAttempt(harness.lastAttempt(sent), Outcome.TIMED_OUT);
-        assertTrue(sent.ended, "an operation whose only hop was never answered");
+        assertTrue(sent.ended, "an operation whose only attempt was never answered");
         assertEquals(2, harness.rejected.size() + harness.abandoned.size());
     }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Between the decision and the first byte a connection has to come up. */
+    /** The rules may forbid an attempt while it waits for its connection. */
     @Test
     void aDelayedAttemptStartsOnlyWhileTheRulesStillAllowIt() {
         SchedulerHarness harness = new SchedulerHarness(2);
@@ -61,22 +61,22 @@
             assertTrue(harness.scheduler.mayStart(harness.lastAttempt(operation), harness.now));
         }
         harness.endAttempt(harness.lastAttempt(retried), Outcome.RESET);
-        assertEquals(2, retried.attempts.size(), "sent again while the node remembers");
+        assertEquals(2, retried.attempts.size(), "sent again within the deduplication window");
         assertTrue(harness.scheduler.mayStart(harness.lastAttempt(retried), harness.now));
         double deduplicationEnd =
                 retried.attempts.get(0).sentAt + retried.trafficClass.deduplicationWindow();
         assertFalse(
                 harness.scheduler.mayStart(harness.lastAttempt(retried), deduplicationEnd),
-                "not when it has forgotten");
+                "not after the deduplication window");
         harness.endAttempt(harness.lastAttempt(nonIdempotent), Outcome.REJECTED);
         assertTrue(
                 harness.scheduler.mayStart(harness.lastAttempt(nonIdempotent), harness.now),
-                "the first has proved that it never ran");
+                "the first attempt proves that it was not executed");
         assertEquals(2, nonIdempotent.attempts.size());
         nonIdempotent.attempts.get(0).outcome = Outcome.RESET;
         assertFalse(
                 harness.scheduler.mayStart(harness.lastAttempt(nonIdempotent), harness.now),
-                "or else it may not");
+                "not without that proof");
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         assertFalse(harness.scheduler.mayStart(harness.lastAttempt(drained), harness.now));
@@ -97,7 +97,7 @@
         assertTrue(harness.sent.stream().allMatch(attempt -> attempt.node == harness.nodes.get(1)));
     }
 
-    /** The even demand of all gateways is all that the node does when warm. */
+    /** The total demand of all gateways is what the endpoint serves when warm. */
     @ParameterizedTest
     @CsvSource({"1", "3", "40"})
     void allGatewaysTogetherStayWithinTheSlowStartLimit(int gateways) {
@@ -125,19 +125,19 @@
             double ramp = 0.25 + 0.75 * Math.max(0, (i - 9) * 500) / 10_000;
             double window = sent[i] + sent[i + 1] + sent[i + 2] + sent[i + 3];
             assertTrue(window <= 2 * ramp * 4 * warmUnits, window + " units in the window " + i);
-            assertTrue(window > 0, "a cold node is used all the time");
+            assertTrue(window > 0, "an endpoint in slow start is used all the time");
         }
         assertEquals(
                 4 * warmUnits,
                 sent[30] + sent[31] + sent[32] + sent[33],
                 warmUnits / 2,
-                "a warm node is no longer held");
+                "a warm endpoint is no longer limited");
     }
 
     /**
-     * Traffic is uneven, a burst comes on top, and half of the gateways start anew after the node
-     * and learn of it from an old list first: over any window of the rule all of them together stay
-     * under what the settings allow then, N, and what chance may add to that.
+     * Guards against the overload of an endpoint in slow start when traffic is uneven, a burst
+     * arrives and half of the gateways restart after the endpoint. The bound allows for random
+     * variation.
      */
     @ParameterizedTest
     @CsvSource({"20, 1", "30, 1", "30, 1.5", "100, 1.5"})
@@ -196,8 +196,8 @@
             double allowed = 2 * ramp * warmUnits / SchedulerHarness.UNITS * 2;
             assertTrue(
                     sent <= allowed + 2 * Math.sqrt(allowed) + 2,
-                    sent + " sent from " + start + ", N " + allowed);
-            assertTrue(sent > 0, "a cold node is used all the time");
+                    sent + " sent from " + start + ", allowed " + allowed);
+            assertTrue(sent > 0, "an endpoint in slow start is used all the time");
         }
     }
 
@@ -252,7 +252,7 @@
         harness.endAttempt(harness.lastAttempt(first), Outcome.TIMED_OUT);
         harness.endAttempt(harness.lastAttempt(other), Outcome.SERVED);
         harness.advanceClock(150);
-        assertTrue(second.attempts.isEmpty(), "the key rests");
+        assertTrue(second.attempts.isEmpty(), "the key is idle");
         harness.advanceClock(60);
         assertEquals(1, second.attempts.size());
     }
@@ -290,7 +290,7 @@
         assertEquals(
                 2,
                 submitted.stream().mapToInt(operation -> operation.attempts.size() - 1).sum(),
-                "a window later");
+                "one more retry a window later");
     }
 
     @Test
@@ -303,7 +303,7 @@
         assertTrue(deduplicated.attempts.stream().allMatch(attempt -> attempt.node == first));
         assertTrue(
                 harness.rejected.isEmpty(),
-                "a decline would promise that asking again is harmless");
+                "a rejection would promise that a retry is safe");
         harness.advanceClock(2000);
         assertTrue(deduplicated.ended || deduplicated.attempts.get(deduplicated.attempts.size() - 1).outcome == null);
         Operation expired = harness.submit(SchedulerHarness.DEDUPLICATED, 0);
@@ -311,7 +311,7 @@
         int attempts = expired.attempts.size();
         harness.endAttempt(harness.lastAttempt(expired), Outcome.TIMED_OUT);
         harness.advanceClock(500);
-        assertEquals(attempts, expired.attempts.size(), "the group no longer remembers it");
+        assertEquals(attempts, expired.attempts.size(), "the deduplication window is over");
     }
 
     @Test
