--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -14,7 +14,7 @@
  */
 final class AdmissionController {
     /** The smallest weight of a new sample in the queue estimate. */
-    private static final double MIN_ESTIMATE_SMOOTHING = 0.2;
+    private static final double MIN_SAMPLE_WEIGHT = 0.2;
 
     /** The time constant with which an old queue estimate loses weight against a new sample. */
     private static final double ESTIMATE_AGING_MILLIS = 4_000;
@@ -34,16 +34,16 @@
     private static final double ESTIMATE_DECAY = 0.95;
 
     /** The queue limit of an operation inside its reservation, before the admission factor. */
-    private static final double MAX_QUEUE_RESERVATION = 1.6;
+    private static final double MAX_QUEUE_IN_RESERVATION = 1.6;
 
     /**
      * The highest queue limit of an operation beyond its reservation, before the admission factor.
      */
-    private static final double MAX_QUEUE_SHARE = 1.2;
+    private static final double MAX_QUEUE_BEYOND_RESERVATION = 1.2;
 
     /**
      * The queue limit of a volume that uses exactly its proportional share, before the cap
-     * MAX_QUEUE_SHARE. The limit is inversely proportional to that usage.
+     * MAX_QUEUE_BEYOND_RESERVATION. The limit is inversely proportional to that usage.
      */
     private static final double MAX_QUEUE_AT_PROPORTIONAL_SHARE = 1.6;
 
@@ -51,13 +51,13 @@
     private static final double MIN_QUEUE_ESTIMATE = 0.25;
 
     /** Below this fraction of the concurrency limit only late operations are held back. */
-    private static final double HELD_BACK_FRACTION = 0.5;
+    private static final double MIN_IN_FLIGHT_FRACTION = 0.5;
 
     /**
      * A response that takes longer than this fraction of the objective reduces the admission
      * factor.
      */
-    private static final double LATE_ANSWER_FRACTION = 0.7;
+    private static final double SLOW_RESPONSE_FRACTION = 0.7;
 
     /**
      * The relative steps of the admission factor; they balance at one slow response in about
@@ -119,14 +119,14 @@
         if (latencies.latestStartAt(operation) <= now) {
             return true;
         }
-        if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * HELD_BACK_FRACTION)) {
+        if (endpoint.inFlight.size() < (int) (endpoint.concurrencyLimit * MIN_IN_FLIGHT_FRACTION)) {
             return false;
         }
         if (quota.fitsReservation(operation.volume, operation.units, now)) {
-            return endpoint.queueEstimate > admissionFactor * MAX_QUEUE_RESERVATION;
+            return endpoint.queueEstimate > admissionFactor * MAX_QUEUE_IN_RESERVATION;
         }
         double utilization = quota.proportionalShareUtilization(operation.volume, endpoint, operation.units, now);
-        double maxEstimate = Math.min(MAX_QUEUE_SHARE, MAX_QUEUE_AT_PROPORTIONAL_SHARE / utilization);
+        double maxEstimate = Math.min(MAX_QUEUE_BEYOND_RESERVATION, MAX_QUEUE_AT_PROPORTIONAL_SHARE / utilization);
         return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * maxEstimate);
     }
 
@@ -190,7 +190,7 @@
     void onServed(Attempt attempt, EndpointState endpoint, double queueingDelay, double now) {
         double objective = latencies.objective(attempt.operation.trafficClass);
         admissionFactor =
-                attempt.duration > LATE_ANSWER_FRACTION * objective
+                attempt.duration > SLOW_RESPONSE_FRACTION * objective
                         ? Math.max(MIN_ADMISSION_FACTOR, admissionFactor * (1 - ADMISSION_DECREASE))
                         : Math.min(
                                 MAX_ADMISSION_FACTOR, admissionFactor * (1 + ADMISSION_INCREASE));
@@ -205,7 +205,7 @@
             EndpointState endpoint, double queueingDelay, double weight, double now) {
         double smoothing =
                 Math.max(
-                        MIN_ESTIMATE_SMOOTHING,
+                        MIN_SAMPLE_WEIGHT,
                         1 - Math.exp((endpoint.queueObservedAt - now) / ESTIMATE_AGING_MILLIS));
         endpoint.queueObservedAt = now;
         double sample = Math.min(MAX_QUEUE_ESTIMATE, queueingDelay / latencies.acceptableQueueingDelay());
--- a/src/main/java/sagepulley/scheduler/MaxMinFairness.java
+++ b/src/main/java/sagepulley/scheduler/MaxMinFairness.java
@@ -15,13 +15,13 @@
      */
     static double level(List<TenantEndpointUsage> usages, double now) {
         double capacity = 0;
-        double totalWeight = 0;
+        double unsatisfiedWeight = 0;
         int unsatisfied = 0;
         for (TenantEndpointUsage usage : usages) {
             usage.updateDemand(now);
             capacity += usage.served;
             if (usage.unsatisfied) {
-                totalWeight += usage.weight;
+                unsatisfiedWeight += usage.weight;
                 unsatisfied++;
             }
         }
@@ -30,15 +30,15 @@
         for (boolean changed = true; changed && unsatisfied > 0; ) {
             changed = false;
             for (TenantEndpointUsage usage : usages) {
-                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / totalWeight) {
+                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / unsatisfiedWeight) {
                     usage.unsatisfied = false;
                     unsatisfied--;
                     capacity -= usage.shareDemand;
-                    totalWeight -= usage.weight;
+                    unsatisfiedWeight -= usage.weight;
                     changed = true;
                 }
             }
         }
-        return unsatisfied == 0 ? Double.POSITIVE_INFINITY : capacity / totalWeight;
+        return unsatisfied == 0 ? Double.POSITIVE_INFINITY : capacity / unsatisfiedWeight;
     }
 }
--- a/src/main/java/sagepulley/scheduler/SlowStartBudget.java
+++ b/src/main/java/sagepulley/scheduler/SlowStartBudget.java
@@ -28,7 +28,7 @@
     private final Deployment deployment;
     private final ServicePolicy policy;
     private final WakeUpTime wakeUp;
-    private double startedAt;
+    private double gatewayStartedAt;
     private double servedUnits;
 
     SlowStartBudget(Deployment deployment, WakeUpTime wakeUp) {
@@ -39,7 +39,7 @@
 
     /** Records the time of the first endpoint list. */
     void onGatewayStarted(double now) {
-        startedAt = now;
+        gatewayStartedAt = now;
     }
 
     /** Counts units served by any endpoint. */
@@ -68,7 +68,7 @@
             wakeUp.noLaterThan(now + RECHECK_MILLIS);
             return false;
         }
-        double windows = Math.max(1, (now - startedAt) / policy.overloadWindow());
+        double windows = Math.max(1, (now - gatewayStartedAt) / policy.overloadWindow());
         double averageUnits = servedUnits / windows / endpointCount;
         double spent = endpoint.slowStartSpent.sumOverestimate(now);
         return operation.attempts.isEmpty()
