--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -108,7 +108,8 @@
     /**
      * Returns whether an operation must wait because of the queue at an endpoint.
      *
-     * <p>Nothing is held back at a low queue estimate. Above it, a late operation always is; any
+     * <p>Nothing is held back at a low queue estimate. Above it, an operation that would miss its
+     * latency objective always is; any
      * other operation is held back if a part of the concurrency limit is in use and the estimate
      * exceeds the queue limit of its quota tier.
      */
