--- a/src/main/java/sagepulley/scheduler/MaxMinFairness.java
+++ b/src/main/java/sagepulley/scheduler/MaxMinFairness.java
@@ -3,38 +3,42 @@
 import java.util.List;
 
 /**
- * Weighted max-min fairness (water-filling): what an endpoint lately served beyond reservations is
- * dealt out by weight among the tenants that want more. No tenant gets more than it asked for.
+ * Computes weighted max-min fairness (water-filling): the units that an endpoint recently served
+ * beyond reservations are divided by weight among the tenants, and no tenant gets more than its
+ * demand.
  */
 final class MaxMinFairness {
     private MaxMinFairness() {}
 
-    /** The fair level, in units for each unit of weight; infinite if no tenant wants more. */
+    /**
+     * Returns the fair level in units per unit of weight, or infinity if every demand is satisfied.
+     */
     static double level(List<TenantEndpointUsage> usages, double now) {
         double capacity = 0;
-        double weights = 0;
+        double unsatisfiedWeight = 0;
         int unsatisfied = 0;
         for (TenantEndpointUsage usage : usages) {
-            usage.measure(now);
+            usage.updateDemand(now);
             capacity += usage.served;
             if (usage.unsatisfied) {
-                weights += usage.weight;
+                unsatisfiedWeight += usage.weight;
                 unsatisfied++;
             }
         }
-        // Whoever wants less than an even level is content with it; the rest is dealt out anew.
-        for (boolean again = true; again && unsatisfied > 0; ) {
-            again = false;
+        // A tenant that demands no more than its weighted part is satisfied, and the rest is
+        // divided again.
+        for (boolean changed = true; changed && unsatisfied > 0; ) {
+            changed = false;
             for (TenantEndpointUsage usage : usages) {
-                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / weights) {
+                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / unsatisfiedWeight) {
                     usage.unsatisfied = false;
                     unsatisfied--;
                     capacity -= usage.shareDemand;
-                    weights -= usage.weight;
-                    again = true;
+                    unsatisfiedWeight -= usage.weight;
+                    changed = true;
                 }
             }
         }
-        return unsatisfied == 0 ? Double.POSITIVE_INFINITY : capacity / weights;
+        return unsatisfied == 0 ? Double.POSITIVE_INFINITY : capacity / unsatisfiedWeight;
     }
 }
--- a/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
@@ -10,7 +10,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Volume;
 
-/** Endpoints that do not answer, reject, fail or are slow. */
+/** Tests the handling of endpoints that are unresponsive, reject attempts, fail or are slow. */
 class OutlierDetectorTest {
     @Test
     void anUnresponsiveEndpointGetsOneProbationRequestAtATimeAndNoNewObjects() {
@@ -24,12 +24,12 @@
                     harness.lastAttempt(harness.submitted.get(harness.submitted.size() - 1)),
                     Outcome.SERVED);
         }
-        assertEquals(2, sentTo(harness, 0), "the hop that found it silent, and one trial");
+        assertEquals(2, sentTo(harness, 0), "the attempt that found it unresponsive, and one probation request");
         harness.advanceClock(70);
         assertEquals(
-                2, sentTo(harness, 0), "the next waits for a part of the shortest target time");
+                2, sentTo(harness, 0), "the next probation request waits for a fraction of the shortest objective");
         harness.advanceClock(10);
-        assertEquals(3, sentTo(harness, 0), "one more trial");
+        assertEquals(3, sentTo(harness, 0), "one more probation request");
         for (int i = 0; i < harness.sent.size(); i++) {
             if (harness.sent.get(i).outcome == null) {
                 harness.endAttempt(harness.sent.get(i), Outcome.SERVED);
@@ -39,61 +39,61 @@
         long before = sentTo(harness, 0);
         harness.submit(SchedulerHarness.READ, 0);
         harness.submit(SchedulerHarness.READ, 0);
-        assertEquals(before + 2, sentTo(harness, 0), "an answer restores trust");
+        assertEquals(before + 2, sentTo(harness, 0), "a served attempt ends the ejection");
     }
 
     @Test
-    void aRejectionEndsNoEjection() {
+    void aRejectionDoesNotEndAnEjection() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation lost = harness.submit(SchedulerHarness.BULK, 0);
+        Operation timedOut = harness.submit(SchedulerHarness.BULK, 0);
         harness.advanceClock(500);
-        harness.endAttempt(harness.lastAttempt(lost), Outcome.TIMED_OUT);
-        assertEquals(2, sentTo(harness, 0), "it is the trial itself");
-        harness.endAttempt(harness.lastAttempt(lost), Outcome.REJECTED);
+        harness.endAttempt(harness.lastAttempt(timedOut), Outcome.TIMED_OUT);
+        assertEquals(2, sentTo(harness, 0), "the retry is the probation request");
+        harness.endAttempt(harness.lastAttempt(timedOut), Outcome.REJECTED);
         harness.submit(SchedulerHarness.BULK, 0);
-        assertEquals(2, sentTo(harness, 0), "the next trial waits for its time");
+        assertEquals(2, sentTo(harness, 0), "the next probation request is not due");
     }
 
     @Test
-    void aRejectionMakesNoEndpointUnresponsive() {
+    void aRejectionDoesNotMakeAnEndpointUnresponsive() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation refused = harness.submit(SchedulerHarness.BULK, 0);
-        harness.endAttempt(harness.lastAttempt(refused), Outcome.REJECTED);
+        Operation rejected = harness.submit(SchedulerHarness.BULK, 0);
+        harness.endAttempt(harness.lastAttempt(rejected), Outcome.REJECTED);
         harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(
                 3,
                 sentTo(harness, 0),
-                "the hop refused, the one after it, and the next operation's");
+                "the rejected attempt, its retry, and the attempt of the next operation");
     }
 
     @Test
-    void anAttemptWithAShortTimeoutMakesNoEndpointUnresponsive() {
+    void aTimeoutOfAShortAttemptDoesNotMakeAnEndpointUnresponsive() {
         SchedulerHarness harness = new SchedulerHarness(2);
-        Operation hurried = harness.submitWithDeadline(SchedulerHarness.BULK, 1, 0, 60);
+        Operation shortDeadline = harness.submitWithDeadline(SchedulerHarness.BULK, 1, 0, 60);
         harness.advanceClock(60);
-        harness.endAttempt(harness.lastAttempt(hurried), Outcome.TIMED_OUT);
+        harness.endAttempt(harness.lastAttempt(shortDeadline), Outcome.TIMED_OUT);
         harness.submit(SchedulerHarness.BULK, 0);
         harness.submit(SchedulerHarness.BULK, 0);
-        assertEquals(3, sentTo(harness, 0), "none of them is a trial");
+        assertEquals(3, sentTo(harness, 0), "none of them is a probation request");
     }
 
     @Test
-    void theIndexOfAForgottenEndpointIsUsedAgain() {
+    void theIndexOfAPrunedEndpointIsReused() {
         SchedulerHarness harness = new SchedulerHarness(2);
         Volume volume = harness.volume(1);
         for (int i = 0; i < 50; i++) {
-            Node old = harness.nodes.get(0);
+            Node removed = harness.nodes.get(0);
             Operation read = harness.submit(SchedulerHarness.READ, volume, 7 + i, 2, 0);
             harness.advanceClock(20);
             harness.endAttempt(harness.lastAttempt(read), Outcome.SERVED);
-            old.phase = Node.Phase.REMOVED;
+            removed.phase = Node.Phase.REMOVED;
             harness.updateEndpointList();
-            old.pruned = true;
-            Node fresh = new Node(1000 + i);
-            fresh.cell = 0;
-            harness.nodes.set(0, fresh);
+            removed.pruned = true;
+            Node added = new Node(1000 + i);
+            added.cell = 0;
+            harness.nodes.set(0, added);
             harness.updateEndpointList();
-            // Cold at first: it is served once it is warm.
+            // Waits until the added endpoint is past its slow start.
             harness.advanceClock(10_000);
         }
         assertEquals(2, harness.scheduler.endpoints.size());
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void anEndpointThatFailsAtOnceDrawsNoNewObjects() {
+    void anEndpointThatFailsImmediatelyGetsFewNewObjects() {
         SchedulerHarness harness = new SchedulerHarness(2);
         for (int i = 0; i < 40; i++) {
             Operation write = harness.submit(SchedulerHarness.WRITE, -1);
