--- a/src/main/java/sagepulley/engine/Clock.java
+++ b/src/main/java/sagepulley/engine/Clock.java
@@ -8,7 +8,7 @@
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final long startNanos = System.nanoTime();
-    private final double wallAtStart = System.currentTimeMillis();
+    private final double wallMillisAtStart = System.currentTimeMillis();
 
     /** The time now, in milliseconds; never less than before. */
     public double now() {
@@ -20,11 +20,11 @@
      * clock since the start change nothing.
      */
     public double toWallClock(double time) {
-        return wallAtStart + time;
+        return wallMillisAtStart + time;
     }
 
     /** This clock's time at a wall-clock time in milliseconds since 1970; 0 is long ago. */
-    public double fromWallClock(long wall) {
-        return wall == 0 ? Double.NEGATIVE_INFINITY : wall - wallAtStart;
+    public double fromWallClock(long wallMillis) {
+        return wallMillis == 0 ? Double.NEGATIVE_INFINITY : wallMillis - wallMillisAtStart;
     }
 }
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -41,7 +41,7 @@
     private final Map<Long, Operation> operations = new HashMap<>();
     private final Map<Long, Volume> volumes = new HashMap<>();
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
-    private final Map<Integer, Double> removedSince = new HashMap<>();
+    private final Map<Integer, Double> removedAt = new HashMap<>();
 
     /** Not routed yet: all arrivals of one moment are known before anything is sent. */
     private final Queue<Operation> arrivals = new ArrayDeque<>();
@@ -71,7 +71,7 @@
         for (EndpointEntry entry : entries) {
             entry.copyTo(nodes.computeIfAbsent(entry.node(), Node::new));
         }
-        List<Node> pruned = forgetRemoved(now);
+        List<Node> pruned = pruneRemoved(now);
         scheduler.onEndpointList(new ArrayList<>(nodes.values()), now);
         return pruned;
     }
@@ -80,13 +80,13 @@
      * A removed endpoint may be listed again as it was. After a while it will not be, and is
      * forgotten, so that memory does not grow with their number.
      */
-    private List<Node> forgetRemoved(double now) {
+    private List<Node> pruneRemoved(double now) {
         Set<Node> inUse = nodesInUse();
         List<Node> pruned = new ArrayList<>(0);
         for (Node node : nodes.values()) {
             if (node.phase != Node.Phase.REMOVED) {
-                removedSince.remove(node.id);
-            } else if (now - removedSince.computeIfAbsent(node.id, any -> now) > MAX_REMOVED_MILLIS
+                removedAt.remove(node.id);
+            } else if (now - removedAt.computeIfAbsent(node.id, any -> now) > MAX_REMOVED_MILLIS
                     && !inUse.contains(node)) {
                 node.pruned = true;
                 pruned.add(node);
@@ -94,7 +94,7 @@
         }
         for (Node node : pruned) {
             nodes.remove(node.id);
-            removedSince.remove(node.id);
+            removedAt.remove(node.id);
         }
         return pruned;
     }
@@ -117,8 +117,8 @@
     }
 
     /** Nobody could reach discovery at a time. */
-    public void onDiscoveryUnreachable(double at) {
-        scheduler.onDiscoveryUnreachable(at);
+    public void onDiscoveryUnreachable(double unreachableAt) {
+        scheduler.onDiscoveryUnreachable(unreachableAt);
     }
 
     /** A poll of the endpoint list failed, or its watch ended. */
@@ -127,8 +127,8 @@
     }
 
     /** A new configuration, which may move discovery, was notified at a time. */
-    public void onReloadNotified(double at) {
-        scheduler.onReloadNotified(at);
+    public void onReloadNotified(double notifiedAt) {
+        scheduler.onReloadNotified(notifiedAt);
     }
 
     /** A configuration whose reading began at a time is known, or known to be of no use. */
@@ -201,7 +201,7 @@
         if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
             carryOut(operation, scheduler.route(operation, now));
         }
-        forget(operation);
+        removeIfFinished(operation);
     }
 
     /** Whether an attempt of which nothing was written yet may still be sent. */
@@ -217,15 +217,15 @@
             if (!arrivals.remove(operation)) {
                 scheduler.onClientCancelled(operation, now);
             }
-            forget(operation);
+            removeIfFinished(operation);
         }
     }
 
     /** A health check of an endpoint ended; an unknown endpoint is ignored. */
-    public void onHealthCheck(int id, Outcome outcome, double took, double[] report, double now) {
+    public void onHealthCheck(int id, Outcome outcome, double durationMillis, double[] report, double now) {
         Node node = nodes.get(id);
         if (node != null) {
-            scheduler.onHealthCheck(node, outcome, took, report, now);
+            scheduler.onHealthCheck(node, outcome, durationMillis, report, now);
         }
     }
 
@@ -246,13 +246,13 @@
                 case FETCH -> sink.pollEndpointList();
                 case NONE -> {}
             }
-            boolean progress = false;
+            boolean hasProgress = false;
             for (Operation operation : turn.due()) {
                 RoutingDecision decision = scheduler.route(operation, now);
-                progress |= decision.kind() != RoutingDecision.Kind.WAIT;
+                hasProgress |= decision.kind() != RoutingDecision.Kind.WAIT;
                 carryOut(operation, decision);
             }
-            if (!progress) {
+            if (!hasProgress) {
                 break; // asking again at the same moment would change nothing
             }
             turn = scheduler.nextTurn(now);
@@ -269,10 +269,10 @@
             case REJECT, ABANDON -> sink.endUnserved(operation, decision);
             case WAIT -> {}
         }
-        forget(operation);
+        removeIfFinished(operation);
     }
 
-    private void forget(Operation operation) {
+    private void removeIfFinished(Operation operation) {
         if (operation.ended && !operation.isInFlight()) {
             operations.remove(operation.id);
         }
--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -29,15 +29,15 @@
     private static final double MAX_STAGGER_MILLIS = 250;
 
     /** First polls: all gateways' within this part of the poll interval, and soon. */
-    private static final double SPREAD_FRACTION = 0.8;
+    private static final double FIRST_POLL_SPREAD_FRACTION = 0.8;
 
-    private static final double MAX_SPREAD_MILLIS = 2_500;
+    private static final double MAX_FIRST_POLL_SPREAD_MILLIS = 2_500;
 
     private final Deployment deployment;
     private final RandomGenerator random;
     private double nextAt = Double.POSITIVE_INFINITY;
     private double backoff = MIN_BACKOFF_MILLIS;
-    private boolean polled;
+    private boolean hasPolled;
 
     /** Polls nothing before {@link #started} or a failure. */
     public DiscoverySchedule(Deployment deployment, RandomGenerator random) {
@@ -52,7 +52,7 @@
     public void started(double now) {
         if (deployment.mustPoll()) {
             double spread =
-                    Math.min(SPREAD_FRACTION * deployment.pollInterval(), MAX_SPREAD_MILLIS);
+                    Math.min(FIRST_POLL_SPREAD_FRACTION * deployment.pollInterval(), MAX_FIRST_POLL_SPREAD_MILLIS);
             nextAt =
                     now
                             + deployment.gatewayIndex()
@@ -63,7 +63,7 @@
 
     /** A poll was answered, or its watch is still alive. */
     public void pollSucceeded() {
-        if (polled) {
+        if (hasPolled) {
             backoff = MIN_BACKOFF_MILLIS;
             nextAt = Double.POSITIVE_INFINITY;
         }
@@ -88,7 +88,7 @@
         if (nextAt > now) {
             return false;
         }
-        polled = true;
+        hasPolled = true;
         nextAt = now + Math.max(deployment.pollInterval() / 2, POLL_TIMEOUT_MILLIS);
         return true;
     }
--- a/src/main/java/sagepulley/membership/EndpointLease.java
+++ b/src/main/java/sagepulley/membership/EndpointLease.java
@@ -19,7 +19,7 @@
     private static final double NOTIFIED_AFTER_RELOAD_MILLIS = 4_000;
 
     private final double notificationSpan;
-    private final double usableAfter;
+    private final double effectiveDrainGrace;
 
     /** Until then no change that is unknown here can count as notified. */
     private double currentUntil;
@@ -38,7 +38,7 @@
      */
     public EndpointLease(double notificationSpan, double drainGrace) {
         this.notificationSpan = notificationSpan;
-        this.usableAfter = drainGrace - STALL_MARGIN_MILLIS - TIMER_MARGIN_MILLIS;
+        this.effectiveDrainGrace = drainGrace - STALL_MARGIN_MILLIS - TIMER_MARGIN_MILLIS;
         this.currentUntil = isBounded() ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
     }
 
@@ -105,6 +105,6 @@
 
     /** When the lease ends unless it is renewed. */
     public double expiresAt() {
-        return currentUntil + usableAfter;
+        return currentUntil + effectiveDrainGrace;
     }
 }
--- a/src/main/java/sagepulley/membership/EndpointPollPolicy.java
+++ b/src/main/java/sagepulley/membership/EndpointPollPolicy.java
@@ -22,10 +22,10 @@
     public static final int MAX_OVERDUE_POLLS = 1;
 
     /** An overdue poll that has brought something is dropped when it is quiet for longer. */
-    private static final double STALLED_AFTER_MILLIS = 2_500;
+    private static final double MAX_STALL_MILLIS = 2_500;
 
     /** An overdue poll that has brought nothing is dropped when it is open for longer. */
-    private static final double UNANSWERED_AFTER_MILLIS = 12_000;
+    private static final double MAX_UNANSWERED_MILLIS = 12_000;
 
     private EndpointPollPolicy() {}
 
@@ -34,15 +34,15 @@
      * first in discovery's queue.
      *
      * @param isAtFormerAddress whether discovery has left the address that it was sent to
-     * @param openFor since it was opened
-     * @param quietFor since its last byte; infinite where none has come
+     * @param openMillis since it was opened
+     * @param idleMillis since its last byte; infinite where none has come
      */
     public static boolean shouldDropOldest(
-            boolean isAtFormerAddress, double openFor, double quietFor) {
+            boolean isAtFormerAddress, double openMillis, double idleMillis) {
         if (isAtFormerAddress) {
             return true;
         }
-        boolean hasBegun = quietFor < Double.POSITIVE_INFINITY;
-        return hasBegun ? quietFor > STALLED_AFTER_MILLIS : openFor > UNANSWERED_AFTER_MILLIS;
+        boolean hasReceivedData = idleMillis < Double.POSITIVE_INFINITY;
+        return hasReceivedData ? idleMillis > MAX_STALL_MILLIS : openMillis > MAX_UNANSWERED_MILLIS;
     }
 }
--- a/src/main/java/sagepulley/membership/Member.java
+++ b/src/main/java/sagepulley/membership/Member.java
@@ -9,7 +9,7 @@
  * to probe it, and whether it is held down for flapping. Times are wall-clock milliseconds.
  */
 final class Member {
-    private static final int FLAPS_BEFORE_HOLD_DOWN = 3;
+    private static final int MIN_FLAPS_FOR_HOLD_DOWN = 3;
     private static final double FLAP_WINDOW_MILLIS = 60_000;
     private static final int MAX_HOLD_DOWN_DOUBLINGS = 20;
     private static final double PROBE_TIMEOUT_MILLIS = 2_000;
@@ -111,7 +111,7 @@
         source = RecordSource.DIRECTORY;
         listedReady = update.isReady();
         if (!sameAddress || before.cell() != update.cell()) {
-            forgetContact();
+            resetContact();
         } else if (exclusion != null && update.isReady()) {
             nextProbeAt = Math.min(nextProbeAt, now);
         }
@@ -126,7 +126,7 @@
         while (flaps.peek() < now - FLAP_WINDOW_MILLIS) {
             flaps.poll();
         }
-        int doublings = flaps.size() - FLAPS_BEFORE_HOLD_DOWN;
+        int doublings = flaps.size() - MIN_FLAPS_FOR_HOLD_DOWN;
         if (doublings >= 0) {
             double holdDown =
                     policy.initialHoldDownMillis()
@@ -136,7 +136,7 @@
     }
 
     /** It has another address or cell: what was learned by contact is of no use any more. */
-    private void forgetContact() {
+    private void resetContact() {
         exclusion = null;
         verifiedAt = Double.NEGATIVE_INFINITY;
         connected = false;
@@ -148,11 +148,11 @@
      * A complete list does not have it: it is removed, or, if the list is of another history, the
      * grace time for omissions begins. Returns whether its use changed.
      */
-    boolean omitted(boolean otherHistory, double now) {
+    boolean markOmitted(boolean isOtherHistory, double now) {
         if (!Double.isNaN(omittedSince)) {
             return false;
         }
-        if (otherHistory) {
+        if (isOtherHistory) {
             omittedSince = now;
             return false;
         }
@@ -178,7 +178,7 @@
     // ---- contact with the node ----
 
     /** Another node answers at its address, or it holds another cell. */
-    void excluded(String reason, double now, RandomGenerator random) {
+    void exclude(String reason, double now, RandomGenerator random) {
         probing = false;
         exclusion = reason;
         connected = false;
@@ -186,7 +186,7 @@
     }
 
     /** It proved who it is. Returns whether earlier routing decisions for it still stand. */
-    boolean verified(boolean draining, long startedAt, double now) {
+    boolean markVerified(boolean draining, long startedAt, double now) {
         boolean restarted = startedAt > endpoint.startedAt();
         boolean beganDraining = draining && !selfDraining;
         probing = false;
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -141,13 +141,13 @@
         if (update.complete() && update.endpoints().isEmpty() && !members.isEmpty()) {
             return UpdateResult.rejected("it is empty, and nodes are known");
         }
-        boolean stale = update.history() == history && update.version() < version;
-        boolean otherHistory = history != 0 && update.history() != history;
+        boolean isStale = update.history() == history && update.version() < version;
+        boolean isOtherHistory = history != 0 && update.history() != history;
         boolean changed = false;
         for (EndpointRecord endpoint : update.endpoints()) {
-            changed |= applyRecord(endpoint, stale, now);
+            changed |= applyRecord(endpoint, isStale, now);
         }
-        if (stale) {
+        if (isStale) {
             // Only what restricts was taken; what it permits, the nodes themselves must prove.
             return new UpdateResult(
                     false,
@@ -155,9 +155,9 @@
                     "its version " + update.version() + " is older than " + version);
         }
         if (update.complete()) {
-            changed |= applyOmissions(update, otherHistory, now);
+            changed |= applyOmissions(update, isOtherHistory, now);
         }
-        if (update.complete() || !otherHistory) {
+        if (update.complete() || !isOtherHistory) {
             history = update.history();
             version = update.version();
             confirmedAt = now;
@@ -166,19 +166,19 @@
         return new UpdateResult(
                 true,
                 changed,
-                otherHistory
+                isOtherHistory
                         ? "of another history: what it leaves out is doubted for a while"
                         : "");
     }
 
-    private boolean applyRecord(EndpointRecord endpoint, boolean stale, double now) {
+    private boolean applyRecord(EndpointRecord endpoint, boolean isStale, double now) {
         Member member = members.get(endpoint.node());
         if (member != null) {
-            return stale
+            return isStale
                     ? member.applyStaleRecord(endpoint)
                     : member.applyRecord(endpoint, policy, now);
         }
-        if (stale || members.size() >= MAX_NODES) {
+        if (isStale || members.size() >= MAX_NODES) {
             return false;
         }
         members.put(endpoint.node(), Member.listed(endpoint));
@@ -186,7 +186,7 @@
     }
 
     /** Members that a complete list does not have; those of the site file stay. */
-    private boolean applyOmissions(EndpointListUpdate update, boolean otherHistory, double now) {
+    private boolean applyOmissions(EndpointListUpdate update, boolean isOtherHistory, double now) {
         boolean changed = false;
         Set<Integer> listed =
                 update.endpoints().stream().map(EndpointRecord::node).collect(Collectors.toSet());
@@ -194,7 +194,7 @@
             if (!listed.contains(member.id())
                     && !member.endpoint().isRemoved()
                     && !member.isConfigured()) {
-                changed |= member.omitted(otherHistory, now);
+                changed |= member.markOmitted(isOtherHistory, now);
             }
         }
         return changed;
@@ -218,15 +218,15 @@
             return HandshakeVerdict.WRONG_NODE;
         }
         if (answeringNode != node) {
-            member.excluded("at its address node " + answeringNode + " answers", now, random);
+            member.exclude("at its address node " + answeringNode + " answers", now, random);
             return HandshakeVerdict.WRONG_NODE;
         }
         int expectedCell = member.endpoint().cell();
         if (cell != expectedCell) {
-            member.excluded("it holds cell " + cell + ", not " + expectedCell, now, random);
+            member.exclude("it holds cell " + cell + ", not " + expectedCell, now, random);
             return HandshakeVerdict.WRONG_NODE;
         }
-        return member.verified(draining, startedAt, now)
+        return member.markVerified(draining, startedAt, now)
                 ? HandshakeVerdict.ACCEPTED
                 : HandshakeVerdict.REROUTE;
     }
@@ -253,24 +253,24 @@
      */
     public List<Integer> takeProbes(double now) {
         ListFreshness freshness = freshness(now);
-        int probing = 0;
-        Member next = null;
+        int probesInFlight = 0;
+        Member candidate = null;
         for (Member member : members.values()) {
             member.expireProbe(now, random);
-            probing += member.isProbing() ? 1 : 0;
+            probesInFlight += member.isProbing() ? 1 : 0;
             if (member.needsProbe(now, freshness, policy)
-                    && (next == null || member.probedAt() < next.probedAt())) {
-                next = member;
+                    && (candidate == null || member.probedAt() < candidate.probedAt())) {
+                candidate = member;
             }
         }
-        if (next == null
-                || probing >= policy.maxConcurrentProbes()
+        if (candidate == null
+                || probesInFlight >= policy.maxConcurrentProbes()
                 || now < lastProbeAt + policy.probeIntervalMillis()) {
             return List.of();
         }
-        next.startProbe(now);
+        candidate.startProbe(now);
         lastProbeAt = now;
-        return List.of(next.id());
+        return List.of(candidate.id());
     }
 
     // ---- time ----
--- a/src/main/java/sagepulley/placement/ExtentHolders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -21,18 +21,18 @@
     private static final int UNKNOWN_CELL = -1;
     private static final int EXTENT_BITS = 40;
 
-    private record Waiter<W>(W who, double deadline) {}
+    private record WaiterEntry<W>(W waiter, double deadline) {}
 
     private static final class Extent<W> {
         int cell = UNKNOWN_CELL;
         int pendingClaims;
-        final List<Waiter<W>> waiters = new ArrayList<>(0);
+        final List<WaiterEntry<W>> waiters = new ArrayList<>(0);
     }
 
     private final Map<Long, Extent<W>> extents = new HashMap<>();
 
     /** Those of them that have waiters. */
-    private final Map<Long, Extent<W>> awaited = new HashMap<>();
+    private final Map<Long, Extent<W>> extentsWithWaiters = new HashMap<>();
 
     /** One number for an extent of a volume, never 0. */
     public static long key(int volume, long extent) {
@@ -53,7 +53,7 @@
 
     /** A claim is sent. */
     public void claimStarted(long key) {
-        extents.computeIfAbsent(key, absent -> new Extent<>()).pendingClaims++;
+        extents.computeIfAbsent(key, id -> new Extent<>()).pendingClaims++;
     }
 
     /** A claim has ended; returns who waited for it, if it was the last. */
@@ -70,7 +70,7 @@
      * was named stands.
      */
     public List<W> holderLearned(long key, int cell) {
-        Extent<W> extent = extents.computeIfAbsent(key, absent -> new Extent<>());
+        Extent<W> extent = extents.computeIfAbsent(key, id -> new Extent<>());
         if (extent.cell == UNKNOWN_CELL) {
             extent.cell = cell;
         }
@@ -87,16 +87,16 @@
     }
 
     /** Adds a waiter, whose time begins now. */
-    public void addWaiter(long key, W who, double now) {
-        Extent<W> extent = extents.computeIfAbsent(key, absent -> new Extent<>());
-        extent.waiters.add(new Waiter<>(who, now + MAX_WAIT_MILLIS));
-        awaited.put(key, extent);
+    public void addWaiter(long key, W waiter, double now) {
+        Extent<W> extent = extents.computeIfAbsent(key, id -> new Extent<>());
+        extent.waiters.add(new WaiterEntry<>(waiter, now + MAX_WAIT_MILLIS));
+        extentsWithWaiters.put(key, extent);
     }
 
     /** Removes a waiter; false if it was none. */
-    public boolean removeWaiter(long key, W who) {
-        Extent<W> extent = awaited.get(key);
-        if (extent == null || !extent.waiters.removeIf(waiter -> waiter.who() == who)) {
+    public boolean removeWaiter(long key, W waiter) {
+        Extent<W> extent = extentsWithWaiters.get(key);
+        if (extent == null || !extent.waiters.removeIf(entry -> entry.waiter() == waiter)) {
             return false;
         }
         removeIfUnused(key, extent);
@@ -106,11 +106,11 @@
     /** Removes and returns every waiter whose time is over. */
     public List<W> takeExpired(double now) {
         List<W> expired = new ArrayList<>(0);
-        for (Iterator<Map.Entry<Long, Extent<W>>> entries = awaited.entrySet().iterator();
+        for (Iterator<Map.Entry<Long, Extent<W>>> entries = extentsWithWaiters.entrySet().iterator();
                 entries.hasNext(); ) {
             Extent<W> extent = entries.next().getValue();
             extent.waiters.removeIf(
-                    waiter -> waiter.deadline() <= now && expired.add(waiter.who()));
+                    entry -> entry.deadline() <= now && expired.add(entry.waiter()));
             if (extent.waiters.isEmpty()) {
                 entries.remove();
             }
@@ -121,9 +121,9 @@
     /** When the next waiter's time will be over; infinity if nobody waits. */
     public double nextExpiry() {
         double next = Double.POSITIVE_INFINITY;
-        for (Extent<W> extent : awaited.values()) {
-            for (Waiter<W> waiter : extent.waiters) {
-                next = Math.min(next, waiter.deadline());
+        for (Extent<W> extent : extentsWithWaiters.values()) {
+            for (WaiterEntry<W> entry : extent.waiters) {
+                next = Math.min(next, entry.deadline());
             }
         }
         return next;
@@ -135,8 +135,8 @@
             return List.of();
         }
         List<W> released = new ArrayList<>(extent.waiters.size());
-        for (Waiter<W> waiter : extent.waiters) {
-            released.add(waiter.who());
+        for (WaiterEntry<W> entry : extent.waiters) {
+            released.add(entry.waiter());
         }
         extent.waiters.clear();
         removeIfUnused(key, extent);
@@ -145,7 +145,7 @@
 
     private void removeIfUnused(long key, Extent<W> extent) {
         if (extent.waiters.isEmpty()) {
-            awaited.remove(key);
+            extentsWithWaiters.remove(key);
             if (extent.cell == UNKNOWN_CELL && extent.pendingClaims <= 0) {
                 extents.remove(key);
             }
--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -25,7 +25,7 @@
     private int number;
     private int records;
     private int length;
-    private long frames;
+    private long frameCount;
 
     EventBatch(InputStream in) {
         this.in = in;
@@ -33,13 +33,13 @@
 
     /** Reads the next batch; false if the input ends between two batches. */
     boolean read() throws IOException {
-        int got = in.readNBytes(header, 0, HEADER_BYTES);
-        if (got == 0) {
+        int received = in.readNBytes(header, 0, HEADER_BYTES);
+        if (received == 0) {
             return false;
         }
-        frames++;
-        if (got < HEADER_BYTES) {
-            throw bad("the header ends after " + got + " of " + HEADER_BYTES + " bytes");
+        frameCount++;
+        if (received < HEADER_BYTES) {
+            throw malformedFrame("the header ends after " + received + " of " + HEADER_BYTES + " bytes");
         }
         ByteBuffer head = ByteBuffer.wrap(header);
         number = head.getInt();
@@ -47,7 +47,7 @@
         long size = Integer.toUnsignedLong(head.getInt());
         if (size < CLOCK_BYTES + count * RECORD_BYTES
                 || size > Integer.MAX_VALUE - INITIAL_BUFFER_BYTES) {
-            throw bad("a length of " + size + " bytes does not fit " + count + " records");
+            throw malformedFrame("a length of " + size + " bytes does not fit " + count + " records");
         }
         records = (int) count;
         length = (int) size;
@@ -60,9 +60,9 @@
      * backs.
      */
     private void fill() throws IOException {
-        int have = 0;
-        while (have < length) {
-            if (have == bytes.length) {
+        int bytesRead = 0;
+        while (bytesRead < length) {
+            if (bytesRead == bytes.length) {
                 bytes =
                         Arrays.copyOf(
                                 bytes,
@@ -71,23 +71,23 @@
                                                 (long) bytes.length * 2,
                                                 Math.max(length, INITIAL_BUFFER_BYTES)));
             }
-            int got = in.readNBytes(bytes, have, Math.min(length, bytes.length) - have);
-            if (got == 0) {
-                throw bad("the input ends after " + have + " of " + length + " bytes");
+            int received = in.readNBytes(bytes, bytesRead, Math.min(length, bytes.length) - bytesRead);
+            if (received == 0) {
+                throw malformedFrame("the input ends after " + bytesRead + " of " + length + " bytes");
             }
-            have += got;
+            bytesRead += received;
         }
         if (body.array() != bytes) {
             body = ByteBuffer.wrap(bytes);
         }
     }
 
-    MalformedFrameException bad(String what) {
-        return new MalformedFrameException("frame " + frames + ": " + what);
+    MalformedFrameException malformedFrame(String detail) {
+        return new MalformedFrameException("frame " + frameCount + ": " + detail);
     }
 
-    MalformedFrameException badRecord(int record, String what) {
-        return bad("record " + record + ": " + what);
+    MalformedFrameException malformedRecord(int record, String detail) {
+        return malformedFrame("record " + record + ": " + detail);
     }
 
     int number() {
@@ -102,54 +102,54 @@
         return body.getLong(0);
     }
 
-    int u8(int record, int at) {
-        return body.get(CLOCK_BYTES + record * RECORD_BYTES + at) & 0xff;
+    int u8(int record, int offset) {
+        return body.get(CLOCK_BYTES + record * RECORD_BYTES + offset) & 0xff;
     }
 
-    int u16(int record, int at) {
-        return body.getShort(CLOCK_BYTES + record * RECORD_BYTES + at) & 0xffff;
+    int u16(int record, int offset) {
+        return body.getShort(CLOCK_BYTES + record * RECORD_BYTES + offset) & 0xffff;
     }
 
-    int u32(int record, int at) {
-        return body.getInt(CLOCK_BYTES + record * RECORD_BYTES + at);
+    int u32(int record, int offset) {
+        return body.getInt(CLOCK_BYTES + record * RECORD_BYTES + offset);
     }
 
-    long u64(int record, int at) {
-        return body.getLong(CLOCK_BYTES + record * RECORD_BYTES + at);
+    long u64(int record, int offset) {
+        return body.getLong(CLOCK_BYTES + record * RECORD_BYTES + offset);
     }
 
-    float f32(int record, int at) {
-        return body.getFloat(CLOCK_BYTES + record * RECORD_BYTES + at);
+    float f32(int record, int offset) {
+        return body.getFloat(CLOCK_BYTES + record * RECORD_BYTES + offset);
     }
 
     /**
      * The position in the body of a part of the tail: so many elements of a size, as an offset and
      * a count in the record say; checked to lie inside the tail.
      */
-    int tail(int record, int at, int each) throws MalformedFrameException {
-        long offset = Integer.toUnsignedLong(u32(record, at));
-        long count = Integer.toUnsignedLong(u32(record, at + 4));
+    int tailPosition(int record, int offset, int elementBytes) throws MalformedFrameException {
+        long tailOffset = Integer.toUnsignedLong(u32(record, offset));
+        long count = Integer.toUnsignedLong(u32(record, offset + 4));
         int start = CLOCK_BYTES + records * RECORD_BYTES;
-        if (offset + count * each > length - start) {
-            throw badRecord(
+        if (tailOffset + count * elementBytes > length - start) {
+            throw malformedRecord(
                     record,
                     "position "
-                            + offset
+                            + tailOffset
                             + " with "
                             + count
                             + " is out of the tail's "
                             + (length - start)
                             + " bytes");
         }
-        return start + (int) offset;
+        return start + (int) tailOffset;
     }
 
-    String text(int record, int at) throws MalformedFrameException {
-        int start = tail(record, at, 1);
-        return new String(bytes, start, u32(record, at + 4), StandardCharsets.UTF_8);
+    String text(int record, int offset) throws MalformedFrameException {
+        int start = tailPosition(record, offset, 1);
+        return new String(bytes, start, u32(record, offset + 4), StandardCharsets.UTF_8);
     }
 
-    byte[] copy(int from, int count) {
-        return Arrays.copyOfRange(bytes, from, from + count);
+    byte[] copy(int start, int count) {
+        return Arrays.copyOfRange(bytes, start, start + count);
     }
 }
--- a/src/main/java/sagepulley/simulator/EventDecoder.java
+++ b/src/main/java/sagepulley/simulator/EventDecoder.java
@@ -31,14 +31,14 @@
 
     /** The entries of an endpoint list whose place in the tail stands at an offset. */
     List<EndpointEntry> endpointEntries(int record, int offset) throws MalformedFrameException {
-        int start = batch.tail(record, offset, EventBatch.ENTRY_BYTES);
+        int start = batch.tailPosition(record, offset, EventBatch.ENTRY_BYTES);
         int count = batch.u32(record, offset + 4);
-        ByteBuffer from = ByteBuffer.wrap(batch.copy(start, count * EventBatch.ENTRY_BYTES));
+        ByteBuffer buffer = ByteBuffer.wrap(batch.copy(start, count * EventBatch.ENTRY_BYTES));
         List<EndpointEntry> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            EndpointEntry entry = endpointEntry(from);
+            EndpointEntry entry = endpointEntry(buffer);
             if (entry == null) {
-                throw batch.badRecord(record, "entry " + i + " has an unknown phase");
+                throw batch.malformedRecord(record, "entry " + i + " has an unknown phase");
             }
             entries.add(entry);
         }
@@ -46,14 +46,14 @@
     }
 
     /** Reads an entry; null if its phase is unknown. */
-    private static EndpointEntry endpointEntry(ByteBuffer from) {
-        int zone = from.getShort() & 0xffff;
-        int cell = from.getShort() & 0xffff;
-        int node = from.getInt();
-        int phaseCode = from.get();
-        long startedNanos = from.getLong();
-        int kind = from.get() & 0xff;
-        float weight = from.getFloat();
+    private static EndpointEntry endpointEntry(ByteBuffer buffer) {
+        int zone = buffer.getShort() & 0xffff;
+        int cell = buffer.getShort() & 0xffff;
+        int node = buffer.getInt();
+        int phaseCode = buffer.get();
+        long startedAtNanos = buffer.getLong();
+        int kind = buffer.get() & 0xff;
+        float weight = buffer.getFloat();
         if (phaseCode < 0 || phaseCode > DRAINING) {
             return null;
         }
@@ -64,7 +64,7 @@
                     default -> Node.Phase.REMOVED;
                 };
         double startedAt =
-                startedNanos == 0 ? Double.NEGATIVE_INFINITY : startedNanos / NANOS_PER_MILLI;
+                startedAtNanos == 0 ? Double.NEGATIVE_INFINITY : startedAtNanos / NANOS_PER_MILLI;
         return new EndpointEntry(zone, cell, node, phase, startedAt, kind, weight);
     }
 
@@ -75,13 +75,13 @@
         int classIndex = batch.u8(record, 13);
         List<TrafficClass> classes = deployment.trafficClasses();
         if (classIndex >= classes.size()) {
-            throw batch.badRecord(
+            throw batch.malformedRecord(
                     record, "class " + classIndex + " of " + classes.size() + " is out of range");
         }
         long plan = Integer.toUnsignedLong(batch.u32(record, 14));
         int planCount = deployment.plans().size();
         if (plan >= planCount) {
-            throw batch.badRecord(record, "plan " + plan + " of " + planCount + " is out of range");
+            throw batch.malformedRecord(record, "plan " + plan + " of " + planCount + " is out of range");
         }
         Volume volume = engine.volume(batch.u64(record, 34), (int) plan);
         volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
@@ -114,7 +114,7 @@
             case 503 -> Outcome.REJECTED;
             case 504 -> Outcome.TIMED_OUT;
             case 598 -> Outcome.RESET;
-            default -> throw batch.badRecord(record, "unknown outcome " + code);
+            default -> throw batch.malformedRecord(record, "unknown outcome " + code);
         };
     }
 
@@ -125,7 +125,7 @@
             return null;
         }
         if (count > MAX_REPORT_VALUES) {
-            throw batch.badRecord(record, "a load report of " + count + " values");
+            throw batch.malformedRecord(record, "a load report of " + count + " values");
         }
         double[] values = new double[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sagepulley/simulator/MalformedFrameException.java
+++ b/src/main/java/sagepulley/simulator/MalformedFrameException.java
@@ -6,7 +6,7 @@
 public final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    MalformedFrameException(String what) {
-        super(what);
+    MalformedFrameException(String detail) {
+        super(detail);
     }
 }
--- a/src/main/java/sagepulley/simulator/ReplyWriter.java
+++ b/src/main/java/sagepulley/simulator/ReplyWriter.java
@@ -93,10 +93,10 @@
     private int record(int code) {
         int at = records.position();
         if (records.remaining() < RECORD_BYTES) {
-            ByteBuffer wider = ByteBuffer.allocate(records.capacity() * 2);
+            ByteBuffer larger = ByteBuffer.allocate(records.capacity() * 2);
             records.flip();
-            wider.put(records);
-            records = wider;
+            larger.put(records);
+            records = larger;
         }
         Arrays.fill(records.array(), at, at + RECORD_BYTES, (byte) 0);
         records.put(at, (byte) code).putInt(at + 1, gatewayId);
--- a/src/main/java/sagepulley/simulator/SimulatedGateway.java
+++ b/src/main/java/sagepulley/simulator/SimulatedGateway.java
@@ -17,10 +17,10 @@
     final GatewayEngine engine;
 
     /** Set while the gateway has an event in the present batch. */
-    boolean called;
+    boolean hasEvents;
 
     /** When the latest wake-up that was asked for comes, in nanoseconds. */
-    private long wakeUpNanos = Long.MAX_VALUE;
+    private long wakeUpAtNanos = Long.MAX_VALUE;
 
     private long wakeUpToken;
     private long nowNanos;
@@ -33,7 +33,7 @@
     /** A wake-up has come; only the one that was asked for last counts. */
     void onTimer(long token) {
         if (token == wakeUpToken) {
-            wakeUpNanos = Long.MAX_VALUE;
+            wakeUpAtNanos = Long.MAX_VALUE;
         }
     }
 
@@ -85,8 +85,8 @@
         if (delay < Double.POSITIVE_INFINITY) {
             long nanos = Math.max(1, (long) Math.ceil(delay * NANOS_PER_MILLI));
             long offset = Math.min(MAX_WAKE_UP_NANOS, nanos);
-            if (nowNanos + offset < wakeUpNanos) {
-                wakeUpNanos = nowNanos + offset;
+            if (nowNanos + offset < wakeUpAtNanos) {
+                wakeUpAtNanos = nowNanos + offset;
                 reply.wakeUp(++wakeUpToken, offset);
             }
         }
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -44,7 +44,7 @@
     private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
     /** The gateways with an event in this batch, in the order of their first. */
-    private final List<SimulatedGateway> called = new ArrayList<>();
+    private final List<SimulatedGateway> activeGateways = new ArrayList<>();
 
     /** Endpoint lists by the number under which events refer to them; null where none was set. */
     private final List<List<EndpointEntry>> listTables =
@@ -53,7 +53,7 @@
     /** The replies of the gateways with an event in this batch, in the order of their first. */
     private final List<ReplyWriter> replies = new ArrayList<>();
 
-    private final Map<Integer, ReplyWriter> replyOf = new HashMap<>();
+    private final Map<Integer, ReplyWriter> replyWriters = new HashMap<>();
 
     /** An adapter between two streams; it closes neither. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
@@ -70,18 +70,18 @@
      */
     public void run() throws IOException {
         while (batch.read()) {
-            long nowNs = batch.clock();
-            double now = nowNs / NANOS_PER_MILLI;
+            long nowNanos = batch.clock();
+            double now = nowNanos / NANOS_PER_MILLI;
             for (int record = 0; record < batch.records(); record++) {
                 handle(record, now);
             }
-            for (SimulatedGateway gateway : called) {
-                if (gateway.called) {
-                    gateway.called = false;
-                    gateway.runDueWork(now, nowNs);
+            for (SimulatedGateway gateway : activeGateways) {
+                if (gateway.hasEvents) {
+                    gateway.hasEvents = false;
+                    gateway.runDueWork(now, nowNanos);
                 }
             }
-            called.clear();
+            activeGateways.clear();
             write();
         }
         out.flush();
@@ -103,11 +103,11 @@
                     EventCode.ATTEMPT_ENDED -> {
                 SimulatedGateway gateway = gateways.get(batch.u32(record, 1));
                 if (gateway != null) {
-                    call(gateway);
+                    activate(gateway);
                     handle(gateway, code, record, now);
                 }
             }
-            default -> throw batch.badRecord(record, "unknown event code " + code);
+            default -> throw batch.malformedRecord(record, "unknown event code " + code);
         }
     }
 
@@ -133,14 +133,14 @@
 
     private void start(int record) throws MalformedFrameException {
         int gatewayId = batch.u32(record, 1);
-        ReplyWriter reply = replyOf.computeIfAbsent(gatewayId, ReplyWriter::new);
-        noteReply(reply);
+        ReplyWriter reply = replyWriters.computeIfAbsent(gatewayId, ReplyWriter::new);
+        addReply(reply);
         try {
             Deployment deployment = SettingsReader.ofLines(batch.text(record, 13)).deployment();
             SimulatedGateway gateway =
                     new SimulatedGateway(reply, deployment, batch.u64(record, 5));
             gateways.put(gatewayId, gateway);
-            call(gateway);
+            activate(gateway);
         } catch (MissingSettingException missing) {
             gateways.remove(gatewayId);
             reply.fatal("first message: " + missing.getMessage());
@@ -151,21 +151,21 @@
     private void stop(int record) {
         SimulatedGateway gateway = gateways.remove(batch.u32(record, 1));
         if (gateway != null) {
-            gateway.called = false;
-            called.remove(gateway);
+            gateway.hasEvents = false;
+            activeGateways.remove(gateway);
             gateway.reply.clear();
         }
     }
 
-    private void call(SimulatedGateway gateway) {
-        if (!gateway.called) {
-            gateway.called = true;
-            called.add(gateway);
-            noteReply(gateway.reply);
+    private void activate(SimulatedGateway gateway) {
+        if (!gateway.hasEvents) {
+            gateway.hasEvents = true;
+            activeGateways.add(gateway);
+            addReply(gateway.reply);
         }
     }
 
-    private void noteReply(ReplyWriter reply) {
+    private void addReply(ReplyWriter reply) {
         if (!replies.contains(reply)) {
             replies.add(reply);
         }
@@ -174,7 +174,7 @@
     private void setListTable(int record) throws MalformedFrameException {
         int table = batch.u8(record, 1);
         if (table >= MAX_LIST_TABLES) {
-            throw batch.badRecord(record, "list number " + table + " is out of range");
+            throw batch.malformedRecord(record, "list number " + table + " is out of range");
         }
         listTables.set(table, decoder.endpointEntries(record, 2));
     }
@@ -187,11 +187,11 @@
             case COMPLETE_LIST, LIST_UPDATE, OTHER_COMPLETE_LIST -> {
                 int table = batch.u8(record, 6);
                 if (table >= MAX_LIST_TABLES || listTables.get(table) == null) {
-                    throw batch.badRecord(record, "list number " + table + " was never set up");
+                    throw batch.malformedRecord(record, "list number " + table + " was never set up");
                 }
                 engine.onEndpointList(listTables.get(table), scope != LIST_UPDATE, now);
             }
-            default -> throw batch.badRecord(record, "unknown list scope " + scope);
+            default -> throw batch.malformedRecord(record, "unknown list scope " + scope);
         }
     }
 
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -31,7 +31,7 @@
     private static final int EVENTS = 60_000;
     private static final int ENDPOINTS = 14;
     private static final int CELLS = 12;
-    private static final double WATCH_SPAN_MILLIS = 6_000;
+    private static final double NOTIFICATION_SPAN_MILLIS = 6_000;
     private static final String SETTINGS =
             """
             me=1
@@ -110,31 +110,31 @@
         "3, true, a4e7bcd23908886b6cde5252f7309f6aed98ed6c2fd5736d054d4cf7bc609b29",
         "4, true, cb688d194076deb30bc7e2386ecc6dcfac5f3606a02ee1b001b24c387985f007",
     })
-    void everyDecisionIsAsBefore(long seed, boolean leaseIsBounded, String expected) {
-        Play play = new Play(seed, leaseIsBounded);
-        play.run();
-        assertTrue(play.everyKindOfDecisionSeen(), play.counts());
-        assertEquals(expected, play.digest(), play.counts());
+    void decisionsMatchTheRecordedDigest(long seed, boolean isLeaseBounded, String expected) {
+        RandomRun randomRun = new RandomRun(seed, isLeaseBounded);
+        randomRun.run();
+        assertTrue(randomRun.hasEveryKindOfDecision(), randomRun.counts());
+        assertEquals(expected, randomRun.digest(), randomRun.counts());
     }
 
     /** An answer, or its absence, that is on its way to the gateway. */
-    private record Ending(double at, long order, Attempt attempt, Outcome outcome, boolean ends) {}
+    private record Ending(double at, long order, Attempt attempt, Outcome outcome, boolean endsOperation) {}
 
     /** One gateway under random traffic, endpoints with random faults, and a list that changes. */
-    private static final class Play implements DecisionSink {
+    private static final class RandomRun implements DecisionSink {
         private final Random random;
         private final MessageDigest digest;
-        private final boolean leaseIsBounded;
+        private final boolean isLeaseBounded;
         private final GatewayEngine engine;
         private final List<EndpointEntry> entries = new ArrayList<>();
-        private final double[] slowness = new double[ENDPOINTS];
+        private final double[] slowdown = new double[ENDPOINTS];
         private final boolean[] silent = new boolean[ENDPOINTS];
         private final PriorityQueue<Ending> endings =
                 new PriorityQueue<>(
                         Comparator.comparingDouble(Ending::at).thenComparingLong(Ending::order));
-        private final List<Long> open = new ArrayList<>();
+        private final List<Long> openOperations = new ArrayList<>();
         private double now = 100_000;
-        private double wakeAt = Double.POSITIVE_INFINITY;
+        private double nextWakeUp = Double.POSITIVE_INFINITY;
         private long sequence;
         private int sent;
         private int rejected;
@@ -142,9 +142,9 @@
         private int cancelled;
         private int polls;
 
-        Play(long seed, boolean leaseIsBounded) {
+        RandomRun(long seed, boolean isLeaseBounded) {
             this.random = new Random(seed);
-            this.leaseIsBounded = leaseIsBounded;
+            this.isLeaseBounded = isLeaseBounded;
             try {
                 this.digest = MessageDigest.getInstance("SHA-256");
             } catch (NoSuchAlgorithmException e) {
@@ -153,15 +153,15 @@
             Deployment deployment = SettingsReader.ofLines(SETTINGS).deployment();
             this.engine =
                     new GatewayEngine(
-                            leaseIsBounded ? deployment.withWatch(WATCH_SPAN_MILLIS) : deployment,
+                            isLeaseBounded ? deployment.withWatch(NOTIFICATION_SPAN_MILLIS) : deployment,
                             seed,
                             this);
             for (int i = 0; i < ENDPOINTS; i++) {
-                slowness[i] = 1;
+                slowdown[i] = 1;
                 entries.add(entry(i, Node.Phase.READY, Double.NEGATIVE_INFINITY));
             }
             engine.onEndpointList(entries, true, now);
-            if (leaseIsBounded) {
+            if (isLeaseBounded) {
                 engine.onListConfirmed(now);
             }
         }
@@ -171,8 +171,8 @@
                 now += random.nextDouble() * 1.5;
                 deliverEndings();
                 randomEvent();
-                if (random.nextInt(4) == 0 || now >= wakeAt) {
-                    wakeAt = Double.POSITIVE_INFINITY;
+                if (random.nextInt(4) == 0 || now >= nextWakeUp) {
+                    nextWakeUp = Double.POSITIVE_INFINITY;
                     engine.runDueWork(now);
                 }
             }
@@ -188,69 +188,69 @@
                 attempt.outcome = ending.outcome();
                 attempt.duration = ending.at() - attempt.sentAt;
                 attempt.otherGatewaysUnits = random.nextInt(5) == 0 ? random.nextInt(4) : 0;
-                engine.onAttemptEnded(attempt, ending.ends(), now);
+                engine.onAttemptEnded(attempt, ending.endsOperation(), now);
             }
         }
 
         private void randomEvent() {
-            int dice = random.nextInt(1000);
-            if (dice < 600) {
-                arrive();
-            } else if (dice < 630) {
-                leave();
-            } else if (dice < 634) {
+            int choice = random.nextInt(1000);
+            if (choice < 600) {
+                addArrival();
+            } else if (choice < 630) {
+                cancelRandomOperation();
+            } else if (choice < 634) {
                 changeEndpoint(random.nextInt(ENDPOINTS));
-            } else if (dice < 650) {
-                slowness[random.nextInt(ENDPOINTS)] = 0.5 + 4 * random.nextDouble();
-            } else if (dice < 653) {
+            } else if (choice < 650) {
+                slowdown[random.nextInt(ENDPOINTS)] = 0.5 + 4 * random.nextDouble();
+            } else if (choice < 653) {
                 silent[random.nextInt(ENDPOINTS)] ^= true;
-            } else if (dice == 653 && random.nextInt(6) == 0) {
+            } else if (choice == 653 && random.nextInt(6) == 0) {
                 engine.onPollFailed(now);
-            } else if (leaseIsBounded) {
-                leaseEvent(dice);
+            } else if (isLeaseBounded) {
+                leaseEvent(choice);
             }
         }
 
-        private void leaseEvent(int dice) {
-            if (dice < 662) {
+        private void leaseEvent(int choice) {
+            if (choice < 662) {
                 engine.onListConfirmed(now - 100 * random.nextDouble());
-            } else if (dice < 664) {
+            } else if (choice < 664) {
                 engine.onDiscoveryUnreachable(now - 50);
-            } else if (dice == 664 && random.nextInt(4) == 0) {
+            } else if (choice == 664 && random.nextInt(4) == 0) {
                 engine.onReloadNotified(now);
                 engine.onDiscoveryMoved(now);
-            } else if (dice < 668) {
+            } else if (choice < 668) {
                 engine.onConfigurationRead(now);
             }
         }
 
-        private void arrive() {
+        private void addArrival() {
             int plan = random.nextInt(3);
-            int bandIndex = random.nextInt(5);
+            int classIndex = random.nextInt(5);
             long extent = random.nextInt(20) == 0 ? 0 : 1 + random.nextInt(300);
             int cell = random.nextInt(6) == 0 ? -1 : (int) (extent % CELLS);
-            double patience = random.nextInt(10) == 0 ? 60 : 400;
+            double timeToDeadline = random.nextInt(10) == 0 ? 60 : 400;
             Operation operation =
                     new Operation(
                             ++sequence,
-                            engine.deployment().trafficClasses().get(bandIndex),
+                            engine.deployment().trafficClasses().get(classIndex),
                             engine.volume(1 + 10L * plan + random.nextInt(4), plan),
                             extent,
                             1 + random.nextInt(6),
                             cell,
                             now,
-                            now + patience,
+                            now + timeToDeadline,
                             random.nextInt(30) == 0);
-            open.add(operation.id);
+            openOperations.add(operation.id);
             engine.onArrival(operation);
         }
 
-        private void leave() {
-            if (!open.isEmpty()) {
-                engine.onClientCancelled(open.remove(random.nextInt(open.size())), now);
+        private void cancelRandomOperation() {
+            if (!openOperations.isEmpty()) {
+                engine.onClientCancelled(openOperations.remove(random.nextInt(openOperations.size())), now);
             }
-            if (open.size() > 200) {
-                open.subList(0, 100).clear();
+            if (openOperations.size() > 200) {
+                openOperations.subList(0, 100).clear();
             }
         }
 
@@ -271,7 +271,7 @@
                     index % 3, index % CELLS, 100 + index, phase, startedAt, 0, 1 + index % 2);
         }
 
-        boolean everyKindOfDecisionSeen() {
+        boolean hasEveryKindOfDecision() {
             return Math.min(Math.min(sent, rejected), Math.min(abandoned, cancelled)) > 50
                     && polls > 0;
         }
@@ -286,38 +286,38 @@
             return HexFormat.of().formatHex(digest.digest());
         }
 
-        private void record(String what, double figure) {
-            String line = now + " " + what + " " + figure + "\n";
+        private void addToDigest(String decision, double value) {
+            String line = now + " " + decision + " " + value + "\n";
             digest.update(line.getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
         public void send(Attempt attempt, double timeout) {
             sent++;
-            record("send " + attempt.operation.id + " to " + attempt.node.id, timeout);
-            record("may begin " + engine.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
+            addToDigest("send " + attempt.operation.id + " to " + attempt.node.id, timeout);
+            addToDigest("may begin " + engine.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
             int index = attempt.node.id - 100;
-            double took = (2 + attempt.operation.units * 3) * slowness[index] * random.nextDouble();
-            int dice = random.nextInt(100);
-            if (silent[index] || took >= timeout) {
-                later(timeout, attempt, Outcome.TIMED_OUT, false);
-            } else if (dice < 90) {
-                later(took, attempt, Outcome.SERVED, true);
-            } else if (dice < 93) {
-                later(took, attempt, Outcome.FAILED, false);
-            } else if (dice < 95) {
-                later(took / 2, attempt, Outcome.REJECTED, false);
-            } else if (dice < 96) {
-                later(took / 2, attempt, Outcome.RESET, false);
-            } else if (dice < 98) {
-                later(took / 2, attempt, Outcome.NO_CONNECTION, false);
+            double serviceTime = (2 + attempt.operation.units * 3) * slowdown[index] * random.nextDouble();
+            int choice = random.nextInt(100);
+            if (silent[index] || serviceTime >= timeout) {
+                scheduleEnding(timeout, attempt, Outcome.TIMED_OUT, false);
+            } else if (choice < 90) {
+                scheduleEnding(serviceTime, attempt, Outcome.SERVED, true);
+            } else if (choice < 93) {
+                scheduleEnding(serviceTime, attempt, Outcome.FAILED, false);
+            } else if (choice < 95) {
+                scheduleEnding(serviceTime / 2, attempt, Outcome.REJECTED, false);
+            } else if (choice < 96) {
+                scheduleEnding(serviceTime / 2, attempt, Outcome.RESET, false);
+            } else if (choice < 98) {
+                scheduleEnding(serviceTime / 2, attempt, Outcome.NO_CONNECTION, false);
             } else {
-                later(took, attempt, Outcome.NOT_EXECUTED, false);
+                scheduleEnding(serviceTime, attempt, Outcome.NOT_EXECUTED, false);
             }
         }
 
-        private void later(double delay, Attempt attempt, Outcome outcome, boolean ends) {
-            endings.add(new Ending(now + delay, ++sequence, attempt, outcome, ends));
+        private void scheduleEnding(double delay, Attempt attempt, Outcome outcome, boolean endsOperation) {
+            endings.add(new Ending(now + delay, ++sequence, attempt, outcome, endsOperation));
         }
 
         @Override
@@ -327,7 +327,7 @@
             } else {
                 abandoned++;
             }
-            record(
+            addToDigest(
                     "give up " + operation.id + " " + decision.kind().ordinal(),
                     decision.retryAfter() + decision.reason().ordinal());
         }
@@ -335,30 +335,30 @@
         @Override
         public void cancel(Attempt attempt) {
             cancelled++;
-            record("call off " + attempt.operation.id, attempt.number);
-            later(1, attempt, Outcome.CANCELLED, false);
+            addToDigest("call off " + attempt.operation.id, attempt.number);
+            scheduleEnding(1, attempt, Outcome.CANCELLED, false);
         }
 
         @Override
         public void checkHealth(Node node) {
-            record("probe", node.id);
+            addToDigest("probe", node.id);
         }
 
         @Override
         public void openWatch() {
             polls++;
-            record("subscribe", 0);
+            addToDigest("subscribe", 0);
         }
 
         @Override
         public void pollEndpointList() {
-            record("fetch", 0);
+            addToDigest("fetch", 0);
         }
 
         @Override
-        public void scheduleWakeUp(double pause, double settledAt) {
-            wakeAt = settledAt + pause;
-            record("wake", pause);
+        public void scheduleWakeUp(double delay, double decidedAt) {
+            nextWakeUp = decidedAt + delay;
+            addToDigest("wake", delay);
         }
     }
 }
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -70,13 +70,13 @@
                         }
 
                         @Override
-                        public void scheduleWakeUp(double pause, double now) {
+                        public void scheduleWakeUp(double delay, double now) {
                             // Time is driven by hand.
                         }
                     });
 
     @Test
-    void removedEndpointsAreForgottenOnceTheirLastAttemptHasEnded() {
+    void removedEndpointIsPrunedAfterItsLastAttemptEnded() {
         engine.onEndpointList(List.of(entry(1, 0), entry(2, 1)), true, 0);
         Operation operation =
                 new Operation(
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void anEndpointThatIsListedAgainSoonIsTheSame() {
+    void endpointListedAgainWithinThirtySecondsKeepsItsNode() {
         engine.onEndpointList(List.of(entry(1, 0)), true, 0);
         Node node = engine.nodes().iterator().next();
         engine.onEndpointList(List.of(), true, 1000);
@@ -117,7 +117,7 @@
         assertEquals(Node.Phase.READY, node.phase);
     }
 
-    private static EndpointEntry entry(int store, int cell) {
-        return new EndpointEntry(0, cell, store, Node.Phase.READY, Double.NEGATIVE_INFINITY, 0, 1);
+    private static EndpointEntry entry(int node, int cell) {
+        return new EndpointEntry(0, cell, node, Node.Phase.READY, Double.NEGATIVE_INFINITY, 0, 1);
     }
 }
--- a/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
+++ b/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
@@ -8,19 +8,19 @@
 /** Which overdue poll stays open. */
 class EndpointPollPolicyTest {
     @Test
-    void theOldestStaysWhileItMayStillBeAnswered() {
+    void oldestPollIsKeptWithinItsTimeouts() {
         assertFalse(EndpointPollPolicy.shouldDropOldest(false, 12_000, Double.POSITIVE_INFINITY));
         assertFalse(EndpointPollPolicy.shouldDropOldest(false, 60_000, 2_500));
     }
 
     @Test
-    void onePastItsTimeoutIsDropped() {
+    void pollPastItsTimeoutIsDropped() {
         assertTrue(EndpointPollPolicy.shouldDropOldest(false, 12_001, Double.POSITIVE_INFINITY));
         assertTrue(EndpointPollPolicy.shouldDropOldest(false, 3_000, 2_501));
     }
 
     @Test
-    void oneAtAFormerAddressIsDropped() {
+    void pollAtFormerAddressIsDropped() {
         assertTrue(EndpointPollPolicy.shouldDropOldest(true, 1, 1));
     }
 }
--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -17,9 +17,9 @@
 
 /** The view of members after updates, handshakes, stored lists and time. */
 class MembershipTest {
-    private static final double MINUTE = 60_000;
-    private static final double DAY = 86_400_000;
-    private static final double START = 1e12;
+    private static final double MINUTE_MILLIS = 60_000;
+    private static final double DAY_MILLIS = 86_400_000;
+    private static final double START_MILLIS = 1e12;
 
     private Membership newMembership() {
         return new Membership("site", Membership.Policy.DEFAULT, new SplittableRandom(1));
@@ -47,78 +47,78 @@
 
     private static Membership.MemberView member(Membership membership, int node, double now) {
         return membership.members(now).stream()
-                .filter(one -> one.endpoint().node() == node)
+                .filter(candidate -> candidate.endpoint().node() == node)
                 .findFirst()
                 .orElseThrow();
     }
 
     private Membership restoredAfter(double age, EndpointRecord... endpoints) {
-        Membership before = newMembership();
-        before.applyUpdate(complete(5, endpoints), START);
-        Membership after = newMembership();
-        after.restore(before.snapshot(), START + age);
-        return after;
+        Membership original = newMembership();
+        original.applyUpdate(complete(5, endpoints), START_MILLIS);
+        Membership restored = newMembership();
+        restored.restore(original.snapshot(), START_MILLIS + age);
+        return restored;
     }
 
     @Test
-    void aFreshListIsUsedAsItIs() {
-        Membership after =
-                restoredAfter(MINUTE, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING));
-        assertEquals(ListFreshness.FRESH, after.freshness(START + MINUTE));
-        assertTrue(member(after, 1, START + MINUTE).acceptsNewObjects());
-        assertEquals(EndpointRecord.Phase.DRAINING, phase(after, 2, START + MINUTE));
-        assertTrue(after.takeProbes(START + MINUTE).isEmpty());
+    void freshListIsUsedWithoutProbes() {
+        Membership restored =
+                restoredAfter(MINUTE_MILLIS, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING));
+        assertEquals(ListFreshness.FRESH, restored.freshness(START_MILLIS + MINUTE_MILLIS));
+        assertTrue(member(restored, 1, START_MILLIS + MINUTE_MILLIS).acceptsNewObjects());
+        assertEquals(EndpointRecord.Phase.DRAINING, phase(restored, 2, START_MILLIS + MINUTE_MILLIS));
+        assertTrue(restored.takeProbes(START_MILLIS + MINUTE_MILLIS).isEmpty());
     }
 
     @Test
-    void anAgedListServesReadsAndPlacesNothingNewBeforeVerification() {
-        double now = START + 60 * MINUTE;
-        Membership after = restoredAfter(60 * MINUTE, ready(1));
-        assertEquals(EndpointRecord.Phase.READY, phase(after, 1, now));
-        assertFalse(member(after, 1, now).acceptsNewObjects());
+    void agedListAllowsNewObjectsOnlyAfterHandshake() {
+        double now = START_MILLIS + 60 * MINUTE_MILLIS;
+        Membership restored = restoredAfter(60 * MINUTE_MILLIS, ready(1));
+        assertEquals(EndpointRecord.Phase.READY, phase(restored, 1, now));
+        assertFalse(member(restored, 1, now).acceptsNewObjects());
         assertEquals(
                 Membership.HandshakeVerdict.ACCEPTED,
-                after.handshakeCompleted(1, 1, 1, false, 0, now));
-        assertTrue(member(after, 1, now).acceptsNewObjects());
+                restored.handshakeCompleted(1, 1, 1, false, 0, now));
+        assertTrue(member(restored, 1, now).acceptsNewObjects());
     }
 
     @Test
-    void anOldListProbesEachNodeFirstAndFewAtATime() {
-        double now = START + 7 * DAY;
-        EndpointRecord[] many = new EndpointRecord[20];
-        for (int i = 0; i < many.length; i++) {
-            many[i] = ready(i + 1);
+    void oldListRequiresProbesWithLimitedConcurrency() {
+        double now = START_MILLIS + 7 * DAY_MILLIS;
+        EndpointRecord[] endpoints = new EndpointRecord[20];
+        for (int i = 0; i < endpoints.length; i++) {
+            endpoints[i] = ready(i + 1);
         }
-        Membership after = restoredAfter(7 * DAY, many);
-        assertEquals(EndpointRecord.Phase.REMOVED, phase(after, 1, now));
+        Membership restored = restoredAfter(7 * DAY_MILLIS, endpoints);
+        assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 1, now));
         List<Integer> probed = new ArrayList<>();
         for (double at = now; at < now + 1_000; at += 10) {
-            probed.addAll(after.takeProbes(at));
+            probed.addAll(restored.takeProbes(at));
         }
         assertEquals(4, probed.size(), "no more until one has answered");
-        after.handshakeCompleted(
+        restored.handshakeCompleted(
                 probed.get(0), probed.get(0), probed.get(0), false, 0, now + 1_000);
-        assertEquals(EndpointRecord.Phase.READY, phase(after, probed.get(0), now + 1_000));
-        assertEquals(1, after.takeProbes(now + 1_100).size());
+        assertEquals(EndpointRecord.Phase.READY, phase(restored, probed.get(0), now + 1_000));
+        assertEquals(1, restored.takeProbes(now + 1_100).size());
     }
 
     @Test
-    void aNodeWithAnotherIdentityIsExcludedUntilTheDirectoryListsANewAddress() {
-        Membership after = restoredAfter(MINUTE, ready(1), ready(2), ready(3));
-        double now = START + MINUTE;
+    void nodeWithWrongIdentityIsExcludedUntilListedAtNewAddress() {
+        Membership restored = restoredAfter(MINUTE_MILLIS, ready(1), ready(2), ready(3));
+        double now = START_MILLIS + MINUTE_MILLIS;
         assertEquals(
                 Membership.HandshakeVerdict.WRONG_NODE,
-                after.handshakeCompleted(1, 99, 1, false, 0, now));
+                restored.handshakeCompleted(1, 99, 1, false, 0, now));
         assertEquals(
                 Membership.HandshakeVerdict.WRONG_NODE,
-                after.handshakeCompleted(2, 2, 17, false, 0, now));
+                restored.handshakeCompleted(2, 2, 17, false, 0, now));
         assertEquals(
                 Membership.HandshakeVerdict.REROUTE,
-                after.handshakeCompleted(3, 3, 3, true, 0, now));
-        assertEquals(EndpointRecord.Phase.REMOVED, phase(after, 1, now));
-        assertEquals(EndpointRecord.Phase.REMOVED, phase(after, 2, now));
-        assertEquals(EndpointRecord.Phase.DRAINING, phase(after, 3, now));
-        after.applyUpdate(
+                restored.handshakeCompleted(3, 3, 3, true, 0, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 1, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 2, now));
+        assertEquals(EndpointRecord.Phase.DRAINING, phase(restored, 3, now));
+        restored.applyUpdate(
                 new EndpointListUpdate(
                         "site",
                         1,
@@ -128,27 +128,27 @@
                                 new EndpointRecord(
                                         1, 1, 0, 0, EndpointRecord.Phase.READY, 0, 1, "h9", 7000))),
                 now);
-        assertEquals(EndpointRecord.Phase.READY, phase(after, 1, now));
-        assertEquals(EndpointRecord.Phase.REMOVED, phase(after, 2, now));
+        assertEquals(EndpointRecord.Phase.READY, phase(restored, 1, now));
+        assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 2, now));
     }
 
     @Test
-    void aRestartedNodeIsRoutedAnew() {
-        Membership after = restoredAfter(MINUTE, ready(1));
-        double now = START + MINUTE;
+    void handshakeOfRestartedNodeRequiresRerouting() {
+        Membership restored = restoredAfter(MINUTE_MILLIS, ready(1));
+        double now = START_MILLIS + MINUTE_MILLIS;
         assertEquals(
                 Membership.HandshakeVerdict.REROUTE,
-                after.handshakeCompleted(1, 1, 1, false, (long) now - 500, now));
-        assertEquals((long) now - 500, member(after, 1, now).endpoint().startedAt());
+                restored.handshakeCompleted(1, 1, 1, false, (long) now - 500, now));
+        assertEquals((long) now - 500, member(restored, 1, now).endpoint().startedAt());
         // A directory that lags does not make it warm again.
-        after.applyUpdate(complete(6, ready(1)), now + 10);
-        assertEquals((long) now - 500, member(after, 1, now + 10).endpoint().startedAt());
+        restored.applyUpdate(complete(6, ready(1)), now + 10);
+        assertEquals((long) now - 500, member(restored, 1, now + 10).endpoint().startedAt());
     }
 
     @Test
-    void aListOfAnotherSiteOrAnEmptyOneIsRejected() {
+    void emptyListOrListOfAnotherSiteIsRejected() {
         Membership membership = newMembership();
-        membership.applyUpdate(complete(5, ready(1)), START);
+        membership.applyUpdate(complete(5, ready(1)), START_MILLIS);
         assertFalse(
                 membership
                         .applyUpdate(
@@ -158,54 +158,54 @@
                                         9,
                                         true,
                                         List.of(endpoint(1, EndpointRecord.Phase.REMOVED))),
-                                START)
+                                START_MILLIS)
                         .accepted());
-        assertFalse(membership.applyUpdate(complete(9), START).accepted());
-        assertEquals(EndpointRecord.Phase.READY, phase(membership, 1, START));
+        assertFalse(membership.applyUpdate(complete(9), START_MILLIS).accepted());
+        assertEquals(EndpointRecord.Phase.READY, phase(membership, 1, START_MILLIS));
     }
 
     @Test
-    void anOlderVersionRestrictsAndPermitsNothing() {
+    void olderVersionAppliesOnlyRestrictions() {
         Membership membership = newMembership();
         membership.applyUpdate(
-                complete(5, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING), ready(3)), START);
+                complete(5, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING), ready(3)), START_MILLIS);
         Membership.UpdateResult result =
                 membership.applyUpdate(
                         complete(4, endpoint(1, EndpointRecord.Phase.DRAINING), ready(2)),
-                        START + 1);
+                        START_MILLIS + 1);
         assertFalse(result.accepted());
-        assertEquals(EndpointRecord.Phase.DRAINING, phase(membership, 1, START + 1));
-        assertEquals(EndpointRecord.Phase.DRAINING, phase(membership, 2, START + 1));
+        assertEquals(EndpointRecord.Phase.DRAINING, phase(membership, 1, START_MILLIS + 1));
+        assertEquals(EndpointRecord.Phase.DRAINING, phase(membership, 2, START_MILLIS + 1));
         assertEquals(
                 EndpointRecord.Phase.READY,
-                phase(membership, 3, START + 1),
+                phase(membership, 3, START_MILLIS + 1),
                 "what a stale list omits is not removed");
     }
 
     @Test
-    void aRebuiltDirectoryMayOmitNodesForTheGraceTime() {
+    void nodeOmittedByRebuiltDirectoryIsRemovedAfterGracePeriod() {
         Membership membership = newMembership();
-        membership.applyUpdate(complete(5, ready(1), ready(2)), START);
+        membership.applyUpdate(complete(5, ready(1), ready(2)), START_MILLIS);
         membership.applyUpdate(
-                new EndpointListUpdate("site", 2, 1, true, List.of(ready(1))), START + 1);
-        assertEquals(EndpointRecord.Phase.READY, phase(membership, 2, START + 1));
+                new EndpointListUpdate("site", 2, 1, true, List.of(ready(1))), START_MILLIS + 1);
+        assertEquals(EndpointRecord.Phase.READY, phase(membership, 2, START_MILLIS + 1));
         membership.applyUpdate(
-                new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))), START + 5_000);
-        membership.advanceTo(START + 40_000);
+                new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))), START_MILLIS + 5_000);
+        membership.advanceTo(START_MILLIS + 40_000);
         assertEquals(
                 EndpointRecord.Phase.READY,
-                phase(membership, 2, START + 40_000),
+                phase(membership, 2, START_MILLIS + 40_000),
                 "it registered again");
         membership.applyUpdate(
-                new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START + 41_000);
-        membership.advanceTo(START + 72_000);
-        assertEquals(EndpointRecord.Phase.REMOVED, phase(membership, 2, START + 72_000));
+                new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START_MILLIS + 41_000);
+        membership.advanceTo(START_MILLIS + 72_000);
+        assertEquals(EndpointRecord.Phase.REMOVED, phase(membership, 2, START_MILLIS + 72_000));
     }
 
     @Test
-    void aFlappingNodeIsHeldDown() {
+    void flappingNodeIsHeldDown() {
         Membership membership = newMembership();
-        double now = START;
+        double now = START_MILLIS;
         long version = 1;
         membership.applyUpdate(complete(version, ready(1), ready(2)), now);
         for (int i = 0; i < 3; i++) {
@@ -222,21 +222,21 @@
     }
 
     @Test
-    void aClockThatWasSetBackMakesTheListOld() {
-        Membership before = newMembership();
-        before.applyUpdate(complete(5, ready(1)), START);
-        Membership after = newMembership();
-        after.restore(before.snapshot(), START - DAY);
-        assertEquals(ListFreshness.OLD, after.freshness(START - DAY));
-        assertEquals(EndpointRecord.Phase.REMOVED, phase(after, 1, START - DAY));
+    void clockSetBackMakesTheListOld() {
+        Membership original = newMembership();
+        original.applyUpdate(complete(5, ready(1)), START_MILLIS);
+        Membership restored = newMembership();
+        restored.restore(original.snapshot(), START_MILLIS - DAY_MILLIS);
+        assertEquals(ListFreshness.OLD, restored.freshness(START_MILLIS - DAY_MILLIS));
+        assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 1, START_MILLIS - DAY_MILLIS));
     }
 
     @Test
-    void aNodeThatDoesNotAnswerIsProbedWithBackoff() {
+    void unresponsiveNodeIsProbedWithBackoff() {
         Membership membership = newMembership();
         membership.addConfigured(List.of(ready(1)));
         int probes = 0;
-        for (double at = START; at < START + 300_000; at += 50) {
+        for (double at = START_MILLIS; at < START_MILLIS + 300_000; at += 50) {
             if (!membership.takeProbes(at).isEmpty()) {
                 probes++;
                 membership.disconnected(1, at);
@@ -251,10 +251,10 @@
      * the trust in its sources.
      */
     @Property(tries = 400, seed = "17")
-    void noMemberIsUsedBeyondTheTrustInItsSources(
+    void membersAreUsedOnlyAsTheirSourcesPermit(
             @ForAll @Size(min = 5, max = 120) List<@IntRange(max = 9_999) Integer> steps) {
         Membership membership = newMembership();
-        double now = START;
+        double now = START_MILLIS;
         long version = 3;
         long history = 1;
         boolean hasList = false;
@@ -277,10 +277,10 @@
                             new EndpointListUpdate("site", history, ++version, true, endpoints),
                             now);
                     endpoints.forEach(
-                            line ->
+                            endpoint ->
                                     listedReady.put(
-                                            line.node(),
-                                            line.phase() == EndpointRecord.Phase.READY));
+                                            endpoint.node(),
+                                            endpoint.phase() == EndpointRecord.Phase.READY));
                     confirmedAt = now;
                     hasList = true;
                 }
@@ -296,7 +296,7 @@
                                         List.of(endpoint(node, phase))),
                                 now);
                         listedReady.computeIfPresent(
-                                node, (id, was) -> was && phase == EndpointRecord.Phase.READY);
+                                node, (id, wasReady) -> wasReady && phase == EndpointRecord.Phase.READY);
                     }
                 }
                 case 3 ->
@@ -309,16 +309,16 @@
                                         List.of(ready(node))),
                                 now);
                 case 4 -> {
-                    boolean drains = value % 3 == 0;
-                    int answering = value % 7 == 0 ? 99 : node;
+                    boolean draining = value % 3 == 0;
+                    int answeringNode = value % 7 == 0 ? 99 : node;
                     int cell = value % 11 == 0 ? 99 : node;
-                    membership.handshakeCompleted(node, answering, cell, drains, 0, now);
+                    membership.handshakeCompleted(node, answeringNode, cell, draining, 0, now);
                     if (listedReady.containsKey(node)) {
-                        boolean wrong = answering != node || cell != node;
-                        hasWrongIdentity.put(node, wrong);
-                        connected.put(node, !wrong);
-                        if (!wrong) {
-                            selfDraining.put(node, drains);
+                        boolean isWrong = answeringNode != node || cell != node;
+                        hasWrongIdentity.put(node, isWrong);
+                        connected.put(node, !isWrong);
+                        if (!isWrong) {
+                            selfDraining.put(node, draining);
                         }
                     }
                 }
@@ -336,7 +336,7 @@
                 case 8 -> {
                     StoredEndpointList stored = membership.snapshot();
                     membership = newMembership();
-                    double jump = value % 4 == 0 ? -3 * DAY : value % 4 * DAY;
+                    double jump = value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
                     now += jump;
                     membership.restore(stored, now);
                     hasWrongIdentity.clear();
@@ -351,7 +351,7 @@
                     membership.takeProbes(now);
                 }
             }
-            assertTrusted(
+            assertUseMatchesTrust(
                     membership,
                     now,
                     confirmedAt,
@@ -362,7 +362,7 @@
         }
     }
 
-    private static void assertTrusted(
+    private static void assertUseMatchesTrust(
             Membership membership,
             double now,
             double confirmedAt,
@@ -382,9 +382,9 @@
                 assertFalse(
                         hasWrongIdentity.getOrDefault(id, false),
                         "node " + id + " is used though it is another");
-                boolean old = now - confirmedAt > Membership.Policy.DEFAULT.agedMillis();
+                boolean isOld = now - confirmedAt > Membership.Policy.DEFAULT.agedMillis();
                 assertTrue(
-                        !old || member.verified(),
+                        !isOld || member.verified(),
                         "node " + id + " is used by an old list, unproven");
             }
             if (member.acceptsNewObjects()) {
--- a/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
@@ -17,7 +17,7 @@
 /** What the adapter says to frames, good and bad. */
 class SimulatorAdapterTest {
     @Test
-    void anEmptyBatchIsAnsweredAndTheEndOfInputIsClean() throws IOException {
+    void emptyBatchIsAnsweredAndEndOfInputReturnsNormally() throws IOException {
         assertEquals("000000010000000400000000", hex(answer(frame(1, 0, new byte[0]))));
         assertEquals("", hex(answer(new byte[0])));
     }
@@ -29,10 +29,10 @@
         "0000000100000001000000080000000000000000, a length of 8 bytes does not fit 1 records",
         "00000001000000000000000800, the input ends after 1 of 8 bytes"
     })
-    void aMalformedFrameIsNamed(String bytes, String what) {
-        MalformedFrameException bad =
+    void malformedFrameIsReportedWithItsNumber(String bytes, String detail) {
+        MalformedFrameException exception =
                 assertThrows(MalformedFrameException.class, () -> answer(unhex(bytes)));
-        assertEquals("frame 1: " + what, bad.getMessage());
+        assertEquals("frame 1: " + detail, exception.getMessage());
     }
 
     @ParameterizedTest
@@ -41,37 +41,37 @@
         "0800 00000000 00000001, out of the tail",
         "0810, list number 16"
     })
-    void aMalformedRecordIsNamed(String record, String what) {
+    void malformedRecordIsReportedWithItsIndex(String record, String detail) {
         byte[] bytes = new byte[56];
         byte[] start = unhex(record.replace(" ", ""));
         System.arraycopy(start, 0, bytes, 0, start.length);
-        MalformedFrameException bad =
+        MalformedFrameException exception =
                 assertThrows(MalformedFrameException.class, () -> answer(frame(1, 1, bytes)));
         assertTrue(
-                bad.getMessage().startsWith("frame 1: record 0: ")
-                        && bad.getMessage().contains(what),
-                bad.getMessage());
+                exception.getMessage().startsWith("frame 1: record 0: ")
+                        && exception.getMessage().contains(detail),
+                exception.getMessage());
     }
 
     @Test
-    void aMissingFigureIsNamedInAFatal() throws IOException {
+    void missingSettingIsReportedInAFatalRecord() throws IOException {
         byte[] text = "me=0\nballoons=3\nbalancers=1".getBytes(StandardCharsets.UTF_8);
-        ByteBuffer up = ByteBuffer.allocate(56 + text.length);
-        up.put((byte) 5).putInt(3).putLong(1).putInt(0).putInt(text.length);
-        up.position(56);
-        up.put(text);
-        byte[] reply = answer(frame(1, 1, up.array()));
+        ByteBuffer startRecord = ByteBuffer.allocate(56 + text.length);
+        startRecord.put((byte) 5).putInt(3).putLong(1).putInt(0).putInt(text.length);
+        startRecord.position(56);
+        startRecord.put(text);
+        byte[] reply = answer(frame(1, 1, startRecord.array()));
         assertEquals(74, reply[12]);
         assertTrue(new String(reply, StandardCharsets.UTF_8).endsWith("classes.count is missing"));
     }
 
-    private static byte[] frame(int number, int records, byte[] rest) {
-        return ByteBuffer.allocate(20 + rest.length)
+    private static byte[] frame(int number, int records, byte[] body) {
+        return ByteBuffer.allocate(20 + body.length)
                 .putInt(number)
                 .putInt(records)
-                .putInt(8 + rest.length)
+                .putInt(8 + body.length)
                 .putLong(1_000_000)
-                .put(rest)
+                .put(body)
                 .array();
     }
 
