--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -4,31 +4,32 @@
 import sagepulley.model.Deployment;
 
 /**
- * When discovery is polled for the endpoint list, where it has to be polled: once at the start,
- * staggered over the gateways, and again after each failure, by an exponential backoff with jitter.
- * Times are milliseconds on the monotonic clock. Owned by the scheduler's thread.
+ * Schedules the polls of discovery for the endpoint list, in deployments that have to poll: a first
+ * poll, staggered across gateways, and a retry after each failure by exponential backoff with
+ * jitter. Times are milliseconds on the monotonic clock. Owned by the scheduler's thread.
  */
 public final class DiscoverySchedule {
     private static final double MIN_BACKOFF_MILLIS = 300;
 
     /**
-     * Long enough that discovery gets to the end of a queue of polls that many gateways repeat. One
-     * and a half times as much has to stay under the time in which a change counts as notified, for
-     * a rejected poll renews the lease.
+     * Gives discovery time to work off its queue while many gateways retry. With the largest jitter
+     * (1.5 times this) it stays below the notification span, because a refused poll renews the
+     * lease.
      */
     private static final double MAX_BACKOFF_MILLIS = 3_000;
 
     private static final double BACKOFF_FACTOR = 2;
 
-    /** The jitter scales a backoff by this plus a random number between 0 and 1. */
+    /** The jitter factor of a backoff is this plus a random number between 0 and 1. */
     private static final double MIN_JITTER_FACTOR = 0.5;
 
-    /** A poll reports its end within this time; one that does not is followed by another. */
+    /** Minimum time after which a poll without a result is followed by another. */
     private static final double POLL_TIMEOUT_MILLIS = 2_500;
 
+    /** Maximum time between the first polls of two consecutive gateways. */
     private static final double MAX_STAGGER_MILLIS = 250;
 
-    /** First polls: all gateways' within this part of the poll interval, and soon. */
+    /** The first polls of all gateways are spread over this fraction of the poll interval. */
     private static final double FIRST_POLL_SPREAD_FRACTION = 0.8;
 
     private static final double MAX_FIRST_POLL_SPREAD_MILLIS = 2_500;
@@ -39,15 +40,19 @@
     private double backoff = MIN_BACKOFF_MILLIS;
     private boolean hasPolled;
 
-    /** Polls nothing before {@link #started} or a failure. */
+    /**
+     * Creates a schedule in which no poll is due before {@link #started}, a failure or a change of
+     * the address.
+     */
     public DiscoverySchedule(Deployment deployment, RandomGenerator random) {
         this.deployment = deployment;
         this.random = random;
     }
 
     /**
-     * The process has started; the last of many gateways must still have polled before a change
-     * counts as notified.
+     * Schedules the first poll if the deployment has to poll; called when the gateway has its first
+     * endpoint list. The stagger by gateway index is bounded, so that the last of many gateways
+     * polls before a change counts as notified.
      */
     public void started(double now) {
         if (deployment.mustPoll()) {
@@ -61,7 +66,10 @@
         }
     }
 
-    /** A poll was answered, or its watch is still alive. */
+    /**
+     * Records that a poll was answered or its watch is alive: resets the backoff and cancels the
+     * next poll. Has no effect before the first poll.
+     */
     public void pollSucceeded() {
         if (hasPolled) {
             backoff = MIN_BACKOFF_MILLIS;
@@ -69,7 +77,7 @@
         }
     }
 
-    /** A poll failed, or the watch ended. */
+    /** Records that a poll failed or the watch ended, and schedules a retry after the backoff. */
     public void pollFailed(double now) {
         if (deployment.mustPoll()) {
             nextAt = now + backoff * (MIN_JITTER_FACTOR + random.nextDouble());
@@ -77,13 +85,19 @@
         }
     }
 
-    /** Discovery has another address from now on, which has not been polled yet. */
+    /**
+     * Records that discovery has a new address, resets the backoff and schedules a poll there
+     * within the minimum backoff.
+     */
     public void addressChanged(double now) {
         backoff = MIN_BACKOFF_MILLIS;
         nextAt = now + random.nextDouble() * MIN_BACKOFF_MILLIS;
     }
 
-    /** Whether a poll is due; if so it counts as made. */
+    /**
+     * Returns whether a poll is due. If it is, it counts as sent, and the next one is scheduled in
+     * case it has no result.
+     */
     public boolean takeDue(double now) {
         if (nextAt > now) {
             return false;
@@ -93,7 +107,7 @@
         return true;
     }
 
-    /** When the next poll is due; infinite if none is. */
+    /** Returns the time at which the next poll is due; infinite if none is scheduled. */
     public double nextAt() {
         return nextAt;
     }
--- a/src/main/java/sagepulley/membership/EndpointLease.java
+++ b/src/main/java/sagepulley/membership/EndpointLease.java
@@ -1,40 +1,46 @@
 package sagepulley.membership;
 
 /**
- * How long the endpoint list may be relied on. A change of the list counts as notified a fixed span
- * after discovery had it, whether or not it arrived here; for the drain grace after that its
- * endpoint may still be used. So the lease is renewed by whatever proves the list current, and ends
- * one span and the grace after the latest such proof. A process that has had no proof since its
- * start holds no lease. Times are milliseconds on the monotonic clock. Owned by the scheduler's
- * thread.
+ * Tracks how long the cached endpoint list may be used for sending.
+ *
+ * <p>A change of the list counts as notified a fixed span after discovery has it, whether or not
+ * this gateway received it. For the drain grace after that, the affected endpoint may still be
+ * used. Each proof that the list is current renews the lease, which expires one span plus the drain
+ * grace, less safety margins, after the time that the latest proof covers. A process without any
+ * proof since its start holds no lease.
+ *
+ * <p>Times are milliseconds on the monotonic clock. Owned by the scheduler's thread.
  */
 public final class EndpointLease {
-    /** A process may be stalled between reading its clock and writing. */
+    /** Covers a stall of the process between reading the clock and writing a request. */
     private static final double STALL_MARGIN_MILLIS = 150;
 
-    /** What the sender's timers may add. */
+    /** Covers delays of the sender's timers. */
     private static final double TIMER_MARGIN_MILLIS = 50;
 
-    /** What discovery has counts as notified so long after a new configuration was notified. */
+    /**
+     * After a configuration change is notified, changes at discovery count as notified this much
+     * later.
+     */
     private static final double NOTIFIED_AFTER_RELOAD_MILLIS = 4_000;
 
     private final double notificationSpan;
     private final double effectiveDrainGrace;
 
-    /** Until then no change that is unknown here can count as notified. */
+    /** Before this time, no change that is unknown to this gateway counts as notified. */
     private double currentUntil;
 
     private double confirmedAt = Double.NEGATIVE_INFINITY;
 
-    /** When a reload was notified that has not been completed; infinite if there is none. */
+    /** When the reload was notified that has not completed; infinite if there is none. */
     private double pendingReloadAt = Double.POSITIVE_INFINITY;
 
     /**
-     * A lease without any proof yet.
+     * Creates a lease without any proof of a current list.
      *
-     * @param notificationSpan within which a change counts as notified; infinite for an engine to
-     *     which nothing arrives late, whose lease always holds
-     * @param drainGrace for which an endpoint may be used after its removal was notified
+     * @param notificationSpan time within which a change counts as notified; infinite if changes
+     *     cannot be missed, in which case the lease never expires
+     * @param drainGrace time for which an endpoint may be used after its removal counts as notified
      */
     public EndpointLease(double notificationSpan, double drainGrace) {
         this.notificationSpan = notificationSpan;
@@ -42,12 +48,15 @@
         this.currentUntil = isBounded() ? Double.NEGATIVE_INFINITY : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether the lease can expire. */
+    /** Returns whether the lease can expire. */
     public boolean isBounded() {
         return notificationSpan < Double.POSITIVE_INFINITY;
     }
 
-    /** The cached list is known to have been current at a time. */
+    /**
+     * Records that the cached list was current at a time, and renews the lease unless a reload is
+     * pending.
+     */
     public void confirmed(double asOf) {
         confirmedAt = Math.max(confirmedAt, asOf);
         renew(asOf);
@@ -55,15 +64,15 @@
 
     private void renew(double asOf) {
         if (pendingReloadAt < Double.POSITIVE_INFINITY) {
-            return; // the proof may be of a discovery that is no longer configured
+            return; // the proof may come from a discovery address that is no longer configured
         }
         currentUntil = Math.max(currentUntil, asOf + notificationSpan);
     }
 
     /**
-     * Nobody could reach discovery at a time: what it has counts as notified only when it has been
-     * reachable for the whole span again. That renews a lease under which nothing unknown counts as
-     * notified yet, and no other.
+     * Records that discovery was unreachable for every client at a time. Changes count as notified
+     * only after discovery was reachable for a whole span, so the lease is renewed if no unknown
+     * change could count as notified at that time, and left as it is otherwise.
      */
     public void unreachable(double at) {
         if (at < currentUntil) {
@@ -72,9 +81,8 @@
     }
 
     /**
-     * A new configuration was notified at a time: discovery may have another address, and has
-     * confirmed nothing there yet. Until the reload is completed nobody knows that address, and
-     * nothing renews the lease.
+     * Records that a new configuration was notified, which may move discovery to another address. A
+     * bounded lease ends earlier if needed, and nothing renews it until the reload is completed.
      */
     public void reloadNotified(double notifiedAt) {
         if (isBounded()) {
@@ -83,7 +91,10 @@
         }
     }
 
-    /** A configuration whose reading began at a time is known, or known to be unusable. */
+    /**
+     * Records that a configuration was read, or found unusable. The reload is complete if reading
+     * began at or after its notification.
+     */
     public void reloadCompleted(double readAt) {
         if (readAt >= pendingReloadAt) {
             pendingReloadAt = Double.POSITIVE_INFINITY;
@@ -91,19 +102,19 @@
     }
 
     /**
-     * The latest time as of which the list is known to have been current; negative infinity if
+     * Returns the latest time at which the list is known to have been current; negative infinity if
      * there is none.
      */
     public double confirmedAt() {
         return confirmedAt;
     }
 
-    /** Whether endpoints may be sent to by the cached list. */
+    /** Returns whether the cached list may be used for sending. */
     public boolean holds(double now) {
         return now < expiresAt();
     }
 
-    /** When the lease ends unless it is renewed. */
+    /** Returns the time at which the lease expires unless it is renewed. */
     public double expiresAt() {
         return currentUntil + effectiveDrainGrace;
     }
--- a/src/main/java/sagepulley/membership/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/membership/EndpointListUpdate.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * An endpoint list as a directory sends it.
+ * An endpoint list, or the changes to one, as a directory sends it.
  *
- * @param site whose list it is; empty if the directory does not say
- * @param history which run of versions it belongs to; a directory that is rebuilt or restored
- *     begins another
- * @param version counts up within a history
- * @param complete whether all endpoints are in it, or only those that changed
+ * @param site the site that the list belongs to; empty if the directory does not name it
+ * @param history identifies a sequence of versions; a directory that is rebuilt or restored starts
+ *     a new one
+ * @param version increases within a history
+ * @param complete whether the update has all endpoints, rather than only those that changed
  */
 public record EndpointListUpdate(
         String site,
--- a/src/main/java/sagepulley/membership/EndpointPollPolicy.java
+++ b/src/main/java/sagepulley/membership/EndpointPollPolicy.java
@@ -1,41 +1,42 @@
 package sagepulley.membership;
 
 /**
- * Timeouts of polls to discovery, and which overdue polls stay open. Times are milliseconds on the
- * monotonic clock. Stateless.
+ * Defines the timeouts of polls to discovery, and which overdue polls stay open. Times are
+ * milliseconds on the monotonic clock. Stateless.
  */
 public final class EndpointPollPolicy {
-    /** A connection to discovery has to come up within this time. */
+    /** Time limit for opening a connection to discovery. */
     public static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     /**
-     * An empty line is due every 2 s, so that a watch that brings none for this long is overdue.
-     * With {@link #FIRST_LIST_TIMEOUT_MILLIS} it leaves time for one more poll before the lease of
-     * the list ends.
+     * A watch that receives nothing for this long is overdue; discovery sends an empty line every 2
+     * s. Together with {@link #FIRST_LIST_TIMEOUT_MILLIS} this leaves time for one more poll before
+     * the lease of the list ends.
      */
     public static final long IDLE_TIMEOUT_MILLIS = 2_500;
 
-    /** A poll whose first list has not come within this time is overdue. */
+    /** A poll without its first list after this time is overdue. */
     public static final long FIRST_LIST_TIMEOUT_MILLIS = 2_200;
 
-    /** Overdue polls that stay open: discovery may be slow, and what it still answers is taken. */
+    /** Overdue polls that stay open, because a slow discovery may still answer them. */
     public static final int MAX_OVERDUE_POLLS = 1;
 
-    /** An overdue poll that has brought something is dropped when it is quiet for longer. */
+    /** An overdue poll that has received data may be closed after this much idle time. */
     private static final double MAX_STALL_MILLIS = 2_500;
 
-    /** An overdue poll that has brought nothing is dropped when it is open for longer. */
+    /** An overdue poll that has received nothing may be closed after this time. */
     private static final double MAX_UNANSWERED_MILLIS = 12_000;
 
     private EndpointPollPolicy() {}
 
     /**
-     * Whether the oldest overdue poll is dropped for a later one. As a rule it stays, for it is the
-     * first in discovery's queue.
+     * Returns whether the oldest overdue poll is closed, instead of the newest, when more than
+     * {@link #MAX_OVERDUE_POLLS} are open. Normally the oldest is kept, because it is first in
+     * discovery's queue.
      *
-     * @param isAtFormerAddress whether discovery has left the address that it was sent to
-     * @param openMillis since it was opened
-     * @param idleMillis since its last byte; infinite where none has come
+     * @param isAtFormerAddress whether the poll was sent to an address that discovery has left
+     * @param openMillis time since the poll was opened
+     * @param idleMillis time since its last received byte; infinite if it has received none
      */
     public static boolean shouldDropOldest(
             boolean isAtFormerAddress, double openMillis, double idleMillis) {
--- a/src/main/java/sagepulley/membership/EndpointRecord.java
+++ b/src/main/java/sagepulley/membership/EndpointRecord.java
@@ -4,11 +4,11 @@
 import sagepulley.model.ExternalName;
 
 /**
- * What a source says of a node.
+ * A node's entry in an endpoint list, as one source reports it.
  *
- * @param node its id, never 0
- * @param startedAt wall-clock milliseconds; 0 for long ago
- * @param weight its capacity relative to other nodes'
+ * @param node the node id, never 0
+ * @param startedAt when the node started, in wall-clock milliseconds; 0 for long ago
+ * @param weight capacity relative to other nodes
  */
 public record EndpointRecord(
         int node,
@@ -23,14 +23,14 @@
     private static final int MAX_HOST_LENGTH = 255;
     private static final int MAX_PORT = 65_535;
 
-    /** Whether a node may be sent to. */
+    /** Whether operations may be sent to a node. */
     public enum Phase implements ExternalName {
-        /** It is no member any more. */
+        /** The node is no longer a member. */
         @JsonProperty("GONE")
         REMOVED("gone"),
-        /** It may be sent to. */
+        /** The node accepts operations. */
         READY("ready"),
-        /** It finishes what it has and takes nothing new. */
+        /** The node finishes its operations in progress and accepts no new ones. */
         DRAINING("draining");
 
         private final String externalName;
@@ -45,7 +45,7 @@
         }
 
         /**
-         * The phase of an external name, whatever its case.
+         * Returns the phase with an external name, ignoring case.
          *
          * @throws IllegalArgumentException if no phase has that name
          */
@@ -55,7 +55,7 @@
                     return phase;
                 }
             }
-            throw new IllegalArgumentException("'" + name + "' is no phase of an endpoint");
+            throw new IllegalArgumentException("unknown phase '" + name + "', expected one of gone, ready, draining");
         }
     }
 
@@ -79,7 +79,7 @@
         return new EndpointRecord(node, cell, zone, kind, phase, other, weight, host, port);
     }
 
-    /** Whether no field is missing or out of range. */
+    /** Returns whether every field is present and in range. */
     boolean isValid() {
         return phase != null
                 && host != null
--- a/src/main/java/sagepulley/membership/ListFreshness.java
+++ b/src/main/java/sagepulley/membership/ListFreshness.java
@@ -1,14 +1,16 @@
 package sagepulley.membership;
 
-/** How far an endpoint list is trusted, by the time since a directory confirmed it. */
+/** How far an endpoint list is trusted, by the time since a directory last confirmed it. */
 public enum ListFreshness {
-    /** Used as it is: a change since then is notified soon, as at any time. */
+    /**
+     * Nodes are used as listed; changes since the last confirmation are expected to arrive soon.
+     */
     FRESH,
     /**
-     * Nodes may be sent to, and are verified by the handshake; new objects go only to verified
-     * ones.
+     * Nodes may be sent to and are verified by the handshake; new objects are placed only on
+     * verified nodes.
      */
     AGED,
-    /** Every node is probed before any operation goes to it. */
+    /** A node is used only after a probe has verified it. */
     OLD
 }
--- a/src/main/java/sagepulley/membership/Member.java
+++ b/src/main/java/sagepulley/membership/Member.java
@@ -5,8 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One node as {@link Membership} knows it: its record and source, what the node proved itself, when
- * to probe it, and whether it is held down for flapping. Times are wall-clock milliseconds.
+ * The state of one node in {@link Membership}: its record and source, the result of its latest
+ * handshake, its probe schedule, and its hold-down for flapping. Times are wall-clock milliseconds.
  */
 final class Member {
     private static final int MIN_FLAPS_FOR_HOLD_DOWN = 3;
@@ -17,22 +17,22 @@
     private static final double MAX_PROBE_DELAY_MILLIS = 30_000;
     private static final int MAX_PROBE_DELAY_DOUBLINGS = 10;
 
-    /** The jitter scales a probe delay by this plus a random number between 0 and 1. */
+    /** The jitter factor of a probe delay is this plus a random number between 0 and 1. */
     private static final double MIN_JITTER_FACTOR = 0.5;
 
     private EndpointRecord endpoint;
     private RecordSource source;
 
-    /** The latest update of the directory lists it as ready, even if that is not trusted yet. */
+    /** Whether the latest update of the directory that has the node lists it as ready. */
     private boolean listedReady;
 
-    /** The node itself announced that it is draining. */
+    /** Whether the node announced that it is draining. */
     private boolean selfDraining;
 
     private boolean connected;
     private double verifiedAt = Double.NEGATIVE_INFINITY;
 
-    /** Why this gateway excludes it, whatever the list says; null if it does not. */
+    /** Why this gateway excludes the node regardless of the list; null if it does not. */
     private String exclusion;
 
     private boolean probing;
@@ -40,12 +40,12 @@
     private int failedProbes;
     private double nextProbeAt = Double.NEGATIVE_INFINITY;
 
-    /** When it became ready after something else, within the flap window. */
+    /** When the node became ready again, within the flap window. */
     private final Deque<Double> flaps = new ArrayDeque<>();
 
     private double heldDownUntil = Double.NEGATIVE_INFINITY;
 
-    /** Since when a list of another history omits it; NaN if none does. */
+    /** When a complete list of another history omitted the node; NaN if no omission is pending. */
     private double omittedSince = Double.NaN;
 
     Member(EndpointRecord endpoint, RecordSource source) {
@@ -53,7 +53,7 @@
         this.source = source;
     }
 
-    /** A node that a directory listed for the first time. */
+    /** Creates a member for a node that a directory lists for the first time. */
     static Member listed(EndpointRecord endpoint) {
         Member member = new Member(endpoint, RecordSource.DIRECTORY);
         member.listedReady = endpoint.isReady();
@@ -84,9 +84,12 @@
         return source == RecordSource.SITE;
     }
 
-    // ---- what a directory lists ----
+    // ---- directory updates ----
 
-    /** An older version of the list: only what restricts is taken. Returns whether that changed. */
+    /**
+     * Applies a record from an older version of the list, of which only restrictions take effect.
+     * Returns whether the phase changed.
+     */
     boolean applyStaleRecord(EndpointRecord update) {
         omittedSince = Double.NaN;
         if (update.isReady() || !endpoint.isReady()) {
@@ -97,7 +100,10 @@
         return true;
     }
 
-    /** The current version of the list. Returns whether its use may have changed. */
+    /**
+     * Applies a record from the current version of the list. Returns whether the node's use may
+     * have changed.
+     */
     boolean applyRecord(EndpointRecord update, Membership.Policy policy, double now) {
         omittedSince = Double.NaN;
         EndpointRecord before = endpoint;
@@ -105,7 +111,7 @@
             recordFlap(policy, now);
         }
         boolean sameAddress = before.hasSameAddress(update);
-        // A node that announced a later start itself knows better than a directory that lags.
+        // A later start reported by the node itself overrides a directory that lags.
         long startedAt = Math.max(update.startedAt(), sameAddress ? before.startedAt() : 0);
         endpoint = update.withStartedAt(startedAt);
         source = RecordSource.DIRECTORY;
@@ -116,7 +122,7 @@
             nextProbeAt = Math.min(nextProbeAt, now);
         }
         if (update.isReady() && update.startedAt() > before.startedAt()) {
-            selfDraining = false; // it restarted since it announced that
+            selfDraining = false; // it restarted after the announcement
         }
         return !endpoint.equals(before) || exclusion == null;
     }
@@ -135,7 +141,7 @@
         }
     }
 
-    /** It has another address or cell: what was learned by contact is of no use any more. */
+    /** Resets what was learned by contact, which does not apply to a new address or cell. */
     private void resetContact() {
         exclusion = null;
         verifiedAt = Double.NEGATIVE_INFINITY;
@@ -145,8 +151,8 @@
     }
 
     /**
-     * A complete list does not have it: it is removed, or, if the list is of another history, the
-     * grace time for omissions begins. Returns whether its use changed.
+     * Handles the omission of the node from a complete list: removes the node or, if the list is of
+     * another history, starts the grace period for omissions. Returns whether its use changed.
      */
     boolean markOmitted(boolean isOtherHistory, double now) {
         if (!Double.isNaN(omittedSince)) {
@@ -160,7 +166,10 @@
         return true;
     }
 
-    /** Ends grace times that are over. Returns whether its use changed. */
+    /**
+     * Ends a grace period and a hold-down that have expired. Returns whether the node's use may
+     * have changed.
+     */
     boolean advanceTo(double now, Membership.Policy policy) {
         boolean changed = false;
         if (now - omittedSince > policy.omissionGraceMillis()) {
@@ -177,7 +186,7 @@
 
     // ---- contact with the node ----
 
-    /** Another node answers at its address, or it holds another cell. */
+    /** Excludes the node, because another node answers at its address or it holds another cell. */
     void exclude(String reason, double now, RandomGenerator random) {
         probing = false;
         exclusion = reason;
@@ -185,7 +194,10 @@
         scheduleProbe(now, random);
     }
 
-    /** It proved who it is. Returns whether earlier routing decisions for it still stand. */
+    /**
+     * Records a handshake that confirmed the node's identity. Returns whether earlier routing
+     * decisions for the node remain valid.
+     */
     boolean markVerified(boolean draining, long startedAt, double now) {
         boolean restarted = startedAt > endpoint.startedAt();
         boolean beganDraining = draining && !selfDraining;
@@ -236,7 +248,7 @@
         probedAt = now;
     }
 
-    /** Gives up a probe that has taken too long. */
+    /** Ends a probe that has timed out, and schedules the next. */
     void expireProbe(double now, RandomGenerator random) {
         if (probing && now - probedAt > PROBE_TIMEOUT_MILLIS) {
             probing = false;
@@ -251,7 +263,10 @@
         nextProbeAt = now + delay * (MIN_JITTER_FACTOR + random.nextDouble());
     }
 
-    /** Whether a probe now would tell something that a fresh list and contact have not told. */
+    /**
+     * Returns whether the node should be probed now: it is excluded, or it is unverified and the
+     * list alone does not suffice to use it.
+     */
     boolean needsProbe(double now, ListFreshness freshness, Membership.Policy policy) {
         if (probing || connected || now < nextProbeAt || endpoint.isRemoved()) {
             return false;
@@ -266,11 +281,11 @@
 
     // ---- the result ----
 
-    /** How it is to be used now, and why so. */
+    /** Returns how the node is to be used now, and the reason. */
     Membership.MemberView view(double now, ListFreshness freshness, Membership.Policy policy) {
         boolean verified = isVerified(now, policy);
         EndpointRecord.Phase phase = endpoint.phase();
-        String reason = "listed as it is";
+        String reason = "listed as ready";
         if (exclusion != null) {
             phase = EndpointRecord.Phase.REMOVED;
             reason = exclusion;
@@ -278,17 +293,17 @@
             reason = "listed as gone, or no longer listed";
         } else if (phase == EndpointRecord.Phase.DRAINING || selfDraining) {
             phase = EndpointRecord.Phase.DRAINING;
-            reason = selfDraining ? "it says that it drains" : "listed as draining";
+            reason = selfDraining ? "node announced that it is draining" : "listed as draining";
         } else if (now < heldDownUntil) {
             phase = EndpointRecord.Phase.DRAINING;
-            reason = "it flaps: held down until it stays";
+            reason = "held down for flapping";
         } else if (!verified && (freshness == ListFreshness.OLD || isConfigured())) {
             phase = EndpointRecord.Phase.REMOVED;
-            reason = "not believed before it has proven itself";
+            reason = "not used before a handshake verifies it";
         } else if (!verified && freshness == ListFreshness.AGED) {
-            reason = "aged list: no new objects before it has proven itself";
+            reason = "endpoint list is aged: no new objects before a handshake verifies the node";
         } else if (verified) {
-            reason = "proved itself";
+            reason = "verified by a handshake";
         }
         boolean acceptsNewObjects =
                 phase == EndpointRecord.Phase.READY
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -9,26 +9,28 @@
 import java.util.stream.Collectors;
 
 /**
- * One view of the nodes, made of what the directory, a list on disk, the site file and the nodes
- * themselves say, each trusted as far as docs/membership.md has it. No I/O; times are wall-clock
- * milliseconds that are handed in and only move forward within a life; randomness is handed in.
- * Owned by the engine's thread.
+ * Merges the directory's updates, the list on disk, the site file and the nodes' handshakes into
+ * one view of the nodes. docs/membership.md defines how far each source is trusted. Does no I/O;
+ * the caller supplies the time, in wall-clock milliseconds that do not decrease while the process
+ * runs, and the source of randomness. Owned by the engine's thread.
  *
- * <p>What restricts is accepted at once, from whomever it comes: draining, removed, another
- * identity. What permits is accepted by the trust in its source, or when the node itself proves it.
+ * <p>A restriction (draining, removed, wrong identity) takes effect at once, from any source. A
+ * permission takes effect as far as its source is trusted, or once a handshake with the node
+ * confirms it.
  */
 public class Membership {
     /**
-     * How far sources are trusted.
+     * Configures how far sources are trusted.
      *
      * @param freshMillis age up to which a list is fresh
-     * @param agedMillis age up to which a list is aged and not yet old
-     * @param maxConcurrentProbes nodes probed at the same time
-     * @param probeIntervalMillis between the starts of two probes
-     * @param verificationMillis how long a handshake's proof holds after the connection ended
+     * @param agedMillis age up to which a list is aged; beyond it the list is old
+     * @param maxConcurrentProbes maximum number of nodes probed at the same time
+     * @param probeIntervalMillis minimum time between the starts of two probes
+     * @param verificationMillis how long a node stays verified after its connection ended
      * @param omissionGraceMillis how long a node stays that a list of another history omits
-     * @param initialHoldDownMillis hold-down of a node that begins to flap; doubles with each flap
-     * @param maxHoldDownMillis the longest hold-down
+     * @param initialHoldDownMillis first hold-down of a flapping node; doubles with each further
+     *     flap
+     * @param maxHoldDownMillis maximum hold-down
      */
     public record Policy(
             double freshMillis,
@@ -39,27 +41,31 @@
             double omissionGraceMillis,
             double initialHoldDownMillis,
             double maxHoldDownMillis) {
-        /** The policy of a gateway whose site file says nothing about it. */
+        /** The policy of a gateway whose site file does not configure one. */
         public static final Policy DEFAULT =
                 new Policy(300_000, 86_400_000, 4, 50, 60_000, 30_000, 5_000, 120_000);
     }
 
-    /** What a node's handshake means for what was about to go to it. */
+    /** The result of a node's handshake for attempts that wait to be sent to it. */
     public enum HandshakeVerdict {
-        /** It is the expected node, in the expected state. */
+        /** The expected node answered, and earlier routing decisions remain valid. */
         ACCEPTED,
-        /** It is the expected node, but drains or has just started: route anew. */
+        /**
+         * The expected node answered, but it has begun to drain or has restarted: attempts must be
+         * rerouted.
+         */
         REROUTE,
-        /** It is another node: nothing goes there. */
+        /** Another node or cell answered: nothing may be sent there. */
         WRONG_NODE
     }
 
     /**
-     * What became of an update.
+     * The result of an update.
      *
-     * @param accepted whether all of it was taken; of a stale list only what restricts is
+     * @param accepted whether the whole update was applied; only the restrictions of a stale one
+     *     are
      * @param changed whether a member's use may have changed
-     * @param reason why it was not accepted, or what is special about it; empty if nothing
+     * @param reason why the update was not accepted, or a remark on an accepted one; may be empty
      */
     public record UpdateResult(boolean accepted, boolean changed, String reason) {
         private static UpdateResult rejected(String reason) {
@@ -68,10 +74,10 @@
     }
 
     /**
-     * A node as it is to be used; the property names are those of /nodes.
+     * A node and how it is to be used; the property names are those of /nodes.
      *
-     * @param verified whether the node proved lately who it is
-     * @param reason why it is to be used so
+     * @param verified whether a recent handshake confirmed the node's identity
+     * @param reason why the node is to be used this way
      */
     public record MemberView(
             @JsonProperty("line") EndpointRecord endpoint,
@@ -84,8 +90,8 @@
     private static final int MAX_NODES = 1 << 14;
 
     /**
-     * A stored confirmation that lies further ahead of the clock shows that the clock was set back:
-     * the list's age is not known.
+     * If a stored confirmation lies further than this in the future, the clock was set back and the
+     * age of the list is unknown.
      */
     private static final double CLOCK_TOLERANCE_MILLIS = 1_000;
 
@@ -93,7 +99,7 @@
     private final Policy policy;
     private final RandomGenerator random;
 
-    /** By node id, which is the order of views and probes. */
+    /** Members by node id, in the order of views and probes. */
     private final Map<Integer, Member> members = new TreeMap<>();
 
     private long history;
@@ -102,7 +108,7 @@
     private ListFreshness lastFreshness = ListFreshness.OLD;
     private double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-    /** Without any member; updates that name another site are rejected. */
+    /** Creates a membership without members, which rejects updates for another site. */
     public Membership(String site, Policy policy, RandomGenerator random) {
         this.site = site;
         this.policy = policy;
@@ -111,7 +117,7 @@
 
     // ---- sources ----
 
-    /** Starts with the list that an earlier life stored, or an operator imported. */
+    /** Restores the list that an earlier incarnation stored or an operator imported. */
     public void restore(StoredEndpointList list, double now) {
         history = list.history();
         version = list.version();
@@ -126,20 +132,23 @@
         lastFreshness = freshness(now);
     }
 
-    /** Nodes of the site file: each is verified before it is used; any other source overrides. */
+    /**
+     * Adds the nodes of the site file, unless another source has listed them. They are verified
+     * before use, and any other source overrides them.
+     */
     public void addConfigured(List<EndpointRecord> endpoints) {
         for (EndpointRecord endpoint : endpoints) {
             members.computeIfAbsent(endpoint.node(), id -> new Member(endpoint, RecordSource.SITE));
         }
     }
 
-    /** A directory sent a list, or what changed in it. */
+    /** Applies an endpoint list, or changes to it, that a directory sent. */
     public UpdateResult applyUpdate(EndpointListUpdate update, double now) {
         if (!update.site().isEmpty() && !update.site().equals(site)) {
-            return UpdateResult.rejected("it is of site '" + update.site() + "'");
+            return UpdateResult.rejected("list is for site '" + update.site() + "', expected '" + site + "'");
         }
         if (update.complete() && update.endpoints().isEmpty() && !members.isEmpty()) {
-            return UpdateResult.rejected("it is empty, and nodes are known");
+            return UpdateResult.rejected("complete list is empty although nodes are known");
         }
         boolean isStale = update.history() == history && update.version() < version;
         boolean isOtherHistory = history != 0 && update.history() != history;
@@ -148,11 +157,11 @@
             changed |= applyRecord(endpoint, isStale, now);
         }
         if (isStale) {
-            // Only what restricts was taken; what it permits, the nodes themselves must prove.
+            // Only restrictions were applied; permissions require a newer list or a handshake.
             return new UpdateResult(
                     false,
                     changed,
-                    "its version " + update.version() + " is older than " + version);
+                    "version " + update.version() + " is older than the current version " + version);
         }
         if (update.complete()) {
             changed |= applyOmissions(update, isOtherHistory, now);
@@ -167,7 +176,7 @@
                 true,
                 changed,
                 isOtherHistory
-                        ? "of another history: what it leaves out is doubted for a while"
+                        ? "list has another history: omissions take effect only after a grace period"
                         : "");
     }
 
@@ -185,7 +194,7 @@
         return true;
     }
 
-    /** Members that a complete list does not have; those of the site file stay. */
+    /** Handles the members that a complete list omits, except those of the site file. */
     private boolean applyOmissions(EndpointListUpdate update, boolean isOtherHistory, double now) {
         boolean changed = false;
         Set<Integer> listed =
@@ -203,13 +212,13 @@
     // ---- contact with nodes ----
 
     /**
-     * A node answered the handshake.
+     * Records the result of a handshake.
      *
-     * @param node which was connected to
-     * @param answeringNode which answered
-     * @param cell which the answering node holds
-     * @param draining whether it says that it drains
-     * @param startedAt when it started, wall-clock milliseconds; 0 for long ago
+     * @param node the node that the connection was opened to
+     * @param answeringNode the node that answered
+     * @param cell the cell that the answering node holds
+     * @param draining whether the node reports that it is draining
+     * @param startedAt when the node started, in wall-clock milliseconds; 0 for long ago
      */
     public HandshakeVerdict handshakeCompleted(
             int node, int answeringNode, int cell, boolean draining, long startedAt, double now) {
@@ -218,12 +227,12 @@
             return HandshakeVerdict.WRONG_NODE;
         }
         if (answeringNode != node) {
-            member.exclude("at its address node " + answeringNode + " answers", now, random);
+            member.exclude("node " + answeringNode + " answered at the address of node " + node, now, random);
             return HandshakeVerdict.WRONG_NODE;
         }
         int expectedCell = member.endpoint().cell();
         if (cell != expectedCell) {
-            member.exclude("it holds cell " + cell + ", not " + expectedCell, now, random);
+            member.exclude("node holds cell " + cell + ", expected cell " + expectedCell, now, random);
             return HandshakeVerdict.WRONG_NODE;
         }
         return member.markVerified(draining, startedAt, now)
@@ -231,7 +240,7 @@
                 : HandshakeVerdict.REROUTE;
     }
 
-    /** A connected node announced that it is draining. */
+    /** Records that a connected node announced that it is draining. */
     public void drainAnnounced(int node) {
         Member member = members.get(node);
         if (member != null) {
@@ -239,7 +248,7 @@
         }
     }
 
-    /** The connection to a node ended, or did not come about. */
+    /** Records that the connection to a node ended or could not be opened. */
     public void disconnected(int node, double now) {
         Member member = members.get(node);
         if (member != null) {
@@ -248,8 +257,8 @@
     }
 
     /**
-     * Which node is to be probed now, at most one: the one whose last probe is longest ago. It
-     * counts as probed.
+     * Returns the node to probe now, if any: the one with the earliest last probe of those that
+     * need one. The caller must probe it, as it counts as probed.
      */
     public List<Integer> takeProbes(double now) {
         ListFreshness freshness = freshness(now);
@@ -275,7 +284,7 @@
 
     // ---- time ----
 
-    /** How far the list is trusted now. */
+    /** Returns how far the list is trusted now. */
     public ListFreshness freshness(double now) {
         double age = age(now);
         if (age <= policy.freshMillis()) {
@@ -285,16 +294,16 @@
     }
 
     /**
-     * Milliseconds since a directory confirmed the list; infinity if none did, or the clock was set
-     * back.
+     * Returns the milliseconds since a directory confirmed the list; infinite if none did or the
+     * clock was set back.
      */
     public double age(double now) {
         return now - confirmedAt;
     }
 
     /**
-     * A subscription stands and nothing changed: the list is confirmed as it is. Returns whether
-     * that changed its freshness.
+     * Records that an open subscription confirmed the list without changes. Returns whether the
+     * list's freshness changed.
      */
     public boolean confirmed(double now) {
         confirmedAt = now;
@@ -302,8 +311,8 @@
     }
 
     /**
-     * Ends grace times and hold-downs that are over and lets freshness fade. Returns whether a
-     * member's use may have changed.
+     * Ends grace periods and hold-downs that have expired, and updates the freshness. Returns
+     * whether a member's use may have changed.
      */
     public boolean advanceTo(double now) {
         boolean changed = updateFreshness(now);
@@ -322,7 +331,7 @@
 
     // ---- the result ----
 
-    /** Every node that is known, by id, and how it is to be used now. */
+    /** Returns every known node in the order of ids, and how it is to be used now. */
     public List<MemberView> members(double now) {
         ListFreshness freshness = freshness(now);
         return members.values().stream()
@@ -330,12 +339,12 @@
                 .toList();
     }
 
-    /** Whether no node is known. */
+    /** Returns whether no node is known. */
     public boolean isEmpty() {
         return members.isEmpty();
     }
 
-    /** What is to be stored on disk; the site file's nodes are not. */
+    /** Returns the list to store on disk, which has no nodes of the site file. */
     public StoredEndpointList snapshot() {
         return new StoredEndpointList(
                 site,
--- a/src/main/java/sagepulley/membership/ReconnectBackoff.java
+++ b/src/main/java/sagepulley/membership/ReconnectBackoff.java
@@ -3,9 +3,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When to connect again to a directory that did not answer: each delay is random, between a minimum
- * and three times the one before, up to a maximum ("decorrelated jitter"), so that many gateways
- * that lost it together do not come back together. Milliseconds. For one thread.
+ * Computes the delays between attempts to reconnect to a directory. Each delay is random between a
+ * minimum and three times the previous one, up to a maximum ("decorrelated jitter"), so that
+ * gateways that lost the directory together do not reconnect together. Delays are milliseconds. Not
+ * thread-safe.
  */
 public final class ReconnectBackoff {
     private static final double MAX_GROWTH = 3;
@@ -15,7 +16,7 @@
     private final RandomGenerator random;
     private double delay;
 
-    /** Begins with the minimum. */
+    /** Creates a backoff whose first delay is between the minimum and three times the minimum. */
     public ReconnectBackoff(double minDelayMillis, double maxDelayMillis, RandomGenerator random) {
         this.minDelayMillis = minDelayMillis;
         this.maxDelayMillis = maxDelayMillis;
@@ -23,14 +24,14 @@
         this.delay = minDelayMillis;
     }
 
-    /** The delay before the next attempt, in milliseconds. */
+    /** Returns the delay before the next attempt, in milliseconds. */
     public double nextDelayMillis() {
         double range = Math.max(0, MAX_GROWTH * delay - minDelayMillis);
         delay = Math.min(maxDelayMillis, minDelayMillis + random.nextDouble() * range);
         return delay;
     }
 
-    /** The directory answered: the next failure begins with the minimum again. */
+    /** Resets the backoff after the directory answered. */
     public void reset() {
         delay = minDelayMillis;
     }
--- a/src/main/java/sagepulley/membership/RecordSource.java
+++ b/src/main/java/sagepulley/membership/RecordSource.java
@@ -2,7 +2,7 @@
 
 /** Where an endpoint record came from. */
 public enum RecordSource {
-    /** A directory, in this process's life. */
+    /** A directory, since this process started. */
     DIRECTORY,
     /** The endpoint list file. */
     DISK,
--- a/src/main/java/sagepulley/membership/StoredEndpointList.java
+++ b/src/main/java/sagepulley/membership/StoredEndpointList.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * An endpoint list as it is stored on disk (JSON; the property names are the file's).
+ * An endpoint list as stored on disk, in JSON; the property names are those of the file.
  *
- * @param site whose list it is
- * @param history the directory's run of versions
- * @param version its version within the history
- * @param confirmedAt when a directory last confirmed it, wall-clock milliseconds; 0 for never
+ * @param site the site that the list belongs to
+ * @param history the directory history that the version belongs to
+ * @param version the version within the history
+ * @param confirmedAt when a directory last confirmed the list, in wall-clock milliseconds; 0 if
+ *     never
  */
 public record StoredEndpointList(
         String site,
@@ -18,9 +19,9 @@
         long confirmedAt,
         @JsonProperty("lines") List<StoredEndpoint> endpoints) {
     /**
-     * One endpoint.
+     * A stored endpoint.
      *
-     * @param selfDraining whether the node itself announced that it is draining
+     * @param selfDraining whether the node announced that it is draining
      */
     public record StoredEndpoint(
             @JsonProperty("line") EndpointRecord endpoint,
@@ -34,9 +35,9 @@
     private static final int MAX_ENDPOINTS = 1 << 14;
 
     /**
-     * Checks what was read.
+     * Validates a list that was read from a file.
      *
-     * @return this
+     * @return this list
      * @throws IllegalArgumentException if a field is missing or out of range
      */
     public StoredEndpointList checked() {
@@ -45,11 +46,13 @@
                 || endpoints.size() > MAX_ENDPOINTS
                 || version < 0
                 || confirmedAt < 0) {
-            throw new IllegalArgumentException("no list of nodes");
+            throw new IllegalArgumentException("invalid endpoint list: site or lines missing, more than "
+                            + MAX_ENDPOINTS
+                            + " lines, or a negative version or confirmedAt");
         }
         for (StoredEndpoint stored : endpoints) {
             if (stored == null || !stored.isValid()) {
-                throw new IllegalArgumentException("a line that can be no node's: " + stored);
+                throw new IllegalArgumentException("invalid endpoint list entry: " + stored);
             }
         }
         return this;
--- a/src/main/java/sagepulley/placement/ExtentHolders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -7,15 +7,17 @@
 import java.util.Map;
 
 /**
- * What this gateway knows of which cell holds which extent, and who waits to learn it. A holder,
- * once known, stays until a node denies it. While a claim is pending, other operations on the
- * extent wait for it, but not long: a directory may stop answering, and a waiter past its time is
- * handed back to be decided about. Times are milliseconds. For one thread.
+ * Caches which cell holds each extent, and tracks what waits to learn the holder of an extent. A
+ * known holder stays until a node denies that it holds the extent.
  *
- * @param <W> who waits
+ * <p>While a claim is pending, other operations on the extent wait for its result. As the directory
+ * may not answer, the wait is limited, and the caller decides about waiters whose time has expired.
+ * Times are milliseconds. Not thread-safe.
+ *
+ * @param <W> the type of waiters
  */
 public final class ExtentHolders<W> {
-    /** A waiter is handed back with the holder unknown after so long. */
+    /** Maximum time that a waiter waits for an unknown holder. */
     public static final double MAX_WAIT_MILLIS = 50;
 
     private static final int UNKNOWN_CELL = -1;
@@ -31,32 +33,34 @@
 
     private final Map<Long, Extent<W>> extents = new HashMap<>();
 
-    /** Those of them that have waiters. */
+    /** The subset of extents that have waiters. */
     private final Map<Long, Extent<W>> extentsWithWaiters = new HashMap<>();
 
-    /** One number for an extent of a volume, never 0. */
+    /** Returns the key of an extent of a volume, which is never 0. */
     public static long key(int volume, long extent) {
         return (long) volume << EXTENT_BITS | extent + 1;
     }
 
-    /** The cell that holds an extent, or -1 where none is known. */
+    /** Returns the cell that holds an extent, or -1 if it is unknown. */
     public int cell(long key) {
         Extent<W> extent = extents.get(key);
         return extent == null ? UNKNOWN_CELL : extent.cell;
     }
 
-    /** Whether a claim for the extent is pending. */
+    /** Returns whether a claim for the extent is pending. */
     public boolean hasPendingClaim(long key) {
         Extent<W> extent = extents.get(key);
         return extent != null && extent.pendingClaims > 0;
     }
 
-    /** A claim is sent. */
+    /** Records that a claim for an extent was sent. */
     public void claimStarted(long key) {
         extents.computeIfAbsent(key, id -> new Extent<>()).pendingClaims++;
     }
 
-    /** A claim has ended; returns who waited for it, if it was the last. */
+    /**
+     * Records that a claim ended. If no other is pending, removes and returns the extent's waiters.
+     */
     public List<W> claimEnded(long key) {
         Extent<W> extent = extents.get(key);
         if (extent == null || --extent.pendingClaims > 0) {
@@ -66,8 +70,8 @@
     }
 
     /**
-     * A directory or node named the holder; returns who waited to learn it. The first holder that
-     * was named stands.
+     * Records the holder of an extent, unless one is known already, and removes and returns the
+     * extent's waiters.
      */
     public List<W> holderLearned(long key, int cell) {
         Extent<W> extent = extents.computeIfAbsent(key, id -> new Extent<>());
@@ -77,7 +81,7 @@
         return takeWaiters(key, extent);
     }
 
-    /** What was known of an extent's holder proved wrong. */
+    /** Discards the known holder of an extent, which proved to be wrong. */
     public void forget(long key) {
         Extent<W> extent = extents.get(key);
         if (extent != null) {
@@ -86,14 +90,14 @@
         }
     }
 
-    /** Adds a waiter, whose time begins now. */
+    /** Adds a waiter, which expires {@link #MAX_WAIT_MILLIS} from now. */
     public void addWaiter(long key, W waiter, double now) {
         Extent<W> extent = extents.computeIfAbsent(key, id -> new Extent<>());
         extent.waiters.add(new WaiterEntry<>(waiter, now + MAX_WAIT_MILLIS));
         extentsWithWaiters.put(key, extent);
     }
 
-    /** Removes a waiter; false if it was none. */
+    /** Removes a waiter. Returns whether it was waiting. */
     public boolean removeWaiter(long key, W waiter) {
         Extent<W> extent = extentsWithWaiters.get(key);
         if (extent == null || !extent.waiters.removeIf(entry -> entry.waiter() == waiter)) {
@@ -103,7 +107,7 @@
         return true;
     }
 
-    /** Removes and returns every waiter whose time is over. */
+    /** Removes and returns all expired waiters. */
     public List<W> takeExpired(double now) {
         List<W> expired = new ArrayList<>(0);
         for (Iterator<Map.Entry<Long, Extent<W>>> entries = extentsWithWaiters.entrySet().iterator();
@@ -118,7 +122,7 @@
         return expired;
     }
 
-    /** When the next waiter's time will be over; infinity if nobody waits. */
+    /** Returns the time at which the next waiter expires; infinite if there is none. */
     public double nextExpiry() {
         double next = Double.POSITIVE_INFINITY;
         for (Extent<W> extent : extentsWithWaiters.values()) {
--- a/src/main/java/sagepulley/placement/package-info.java
+++ b/src/main/java/sagepulley/placement/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which cell holds which extent, as one gateway knows it.
+ * Caches, for one gateway, which cell holds each extent.
  *
- * <p>{@link sagepulley.placement.ExtentHolders} belongs to the engine's thread of the NBD gateway.
- * What it knows is stored in the holder file ({@link sagepulley.persistence.HolderFile}) and
- * verified at first use after a restart. No I/O, no clock.
+ * <p>{@link sagepulley.placement.ExtentHolders} is confined to the engine's thread of the NBD
+ * gateway. Its contents are stored in the holder file ({@link sagepulley.persistence.HolderFile})
+ * and verified at first use after a restart. This package does no I/O and reads no clock.
  */
 package sagepulley.placement;
