--- a/src/main/java/sagepulley/engine/DecisionSink.java
+++ b/src/main/java/sagepulley/engine/DecisionSink.java
@@ -6,17 +6,17 @@
 import sagepulley.model.RoutingDecision;
 
 /**
- * Carries out the scheduler's decisions: on the simulator's protocol, or on sockets. Times are
+ * Carries out the scheduler's decisions, over the simulator's protocol or over sockets. Times are
  * milliseconds.
  */
 public interface DecisionSink {
-    /** Sends an operation's latest attempt, which ends after so many milliseconds at the latest. */
+    /** Sends an operation's latest attempt, which must end within the timeout. */
     void send(Attempt attempt, double timeout);
 
-    /** Gives the final answer to an operation that is given up: rejected, or abandoned. */
+    /** Answers an operation that the scheduler rejects or abandons. */
     void endUnserved(Operation operation, RoutingDecision decision);
 
-    /** Cancels an attempt, for whose operation nobody waits any longer. */
+    /** Cancels an attempt whose operation no longer has a waiting client. */
     void cancel(Attempt attempt);
 
     /** Starts a health check of an endpoint. */
@@ -28,6 +28,9 @@
     /** Polls the endpoint list once. */
     void pollEndpointList();
 
-    /** Asks for a wake-up after a delay; an infinite one means at the next event only. */
+    /**
+     * Schedules the next wake-up after a delay. An infinite delay requests none; the next event
+     * wakes the engine.
+     */
     void scheduleWakeUp(double delay, double now);
 }
--- a/src/main/java/sagepulley/engine/EndpointEntry.java
+++ b/src/main/java/sagepulley/engine/EndpointEntry.java
@@ -3,8 +3,10 @@
 import sagepulley.model.Node;
 
 /**
- * One entry of an endpoint list. The start is in milliseconds, negative infinity for long ago; the
- * weight is relative to other endpoints.
+ * One entry of an endpoint list.
+ *
+ * @param startedAt when the endpoint started, in milliseconds; negative infinity for long ago
+ * @param weight capacity relative to other endpoints
  */
 public record EndpointEntry(
         int zone, int cell, int node, Node.Phase phase, double startedAt, int kind, double weight) {
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -27,12 +27,12 @@
 import sagepulley.scheduler.WaitExplainer;
 
 /**
- * One gateway around its scheduler: it owns the operations in flight, the endpoints and the
- * volumes, and runs what is due. Whoever owns the protocol tells it of events; decisions go to the
- * sink. One thread. Times are milliseconds on one monotonic clock.
+ * Runs the scheduler of one gateway: owns the operations in flight, the endpoints and the volumes,
+ * and carries out the work that is due. A protocol adapter reports events to it, and decisions go
+ * to the sink. Confined to one thread. Times are milliseconds on one monotonic clock.
  */
 public final class GatewayEngine {
-    /** A removed endpoint that is not listed again within this time is forgotten. */
+    /** A removed endpoint is pruned if it is not listed again within this time. */
     private static final double MAX_REMOVED_MILLIS = 30_000;
 
     private final Deployment deployment;
@@ -43,24 +43,24 @@
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
     private final Map<Integer, Double> removedAt = new HashMap<>();
 
-    /** Not routed yet: all arrivals of one moment are known before anything is sent. */
+    /** Operations that are not routed yet; they are routed after all events of the same time. */
     private final Queue<Operation> arrivals = new ArrayDeque<>();
 
-    /** A gateway without endpoints; the seed makes its random draws repeatable. */
+    /** Creates a gateway without endpoints. The seed makes its random draws reproducible. */
     public GatewayEngine(Deployment deployment, long seed, DecisionSink sink) {
         this.deployment = deployment;
         this.sink = sink;
         this.scheduler = new Scheduler(deployment, seed);
     }
 
-    /** The settings of the deployment. */
+    /** Returns the settings of the deployment. */
     public Deployment deployment() {
         return deployment;
     }
 
     /**
-     * Takes over entries of the endpoint list; a complete list removes the endpoints that it lacks.
-     * Gives those that were removed for long and are forgotten now.
+     * Applies entries of the endpoint list; a complete list removes the endpoints that it omits.
+     * Returns the endpoints that were pruned because they were removed long ago.
      */
     public List<Node> onEndpointList(List<EndpointEntry> entries, boolean complete, double now) {
         if (complete) {
@@ -77,8 +77,8 @@
     }
 
     /**
-     * A removed endpoint may be listed again as it was. After a while it will not be, and is
-     * forgotten, so that memory does not grow with their number.
+     * Prunes endpoints that were removed long ago and have no attempt in flight, which bounds
+     * memory use. Until then an endpoint that is listed again keeps its state.
      */
     private List<Node> pruneRemoved(double now) {
         Set<Node> inUse = nodesInUse();
@@ -111,73 +111,75 @@
         return inUse;
     }
 
-    /** The endpoint list is known to have been current at a time. */
+    /** Records that the endpoint list was current at a time. */
     public void onListConfirmed(double asOf) {
         scheduler.onListConfirmed(asOf);
     }
 
-    /** Nobody could reach discovery at a time. */
+    /** Records that discovery was unreachable for every client at a time. */
     public void onDiscoveryUnreachable(double unreachableAt) {
         scheduler.onDiscoveryUnreachable(unreachableAt);
     }
 
-    /** A poll of the endpoint list failed, or its watch ended. */
+    /** Records that a poll of the endpoint list failed or its watch ended. */
     public void onPollFailed(double now) {
         scheduler.onPollFailed(now);
     }
 
-    /** A new configuration, which may move discovery, was notified at a time. */
+    /** Records when a new configuration was notified, which may move discovery. */
     public void onReloadNotified(double notifiedAt) {
         scheduler.onReloadNotified(notifiedAt);
     }
 
-    /** A configuration whose reading began at a time is known, or known to be of no use. */
+    /**
+     * Records that a configuration, whose reading began at a time, was applied or found unusable.
+     */
     public void onConfigurationRead(double readAt) {
         scheduler.onConfigurationRead(readAt);
     }
 
-    /** Discovery is at another address from now on, and was not polled there yet. */
+    /** Records that discovery has a new address, which was not polled yet. */
     public void onDiscoveryMoved(double now) {
         scheduler.onDiscoveryMoved(now);
     }
 
-    /** Takes an operation; it is routed by runDueWork, if its client has not cancelled by then. */
+    /** Accepts an operation, which {@link #runDueWork} routes unless its client cancels before. */
     public void onArrival(Operation operation) {
         operations.put(operation.id, operation);
         arrivals.add(operation);
     }
 
-    /** The volume with this number, which is known from now on under this plan. */
+    /** Returns the volume with an id; creates it under the given plan if it is not known. */
     public Volume volume(long id, int plan) {
         return volumes.computeIfAbsent(id, any -> new Volume(any, deployment.plans().get(plan)));
     }
 
-    /** The operation in flight with this number; null if there is none. */
+    /** Returns the operation with an id; null if none is in flight. */
     public Operation operation(long id) {
         return operations.get(id);
     }
 
-    /** All operations that have not ended, and those with an attempt in flight. */
+    /** Returns all operations that have not ended or have an attempt in flight. */
     public Collection<Operation> inFlight() {
         return Collections.unmodifiableCollection(operations.values());
     }
 
-    /** The endpoint with this number; null if none is known. */
+    /** Returns the endpoint with an id; null if it is not known. */
     public Node node(int id) {
         return nodes.get(id);
     }
 
-    /** All endpoints that are known, also those that are removed and not yet forgotten. */
+    /** Returns all known endpoints, including removed ones that are not pruned yet. */
     public Collection<Node> nodes() {
         return Collections.unmodifiableCollection(nodes.values());
     }
 
-    /** What the scheduler has learned of each traffic class, in their order. */
+    /** Returns the scheduler's statistics of each traffic class, in the order of classes. */
     public List<TrafficClassView> trafficClassViews() {
         return TrafficClassView.of(scheduler);
     }
 
-    /** Why each operation that waits is not sent now, by reason. */
+    /** Counts the waiting operations by the reason that they are not sent now. */
     public Map<Reason, Integer> waitingByReason(double now) {
         Map<Reason, Integer> waiting = new EnumMap<>(Reason.class);
         for (Operation operation : operations.values()) {
@@ -188,13 +190,17 @@
         return waiting;
     }
 
-    /** The attempt of an outcome; null if it was never sent. */
+    /** Returns an attempt of an operation in flight; null if it is not known. */
     public Attempt attempt(long operation, int number) {
         Operation known = operations.get(operation);
         return known == null || number >= known.attempts.size() ? null : known.attempts.get(number);
     }
 
-    /** An attempt's outcome is set; its operation may have ended with it. */
+    /**
+     * Processes the end of an attempt whose outcome is set, and reroutes the operation if required.
+     *
+     * @param operationEnded whether the operation ended with the attempt
+     */
     public void onAttemptEnded(Attempt attempt, boolean operationEnded, double now) {
         Operation operation = attempt.operation;
         operation.ended |= operationEnded;
@@ -204,12 +210,12 @@
         removeIfFinished(operation);
     }
 
-    /** Whether an attempt of which nothing was written yet may still be sent. */
+    /** Returns whether an attempt, nothing of which was written yet, may still be sent. */
     public boolean mayStart(Attempt attempt, double now) {
         return scheduler.mayStart(attempt, now);
     }
 
-    /** The client has cancelled an operation; an unknown or ended one is ignored. */
+    /** Processes a client's cancellation; ignores an operation that is unknown or has ended. */
     public void onClientCancelled(long id, double now) {
         Operation operation = operations.get(id);
         if (operation != null && !operation.ended) {
@@ -221,7 +227,7 @@
         }
     }
 
-    /** A health check of an endpoint ended; an unknown endpoint is ignored. */
+    /** Processes the result of a health check; ignores an unknown endpoint. */
     public void onHealthCheck(int id, Outcome outcome, double durationMillis, double[] report, double now) {
         Node node = nodes.get(id);
         if (node != null) {
@@ -230,8 +236,8 @@
     }
 
     /**
-     * After all events of one moment: carries out what is due now, and asks for a wake-up for what
-     * is due later.
+     * Carries out the work that is due, and schedules a wake-up for later work. Called after all
+     * events of the same time.
      */
     public void runDueWork(double now) {
         for (Operation arrival = arrivals.poll(); arrival != null; arrival = arrivals.poll()) {
@@ -253,7 +259,7 @@
                 carryOut(operation, decision);
             }
             if (!hasProgress) {
-                break; // asking again at the same moment would change nothing
+                break; // another turn at the same time would change nothing
             }
             turn = scheduler.nextTurn(now);
         }
--- a/src/main/java/sagepulley/engine/package-info.java
+++ b/src/main/java/sagepulley/engine/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Hosts the scheduler for one gateway. {@link sagepulley.engine.GatewayEngine} owns the operations
- * in flight, the endpoints and the volumes; it is told of events by whoever owns the protocol, asks
- * the scheduler, and hands decisions to a {@link sagepulley.engine.DecisionSink}. One thread calls
- * it; there are no locks and no input or output here.
+ * in flight, the endpoints and the volumes. Protocol adapters pass events to it, and it passes the
+ * scheduler's decisions to a {@link sagepulley.engine.DecisionSink}. All calls come from one
+ * thread; this package has no locks and does no I/O.
  */
 package sagepulley.engine;
--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -6,12 +6,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** One batch of events, read in place: records of a fixed size and a tail for what is longer. */
+/**
+ * Reads one batch of events in place: fixed-size records, then a tail with variable-length data.
+ */
 final class EventBatch {
-    /** Size of an event's record. */
+    /** Size of the record of an event. */
     static final int RECORD_BYTES = 56;
 
-    /** Size of an entry of an endpoint list in the tail. */
+    /** Size of an endpoint list entry in the tail. */
     static final int ENTRY_BYTES = 22;
 
     private static final int HEADER_BYTES = 12;
@@ -31,7 +33,7 @@
         this.in = in;
     }
 
-    /** Reads the next batch; false if the input ends between two batches. */
+    /** Reads the next batch. Returns false if the input ends before it begins. */
     boolean read() throws IOException {
         int received = in.readNBytes(header, 0, HEADER_BYTES);
         if (received == 0) {
@@ -56,8 +58,8 @@
     }
 
     /**
-     * Grows the buffer as bytes come, so that a wrong length cannot claim memory that no input
-     * backs.
+     * Reads the body into a buffer that grows with the received bytes, so that a wrong length in
+     * the header cannot cause a large allocation.
      */
     private void fill() throws IOException {
         int bytesRead = 0;
@@ -123,8 +125,10 @@
     }
 
     /**
-     * The position in the body of a part of the tail: so many elements of a size, as an offset and
-     * a count in the record say; checked to lie inside the tail.
+     * Returns the position in the body of an array in the tail, which a record refers to by an
+     * offset and a count.
+     *
+     * @throws MalformedFrameException if the array exceeds the tail
      */
     int tailPosition(int record, int offset, int elementBytes) throws MalformedFrameException {
         long tailOffset = Integer.toUnsignedLong(u32(record, offset));
@@ -133,11 +137,13 @@
         if (tailOffset + count * elementBytes > length - start) {
             throw malformedRecord(
                     record,
-                    "position "
+                    "offset "
                             + tailOffset
                             + " with "
                             + count
-                            + " is out of the tail's "
+                            + " elements of "
+                            + elementBytes
+                            + " bytes exceeds the tail of "
                             + (length - start)
                             + " bytes");
         }
--- a/src/main/java/sagepulley/simulator/EventCode.java
+++ b/src/main/java/sagepulley/simulator/EventCode.java
@@ -1,6 +1,6 @@
 package sagepulley.simulator;
 
-/** The first byte of an event's record; the protocol's own codes. */
+/** The protocol's event codes, in the first byte of a record. */
 final class EventCode {
     static final int HEALTH_CHECK_ENDED = 1;
     static final int STREAM = 2;
--- a/src/main/java/sagepulley/simulator/EventDecoder.java
+++ b/src/main/java/sagepulley/simulator/EventDecoder.java
@@ -12,10 +12,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
-/**
- * Reads the events' records into the program's types. Offsets count from the start of a record, as
- * the protocol gives them.
- */
+/** Decodes event records into model types. Offsets count from the start of a record. */
 final class EventDecoder {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int CLIENT_RETRY_FLAG = 2;
@@ -29,7 +26,7 @@
         this.batch = batch;
     }
 
-    /** The entries of an endpoint list whose place in the tail stands at an offset. */
+    /** Returns the endpoint list entries whose position in the tail is at an offset. */
     List<EndpointEntry> endpointEntries(int record, int offset) throws MalformedFrameException {
         int start = batch.tailPosition(record, offset, EventBatch.ENTRY_BYTES);
         int count = batch.u32(record, offset + 4);
@@ -45,7 +42,7 @@
         return entries;
     }
 
-    /** Reads an entry; null if its phase is unknown. */
+    /** Decodes an entry; returns null if its phase is unknown. */
     private static EndpointEntry endpointEntry(ByteBuffer buffer) {
         int zone = buffer.getShort() & 0xffff;
         int cell = buffer.getShort() & 0xffff;
@@ -68,7 +65,7 @@
         return new EndpointEntry(zone, cell, node, phase, startedAt, kind, weight);
     }
 
-    /** The operation of an arrival. */
+    /** Returns the operation of an arrival event. */
     Operation operation(GatewayEngine engine, int record, double now)
             throws MalformedFrameException {
         Deployment deployment = engine.deployment();
@@ -76,12 +73,12 @@
         List<TrafficClass> classes = deployment.trafficClasses();
         if (classIndex >= classes.size()) {
             throw batch.malformedRecord(
-                    record, "class " + classIndex + " of " + classes.size() + " is out of range");
+                    record, "traffic class " + classIndex + " is out of range, the gateway has " + classes.size());
         }
         long plan = Integer.toUnsignedLong(batch.u32(record, 14));
         int planCount = deployment.plans().size();
         if (plan >= planCount) {
-            throw batch.malformedRecord(record, "plan " + plan + " of " + planCount + " is out of range");
+            throw batch.malformedRecord(record, "tenant plan " + plan + " is out of range, the gateway has " + planCount);
         }
         Volume volume = engine.volume(batch.u64(record, 34), (int) plan);
         volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
@@ -97,12 +94,12 @@
                 (batch.u8(record, 54) & CLIENT_RETRY_FLAG) != 0);
     }
 
-    /** The time at an offset, which the protocol gives in nanoseconds, in milliseconds. */
+    /** Returns the time at an offset, converted from nanoseconds to milliseconds. */
     double millis(int record, int offset) {
         return batch.u64(record, offset) / NANOS_PER_MILLI;
     }
 
-    /** The outcome whose code stands at an offset. */
+    /** Returns the outcome whose code is at an offset. */
     Outcome outcome(int record, int offset) throws MalformedFrameException {
         int code = batch.u16(record, offset);
         return switch (code) {
@@ -114,18 +111,18 @@
             case 503 -> Outcome.REJECTED;
             case 504 -> Outcome.TIMED_OUT;
             case 598 -> Outcome.RESET;
-            default -> throw batch.malformedRecord(record, "unknown outcome " + code);
+            default -> throw batch.malformedRecord(record, "unknown outcome code " + code);
         };
     }
 
-    /** The load report at an offset; null if it has no values. */
+    /** Returns the load report at an offset; null if it has no values. */
     double[] report(int record, int offset) throws MalformedFrameException {
         int count = batch.u8(record, offset);
         if (count == 0) {
             return null;
         }
         if (count > MAX_REPORT_VALUES) {
-            throw batch.malformedRecord(record, "a load report of " + count + " values");
+            throw batch.malformedRecord(record, "load report has " + count + " values, expected at most " + MAX_REPORT_VALUES);
         }
         double[] values = new double[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sagepulley/simulator/MalformedFrameException.java
+++ b/src/main/java/sagepulley/simulator/MalformedFrameException.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** The input is not a batch of the protocol; the message says what is wrong and where. */
+/**
+ * Thrown if the input is not a valid batch of the protocol; the message names the frame and the
+ * error.
+ */
 public final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sagepulley/simulator/ReplyWriter.java
+++ b/src/main/java/sagepulley/simulator/ReplyWriter.java
@@ -4,14 +4,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The decisions of one gateway in one batch, as records of the protocol. Times are nanoseconds. */
+/**
+ * Encodes the decisions of one gateway in one batch as records of the protocol. Times are
+ * nanoseconds.
+ */
 final class ReplyWriter {
     /** Size of the record of a decision. */
     static final int RECORD_BYTES = 32;
 
     private static final int INITIAL_RECORDS = 64;
 
-    // The protocol's codes, in the first byte of a record.
+    // The protocol's decision codes, in the first byte of a record.
     private static final int SEND = 65;
     private static final int REJECT = 66;
     private static final int ABANDON = 67;
@@ -34,7 +37,7 @@
         return records;
     }
 
-    /** The text of a fatal error, whose record is the last; null for none. */
+    /** Returns the text of a fatal error, whose record is the last; null if there is none. */
     String fatalText() {
         return fatal;
     }
@@ -80,7 +83,7 @@
         record(POLL_ENDPOINT_LIST);
     }
 
-    /** The gateway cannot go on; nothing may be written after it. */
+    /** Reports that the gateway failed fatally; no record may follow. */
     void fatal(String message) {
         record(FATAL);
         fatal = message;
--- a/src/main/java/sagepulley/simulator/SimulatedGateway.java
+++ b/src/main/java/sagepulley/simulator/SimulatedGateway.java
@@ -8,7 +8,7 @@
 import sagepulley.model.Operation;
 import sagepulley.model.RoutingDecision;
 
-/** One gateway of the simulation; its decisions go into its reply. */
+/** A gateway of the simulation, which writes its decisions to its reply. */
 final class SimulatedGateway implements DecisionSink {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long MAX_WAKE_UP_NANOS = 70L * 60 * 1_000_000_000;
@@ -16,10 +16,13 @@
     final ReplyWriter reply;
     final GatewayEngine engine;
 
-    /** Set while the gateway has an event in the present batch. */
+    /**
+     * Whether the current batch has an event for the gateway that is not processed by {@link
+     * #runDueWork} yet.
+     */
     boolean hasEvents;
 
-    /** When the latest wake-up that was asked for comes, in nanoseconds. */
+    /** When the latest scheduled wake-up is due, in nanoseconds. */
     private long wakeUpAtNanos = Long.MAX_VALUE;
 
     private long wakeUpToken;
@@ -30,14 +33,14 @@
         this.engine = new GatewayEngine(deployment, seed, this);
     }
 
-    /** A wake-up has come; only the one that was asked for last counts. */
+    /** Processes a wake-up; all but the latest scheduled one are ignored. */
     void onTimer(long token) {
         if (token == wakeUpToken) {
             wakeUpAtNanos = Long.MAX_VALUE;
         }
     }
 
-    /** Decides after the events of a batch. */
+    /** Runs the engine's due work after the events of a batch. */
     void runDueWork(double now, long clockNanos) {
         nowNanos = clockNanos;
         engine.runDueWork(now);
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -20,8 +20,8 @@
 import sagepulley.model.Outcome;
 
 /**
- * Speaks the simulator's protocol: hands each event to its gateway, and writes the decisions of
- * each batch. Times of the protocol are nanoseconds.
+ * Implements the simulator's protocol: dispatches each event to its gateway, and writes the
+ * decisions of each batch. The protocol's times are nanoseconds.
  */
 public final class SimulatorAdapter {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -29,10 +29,10 @@
     private static final int BUFFER_BYTES = 1 << 16;
     private static final int REPLY_HEADER_BYTES = 12;
 
-    /** Where the place of a fatal text stands in its record. */
+    /** Offset in a fatal record of the position of its text. */
     private static final int FATAL_OFFSET = 5;
 
-    // What an event of the endpoint list says.
+    // Scopes of an endpoint list event.
     private static final int POLL_FAILED = 0;
     private static final int COMPLETE_LIST = 1;
     private static final int LIST_UPDATE = 3;
@@ -43,19 +43,19 @@
     private final OutputStream out;
     private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
-    /** The gateways with an event in this batch, in the order of their first. */
+    /** The gateways with an event in this batch, in the order of their first event. */
     private final List<SimulatedGateway> activeGateways = new ArrayList<>();
 
-    /** Endpoint lists by the number under which events refer to them; null where none was set. */
+    /** Endpoint lists by the table number that events refer to; null if not set. */
     private final List<List<EndpointEntry>> listTables =
             new ArrayList<>(Collections.nCopies(MAX_LIST_TABLES, null));
 
-    /** The replies of the gateways with an event in this batch, in the order of their first. */
+    /** The replies to this batch, in the order of their gateways' first event. */
     private final List<ReplyWriter> replies = new ArrayList<>();
 
     private final Map<Integer, ReplyWriter> replyWriters = new HashMap<>();
 
-    /** An adapter between two streams; it closes neither. */
+    /** Creates an adapter between two streams, neither of which it closes. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
         this.batch = new EventBatch(new BufferedInputStream(in, BUFFER_BYTES));
         this.decoder = new EventDecoder(batch);
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Processes batches until the input ends.
      *
-     * @throws MalformedFrameException if the input is not a batch of the protocol
+     * @throws MalformedFrameException if the input is not a valid batch of the protocol
      * @throws IOException if a stream fails
      */
     public void run() throws IOException {
@@ -127,7 +127,7 @@
             case EventCode.CLIENT_CANCELLED -> engine.onClientCancelled(batch.u64(record, 5), now);
             case EventCode.TIMER -> gateway.onTimer(batch.u64(record, 5));
             case EventCode.ATTEMPT_ENDED -> onAttemptEnded(engine, record, now);
-            default -> {} // streams and messages of peers: nothing is decided by them
+            default -> {} // stream and peer message events affect no decision
         }
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /** A stopped gateway has no effect any more, not even by its decisions of this batch. */
+    /** Removes a stopped gateway and discards its decisions of this batch. */
     private void stop(int record) {
         SimulatedGateway gateway = gateways.remove(batch.u32(record, 1));
         if (gateway != null) {
@@ -174,7 +174,7 @@
     private void setListTable(int record) throws MalformedFrameException {
         int table = batch.u8(record, 1);
         if (table >= MAX_LIST_TABLES) {
-            throw batch.malformedRecord(record, "list number " + table + " is out of range");
+            throw batch.malformedRecord(record, "list table " + table + " is out of range, expected 0 to " + (MAX_LIST_TABLES - 1));
         }
         listTables.set(table, decoder.endpointEntries(record, 2));
     }
@@ -187,11 +187,11 @@
             case COMPLETE_LIST, LIST_UPDATE, OTHER_COMPLETE_LIST -> {
                 int table = batch.u8(record, 6);
                 if (table >= MAX_LIST_TABLES || listTables.get(table) == null) {
-                    throw batch.malformedRecord(record, "list number " + table + " was never set up");
+                    throw batch.malformedRecord(record, "list table " + table + " is not set");
                 }
                 engine.onEndpointList(listTables.get(table), scope != LIST_UPDATE, now);
             }
-            default -> throw batch.malformedRecord(record, "unknown list scope " + scope);
+            default -> throw batch.malformedRecord(record, "unknown list scope " + scope + ", expected 0, 1, 3 or 4");
         }
     }
 
@@ -204,7 +204,7 @@
         }
         attempt.outcome = outcome;
         attempt.duration = decoder.millis(record, 20);
-        // The protocol adds 1 to the percentage, so that 0 says that there is none.
+        // The protocol adds 1 to the percentage; 0 means that it is absent.
         int usage = batch.u16(record, 29);
         attempt.planUsagePercent = usage == 0 ? Double.NaN : usage - 1;
         attempt.otherGatewaysUnits = batch.u16(record, 31);
@@ -212,7 +212,10 @@
         engine.onAttemptEnded(attempt, batch.u8(record, 28) != 0, now);
     }
 
-    /** Writes the reply to a batch: header, records by gateway, and the texts of the fatal ones. */
+    /**
+     * Writes the reply to a batch: the header, the records by gateway, and the texts of fatal
+     * records.
+     */
     private void write() throws IOException {
         int records = 0;
         int textBytes = 0;
@@ -240,7 +243,9 @@
         out.flush();
     }
 
-    /** Notes in the last record of a reply where its text stands; gives the text's length. */
+    /**
+     * Writes the position of a reply's fatal text into its last record. Returns the text's length.
+     */
     private static int placeFatalText(ReplyWriter reply, int textStart) {
         ByteBuffer records = reply.records();
         int length = reply.fatalBytes().length;
--- a/src/main/java/sagepulley/simulator/package-info.java
+++ b/src/main/java/sagepulley/simulator/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The simulator's protocol: batches of events in, batches of decisions out, over one pair of
- * streams. {@link sagepulley.simulator.SimulatorAdapter} owns the simulated gateways, each with an
- * engine of its own; the answers follow from the input alone. One thread.
+ * Implements the simulator's protocol: batches of events in, batches of decisions out, over one
+ * pair of streams. {@link sagepulley.simulator.SimulatorAdapter} owns the simulated gateways, each
+ * with its own engine. The replies depend on the input alone. Single-threaded.
  */
 package sagepulley.simulator;
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -23,9 +23,9 @@
 import sagepulley.model.RoutingDecision;
 
 /**
- * Plays seeded random events to the engine and compares a digest of every decision with the one
- * that was taken before the code was restructured. A differing digest means that a change altered
- * at least one decision, or the order of random draws or floating-point sums behind it.
+ * Feeds seeded random events to the engine and compares a digest of all decisions with a recorded
+ * one. A mismatch means that a change altered a decision, or the order of random draws or
+ * floating-point sums behind it.
  */
 class DecisionDigestTest {
     private static final int EVENTS = 60_000;
@@ -117,10 +117,12 @@
         assertEquals(expected, randomRun.digest(), randomRun.counts());
     }
 
-    /** An answer, or its absence, that is on its way to the gateway. */
+    /** The scheduled end of an attempt, by a response or a failure. */
     private record Ending(double at, long order, Attempt attempt, Outcome outcome, boolean endsOperation) {}
 
-    /** One gateway under random traffic, endpoints with random faults, and a list that changes. */
+    /**
+     * Drives one gateway with random traffic, random endpoint faults and a changing endpoint list.
+     */
     private static final class RandomRun implements DecisionSink {
         private final Random random;
         private final MessageDigest digest;
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -12,7 +12,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.RoutingDecision;
 
-/** What a gateway keeps of endpoints that are removed and listed again. */
+/** Checks the state kept for endpoints that are removed and listed again. */
 class GatewayEngineTest {
     private static final String SETTINGS =
             """
@@ -46,32 +46,32 @@
 
                         @Override
                         public void endUnserved(Operation operation, RoutingDecision decision) {
-                            throw new AssertionError("given up: " + decision.reason());
+                            throw new AssertionError("unexpectedly rejected or abandoned: " + decision.reason());
                         }
 
                         @Override
                         public void cancel(Attempt attempt) {
-                            throw new AssertionError("called off");
+                            throw new AssertionError("unexpected cancellation");
                         }
 
                         @Override
                         public void checkHealth(Node node) {
-                            throw new AssertionError("probed");
+                            throw new AssertionError("unexpected health check");
                         }
 
                         @Override
                         public void openWatch() {
-                            throw new AssertionError("this site pushes its list");
+                            throw new AssertionError("unexpected watch: the endpoint list is pushed");
                         }
 
                         @Override
                         public void pollEndpointList() {
-                            throw new AssertionError("this site pushes its list");
+                            throw new AssertionError("unexpected poll: the endpoint list is pushed");
                         }
 
                         @Override
                         public void scheduleWakeUp(double delay, double now) {
-                            // Time is driven by hand.
+                            // The test advances the time itself.
                         }
                     });
 
@@ -98,7 +98,7 @@
         assertEquals(
                 List.of(),
                 engine.onEndpointList(List.of(entry(3, 0)), false, 40_000),
-                "its hop is still out");
+                "its attempt is still in flight");
         attempt.outcome = Outcome.SERVED;
         engine.onAttemptEnded(attempt, true, 40_000);
         assertEquals(
--- a/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
+++ b/src/test/java/sagepulley/membership/EndpointPollPolicyTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which overdue poll stays open. */
+/** Checks which overdue poll stays open. */
 class EndpointPollPolicyTest {
     @Test
     void oldestPollIsKeptWithinItsTimeouts() {
--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The view of members after updates, handshakes, stored lists and time. */
+/** Checks the view of members after updates, handshakes, restored lists and elapsed time. */
 class MembershipTest {
     private static final double MINUTE_MILLIS = 60_000;
     private static final double DAY_MILLIS = 86_400_000;
@@ -95,7 +95,7 @@
         for (double at = now; at < now + 1_000; at += 10) {
             probed.addAll(restored.takeProbes(at));
         }
-        assertEquals(4, probed.size(), "no more until one has answered");
+        assertEquals(4, probed.size(), "at most four probes are in flight");
         restored.handshakeCompleted(
                 probed.get(0), probed.get(0), probed.get(0), false, 0, now + 1_000);
         assertEquals(EndpointRecord.Phase.READY, phase(restored, probed.get(0), now + 1_000));
@@ -140,7 +140,7 @@
                 Membership.HandshakeVerdict.REROUTE,
                 restored.handshakeCompleted(1, 1, 1, false, (long) now - 500, now));
         assertEquals((long) now - 500, member(restored, 1, now).endpoint().startedAt());
-        // A directory that lags does not make it warm again.
+        // A lagging directory does not reset the start that the node reported.
         restored.applyUpdate(complete(6, ready(1)), now + 10);
         assertEquals((long) now - 500, member(restored, 1, now + 10).endpoint().startedAt());
     }
@@ -195,7 +195,7 @@
         assertEquals(
                 EndpointRecord.Phase.READY,
                 phase(membership, 2, START_MILLIS + 40_000),
-                "it registered again");
+                "node 2 was listed again within the grace period");
         membership.applyUpdate(
                 new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START_MILLIS + 41_000);
         membership.advanceTo(START_MILLIS + 72_000);
@@ -246,9 +246,9 @@
     }
 
     /**
-     * A plain model of what may be trusted, beside random lists, handshakes, disconnects, restarts
-     * from disk and time: a node that any source restricts is never used, and none is used beyond
-     * the trust in its sources.
+     * Compares membership with a simple model over random lists, handshakes, disconnects, restarts
+     * from disk and clock changes. A node that any source restricts must not be used, and none may
+     * be used beyond the trust in its sources.
      */
     @Property(tries = 400, seed = "17")
     void membersAreUsedOnlyAsTheirSourcesPermit(
@@ -375,17 +375,17 @@
             if (member.phase() == EndpointRecord.Phase.READY) {
                 assertTrue(
                         listedReady.get(id),
-                        "node " + id + " is used though the list restricts it");
+                        "node " + id + " is used although the list restricts it");
                 assertFalse(
                         selfDraining.getOrDefault(id, false),
-                        "node " + id + " is used though it drains");
+                        "node " + id + " is used although it is draining");
                 assertFalse(
                         hasWrongIdentity.getOrDefault(id, false),
-                        "node " + id + " is used though it is another");
+                        "node " + id + " is used although its identity is wrong");
                 boolean isOld = now - confirmedAt > Membership.Policy.DEFAULT.agedMillis();
                 assertTrue(
                         !isOld || member.verified(),
-                        "node " + id + " is used by an old list, unproven");
+                        "node " + id + " is used from an old list without verification");
             }
             if (member.acceptsNewObjects()) {
                 assertEquals(EndpointRecord.Phase.READY, member.phase());
--- a/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the adapter says to frames, good and bad. */
+/** Checks the adapter's replies to valid and malformed frames. */
 class SimulatorAdapterTest {
     @Test
     void emptyBatchIsAnsweredAndEndOfInputReturnsNormally() throws IOException {
@@ -38,8 +38,8 @@
     @ParameterizedTest
     @CsvSource({
         "63, unknown event code 99",
-        "0800 00000000 00000001, out of the tail",
-        "0810, list number 16"
+        "0800 00000000 00000001, offset 0 with 1 elements of 22 bytes exceeds the tail of 0 bytes",
+        "0810, list table 16 is out of range"
     })
     void malformedRecordIsReportedWithItsIndex(String record, String detail) {
         byte[] bytes = new byte[56];
