--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -33,7 +33,7 @@
         this.in = in;
     }
 
-    /** Reads the next batch. Returns false if the input ends before it begins. */
+    /** Reads the next batch. Returns false at the end of the input. */
     boolean read() throws IOException {
         int received = in.readNBytes(header, 0, HEADER_BYTES);
         if (received == 0) {
