--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -176,7 +176,7 @@
                 true,
                 changed,
                 isOtherHistory
-                        ? "list has another history: omissions take effect only after a grace period"
+                        ? "list has another history: omissions take effect after a grace period"
                         : "");
     }
 
