--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether some of a value has come, but not all of it. */
-    public boolean isMidValue() {
+    public boolean hasPartialValue() {
         return items != null || bulkLength != NO_BULK || actualReadableBytes() > 0;
     }
 
--- a/src/main/java/sagepulley/codec/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -12,12 +12,12 @@
     public static final int MAX_VALUE_BYTES = 65_536;
 
     /** Limits for what clients send. */
-    public static RespLimits commands(int line, int bulk, int array, int items) {
-        return new RespLimits(line, bulk, array, items, true);
+    public static RespLimits commands(int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
+        return new RespLimits(maxLineBytes, maxBulkBytes, maxArrayBytes, maxItems, true);
     }
 
     /** Limits for what servers send. */
-    public static RespLimits replies(int line, int bulk, int array, int items) {
-        return new RespLimits(line, bulk, array, items, false);
+    public static RespLimits replies(int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
+        return new RespLimits(maxLineBytes, maxBulkBytes, maxArrayBytes, maxItems, false);
     }
 }
--- a/src/main/java/sagepulley/discovery/http/AddressParser.java
+++ b/src/main/java/sagepulley/discovery/http/AddressParser.java
@@ -24,8 +24,8 @@
         }
         try {
             return new InetSocketAddress(InetAddress.getByAddress(host), port);
-        } catch (UnknownHostException never) {
-            throw new IllegalStateException(never);
+        } catch (UnknownHostException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -44,7 +44,7 @@
     /** Requests that are kept open beside the watch, the oldest first. */
     private final Deque<DiscoveryRequest> overdueRequests = new ArrayDeque<>();
 
-    private int requestCount;
+    private int lastRequestNumber;
 
     /** A client with the usual timeouts; the revision is that of the list known so far. */
     public DiscoveryClient(
@@ -110,7 +110,7 @@
         return new DiscoveryRequest(
                 transport,
                 new EndpointListQuery(address, isWatch, revision),
-                ++requestCount,
+                ++lastRequestNumber,
                 timeouts,
                 receiveTime,
                 clock,
@@ -129,29 +129,29 @@
             return false;
         }
         address = newAddress;
-        DiscoveryRequest former = takeAnswered();
+        DiscoveryRequest formerWatch = removeAnsweredWatch();
         close();
-        if (former != null) {
-            former.setRole(Role.FORMER);
-            overdueRequests.add(former);
+        if (formerWatch != null) {
+            formerWatch.setRole(Role.FORMER_ADDRESS);
+            overdueRequests.add(formerWatch);
         }
         return true;
     }
 
     /** Removes the watch that last brought a list from the others; null if none has. */
-    private DiscoveryRequest takeAnswered() {
+    private DiscoveryRequest removeAnsweredWatch() {
         if (isWatching()) {
-            DiscoveryRequest taken = watch;
+            DiscoveryRequest answered = watch;
             watch = null;
-            return taken;
+            return answered;
         }
-        DiscoveryRequest taken =
+        DiscoveryRequest answered =
                 overdueRequests.stream()
                         .filter(DiscoveryRequest::isAnswered)
                         .findFirst()
                         .orElse(null);
-        overdueRequests.remove(taken);
-        return taken;
+        overdueRequests.remove(answered);
+        return answered;
     }
 
     /** Closes all requests; none is reported as failed. */
@@ -177,7 +177,7 @@
             DiscoveryRequest oldest = overdueRequests.peekFirst();
             DiscoveryRequest dropped =
                     EndpointPollPolicy.shouldDropOldest(
-                                    oldest.role() == Role.FORMER,
+                                    oldest.role() == Role.FORMER_ADDRESS,
                                     oldest.openMillis(),
                                     oldest.idleMillis())
                             ? oldest
@@ -188,7 +188,7 @@
     }
 
     /** A request has sent a list or a heartbeat: it becomes the watch, and all others close. */
-    private void useAsWatch(DiscoveryRequest request) {
+    private void promoteToWatch(DiscoveryRequest request) {
         if (watch != null && watch != request) {
             watch.close("another request was answered");
         }
@@ -218,16 +218,16 @@
 
     @Override
     public void onEndpointList(DiscoveryRequest request, EndpointListUpdate update, double asOf) {
-        boolean isFormerAddress = request.role() == Role.FORMER;
+        boolean isFormerAddress = request.role() == Role.FORMER_ADDRESS;
         if (request.isWatch() && !isFormerAddress) {
-            useAsWatch(request);
+            promoteToWatch(request);
         }
         // A lower revision comes from a discovery that has restarted, if it is that of a new
 
         // request's first list; else from a response that a newer list has overtaken.
 
-        boolean startedAnew = request.hasOneList() && request.afterRevision() == revision;
-        if (update.revision() < revision && !startedAnew) {
+        boolean discoveryRestarted = request.hasOneList() && request.afterRevision() == revision;
+        if (update.revision() < revision && !discoveryRestarted) {
             return;
         }
         revision = update.revision();
@@ -239,11 +239,11 @@
 
     @Override
     public void onHeartbeat(DiscoveryRequest request, double asOf) {
-        if (request.role() == Role.FORMER) {
+        if (request.role() == Role.FORMER_ADDRESS) {
             return;
         }
         if (request.isWatch()) {
-            useAsWatch(request);
+            promoteToWatch(request);
         }
         listener.onListConfirmed(asOf);
     }
@@ -268,9 +268,9 @@
 
     @Override
     public void onFailed(DiscoveryRequest request, String reason) {
-        boolean counts = request.role() == Role.CURRENT;
+        boolean isCurrent = request.role() == Role.CURRENT;
         remove(request);
-        if (counts) {
+        if (isCurrent) {
             listener.onPollFailed(reason);
         }
     }
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -41,10 +41,10 @@
         /** It counts as failed, and is kept open all the same. */
         OVERDUE,
         /** It was the watch at an address that discovery has left. */
-        FORMER
+        FORMER_ADDRESS
     }
 
-    private enum Progress {
+    private enum State {
         WAITING,
         ANSWERED,
         CLOSED
@@ -65,8 +65,8 @@
     private ScheduledFuture<?> timeoutTask;
     private long receivedBytes;
     private int receivedLists;
-    private boolean informational;
-    private Progress progress = Progress.WAITING;
+    private boolean isInformational;
+    private State state = State.WAITING;
     private Role role = Role.CURRENT;
 
     /**
@@ -114,15 +114,15 @@
                         .handler(pipeline())
                         .connect(query.address());
         channel = Transport.channelOf(connecting);
-        scheduleTimeout(timeouts.firstListMillis());
+        scheduleTimeout(timeouts.firstListTimeoutMillis());
         Transport.onConnectFailure(connecting, loop, this::onConnectFailure);
     }
 
     private ChannelInitializer<Channel> pipeline() {
         return new ChannelInitializer<>() {
             @Override
-            protected void initChannel(Channel fresh) {
-                fresh.pipeline()
+            protected void initChannel(Channel newChannel) {
+                newChannel.pipeline()
                         .addLast(
                                 new HttpClientCodec(),
                                 DiscoveryRequest.this,
@@ -153,7 +153,7 @@
                 receivedLists,
                 "reason",
                 reason);
-        progress = Progress.CLOSED;
+        state = State.CLOSED;
         timeoutTask.cancel(false);
         if (channel != null) {
             channel.close();
@@ -197,7 +197,7 @@
 
     /** Whether a list has come, and more may. */
     boolean isAnswered() {
-        return progress == Progress.ANSWERED;
+        return state == State.ANSWERED;
     }
 
     /** Whether the list that came last is the only one so far. */
@@ -215,7 +215,7 @@
     }
 
     private boolean isClosed() {
-        return progress == Progress.CLOSED;
+        return state == State.CLOSED;
     }
 
     private long roundedOpenMillis() {
@@ -236,9 +236,9 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private void restartSilenceTimeout() {
-        if (query.isWatch() && role != Role.FORMER) {
-            scheduleTimeout(timeouts.silenceMillis());
+    private void restartIdleTimeout() {
+        if (query.isWatch() && role != Role.FORMER_ADDRESS) {
+            scheduleTimeout(timeouts.idleTimeoutMillis());
         }
     }
 
@@ -260,13 +260,13 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!informational && !response.status().equals(HttpResponseStatus.OK)) {
+            isInformational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (!isInformational && !response.status().equals(HttpResponseStatus.OK)) {
                 fail("HTTP status " + response.status().code());
                 return;
             }
         }
-        if (informational) {
+        if (isInformational) {
             return; // the final response is yet to come
         }
         if (message instanceof HttpContent content) {
@@ -281,11 +281,11 @@
         receivedBytes += content.readableBytes();
         double now = clock.getAsDouble();
         timing.onBytes(now);
-        boolean endsLine =
+        boolean hasLineEnd =
                 content.indexOf(content.readerIndex(), content.writerIndex(), (byte) '\n') >= 0;
         double receivedAt =
-                now - receiveTime.millisSinceReceived(channel, (double) timeouts.silenceMillis());
-        if (!valueDecoder.isMidValue()) {
+                now - receiveTime.millisSinceReceived(channel, (double) timeouts.idleTimeoutMillis());
+        if (!valueDecoder.hasPartialValue()) {
             timing.onListStarted(receivedAt);
         }
         int listsBefore = receivedLists;
@@ -295,18 +295,18 @@
         }
         // Part of a list is no heartbeat: a list that trickles is silence too.
         if (isAnswered()
-                && endsLine
-                && !valueDecoder.isMidValue()
+                && hasLineEnd
+                && !valueDecoder.hasPartialValue()
                 && timing.isHeartbeat(receivedAt)) {
-            restartSilenceTimeout();
-            listener.onHeartbeat(this, timing.writtenAfter(receivedAt));
+            restartIdleTimeout();
+            listener.onHeartbeat(this, timing.earliestWriteTime(receivedAt));
         }
     }
 
     private void onBodyEnd() {
         if (query.isWatch()) {
             fail("watch closed by discovery");
-        } else if (!isAnswered() || valueDecoder.isMidValue()) {
+        } else if (!isAnswered() || valueDecoder.hasPartialValue()) {
             fail("response without a complete list");
         } else {
             close("completed");
@@ -332,9 +332,9 @@
                     "elapsed-ms",
                     roundedOpenMillis());
             timing.onFirstListEnded();
-            progress = Progress.ANSWERED;
+            state = State.ANSWERED;
         }
-        restartSilenceTimeout();
+        restartIdleTimeout();
         listener.onEndpointList(this, update, timing.listCurrentAsOf(hasOneList()));
     }
 
@@ -353,8 +353,8 @@
     }
 
     private void onConnectionLost(String reason) {
-        if (isAnswered() && !valueDecoder.isMidValue()) {
-            listener.onCleanClose(this, timing.writtenAfter(clock.getAsDouble()));
+        if (isAnswered() && !valueDecoder.hasPartialValue()) {
+            listener.onCleanClose(this, timing.earliestWriteTime(clock.getAsDouble()));
         }
         fail(reason);
     }
--- a/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
@@ -5,10 +5,10 @@
 /**
  * How long discovery may take, in milliseconds.
  *
- * @param firstListMillis for the first list of a request
- * @param silenceMillis between two lists or heartbeats of a watch
+ * @param firstListTimeoutMillis for the first list of a request
+ * @param idleTimeoutMillis between two lists or heartbeats of a watch
  */
-record DiscoveryTimeouts(long firstListMillis, long silenceMillis) {
+record DiscoveryTimeouts(long firstListTimeoutMillis, long idleTimeoutMillis) {
     static final DiscoveryTimeouts DEFAULT =
             new DiscoveryTimeouts(
                     EndpointPollPolicy.FIRST_LIST_TIMEOUT_MILLIS,
--- a/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
@@ -87,8 +87,8 @@
             return null;
         }
         // An endpoint that is gone needs no address.
-        boolean placed = address != null && fields.get("cell") instanceof Number;
-        if (!placed && phase != Node.Phase.REMOVED) {
+        boolean hasLocation = address != null && fields.get("cell") instanceof Number;
+        if (!hasLocation && phase != Node.Phase.REMOVED) {
             return null;
         }
         return new Member(
--- a/src/main/java/sagepulley/discovery/http/JsonValueDecoder.java
+++ b/src/main/java/sagepulley/discovery/http/JsonValueDecoder.java
@@ -9,7 +9,7 @@
     }
 
     /** Whether some bytes of a value have come, but not all. */
-    boolean isMidValue() {
+    boolean hasPartialValue() {
         return actualReadableBytes() > 0;
     }
 }
--- a/src/main/java/sagepulley/discovery/http/ResponseTiming.java
+++ b/src/main/java/sagepulley/discovery/http/ResponseTiming.java
@@ -12,10 +12,10 @@
     private static final double MAX_DELIVERY_DELAY_MILLIS = 1_000;
 
     /** A line end this soon after a list ends that list's line, and is no heartbeat. */
-    private static final double LIST_TERMINATOR_MILLIS = 500;
+    private static final double LINE_END_GRACE_MILLIS = 500;
 
     private double requestedAt = Double.NaN;
-    private double firstListMillis;
+    private double firstListDurationMillis;
 
     /** When the first bytes of the list under way came. */
     private double listStartedAt = Double.NaN;
@@ -41,7 +41,7 @@
 
     /** The list that has just ended is the first one. */
     void onFirstListEnded() {
-        firstListMillis = lastListAt - requestedAt;
+        firstListDurationMillis = lastListAt - requestedAt;
     }
 
     /** Since the last byte; infinite where none has come. */
@@ -51,7 +51,7 @@
 
     /** Whether a line end that came at this time stands by itself. */
     boolean isHeartbeat(double receivedAt) {
-        return receivedAt - lastListAt > LIST_TERMINATOR_MILLIS;
+        return receivedAt - lastListAt > LINE_END_GRACE_MILLIS;
     }
 
     /**
@@ -59,11 +59,11 @@
      * had at some time after the request, however long it was on its way.
      */
     double listCurrentAsOf(boolean isFirstList) {
-        return isFirstList ? requestedAt : writtenAfter(listStartedAt);
+        return isFirstList ? requestedAt : earliestWriteTime(listStartedAt);
     }
 
     /** A time at which a line that was received at this time had not been written yet. */
-    double writtenAfter(double receivedAt) {
-        return receivedAt - Math.min(firstListMillis, MAX_DELIVERY_DELAY_MILLIS);
+    double earliestWriteTime(double receivedAt) {
+        return receivedAt - Math.min(firstListDurationMillis, MAX_DELIVERY_DELAY_MILLIS);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
@@ -12,7 +12,7 @@
  * and the listener could be closed over them.
  */
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
-    private static final long PAUSE_MILLIS = 10;
+    private static final long ACCEPT_PAUSE_MILLIS = 10;
     private static final int FAILURES_PER_LOG_LINE = 100;
     private int failures;
 
@@ -26,6 +26,6 @@
         config.setAutoRead(false);
         context.channel()
                 .eventLoop()
-                .schedule(() -> config.setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                .schedule(() -> config.setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/BadCommandException.java
+++ b/src/main/java/sagepulley/frontend/resp/BadCommandException.java
@@ -4,7 +4,7 @@
 final class BadCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadCommandException(String what) {
-        super(what, null, false, false);
+    BadCommandException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -129,23 +129,23 @@
             throw new BadCommandException("fields of over " + MAX_FIELDS_BYTES + " bytes");
         }
         Map<String, String> fields = new HashMap<>();
-        String[] parts = fieldList.split(",", -1);
-        if (parts.length > MAX_FIELDS) {
+        String[] fieldTexts = fieldList.split(",", -1);
+        if (fieldTexts.length > MAX_FIELDS) {
             throw new BadCommandException("over " + MAX_FIELDS + " fields");
         }
-        for (String part : parts) {
-            int sign = part.indexOf('=');
-            if (sign <= 0 || !isPlain(part)) {
+        for (String fieldText : fieldTexts) {
+            int separator = fieldText.indexOf('=');
+            if (separator <= 0 || !isPrintableAscii(fieldText)) {
                 throw new BadCommandException("a field that is no name=value");
             }
-            if (fields.put(part.substring(0, sign), part.substring(sign + 1)) != null) {
+            if (fields.put(fieldText.substring(0, separator), fieldText.substring(separator + 1)) != null) {
                 throw new BadCommandException("a field that stands twice");
             }
         }
         return fields;
     }
 
-    private static boolean isPlain(String text) {
+    private static boolean isPrintableAscii(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
                 return false;
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -33,7 +33,7 @@
     }
 
     /** Commands without a reply on one connection; with more, nothing is read from it. */
-    private static final int MAX_UNANSWERED_COMMANDS = 64;
+    private static final int MAX_PENDING_REPLIES = 64;
 
     /** Handles the commands of clients. */
     interface Handler {
@@ -77,7 +77,7 @@
     private Channel channel;
     private ClientWriter writer;
     private Phase phase = Phase.OPEN;
-    private boolean shuttingOutput;
+    private boolean isShuttingDownOutput;
 
     /** When it connected. */
     double connectedAt;
@@ -110,7 +110,7 @@
 
     /** Whether some of a command has come, but not all of it. */
     boolean isReadingCommand() {
-        return decoder.isMidValue();
+        return decoder.hasPartialValue();
     }
 
     boolean hasPendingReplies() {
@@ -122,8 +122,8 @@
     }
 
     /** How long ago the bytes of the command under way came to this machine. */
-    double millisSinceReceived(KernelReceiveTime arrival) {
-        return arrival.millisSinceReceived(channel, lastActiveAt - connectedAt);
+    double millisSinceReceived(KernelReceiveTime receiveTime) {
+        return receiveTime.millisSinceReceived(channel, lastActiveAt - connectedAt);
     }
 
     String closeReason() {
@@ -159,7 +159,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (phase == Phase.HALF_CLOSED || shuttingOutput) {
+        if (phase == Phase.HALF_CLOSED || isShuttingDownOutput) {
             return; // read after the connection was drained: never forwarded
         }
         lastActiveAt = handler.now();
@@ -209,19 +209,19 @@
             lastActiveAt = handler.now();
             writer.flush();
         }
-        if (phase == Phase.DRAINING && pendingReplies.isEmpty() && !shuttingOutput) {
-            shuttingOutput = true;
+        if (phase == Phase.DRAINING && pendingReplies.isEmpty() && !isShuttingDownOutput) {
+            isShuttingDownOutput = true;
             drainedSince = handler.now();
-            writer.runAfterAll(
+            writer.runAfterFlush(
                     () ->
                             channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
-                                    .addListener(flushed -> shutOutput()));
+                                    .addListener(flushed -> shutDownOutput()));
         }
         updateAutoRead();
     }
 
     /** All is written: sends FIN, and the peer's own closes the connection. */
-    private void shutOutput() {
+    private void shutDownOutput() {
         if (phase != Phase.DRAINING) {
             return;
         }
@@ -237,10 +237,10 @@
         if (phase != Phase.CLOSED) {
             channel.config()
                     .setAutoRead(
-                            shuttingOutput
-                                    || (pendingReplies.size() < MAX_UNANSWERED_COMMANDS
+                            isShuttingDownOutput
+                                    || (pendingReplies.size() < MAX_PENDING_REPLIES
                                             && channel.isWritable()
-                                            && !writer.hasQueued()));
+                                            && !writer.hasQueuedReplies()));
         }
     }
 
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -108,7 +108,7 @@
             @Override
             protected void initChannel(Channel channel) {
                 accepted++;
-                if (!hasCapacity()) {
+                if (!ensureCapacity()) {
                     rejected++;
                     channel.close();
                     return;
@@ -147,7 +147,7 @@
     }
 
     /** Whether one more can be accepted, if need be by draining another. */
-    private boolean hasCapacity() {
+    private boolean ensureCapacity() {
         ClientConnection oldestLingering = null;
         int lingering = 0;
         for (ClientConnection connection : connections) {
@@ -162,14 +162,14 @@
         if (lingering >= MAX_LINGERING_CONNECTIONS) {
             oldestLingering.close("at capacity");
         }
-        return drainOneIdle();
+        return drainIdleConnection();
     }
 
     /**
      * Drains one connection that awaits no reply: the oldest that never sent a command although it
      * had time to, else the one that was idle longest, preferably without a command under way.
      */
-    private boolean drainOneIdle() {
+    private boolean drainIdleConnection() {
         ClientConnection candidate = null;
         double now = handler.now();
         for (ClientConnection connection : connections) {
--- a/src/main/java/sagepulley/frontend/resp/ClientWriter.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientWriter.java
@@ -25,7 +25,7 @@
     private final Channel channel;
     private final Runnable onResumed;
     private final ArrayDeque<ByteBuf> queued = new ArrayDeque<>();
-    private Runnable onAllPassed = () -> {};
+    private Runnable afterFlush = () -> {};
     private boolean retryScheduled;
 
     /**
@@ -37,7 +37,7 @@
     }
 
     /** Whether some reply has been given neither to the system nor to Netty yet. */
-    boolean hasQueued() {
+    boolean hasQueuedReplies() {
         return !queued.isEmpty();
     }
 
@@ -46,8 +46,8 @@
     }
 
     /** Runs the task once all that was written by now has been passed on. */
-    void runAfterAll(Runnable task) {
-        onAllPassed = task;
+    void runAfterFlush(Runnable task) {
+        afterFlush = task;
         flush();
     }
 
@@ -57,28 +57,28 @@
         }
         while (!queued.isEmpty()) {
             if (!isNettyIdle() || !(channel instanceof UnixChannel socket)) {
-                passToNetty();
+                writeToNetty();
                 break;
             }
             try {
-                if (!passToSystem(socket.fd())) {
-                    passToNetty();
+                if (!writeToSocket(socket.fd())) {
+                    writeToNetty();
                     break;
                 }
             } catch (NativeIoException failed) {
                 if (failed.expectedErr() == ENOBUFS || failed.expectedErr() == ENOMEM) {
-                    retryLater();
+                    scheduleRetry();
                     return;
                 }
-                passToNetty(); // which ends the connection
+                writeToNetty(); // which ends the connection
                 break;
             } catch (IOException failed) {
-                passToNetty();
+                writeToNetty();
                 break;
             }
         }
-        Runnable task = onAllPassed;
-        onAllPassed = () -> {};
+        Runnable task = afterFlush;
+        afterFlush = () -> {};
         task.run();
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Whether the system took all of the first reply. */
-    private boolean passToSystem(FileDescriptor socket) throws IOException {
+    private boolean writeToSocket(FileDescriptor socket) throws IOException {
         ByteBuf first = queued.peek();
         if (!first.isDirect() || first.nioBufferCount() != 1) {
             ByteBuf direct = channel.alloc().directBuffer(first.readableBytes());
@@ -106,24 +106,24 @@
         }
         while (first.isReadable()) {
             ByteBuffer bytes = first.nioBuffer();
-            int taken = socket.write(bytes, bytes.position(), bytes.limit());
-            if (taken <= 0) {
+            int written = socket.write(bytes, bytes.position(), bytes.limit());
+            if (written <= 0) {
                 return false;
             }
-            first.skipBytes(taken); // a short write does not mean that the buffer is full
+            first.skipBytes(written); // a short write does not mean that the buffer is full
         }
         queued.poll().release();
         return true;
     }
 
-    private void passToNetty() {
+    private void writeToNetty() {
         for (ByteBuf next = queued.poll(); next != null; next = queued.poll()) {
             channel.write(next, channel.voidPromise());
         }
         channel.flush();
     }
 
-    private void retryLater() {
+    private void scheduleRetry() {
         retryScheduled = true;
         channel.eventLoop()
                 .schedule(
--- a/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
@@ -45,7 +45,7 @@
                 update.complete(),
                 "entries",
                 update.members().size());
-        List<String> changes = endpoints.changes(update, engine::node);
+        List<String> changes = endpoints.describePhaseChanges(update, engine::node);
         if (!changes.isEmpty()) {
             LogWriter.info(
                     "endpoint phases changed", "revision", update.revision(), "changes", changes);
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -21,9 +21,9 @@
     private final List<String> zones;
     private final List<String> kinds;
     private final Clock clock;
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Integer, String> names = new HashMap<>();
-    private final Map<Integer, SocketAddress> addresses = new HashMap<>();
+    private final Map<String, Integer> numberById = new HashMap<>();
+    private final Map<Integer, String> idByNumber = new HashMap<>();
+    private final Map<Integer, SocketAddress> addressByNumber = new HashMap<>();
     private int lastNumber;
 
     EndpointRegistry(List<String> zones, List<String> kinds, Clock clock) {
@@ -38,30 +38,30 @@
                 .filter(
                         member ->
                                 member.phase() != Node.Phase.REMOVED
-                                        || numbers.containsKey(member.id()))
-                .map(this::entry)
+                                        || numberById.containsKey(member.id()))
+                .map(this::toEngineEntry)
                 .toList();
     }
 
     /** Where a list differs from the phases known so far, for the log. */
-    List<String> changes(EndpointListUpdate update, Function<Integer, Node> known) {
+    List<String> describePhaseChanges(EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
         List<String> changes = new ArrayList<>();
         for (EndpointListUpdate.Member member : update.members()) {
-            Integer number = numbers.get(member.id());
-            Node node = number == null ? null : known.apply(number);
-            Object before = node == null ? "unknown" : node.phase;
-            if (before != member.phase()) {
-                changes.add(member.id() + ":" + before + "->" + member.phase());
+            Integer number = numberById.get(member.id());
+            Node node = number == null ? null : nodeLookup.apply(number);
+            Object previousPhase = node == null ? "unknown" : node.phase;
+            if (previousPhase != member.phase()) {
+                changes.add(member.id() + ":" + previousPhase + "->" + member.phase());
             }
         }
         return changes;
     }
 
-    private EndpointEntry entry(EndpointListUpdate.Member member) {
-        int number = numbers.computeIfAbsent(member.id(), any -> ++lastNumber);
-        names.put(number, member.id());
+    private EndpointEntry toEngineEntry(EndpointListUpdate.Member member) {
+        int number = numberById.computeIfAbsent(member.id(), any -> ++lastNumber);
+        idByNumber.put(number, member.id());
         if (member.address() != null) {
-            addresses.put(number, member.address());
+            addressByNumber.put(number, member.address());
         }
         return new EndpointEntry(
                 zones.indexOf(member.locality()),
@@ -75,12 +75,12 @@
 
     /** Where the endpoint listens; null if that was never known. */
     SocketAddress address(Node node) {
-        return addresses.get(node.id);
+        return addressByNumber.get(node.id);
     }
 
     /** The endpoint's id at discovery. */
-    String name(Node node) {
-        return names.getOrDefault(node.id, "node " + node.id);
+    String discoveryId(Node node) {
+        return idByNumber.getOrDefault(node.id, "node " + node.id);
     }
 
     /** Where an operation was sent and how each attempt ended, for the log. */
@@ -88,7 +88,7 @@
         StringBuilder text = new StringBuilder();
         for (Attempt attempt : operation.attempts) {
             text.append(text.isEmpty() ? "" : ",")
-                    .append(name(attempt.node))
+                    .append(discoveryId(attempt.node))
                     .append(':')
                     .append(attempt.outcome == null ? "IN_FLIGHT" : attempt.outcome);
         }
@@ -97,7 +97,7 @@
 
     /** Removes an endpoint that is gone for good; its id gets a new number if it comes back. */
     void remove(Node node) {
-        numbers.remove(names.remove(node.id));
-        addresses.remove(node.id);
+        numberById.remove(idByNumber.remove(node.id));
+        addressByNumber.remove(node.id);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -203,7 +203,7 @@
         CompletableFuture<SocketAddress> ready = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    runPeriodically(this::maintain, MAINTENANCE_INTERVAL_MILLIS);
+                    runPeriodically(this::runMaintenance, MAINTENANCE_INTERVAL_MILLIS);
                     runPeriodically(reporter::report, REPORT_INTERVAL_MILLIS);
                     endpointLists.firstList().thenRun(() -> listen(ready));
                 });
@@ -232,7 +232,7 @@
                 });
     }
 
-    private void maintain() {
+    private void runMaintenance() {
         reporter.sampleLag(MAINTENANCE_INTERVAL_MILLIS);
         requests.clients().closeExpired();
         connections.closeExpired();
--- a/src/main/java/sagepulley/frontend/resp/StateReporter.java
+++ b/src/main/java/sagepulley/frontend/resp/StateReporter.java
@@ -106,7 +106,7 @@
         LogWriter.info(
                 "endpoint state",
                 "id",
-                endpoints.name(node),
+                endpoints.discoveryId(node),
                 "phase",
                 node.phase,
                 "cell",
--- a/src/main/java/sagepulley/lifecycle/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -25,7 +25,7 @@
  * last.
  */
 final class ConfigReloader implements Closeable {
-    private static final String HANG_UP = "HUP";
+    private static final String HANGUP_SIGNAL = "HUP";
     private static final long RETRY_DELAY_MILLIS = 500;
     private static final long FILE_CHECK_INTERVAL_MILLIS = 500;
 
@@ -51,8 +51,8 @@
 
     /** Begins to follow the file. */
     void start() {
-        if (!SignalHandlers.isIgnored(HANG_UP)) {
-            SignalHandlers.on(HANG_UP, () -> onReloadRequested(gateway.now()));
+        if (!SignalHandlers.isIgnored(HANGUP_SIGNAL)) {
+            SignalHandlers.setHandler(HANGUP_SIGNAL, () -> onReloadRequested(gateway.now()));
             return;
         }
         LogWriter.warn("SIGHUP is ignored, polling the configuration file instead");
@@ -76,12 +76,12 @@
     }
 
     private void checkFile() {
-        double lastCheckedAt = checkedAt;
+        double previousCheckAt = checkedAt;
         checkedAt = gateway.now();
         byte[] newContents = readContents();
         if (!Arrays.equals(newContents, contents)) {
             contents = newContents;
-            onReloadRequested(lastCheckedAt);
+            onReloadRequested(previousCheckAt);
         }
     }
 
@@ -100,14 +100,14 @@
             gateway.onConfigurationRead(GatewayConfig.read(environment), readAt);
             lastFailure = null;
         } catch (UnreadableConfigException unreadable) {
-            retryAfter(unreadable);
+            scheduleRetry(unreadable);
         } catch (ConfigException invalid) {
             gateway.onConfigurationUnusable(readAt);
-            retryAfter(invalid);
+            scheduleRetry(invalid);
         }
     }
 
-    private void retryAfter(ConfigException failure) {
+    private void scheduleRetry(ConfigException failure) {
         if (!failure.getMessage().equals(lastFailure)) {
             lastFailure = failure.getMessage();
             LogWriter.warn("configuration reload failed", "reason", lastFailure);
--- a/src/main/java/sagepulley/lifecycle/GatewayServer.java
+++ b/src/main/java/sagepulley/lifecycle/GatewayServer.java
@@ -30,13 +30,13 @@
     }
 
     /** Runs a gateway, and calls the consumer once clients can connect. */
-    static void run(Map<String, String> environment, Consumer<RespGateway> whenReady)
+    static void run(Map<String, String> environment, Consumer<RespGateway> onReady)
             throws ConfigException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         GatewayConfig config = GatewayConfig.read(environment);
         RespGateway gateway = new RespGateway(config, Transport.sockets());
-        SignalHandlers.on("TERM", gateway::stop);
-        SignalHandlers.on("INT", gateway::stop);
+        SignalHandlers.setHandler("TERM", gateway::stop);
+        SignalHandlers.setHandler("INT", gateway::stop);
         ConfigReloader reloader = new ConfigReloader(environment, gateway);
         gateway.connectToDiscovery();
         reloader.start();
@@ -59,7 +59,7 @@
                 config.idleTimeoutMillis(),
                 "connect-timeout-ms",
                 config.connectTimeoutMillis());
-        whenReady.accept(gateway);
+        onReady.accept(gateway);
         gateway.stopped().join();
         reloader.close();
         LogWriter.flush(LOG_FLUSH_TIMEOUT_MILLIS);
--- a/src/main/java/sagepulley/lifecycle/SignalHandlers.java
+++ b/src/main/java/sagepulley/lifecycle/SignalHandlers.java
@@ -38,7 +38,7 @@
     }
 
     /** Replaces the JDK's handler: the task runs on a thread of its own at each such signal. */
-    static void on(String name, Runnable task) {
+    static void setHandler(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/src/main/java/sagepulley/lifecycle/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -159,12 +159,12 @@
         }
     }
 
-    private interface Pipeline {
-        void fill(Channel channel);
+    private interface PipelineInitializer {
+        void initialize(Channel channel);
     }
 
     private static SocketAddress server(
-            Transport transport, SocketAddress address, Pipeline pipeline) {
+            Transport transport, SocketAddress address, PipelineInitializer pipeline) {
         return new ServerBootstrap()
                 .group(transport.eventLoops())
                 .channel(transport.server())
@@ -175,11 +175,11 @@
                 .localAddress();
     }
 
-    private static ChannelInitializer<Channel> initializer(Pipeline pipeline) {
+    private static ChannelInitializer<Channel> initializer(PipelineInitializer pipeline) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                pipeline.fill(channel);
+                pipeline.initialize(channel);
             }
         };
     }
--- a/src/main/java/sagepulley/logging/LogWriter.java
+++ b/src/main/java/sagepulley/logging/LogWriter.java
@@ -32,14 +32,14 @@
     /** Logs an event with alternating names and values. */
     public static void info(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
-            offer("INFO", event, namesAndValues);
+            enqueue("INFO", event, namesAndValues);
         }
     }
 
     /** Logs an event that an operator should look into. */
     public static void warn(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
-            offer("WARN", event, namesAndValues);
+            enqueue("WARN", event, namesAndValues);
         }
     }
 
@@ -48,7 +48,7 @@
         return Thread.currentThread().getName().startsWith(WARM_UP_THREAD_PREFIX);
     }
 
-    private static void offer(String level, String event, Object... namesAndValues) {
+    private static void enqueue(String level, String event, Object... namesAndValues) {
         StringBuilder line =
                 new StringBuilder(200)
                         .append(Instant.now())
@@ -60,7 +60,7 @@
             line.append(' ')
                     .append(namesAndValues[i])
                     .append('=')
-                    .append(value(namesAndValues[i + 1]));
+                    .append(formatValue(namesAndValues[i + 1]));
         }
         UNWRITTEN.incrementAndGet();
         if (!LINES.offer(line.toString())) {
@@ -70,29 +70,29 @@
     }
 
     /** A value on one line, quoted where it has blanks or is empty. */
-    private static String value(Object value) {
+    private static String formatValue(Object value) {
         String text = String.valueOf(value);
         if (text.length() > MAX_VALUE_CHARS) {
             text = text.substring(0, MAX_VALUE_CHARS);
         }
-        StringBuilder clean = new StringBuilder(text.length());
+        StringBuilder cleanText = new StringBuilder(text.length());
         boolean quoted = text.isEmpty();
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             quoted |= c == ' ';
-            clean.append(c < ' ' || c == '"' || c == 127 ? '?' : c);
+            cleanText.append(c < ' ' || c == '"' || c == 127 ? '?' : c);
         }
-        return quoted ? "\"" + clean + "\"" : clean.toString();
+        return quoted ? "\"" + cleanText + "\"" : cleanText.toString();
     }
 
-    private static void write(PrintStream to) {
+    private static void write(PrintStream out) {
         try {
             while (true) {
-                to.println(LINES.take());
+                out.println(LINES.take());
                 UNWRITTEN.decrementAndGet();
                 long dropped = DROPPED.getAndSet(0);
                 if (dropped > 0) {
-                    to.println(Instant.now() + " WARN log lines dropped count=" + dropped);
+                    out.println(Instant.now() + " WARN log lines dropped count=" + dropped);
                 }
             }
         } catch (InterruptedException e) {
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -32,14 +32,14 @@
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
     private static final int MAX_LINE_BYTES = 512;
-    private static final int REPLY_ITEMS = 3;
+    private static final int REPLY_ITEM_COUNT = 3;
     private static final int MAX_OTHER_ITEMS_BYTES = 2048;
     private static final RespLimits LIMITS =
             RespLimits.replies(
                     MAX_LINE_BYTES,
                     RespLimits.MAX_VALUE_BYTES,
                     RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
-                    REPLY_ITEMS);
+                    REPLY_ITEM_COUNT);
 
     /** A timeout on the wire is in whole milliseconds: with less left, nothing is sent. */
     private static final double MIN_TIMEOUT_MILLIS = 1;
@@ -55,7 +55,7 @@
         void onClosed(EndpointConnection connection, String reason);
 
         /** A reply could not be used. */
-        void onInvalidReply(String what);
+        void onInvalidReply(String reason);
     }
 
     /**
@@ -63,19 +63,19 @@
      *
      * @param stallTimeoutMillis a reply that has begun and pauses for this long is invalid
      * @param receiveTime tells when bytes came to this machine
-     * @param probe takes the byte by which the state of an idle connection is read
+     * @param staleCheckBuffer takes the byte by which the state of an idle connection is read
      */
-    record Shared(
+    record SharedResources(
             Transport transport,
             EventLoop loop,
             double connectTimeoutMillis,
             double stallTimeoutMillis,
             DoubleSupplier clock,
             KernelReceiveTime receiveTime,
-            ByteBuffer probe) {}
+            ByteBuffer staleCheckBuffer) {}
 
     private final SocketAddress address;
-    private final Shared shared;
+    private final SharedResources shared;
     private final PoolListener pool;
     private final RespDecoder decoder = new RespDecoder(LIMITS);
     private Channel channel;
@@ -93,7 +93,7 @@
     private double idleSince = Double.NaN;
     private double startedAt;
 
-    EndpointConnection(SocketAddress address, Shared shared, PoolListener pool) {
+    EndpointConnection(SocketAddress address, SharedResources shared, PoolListener pool) {
         this.address = address;
         this.shared = shared;
         this.pool = pool;
@@ -141,8 +141,8 @@
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
-                                    protected void initChannel(Channel fresh) {
-                                        fresh.pipeline().addLast(decoder, EndpointConnection.this);
+                                    protected void initChannel(Channel newChannel) {
+                                        newChannel.pipeline().addLast(decoder, EndpointConnection.this);
                                     }
                                 })
                         .connect(address);
@@ -173,17 +173,17 @@
 
     /** Ends the connection, and the request under way, if any, without a reply. */
     void end(Outcome outcome) {
-        ResultListener finished = takeListener();
+        ResultListener endedRequest = clearRequest();
         close(outcome.name());
-        if (finished != null) {
+        if (endedRequest != null) {
             double endedAt = now();
             // A task later: the listener is never called from within the call that ends it.
-            shared.loop().execute(() -> finished.onResult(outcome, null, endedAt));
+            shared.loop().execute(() -> endedRequest.onResult(outcome, null, endedAt));
         }
     }
 
-    private ResultListener takeListener() {
-        ResultListener finished = listener;
+    private ResultListener clearRequest() {
+        ResultListener endedRequest = listener;
         listener = null;
         command = null;
         if (timeoutTask != null) {
@@ -194,7 +194,7 @@
             stallTask.cancel(false);
             stallTask = null;
         }
-        return finished;
+        return endedRequest;
     }
 
     /** Closes the connection, which has no request under way; the reason is for the log. */
@@ -218,8 +218,8 @@
             return false;
         }
         try {
-            return socket.fd().read(shared.probe(), 0, 1) != 0;
-        } catch (IOException reset) {
+            return socket.fd().read(shared.staleCheckBuffer(), 0, 1) != 0;
+        } catch (IOException failed) {
             return true;
         }
     }
@@ -243,23 +243,23 @@
         }
         Resp reply = (Resp) message;
         Outcome outcome = outcomeOf(reply);
-        ResultListener finished = takeListener();
+        ResultListener endedRequest = clearRequest();
         // Offered to the pool once all that came with the reply has been read.
         idleSince = now();
         double sinceReceived =
                 shared.receiveTime().millisSinceReceived(channel, idleSince - startedAt);
-        finished.onResult(outcome, reply, idleSince - sinceReceived);
+        endedRequest.onResult(outcome, reply, idleSince - sinceReceived);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (listener != null && !closed && decoder.isMidValue()) {
+        if (listener != null && !closed && decoder.hasPartialValue()) {
             restartStallTimeout();
         }
         if (listener != null || closed || Double.isNaN(idleSince)) {
             return;
         }
-        if (decoder.isMidValue()) {
+        if (decoder.hasPartialValue()) {
             close("bytes after a reply");
         } else {
             pool.onIdle(this);
@@ -289,7 +289,7 @@
     private Outcome outcomeOf(Resp reply) {
         if (reply instanceof Resp.Array array
                 && array.items() != null
-                && array.items().size() == REPLY_ITEMS
+                && array.items().size() == REPLY_ITEM_COUNT
                 && array.items().get(0) instanceof Resp.Bulk value
                 && !value.isNull()) {
             return Outcome.SERVED;
@@ -318,7 +318,7 @@
 
     /** An endpoint that has begun its reply is not unresponsive. */
     private void onTimeout() {
-        if (decoder.isMidValue()) {
+        if (decoder.hasPartialValue()) {
             onStalled();
         } else {
             end(commandWritten ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -55,7 +55,7 @@
     private final int maxConnections;
     private final double idleTimeoutMillis;
     private final DoubleSupplier clock;
-    private final EndpointConnection.Shared shared;
+    private final EndpointConnection.SharedResources shared;
     private final EndpointConnection.PoolListener poolListener = poolListener();
 
     /** Idle connections by address, the one used last first. */
@@ -87,7 +87,7 @@
         this.idleTimeoutMillis = idleTimeoutMillis;
         this.clock = clock;
         this.shared =
-                new EndpointConnection.Shared(
+                new EndpointConnection.SharedResources(
                         transport,
                         loop,
                         connectTimeoutMillis,
@@ -220,10 +220,10 @@
             return null;
         }
         double now = clock.getAsDouble();
-        for (Iterator<EndpointConnection> each = candidates.iterator(); each.hasNext(); ) {
-            EndpointConnection connection = each.next();
+        for (Iterator<EndpointConnection> iterator = candidates.iterator(); iterator.hasNext(); ) {
+            EndpointConnection connection = iterator.next();
             if (now - connection.idleSince() >= REUSE_DELAY_MILLIS) {
-                each.remove();
+                iterator.remove();
                 if (!connection.isStale()) {
                     return connection;
                 }
@@ -294,8 +294,8 @@
 
             /** Counted by kind, of which there are as many as the decoder has messages. */
             @Override
-            public void onInvalidReply(String what) {
-                invalidReplies.merge(what.replaceAll("[0-9]+", "N"), 1, Integer::sum);
+            public void onInvalidReply(String reason) {
+                invalidReplies.merge(reason.replaceAll("[0-9]+", "N"), 1, Integer::sum);
             }
         };
     }
--- a/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
@@ -10,7 +10,7 @@
     private static final int VALUE_ITEM = 0;
     private static final int USAGE_ITEM = 1;
     private static final int REPORT_ITEM = 2;
-    private static final double MAX_FIGURE = 1e9;
+    private static final double MAX_FIELD_VALUE = 1e9;
 
     private EndpointResponse() {}
 
@@ -36,11 +36,11 @@
     }
 
     private static void recordUsage(Attempt attempt, String text) {
-        double used = parseFigure(text, "used");
+        double used = parseField(text, "used");
         if (used >= 0) {
             attempt.planUsagePercent = used;
         }
-        double cost = parseFigure(text, "cost");
+        double cost = parseField(text, "cost");
         if (cost >= 0) {
             attempt.otherGatewaysUnits = cost;
         }
@@ -57,7 +57,7 @@
         }
         double[] values = new double[fields.size()];
         for (int i = 0; i < values.length; i++) {
-            values[i] = parseFigure(text, fields.get(i));
+            values[i] = parseField(text, fields.get(i));
             if (!(values[i] >= 0)) {
                 return null;
             }
@@ -70,11 +70,11 @@
     }
 
     /** The figure of this name in a list of names and values; NaN if there is none. */
-    private static double parseFigure(String text, String name) {
-        for (String part : text.split(",")) {
-            if (part.startsWith(name + "=")) {
-                double figure = NumberParser.parseDecimal(part.substring(name.length() + 1));
-                return figure <= MAX_FIGURE ? figure : Double.NaN;
+    private static double parseField(String text, String name) {
+        for (String field : text.split(",")) {
+            if (field.startsWith(name + "=")) {
+                double value = NumberParser.parseDecimal(field.substring(name.length() + 1));
+                return value <= MAX_FIELD_VALUE ? value : Double.NaN;
             }
         }
         return Double.NaN;
--- a/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -41,11 +41,11 @@
         }
         channel.writeInbound(bytes);
         for (List<byte[]> command : commands) {
-            Resp.Array read = channel.readInbound();
-            assertEquals(command.size(), read.items().size());
+            Resp.Array decoded = channel.readInbound();
+            assertEquals(command.size(), decoded.items().size());
             for (int i = 0; i < command.size(); i++) {
                 assertTrue(
-                        Arrays.equals(command.get(i), ((Resp.Bulk) read.items().get(i)).bytes()));
+                        Arrays.equals(command.get(i), ((Resp.Bulk) decoded.items().get(i)).bytes()));
             }
         }
         assertNull(channel.readInbound());
@@ -53,14 +53,14 @@
     }
 
     @Property(tries = 500)
-    void noiseEndsInOneErrorOrWaitsForMore(@ForAll @Size(max = 300) byte[] noise) {
+    void randomInputCausesAtMostOneError(@ForAll @Size(max = 300) byte[] input) {
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(COMMANDS));
         int errors = 0;
-        for (int i = 0; i < noise.length; i += 7) {
+        for (int i = 0; i < input.length; i += 7) {
             try {
                 channel.writeInbound(
-                        Unpooled.copiedBuffer(noise, i, Math.min(7, noise.length - i)));
-            } catch (CorruptedFrameException bad) {
+                        Unpooled.copiedBuffer(input, i, Math.min(7, input.length - i)));
+            } catch (CorruptedFrameException expected) {
                 errors++;
             }
         }
@@ -90,7 +90,7 @@
                 "*3\r\n$1000\r\nBULK$1000\r\nBULK$1\r\n",
                 "*11111111111111111111111111111111111111111111111111111111"
             })
-    void malformedCommandFailsAtItsFirstWrongByte(String text) {
+    void malformedCommandFailsAndLaterInputIsDropped(String text) {
         String bytes = text.replace("BULK", "x".repeat(1000) + "\r\n");
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(COMMANDS));
         assertThrows(CorruptedFrameException.class, () -> channel.writeInbound(ascii(bytes)));
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void hugeLengthFailsBeforeAnyOfItComes() {
+    void oversizedLengthFailsBeforeItsValueArrives() {
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(REPLIES));
         assertThrows(
                 CorruptedFrameException.class,
@@ -115,17 +115,17 @@
                 ascii(
                         "+PONG\r\n-ERR failed used=3\r\n:42\r\n$-1\r\n$0\r\n\r\n*-1\r\n*3\r\n$1\r\nv\r\n$-1"
                                 + "\r\n$-1\r\n"));
-        List<Resp> read = new ArrayList<>();
+        List<Resp> decoded = new ArrayList<>();
         for (Resp next = channel.readInbound(); next != null; next = channel.readInbound()) {
-            read.add(next);
+            decoded.add(next);
         }
-        assertEquals(7, read.size());
-        assertEquals("PONG", ((Resp.Line) read.get(0)).text());
-        assertTrue(((Resp.Line) read.get(1)).isError());
-        assertTrue(((Resp.Bulk) read.get(3)).isNull());
-        assertEquals("", ((Resp.Bulk) read.get(4)).text());
-        assertNull(((Resp.Array) read.get(5)).items());
-        assertEquals(3, ((Resp.Array) read.get(6)).items().size());
+        assertEquals(7, decoded.size());
+        assertEquals("PONG", ((Resp.Line) decoded.get(0)).text());
+        assertTrue(((Resp.Line) decoded.get(1)).isError());
+        assertTrue(((Resp.Bulk) decoded.get(3)).isNull());
+        assertEquals("", ((Resp.Bulk) decoded.get(4)).text());
+        assertNull(((Resp.Array) decoded.get(5)).items());
+        assertEquals(3, ((Resp.Array) decoded.get(6)).items().size());
         channel.finishAndReleaseAll();
     }
 
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -33,7 +33,7 @@
 @Timeout(60)
 class DiscoveryClientTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
-    private static final long NEVER = 600_000;
+    private static final long LONG_MILLIS = 600_000;
     private final List<EndpointListUpdate> updates = new CopyOnWriteArrayList<>();
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private final List<Double> confirmations = new CopyOnWriteArrayList<>();
@@ -45,10 +45,10 @@
     private SocketAddress discovery;
 
     private DiscoveryClient openClient(ScriptedPeers peers) throws Exception {
-        return openClient(peers, NEVER, NEVER);
+        return openClient(peers, LONG_MILLIS, LONG_MILLIS);
     }
 
-    private DiscoveryClient openClient(ScriptedPeers peers, long answerMs, long silenceMs)
+    private DiscoveryClient openClient(ScriptedPeers peers, long firstListTimeoutMillis, long idleTimeoutMillis)
             throws Exception {
         Transport transport = Transport.sockets();
         discovery = peers.discovery();
@@ -59,8 +59,8 @@
                         41,
                         new DiscoveryClient.Listener() {
                             @Override
-                            public void onEndpointList(EndpointListUpdate listing) {
-                                updates.add(listing);
+                            public void onEndpointList(EndpointListUpdate update) {
+                                updates.add(update);
                             }
 
                             @Override
@@ -74,12 +74,12 @@
                             }
 
                             @Override
-                            public void onPollFailed(String why) {
-                                failures.add(why);
+                            public void onPollFailed(String reason) {
+                                failures.add(reason);
                             }
                         },
                         clock::now,
-                        new DiscoveryTimeouts(answerMs, silenceMs));
+                        new DiscoveryTimeouts(firstListTimeoutMillis, idleTimeoutMillis));
         loop = transport.eventLoops().next();
         loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
         return client;
@@ -89,7 +89,7 @@
     void watchReportsEachChangeAndSkipsHeartbeatsAndUnreadableEntries() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             await().until(() -> peers.watches.size() == 1);
             openClient(peers);
             await().until(() -> updates.size() == 1);
@@ -124,11 +124,11 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"broken\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n"
             })
-    void failureIsReportedOnce(String answer) throws Exception {
+    void failureIsReportedOnce(String response) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
-            peers.endpointList = answer;
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList = response;
             openClient(peers);
             await().until(() -> !failures.isEmpty());
             peers.gateway.stopNow();
@@ -139,28 +139,28 @@
     }
 
     @Test
-    void silentDiscoveryIsOverdue() throws Exception {
+    void requestWithoutResponseIsReportedOverdue() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList = null;
-            openClient(peers, 100, NEVER);
+            openClient(peers, 100, LONG_MILLIS);
             await().atMost(20, TimeUnit.SECONDS).until(() -> failures.size() == 1);
         }
     }
 
     @Test
-    void newAddressIsRequestedAndTheFormerWatchsEndIsNoFailure() throws Exception {
+    void moveOpensAWatchAtTheNewAddressWithoutReportingAFailure() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
-            var second = peers.discovery();
+            var newAddress = peers.discovery();
             loop.submit(
                             () -> {
-                                assertTrue(client.moveTo(second));
-                                assertFalse(client.moveTo(second), "it is there already");
+                                assertTrue(client.moveTo(newAddress));
+                                assertFalse(client.moveTo(newAddress), "it is there already");
                                 client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
@@ -174,10 +174,10 @@
      * taken all the same.
      */
     @Test
-    void slowResponseIsTakenBesideASilentWatch() throws Exception {
+    void lateResponseIsAcceptedWhileTheWatchIsIdle() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers, 300, 200);
             await().until(() -> failures.size() == 1);
             peers.endpointList = null;
@@ -195,22 +195,22 @@
     /** A watch that is reset was current up to its end, unless a list was under way. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void resetWatchWasCurrentUnlessAListWasUnderWay(boolean underWay) throws Exception {
+    void resetOfWatchConfirmsListUnlessOneIsIncomplete(boolean listIncomplete) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             openClient(peers);
             await().until(() -> confirmations.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
-            if (underWay) {
+            if (listIncomplete) {
                 watch.send("4\r\n{\"re\r\n");
             }
             Thread.sleep(1_500);
-            double reset = clock.now();
+            double resetAt = clock.now();
             watch.socket.setSoLinger(true, 0);
             watch.socket.close();
             await().until(() -> failures.size() == 1);
-            assertEquals(!underWay, confirmations.stream().anyMatch(asOf -> asOf > reset - 1_100));
+            assertEquals(!listIncomplete, confirmations.stream().anyMatch(asOf -> asOf > resetAt - 1_100));
         }
     }
 
@@ -219,23 +219,23 @@
      * moved.
      */
     @Test
-    void formerAddressConfirmsNothingAndIsTakenUntilTheNewOneResponds() throws Exception {
+    void formerAddressReportsListsWithoutConfirmationUntilTheNewOneResponds() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
-            ScriptedPeers.Connection former = lastWatch(peers);
+            ScriptedPeers.Connection formerWatch = lastWatch(peers);
             peers.endpointList = null;
-            var second = peers.discovery();
+            var newAddress = peers.discovery();
             loop.submit(
                             () -> {
-                                assertTrue(client.moveTo(second));
+                                assertTrue(client.moveTo(newAddress));
                                 client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
             int confirmed = confirmations.size();
-            ScriptedPeers.sendChunk(former, CHANGE.formatted(60, ""));
+            ScriptedPeers.sendChunk(formerWatch, CHANGE.formatted(60, ""));
             await().until(() -> updates.size() == 2);
             assertEquals(confirmed, confirmations.size());
             await().until(
@@ -246,32 +246,32 @@
                                                             connection
                                                                     .socket
                                                                     .getLocalSocketAddress()
-                                                                    .equals(second)));
-            ScriptedPeers.Connection fresh =
+                                                                    .equals(newAddress)));
+            ScriptedPeers.Connection newWatch =
                     peers.unansweredRequests.get(peers.unansweredRequests.size() - 1);
-            fresh.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
+            newWatch.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
             await().until(() -> updates.size() == 3);
             assertTrue(confirmations.size() > confirmed);
-            assertEquals(-1, former.input.read(), "the old watch is needless now");
+            assertEquals(-1, formerWatch.input.read(), "the old watch is needless now");
             assertEquals(List.of(), failures);
         }
     }
 
     /** A gateway whose requests fail connects to the new address soon. */
     @Test
-    void newAddressIsRequestedSoonWithoutARequestUnderWay() throws Exception {
+    void newAddressIsRequestedWithoutARequestInFlight() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             await().until(() -> peers.watches.size() == 1);
             peers.endpointList = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
             peers.watches.get(0).socket.close();
             await().until(() -> peers.discoveryRequests.size() >= 2);
             peers.endpointList = "{\"revision\":7,\"complete\":false,\"members\":[]}";
             var first = peers.discovery();
-            var second = peers.discovery();
+            var newAddress = peers.discovery();
             peers.gateway.onConfigurationRead(peers.configAt(first), peers.gateway.now());
-            peers.gateway.onConfigurationRead(peers.configAt(second), peers.gateway.now());
+            peers.gateway.onConfigurationRead(peers.configAt(newAddress), peers.gateway.now());
             await().until(
                             () ->
                                     peers.watches.stream()
@@ -279,23 +279,23 @@
                                                     watch ->
                                                             watch.socket
                                                                     .getLocalSocketAddress()
-                                                                    .equals(second)));
+                                                                    .equals(newAddress)));
         }
     }
 
     @Test
-    void listIsReadInAnyPiecesAndWhiteSpace() throws Exception {
+    void listIsParsedForAnyChunkingAndWhiteSpace() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             openClient(peers);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             String indented =
                     "\n{\n  \"revision\": 50,\r\n\n  \"complete\": false,\n  \"members\": [\n"
                             + "    {\n      \"id\": \"br}ace\\\"{\",\n      \"phase\": \"DELETED\"\n    }\n  ]\n}\n\n";
-            for (char each : indented.toCharArray()) {
-                watch.send("1\r\n" + each + "\r\n");
+            for (char character : indented.toCharArray()) {
+                watch.send("1\r\n" + character + "\r\n");
             }
             await().until(() -> updates.size() == 2);
             assertEquals(50, updates.get(1).revision());
@@ -315,17 +315,17 @@
                 "HTTP/1.1 100 Continue\r\n\r\n",
                 "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
             })
-    void responseWithoutLengthOrAfterAnInformationalOneIsRead(String ahead) throws Exception {
+    void responseWithoutLengthOrAfterAnInformationalOneIsRead(String prefix) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList = null;
             openClient(peers);
-            await().until(() -> isSilent(peers));
-            String answer =
-                    ahead + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n" + CHANGE.formatted(44, "") + "\n";
-            for (char each : answer.toCharArray()) {
-                last(peers.unansweredRequests).send(String.valueOf(each));
+            await().until(() -> hasUnansweredRequest(peers));
+            String response =
+                    prefix + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n" + CHANGE.formatted(44, "") + "\n";
+            for (char character : response.toCharArray()) {
+                last(peers.unansweredRequests).send(String.valueOf(character));
             }
             await().until(() -> updates.size() == 1);
             assertEquals(List.of(), failures);
@@ -333,11 +333,11 @@
     }
 
     @Test
-    void tricklingPartOfAListIsNoHeartbeat() throws Exception {
+    void partialListBytesDoNotCountAsHeartbeats() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
-            openClient(peers, NEVER, 500);
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            openClient(peers, LONG_MILLIS, 500);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             watch.send("1\r\n{\r\n");
@@ -357,25 +357,25 @@
     /** The largest fleet that is promised, in either form; indented it takes over 1 MiB. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n                              "})
-    void aListOf3200EndpointsIsTakenCompactAndIndented(String space) throws Exception {
+    void listOf3200EndpointsIsAcceptedCompactAndIndented(String indent) throws Exception {
         StringBuilder members = new StringBuilder();
         for (int i = 0; i < 3_200; i++) {
             members.append(i == 0 ? "" : ",")
                     .append(
                             "{%s\"id\":\"s-%08x\",%s\"host_port\":\"10.1.%d.%d:6379\","
-                                    .formatted(space, i, space, i / 256, i % 256))
+                                    .formatted(indent, i, indent, i / 256, i % 256))
                     .append(
                             ("%s\"locality\":\"a\",%s\"flavor\":\"m2\",%s\"cell\":%d,"
                                             + "%s\"phase\":\"SERVING\",%s\"size\":1.0,%s\"up_since_ms\":0}")
-                                    .formatted(space, space, space, i, space, space, space));
+                                    .formatted(indent, indent, indent, i, indent, indent, indent));
         }
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList =
                     "{\"revision\":44,\"complete\":true,\"members\":[" + members + "]}";
             assertEquals(
-                    space.isEmpty(),
+                    indent.isEmpty(),
                     peers.endpointList.length() < 1 << 20,
                     "bytes " + peers.endpointList.length());
             openClient(peers);
@@ -390,36 +390,36 @@
      * end confirms no more.
      */
     @Test
-    void slowListConfirmsNothingLaterThanItsBeginning() throws Exception {
+    void slowListIsConfirmedAsOfItsStart() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList = null;
             openClient(peers);
-            await().until(() -> isSilent(peers));
-            double asked = clock.now();
+            await().until(() -> hasUnansweredRequest(peers));
+            double requestedAt = clock.now();
             ScriptedPeers.Connection connection = last(peers.unansweredRequests);
-            slowly(connection, "HTTP/1.1 200 OK\r\n\r\n", CHANGE.formatted(44, "") + "\n");
+            sendInTwoParts(connection, "HTTP/1.1 200 OK\r\n\r\n", CHANGE.formatted(44, "") + "\n");
             await().until(() -> updates.size() == 1);
             Thread.sleep(100);
             assertTrue(
-                    confirmations.stream().allMatch(asOf -> asOf <= asked),
+                    confirmations.stream().allMatch(asOf -> asOf <= requestedAt),
                     "as of " + confirmations);
-            double begun = clock.now();
-            slowly(connection, "", CHANGE.formatted(45, "") + "\n\n");
+            double listStartedAt = clock.now();
+            sendInTwoParts(connection, "", CHANGE.formatted(45, "") + "\n\n");
             await().until(() -> updates.size() == 2);
             assertTrue(
-                    confirmations.stream().allMatch(asOf -> asOf <= begun + 100),
+                    confirmations.stream().allMatch(asOf -> asOf <= listStartedAt + 100),
                     "as of " + confirmations);
             Thread.sleep(700);
-            double resting = clock.now();
+            double idleAt = clock.now();
             connection.send("\n");
-            await().until(() -> confirmations.stream().anyMatch(asOf -> asOf > resting - 1_100));
+            await().until(() -> confirmations.stream().anyMatch(asOf -> asOf > idleAt - 1_100));
         }
     }
 
     /** Sends half of a list, and after a pause the rest, with its line end by itself. */
-    private static void slowly(ScriptedPeers.Connection connection, String head, String list)
+    private static void sendInTwoParts(ScriptedPeers.Connection connection, String head, String list)
             throws Exception {
         int middle = list.length() / 2;
         int end = list.lastIndexOf('}') + 1;
@@ -434,7 +434,7 @@
     void olderListIsNotReportedUnlessDiscoveryRestarted() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.sendChunk(lastWatch(peers), CHANGE.formatted(60, ""));
@@ -455,21 +455,21 @@
 
     /** A poll whose response comes late, after a newer line of the watch. */
     @Test
-    void completeListThatANewerOneHasOvertakenIsNotReported() throws Exception {
+    void pollResultOlderThanTheWatchIsNotReported() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             peers.endpointList = null;
             loop.submit(client::poll).get(10, TimeUnit.SECONDS);
-            await().until(() -> isSilent(peers));
+            await().until(() -> hasUnansweredRequest(peers));
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(70, ""));
             await().until(() -> updates.size() == 2);
             ScriptedPeers.Connection late = last(peers.unansweredRequests);
-            String whole = "{\"revision\":8,\"complete\":true,\"members\":[]}";
-            late.send("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
+            String completeList = "{\"revision\":8,\"complete\":true,\"members\":[]}";
+            late.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
             assertEquals(-1, late.input.read(), "the request has ended");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
@@ -479,15 +479,15 @@
     }
 
     @Test
-    void responseWithoutLengthThatIsResetInsideIsNoList() throws Exception {
+    void resetInsideAResponseWithoutLengthIsAFailure() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
             peers.endpointList = null;
             loop.submit(client::poll).get(10, TimeUnit.SECONDS);
-            await().until(() -> isSilent(peers));
+            await().until(() -> hasUnansweredRequest(peers));
             ScriptedPeers.Connection connection = last(peers.unansweredRequests);
             connection.send(
                     "HTTP/1.1 200 OK\r\n\r\n{\"revision\":90,\"complete\":true,\"members\":[");
@@ -504,14 +504,14 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
-    void nobodyIsServedBeforeTheFirstList(String how) throws Exception {
+    void gatewayListensOnlyAfterTheFirstList(String discoveryMode) throws Exception {
         Transport transport = Transport.sockets();
         try (ServerSocket late = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             GatewayConfig config =
                     GatewayConfig.parse(
                                     JsonReader.readObject(
                                             WarmUpConfig.text()
-                                                    .replace("\"subscribe\"", "\"" + how + "\"")
+                                                    .replace("\"subscribe\"", "\"" + discoveryMode + "\"")
                                                     .getBytes(StandardCharsets.UTF_8)),
                                     Map.of())
                             .withAddresses(
@@ -521,10 +521,10 @@
             RespGateway gateway = new RespGateway(config, transport);
             gateway.connectToDiscovery();
             CompletableFuture<SocketAddress> ready = gateway.start();
-            ScriptedPeers.Connection call = new ScriptedPeers.Connection(late.accept());
-            assertTrue(call.readLine().contains("watch=1"));
+            ScriptedPeers.Connection request = new ScriptedPeers.Connection(late.accept());
+            assertTrue(request.readLine().contains("watch=1"));
             assertFalse(ready.isDone());
-            call.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
+            request.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
             new Socket().connect(ready.get());
             gateway.stopNow();
             gateway.stopped().join();
@@ -534,10 +534,10 @@
     }
 
     @Test
-    void pushedListIsWatchedAndKnownBeforeAnybodyIsServed() throws Exception {
+    void automaticDiscoveryOpensAWatchBeforeServing() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY),
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY),
                         text ->
                                 text.replace(
                                         "\"discovery\": \"subscribe\"",
@@ -552,17 +552,17 @@
     }
 
     /** The last one that the client opened. */
-    private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> talks) {
-        List<ScriptedPeers.Connection> own =
-                talks.stream()
+    private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> connections) {
+        List<ScriptedPeers.Connection> matching =
+                connections.stream()
                         .filter(
                                 connection ->
                                         connection.socket.getLocalSocketAddress().equals(discovery))
                         .toList();
-        return own.get(own.size() - 1);
+        return matching.get(matching.size() - 1);
     }
 
-    private boolean isSilent(ScriptedPeers peers) {
+    private boolean hasUnansweredRequest(ScriptedPeers peers) {
         return peers.unansweredRequests.stream()
                 .anyMatch(
                         connection -> connection.socket.getLocalSocketAddress().equals(discovery));
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -35,7 +35,7 @@
 @Timeout(60)
 class ClientListenerTest {
     private static final int MAX_CONNECTIONS = 40;
-    private static final int BIG_VALUE_BYTES = 60_000;
+    private static final int LARGE_VALUE_BYTES = 60_000;
 
     private final Transport transport = Transport.sockets();
     private final EventLoop loop = transport.eventLoops().next();
@@ -59,9 +59,9 @@
                             public void onRequest(
                                     ClientConnection connection,
                                     ClientConnection.PendingReply pendingReply,
-                                    List<byte[]> words) {
+                                    List<byte[]> arguments) {
                                 connection.hasSentCommand = true;
-                                pendingReply.attachment = words;
+                                pendingReply.attachment = arguments;
                                 connections.add(connection);
                                 requests.add(pendingReply);
                                 if (connection.isDraining() || listener.isDraining()) {
@@ -139,7 +139,7 @@
         whileLoopIsHeld(() -> {}, step);
     }
 
-    private void passTime(double length) throws Exception {
+    private void advanceTime(double length) throws Exception {
         now += length;
         onLoop(listener::closeExpired);
     }
@@ -152,11 +152,11 @@
         whileLoopIsHeld(
                 () -> client.send("*4\r\n$8\r\nBLK.RE"),
                 () -> {
-                    requests.get(0).reply(RespEncoder.bulk(new byte[BIG_VALUE_BYTES]));
+                    requests.get(0).reply(RespEncoder.bulk(new byte[LARGE_VALUE_BYTES]));
                     listener.drain();
                 });
-        assertEquals("$" + BIG_VALUE_BYTES, client.readLine());
-        assertEquals(BIG_VALUE_BYTES, client.input.readNBytes(BIG_VALUE_BYTES).length);
+        assertEquals("$" + LARGE_VALUE_BYTES, client.readLine());
+        assertEquals(LARGE_VALUE_BYTES, client.input.readNBytes(LARGE_VALUE_BYTES).length);
         assertEquals("", client.readLine());
         assertNull(client.readLine(), "an end, and no reset");
         client.socket.close();
@@ -206,7 +206,7 @@
         for (ScriptedPeers.Connection client : clients) {
             assertEquals("-BUSY", client.readReply());
         }
-        passTime(200);
+        advanceTime(200);
         for (ScriptedPeers.Connection client : clients) {
             assertNull(client.readReply(), "an end");
             client.socket.close();
@@ -223,15 +223,15 @@
 
     @ParameterizedTest
     @EnumSource(DisconnectKind.class)
-    void disconnectIsSeenWhileReadingIsPaused(DisconnectKind way) throws Exception {
+    void disconnectIsDetectedWhileReadingIsPaused(DisconnectKind kind) throws Exception {
         ScriptedPeers.Connection client = client();
-        StringBuilder many = new StringBuilder();
+        StringBuilder commands = new StringBuilder();
         for (int i = 0; i < 100; i++) {
-            many.append(ScriptedPeers.command(ScriptedPeers.readCommand(i)));
+            commands.append(ScriptedPeers.command(ScriptedPeers.readCommand(i)));
         }
-        client.send(many.toString());
+        client.send(commands.toString());
         await().until(() -> requests.size() >= 64);
-        switch (way) {
+        switch (kind) {
             case FIN -> client.socket.close();
             case HALF_CLOSE -> client.socket.shutdownOutput();
             case RESET -> {
@@ -244,29 +244,29 @@
     }
 
     @Test
-    void slowCommandIsAwaitedAndStalledCommandIsNot() throws Exception {
+    void slowCommandIsServedAndStalledCommandTimesOut() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
-        passTime(3_000);
+        advanceTime(3_000);
         String command = ScriptedPeers.command(ScriptedPeers.readCommand(1));
         int half = command.length() / 2;
         client.send(command.substring(0, half));
-        awaitPartial();
-        passTime(1_900);
+        awaitPartialCommand();
+        advanceTime(1_900);
         client.send(command.substring(half, half + 1));
         client.send(command.substring(half + 1));
         await().until(() -> requests.size() == 1);
         onLoop(() -> requests.get(0).reply(RespEncoder.simple("DONE")));
         assertEquals("+DONE", client.readReply());
         client.send(command.substring(0, half));
-        awaitPartial();
-        passTime(2_100);
+        awaitPartialCommand();
+        advanceTime(2_100);
         assertNull(client.readReply());
     }
 
     /** Waits until part of a command has been read. */
-    private void awaitPartial() {
+    private void awaitPartialCommand() {
         await().until(() -> loop.submit(() -> listener.isReadingCommand()).get());
     }
 
@@ -277,14 +277,14 @@
         assertEquals("+PONG", client.readReply());
         onLoop(listener::drain);
         assertNull(client.readReply());
-        passTime(900);
+        advanceTime(900);
         assertEquals(1, listener.connectionCount());
-        passTime(200);
+        advanceTime(200);
         await().until(() -> listener.isDrained());
     }
 
     @Test
-    void connectionsGiveWayByFinAndNotByReset() throws Exception {
+    void connectionsClosedAtCapacityEndWithFinNotReset() throws Exception {
         List<ScriptedPeers.Connection> clients = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS * 2; i++) {
             ScriptedPeers.Connection client = client();
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -30,10 +30,10 @@
 @Timeout(60)
 class RespGatewayTest {
     private static final ScriptedPeers.Script SERVING_ENDPOINT =
-            (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
+            (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
 
     @Test
-    void readsAndWritesAreForwardedUnchangedButForTheDeadline() throws Exception {
+    void readsAndWritesAreForwardedWithOnlyTheDeadlineChanged() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand("PING");
@@ -52,24 +52,24 @@
             assertEquals(
                     ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
                     sent.replaceAll(",d=\\d+", ""));
-            int patience = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1"));
-            assertTrue(patience > 0 && patience < 9000, "told " + patience);
+            int forwardedDeadline = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1"));
+            assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "told " + forwardedDeadline);
             assertEquals("bytes", peers.commands.get(1).get(4));
         }
     }
 
     @Test
-    void repliesKeepTheOrderOfTheCommands() throws Exception {
-        CountDownLatch later = new CountDownLatch(1);
+    void repliesAreSentInCommandOrder() throws Exception {
+        CountDownLatch secondReplied = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
-                            if (words.get(2).equals(NumberParser.formatId(1))) {
-                                awaitQuietly(later);
+                        (arguments, connection) -> {
+                            if (arguments.get(2).equals(NumberParser.formatId(1))) {
+                                awaitLatch(secondReplied);
                             }
-                            connection.send("*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n");
-                            if (words.get(2).equals(NumberParser.formatId(2))) {
-                                later.countDown();
+                            connection.send("*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n");
+                            if (arguments.get(2).equals(NumberParser.formatId(2))) {
+                                secondReplied.countDown();
                             }
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
@@ -122,9 +122,9 @@
     }
 
     @Test
-    void malformedInputEndsItsOwnConnectionOnly() throws Exception {
+    void malformedInputClosesOnlyItsOwnConnection() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection good = peers.connectClient();
+            ScriptedPeers.Connection otherClient = peers.connectClient();
             for (String bad :
                     new String[] {
                         "GET / HTTP/1.1\r\n",
@@ -137,8 +137,8 @@
                 assertTrue(client.readReply().startsWith("-ERR protocol error"));
                 assertNull(client.readReply(), "closed");
             }
-            good.sendCommand(ScriptedPeers.readCommand(5));
-            assertEquals("$5 value", good.readReply());
+            otherClient.sendCommand(ScriptedPeers.readCommand(5));
+            assertEquals("$5 value", otherClient.readReply());
         }
     }
 
@@ -147,8 +147,8 @@
         CountDownLatch go = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
-                            awaitQuietly(go);
+                        (arguments, connection) -> {
+                            awaitLatch(go);
                             connection.send(ScriptedPeers.VALUE_REPLY);
                         })) {
             ScriptedPeers.Connection first = peers.connectClient();
@@ -164,18 +164,18 @@
     }
 
     @Test
-    void connectionWithoutACommandIsClosedAndOneWithACommandStays() throws Exception {
+    void connectionWithoutACompleteCommandIsClosed() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection commandCount = peers.connectClient();
-            commandCount.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", commandCount.readReply());
-            ScriptedPeers.Connection silent = peers.connectClient();
-            ScriptedPeers.Connection half = peers.connectClient();
-            half.send("*4\r\n$8\r\nBLK.RE");
-            assertNull(silent.readReply());
-            assertNull(half.readReply());
-            commandCount.sendCommand(ScriptedPeers.readCommand(2));
-            assertEquals("$5 value", commandCount.readReply());
+            ScriptedPeers.Connection activeClient = peers.connectClient();
+            activeClient.sendCommand(ScriptedPeers.readCommand(1));
+            assertEquals("$5 value", activeClient.readReply());
+            ScriptedPeers.Connection idleClient = peers.connectClient();
+            ScriptedPeers.Connection partialCommandClient = peers.connectClient();
+            partialCommandClient.send("*4\r\n$8\r\nBLK.RE");
+            assertNull(idleClient.readReply());
+            assertNull(partialCommandClient.readReply());
+            activeClient.sendCommand(ScriptedPeers.readCommand(2));
+            assertEquals("$5 value", activeClient.readReply());
         }
     }
 
@@ -197,7 +197,7 @@
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) ->
+                        (arguments, connection) ->
                                 connection.send(
                                         commandCount.getAndIncrement() == 0
                                                 ? invalidReply
@@ -214,7 +214,7 @@
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) ->
+                        (arguments, connection) ->
                                 connection.send(
                                         commandCount.getAndIncrement() == 0
                                                 ? ScriptedPeers.VALUE_REPLY.substring(0, 9)
@@ -227,12 +227,12 @@
     }
 
     @Test
-    void duplicateReplyIsNotTakenForTheNext() throws Exception {
+    void duplicateReplyIsNotUsedForTheNextRequest() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
-                            String answer = "*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n";
-                            connection.send(answer + answer);
+                        (arguments, connection) -> {
+                            String reply = "*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n";
+                            connection.send(reply + reply);
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
             for (long id = 1; id <= 20; id++) {
@@ -243,10 +243,10 @@
     }
 
     @Test
-    void unreadableFiguresLeaveAReplyValid() throws Exception {
+    void replyWithInvalidUsageFieldsIsServed() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) ->
+                        (arguments, connection) ->
                                 connection.send(
                                         "*3\r\n$5\r\nvalue\r\n$12\r\ncost=,used=x\r\n$3\r\n???\r\n"))) {
             ScriptedPeers.Connection client = peers.connectClient();
@@ -260,7 +260,7 @@
         CountDownLatch ended = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
+                        (arguments, connection) -> {
                             if (connection.readLine() == null) {
                                 ended.countDown();
                             }
@@ -279,11 +279,11 @@
     @Test
     void commandOfADisconnectedClientIsNotForwarded() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection good = peers.connectClient();
-            good.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", good.readReply());
+            ScriptedPeers.Connection otherClient = peers.connectClient();
+            otherClient.sendCommand(ScriptedPeers.readCommand(1));
+            assertEquals("$5 value", otherClient.readReply());
             for (int id = 10; id < 20; id++) {
-                ScriptedPeers.Connection gone = peers.connectClient();
+                ScriptedPeers.Connection disconnected = peers.connectClient();
                 CountDownLatch held = new CountDownLatch(1);
                 CountDownLatch go = new CountDownLatch(1);
                 peers.transport
@@ -299,17 +299,17 @@
                                     }
                                 });
                 held.await();
-                int port = gone.socket.getLocalPort();
-                gone.sendCommand(ScriptedPeers.readCommand(id));
-                gone.socket.close();
-                KernelTcpTable.awaitFin(gone.socket.getPort(), port);
+                int port = disconnected.socket.getLocalPort();
+                disconnected.sendCommand(ScriptedPeers.readCommand(id));
+                disconnected.socket.close();
+                KernelTcpTable.awaitFin(disconnected.socket.getPort(), port);
                 go.countDown();
             }
-            good.sendCommand(ScriptedPeers.readCommand(2));
-            assertEquals("$5 value", good.readReply());
+            otherClient.sendCommand(ScriptedPeers.readCommand(2));
+            assertEquals("$5 value", otherClient.readReply());
             assertEquals(
                     List.of(NumberParser.formatId(1), NumberParser.formatId(2)),
-                    peers.commands.stream().map(words -> words.get(2)).toList());
+                    peers.commands.stream().map(arguments -> arguments.get(2)).toList());
         }
     }
 
@@ -318,15 +318,15 @@
         Transport transport = Transport.sockets();
         try {
             int port = WarmUpConfig.freePort();
-            InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-            InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+            InetSocketAddress listenAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             RespGateway gateway =
-                    new RespGateway(WarmUpConfig.at(front, nobody, nobody), transport);
+                    new RespGateway(WarmUpConfig.at(listenAddress, unusedAddress, unusedAddress), transport);
             gateway.stop();
             gateway.connectToDiscovery();
             gateway.start().join();
             gateway.stopped().join();
-            assertThrows(ConnectException.class, () -> new Socket().connect(front));
+            assertThrows(ConnectException.class, () -> new Socket().connect(listenAddress));
         } finally {
             transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
@@ -343,16 +343,16 @@
                 "$3\r\n???\r\n",
                 "noise\r\n"
             })
-    void healthCheckFollowsTheSettingsAndItsReplyIsNotTakenForAnother(String answer)
+    void healthCheckCommandFollowsSettingsAndItsReplyIsNotUsedForARequest(String reply)
             throws Exception {
         for (String fields : List.of("[]", "[\"mean_ms\"]")) {
             try (ScriptedPeers peers =
                     new ScriptedPeers(
-                            (words, connection) ->
+                            (arguments, connection) ->
                                     connection.send(
-                                            words.get(0).startsWith("BLK")
+                                            arguments.get(0).startsWith("BLK")
                                                     ? ScriptedPeers.VALUE_REPLY
-                                                    : answer),
+                                                    : reply),
                             text ->
                                     text.replace(
                                             "\"how\": \"silent\", \"fields\": []",
@@ -378,7 +378,7 @@
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
+                        (arguments, connection) -> {
                             if (commandCount.getAndIncrement() == 0) {
                                 connection.socket.close();
                             } else {
@@ -406,7 +406,7 @@
     }
 
     @Test
-    void silentConnectionsGiveWayToActiveClients() throws Exception {
+    void idleConnectionsAreClosedForActiveClients() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             // The configuration has 256 descriptors in all.
             for (int i = 0; i < 400; i++) {
@@ -418,7 +418,7 @@
                                 try {
                                     client.sendCommand(ScriptedPeers.readCommand(1));
                                     return "$5 value".equals(client.readReply());
-                                } catch (IOException turnedAway) {
+                                } catch (IOException rejected) {
                                     return false;
                                 }
                             });
@@ -426,9 +426,9 @@
     }
 
     @Test
-    void sixtyMegabytesAtFullSpeedEndTheirOwnConnectionOnly() throws Exception {
+    void oversizedCommandClosesOnlyItsOwnConnection() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection good = peers.connectClient();
+            ScriptedPeers.Connection otherClient = peers.connectClient();
             ScriptedPeers.Connection bad = peers.connectClient();
             byte[] chunk = new byte[1 << 20];
             try {
@@ -447,8 +447,8 @@
             } catch (IOException closed) {
                 // Unread bytes turn the close into a reset.
             }
-            good.sendCommand(ScriptedPeers.readCommand(5));
-            assertEquals("$5 value", good.readReply());
+            otherClient.sendCommand(ScriptedPeers.readCommand(5));
+            assertEquals("$5 value", otherClient.readReply());
             assertEquals(1, peers.commands.size());
         }
     }
@@ -457,14 +457,14 @@
     void clientThatReadsNothingIsPausedAndThenClosed() throws Exception {
         String value = "*3\r\n$60000\r\n" + "v".repeat(60_000) + "\r\n$-1\r\n$-1\r\n";
         try (ScriptedPeers peers =
-                new ScriptedPeers((words, connection) -> connection.send(value))) {
-            ScriptedPeers.Connection deaf = peers.connectClient();
+                new ScriptedPeers((arguments, connection) -> connection.send(value))) {
+            ScriptedPeers.Connection nonReadingClient = peers.connectClient();
             int commandCount = 0;
             try {
                 while (true) {
-                    deaf.sendCommand(ScriptedPeers.readCommand(++commandCount));
+                    nonReadingClient.sendCommand(ScriptedPeers.readCommand(++commandCount));
                     if (commandCount % 64 == 0) {
-                        deaf.socket.getOutputStream().flush();
+                        nonReadingClient.socket.getOutputStream().flush();
                     }
                 }
             } catch (IOException closed) {
@@ -473,13 +473,13 @@
             assertTrue(
                     peers.commands.size() < commandCount,
                     peers.commands.size() + " of " + commandCount);
-            ScriptedPeers.Connection good = peers.connectClient();
-            good.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
-            assertTrue(good.readReply().startsWith("$60000 "));
+            ScriptedPeers.Connection otherClient = peers.connectClient();
+            otherClient.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
+            assertTrue(otherClient.readReply().startsWith("$60000 "));
         }
     }
 
-    private static void awaitQuietly(CountDownLatch latch) throws IOException {
+    private static void awaitLatch(CountDownLatch latch) throws IOException {
         try {
             latch.await();
         } catch (InterruptedException e) {
--- a/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
@@ -25,21 +25,21 @@
     private static final String FIELDS =
             "c=get,t=any,d=900,volume=0000000000000007,units=1,shard=0,hosts=3,r=1";
 
-    private static BlockCommand command(String word, String fields, String... more)
+    private static BlockCommand command(String name, String fields, String... values)
             throws Exception {
         Deployment deployment = WarmUpConfig.at(null, null, null).deployment();
-        List<byte[]> words = new ArrayList<>();
-        for (String each : List.of(word, "000000000000000a", "000000000000000b", fields)) {
-            words.add(each.getBytes(StandardCharsets.US_ASCII));
+        List<byte[]> arguments = new ArrayList<>();
+        for (String argument : List.of(name, "000000000000000a", "000000000000000b", fields)) {
+            arguments.add(argument.getBytes(StandardCharsets.US_ASCII));
         }
-        for (String each : more) {
-            words.add(each.getBytes(StandardCharsets.US_ASCII));
+        for (String argument : values) {
+            arguments.add(argument.getBytes(StandardCharsets.US_ASCII));
         }
-        return BlockCommand.parse(words, deployment);
+        return BlockCommand.parse(arguments, deployment);
     }
 
     @Test
-    void commandsAndTheirFields() throws Exception {
+    void commandFieldsAreParsedAndDeadlineIsReplaced() throws Exception {
         BlockCommand read = command("BLK.READ", FIELDS);
         assertEquals(10, read.extent);
         assertEquals(11, read.id);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void figuresOfAnEndpointsReply() throws Exception {
+    void usageAndLoadReportOfAnErrorReplyAreRecorded() throws Exception {
         TrafficClass trafficClass =
                 WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
         Operation operation = new Operation(1, trafficClass, null, 0, 1, 0, 0, 900, false);
@@ -72,19 +72,19 @@
     }
 
     @Test
-    void countersInTheLog() throws Exception {
-        GatewayMetrics counts = new GatewayMetrics();
+    void countersAreFormattedByName() throws Exception {
+        GatewayMetrics metrics = new GatewayMetrics();
         TrafficClass trafficClass =
                 WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
         for (Outcome outcome : Outcome.values()) {
-            counts.onAttemptEnded(outcome, new Node(1));
+            metrics.onAttemptEnded(outcome, new Node(1));
         }
-        Map<Reason, Integer> waits = new EnumMap<>(Reason.class);
+        Map<Reason, Integer> waiting = new EnumMap<>(Reason.class);
         for (Reason reason : Reason.values()) {
-            waits.put(reason, 1);
+            waiting.put(reason, 1);
         }
-        counts.addWaiting(waits);
-        counts.onUnserved(trafficClass, Reason.OBJECTIVE_MISSED);
+        metrics.addWaiting(waiting);
+        metrics.onUnserved(trafficClass, Reason.OBJECTIVE_MISSED);
         assertEquals(
                 "accepted=0 within-objective=0 beyond-objective=0 cancelled=0 invalid=0"
                         + " rejected-at-capacity=0 attempts=0 outcomes={SERVED=1,"
@@ -95,7 +95,7 @@
                         + " NO_NODE=1, NO_LEASE=1, LIMIT=1, RETRY_BUDGET=1, KEY_ORDER=1,"
                         + " LOWER_PRIORITY=1, OBJECTIVE_MISSED=1, DEADLINE=1, NO_RETRY=1,"
                         + " MAY_HAVE_EXECUTED=1}",
-                counts.toString());
+                metrics.toString());
     }
 
     /** The class that pom.xml and GatewayProcess name, with the command that starts the service. */
@@ -110,8 +110,8 @@
                         "serve");
         builder.environment().remove("GW_CONFIG");
         Process process = builder.redirectErrorStream(true).start();
-        String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(1, process.waitFor(), out);
-        assertTrue(out.contains("sagepulley: GW_CONFIG is not set"), out);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(1, process.waitFor(), output);
+        assertTrue(output.contains("sagepulley: GW_CONFIG is not set"), output);
     }
 }
--- a/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -27,10 +27,10 @@
 
     /** The first file is a pipe whose reading is held up until the second signal is on its way. */
     @Test
-    void fileOfTheLastHangUpAppliesThoughAnEarlierOneIsReadSlowly() throws Exception {
+    void lastReloadAppliesWhenAnEarlierOneIsReadSlowly() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
@@ -39,24 +39,24 @@
             RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
-            SocketAddress early = peers.discovery();
-            SocketAddress late = peers.discovery();
+            SocketAddress firstDiscovery = peers.discovery();
+            SocketAddress lastDiscovery = peers.discovery();
             Files.delete(file);
             assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-            hangUp();
+            sendHangup();
             try (OutputStream pipe = Files.newOutputStream(file)) { // once somebody reads
                 Files.delete(file);
-                Files.writeString(file, config(port, late));
-                hangUp();
+                Files.writeString(file, config(port, lastDiscovery));
+                sendHangup();
                 // If nothing kept the order, the second file would have been applied by then.
-                for (int i = 0; i < 50 && !watched(peers, late); i++) {
+                for (int i = 0; i < 50 && !isWatched(peers, lastDiscovery); i++) {
                     Thread.sleep(10);
                 }
-                pipe.write(config(port, early).getBytes(StandardCharsets.UTF_8));
+                pipe.write(config(port, firstDiscovery).getBytes(StandardCharsets.UTF_8));
             }
             await().until(() -> gateway.reloads() == 2);
-            assertEquals(late, gateway.discoveryAddress());
-            await().until(() -> watched(peers, late));
+            assertEquals(lastDiscovery, gateway.discoveryAddress());
+            await().until(() -> isWatched(peers, lastDiscovery));
             gateway.stopNow();
             ended.get();
         }
@@ -69,22 +69,22 @@
                 () -> {
                     try {
                         GatewayServer.run(environment, ready::complete);
-                    } catch (ConfigException bad) {
-                        throw new IllegalStateException(bad);
+                    } catch (ConfigException failure) {
+                        throw new IllegalStateException(failure);
                     }
                 });
     }
 
-    private static boolean watched(ScriptedPeers peers, SocketAddress discovery) {
+    private static boolean isWatched(ScriptedPeers peers, SocketAddress discovery) {
         return peers.watches.stream()
                 .anyMatch(watch -> watch.socket.getLocalSocketAddress().equals(discovery));
     }
 
     @Test
-    void discoveryMovesAtHangUpAndAnInvalidFileChangesNothing() throws Exception {
+    void reloadMovesDiscoveryAndAnInvalidFileChangesNothing() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
             Files.writeString(file, config(port, peers.discovery()));
@@ -95,7 +95,7 @@
             await().until(() -> peers.watches.size() == 2);
 
             Files.writeString(file, config(port, peers.discovery()));
-            hangUp();
+            sendHangup();
             await().until(() -> peers.watches.size() == 3);
 
             Files.writeString(file, "{\"listen\":");
@@ -123,7 +123,7 @@
                                 + "\"");
     }
 
-    private static void hangUp() throws Exception {
+    private static void sendHangup() throws Exception {
         Process kill =
                 new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
                         .start();
--- a/src/test/java/sagepulley/testing/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -21,10 +21,10 @@
     private KernelTcpTable() {}
 
     /** Waits until the FIN of the far port has arrived at the near one. */
-    public static void awaitFin(int near, int far) {
+    public static void awaitFin(int localPort, int remotePort) {
         await().until(
                         () ->
-                                lines(near, far).stream()
+                                lines(localPort, remotePort).stream()
                                         .anyMatch(
                                                 fields ->
                                                         Integer.parseInt(fields[3], 16)
@@ -32,10 +32,10 @@
     }
 
     /** Waits until bytes lie unread at the near port. */
-    public static void awaitUnread(int near, int far) {
+    public static void awaitUnread(int localPort, int remotePort) {
         await().until(
                         () ->
-                                lines(near, far).stream()
+                                lines(localPort, remotePort).stream()
                                         .anyMatch(
                                                 fields ->
                                                         Long.parseLong(fields[4].split(":")[1], 16)
@@ -43,20 +43,20 @@
     }
 
     /** Waits until the near port's connection is gone. */
-    public static void awaitGone(int near, int far) {
-        await().until(() -> lines(near, far).isEmpty());
+    public static void awaitClosed(int localPort, int remotePort) {
+        await().until(() -> lines(localPort, remotePort).isEmpty());
     }
 
-    private static List<String[]> lines(int near, int far) throws IOException {
+    private static List<String[]> lines(int localPort, int remotePort) throws IOException {
         assumeTrue(Files.isReadable(TABLES.get(0)), "only Linux has this book");
         List<String[]> found = new ArrayList<>();
-        for (Path book : TABLES) {
-            if (!Files.isReadable(book)) {
+        for (Path table : TABLES) {
+            if (!Files.isReadable(table)) {
                 continue;
             }
-            for (String line : Files.readAllLines(book)) {
+            for (String line : Files.readAllLines(table)) {
                 String[] fields = line.trim().split("\\s+");
-                if (fields[1].endsWith(":" + port(near)) && fields[2].endsWith(":" + port(far))) {
+                if (fields[1].endsWith(":" + port(localPort)) && fields[2].endsWith(":" + port(remotePort))) {
                     found.add(fields);
                 }
             }
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -33,7 +33,7 @@
 
     /** What the endpoint does with one command. */
     public interface Script {
-        void answer(List<String> words, Connection connection) throws IOException;
+        void respond(List<String> arguments, Connection connection) throws IOException;
     }
 
     /** One connection to a peer. */
@@ -84,13 +84,13 @@
             if (head == null) {
                 return null;
             }
-            List<String> words = new ArrayList<>();
+            List<String> arguments = new ArrayList<>();
             for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
                 int length = Integer.parseInt(readLine().substring(1));
-                words.add(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
+                arguments.add(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
                 input.readNBytes(2);
             }
-            return words;
+            return arguments;
         }
 
         /** One reply: its line, and its value after a blank where there is one. */
@@ -99,8 +99,8 @@
             return head != null && head.startsWith("$") ? head + " " + readLine() : head;
         }
 
-        public void sendCommand(String... words) throws IOException {
-            send(ScriptedPeers.command(words));
+        public void sendCommand(String... arguments) throws IOException {
+            send(ScriptedPeers.command(arguments));
         }
     }
 
@@ -134,7 +134,7 @@
                                     arguments != null;
                                     arguments = connection.readCommand()) {
                                 commands.add(arguments);
-                                script.answer(arguments, connection);
+                                script.respond(arguments, connection);
                             }
                         });
         SocketAddress discovery = discovery();
@@ -198,8 +198,8 @@
 
     public static String command(String... arguments) {
         StringBuilder command = new StringBuilder("*" + arguments.length + "\r\n");
-        for (String word : arguments) {
-            command.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+        for (String argument : arguments) {
+            command.append('$').append(argument.length()).append("\r\n").append(argument).append("\r\n");
         }
         return command.toString();
     }
@@ -223,11 +223,11 @@
                 + ",hosts=1";
     }
 
-    private interface Task {
-        void with(Connection connection) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Connection connection) throws IOException;
     }
 
-    private ServerSocket serve(Task task) throws IOException {
+    private ServerSocket serve(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(server);
         daemon(
@@ -238,7 +238,7 @@
                         daemon(
                                 () -> {
                                     try (socket) {
-                                        task.with(new Connection(socket));
+                                        handler.handle(new Connection(socket));
                                     }
                                 });
                     }
@@ -246,16 +246,16 @@
         return server;
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void daemon(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                work.run();
+                                task.run();
                             } catch (IOException ended) {
                                 // The peer or the test has closed it.
                             }
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -24,24 +24,24 @@
 
 /** The outcome of a request, by what its connection does. */
 class EndpointConnectionPoolTest {
-    private static final long NEVER_MILLIS = 600_000;
-    private static final long HELD_MILLIS = 300;
+    private static final long LONG_MILLIS = 600_000;
+    private static final long LOOP_HOLD_MILLIS = 300;
 
     private final Transport transport = Transport.sockets();
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
-    private ServerSocket node;
+    private ServerSocket server;
 
     /** An endpoint that sends this on each connection, and then nothing more. */
-    private SocketAddress node(String says) throws IOException {
-        node = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    private SocketAddress startEndpoint(String response) throws IOException {
+        server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    Socket socket = node.accept();
+                                    Socket socket = server.accept();
                                     socket.getOutputStream()
-                                            .write(says.getBytes(StandardCharsets.US_ASCII));
+                                            .write(response.getBytes(StandardCharsets.US_ASCII));
                                     accepted.add(socket);
                                 }
                             } catch (IOException closed) {
@@ -51,15 +51,15 @@
                         "node");
         thread.setDaemon(true);
         thread.start();
-        return node.getLocalSocketAddress();
+        return server.getLocalSocketAddress();
     }
 
-    private EndpointConnectionPool pool(double stallTime) {
+    private EndpointConnectionPool pool(double stallTimeoutMillis) {
         return new EndpointConnectionPool(
-                transport, 100, 5_000, NEVER_MILLIS, stallTime, new Clock()::now);
+                transport, 100, 5_000, LONG_MILLIS, stallTimeoutMillis, new Clock()::now);
     }
 
-    private Outcome call(EndpointConnectionPool pool, SocketAddress address, double timeout) {
+    private Outcome sendPing(EndpointConnectionPool pool, SocketAddress address, double timeoutMillis) {
         CompletableFuture<Outcome> ended = new CompletableFuture<>();
         transport
                 .eventLoops()
@@ -69,40 +69,40 @@
                                 pool.sendHealthCheck(
                                         address,
                                         List.of("PING".getBytes(StandardCharsets.US_ASCII)),
-                                        timeout,
-                                        (outcome, answer, at) -> ended.complete(outcome)));
+                                        timeoutMillis,
+                                        (outcome, reply, receivedAt) -> ended.complete(outcome)));
         return ended.join();
     }
 
     @Test
-    void endpointThatHasBegunToReplyAtTheTimeoutHasFailed() throws IOException {
-        SocketAddress address = node("*3\r\n$5\r\nva");
-        EndpointConnectionPool pool = pool(NEVER_MILLIS);
+    void partialReplyAtTheTimeoutIsAFailure() throws IOException {
+        SocketAddress address = startEndpoint("*3\r\n$5\r\nva");
+        EndpointConnectionPool pool = pool(LONG_MILLIS);
         // On a slow machine the first bytes may come after a timeout; not after each one.
-        await().until(() -> call(pool, address, 50) == Outcome.FAILED);
+        await().until(() -> sendPing(pool, address, 50) == Outcome.FAILED);
     }
 
     @Test
     void silentEndpointTimesOut() throws IOException {
-        SocketAddress address = node("");
+        SocketAddress address = startEndpoint("");
         EndpointConnectionPool pool = pool(1);
-        await().until(() -> call(pool, address, 50) == Outcome.TIMED_OUT);
+        await().until(() -> sendPing(pool, address, 50) == Outcome.TIMED_OUT);
     }
 
     @Test
-    void replyThatPausesForTheStallTimeoutHasFailed() throws IOException {
-        assertEquals(Outcome.FAILED, call(pool(20), node("*3\r\n$5\r\nva"), NEVER_MILLIS));
+    void replyStalledForTheStallTimeoutIsAFailure() throws IOException {
+        assertEquals(Outcome.FAILED, sendPing(pool(20), startEndpoint("*3\r\n$5\r\nva"), LONG_MILLIS));
     }
 
     /** Holds the loop until the reply has been in the kernel for long. */
     @Test
-    void receiveTimeIsTheKernelsWhenTheLoopWasHeldUp() throws IOException {
+    void receiveTimeIsTakenFromTheKernelWhenTheLoopIsDelayed() throws IOException {
         assumeTrue(
                 transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
-        SocketAddress address = node("+PONG\r\n");
-        EndpointConnectionPool pool = pool(NEVER_MILLIS);
+        SocketAddress address = startEndpoint("+PONG\r\n");
+        EndpointConnectionPool pool = pool(LONG_MILLIS);
         Clock clock = new Clock();
-        CompletableFuture<Double> late = new CompletableFuture<>();
+        CompletableFuture<Double> delayMillis = new CompletableFuture<>();
         transport
                 .eventLoops()
                 .next()
@@ -111,11 +111,11 @@
                             pool.sendHealthCheck(
                                     address,
                                     List.of("PING".getBytes(StandardCharsets.US_ASCII)),
-                                    NEVER_MILLIS,
-                                    (outcome, answer, at) -> late.complete(clock.now() - at));
+                                    LONG_MILLIS,
+                                    (outcome, reply, receivedAt) -> delayMillis.complete(clock.now() - receivedAt));
                             transport.eventLoops().next().execute(() -> holdLoop());
                         });
-        assertTrue(late.join() >= HELD_MILLIS / 2, "told " + late.join() + " ms ago");
+        assertTrue(delayMillis.join() >= LOOP_HOLD_MILLIS / 2, "told " + delayMillis.join() + " ms ago");
     }
 
     private void holdLoop() {
@@ -123,7 +123,7 @@
             while (accepted.isEmpty()) {
                 Thread.sleep(1);
             }
-            Thread.sleep(HELD_MILLIS);
+            Thread.sleep(LOOP_HOLD_MILLIS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -131,7 +131,7 @@
 
     @AfterEach
     void close() throws IOException {
-        node.close();
+        server.close();
         for (Socket socket : accepted) {
             socket.close();
         }
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -40,7 +40,7 @@
 @Timeout(60)
 class EndpointConnectionRaceTest {
     private static final double LONG_MILLIS = 600_000;
-    private static final int HELD_MILLIS = 300;
+    private static final int LOOP_HOLD_MILLIS = 300;
 
     private final Transport transport = Transport.sockets();
     private final EventLoop loop = transport.eventLoops().next();
@@ -48,21 +48,21 @@
     private final EndpointConnectionPool pool =
             new EndpointConnectionPool(
                     transport, 100, 5_000, LONG_MILLIS, LONG_MILLIS, new Clock()::now);
-    private ServerSocket node;
+    private ServerSocket server;
     private SocketAddress address;
 
-    private record End(Outcome outcome, String value) {}
+    private record Result(Outcome outcome, String value) {}
 
     @BeforeEach
     void listen() throws IOException {
-        node = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        address = node.getLocalSocketAddress();
+        server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        address = server.getLocalSocketAddress();
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    Socket socket = node.accept();
+                                    Socket socket = server.accept();
                                     try {
                                         accepted.add(new ScriptedPeers.Connection(socket));
                                     } catch (SocketException reset) {
@@ -80,36 +80,36 @@
 
     @AfterEach
     void close() throws IOException {
-        node.close();
+        server.close();
         transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
     /** Called on the loop; the command carries the remaining time. */
-    private CompletableFuture<End> call(Attempt attempt, double timeout) {
-        CompletableFuture<End> end = new CompletableFuture<>();
+    private CompletableFuture<Result> sendRequest(Attempt attempt, double timeoutMillis) {
+        CompletableFuture<Result> result = new CompletableFuture<>();
         pool.send(
                 attempt,
                 address,
-                left -> List.of(Long.toString((long) left).getBytes(StandardCharsets.US_ASCII)),
-                timeout,
-                (outcome, answer, at) ->
-                        end.complete(
-                                new End(
+                remainingMillis -> List.of(Long.toString((long) remainingMillis).getBytes(StandardCharsets.US_ASCII)),
+                timeoutMillis,
+                (outcome, reply, receivedAt) ->
+                        result.complete(
+                                new Result(
                                         outcome,
-                                        answer == null
+                                        reply == null
                                                 ? null
                                                 : new String(
                                                         ((Resp.Bulk)
-                                                                        ((Resp.Array) answer)
+                                                                        ((Resp.Array) reply)
                                                                                 .items()
                                                                                 .get(0))
                                                                 .bytes(),
                                                         StandardCharsets.US_ASCII))));
-        return end;
+        return result;
     }
 
-    private CompletableFuture<End> call() throws Exception {
-        return loop.submit(() -> call(attempt(), LONG_MILLIS)).get();
+    private CompletableFuture<Result> sendRequest() throws Exception {
+        return loop.submit(() -> sendRequest(attempt(), LONG_MILLIS)).get();
     }
 
     private static Attempt attempt() {
@@ -123,14 +123,14 @@
 
     private static void holdLoop() {
         try {
-            Thread.sleep(HELD_MILLIS);
+            Thread.sleep(LOOP_HOLD_MILLIS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Test
-    void unreadDuplicateReplyIsNotTakenForTheNext() throws Exception {
+    void unreadDuplicateReplyIsNotUsedForTheNextRequest() throws Exception {
         assertServedOnAnotherConnectionAfter(
                 connection -> {
                     serve(connection, "stale");
@@ -145,7 +145,7 @@
                 connection -> {
                     int port = connection.socket.getPort();
                     connection.socket.close();
-                    KernelTcpTable.awaitFin(port, node.getLocalPort());
+                    KernelTcpTable.awaitFin(port, server.getLocalPort());
                 });
     }
 
@@ -156,7 +156,7 @@
                     int port = connection.socket.getPort();
                     connection.socket.setSoLinger(true, 0);
                     connection.socket.close();
-                    KernelTcpTable.awaitGone(port, node.getLocalPort());
+                    KernelTcpTable.awaitClosed(port, server.getLocalPort());
                 });
     }
 
@@ -166,22 +166,22 @@
 
     /** What the step does to the idle connection must not reach the second request. */
     private void assertServedOnAnotherConnectionAfter(Step step) throws Exception {
-        CompletableFuture<End> second = secondCallOn(new ArrayList<>(), step);
-        ScriptedPeers.Connection fresh = accepted.take();
-        fresh.readCommand();
-        serve(fresh, "two");
-        assertEquals(new End(Outcome.SERVED, "two"), second.get());
+        CompletableFuture<Result> second = sendSecondRequestAfter(new ArrayList<>(), step);
+        ScriptedPeers.Connection newConnection = accepted.take();
+        newConnection.readCommand();
+        serve(newConnection, "two");
+        assertEquals(new Result(Outcome.SERVED, "two"), second.get());
     }
 
     /**
      * One request is served and its connection idle; then, before the loop polls again, the step
      * and a second request.
      */
-    private CompletableFuture<End> secondCallOn(List<ScriptedPeers.Connection> kept, Step step)
+    private CompletableFuture<Result> sendSecondRequestAfter(List<ScriptedPeers.Connection> connections, Step step)
             throws Exception {
-        CompletableFuture<End> first = call();
+        CompletableFuture<Result> first = sendRequest();
         ScriptedPeers.Connection connection = accepted.take();
-        kept.add(connection);
+        connections.add(connection);
         connection.readCommand();
         serve(connection, "one");
         assertEquals("one", first.get().value());
@@ -191,7 +191,7 @@
                         () -> {
                             holdLoop();
                             step.run(connection);
-                            return call(attempt(), LONG_MILLIS);
+                            return sendRequest(attempt(), LONG_MILLIS);
                         })
                 .get();
     }
@@ -199,7 +199,7 @@
     @Test
     void idleConnectionIsReused() throws Exception {
         List<ScriptedPeers.Connection> first = new ArrayList<>();
-        CompletableFuture<End> second = secondCallOn(first, connection -> {});
+        CompletableFuture<Result> second = sendSecondRequestAfter(first, connection -> {});
         first.get(0).readCommand();
         serve(first.get(0), "two");
         assertEquals("two", second.get().value());
@@ -207,66 +207,66 @@
     }
 
     @Test
-    void endpointGetsTheRemainingTimeAfterASlowConnect() throws Exception {
-        CompletableFuture<End> end =
+    void remainingTimeIsForwardedAfterASlowConnect() throws Exception {
+        CompletableFuture<Result> result =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<End> called = call(attempt(), 5_000);
+                                    CompletableFuture<Result> pending = sendRequest(attempt(), 5_000);
                                     holdLoop();
-                                    return called;
+                                    return pending;
                                 })
                         .get();
         ScriptedPeers.Connection connection = accepted.take();
-        long told = Long.parseLong(connection.readCommand().get(0));
-        assertTrue(told <= 5_000 - HELD_MILLIS, "told " + told);
+        long forwardedMillis = Long.parseLong(connection.readCommand().get(0));
+        assertTrue(forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS, "told " + forwardedMillis);
         serve(connection, "value");
-        assertEquals("value", end.get().value());
+        assertEquals("value", result.get().value());
     }
 
     @Test
-    void nothingIsSentWhenTheConnectionComesUpAfterTheDeadline() throws Exception {
-        CompletableFuture<End> end =
+    void nothingIsSentWhenTheConnectionOpensAfterTheDeadline() throws Exception {
+        CompletableFuture<Result> result =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<End> called =
-                                            call(attempt(), HELD_MILLIS / 2);
+                                    CompletableFuture<Result> pending =
+                                            sendRequest(attempt(), LOOP_HOLD_MILLIS / 2);
                                     holdLoop();
-                                    return called;
+                                    return pending;
                                 })
                         .get();
-        assertEquals(Outcome.NO_CONNECTION, end.get().outcome());
+        assertEquals(Outcome.NO_CONNECTION, result.get().outcome());
         assertNull(accepted.take().readCommand(), "closed with nothing sent");
     }
 
     @Test
     void commandThatMayNoLongerStartIsNeverSent() throws Exception {
-        CompletableFuture<Outcome> end = new CompletableFuture<>();
+        CompletableFuture<Outcome> result = new CompletableFuture<>();
         loop.execute(
                 () ->
                         pool.send(
                                 attempt(),
                                 address,
-                                left -> null,
+                                remainingMillis -> null,
                                 LONG_MILLIS,
-                                (outcome, answer, at) -> end.complete(outcome)));
-        assertEquals(Outcome.NOT_EXECUTED, end.get());
+                                (outcome, reply, receivedAt) -> result.complete(outcome)));
+        assertEquals(Outcome.NOT_EXECUTED, result.get());
         assertNull(accepted.take().readCommand(), "closed with nothing sent");
     }
 
     @Test
     void attemptCancelledBeforeItIsWrittenIsNeverSent() throws Exception {
         Attempt attempt = attempt();
-        CompletableFuture<End> end =
+        CompletableFuture<Result> result =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<End> called = call(attempt, LONG_MILLIS);
+                                    CompletableFuture<Result> pending = sendRequest(attempt, LONG_MILLIS);
                                     holdLoop();
                                     pool.cancelUnwritten(attempt);
-                                    return called;
+                                    return pending;
                                 })
                         .get();
-        assertEquals(Outcome.CANCELLED, end.get().outcome());
-        CompletableFuture<End> next = loop.submit(() -> call(attempt(), HELD_MILLIS * 100)).get();
+        assertEquals(Outcome.CANCELLED, result.get().outcome());
+        CompletableFuture<Result> next = loop.submit(() -> sendRequest(attempt(), LOOP_HOLD_MILLIS * 100)).get();
         List<String> sent = null;
         while (sent == null) {
             ScriptedPeers.Connection connection = accepted.take();
@@ -276,7 +276,7 @@
             }
         }
         assertTrue(
-                Long.parseLong(sent.get(0)) <= HELD_MILLIS * 100,
+                Long.parseLong(sent.get(0)) <= LOOP_HOLD_MILLIS * 100,
                 "the first that was sent is the next call");
         assertEquals("next", next.get().value());
     }
@@ -284,17 +284,17 @@
     @Test
     void writtenAttemptIsNotCancelledAsUnwritten() throws Exception {
         Attempt attempt = attempt();
-        CompletableFuture<End> end = loop.submit(() -> call(attempt, LONG_MILLIS)).get();
+        CompletableFuture<Result> result = loop.submit(() -> sendRequest(attempt, LONG_MILLIS)).get();
         ScriptedPeers.Connection connection = accepted.take();
         connection.readCommand();
         loop.submit(() -> pool.cancelUnwritten(attempt)).get();
         serve(connection, "value");
-        assertEquals("value", end.get().value());
+        assertEquals("value", result.get().value());
     }
 
     @Test
-    void replyAndTimeoutInOneTurnAreOneOutcome() throws Exception {
-        CompletableFuture<End> end = loop.submit(() -> call(attempt(), 2 * HELD_MILLIS)).get();
+    void replyAndTimeoutInOneLoopIterationEndInOneOutcome() throws Exception {
+        CompletableFuture<Result> result = loop.submit(() -> sendRequest(attempt(), 2 * LOOP_HOLD_MILLIS)).get();
         ScriptedPeers.Connection connection = accepted.take();
         connection.readCommand();
         loop.submit(
@@ -306,7 +306,7 @@
                             return null;
                         })
                 .get();
-        assertEquals("value", end.get().value());
+        assertEquals("value", result.get().value());
         await().until(() -> loop.submit(pool::attemptsInFlight).get() == 0);
     }
 }
