--- a/src/main/java/sagepulley/codec/resp/NumberParser.java
+++ b/src/main/java/sagepulley/codec/resp/NumberParser.java
@@ -1,8 +1,8 @@
 package sagepulley.codec.resp;
 
 /**
- * Parses the numbers in commands and replies strictly, and without regular expressions, since each
- * operation has a dozen of them.
+ * Parses the numbers in commands and replies strictly. Avoids regular expressions, because each
+ * operation contains about a dozen numbers.
  */
 public final class NumberParser {
     private static final int ID_DIGITS = 16;
@@ -10,7 +10,7 @@
 
     private NumberParser() {}
 
-    /** Whether the text is 16 hex digits in lower case, as all ids are. */
+    /** Returns whether the text is a valid id: 16 hex digits in lower case. */
     public static boolean isId(String text) {
         boolean valid = text.length() == ID_DIGITS;
         for (int i = 0; valid && i < ID_DIGITS; i++) {
@@ -20,7 +20,9 @@
         return valid;
     }
 
-    /** A number of 0 or more, with or without a fraction; NaN if it is none. */
+    /**
+     * Parses a non-negative number with an optional fraction; returns NaN if the text is not one.
+     */
     public static double parseDecimal(String text) {
         int point = text.indexOf('.');
         boolean valid =
@@ -30,7 +32,7 @@
         return valid ? Double.parseDouble(text) : Double.NaN;
     }
 
-    /** A whole number of 0 or more; -1 if it is none. */
+    /** Parses a non-negative integer of at most 9 digits; returns -1 if the text is not one. */
     public static int parseInteger(String text) {
         return isDigits(text, 0, text.length()) && text.length() <= 9 ? Integer.parseInt(text) : -1;
     }
@@ -43,7 +45,7 @@
         return valid;
     }
 
-    /** An id as it stands in commands. */
+    /** Formats an id as in commands, with 16 hex digits in lower case. */
     public static String formatId(long id) {
         String hex = Long.toHexString(id);
         return "0".repeat(ID_DIGITS - hex.length()) + hex;
--- a/src/main/java/sagepulley/codec/resp/Resp.java
+++ b/src/main/java/sagepulley/codec/resp/Resp.java
@@ -3,29 +3,29 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One value of RESP2. */
+/** A RESP2 value. */
 public sealed interface Resp {
-    /** A line: '+' a simple string, '-' an error, ':' an integer. */
+    /** A single-line value: '+' for a simple string, '-' for an error, ':' for an integer. */
     record Line(char kind, String text) implements Resp {
-        /** Whether it is an error. */
+        /** Returns whether the line is an error. */
         public boolean isError() {
             return kind == '-';
         }
     }
 
-    /** A bulk string; null bytes for the null one. */
+    /** A bulk string; the bytes are null for the null bulk string. */
     record Bulk(byte[] bytes) implements Resp {
-        /** Whether it is the null bulk string. */
+        /** Returns whether this is the null bulk string. */
         public boolean isNull() {
             return bytes == null;
         }
 
-        /** The bytes as ISO-8859-1, one character a byte. */
+        /** Decodes the bytes as ISO-8859-1, one character per byte. */
         public String text() {
             return new String(bytes, StandardCharsets.ISO_8859_1);
         }
     }
 
-    /** An array; null items for the null one. */
+    /** An array; the items are null for the null array. */
     record Array(List<Resp> items) implements Resp {}
 }
--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -9,10 +9,12 @@
 import java.util.List;
 
 /**
- * Decodes RESP2 strictly. A length over its limit is an error as soon as it is read, and memory is
- * only taken for bytes that have come. The first error is reported once, as a {@link
- * CorruptedFrameException}; the rest of the input is dropped. The messages of the exceptions are
- * sent to clients, and so part of the wire.
+ * Decodes RESP2 strictly.
+ *
+ * <p>A length over its limit is an error as soon as it is read, and bulk strings are allocated only
+ * once their bytes have arrived. The first error is reported once, as a
+ * {@link CorruptedFrameException}; the rest of the input is dropped. The exception messages are
+ * sent to clients.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
     private static final int NO_BULK = -1;
@@ -23,17 +25,17 @@
     private int remainingItems;
     private int arrayBytes;
 
-    /** Length of the bulk string under way, in bytes. */
+    /** Length of the current bulk string in bytes. */
     private int bulkLength = NO_BULK;
 
     private boolean failed;
 
-    /** A decoder that fails on any value over these limits. */
+    /** Creates a decoder that fails on any value over these limits. */
     public RespDecoder(RespLimits limits) {
         this.limits = limits;
     }
 
-    /** Whether some of a value has come, but not all of it. */
+    /** Returns whether a value has been received in part. */
     public boolean hasPartialValue() {
         return items != null || bulkLength != NO_BULK || actualReadableBytes() > 0;
     }
@@ -81,7 +83,10 @@
         return new Resp.Bulk(bytes);
     }
 
-    /** Decodes a header line, and its value if that is there; null if more must come. */
+    /**
+     * Decodes a header line, and its value if that has arrived; returns null if more input is
+     * needed.
+     */
     private Resp decodeHeader(ByteBuf in) {
         if (!in.isReadable()) {
             return null;
@@ -131,7 +136,7 @@
         return null;
     }
 
-    /** The line behind its first byte, without CR LF; null if they have not come. */
+    /** Reads a line without its first byte and CR LF; returns null if the line is incomplete. */
     private String readLine(ByteBuf in) {
         int end =
                 in.indexOf(
--- a/src/main/java/sagepulley/codec/resp/RespEncoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespEncoder.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Encodes RESP2. */
+/** Encodes RESP2 commands and values. */
 public final class RespEncoder {
     private static final byte[] CRLF = {'\r', '\n'};
     private static final int MAX_HEADER_BYTES = 16;
 
     private RespEncoder() {}
 
-    /** A command of these arguments, its name first. */
+    /** Encodes a command from its arguments, starting with its name. */
     public static ByteBuf command(List<byte[]> arguments) {
         int size = MAX_HEADER_BYTES;
         for (byte[] argument : arguments) {
@@ -26,7 +26,7 @@
         return out;
     }
 
-    /** A bulk string; the bytes are not copied and must not change any more. */
+    /** Encodes a bulk string. The bytes are not copied and must not change afterwards. */
     public static ByteBuf bulk(byte[] bytes) {
         ByteBuf first = Unpooled.buffer(MAX_HEADER_BYTES);
         writeHeader(first, '$', bytes.length);
@@ -34,12 +34,12 @@
                 first, Unpooled.wrappedBuffer(bytes), Unpooled.wrappedBuffer(CRLF));
     }
 
-    /** A simple string; the text has neither CR nor LF. */
+    /** Encodes a simple string; the text must contain neither CR nor LF. */
     public static ByteBuf simple(String text) {
         return line('+', text);
     }
 
-    /** An error; each character that is not printable ASCII becomes a question mark. */
+    /** Encodes an error; each character that is not printable ASCII becomes a question mark. */
     public static ByteBuf error(String text) {
         return line('-', text.replaceAll("[^ -~]", "?"));
     }
--- a/src/main/java/sagepulley/codec/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -1,22 +1,22 @@
 package sagepulley.codec.resp;
 
 /**
- * The largest values that are accepted.
+ * Limits on the size of decoded values.
  *
- * @param maxArrayBytes bytes of all items of an array together
+ * @param maxArrayBytes maximum total size of the items of an array in bytes
  * @param commandsOnly whether only arrays of bulk strings are accepted, as clients send them
  */
 public record RespLimits(
         int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems, boolean commandsOnly) {
-    /** The longest value of a piece of data that a command or a reply may carry. */
+    /** Maximum size in bytes of the data in a command or a reply. */
     public static final int MAX_VALUE_BYTES = 65_536;
 
-    /** Limits for what clients send. */
+    /** Returns limits for input from clients. */
     public static RespLimits commands(int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
         return new RespLimits(maxLineBytes, maxBulkBytes, maxArrayBytes, maxItems, true);
     }
 
-    /** Limits for what servers send. */
+    /** Returns limits for input from servers. */
     public static RespLimits replies(int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
         return new RespLimits(maxLineBytes, maxBulkBytes, maxArrayBytes, maxItems, false);
     }
--- a/src/main/java/sagepulley/codec/resp/package-info.java
+++ b/src/main/java/sagepulley/codec/resp/package-info.java
@@ -1,5 +1,5 @@
 /**
- * RESP2 between bytes and values, without any knowledge of what a value is for. A decoder belongs
- * to one connection and runs on its event loop; everything else is stateless.
+ * Encoding and decoding of RESP2, independent of the meaning of the values. A decoder belongs to
+ * one connection and runs on its event loop; everything else is stateless.
  */
 package sagepulley.codec.resp;
--- a/src/main/java/sagepulley/discovery/http/AddressParser.java
+++ b/src/main/java/sagepulley/discovery/http/AddressParser.java
@@ -5,13 +5,13 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Parses HOST:PORT with a numeric host: names are not looked up. */
+/** Parses addresses of the form HOST:PORT with a numeric host; host names are not resolved. */
 public final class AddressParser {
     private static final int MAX_PORT = 65_535;
 
     private AddressParser() {}
 
-    /** The address; null if the text is none. */
+    /** Parses an address; returns null if the text is not a valid one. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")) {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -10,24 +10,30 @@
 import sagepulley.transport.Transport;
 
 /**
- * Requests to discovery: one watch, and now and then a poll for the complete list. Repeats nothing
- * by itself; each failure is reported once. A request that is overdue counts as failed, but is kept
- * open beside the next one: discovery may be slow, and what it still sends is taken. Owns all open
- * requests. Runs on the event loop; times are milliseconds on the monotonic clock.
+ * Requests endpoint lists from discovery through one watch and occasional polls of the complete
+ * list.
+ *
+ * <p>The client does not repeat requests on its own, and reports each failure once. An overdue
+ * request counts as failed but stays open beside its successor, because a slow discovery may still
+ * respond. Owns all open requests. Runs on the event loop; times are in milliseconds on the
+ * monotonic clock.
  */
 public final class DiscoveryClient implements DiscoveryRequestListener {
-    /** What discovery sends, reported on the event loop. */
+    /** Receives lists and failures on the event loop. */
     public interface Listener {
-        /** An endpoint list, or changes of it. */
+        /** Called for an endpoint list or for changes to it. */
         void onEndpointList(EndpointListUpdate update);
 
-        /** The lists reported by now are all that discovery had at this time. */
+        /** Called when the lists reported so far are known to be complete as of the given time. */
         void onListConfirmed(double asOf);
 
-        /** A request begun at this time was refused: no process listens at the address. */
+        /**
+         * Called when a request started at the given time was refused, because no process listens
+         * at the address.
+         */
         void onDiscoveryUnreachable(double at);
 
-        /** A request failed or is overdue, or the watch has ended. */
+        /** Called when a request failed or is overdue, or when the watch has ended. */
         void onPollFailed(String reason);
     }
 
@@ -41,12 +47,12 @@
     private DiscoveryRequest watch;
     private DiscoveryRequest poll;
 
-    /** Requests that are kept open beside the watch, the oldest first. */
+    /** Requests that stay open beside the watch, oldest first. */
     private final Deque<DiscoveryRequest> overdueRequests = new ArrayDeque<>();
 
     private int lastRequestNumber;
 
-    /** A client with the usual timeouts; the revision is that of the list known so far. */
+    /** Creates a client with the default timeouts and the revision of the list known so far. */
     public DiscoveryClient(
             Transport transport,
             SocketAddress address,
@@ -56,8 +62,7 @@
         this(transport, address, revision, listener, clock, DiscoveryTimeouts.DEFAULT);
     }
 
-    /** A client with other timeouts. */
-    /** A client with the usual timeouts; the revision is that of the list known so far. */
+    /** Creates a client with the given timeouts and the revision of the list known so far. */
     public DiscoveryClient(
             Transport transport,
             SocketAddress address,
@@ -73,22 +78,22 @@
         this.timeouts = timeouts;
     }
 
-    /** The revision of the last list that was reported. */
+    /** Returns the revision of the last reported list. */
     public long revision() {
         return revision;
     }
 
-    /** Where discovery is requested. */
+    /** Returns the address that requests are sent to. */
     public SocketAddress address() {
         return address;
     }
 
-    /** Whether a watch is open that has brought a list. */
+    /** Returns whether a watch is open that has received a list. */
     public boolean isWatching() {
         return watch != null && watch.isAnswered();
     }
 
-    /** Opens a watch; one that is open goes on until one of the two has brought a list. */
+    /** Opens a watch. An existing watch stays open until one of the two has received a list. */
     public void openWatch() {
         if (watch != null) {
             markOverdue(watch);
@@ -97,7 +102,7 @@
         watch.open();
     }
 
-    /** Requests the complete list once, in place of a poll that is under way. */
+    /** Requests the complete list once, and closes a poll that is still in flight. */
     public void poll() {
         if (poll != null) {
             poll.close("replaced");
@@ -118,11 +123,12 @@
     }
 
     /**
-     * Discovery has another address from now on. What the former one still sends on its watch is
-     * taken until the new one has sent a list; it confirms nothing any more, and its end is no
-     * failure.
+     * Sends requests to a new address from now on.
      *
-     * @return whether the address is another one than before
+     * <p>A watch that has received a list stays open at the former address until the new one has
+     * sent a list. Its lists are still reported, but not confirmed, and its end is not a failure.
+     *
+     * @return whether the address has changed
      */
     public boolean moveTo(SocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -138,7 +144,7 @@
         return true;
     }
 
-    /** Removes the watch that last brought a list from the others; null if none has. */
+    /** Removes and returns an open watch that has received a list; null if there is none. */
     private DiscoveryRequest removeAnsweredWatch() {
         if (isWatching()) {
             DiscoveryRequest answered = watch;
@@ -154,7 +160,7 @@
         return answered;
     }
 
-    /** Closes all requests; none is reported as failed. */
+    /** Closes all requests without reporting failures. */
     public void close() {
         overdueRequests.forEach(request -> request.close("closed"));
         overdueRequests.clear();
@@ -187,7 +193,10 @@
         }
     }
 
-    /** A request has sent a list or a heartbeat: it becomes the watch, and all others close. */
+    /**
+     * Makes a request that has received a list or a heartbeat the watch, and closes the other
+     * watches.
+     */
     private void promoteToWatch(DiscoveryRequest request) {
         if (watch != null && watch != request) {
             watch.close("another request was answered");
@@ -209,7 +218,7 @@
         overdueRequests.remove(request);
     }
 
-    // ---- what requests report ----
+    // ---- request events ----
 
     @Override
     public void onRefused(DiscoveryRequest request) {
@@ -222,10 +231,8 @@
         if (request.isWatch() && !isFormerAddress) {
             promoteToWatch(request);
         }
-        // A lower revision comes from a discovery that has restarted, if it is that of a new
-
-        // request's first list; else from a response that a newer list has overtaken.
-
+        // A lower revision in the first list of a new request means that discovery has restarted.
+        // Otherwise a newer list has overtaken this response.
         boolean discoveryRestarted = request.hasOneList() && request.afterRevision() == revision;
         if (update.revision() < revision && !discoveryRestarted) {
             return;
@@ -248,7 +255,9 @@
         listener.onListConfirmed(asOf);
     }
 
-    /** Discovery closes its watches when it goes down: up to then the list was current. */
+    /**
+     * Confirms the list as of the close, because discovery closes its watches when it shuts down.
+     */
     @Override
     public void onCleanClose(DiscoveryRequest request, double asOf) {
         if (request == watch) {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -26,21 +26,23 @@
 import sagepulley.transport.Transport;
 
 /**
- * One HTTP request to discovery and its response: endpoint lists as JSON values, in any pieces and
- * with any white space between. Reports what came and how it ended, each once, and knows of no
- * other request. Runs on the event loop; times are milliseconds on the monotonic clock.
+ * Handles one HTTP request to discovery and its response: endpoint lists as JSON values in
+ * arbitrary chunks and white space.
+ *
+ * <p>Reports each event once, independently of other requests. Runs on the event loop; times are in
+ * milliseconds on the monotonic clock.
  */
 final class DiscoveryRequest extends SimpleChannelInboundHandler<HttpObject> {
     /** An indented list of 3,200 endpoints takes about 1 MB. */
     private static final int MAX_LIST_BYTES = 8 << 20;
 
-    /** What a request is to its listener. */
+    /** Role of a request at its listener. */
     enum Role {
-        /** Its first list is awaited, or its lists are relied on. */
+        /** Waits for its first list, or supplies the current lists. */
         CURRENT,
-        /** It counts as failed, and is kept open all the same. */
+        /** Counts as failed, but stays open. */
         OVERDUE,
-        /** It was the watch at an address that discovery has left. */
+        /** Watch at an address that discovery has left. */
         FORMER_ADDRESS
     }
 
@@ -70,7 +72,7 @@
     private Role role = Role.CURRENT;
 
     /**
-     * @param requestNumber names the request in the log
+     * @param requestNumber identifies the request in the log
      */
     DiscoveryRequest(
             Transport transport,
@@ -139,7 +141,7 @@
         fail("connect failed: " + Transport.systemMessage(cause));
     }
 
-    /** Ends the request; the listener is not called. */
+    /** Closes the request without notifying the listener. */
     void close(String reason) {
         LogWriter.info(
                 "endpoint list request ended",
@@ -182,7 +184,7 @@
         return query.isWatch();
     }
 
-    /** The revision that was known when this request was opened. */
+    /** Returns the revision that was known when the request was opened. */
     long afterRevision() {
         return query.afterRevision();
     }
@@ -195,12 +197,12 @@
         role = newRole;
     }
 
-    /** Whether a list has come, and more may. */
+    /** Returns whether the request has received a list and is still open. */
     boolean isAnswered() {
         return state == State.ANSWERED;
     }
 
-    /** Whether the list that came last is the only one so far. */
+    /** Returns whether exactly one list has been received. */
     boolean hasOneList() {
         return receivedLists == 1;
     }
@@ -209,7 +211,7 @@
         return clock.getAsDouble() - startedAt;
     }
 
-    /** Since its last byte; infinite where none has come. */
+    /** Returns the time since the last byte was received; infinite if there was none. */
     double idleMillis() {
         return timing.idleMillis(clock.getAsDouble());
     }
@@ -222,7 +224,10 @@
         return Math.round(openMillis());
     }
 
-    /** Once it has passed, the request counts as failed, but what still comes is taken. */
+    /**
+     * Restarts the timeout after which the request is reported overdue. Data received later is
+     * still used.
+     */
     private void scheduleTimeout(long timeoutMillis) {
         if (timeoutTask != null) {
             timeoutTask.cancel(false);
@@ -267,7 +272,7 @@
             }
         }
         if (isInformational) {
-            return; // the final response is yet to come
+            return; // the final response follows
         }
         if (message instanceof HttpContent content) {
             onContent(ctx, content.content());
@@ -291,9 +296,9 @@
         int listsBefore = receivedLists;
         ctx.fireChannelRead(content.retain());
         if (receivedLists > listsBefore) {
-            timing.onListStarted(receivedAt); // of the next list, if it is under way
+            timing.onListStarted(receivedAt); // start of the next list, if any of it has arrived
         }
-        // Part of a list is no heartbeat: a list that trickles is silence too.
+        // Bytes of an incomplete list do not count as a heartbeat, even if it contains line ends.
         if (isAnswered()
                 && hasLineEnd
                 && !valueDecoder.hasPartialValue()
@@ -359,7 +364,7 @@
         fail(reason);
     }
 
-    /** Takes each JSON value that is complete. */
+    /** Handles each complete JSON value of the response. */
     private final class JsonValueHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf value) {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequestListener.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequestListener.java
@@ -1,25 +1,30 @@
 package sagepulley.discovery.http;
 
-/** What a {@link DiscoveryRequest} reports, on the event loop; times are milliseconds. */
+/**
+ * Receives the events of a {@link DiscoveryRequest} on the event loop; times are in milliseconds.
+ */
 interface DiscoveryRequestListener {
-    /** The connection was refused: no process listens there. */
+    /** Called when the connection was refused because no process listens at the address. */
     void onRefused(DiscoveryRequest request);
 
-    /** A list has come that was all that discovery had at a time. */
+    /** Called for each list, which reflects everything that discovery had as of the given time. */
     void onEndpointList(DiscoveryRequest request, EndpointListUpdate update, double asOf);
 
-    /** An empty line of a watch: nothing had changed at a time. */
+    /** Called for an empty line of a watch: nothing had changed as of the given time. */
     void onHeartbeat(DiscoveryRequest request, double asOf);
 
-    /** The connection ends between two lists: all that discovery had at a time has come. */
+    /**
+     * Called when the connection ends between two lists: everything that discovery had as of the
+     * given time has been received.
+     */
     void onCleanClose(DiscoveryRequest request, double asOf);
 
-    /** Nothing came in time; the request goes on. */
+    /** Called when nothing was received in time; the request stays open. */
     void onOverdue(DiscoveryRequest request, String reason);
 
-    /** The request has ended without what it was for. */
+    /** Called when the request failed or its watch ended. */
     void onFailed(DiscoveryRequest request, String reason);
 
-    /** The request has ended with a complete response. */
+    /** Called when the request ended with a complete response. */
     void onCompleted(DiscoveryRequest request);
 }
--- a/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
@@ -3,10 +3,10 @@
 import sagepulley.membership.EndpointPollPolicy;
 
 /**
- * How long discovery may take, in milliseconds.
+ * Timeouts of requests to discovery, in milliseconds.
  *
- * @param firstListTimeoutMillis for the first list of a request
- * @param idleTimeoutMillis between two lists or heartbeats of a watch
+ * @param firstListTimeoutMillis maximum wait for the first list of a request
+ * @param idleTimeoutMillis maximum time between two lists or heartbeats of a watch
  */
 record DiscoveryTimeouts(long firstListTimeoutMillis, long idleTimeoutMillis) {
     static final DiscoveryTimeouts DEFAULT =
--- a/src/main/java/sagepulley/discovery/http/EndpointListQuery.java
+++ b/src/main/java/sagepulley/discovery/http/EndpointListQuery.java
@@ -10,15 +10,16 @@
 import java.net.SocketAddress;
 
 /**
- * What a request to discovery is for.
+ * Describes a request to discovery.
  *
- * @param isWatch whether to request the changes after a revision, else the complete list
- * @param afterRevision the revision that was known when the request was opened
+ * @param isWatch whether to watch for changes after a revision instead of requesting the complete
+ *     list
+ * @param afterRevision revision that is known when the request is opened
  */
 record EndpointListQuery(SocketAddress address, boolean isWatch, long afterRevision) {
     private static final String PATH = "/v1/endpoints";
 
-    /** The Host header of a channel inside the program, which has no address. */
+    /** Host header for in-process channels, which have no network address. */
     private static final String LOCAL_HOST_HEADER = "here";
 
     FullHttpRequest toHttpRequest() {
--- a/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
+++ b/src/main/java/sagepulley/discovery/http/EndpointListUpdate.java
@@ -10,17 +10,17 @@
 import sagepulley.model.Node;
 
 /**
- * Discovery's list of endpoints, or changes of it.
+ * An endpoint list from discovery, or changes to it.
  *
- * @param complete whether endpoints that are missing here are gone
- * @param unreadable entries that were left out, as they came
+ * @param complete whether endpoints missing from the list have been removed
+ * @param unreadable entries that could not be parsed, as text
  */
 public record EndpointListUpdate(
         long revision, boolean complete, List<Member> members, List<String> unreadable) {
     /**
-     * One endpoint.
+     * An endpoint of the list.
      *
-     * @param startedAtMillis wall-clock milliseconds; 0 for long ago
+     * @param startedAtMillis wall-clock milliseconds; 0 for a start long ago
      */
     public record Member(
             String id,
@@ -32,7 +32,7 @@
             double weight,
             long startedAtMillis) {}
 
-    /** This list with all its endpoints at one address. */
+    /** Returns this list with the same address for all endpoints. */
     public EndpointListUpdate withAddress(SocketAddress address) {
         return new EndpointListUpdate(
                 revision,
@@ -53,12 +53,15 @@
                 unreadable);
     }
 
-    /** Reads the JSON form; an entry that cannot be read is left out and kept as text. */
+    /**
+     * Parses the JSON form. Entries that cannot be parsed are kept as text in {@code unreadable}.
+     */
     public static EndpointListUpdate parse(Map<String, Object> object) throws IOException {
         if (!(object.get("revision") instanceof Number revision)
                 || !(object.get("complete") instanceof Boolean complete)
                 || !(object.get("members") instanceof List<?> entries)) {
-            throw new IOException("a list without revision, complete or members");
+            throw new IOException(
+                    "endpoint list without a valid revision, complete or members field");
         }
         List<Member> members = new ArrayList<>(entries.size());
         List<String> unreadable = new ArrayList<>(0);
@@ -86,7 +89,7 @@
         if (phase == null || !(fields.get("id") instanceof String id) || id.isEmpty()) {
             return null;
         }
-        // An endpoint that is gone needs no address.
+        // A removed endpoint needs neither an address nor a cell.
         boolean hasLocation = address != null && fields.get("cell") instanceof Number;
         if (!hasLocation && phase != Node.Phase.REMOVED) {
             return null;
--- a/src/main/java/sagepulley/discovery/http/JsonReader.java
+++ b/src/main/java/sagepulley/discovery/http/JsonReader.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /**
- * Reads JSON into maps, lists, strings, numbers and booleans. Uses no more than Jackson's streaming
+ * Parses JSON into maps, lists, strings, numbers, booleans and nulls. Uses only Jackson's streaming
  * parser, which keeps the start of a gateway short.
  */
 public final class JsonReader {
@@ -29,9 +29,9 @@
     private JsonReader() {}
 
     /**
-     * Reads the one object that the bytes hold.
+     * Parses bytes that hold exactly one JSON object.
      *
-     * @throws IOException if they hold anything else; the message says what
+     * @throws IOException if they hold anything else
      */
     public static Map<String, Object> readObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
@@ -40,7 +40,7 @@
             }
             Map<String, Object> object = readFields(parser);
             if (parser.nextToken() != null) {
-                throw new IOException("something follows the JSON object");
+                throw new IOException("unexpected content after the JSON object");
             }
             return object;
         }
--- a/src/main/java/sagepulley/discovery/http/JsonValueDecoder.java
+++ b/src/main/java/sagepulley/discovery/http/JsonValueDecoder.java
@@ -2,13 +2,13 @@
 
 import io.netty.handler.codec.json.JsonObjectDecoder;
 
-/** Cuts a stream of bytes into JSON values, whatever white space stands between them. */
+/** Splits a byte stream into JSON values, with any white space between them. */
 final class JsonValueDecoder extends JsonObjectDecoder {
     JsonValueDecoder(int maxValueBytes) {
         super(maxValueBytes);
     }
 
-    /** Whether some bytes of a value have come, but not all. */
+    /** Returns whether a value has been received in part. */
     boolean hasPartialValue() {
         return actualReadableBytes() > 0;
     }
--- a/src/main/java/sagepulley/discovery/http/ResponseTiming.java
+++ b/src/main/java/sagepulley/discovery/http/ResponseTiming.java
@@ -1,23 +1,23 @@
 package sagepulley.discovery.http;
 
 /**
- * When the parts of one response came, and as of when discovery wrote them. Times are milliseconds
- * on the monotonic clock.
+ * Tracks when the parts of a response arrive, and derives as of when its lists are current. Times
+ * are in milliseconds on the monotonic clock.
  */
 final class ResponseTiming {
     /**
-     * A line on a watch was written at most this long before it came, or as long as the first list
-     * of the watch took.
+     * Upper bound on the assumed delivery delay of a line. The assumed delay is shorter if the
+     * first list of the watch took less time.
      */
     private static final double MAX_DELIVERY_DELAY_MILLIS = 1_000;
 
-    /** A line end this soon after a list ends that list's line, and is no heartbeat. */
+    /** A line end within this time after a list belongs to that list and is not a heartbeat. */
     private static final double LINE_END_GRACE_MILLIS = 500;
 
     private double requestedAt = Double.NaN;
     private double firstListDurationMillis;
 
-    /** When the first bytes of the list under way came. */
+    /** Time at which the first bytes of the current list arrived. */
     private double listStartedAt = Double.NaN;
 
     private double lastListAt = Double.NEGATIVE_INFINITY;
@@ -39,30 +39,32 @@
         lastListAt = now;
     }
 
-    /** The list that has just ended is the first one. */
+    /** Records how long the first list took, which has just ended. */
     void onFirstListEnded() {
         firstListDurationMillis = lastListAt - requestedAt;
     }
 
-    /** Since the last byte; infinite where none has come. */
+    /** Returns the time since the last byte arrived; infinite if there was none. */
     double idleMillis(double now) {
         return now - lastByteAt;
     }
 
-    /** Whether a line end that came at this time stands by itself. */
+    /**
+     * Returns whether a line end received at the given time is a heartbeat, not the end of a list.
+     */
     boolean isHeartbeat(double receivedAt) {
         return receivedAt - lastListAt > LINE_END_GRACE_MILLIS;
     }
 
     /**
-     * A time at which the list that has just ended was current. The first list is what discovery
-     * had at some time after the request, however long it was on its way.
+     * Returns a time as of which the list that has just ended was current. The first list reflects
+     * a state of discovery after the request, however long its delivery took.
      */
     double listCurrentAsOf(boolean isFirstList) {
         return isFirstList ? requestedAt : earliestWriteTime(listStartedAt);
     }
 
-    /** A time at which a line that was received at this time had not been written yet. */
+    /** Returns a time no later than the writing of a line that was received at the given time. */
     double earliestWriteTime(double receivedAt) {
         return receivedAt - Math.min(firstListDurationMillis, MAX_DELIVERY_DELAY_MILLIS);
     }
--- a/src/main/java/sagepulley/discovery/http/package-info.java
+++ b/src/main/java/sagepulley/discovery/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The HTTP client of discovery, which brings endpoint lists by a watch and by polls. The client
- * owns its open requests and the revision seen last; when to poll is decided by the membership
- * package. Runs on the event loop of the gateway.
+ * HTTP client for discovery, which receives endpoint lists through a watch and through polls. The
+ * client owns its open requests and the revision received last; the membership package decides when
+ * to poll. Runs on the gateway's event loop.
  */
 package sagepulley.discovery.http;
--- a/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
@@ -7,9 +7,11 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * Pauses accepting for a moment after an accept that failed (a client that has gone, descriptors or
- * buffers used up). Netty's own handling pauses for a second, in which clients wait in the backlog
- * and the listener could be closed over them.
+ * Pauses accepting for a moment after a failed accept, for example when the client has disconnected
+ * or when file descriptors or buffers are exhausted.
+ *
+ * <p>Netty's default pause of one second would leave clients waiting in the backlog, and the
+ * listener could be closed before they are accepted.
  */
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final long ACCEPT_PAUSE_MILLIS = 10;
--- a/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
+++ b/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
@@ -17,8 +17,8 @@
 import sagepulley.upstream.resp.EndpointResponse;
 
 /**
- * Sends the attempts and health checks that the engine decides on to their endpoints, and reports
- * how each ended to the engine. Runs on the event loop; times are milliseconds.
+ * Sends attempts and health checks to endpoints as decided by the engine, and reports each result
+ * to the engine. Runs on the event loop; times are in milliseconds.
  */
 final class AttemptDispatcher {
     private static final double HEALTH_CHECK_TIMEOUT_MILLIS = 250;
@@ -34,7 +34,7 @@
     private final Runnable onEngineEvent;
 
     /**
-     * @param onEngineEvent is run when the engine has been given something
+     * @param onEngineEvent runs after each event that is passed to the engine
      */
     AttemptDispatcher(
             Deployment deployment,
@@ -57,7 +57,7 @@
         this.onEngineEvent = onEngineEvent;
     }
 
-    /** Sends an attempt, which ends after the timeout at the latest. */
+    /** Sends an attempt that ends no later than the timeout. */
     void send(Attempt attempt, double timeoutMillis) {
         metrics.attempts++;
         if (attempt.number > 0) {
@@ -100,17 +100,20 @@
         onEngineEvent.run();
     }
 
-    /** Cancels an attempt that nobody waits for any longer. */
+    /** Cancels an attempt whose result is no longer needed. */
     void cancel(Attempt attempt) {
         connections.cancel(attempt);
     }
 
-    /** Cancels those of an operation's attempts that have not been written to their endpoint. */
+    /** Cancels the operation's attempts whose command has not been written in full. */
     void cancelUnwritten(Operation operation) {
         operation.attempts.forEach(connections::cancelUnwritten);
     }
 
-    /** Checks an endpoint's health; asks for its load report where the deployment has one. */
+    /**
+     * Sends a health check to an endpoint: INFO load if the deployment defines load report fields,
+     * otherwise PING.
+     */
     void checkHealth(Node node) {
         boolean hasLoadReport = !deployment.reportFields().isEmpty();
         List<byte[]> arguments =
--- a/src/main/java/sagepulley/frontend/resp/BadCommandException.java
+++ b/src/main/java/sagepulley/frontend/resp/BadCommandException.java
@@ -1,6 +1,6 @@
 package sagepulley.frontend.resp;
 
-/** An invalid command. The message is sent to the client, and so part of the wire. */
+/** Reports an invalid command. The message is sent to the client in the error reply. */
 final class BadCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -12,14 +12,14 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * A client's read or write of an extent, checked field by field, and the arguments that are
- * forwarded to an endpoint.
+ * A validated read or write command of a client, which also supplies the arguments to forward to an
+ * endpoint.
  */
 public final class BlockCommand {
-    /** Name of the command that reads. */
+    /** Name of the read command. */
     public static final String READ = "BLK.READ";
 
-    /** Name of the command that writes. */
+    /** Name of the write command. */
     public static final String WRITE = "BLK.WRITE";
 
     static final int MAX_FIELDS_BYTES = 1024;
@@ -45,7 +45,7 @@
     final boolean clientRetry;
     private final List<byte[]> arguments;
 
-    /** The list of fields as received, before and behind the deadline's value. */
+    /** The field list as received, split around the value of the deadline field. */
     private final String fieldsBeforeDeadline;
 
     private final String fieldsAfterDeadline;
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Parses a command whose name is one of the two.
+     * Parses and validates a command whose name is {@link #READ} or {@link #WRITE}.
      *
      * @throws BadCommandException if an argument or a field is missing or invalid
      */
@@ -92,7 +92,7 @@
         return command;
     }
 
-    /** The arguments of a decoded command, its name first. */
+    /** Returns the arguments of a decoded command, starting with its name. */
     static List<byte[]> arguments(Resp.Array command) {
         List<byte[]> arguments = new ArrayList<>(command.items().size());
         for (Resp item : command.items()) {
@@ -101,12 +101,12 @@
         return arguments;
     }
 
-    /** An argument as ISO-8859-1, one character a byte. */
+    /** Decodes an argument as ISO-8859-1, one character per byte. */
     static String text(byte[] argument) {
         return new String(argument, StandardCharsets.ISO_8859_1);
     }
 
-    /** Bytes of all arguments together. */
+    /** Returns the total size of all arguments in bytes. */
     int sizeBytes() {
         int bytes = 0;
         for (byte[] argument : arguments) {
@@ -115,7 +115,10 @@
         return bytes;
     }
 
-    /** The arguments for an endpoint that has this long, in whole milliseconds of at least 1. */
+    /**
+     * Returns the arguments to forward, with the deadline field set to the timeout in whole
+     * milliseconds, at least 1.
+     */
     List<byte[]> withTimeout(double timeoutMillis) {
         List<byte[]> forwarded = new ArrayList<>(arguments);
         String fieldList =
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -17,53 +17,56 @@
 import sagepulley.transport.KernelReceiveTime;
 
 /**
- * One client's connection: its commands in, its replies out in the order of the commands. However
- * it ends, it passes the same phases: open, draining, half-closed, closed. Input is read in every
- * phase, so that the peer's FIN is seen and no close meets unread bytes in the kernel, which would
- * turn it into a reset. Runs on the event loop; times are milliseconds of the handler's clock.
+ * Manages one client connection: reads commands and writes the replies in the order of the
+ * commands.
+ *
+ * <p>Draining shuts down the output once all replies are written. Input is still read after that,
+ * so that the peer's FIN is detected and no unread bytes remain in the kernel at the close, which
+ * would turn it into a reset. Runs on the event loop; times are in milliseconds of the handler's
+ * clock.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private enum Phase {
         OPEN,
-        /** Commands are rejected; replies are still written. */
+        /** Reads and writes are rejected; pending replies are still written. */
         DRAINING,
-        /** All replies are written and the output is shut; input is dropped. */
+        /** All replies are written and the output is shut down; further input is dropped. */
         HALF_CLOSED,
         CLOSED
     }
 
-    /** Commands without a reply on one connection; with more, nothing is read from it. */
+    /** Reading pauses while this many replies of the connection are pending. */
     private static final int MAX_PENDING_REPLIES = 64;
 
-    /** Handles the commands of clients. */
+    /** Handles commands and connection events of clients. */
     interface Handler {
-        /** A read or write; its reply goes to the pending reply, now or later. */
+        /** Handles a read or write command. The pending reply is completed immediately or later. */
         void onRequest(
                 ClientConnection connection, PendingReply pendingReply, List<byte[]> arguments);
 
-        /** The client is gone before its command was replied to. */
+        /** Called when the client disconnects before its command has been replied to. */
         void onClientCancelled(PendingReply pendingReply);
 
-        /** The connection is closed. */
+        /** Called when the connection has closed. */
         void onClosed(ClientConnection connection);
 
-        /** The time in milliseconds. */
+        /** Returns the current time in milliseconds. */
         double now();
     }
 
-    /** The place of one reply in the order of replies. */
+    /** Holds the position of one reply in the order of replies. */
     static final class PendingReply {
         private final ClientConnection connection;
         private ByteBuf reply;
 
-        /** What the handler keeps with the command; null once it is replied to. */
+        /** State that the handler associates with the command; null once it is replied to. */
         Object attachment;
 
         private PendingReply(ClientConnection connection) {
             this.connection = connection;
         }
 
-        /** Sets the one reply; on a closed connection it is released. */
+        /** Sets the reply, at most once, and writes all replies that are ready. */
         void reply(ByteBuf bytes) {
             attachment = null;
             reply = bytes;
@@ -79,28 +82,34 @@
     private Phase phase = Phase.OPEN;
     private boolean isShuttingDownOutput;
 
-    /** When it connected. */
+    /** Time at which the client connected. */
     double connectedAt;
 
-    /** When the last command came or the last reply was written. */
+    /** Time at which the last command was read or the last reply was written. */
     double lastActiveAt;
 
-    /** When the last bytes were read. */
+    /** Time at which bytes were last read. */
     double lastReadAt;
 
-    /** Since when part of a command has been read; infinite while there is none. */
+    /** Time since which a partial command has been buffered; infinite if there is none. */
     double partialCommandSince = Double.POSITIVE_INFINITY;
 
-    /** Since when the client has not read what waits for it; infinite while it has. */
+    /**
+     * Time since which the client has been too slow to read its replies; infinite while the channel
+     * is writable.
+     */
     double unwritableSince = Double.POSITIVE_INFINITY;
 
-    /** Since when all is replied to on a draining connection; infinite before that. */
+    /**
+     * Time at which the last pending reply of the draining connection was passed to the writer;
+     * infinite before that.
+     */
     double drainedSince = Double.POSITIVE_INFINITY;
 
-    /** Whether a complete and valid command has come. */
+    /** Whether a valid read or write, or a PING, has been received. */
     boolean hasSentCommand;
 
-    /** Why this side closed it, for the log; null while it has not. */
+    /** Reason for the close, for the log; null unless this side closed it or an error occurred. */
     private String closeReason;
 
     ClientConnection(Handler handler, RespDecoder decoder) {
@@ -108,7 +117,7 @@
         this.decoder = decoder;
     }
 
-    /** Whether some of a command has come, but not all of it. */
+    /** Returns whether a command has been received in part. */
     boolean isReadingCommand() {
         return decoder.hasPartialValue();
     }
@@ -121,7 +130,7 @@
         return phase != Phase.OPEN;
     }
 
-    /** How long ago the bytes of the command under way came to this machine. */
+    /** Returns how long ago the bytes of the current command arrived at this host. */
     double millisSinceReceived(KernelReceiveTime receiveTime) {
         return receiveTime.millisSinceReceived(channel, lastActiveAt - connectedAt);
     }
@@ -130,7 +139,10 @@
         return closeReason;
     }
 
-    /** Replies to what was accepted, then shuts the output, and closes with the peer's FIN. */
+    /**
+     * Writes the pending replies, then shuts down the output. The connection closes when the
+     * client's FIN arrives.
+     */
     void drain(String reason) {
         if (phase == Phase.OPEN) {
             closeReason = reason;
@@ -139,7 +151,7 @@
         }
     }
 
-    /** Closes without waiting for anybody. */
+    /** Closes the connection immediately. */
     void close(String reason) {
         if (channel != null) {
             closeReason = closeReason == null ? reason : closeReason + ", " + reason;
@@ -160,7 +172,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (phase == Phase.HALF_CLOSED || isShuttingDownOutput) {
-            return; // read after the connection was drained: never forwarded
+            return; // dropped, because the output is already being shut down
         }
         lastActiveAt = handler.now();
         PendingReply pendingReply = new PendingReply(this);
@@ -220,7 +232,7 @@
         updateAutoRead();
     }
 
-    /** All is written: sends FIN, and the peer's own closes the connection. */
+    /** Sends FIN once all replies are written. The client's FIN then closes the connection. */
     private void shutDownOutput() {
         if (phase != Phase.DRAINING) {
             return;
@@ -251,8 +263,8 @@
     }
 
     /**
-     * Called by the close future: the pipeline's event comes a task later, after the commands that
-     * this turn of the loop has read were forwarded.
+     * Handles the close. Called by the close future, because channelInactive follows a task later,
+     * after the commands that were read in the same loop iteration have been forwarded.
      */
     private void onChannelClosed() {
         phase = Phase.CLOSED;
@@ -280,7 +292,7 @@
             closeReason = "protocol error";
             pendingReply.reply(RespEncoder.error("ERR protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof DecoderException)) {
-            // Many clients disconnect by a reset; anything else is worth a line.
+            // Many clients disconnect by a reset; only other errors are logged as failures.
             closeReason = String.valueOf(cause.getMessage());
             if (!(cause instanceof IOException)) {
                 LogWriter.warn(
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -18,8 +18,8 @@
 import sagepulley.transport.Transport;
 
 /**
- * Accepts clients' connections up to a limit, and drains those that nobody uses. Owns the open
- * connections. Runs on the event loop; times are milliseconds of the handler's clock.
+ * Accepts client connections up to a limit, and drains idle ones. Owns the open connections. Runs
+ * on the event loop; times are in milliseconds of the handler's clock.
  */
 final class ClientListener {
     private static final int MAX_LINE_BYTES = 64;
@@ -35,20 +35,20 @@
     private static final int WRITE_BUFFER_LOW_BYTES = 65_536;
     private static final int WRITE_BUFFER_HIGH_BYTES = 262_144;
 
-    /** A connection is drained after this long without the rest of a command, or its first one. */
+    /** Maximum wait for the first command, or for further bytes of a partial command. */
     private static final double READ_TIMEOUT_MILLIS = 2_000;
 
-    /** A client that connects in order to send a command has sent it by then. */
+    /** Time that a new connection has to send its first command before it may be drained. */
     private static final double FIRST_COMMAND_GRACE_MILLIS = 100;
 
     private static final double WRITE_TIMEOUT_MILLIS = 5_000;
 
-    /** A half-closed connection waits this long for the peer's FIN. */
+    /** Maximum wait of a drained connection for the client's FIN. */
     private static final double LINGER_TIMEOUT_MILLIS = 1_000;
 
     private static final int MAX_LINGERING_CONNECTIONS = 16;
 
-    /** An idle connection is drained after this long where more than half are in use. */
+    /** Idle timeout while more than half of the allowed connections are open. */
     private static final double BUSY_IDLE_TIMEOUT_MILLIS = 2_000;
 
     private static final double IDLE_TIMEOUT_MILLIS = 15_000;
@@ -66,8 +66,9 @@
     private long rejected;
 
     /**
-     * @param maxConnections open connections at most, with those that linger
-     * @param maxCommandMillis a command that takes longer to come is of no use to its client
+     * @param maxConnections maximum number of open connections, including lingering ones
+     * @param maxCommandMillis maximum time to receive a command; a later one is of no use to its
+     *     client
      */
     ClientListener(
             Transport transport,
@@ -81,7 +82,7 @@
         this.handler = handler;
     }
 
-    /** Begins to accept; completes once the address is bound. */
+    /** Starts accepting connections. The future completes once the address is bound. */
     ChannelFuture listen(SocketAddress address) {
         ServerBootstrap server =
                 new ServerBootstrap()
@@ -121,32 +122,37 @@
         };
     }
 
-    /** Forgets a connection that is closed. */
+    /** Removes a closed connection. */
     void remove(ClientConnection connection) {
         connections.remove(connection);
     }
 
-    /** Whether part of a command has been read on some connection. */
+    /** Returns whether any connection has received part of a command. */
     boolean isReadingCommand() {
         return connections.stream().anyMatch(ClientConnection::isReadingCommand);
     }
 
-    /** Connections accepted since the start, with those that were closed at once. */
+    /** Returns the number of connections accepted since the start, including rejected ones. */
     long accepted() {
         return accepted;
     }
 
-    /** Connections closed at once since the limit was reached and none could give way. */
+    /**
+     * Returns the number of connections closed on accept because the limit was reached and no other
+     * connection could be drained.
+     */
     long rejected() {
         return rejected;
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     int connectionCount() {
         return connections.size();
     }
 
-    /** Whether one more can be accepted, if need be by draining another. */
+    /**
+     * Returns whether another connection can be accepted, after draining an idle one if necessary.
+     */
     private boolean ensureCapacity() {
         ClientConnection oldestLingering = null;
         int lingering = 0;
@@ -166,8 +172,9 @@
     }
 
     /**
-     * Drains one connection that awaits no reply: the oldest that never sent a command although it
-     * had time to, else the one that was idle longest, preferably without a command under way.
+     * Drains one connection without pending replies and returns whether there was one. Chooses the
+     * oldest that has sent no command within its grace period, otherwise the one idle longest,
+     * preferring connections without a partial command.
      */
     private boolean drainIdleConnection() {
         ClientConnection candidate = null;
@@ -194,7 +201,11 @@
         return candidate != null;
     }
 
-    /** Ends connections that are idle, that stop inside a command, or that read nothing. */
+    /**
+     * Closes or drains connections that are idle, have stalled within a command, do not read their
+     * replies or have lingered too long. During shutdown, also drains connections that have had
+     * time to send their first command.
+     */
     void closeExpired() {
         double now = handler.now();
         boolean isBusy = connections.size() > maxConnections / 2;
@@ -225,12 +236,12 @@
         return !idleTimeoutDisabled && now - connection.lastActiveAt > idleTimeoutMillis;
     }
 
-    /** From now on connections stay open however long they are idle. */
+    /** Disables the idle timeout of connections that have sent a command. */
     void disableIdleTimeout() {
         idleTimeoutDisabled = true;
     }
 
-    /** Whether it drains, and the last connection is closed. */
+    /** Returns whether draining is complete: the listener and all connections are closed. */
     boolean isDrained() {
         return draining && listener == null && connections.isEmpty();
     }
@@ -240,8 +251,8 @@
     }
 
     /**
-     * Accepts no new connections, and drains the open ones. Those that the kernel has accepted by
-     * now are accepted first, and may still send a command: {@link #closeExpired} drains them.
+     * Stops listening and drains the open connections. Connections in the kernel's backlog are
+     * still accepted and may send a command; {@link #closeExpired} drains them.
      */
     void drain() {
         draining = true;
@@ -255,7 +266,7 @@
         }
     }
 
-    /** Closes the listener in a turn of the loop in which nobody was left to be accepted. */
+    /** Closes the listener after a loop iteration in which no connection was accepted. */
     private void closeOnceBacklogIsEmpty(long acceptedBefore) {
         if (listener == null) {
             return;
@@ -266,8 +277,8 @@
             return;
         }
         long acceptedNow = accepted;
-        // Scheduled, not executed: the loop polls its sockets before it runs what was
-        // scheduled meanwhile.
+        // A scheduled task runs after the loop has polled its sockets again; an executed one may
+        // not.
         loop.schedule(() -> closeOnceBacklogIsEmpty(acceptedNow), 1, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/ClientWriter.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientWriter.java
@@ -12,9 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes replies to one client's socket: to the system at once, and what its buffer cannot take to
- * Netty. Where the system is out of buffers (ENOBUFS, ENOMEM) the write is retried a moment later;
- * Netty would close the connection, and the reply would be lost. Owns the bytes it was given until
+ * Writes replies to one client's socket, directly to the kernel where possible, and through Netty
+ * once the socket buffer is full.
+ *
+ * <p>A write that fails because the kernel is out of buffers (ENOBUFS, ENOMEM) is retried shortly
+ * afterwards; Netty would close the connection and lose the reply. Owns the queued buffers until
  * they are passed on. Runs on the event loop.
  */
 final class ClientWriter {
@@ -29,14 +31,14 @@
     private boolean retryScheduled;
 
     /**
-     * @param onResumed is run when a write that was retried has been passed on
+     * @param onResumed runs after each retry of a failed write
      */
     ClientWriter(Channel channel, Runnable onResumed) {
         this.channel = channel;
         this.onResumed = onResumed;
     }
 
-    /** Whether some reply has been given neither to the system nor to Netty yet. */
+    /** Returns whether any reply has been passed neither to the kernel nor to Netty yet. */
     boolean hasQueuedReplies() {
         return !queued.isEmpty();
     }
@@ -45,7 +47,7 @@
         queued.add(bytes);
     }
 
-    /** Runs the task once all that was written by now has been passed on. */
+    /** Flushes the queue, and runs the task once everything queued so far has been passed on. */
     void runAfterFlush(Runnable task) {
         afterFlush = task;
         flush();
@@ -70,7 +72,7 @@
                     scheduleRetry();
                     return;
                 }
-                writeToNetty(); // which ends the connection
+                writeToNetty(); // closes the connection on this error
                 break;
             } catch (IOException failed) {
                 writeToNetty();
@@ -82,7 +84,7 @@
         task.run();
     }
 
-    /** Releases what is queued, after the connection has closed. */
+    /** Releases the queued buffers after the connection has closed. */
     void release() {
         queued.forEach(ByteBuf::release);
         queued.clear();
@@ -93,7 +95,7 @@
         return pending != null && pending.isEmpty();
     }
 
-    /** Whether the system took all of the first reply. */
+    /** Writes the first queued reply to the socket; returns false if the socket buffer is full. */
     private boolean writeToSocket(FileDescriptor socket) throws IOException {
         ByteBuf first = queued.peek();
         if (!first.isDirect() || first.nioBufferCount() != 1) {
--- a/src/main/java/sagepulley/frontend/resp/DueWorkScheduler.java
+++ b/src/main/java/sagepulley/frontend/resp/DueWorkScheduler.java
@@ -6,8 +6,8 @@
 import sagepulley.engine.GatewayEngine;
 
 /**
- * Runs the engine's due work: once for all events of one turn of the event loop, and again at the
- * time that the engine asked for. Runs on the event loop.
+ * Runs the engine's due work, once for all events of a loop iteration and at the wake-up time that
+ * the engine requests. Runs on the event loop.
  */
 final class DueWorkScheduler {
     private final EventLoop loop;
@@ -23,7 +23,10 @@
         this.wakeUpTimer = new EventLoopTimer(loop, clock::now, this::runNow);
     }
 
-    /** Runs the due work in a later task of this turn, together with that of other events. */
+    /**
+     * Schedules the due work as a later task, so that one run covers all events of the current loop
+     * iteration.
+     */
     void schedule() {
         if (!scheduled) {
             scheduled = true;
@@ -39,7 +42,7 @@
         engine.runDueWork(clock.now());
     }
 
-    /** Runs the due work at this time at the latest; infinite: at the next event. */
+    /** Schedules the due work for this time at the latest; an infinite time has no effect. */
     void wakeUpAt(double time) {
         wakeUpTimer.by(time);
     }
--- a/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
@@ -9,8 +9,8 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * Endpoint lists on their way from discovery into the engine. Runs on the event loop; times are
- * milliseconds of the gateway's clock.
+ * Passes endpoint lists and poll results from discovery to the engine. Runs on the event loop;
+ * times are in milliseconds of the gateway's clock.
  */
 final class EndpointListHandler implements DiscoveryClient.Listener {
     private final Clock clock;
@@ -20,7 +20,7 @@
     private final CompletableFuture<Void> firstList = new CompletableFuture<>();
 
     /**
-     * @param onEngineEvent is run when the engine has been given something
+     * @param onEngineEvent runs after each event that is passed to the engine
      */
     EndpointListHandler(
             Clock clock, GatewayEngine engine, EndpointRegistry endpoints, Runnable onEngineEvent) {
@@ -30,7 +30,10 @@
         this.onEngineEvent = onEngineEvent;
     }
 
-    /** Completes with the first list that discovery confirms; others may complete it sooner. */
+    /**
+     * Returns a future that completes with the first list that discovery confirms. The gateway
+     * completes it earlier on a timeout or at shutdown.
+     */
     CompletableFuture<Void> firstList() {
         return firstList;
     }
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -14,8 +14,8 @@
 import sagepulley.model.Operation;
 
 /**
- * Maps discovery's ids of endpoints to the numbers that the engine uses, and knows each endpoint's
- * address. Runs on the event loop.
+ * Maps the endpoint ids of discovery to the numbers that the engine uses, and holds the address of
+ * each endpoint. Runs on the event loop.
  */
 final class EndpointRegistry {
     private final List<String> zones;
@@ -32,7 +32,10 @@
         this.clock = clock;
     }
 
-    /** The entries in the engine's form; start times become those of the gateway's clock. */
+    /**
+     * Converts the members of a list to engine entries with start times on the gateway's clock.
+     * Skips removed endpoints that are unknown.
+     */
     List<EndpointEntry> entries(EndpointListUpdate update) {
         return update.members().stream()
                 .filter(
@@ -43,7 +46,7 @@
                 .toList();
     }
 
-    /** Where a list differs from the phases known so far, for the log. */
+    /** Describes how the listed phases differ from the phases known so far, for the log. */
     List<String> describePhaseChanges(EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
         List<String> changes = new ArrayList<>();
         for (EndpointListUpdate.Member member : update.members()) {
@@ -73,17 +76,17 @@
                 member.weight());
     }
 
-    /** Where the endpoint listens; null if that was never known. */
+    /** Returns the address of the endpoint; null if it is unknown. */
     SocketAddress address(Node node) {
         return addressByNumber.get(node.id);
     }
 
-    /** The endpoint's id at discovery. */
+    /** Returns the id of the endpoint at discovery, or a placeholder if it is unknown. */
     String discoveryId(Node node) {
         return idByNumber.getOrDefault(node.id, "node " + node.id);
     }
 
-    /** Where an operation was sent and how each attempt ended, for the log. */
+    /** Describes the endpoint and the outcome of each attempt of an operation, for the log. */
     String describeAttempts(Operation operation) {
         StringBuilder text = new StringBuilder();
         for (Attempt attempt : operation.attempts) {
@@ -95,7 +98,7 @@
         return text.toString();
     }
 
-    /** Removes an endpoint that is gone for good; its id gets a new number if it comes back. */
+    /** Removes an endpoint permanently. Its id gets a new number if it is listed again. */
     void remove(Node node) {
         numberById.remove(idByNumber.remove(node.id));
         addressByNumber.remove(node.id);
--- a/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
+++ b/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
@@ -10,7 +10,7 @@
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
 
-/** Counters since the start, for the log. Runs on the event loop. */
+/** Counts events since the start, for the log. Runs on the event loop. */
 final class GatewayMetrics {
     long accepted;
     long invalidCommands;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Adds a sample of the operations that wait, by reason. */
+    /** Adds a sample of the number of waiting operations by reason. */
     void addWaiting(Map<Reason, Integer> waitingByReason) {
         waitingByReason.forEach((reason, count) -> waiting.merge(reason, (long) count, Long::sum));
     }
@@ -48,7 +48,9 @@
         unserved.merge(trafficClass.name() + "/" + reason, 1L, Long::sum);
     }
 
-    /** How attempts to an endpoint have ended since the last call for it. */
+    /**
+     * Returns and resets the outcomes of attempts to an endpoint since the previous call for it.
+     */
     Map<Outcome, Integer> takeRecentOutcomes(Node node) {
         Map<Outcome, Integer> outcomes = recentOutcomes.remove(node.id);
         return outcomes == null ? Map.of() : outcomes;
--- a/src/main/java/sagepulley/frontend/resp/RequestHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/RequestHandler.java
@@ -16,24 +16,24 @@
 import sagepulley.transport.KernelReceiveTime;
 
 /**
- * Clients' requests on their way into the engine and its answers on their way back: parses and
- * admits each command, and writes exactly one reply to it. Owns the bytes of the commands in
- * flight. Runs on the event loop; times are milliseconds of the gateway's clock.
+ * Parses and admits client commands, passes them to the engine, and writes exactly one reply to
+ * each. Owns the bytes of the commands in flight. Runs on the event loop; times are in milliseconds
+ * of the gateway's clock.
  */
 final class RequestHandler implements ClientConnection.Handler {
-    /** What is kept with an operation in flight. */
+    /** The command and the pending reply of an operation in flight. */
     private record PendingRequest(
             BlockCommand command, ClientConnection.PendingReply pendingReply) {}
 
-    /** What a request handler tells the gateway around it. */
+    /** Receives the events of the request handler. */
     interface Listener {
-        /** The engine has been given something: its due work is to be run. */
+        /** Called after an event has been passed to the engine, whose due work must run. */
         void onEngineEvent();
 
-        /** A client cancelled an operation whose attempts may still be under way. */
+        /** Called when a client cancelled an operation whose attempts may still be in flight. */
         void onCancelled(Operation operation);
 
-        /** A reply was written or a connection closed, which may have been the last one. */
+        /** Called after a reply was written or a connection closed, possibly the last one. */
         void onReplyOrClose();
     }
 
@@ -49,12 +49,12 @@
     private final long maxBytesInFlight;
     private long bytesInFlight;
 
-    /** No operation's deadline lies behind this time; infinite while the gateway is not stopped. */
+    /** Upper bound on the deadlines of newly accepted operations; infinite until shutdown. */
     private double latestDeadline = Double.POSITIVE_INFINITY;
 
     /**
-     * @param attemptsDescription describes an operation's attempts for the log
-     * @param clientsFactory opens the client side with this handler
+     * @param attemptsDescription formats the attempts of an operation for the log
+     * @param clientsFactory creates the client listener for this handler
      */
     RequestHandler(
             GatewayConfig config,
@@ -77,17 +77,17 @@
         this.clients = clientsFactory.apply(this);
     }
 
-    /** The clients' connections. */
+    /** Returns the listener that owns the client connections. */
     ClientListener clients() {
         return clients;
     }
 
-    /** Bytes of all commands whose reply is outstanding. */
+    /** Returns the total size in bytes of all commands without a reply. */
     long bytesInFlight() {
         return bytesInFlight;
     }
 
-    /** Caps the deadline of the operations that are accepted from now on. */
+    /** Limits the deadlines of operations that are accepted from now on. */
     void limitDeadlines(double time) {
         latestDeadline = time;
     }
@@ -189,12 +189,12 @@
         listener.onReplyOrClose();
     }
 
-    /** The command of an operation whose reply is outstanding. */
+    /** Returns the command of an operation that has no reply yet. */
     BlockCommand command(Operation operation) {
         return ((PendingRequest) operation.engineState).command();
     }
 
-    /** Replies to an operation that an endpoint has served. */
+    /** Replies to an operation with the value that an endpoint returned. */
     void replyServed(Operation operation, byte[] value) {
         reply(operation, RespEncoder.bulk(value));
     }
@@ -224,7 +224,9 @@
         }
     }
 
-    /** Fails each operation in flight with the reply that leaves its outcome open. */
+    /**
+     * Replies to each operation in flight with an error that leaves open whether it was executed.
+     */
     void failAll() {
         for (Operation operation : new ArrayList<>(engine.inFlight())) {
             if (operation.engineState != null) {
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -21,34 +21,39 @@
 import sagepulley.upstream.resp.EndpointConnectionPool;
 
 /**
- * One RESP gateway: clients, endpoints and discovery round the engine, on one event loop. Composes
- * the parts, carries the engine's decisions to them, and starts and stops them. Its public methods
- * may be called from any thread; those of {@link DecisionSink} are called on the loop.
+ * Runs one RESP gateway. Composes the client listener, the endpoint connections, the discovery
+ * client and the engine on one event loop, and starts and stops them.
+ *
+ * <p>Public methods may be called from any thread, except those of {@link DecisionSink}, which are
+ * called on the event loop.
  */
 public final class RespGateway implements DecisionSink {
     private static final long MAINTENANCE_INTERVAL_MILLIS = 200;
     private static final long REPORT_INTERVAL_MILLIS = 5_000;
 
-    /** Clients still connected after the last operation failed have this long to read. */
+    /** Time for clients to read the last replies before the gateway stops. */
     private static final long STOP_DELAY_MILLIS = MAINTENANCE_INTERVAL_MILLIS / 2;
 
-    /** Endpoints close idle connections after the configured time; the gateway closes sooner. */
+    /**
+     * Fraction of the configured idle timeout after which idle endpoint connections are closed,
+     * before the endpoint closes them.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.4;
 
     /**
-     * A reply may pause for this part of the shortest latency objective, which leaves time for
+     * Fraction of the shortest latency objective for which a reply may stall, which leaves time for
      * another attempt.
      */
     private static final double STALL_TIMEOUT_FRACTION = 0.3;
 
-    /** The part of the memory that commands in flight may take. */
+    /** Fraction of the configured memory that commands in flight may use. */
     private static final double COMMAND_MEMORY_FRACTION = 0.1;
 
     private static final int BYTES_PER_MB = 1 << 20;
 
     /**
-     * How long serving waits for the first list. Within the time in which a change counts as
-     * notified, so that a list this old is still current.
+     * Maximum wait for the first list before the gateway listens. It is shorter than the time after
+     * which a change counts as notified, so that a list of this age is still current.
      */
     private static final long FIRST_LIST_TIMEOUT_MILLIS = 4_000;
 
@@ -72,7 +77,7 @@
     private boolean listening;
     private boolean stopping;
 
-    /** Composes a gateway; nothing is opened before {@link #connectToDiscovery}. */
+    /** Composes a gateway. No connection is opened before {@link #connectToDiscovery}. */
     public RespGateway(GatewayConfig config, Transport transport) {
         this.config = config;
         this.loop = transport.eventLoops().next();
@@ -175,14 +180,14 @@
                 .orElse(0);
     }
 
-    /** Milliseconds of the gateway's own clock, which only moves forward. */
+    /** Returns the time on the gateway's monotonic clock in milliseconds. */
     public double now() {
         return clock.now();
     }
 
     // ---- start ----
 
-    /** Requests the endpoint list, and listens for nobody yet. */
+    /** Starts requesting the endpoint list. Clients cannot connect before {@link #start}. */
     public void connectToDiscovery() {
         loop.execute(
                 () -> {
@@ -196,8 +201,10 @@
     }
 
     /**
-     * Listens once the first endpoint list is there or has timed out; {@link #connectToDiscovery}
-     * has been called. Completes with the address that clients can connect to.
+     * Listens once the first endpoint list has arrived or timed out. Requires an earlier call of
+     * {@link #connectToDiscovery}.
+     *
+     * @return a future that completes with the address that clients can connect to
      */
     public CompletableFuture<SocketAddress> start() {
         CompletableFuture<SocketAddress> ready = new CompletableFuture<>();
@@ -216,7 +223,7 @@
 
     private void listen(CompletableFuture<SocketAddress> ready) {
         if (stopping) {
-            ready.complete(config.listen()); // no client has learned that the gateway is there
+            ready.complete(config.listen()); // never listened, so there is nothing to drain
             stopNow();
             return;
         }
@@ -279,19 +286,20 @@
 
     // ---- configuration ----
 
-    /** How many configurations have been read since the start. */
+    /** Returns the number of configurations applied since the start. */
     public int reloads() {
         return reloads;
     }
 
-    /** Where discovery is by the last configuration that was read. */
+    /** Returns the address of discovery in the configuration applied last. */
     public SocketAddress discoveryAddress() {
         return discovery.address();
     }
 
     /**
-     * A new configuration was announced at a time. Discovery's list counts as notified some seconds
-     * after that, however long the file takes to read.
+     * Records that a new configuration was notified at the given time. The lease of the endpoint
+     * list ends a few seconds after that time unless it is renewed, however long reading the file
+     * takes.
      */
     public void onReloadNotified(double notifiedAt) {
         loop.execute(
@@ -305,8 +313,8 @@
     }
 
     /**
-     * A configuration whose reading began at a time: discovery moves; what else differs applies
-     * from the next start on.
+     * Applies a configuration that was read from the given time on. Only a new discovery address
+     * takes effect; other changes apply at the next start.
      */
     public void onConfigurationRead(GatewayConfig newConfig, double readAt) {
         loop.execute(
@@ -327,14 +335,20 @@
                 });
     }
 
-    /** A configuration whose reading began at a time is invalid: the last one stays. */
+    /**
+     * Records that the configuration read from the given time on is invalid. The previous one stays
+     * in effect.
+     */
     public void onConfigurationUnusable(double readAt) {
         loop.execute(() -> engine.onConfigurationRead(readAt));
     }
 
     // ---- stop ----
 
-    /** Begins a graceful shutdown: serves on for a while, then replies to what is in flight. */
+    /**
+     * Starts a graceful shutdown: keeps serving for a while, then drains the connections and
+     * replies to all operations in flight.
+     */
     public void stop() {
         double signalledAt = clock.now();
         loop.execute(
@@ -378,7 +392,7 @@
         }
     }
 
-    /** Stops without waiting for anybody. */
+    /** Stops immediately, without waiting for operations in flight. */
     public void stopNow() {
         loop.execute(
                 () -> {
@@ -391,7 +405,7 @@
                 });
     }
 
-    /** Completes once the gateway has stopped, with a reply to all that it accepted. */
+    /** Returns a future that completes once the gateway has stopped. */
     public CompletableFuture<Void> stopped() {
         return stopped;
     }
--- a/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
+++ b/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
@@ -1,27 +1,28 @@
 package sagepulley.frontend.resp;
 
 /**
- * When a graceful shutdown takes its steps, in milliseconds of the gateway's clock. Made at the
- * start: a process without file descriptors may be unable to load a class when it stops.
+ * Schedules the steps of a graceful shutdown, in milliseconds of the gateway's clock. Created at
+ * the start, because a process without free file descriptors may be unable to load a class at
+ * shutdown.
  *
- * @param failDelayMillis operations still in flight are failed this long after the signal
+ * @param failDelayMillis time from the signal until operations still in flight are failed
  */
 record ShutdownSchedule(double failDelayMillis) {
     /**
-     * SIGKILL follows SIGTERM no sooner than the longest deadline, capped at this, and the grace
-     * period after it. Clients keep using the connections that they have and find no other gateway,
-     * so they are served for as long as that.
+     * Upper bound on the time of serving after SIGTERM. SIGKILL follows SIGTERM no sooner than the
+     * longest deadline, capped at this value, plus the kill grace. Clients keep using their open
+     * connections and find no other gateway, so they are served for that long.
      */
     private static final double MAX_SERVING_MILLIS = 3_000;
 
     private static final double KILL_GRACE_MILLIS = 700;
 
-    /** The process may be held up at each of the two steps, hence some room after both. */
+    /** Margin before SIGKILL in case the process is delayed at the drain or the fail step. */
     private static final double REPLY_MARGIN_MILLIS = 350;
 
     private static final double DRAIN_MILLIS = 250;
 
-    /** The schedule where no request has a longer deadline than this. */
+    /** Returns the schedule for a deployment whose longest deadline is the given one. */
     static ShutdownSchedule of(double maxDeadlineMillis) {
         return new ShutdownSchedule(
                 Math.min(maxDeadlineMillis, MAX_SERVING_MILLIS)
@@ -29,12 +30,12 @@
                         - REPLY_MARGIN_MILLIS);
     }
 
-    /** Operations still in flight are failed at this time. */
+    /** Returns the time at which operations still in flight are failed. */
     double failAt(double signalledAt) {
         return signalledAt + failDelayMillis;
     }
 
-    /** Connections are drained, and no new command is accepted, from this time on. */
+    /** Returns the time from which connections are drained and new commands are rejected. */
     double drainAt(double signalledAt) {
         return failAt(signalledAt) - DRAIN_MILLIS;
     }
--- a/src/main/java/sagepulley/frontend/resp/SocketBudget.java
+++ b/src/main/java/sagepulley/frontend/resp/SocketBudget.java
@@ -1,10 +1,8 @@
 package sagepulley.frontend.resp;
 
-/** How many connections to clients and to endpoints the process may have. */
+/** Divides the sockets of the process between client and endpoint connections. */
 record SocketBudget(int forClients, int forEndpoints) {
-    /**
-     * File descriptors of the program itself: libraries, event loops, discovery, standard streams.
-     */
+    /** File descriptors for libraries, event loops, discovery and standard streams. */
     private static final int RESERVED_DESCRIPTORS = 40;
 
     private static final double CLIENT_FRACTION = 0.7;
--- a/src/main/java/sagepulley/frontend/resp/StateReporter.java
+++ b/src/main/java/sagepulley/frontend/resp/StateReporter.java
@@ -11,8 +11,8 @@
 import sagepulley.upstream.resp.EndpointConnectionPool;
 
 /**
- * Logs the gateway's state and that of each endpoint at fixed intervals. Runs on the event loop;
- * times are milliseconds.
+ * Logs the state of the gateway and of each endpoint at fixed intervals. Runs on the event loop;
+ * times are in milliseconds.
  */
 final class StateReporter {
     private final Clock clock;
@@ -42,14 +42,16 @@
         this.discovery = discovery;
     }
 
-    /** Notes how late this call of a periodic task comes, which shows how far the loop lags. */
+    /**
+     * Records how late this call of a periodic task is, which measures the lag of the event loop.
+     */
     void sampleLag(long intervalMillis) {
         double lateMillis = clock.now() - nextSampleAt;
         nextSampleAt = clock.now() + intervalMillis;
         maxLagMillis = Math.max(maxLagMillis, lateMillis);
     }
 
-    /** Logs the state, and the largest lag since the last report. */
+    /** Logs the state and the largest lag since the previous report. */
     void report() {
         reportGateway();
         maxLagMillis = 0;
--- a/src/main/java/sagepulley/lifecycle/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -19,9 +19,10 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * Reads the configuration file again at SIGHUP, and repeatedly for as long as it is invalid. A
- * process that was started with SIGHUP ignored, as nohup does, receives no signal: it polls the
- * file instead. Reads on one thread of its own, so that the configuration read last is also applied
+ * Reloads the configuration file on SIGHUP, and retries for as long as the file is invalid.
+ *
+ * <p>A process that was started with SIGHUP ignored, as by nohup, receives no signal and polls the
+ * file instead. All reads run on one thread, so that the configuration read last is also applied
  * last.
  */
 final class ConfigReloader implements Closeable {
@@ -34,12 +35,12 @@
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("reload", true));
 
-    /** The file's bytes when it was last checked; empty where it could not be read. */
+    /** Contents of the file at the last check; empty if it could not be read. */
     private byte[] contents = {};
 
     private double checkedAt;
 
-    /** Why the file was invalid, as it was last logged; null if it was valid. */
+    /** Reason logged last why the file was invalid; null if it was valid. */
     private String lastFailure;
 
     private boolean retryScheduled;
@@ -49,7 +50,7 @@
         this.gateway = gateway;
     }
 
-    /** Begins to follow the file. */
+    /** Starts watching the file for changes. */
     void start() {
         if (!SignalHandlers.isIgnored(HANGUP_SIGNAL)) {
             SignalHandlers.setHandler(HANGUP_SIGNAL, () -> onReloadRequested(gateway.now()));
@@ -58,7 +59,7 @@
         LogWriter.warn("SIGHUP is ignored, polling the configuration file instead");
         contents = readContents();
         checkedAt = gateway.now();
-        onReloadRequested(checkedAt); // the file may have changed since the start read it
+        onReloadRequested(checkedAt); // the file may have changed since the first read
         executor.scheduleWithFixedDelay(
                 this::checkFile,
                 FILE_CHECK_INTERVAL_MILLIS,
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Reads the file now; an invalid one changes nothing, and is read again later. */
+    /** Reads the file. An invalid file changes nothing and is read again later. */
     void reload() {
         double readAt = gateway.now();
         try {
--- a/src/main/java/sagepulley/lifecycle/GatewayServer.java
+++ b/src/main/java/sagepulley/lifecycle/GatewayServer.java
@@ -12,7 +12,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.transport.Transport;
 
-/** Runs one RESP gateway in the foreground until SIGTERM or SIGINT. */
+/** Runs a RESP gateway in the foreground until SIGTERM or SIGINT. */
 public final class GatewayServer {
     private static final long LOG_FLUSH_TIMEOUT_MILLIS = 200;
     private static final int WARM_UP_OPERATIONS = 60;
@@ -21,7 +21,7 @@
     private GatewayServer() {}
 
     /**
-     * Runs a gateway; returns once it has stopped.
+     * Runs a gateway until it has stopped.
      *
      * @throws ConfigException if the configuration is invalid or its address cannot be listened on
      */
@@ -29,7 +29,7 @@
         run(environment, gateway -> {});
     }
 
-    /** Runs a gateway, and calls the consumer once clients can connect. */
+    /** Runs a gateway until it has stopped, and calls the consumer once clients can connect. */
     static void run(Map<String, String> environment, Consumer<RespGateway> onReady)
             throws ConfigException {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
@@ -65,7 +65,7 @@
         LogWriter.flush(LOG_FLUSH_TIMEOUT_MILLIS);
     }
 
-    /** Each with its latency objective and deadline, in milliseconds. */
+    /** Formats each traffic class with its latency objective and deadline in milliseconds. */
     private static String describeTrafficClasses(GatewayConfig config) {
         StringBuilder description = new StringBuilder();
         for (TrafficClass trafficClass : config.deployment().trafficClasses()) {
--- a/src/main/java/sagepulley/lifecycle/SignalHandlers.java
+++ b/src/main/java/sagepulley/lifecycle/SignalHandlers.java
@@ -5,7 +5,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Signals of the operating system, by reflection: the JDK has no public class for them. */
+/**
+ * Handles signals of the operating system by reflection, because the JDK has no public API for
+ * them.
+ */
 final class SignalHandlers {
     private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
     private static final String IGNORED_SIGNALS = "SigIgn:";
@@ -13,8 +16,8 @@
     private SignalHandlers() {}
 
     /**
-     * Whether the process was started with this signal ignored. The JVM then keeps ignoring it,
-     * even if a handler is set.
+     * Returns whether the process was started with this signal ignored. The JVM then keeps ignoring
+     * it, even if a handler is set.
      */
     static boolean isIgnored(String name) {
         try {
@@ -33,11 +36,13 @@
         } catch (IOException notLinux) {
             return false;
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("signal " + name + " has no number", e);
+            throw new IllegalStateException("cannot determine the number of signal " + name, e);
         }
     }
 
-    /** Replaces the JDK's handler: the task runs on a thread of its own at each such signal. */
+    /**
+     * Replaces the JDK's handler of a signal. The task runs on a separate thread for each signal.
+     */
     static void setHandler(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -55,7 +60,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), run);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("signal " + name + " cannot be handled", e);
+            throw new IllegalStateException("cannot set a handler for signal " + name, e);
         }
     }
 }
--- a/src/main/java/sagepulley/lifecycle/WarmUpConfig.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpConfig.java
@@ -11,26 +11,28 @@
 import sagepulley.config.resp.GatewayConfig;
 import sagepulley.discovery.http.JsonReader;
 
-/** The built-in configuration of a warm-up run, which has one endpoint. */
+/** Provides the built-in configuration of a warm-up run, which has one endpoint. */
 public final class WarmUpConfig {
     private static final String RESOURCE = "/rehearsal.json";
 
     private WarmUpConfig() {}
 
-    /** The text of the configuration file. */
+    /** Returns the text of the configuration file. */
     public static String text() throws IOException {
         try (InputStream in = WarmUpConfig.class.getResourceAsStream(RESOURCE)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** The text of the configuration file with a listener for clients at this port. */
+    /** Returns the text of the configuration file with a client listener on this port. */
     public static String listeningAt(int port) throws IOException {
         return text().replace(
                         "\"listen\": \"127.0.0.1:1\"", "\"listen\": \"127.0.0.1:" + port + "\"");
     }
 
-    /** The configuration with a listener, discovery and the endpoint at these addresses. */
+    /**
+     * Returns the configuration with these addresses of the listener, discovery and the endpoint.
+     */
     public static GatewayConfig at(
             SocketAddress listen, SocketAddress discovery, SocketAddress endpoint)
             throws IOException, ConfigException {
@@ -39,7 +41,7 @@
                 .withAddresses(listen, discovery, endpoint);
     }
 
-    /** A loopback port that was free a moment ago. */
+    /** Returns a loopback port that was free at the time of the call. */
     public static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
--- a/src/main/java/sagepulley/lifecycle/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -34,9 +34,10 @@
 import sagepulley.transport.Transport;
 
 /**
- * A short run of a complete gateway with an endpoint, a discovery and clients of its own. The build
- * does it once on loopback, so that the JVM records which classes a start needs; a gateway does it
- * inside the program before it listens, so that its code is compiled when clients connect.
+ * Runs a complete gateway for a short time, with its own endpoint, discovery and clients.
+ *
+ * <p>The build runs it on loopback, so that the JVM records the classes that a start needs. A
+ * gateway runs it in process before it listens, so that its code is compiled when clients connect.
  */
 public final class WarmUpRun {
     private static final int CLIENTS = 4;
@@ -47,7 +48,7 @@
     private static final RespLimits COMMAND_LIMITS = RespLimits.commands(64, 2048, 4096, 8);
     private static final RespLimits REPLY_LIMITS = RespLimits.replies(512, 2048, 4096, 8);
 
-    /** Each so many requests one writes, one has an unknown class, one is a PING. */
+    /** Every n-th request is a write, names an unknown class, or is a PING. */
     private static final int WRITE_INTERVAL = 3;
 
     private static final int UNKNOWN_CLASS_INTERVAL = 20;
@@ -72,7 +73,7 @@
         this.remaining = new CountDownLatch(operations);
     }
 
-    /** The build's run: inside the program, on loopback, and from a file as in service. */
+    /** Runs the warm-up of the build: in process, on loopback, and from a configuration file. */
     public static void onLoopback() throws IOException, ConfigException {
         inProcess(OPERATIONS, BUILD_TIMEOUT_MILLIS);
         run(
@@ -86,7 +87,7 @@
         serveFromFile();
     }
 
-    /** Starts a gateway as in service, from a configuration file, and stops it. */
+    /** Starts a gateway from a configuration file as in production, and stops it. */
     private static void serveFromFile() throws IOException, ConfigException {
         Path file = Files.createTempFile("rehearsal", ".json");
         try {
@@ -97,7 +98,7 @@
         }
     }
 
-    /** A run inside the program, for this many operations or milliseconds at most. */
+    /** Runs a warm-up in process until it has completed this many operations or timed out. */
     static void inProcess(int operations, long timeoutMillis) {
         try {
             run(
@@ -117,7 +118,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    /** The gateway has an event loop of its own, as in service; all others share one. */
+    /** Runs a gateway on its own event loop, as in production; the other parts share one. */
     private static void run(
             Transport gatewayTransport,
             Transport peerTransport,
@@ -142,7 +143,8 @@
                 warmUp.connectClient();
             }
             warmUp.remaining.await(timeoutMillis, TimeUnit.MILLISECONDS);
-            // The gateway stops first: its peers' loop must still run to see its connections close.
+            // The gateway stops first, because its peers' event loop must still run to detect the
+            // close of its connections.
             gateway.stopNow();
             gateway.stopped().join();
         } catch (InterruptedException e) {
@@ -205,7 +207,8 @@
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, HttpObject request) {
                                 if (request instanceof LastHttpContent) {
-                                    // Past the encoder: these are the bytes of the wire.
+                                    // Bypasses the encoder, because the response is already
+                                    // encoded.
                                     ctx.channel()
                                             .pipeline()
                                             .firstContext()
@@ -216,7 +219,7 @@
                         });
     }
 
-    /** Connects a client that sends one command after the other, some of them invalid. */
+    /** Connects a client that sends one command after another, some of them invalid. */
     private void connectClient() {
         transport
                 .connector()
--- a/src/main/java/sagepulley/logging/LogWriter.java
+++ b/src/main/java/sagepulley/logging/LogWriter.java
@@ -7,12 +7,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes log lines of names and values to standard error from a thread of its own: callers never
- * block, and lines that find the queue full are counted. Used instead of Logback, whose classes
- * would slow the start of a gateway.
+ * Writes log lines of names and values to standard error on a separate thread.
+ *
+ * <p>Callers never block; lines that find the queue full are dropped and counted. Used instead of
+ * Logback, whose classes would slow down the start of a gateway.
  */
 public final class LogWriter {
-    /** Threads whose name starts with this log nothing: they run a gateway inside the program. */
+    /**
+     * Name prefix of threads whose log calls are ignored, because they run an in-process warm-up.
+     */
     public static final String WARM_UP_THREAD_PREFIX = "rehearsal";
 
     private static final int MAX_QUEUED_LINES = 1000;
@@ -43,7 +46,7 @@
         }
     }
 
-    /** A gateway that warms up inside the program is quiet; the real one beside it is not. */
+    /** Returns whether the current thread belongs to an in-process warm-up, which does not log. */
     private static boolean isWarmUpThread() {
         return Thread.currentThread().getName().startsWith(WARM_UP_THREAD_PREFIX);
     }
@@ -69,7 +72,7 @@
         }
     }
 
-    /** A value on one line, quoted where it has blanks or is empty. */
+    /** Formats a value on one line, quoted if it contains blanks or is empty. */
     private static String formatValue(Object value) {
         String text = String.valueOf(value);
         if (text.length() > MAX_VALUE_CHARS) {
@@ -100,7 +103,7 @@
         }
     }
 
-    /** Waits until all lines are written, for this many milliseconds at most. */
+    /** Waits until all lines are written, or until the timeout. */
     public static void flush(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (UNWRITTEN.get() > 0 && System.nanoTime() < deadlineNanos) {
--- a/src/main/java/sagepulley/logging/RateLimitedLog.java
+++ b/src/main/java/sagepulley/logging/RateLimitedLog.java
@@ -3,9 +3,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Log lines about single requests, connections and endpoints, at most a fixed number each second so
- * that an overload does not add to itself. Suppressed lines are counted, and the count is logged
- * with the next second's first line. Used by one thread.
+ * Logs events of single requests, connections and endpoints with a limit on the lines per second,
+ * so that logging does not aggravate an overload.
+ *
+ * <p>Suppressed lines are counted, and the count is logged before the first line after that second.
+ * Used by one thread.
  */
 public final class RateLimitedLog {
     private static final int MAX_LINES_PER_SECOND = 100;
@@ -16,7 +18,7 @@
     private int written;
     private long suppressed;
 
-    /** The clock gives milliseconds. */
+    /** Creates a log whose clock returns milliseconds. */
     public RateLimitedLog(DoubleSupplier clock) {
         this.clock = clock;
     }
--- a/src/main/java/sagepulley/logging/package-info.java
+++ b/src/main/java/sagepulley/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The log of the RESP gateway: lines of names and values on standard error. A thread of its own
- * writes the queued lines, so that an event loop never waits for the output.
+ * Log of the RESP gateway: lines of names and values on standard error. A separate thread writes
+ * the queued lines, so that an event loop never waits for the output.
  */
 package sagepulley.logging;
--- a/src/main/java/sagepulley/transport/KernelReceiveTime.java
+++ b/src/main/java/sagepulley/transport/KernelReceiveTime.java
@@ -6,19 +6,22 @@
 import io.netty.channel.epoll.EpollTcpInfo;
 
 /**
- * How long ago the bytes read last came to this machine, by the kernel's TCP_INFO. An event loop
- * that had no CPU reads them late, which must not count as time that a peer took. Used by one event
- * loop.
+ * Determines how long ago the last bytes on a connection arrived at this host, from the kernel's
+ * TCP_INFO.
+ *
+ * <p>An event loop that is short of CPU time reads bytes late, which must not count as latency of
+ * the peer. Used by one event loop.
  */
 public final class KernelReceiveTime {
-    /**
-     * The kernel counts in ticks of 4 ms, so that its figure is half a tick too long on average.
-     */
+    /** The kernel counts in ticks of 4 ms, so its value is half a tick too high on average. */
     private static final double HALF_TICK_MILLIS = 2;
 
     private final EpollTcpInfo info = new EpollTcpInfo();
 
-    /** Milliseconds between 0 and the maximum; 0 where the kernel gives no figure. */
+    /**
+     * Returns the time since the last bytes arrived, between 0 and the maximum; 0 if the kernel
+     * provides none.
+     */
     public double millisSinceReceived(Channel channel, double maxMillis) {
         if (!(channel instanceof EpollSocketChannel socket)) {
             return 0;
--- a/src/main/java/sagepulley/transport/Transport.java
+++ b/src/main/java/sagepulley/transport/Transport.java
@@ -19,18 +19,18 @@
 import sagepulley.codec.frame.EventLoops;
 import sagepulley.logging.LogWriter;
 
-/** An event loop and the channel types used on it: sockets, or channels inside the program. */
+/** An event loop and the channel types used on it: TCP sockets or in-process channels. */
 public record Transport(
         EventLoopGroup eventLoops,
         Class<? extends Channel> socket,
         Class<? extends ServerChannel> server) {
-    /** TCP sockets on one event loop of their own. */
+    /** Creates a transport of TCP sockets with its own event loop. */
     public static Transport sockets() {
         return new Transport(
                 EventLoops.group(1, "gateway"), EventLoops.socket(), EventLoops.server());
     }
 
-    /** A bootstrap for outgoing connections. */
+    /** Returns a bootstrap for outgoing connections. */
     public Bootstrap connector() {
         Bootstrap connector = new Bootstrap().group(eventLoops).channel(socket);
         return SocketChannel.class.isAssignableFrom(socket)
@@ -38,7 +38,7 @@
                 : connector;
     }
 
-    /** The channel of a connection attempt; null where the system granted no socket for it. */
+    /** Returns the channel of a connection attempt; null if the system granted no socket for it. */
     public static Channel channelOf(ChannelFuture connecting) {
         return connecting.isDone() && !connecting.channel().isRegistered()
                 ? null
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Runs the task on the event loop if the connection fails. Where the system grants no socket,
-     * the future belongs to another thread and its channel cannot even be closed.
+     * Runs the task on the event loop if the connection fails. If the system granted no socket, the
+     * future completes on another thread and its channel cannot be closed.
      */
     public static void onConnectFailure(
             ChannelFuture connecting, EventLoop loop, Consumer<Throwable> task) {
@@ -64,7 +64,10 @@
                 });
     }
 
-    /** Channels inside the program, on one event loop whose thread logs nothing. */
+    /**
+     * Creates a transport of in-process channels with its own event loop, whose thread does not
+     * log.
+     */
     public static Transport inProcess() {
         return new Transport(
                 new MultiThreadIoEventLoopGroup(
@@ -75,14 +78,14 @@
                 LocalServerChannel.class);
     }
 
-    /** Whether a connection failed because no process listens at the port. */
+    /** Returns whether a connection failed because no process listens on the port. */
     public static boolean isRefused(Throwable cause) {
         return cause instanceof ConnectException
                 && !(cause instanceof ConnectTimeoutException)
                 && String.valueOf(cause.getMessage()).contains("refused");
     }
 
-    /** What the operating system said of a failure, below the exceptions that Netty wraps. */
+    /** Returns the message of the root cause, such as the error of the operating system. */
     public static String systemMessage(Throwable failure) {
         Throwable root = failure;
         while (root.getCause() != null) {
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -27,8 +27,8 @@
 import sagepulley.upstream.resp.EndpointConnectionPool.ResultListener;
 
 /**
- * One connection to an endpoint, with at most one request under way. Each request ends in exactly
- * one outcome. Runs on the event loop; times are milliseconds.
+ * A connection to an endpoint with at most one request in flight. Each request ends in exactly one
+ * outcome. Runs on the event loop; times are in milliseconds.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
     private static final int MAX_LINE_BYTES = 512;
@@ -41,29 +41,29 @@
                     RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
                     REPLY_ITEM_COUNT);
 
-    /** A timeout on the wire is in whole milliseconds: with less left, nothing is sent. */
+    /** Timeouts on the wire are whole milliseconds, so nothing is sent with less time remaining. */
     private static final double MIN_TIMEOUT_MILLIS = 1;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** What a connection tells its pool. */
+    /** Receives the events of a connection. */
     interface PoolListener {
-        /** The connection has no request under way and may take the next one. */
+        /** Called when the connection has no request in flight and can take the next one. */
         void onIdle(EndpointConnection connection);
 
-        /** The connection is closed; the reason is for the log. */
+        /** Called when the connection is closed; the reason is for the log. */
         void onClosed(EndpointConnection connection, String reason);
 
-        /** A reply could not be used. */
+        /** Called for a reply that cannot be used; the reason describes its defect. */
         void onInvalidReply(String reason);
     }
 
     /**
-     * What all connections of a pool share.
+     * Resources shared by all connections of a pool.
      *
-     * @param stallTimeoutMillis a reply that has begun and pauses for this long is invalid
-     * @param receiveTime tells when bytes came to this machine
-     * @param staleCheckBuffer takes the byte by which the state of an idle connection is read
+     * @param stallTimeoutMillis maximum pause within a reply before it counts as invalid
+     * @param receiveTime determines when bytes arrived at this host
+     * @param staleCheckBuffer receives the byte read to check an idle connection
      */
     record SharedResources(
             Transport transport,
@@ -82,7 +82,7 @@
     private CommandSource command;
     private double deadline;
 
-    /** Who waits for the request under way; null while there is none. */
+    /** Listener of the request in flight; null if there is none. */
     private ResultListener listener;
 
     private ScheduledFuture<?> timeoutTask;
@@ -103,19 +103,19 @@
         return address;
     }
 
-    /** When the last reply was read; NaN while a request is under way. */
+    /** Returns the time at which the last reply was read; NaN while a request is in flight. */
     double idleSince() {
         return idleSince;
     }
 
-    /** Whether all of the request's command has been given to the system. */
+    /** Returns whether the request's command has been written in full. */
     boolean isCommandWritten() {
         return commandWritten;
     }
 
     // ---- requests ----
 
-    /** Begins a request, which ends after the timeout at the latest. Connects if need be. */
+    /** Starts a request that ends no later than the timeout, and connects first if necessary. */
     void start(CommandSource commandToSend, double timeoutMillis, ResultListener resultListener) {
         command = commandToSend;
         startedAt = now();
@@ -150,7 +150,7 @@
         Transport.onConnectFailure(connecting, shared.loop(), cause -> end(Outcome.NO_CONNECTION));
     }
 
-    /** The endpoint learns the time that is left now, however long connecting took. */
+    /** Writes the command with the time that remains until the deadline after connecting. */
     private void write() {
         double remainingMillis = deadline - now();
         if (remainingMillis < MIN_TIMEOUT_MILLIS) {
@@ -171,13 +171,13 @@
                         });
     }
 
-    /** Ends the connection, and the request under way, if any, without a reply. */
+    /** Closes the connection and ends its request, if any, without a reply. */
     void end(Outcome outcome) {
         ResultListener endedRequest = clearRequest();
         close(outcome.name());
         if (endedRequest != null) {
             double endedAt = now();
-            // A task later: the listener is never called from within the call that ends it.
+            // Runs as a separate task, so that no listener is called from within start or cancel.
             shared.loop().execute(() -> endedRequest.onResult(outcome, null, endedAt));
         }
     }
@@ -197,7 +197,7 @@
         return endedRequest;
     }
 
-    /** Closes the connection, which has no request under way; the reason is for the log. */
+    /** Closes the connection, which has no request in flight; the reason is for the log. */
     void close(String reason) {
         if (closed) {
             return;
@@ -210,8 +210,8 @@
     }
 
     /**
-     * Whether the kernel holds something that has not been read here: the peer's end, or bytes that
-     * belong to no request.
+     * Returns whether the idle connection has unread input: a FIN, a reset, or bytes that belong to
+     * no request.
      */
     boolean isStale() {
         if (!(channel instanceof UnixChannel socket)) {
@@ -237,14 +237,14 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (listener == null) {
-            // Nothing that follows a reply may meet the next request.
+            // Bytes after a reply must not be taken for the reply to the next request.
             close("unexpected bytes");
             return;
         }
         Resp reply = (Resp) message;
         Outcome outcome = outcomeOf(reply);
         ResultListener endedRequest = clearRequest();
-        // Offered to the pool once all that came with the reply has been read.
+        // channelReadComplete returns the connection to the pool once all input has been read.
         idleSince = now();
         double sinceReceived =
                 shared.receiveTime().millisSinceReceived(channel, idleSince - startedAt);
@@ -281,7 +281,10 @@
         }
     }
 
-    /** A command that was not written in full has not been executed. */
+    /**
+     * Ends the request when the connection is lost. A command that was not written in full has not
+     * been executed.
+     */
     private void onConnectionLost() {
         end(commandWritten ? Outcome.RESET : Outcome.NO_CONNECTION);
     }
@@ -303,7 +306,10 @@
 
     // ---- timeouts ----
 
-    /** A reply that pauses inside does not go on as a rule; one that trickles does. */
+    /**
+     * Restarts the stall timeout at each read of an incomplete reply. A slow reply may still
+     * complete; one that pauses for longer usually does not.
+     */
     private void restartStallTimeout() {
         if (stallTask != null) {
             stallTask.cancel(false);
@@ -316,7 +322,10 @@
         end(Outcome.FAILED);
     }
 
-    /** An endpoint that has begun its reply is not unresponsive. */
+    /**
+     * Ends the request at its timeout. An endpoint that has started its reply counts as failed, not
+     * as unresponsive.
+     */
     private void onTimeout() {
         if (decoder.hasPartialValue()) {
             onStalled();
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -20,33 +20,37 @@
 import sagepulley.transport.Transport;
 
 /**
- * Connections to the endpoints: one request at a time on each, and idle ones are reused. Decides
- * nothing: no request is sent twice, and each ends in one outcome. Owns all connections and the
- * attempts in flight on them. Runs on the event loop; times are milliseconds.
+ * Pools the connections to the endpoints. Each carries one request at a time, and idle ones are
+ * reused.
+ *
+ * <p>The pool never sends a request twice, and each request ends in exactly one outcome. Owns all
+ * connections and the attempts in flight on them. Runs on the event loop; times are in
+ * milliseconds.
  */
 public final class EndpointConnectionPool {
     /**
-     * Idle time before a connection is reused, so that bytes which follow a reply a little later
-     * meet a connection without a request.
+     * Minimum idle time before reuse, so that late bytes after a reply arrive while the connection
+     * has no request.
      */
     private static final double REUSE_DELAY_MILLIS = 25;
 
-    /** Makes a request's command at the moment at which it is written. */
+    /** Supplies the command of a request when it is about to be written. */
     public interface CommandSource {
         /**
-         * The command's arguments for an endpoint that has this long; null if the command may not
-         * be sent any more.
+         * Returns the arguments of the command for the remaining time; null if it must no longer be
+         * sent.
          */
         List<byte[]> arguments(double remainingMillis);
     }
 
-    /** Waits for the end of a request. */
+    /** Receives the result of a request. */
     public interface ResultListener {
         /**
-         * Called once for each request.
+         * Called exactly once for each request.
          *
          * @param reply null if none could be read
-         * @param receivedAt when the reply came to this machine, or the request ended without one
+         * @param receivedAt time at which the reply arrived at this host, or the request ended
+         *     without one
          */
         void onResult(Outcome outcome, Resp reply, double receivedAt);
     }
@@ -58,7 +62,7 @@
     private final EndpointConnection.SharedResources shared;
     private final EndpointConnection.PoolListener poolListener = poolListener();
 
-    /** Idle connections by address, the one used last first. */
+    /** Idle connections by address, most recently used first. */
     private final Map<SocketAddress, ArrayDeque<EndpointConnection>> idle = new HashMap<>();
 
     private final IdentityHashMap<Attempt, EndpointConnection> inFlight = new IdentityHashMap<>();
@@ -71,9 +75,9 @@
     private long staleConnections;
 
     /**
-     * @param idleTimeoutMillis connections that are idle for longer are closed
-     * @param stallTimeoutMillis a reply that has begun and pauses for this long is invalid
-     * @param clock milliseconds on a monotonic clock
+     * @param idleTimeoutMillis idle time after which connections are closed
+     * @param stallTimeoutMillis maximum pause within a reply before it counts as invalid
+     * @param clock monotonic clock in milliseconds
      */
     public EndpointConnectionPool(
             Transport transport,
@@ -97,51 +101,53 @@
                         ByteBuffer.allocateDirect(1));
     }
 
-    /** Sets who learns the address and the reason of each connection's close. */
+    /** Sets the listener for the address and the reason of each closed connection. */
     public void onClose(BiConsumer<SocketAddress, String> listener) {
         closeListener = listener;
     }
 
-    // ---- figures ----
+    // ---- statistics ----
 
-    /** Connections that are open or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     public int openConnections() {
         return openConnections;
     }
 
-    /** Connections to one address that are open or being opened. */
+    /** Returns the number of connections to an address that are open or being opened. */
     public int openConnections(SocketAddress address) {
         return openByAddress.getOrDefault(address, 0);
     }
 
-    /** Connections opened since the start. */
+    /** Returns the number of connections opened since the start. */
     public long connectionsOpened() {
         return connectionsOpened;
     }
 
-    /** Requests since the start that ended at once because all connections were in use. */
+    /**
+     * Returns the number of requests that ended immediately because all connections were in use.
+     */
     public long rejectedAtLimit() {
         return rejectedAtLimit;
     }
 
-    /** Idle connections that were found closed, or with unread bytes, when they were wanted. */
+    /** Returns the number of idle connections found closed or with unread input when reused. */
     public long staleConnections() {
         return staleConnections;
     }
 
-    /** Replies that could not be used, by what was wrong with them. */
+    /** Returns the number of invalid replies by kind of defect. */
     public Map<String, Integer> invalidReplies() {
         return Collections.unmodifiableMap(invalidReplies);
     }
 
-    /** Attempts whose outcome is not known yet. */
+    /** Returns the number of attempts without an outcome. */
     public int attemptsInFlight() {
         return inFlight.size();
     }
 
     // ---- requests ----
 
-    /** Sends an attempt's command, and waits for the reply for this long. */
+    /** Sends the command of an attempt and waits for the reply until the timeout. */
     public void send(
             Attempt attempt,
             SocketAddress address,
@@ -162,7 +168,7 @@
         }
     }
 
-    /** Sends a command that belongs to no client's request. */
+    /** Sends a health check command, which belongs to no client request. */
     public void sendHealthCheck(
             SocketAddress address,
             List<byte[]> arguments,
@@ -171,7 +177,7 @@
         start(address, remainingMillis -> arguments, timeoutMillis, listener);
     }
 
-    /** Closes the attempt's connection at once; its listener is called in a later task. */
+    /** Closes the connection of an attempt immediately. Its listener is called in a later task. */
     public void cancel(Attempt attempt) {
         EndpointConnection connection = inFlight.get(attempt);
         if (connection != null) {
@@ -179,7 +185,7 @@
         }
     }
 
-    /** Cancels the attempt unless its whole command has been given to the system. */
+    /** Cancels the attempt unless its command has been written in full. */
     public void cancelUnwritten(Attempt attempt) {
         EndpointConnection connection = inFlight.get(attempt);
         if (connection != null && !connection.isCommandWritten()) {
@@ -248,7 +254,7 @@
         return oldest != null;
     }
 
-    /** Closes connections that have been idle for long, before their endpoint does. */
+    /** Closes connections that have reached the idle timeout, before their endpoint does. */
     public void closeExpired() {
         double now = clock.getAsDouble();
         for (ArrayDeque<EndpointConnection> connections : List.copyOf(idle.values())) {
@@ -260,7 +266,7 @@
         idle.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** Closes all connections; attempts in flight are cancelled. */
+    /** Cancels the attempts in flight and closes the idle connections. */
     public void close() {
         List.copyOf(inFlight.keySet()).forEach(this::cancel);
         for (ArrayDeque<EndpointConnection> connections : List.copyOf(idle.values())) {
@@ -292,7 +298,10 @@
                 }
             }
 
-            /** Counted by kind, of which there are as many as the decoder has messages. */
+            /**
+             * Counts invalid replies by kind. Numbers in the reason are masked, which bounds the
+             * number of kinds.
+             */
             @Override
             public void onInvalidReply(String reason) {
                 invalidReplies.merge(reason.replaceAll("[0-9]+", "N"), 1, Integer::sum);
--- a/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
@@ -5,7 +5,7 @@
 import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
 
-/** What an endpoint's reply holds: a value, usage figures, and a report of its load. */
+/** Extracts the value, the usage fields and the load report from an endpoint's reply. */
 public final class EndpointResponse {
     private static final int VALUE_ITEM = 0;
     private static final int USAGE_ITEM = 1;
@@ -14,12 +14,14 @@
 
     private EndpointResponse() {}
 
-    /** The value of a reply whose outcome is SERVED. */
+    /** Returns the value of a reply whose outcome is SERVED. */
     public static byte[] value(Resp reply) {
         return ((Resp.Bulk) ((Resp.Array) reply).items().get(VALUE_ITEM)).bytes();
     }
 
-    /** Records a reply's usage figures and load report; what cannot be read is left out. */
+    /**
+     * Records the usage fields and the load report of a reply in its attempt; ignores invalid ones.
+     */
     public static void recordIn(Attempt attempt, Resp reply, List<String> reportFields) {
         if (reply instanceof Resp.Array array
                 && array.items() != null
@@ -46,7 +48,9 @@
         }
     }
 
-    /** A load report in the order of its fields; null if one is missing. */
+    /**
+     * Parses a load report in the order of the fields; returns null if one is missing or invalid.
+     */
     public static double[] parseReport(Resp item, List<String> fields) {
         return parseReport(text(item), fields);
     }
@@ -69,7 +73,7 @@
         return item instanceof Resp.Bulk bulk && !bulk.isNull() ? bulk.text() : "";
     }
 
-    /** The figure of this name in a list of names and values; NaN if there is none. */
+    /** Returns the named field of a list of name=value pairs; NaN if it is missing or invalid. */
     private static double parseField(String text, String name) {
         for (String field : text.split(",")) {
             if (field.startsWith(name + "=")) {
--- a/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** RESP2 in any split of the bytes, and what is invalid. */
+/** Tests decoding of RESP2 for any split of the bytes, and the rejection of malformed input. */
 class RespDecoderTest {
     private static final RespLimits COMMANDS = RespLimits.commands(32, 1000, 2000, 8);
     private static final RespLimits REPLIES = RespLimits.replies(32, 1000, 2000, 3);
@@ -64,7 +64,7 @@
                 errors++;
             }
         }
-        assertTrue(errors <= 1, "told " + errors + " times");
+        assertTrue(errors <= 1, errors + " errors");
         channel.finishAndReleaseAll();
     }
 
@@ -95,7 +95,7 @@
         EmbeddedChannel channel = new EmbeddedChannel(new RespDecoder(COMMANDS));
         assertThrows(CorruptedFrameException.class, () -> channel.writeInbound(ascii(bytes)));
         channel.writeInbound(ascii("*1\r\n$4\r\nPING\r\n"));
-        assertNull(channel.readInbound(), "nothing is read after it");
+        assertNull(channel.readInbound(), "input after the error was decoded");
         channel.finishAndReleaseAll();
     }
 
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -29,7 +29,10 @@
 import sagepulley.testing.ScriptedPeers;
 import sagepulley.transport.Transport;
 
-/** Requests to discovery: what is reported, and that each failure is reported once. */
+/**
+ * Tests what the client reports for each response of discovery, and that it reports each failure
+ * once.
+ */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
@@ -41,7 +44,9 @@
     private final Clock clock = new Clock();
     private EventLoop loop;
 
-    /** Where the client connects; the peers' gateway has a discovery of its own. */
+    /**
+     * Address that the tested client connects to; the gateway of the peers uses another discovery.
+     */
     private SocketAddress discovery;
 
     private DiscoveryClient openClient(ScriptedPeers peers) throws Exception {
@@ -160,7 +165,7 @@
             loop.submit(
                             () -> {
                                 assertTrue(client.moveTo(newAddress));
-                                assertFalse(client.moveTo(newAddress), "it is there already");
+                                assertFalse(client.moveTo(newAddress), "the address is unchanged");
                                 client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
@@ -170,8 +175,8 @@
     }
 
     /**
-     * The watch is silent, and each new request takes longer than its timeout: the response is
-     * taken all the same.
+     * The watch is idle and each new request exceeds its timeout, but its response is still
+     * accepted.
      */
     @Test
     void lateResponseIsAcceptedWhileTheWatchIsIdle() throws Exception {
@@ -192,7 +197,7 @@
         }
     }
 
-    /** A watch that is reset was current up to its end, unless a list was under way. */
+    /** A watch that is reset was current up to its end, unless a list was incomplete. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void resetOfWatchConfirmsListUnlessOneIsIncomplete(boolean listIncomplete) throws Exception {
@@ -215,8 +220,7 @@
     }
 
     /**
-     * What the former address still sends is reported; it confirms nothing once discovery has
-     * moved.
+     * Lists from the former address are reported, but no longer confirmed once discovery has moved.
      */
     @Test
     void formerAddressReportsListsWithoutConfirmationUntilTheNewOneResponds() throws Exception {
@@ -252,12 +256,12 @@
             newWatch.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
             await().until(() -> updates.size() == 3);
             assertTrue(confirmations.size() > confirmed);
-            assertEquals(-1, formerWatch.input.read(), "the old watch is needless now");
+            assertEquals(-1, formerWatch.input.read(), "the former watch is still open");
             assertEquals(List.of(), failures);
         }
     }
 
-    /** A gateway whose requests fail connects to the new address soon. */
+    /** A gateway whose requests fail connects to the new address without a long delay. */
     @Test
     void newAddressIsRequestedWithoutARequestInFlight() throws Exception {
         try (ScriptedPeers peers =
@@ -307,7 +311,7 @@
         }
     }
 
-    /** After an informational response, in chunks, with or without a length: all are HTTP. */
+    /** Covers HTTP responses without a length and after an informational response. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -341,7 +345,7 @@
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             watch.send("1\r\n{\r\n");
-            // It goes on for as long as it counts as a heartbeat.
+            // Continues until the failure is reported, which heartbeats would prevent.
             while (failures.isEmpty()) {
                 try {
                     watch.send("1\r\n\n\r\n");
@@ -354,7 +358,7 @@
         }
     }
 
-    /** The largest fleet that is promised, in either form; indented it takes over 1 MiB. */
+    /** The largest supported fleet, compact and indented; indented it takes over 1 MiB. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n                              "})
     void listOf3200EndpointsIsAcceptedCompactAndIndented(String indent) throws Exception {
@@ -386,8 +390,8 @@
     }
 
     /**
-     * However long a list is on its way, it is what discovery had when it was begun, and its line
-     * end confirms no more.
+     * A list is current as of its start, however long its transfer takes, and its line end confirms
+     * nothing later.
      */
     @Test
     void slowListIsConfirmedAsOfItsStart() throws Exception {
@@ -418,7 +422,7 @@
         }
     }
 
-    /** Sends half of a list, and after a pause the rest, with its line end by itself. */
+    /** Sends half of a list and, after a pause, the rest, with its line end as a separate write. */
     private static void sendInTwoParts(ScriptedPeers.Connection connection, String head, String list)
             throws Exception {
         int middle = list.length() / 2;
@@ -453,7 +457,7 @@
         }
     }
 
-    /** A poll whose response comes late, after a newer line of the watch. */
+    /** The response of a poll arrives after a newer list on the watch. */
     @Test
     void pollResultOlderThanTheWatchIsNotReported() throws Exception {
         try (ScriptedPeers peers =
@@ -470,7 +474,7 @@
             ScriptedPeers.Connection late = last(peers.unansweredRequests);
             String completeList = "{\"revision\":8,\"complete\":true,\"members\":[]}";
             late.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
-            assertEquals(-1, late.input.read(), "the request has ended");
+            assertEquals(-1, late.input.read(), "the request is still open");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
             assertEquals(71, client.revision());
@@ -499,8 +503,8 @@
     }
 
     /**
-     * Pushed or polled, a list counts as notified 6 s after discovery had it, for a process that
-     * has just started too.
+     * A list counts as notified 6 s after discovery had it, whether pushed or polled, also for a
+     * gateway that has just started.
      */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
@@ -551,7 +555,7 @@
         return last(peers.watches);
     }
 
-    /** The last one that the client opened. */
+    /** Returns the connection that the tested client opened last. */
     private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> connections) {
         List<ScriptedPeers.Connection> matching =
                 connections.stream()
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -28,9 +28,9 @@
 import sagepulley.transport.Transport;
 
 /**
- * How clients' connections on real sockets end. The test holds the event loop, so that what it puts
- * into the kernel meanwhile is there, unread, when draining begins; the listener's clock is the
- * test's own.
+ * Guards against lost replies and resets when client connections end. The test blocks the event
+ * loop, so that what it sends meanwhile is unread when draining begins, and sets the listener's
+ * clock.
  */
 @Timeout(60)
 class ClientListenerTest {
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Runs the first step while the event loop is held, then the second on the loop before it
+     * Runs the first step while the event loop is blocked, then the second on the loop before it
      * reads.
      */
     private void whileLoopIsHeld(Step meanwhile, Step then) throws Exception {
@@ -158,7 +158,7 @@
         assertEquals("$" + LARGE_VALUE_BYTES, client.readLine());
         assertEquals(LARGE_VALUE_BYTES, client.input.readNBytes(LARGE_VALUE_BYTES).length);
         assertEquals("", client.readLine());
-        assertNull(client.readLine(), "an end, and no reset");
+        assertNull(client.readLine(), "expected end of stream without a reset");
         client.socket.close();
         await().until(() -> listener.isDrained());
         assertEquals(1, requests.size());
@@ -170,7 +170,7 @@
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
         onLoop(listener::drain);
-        assertNull(client.readReply(), "an end");
+        assertNull(client.readReply(), "expected end of stream");
         client.sendCommand(ScriptedPeers.readCommand(1));
         client.sendCommand(ScriptedPeers.readCommand(2));
         client.socket.shutdownOutput();
@@ -208,13 +208,13 @@
         }
         advanceTime(200);
         for (ScriptedPeers.Connection client : clients) {
-            assertNull(client.readReply(), "an end");
+            assertNull(client.readReply(), "expected end of stream");
             client.socket.close();
         }
         await().until(() -> listener.isDrained());
     }
 
-    /** How a client disconnects. */
+    /** Ways in which a client disconnects. */
     enum DisconnectKind {
         FIN,
         HALF_CLOSE,
@@ -240,7 +240,7 @@
             }
         }
         await().until(() -> listener.connectionCount() == 0);
-        assertEquals(requests.size(), cancelled.get(), "all requests are cancelled");
+        assertEquals(requests.size(), cancelled.get(), "not every request was cancelled");
     }
 
     @Test
@@ -295,7 +295,7 @@
         }
         await().until(() -> listener.connectionCount() <= MAX_CONNECTIONS);
         int ended = 0;
-        // The oldest of those that linger is closed, with nothing unread on it.
+        // The oldest lingering connection is closed with nothing unread on it.
         for (ScriptedPeers.Connection client : clients.subList(0, MAX_CONNECTIONS)) {
             assertNull(client.readReply());
             ended++;
@@ -304,6 +304,6 @@
         ScriptedPeers.Connection last = clients.get(clients.size() - 1);
         last.sendCommand("PING");
         assertEquals("+PONG", last.readReply());
-        assertTrue(listener.rejected() == 0, "no connection was rejected");
+        assertTrue(listener.rejected() == 0, "connections were rejected");
     }
 }
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -26,7 +26,10 @@
 import sagepulley.testing.ScriptedPeers;
 import sagepulley.transport.Transport;
 
-/** The way of a request on sockets: client, gateway, scripted endpoint, scripted discovery. */
+/**
+ * Tests requests over sockets between a client, the gateway, a scripted endpoint and a scripted
+ * discovery.
+ */
 @Timeout(60)
 class RespGatewayTest {
     private static final ScriptedPeers.Script SERVING_ENDPOINT =
@@ -53,7 +56,7 @@
                     ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
                     sent.replaceAll(",d=\\d+", ""));
             int forwardedDeadline = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1"));
-            assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "told " + forwardedDeadline);
+            assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "forwarded deadline " + forwardedDeadline);
             assertEquals("bytes", peers.commands.get(1).get(4));
         }
     }
@@ -116,7 +119,7 @@
             client.sendCommand("FLUSHALL");
             assertTrue(client.readReply().startsWith("-ERR"));
             client.sendCommand(ScriptedPeers.readCommand(5));
-            assertEquals("$5 value", client.readReply(), "the connection goes on");
+            assertEquals("$5 value", client.readReply(), "the connection stays open");
             assertEquals(1, peers.commands.size());
         }
     }
@@ -204,7 +207,7 @@
                                                 : ScriptedPeers.VALUE_REPLY))) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", client.readReply(), "by a second attempt");
+            assertEquals("$5 value", client.readReply(), "served by a second attempt");
             assertEquals(2, peers.commands.size());
         }
     }
@@ -274,7 +277,8 @@
     }
 
     /**
-     * Command and FIN lie in the kernel together, and an idle connection to the endpoint is open.
+     * The command and the FIN are both unread in the kernel, and an idle endpoint connection is
+     * open.
      */
     @Test
     void commandOfADisconnectedClientIsNotForwarded() throws Exception {
@@ -332,7 +336,10 @@
         }
     }
 
-    /** The scheduler requests no health check yet: what is sent, and that no reply does harm. */
+    /**
+     * Sends health checks directly, because the scheduler requests none yet; no reply may affect
+     * other requests.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -400,7 +407,7 @@
             peers.gateway.stop();
             client.sendCommand(ScriptedPeers.readCommand(2));
             assertEquals("$5 value", client.readReply());
-            assertNull(client.readReply(), "closed when the time is up");
+            assertNull(client.readReply(), "closed at the end of the shutdown");
             peers.gateway.stopped().join();
         }
     }
@@ -408,7 +415,7 @@
     @Test
     void idleConnectionsAreClosedForActiveClients() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            // The configuration has 256 descriptors in all.
+            // The configuration allows 256 file descriptors in total.
             for (int i = 0; i < 400; i++) {
                 peers.connectClient();
             }
@@ -468,7 +475,7 @@
                     }
                 }
             } catch (IOException closed) {
-                // By the gateway, after the write timeout.
+                // The gateway closes the connection after the write timeout.
             }
             assertTrue(
                     peers.commands.size() < commandCount,
--- a/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
@@ -20,7 +20,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.upstream.resp.EndpointResponse;
 
-/** Names that 'serve' uses on its wire and in its log, and how the program is started. */
+/** Pins the names that 'serve' uses on the wire and in its log, and the command that starts it. */
 class ServeNamesTest {
     private static final String FIELDS =
             "c=get,t=any,d=900,volume=0000000000000007,units=1,shard=0,hosts=3,r=1";
@@ -98,7 +98,7 @@
                 metrics.toString());
     }
 
-    /** The class that pom.xml and GatewayProcess name, with the command that starts the service. */
+    /** pom.xml and GatewayProcess depend on this main class and command. */
     @Test
     void programIsStartedBySagepulleyMainServe() throws Exception {
         ProcessBuilder builder =
--- a/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -20,12 +20,12 @@
 import sagepulley.frontend.resp.RespGateway;
 import sagepulley.testing.ScriptedPeers;
 
-/** A gateway as `run` starts it: from a file, with the operating system's signals. */
+/** Tests a gateway that is started from a file and receives signals of the operating system. */
 @Timeout(60)
 class GatewayServerTest {
     @TempDir Path folder;
 
-    /** The first file is a pipe whose reading is held up until the second signal is on its way. */
+    /** The first file is a pipe that delays its reader until the second signal has been sent. */
     @Test
     void lastReloadAppliesWhenAnEarlierOneIsReadSlowly() throws Exception {
         try (ScriptedPeers peers =
@@ -44,11 +44,11 @@
             Files.delete(file);
             assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
             sendHangup();
-            try (OutputStream pipe = Files.newOutputStream(file)) { // once somebody reads
+            try (OutputStream pipe = Files.newOutputStream(file)) { // opens once the reader has
                 Files.delete(file);
                 Files.writeString(file, config(port, lastDiscovery));
                 sendHangup();
-                // If nothing kept the order, the second file would have been applied by then.
+                // Without ordered reads, the second file would have been applied by then.
                 for (int i = 0; i < 50 && !isWatched(peers, lastDiscovery); i++) {
                     Thread.sleep(10);
                 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Runs a gateway on a thread of its own; completes when it has stopped. */
+    /** Runs a gateway on a separate thread; the future completes when it has stopped. */
     private static CompletableFuture<Void> serve(
             Map<String, String> environment, CompletableFuture<RespGateway> ready) {
         return CompletableFuture.runAsync(
--- a/src/test/java/sagepulley/testing/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -9,10 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The kernel's table of TCP connections, by which a test knows what lies unread at the receiving
- * end.
- */
+/** Reads the kernel's table of TCP connections, which shows what is unread at the receiving end. */
 public final class KernelTcpTable {
     private static final List<Path> TABLES =
             List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
@@ -20,7 +17,7 @@
 
     private KernelTcpTable() {}
 
-    /** Waits until the FIN of the far port has arrived at the near one. */
+    /** Waits until the FIN of the remote port has arrived at the local port. */
     public static void awaitFin(int localPort, int remotePort) {
         await().until(
                         () ->
@@ -31,7 +28,7 @@
                                                                 == CLOSE_WAIT));
     }
 
-    /** Waits until bytes lie unread at the near port. */
+    /** Waits until bytes are unread at the local port. */
     public static void awaitUnread(int localPort, int remotePort) {
         await().until(
                         () ->
@@ -42,13 +39,13 @@
                                                                 > 0));
     }
 
-    /** Waits until the near port's connection is gone. */
+    /** Waits until the local port's connection no longer exists. */
     public static void awaitClosed(int localPort, int remotePort) {
         await().until(() -> lines(localPort, remotePort).isEmpty());
     }
 
     private static List<String[]> lines(int localPort, int remotePort) throws IOException {
-        assumeTrue(Files.isReadable(TABLES.get(0)), "only Linux has this book");
+        assumeTrue(Files.isReadable(TABLES.get(0)), "needs the TCP table of Linux");
         List<String[]> found = new ArrayList<>();
         for (Path table : TABLES) {
             if (!Files.isReadable(table)) {
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -24,19 +24,19 @@
 import sagepulley.lifecycle.WarmUpConfig;
 import sagepulley.transport.Transport;
 
-/** A gateway on loopback with one endpoint and a discovery that follow a test's script. */
+/** Runs a gateway on loopback with an endpoint and a discovery that follow the script of a test. */
 public final class ScriptedPeers implements Closeable {
     private static final int TIMEOUT_MILLIS = 20_000;
     public static final String VALUE_REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
     private static final String LIST_RESPONSE_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** What the endpoint does with one command. */
+    /** Defines how the endpoint handles a command. */
     public interface Script {
         void respond(List<String> arguments, Connection connection) throws IOException;
     }
 
-    /** One connection to a peer. */
+    /** A connection between a test and a peer, or a peer and the gateway. */
     public static final class Connection {
         public final Socket socket;
         public final InputStream input;
@@ -54,7 +54,7 @@
             out.flush();
         }
 
-        /** A line without CR LF; null where the connection has ended. */
+        /** Reads a line without CR LF; returns null at the end of the stream. */
         public String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = input.read(); next != '\n'; next = input.read()) {
@@ -67,8 +67,8 @@
         }
 
         /**
-         * The first line of an HTTP request, which is read in full; null where the peer left
-         * before.
+         * Reads an HTTP request and returns its first line; null if the stream ends before the
+         * request.
          */
         public String readRequestLine() throws IOException {
             String request = readLine();
@@ -93,7 +93,10 @@
             return arguments;
         }
 
-        /** One reply: its line, and its value after a blank where there is one. */
+        /**
+         * Reads a reply and returns its first line, followed by a blank and the value of a bulk
+         * string.
+         */
         public String readReply() throws IOException {
             String head = readLine();
             return head != null && head.startsWith("$") ? head + " " + readLine() : head;
@@ -108,13 +111,13 @@
     public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
     public final List<Connection> watches = new CopyOnWriteArrayList<>();
 
-    /** Requests to discovery without a response. */
+    /** Requests to discovery that have received no response. */
     public final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
 
     public final RespGateway gateway;
     public final Transport transport = Transport.sockets();
 
-    /** What discovery responds to a request; null: nothing. */
+    /** Response of discovery, a list or a complete HTTP response; null to send none. */
     public volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
 
     private final List<Closeable> open = new CopyOnWriteArrayList<>();
@@ -125,7 +128,7 @@
         this(script, text -> text);
     }
 
-    /** With a changed configuration file. */
+    /** Starts a gateway whose configuration file is modified by the operator. */
     public ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
         ServerSocket node =
                 serve(
@@ -154,7 +157,7 @@
         clientAddress = gateway.start().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One more discovery; it responds with the endpoint list, and keeps watches open. */
+    /** Starts another discovery, which responds with the endpoint list and keeps watches open. */
     public SocketAddress discovery() throws IOException {
         return serve(
                         connection -> {
@@ -184,7 +187,7 @@
         connection.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** The gateway's configuration with discovery at this address. */
+    /** Returns the configuration of the gateway with discovery at this address. */
     public GatewayConfig configAt(SocketAddress discovery) {
         return config.withAddresses(clientAddress, discovery, clientAddress);
     }
@@ -204,7 +207,7 @@
         return command.toString();
     }
 
-    /** Arguments of a read with this id. */
+    /** Returns the arguments of a read with this id. */
     public static String[] readCommand(long id) {
         return new String[] {
             "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(id), fields("get", 9000, 0)
@@ -257,7 +260,7 @@
                             try {
                                 task.run();
                             } catch (IOException ended) {
-                                // The peer or the test has closed it.
+                                // The peer or the test has closed the connection.
                             }
                         },
                         "peer");
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -22,7 +22,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.transport.Transport;
 
-/** The outcome of a request, by what its connection does. */
+/** Tests the outcome of a request for partial, stalled and missing replies. */
 class EndpointConnectionPoolTest {
     private static final long LONG_MILLIS = 600_000;
     private static final long LOOP_HOLD_MILLIS = 300;
@@ -31,7 +31,7 @@
     private final List<Socket> accepted = new CopyOnWriteArrayList<>();
     private ServerSocket server;
 
-    /** An endpoint that sends this on each connection, and then nothing more. */
+    /** Starts an endpoint that sends this response on each connection, and then nothing more. */
     private SocketAddress startEndpoint(String response) throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread thread =
@@ -45,7 +45,7 @@
                                     accepted.add(socket);
                                 }
                             } catch (IOException closed) {
-                                // The test is over.
+                                // The test has ended.
                             }
                         },
                         "node");
@@ -78,7 +78,7 @@
     void partialReplyAtTheTimeoutIsAFailure() throws IOException {
         SocketAddress address = startEndpoint("*3\r\n$5\r\nva");
         EndpointConnectionPool pool = pool(LONG_MILLIS);
-        // On a slow machine the first bytes may come after a timeout; not after each one.
+        // On a slow machine the first bytes may arrive after the timeout, but not on every try.
         await().until(() -> sendPing(pool, address, 50) == Outcome.FAILED);
     }
 
@@ -94,11 +94,11 @@
         assertEquals(Outcome.FAILED, sendPing(pool(20), startEndpoint("*3\r\n$5\r\nva"), LONG_MILLIS));
     }
 
-    /** Holds the loop until the reply has been in the kernel for long. */
+    /** Blocks the loop until the reply has been in the kernel for some time. */
     @Test
     void receiveTimeIsTakenFromTheKernelWhenTheLoopIsDelayed() throws IOException {
         assumeTrue(
-                transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
+                transport.socket() == EpollSocketChannel.class, "the kernel receive time needs epoll");
         SocketAddress address = startEndpoint("+PONG\r\n");
         EndpointConnectionPool pool = pool(LONG_MILLIS);
         Clock clock = new Clock();
@@ -115,7 +115,7 @@
                                     (outcome, reply, receivedAt) -> delayMillis.complete(clock.now() - receivedAt));
                             transport.eventLoops().next().execute(() -> holdLoop());
                         });
-        assertTrue(delayMillis.join() >= LOOP_HOLD_MILLIS / 2, "told " + delayMillis.join() + " ms ago");
+        assertTrue(delayMillis.join() >= LOOP_HOLD_MILLIS / 2, "received " + delayMillis.join() + " ms ago");
     }
 
     private void holdLoop() {
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -34,8 +34,8 @@
 import sagepulley.transport.Transport;
 
 /**
- * Requests to an endpoint whose connection ends, comes up late or brings unexpected bytes. The test
- * holds the event loop.
+ * Guards against lost, duplicated or mixed-up replies when an endpoint connection closes, opens
+ * late or receives unexpected bytes. The test blocks the event loop to force each order of events.
  */
 @Timeout(60)
 class EndpointConnectionRaceTest {
@@ -66,11 +66,11 @@
                                     try {
                                         accepted.add(new ScriptedPeers.Connection(socket));
                                     } catch (SocketException reset) {
-                                        continue; // before anything could come on it
+                                        continue; // reset before any data arrived
                                     }
                                 }
                             } catch (IOException closed) {
-                                // The test is over.
+                                // The test has ended.
                             }
                         },
                         "node");
@@ -84,7 +84,7 @@
         transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** Called on the loop; the command carries the remaining time. */
+    /** Sends a request, on the event loop. The command carries the remaining time. */
     private CompletableFuture<Result> sendRequest(Attempt attempt, double timeoutMillis) {
         CompletableFuture<Result> result = new CompletableFuture<>();
         pool.send(
@@ -164,7 +164,9 @@
         void run(ScriptedPeers.Connection connection) throws IOException;
     }
 
-    /** What the step does to the idle connection must not reach the second request. */
+    /**
+     * Checks that the second request is unaffected by what the step does to the idle connection.
+     */
     private void assertServedOnAnotherConnectionAfter(Step step) throws Exception {
         CompletableFuture<Result> second = sendSecondRequestAfter(new ArrayList<>(), step);
         ScriptedPeers.Connection newConnection = accepted.take();
@@ -174,8 +176,8 @@
     }
 
     /**
-     * One request is served and its connection idle; then, before the loop polls again, the step
-     * and a second request.
+     * Serves one request, so that its connection is idle. Then runs the step and sends a second
+     * request, before the loop polls again.
      */
     private CompletableFuture<Result> sendSecondRequestAfter(List<ScriptedPeers.Connection> connections, Step step)
             throws Exception {
@@ -186,7 +188,7 @@
         serve(connection, "one");
         assertEquals("one", first.get().value());
         assumeTrue(
-                transport.socket() == EpollSocketChannel.class, "only there the kernel is asked");
+                transport.socket() == EpollSocketChannel.class, "detecting stale connections needs epoll");
         return loop.submit(
                         () -> {
                             holdLoop();
@@ -218,7 +220,7 @@
                         .get();
         ScriptedPeers.Connection connection = accepted.take();
         long forwardedMillis = Long.parseLong(connection.readCommand().get(0));
-        assertTrue(forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS, "told " + forwardedMillis);
+        assertTrue(forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS, "forwarded " + forwardedMillis + " ms");
         serve(connection, "value");
         assertEquals("value", result.get().value());
     }
@@ -277,7 +279,7 @@
         }
         assertTrue(
                 Long.parseLong(sent.get(0)) <= LOOP_HOLD_MILLIS * 100,
-                "the first that was sent is the next call");
+                "the first command sent is that of the next request");
         assertEquals("next", next.get().value());
     }
 
