--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -189,9 +189,9 @@
             Thread.sleep(2_600);
             loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
             await().until(() -> failures.size() == 2);
-            ScriptedPeers.Connection slow = last(peers.unansweredRequests);
+            ScriptedPeers.Connection overdueRequest = last(peers.unansweredRequests);
             loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
-            slow.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
+            overdueRequest.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
             await().until(() -> updates.size() == 2);
             assertEquals(44, client.revision());
         }
@@ -471,10 +471,10 @@
             await().until(() -> hasUnansweredRequest(peers));
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(70, ""));
             await().until(() -> updates.size() == 2);
-            ScriptedPeers.Connection late = last(peers.unansweredRequests);
+            ScriptedPeers.Connection pollConnection = last(peers.unansweredRequests);
             String completeList = "{\"revision\":8,\"complete\":true,\"members\":[]}";
-            late.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
-            assertEquals(-1, late.input.read(), "the request is still open");
+            pollConnection.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
+            assertEquals(-1, pollConnection.input.read(), "the request is still open");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
             assertEquals(71, client.revision());
@@ -510,7 +510,7 @@
     @ValueSource(strings = {"subscribe", "automatic"})
     void gatewayListensOnlyAfterTheFirstList(String discoveryMode) throws Exception {
         Transport transport = Transport.sockets();
-        try (ServerSocket late = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket discoveryServer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             GatewayConfig config =
                     GatewayConfig.parse(
                                     JsonReader.readObject(
@@ -520,12 +520,12 @@
                                     Map.of())
                             .withAddresses(
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                                    late.getLocalSocketAddress(),
-                                    late.getLocalSocketAddress());
+                                    discoveryServer.getLocalSocketAddress(),
+                                    discoveryServer.getLocalSocketAddress());
             RespGateway gateway = new RespGateway(config, transport);
             gateway.connectToDiscovery();
             CompletableFuture<SocketAddress> ready = gateway.start();
-            ScriptedPeers.Connection request = new ScriptedPeers.Connection(late.accept());
+            ScriptedPeers.Connection request = new ScriptedPeers.Connection(discoveryServer.accept());
             assertTrue(request.readLine().contains("watch=1"));
             assertFalse(ready.isDone());
             request.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -161,14 +161,14 @@
     public SocketAddress discovery() throws IOException {
         return serve(
                         connection -> {
-                            String call = connection.readRequestLine();
-                            if (call == null) {
+                            String request = connection.readRequestLine();
+                            if (request == null) {
                                 return;
                             }
                             if (endpointList == null) {
                                 unansweredRequests.add(connection);
                             }
-                            discoveryRequests.add(call);
+                            discoveryRequests.add(request);
                             if (endpointList == null) {
                                 connection.input.read();
                             } else if (endpointList.startsWith("HTTP")) {
