--- a/src/main/java/sagepulley/frontend/resp/ClientWriter.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientWriter.java
@@ -12,9 +12,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes replies to one client's socket: to the system at once, and what its buffer cannot take to
- * Netty. Where the system is out of buffers (ENOBUFS, ENOMEM) the write is retried a moment later;
- * Netty would close the connection, and the reply would be lost. Owns the bytes it was given until
+ * Writes replies to one client's socket, directly to the kernel where possible, and through Netty
+ * once the socket buffer is full.
+ *
+ * <p>A write that fails because the kernel is out of buffers (ENOBUFS, ENOMEM) is retried shortly
+ * afterwards; Netty would close the connection and lose the reply. Owns the queued buffers until
  * they are passed on. Runs on the event loop.
  */
 final class ClientWriter {
@@ -25,19 +27,19 @@
     private final Channel channel;
     private final Runnable onResumed;
     private final ArrayDeque<ByteBuf> queued = new ArrayDeque<>();
-    private Runnable onAllPassed = () -> {};
+    private Runnable afterFlush = () -> {};
     private boolean retryScheduled;
 
     /**
-     * @param onResumed is run when a write that was retried has been passed on
+     * @param onResumed runs after each retry of a failed write
      */
     ClientWriter(Channel channel, Runnable onResumed) {
         this.channel = channel;
         this.onResumed = onResumed;
     }
 
-    /** Whether some reply has been given neither to the system nor to Netty yet. */
-    boolean hasQueued() {
+    /** Returns whether any reply has been passed neither to the kernel nor to Netty yet. */
+    boolean hasQueuedReplies() {
         return !queued.isEmpty();
     }
 
@@ -45,9 +47,9 @@
         queued.add(bytes);
     }
 
-    /** Runs the task once all that was written by now has been passed on. */
-    void runAfterAll(Runnable task) {
-        onAllPassed = task;
+    /** Flushes the queue, and runs the task once everything queued so far has been passed on. */
+    void runAfterFlush(Runnable task) {
+        afterFlush = task;
         flush();
     }
 
@@ -57,32 +59,32 @@
         }
         while (!queued.isEmpty()) {
             if (!isNettyIdle() || !(channel instanceof UnixChannel socket)) {
-                passToNetty();
+                writeToNetty();
                 break;
             }
             try {
-                if (!passToSystem(socket.fd())) {
-                    passToNetty();
+                if (!writeToSocket(socket.fd())) {
+                    writeToNetty();
                     break;
                 }
             } catch (NativeIoException failed) {
                 if (failed.expectedErr() == ENOBUFS || failed.expectedErr() == ENOMEM) {
-                    retryLater();
+                    scheduleRetry();
                     return;
                 }
-                passToNetty(); // which ends the connection
+                writeToNetty(); // closes the connection on this error
                 break;
             } catch (IOException failed) {
-                passToNetty();
+                writeToNetty();
                 break;
             }
         }
-        Runnable task = onAllPassed;
-        onAllPassed = () -> {};
+        Runnable task = afterFlush;
+        afterFlush = () -> {};
         task.run();
     }
 
-    /** Releases what is queued, after the connection has closed. */
+    /** Releases the queued buffers after the connection has closed. */
     void release() {
         queued.forEach(ByteBuf::release);
         queued.clear();
@@ -93,8 +95,8 @@
         return pending != null && pending.isEmpty();
     }
 
-    /** Whether the system took all of the first reply. */
-    private boolean passToSystem(FileDescriptor socket) throws IOException {
+    /** Writes the first queued reply to the socket; returns false if the socket buffer is full. */
+    private boolean writeToSocket(FileDescriptor socket) throws IOException {
         ByteBuf first = queued.peek();
         if (!first.isDirect() || first.nioBufferCount() != 1) {
             ByteBuf direct = channel.alloc().directBuffer(first.readableBytes());
@@ -106,24 +108,24 @@
         }
         while (first.isReadable()) {
             ByteBuffer bytes = first.nioBuffer();
-            int taken = socket.write(bytes, bytes.position(), bytes.limit());
-            if (taken <= 0) {
+            int written = socket.write(bytes, bytes.position(), bytes.limit());
+            if (written <= 0) {
                 return false;
             }
-            first.skipBytes(taken); // a short write does not mean that the buffer is full
+            first.skipBytes(written); // a short write does not mean that the buffer is full
         }
         queued.poll().release();
         return true;
     }
 
-    private void passToNetty() {
+    private void writeToNetty() {
         for (ByteBuf next = queued.poll(); next != null; next = queued.poll()) {
             channel.write(next, channel.voidPromise());
         }
         channel.flush();
     }
 
-    private void retryLater() {
+    private void scheduleRetry() {
         retryScheduled = true;
         channel.eventLoop()
                 .schedule(
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -24,19 +24,19 @@
 import sagepulley.lifecycle.WarmUpConfig;
 import sagepulley.transport.Transport;
 
-/** A gateway on loopback with one endpoint and a discovery that follow a test's script. */
+/** Runs a gateway on loopback with an endpoint and a discovery that follow the script of a test. */
 public final class ScriptedPeers implements Closeable {
     private static final int TIMEOUT_MILLIS = 20_000;
     public static final String VALUE_REPLY = "*3\r\n$5\r\nvalue\r\n$6\r\ncost=1\r\n$-1\r\n";
     private static final String LIST_RESPONSE_HEAD =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** What the endpoint does with one command. */
+    /** Defines how the endpoint handles a command. */
     public interface Script {
-        void answer(List<String> words, Connection connection) throws IOException;
+        void respond(List<String> arguments, Connection connection) throws IOException;
     }
 
-    /** One connection to a peer. */
+    /** A connection between a test and a peer, or a peer and the gateway. */
     public static final class Connection {
         public final Socket socket;
         public final InputStream input;
@@ -54,7 +54,7 @@
             out.flush();
         }
 
-        /** A line without CR LF; null where the connection has ended. */
+        /** Reads a line without CR LF; returns null at the end of the stream. */
         public String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int next = input.read(); next != '\n'; next = input.read()) {
@@ -67,8 +67,8 @@
         }
 
         /**
-         * The first line of an HTTP request, which is read in full; null where the peer left
-         * before.
+         * Reads an HTTP request and returns its first line; null if the stream ends before the
+         * request.
          */
         public String readRequestLine() throws IOException {
             String request = readLine();
@@ -84,23 +84,26 @@
             if (head == null) {
                 return null;
             }
-            List<String> words = new ArrayList<>();
+            List<String> arguments = new ArrayList<>();
             for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
                 int length = Integer.parseInt(readLine().substring(1));
-                words.add(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
+                arguments.add(new String(input.readNBytes(length), StandardCharsets.ISO_8859_1));
                 input.readNBytes(2);
             }
-            return words;
+            return arguments;
         }
 
-        /** One reply: its line, and its value after a blank where there is one. */
+        /**
+         * Reads a reply and returns its first line, followed by a blank and the value of a bulk
+         * string.
+         */
         public String readReply() throws IOException {
             String head = readLine();
             return head != null && head.startsWith("$") ? head + " " + readLine() : head;
         }
 
-        public void sendCommand(String... words) throws IOException {
-            send(ScriptedPeers.command(words));
+        public void sendCommand(String... arguments) throws IOException {
+            send(ScriptedPeers.command(arguments));
         }
     }
 
@@ -108,13 +111,13 @@
     public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
     public final List<Connection> watches = new CopyOnWriteArrayList<>();
 
-    /** Requests to discovery without a response. */
+    /** Requests to discovery that have received no response. */
     public final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
 
     public final RespGateway gateway;
     public final Transport transport = Transport.sockets();
 
-    /** What discovery responds to a request; null: nothing. */
+    /** Response of discovery, a list or a complete HTTP response; null to send none. */
     public volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
 
     private final List<Closeable> open = new CopyOnWriteArrayList<>();
@@ -125,7 +128,7 @@
         this(script, text -> text);
     }
 
-    /** With a changed configuration file. */
+    /** Starts a gateway whose configuration file is modified by the operator. */
     public ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
         ServerSocket node =
                 serve(
@@ -134,7 +137,7 @@
                                     arguments != null;
                                     arguments = connection.readCommand()) {
                                 commands.add(arguments);
-                                script.answer(arguments, connection);
+                                script.respond(arguments, connection);
                             }
                         });
         SocketAddress discovery = discovery();
@@ -154,18 +157,18 @@
         clientAddress = gateway.start().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** One more discovery; it responds with the endpoint list, and keeps watches open. */
+    /** Starts another discovery, which responds with the endpoint list and keeps watches open. */
     public SocketAddress discovery() throws IOException {
         return serve(
                         connection -> {
-                            String call = connection.readRequestLine();
-                            if (call == null) {
+                            String request = connection.readRequestLine();
+                            if (request == null) {
                                 return;
                             }
                             if (endpointList == null) {
                                 unansweredRequests.add(connection);
                             }
-                            discoveryRequests.add(call);
+                            discoveryRequests.add(request);
                             if (endpointList == null) {
                                 connection.input.read();
                             } else if (endpointList.startsWith("HTTP")) {
@@ -184,7 +187,7 @@
         connection.send(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** The gateway's configuration with discovery at this address. */
+    /** Returns the configuration of the gateway with discovery at this address. */
     public GatewayConfig configAt(SocketAddress discovery) {
         return config.withAddresses(clientAddress, discovery, clientAddress);
     }
@@ -198,13 +201,13 @@
 
     public static String command(String... arguments) {
         StringBuilder command = new StringBuilder("*" + arguments.length + "\r\n");
-        for (String word : arguments) {
-            command.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+        for (String argument : arguments) {
+            command.append('$').append(argument.length()).append("\r\n").append(argument).append("\r\n");
         }
         return command.toString();
     }
 
-    /** Arguments of a read with this id. */
+    /** Returns the arguments of a read with this id. */
     public static String[] readCommand(long id) {
         return new String[] {
             "BLK.READ", NumberParser.formatId(7), NumberParser.formatId(id), fields("get", 9000, 0)
@@ -223,11 +226,11 @@
                 + ",hosts=1";
     }
 
-    private interface Task {
-        void with(Connection connection) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Connection connection) throws IOException;
     }
 
-    private ServerSocket serve(Task task) throws IOException {
+    private ServerSocket serve(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(server);
         daemon(
@@ -238,7 +241,7 @@
                         daemon(
                                 () -> {
                                     try (socket) {
-                                        task.with(new Connection(socket));
+                                        handler.handle(new Connection(socket));
                                     }
                                 });
                     }
@@ -246,18 +249,18 @@
         return server;
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Work work) {
+    private static void daemon(IoTask task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                work.run();
+                                task.run();
                             } catch (IOException ended) {
-                                // The peer or the test has closed it.
+                                // The peer or the test has closed the connection.
                             }
                         },
                         "peer");
