--- a/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
+++ b/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
@@ -140,7 +140,7 @@
     // ---- the directory ----
 
     /** An endpoint list came from the directory, pushed or asked for. */
-    void received(DirectoryMessages.EndpointList list) {
+    void listReceived(DirectoryMessages.EndpointList list) {
         Membership.UpdateResult result = membership.applyUpdate(toUpdate(list), wallMillis());
         LOG.atInfo()
                 .addKeyValue("version", list.version())
@@ -158,10 +158,10 @@
             }
             return;
         }
-        accepted(list.version());
+        listAccepted(list.version());
     }
 
-    private void accepted(long version) {
+    private void listAccepted(long version) {
         fetchBackoff.reset();
         confirmAt = wallMillis() + CONFIRMATION_INTERVAL_MILLIS;
         listVersions.put(version, wallMillis());
@@ -176,7 +176,7 @@
     }
 
     /** The subscription dropped, or a poll of the list failed. */
-    void failed(String why) {
+    void listFailed(String why) {
         LOG.atWarn().addKeyValue("why", why).log("endpoint list poll failed");
         pollFailed();
     }
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -44,7 +44,7 @@
         void unallocated(RequestPart part);
 
         /** The part waits for the directory from this time of the engine's clock on. */
-        void waitsForDirectory(RequestPart part, double now);
+        void directoryWaitStarted(RequestPart part, double now);
 
         /** The scheduler may have work that became due. */
         void schedulerChanged();
@@ -64,7 +64,7 @@
     private final Set<Long> unverified = new HashSet<>();
 
     /** The directory cannot be reached: only the scheduler's polls try it. */
-    private boolean directoryDown;
+    private boolean directoryUnreachable;
 
     private boolean changedSinceSnapshot;
 
@@ -108,7 +108,7 @@
     }
 
     /** Whether a holder has changed since the last call. */
-    boolean takeChanged() {
+    boolean checkAndClearChanged() {
         boolean changed = changedSinceSnapshot;
         changedSinceSnapshot = false;
         return changed;
@@ -125,13 +125,13 @@
     }
 
     /** A node served an operation at the part's extent. */
-    void verified(RequestPart part) {
+    void holderVerified(RequestPart part) {
         unverified.remove(part.operation.extent);
     }
 
     /** Whether the directory answers, as far as is known. */
     boolean isDirectoryReachable() {
-        return !directoryDown && directory.isOpen();
+        return !directoryUnreachable && directory.isOpen();
     }
 
     // ---- parts that look for their holder ----
@@ -147,18 +147,18 @@
         }
         addUnlocated(key, part);
         if (holders.hasPendingClaim(key)) {
-            park(key, part);
+            awaitDirectory(key, part);
         } else if (allocates(part)) {
             part.operation.shard = shardForFirstWrite();
             listener.located(part);
         } else {
-            park(key, part);
+            awaitDirectory(key, part);
             lookup(part);
         }
     }
 
     /** A part has ended: it needs no holder any more. */
-    void forget(RequestPart part) {
+    void stopLocating(RequestPart part) {
         long key = part.operation.extent;
         Set<RequestPart> parts = unlocated.get(key);
         if (parts != null && parts.remove(part) && parts.isEmpty()) {
@@ -168,14 +168,14 @@
     }
 
     /** Hands parts on that have waited long enough for the directory: the scheduler decides. */
-    void releaseOverdue(double now) {
+    void releaseExpired(double now) {
         for (RequestPart part : holders.takeExpired(now)) {
-            release(part);
+            submitWithoutHolder(part);
         }
     }
 
     /** When a part will have waited long enough, in engine milliseconds; infinite if none waits. */
-    double nextOverdue() {
+    double nextExpiry() {
         return holders.nextExpiry();
     }
 
@@ -183,13 +183,13 @@
         unlocated.computeIfAbsent(key, any -> new HashSet<>()).add(part);
     }
 
-    private void park(long key, RequestPart part) {
+    private void awaitDirectory(long key, RequestPart part) {
         double now = clock.now();
         holders.addWaiter(key, part, now);
-        listener.waitsForDirectory(part, now);
+        listener.directoryWaitStarted(part, now);
     }
 
-    private void release(RequestPart part) {
+    private void submitWithoutHolder(RequestPart part) {
         if (part.operation.ended) {
             return;
         }
@@ -210,7 +210,7 @@
 
     /** Where a first write goes: to any node, or, while no claim can be made, to none yet. */
     private int shardForFirstWrite() {
-        return directoryDown ? UNKNOWN_SHARD : ANY_SHARD;
+        return directoryUnreachable ? UNKNOWN_SHARD : ANY_SHARD;
     }
 
     // ---- lookups ----
@@ -220,9 +220,9 @@
      * since.
      */
     private void lookup(RequestPart part) {
-        if (directoryDown) {
+        if (directoryUnreachable) {
             if (holders.removeWaiter(part.operation.extent, part)) {
-                release(part);
+                submitWithoutHolder(part);
             }
             return;
         }
@@ -232,30 +232,30 @@
                 1,
                 (cells, failure) -> {
                     if (!part.operation.ended) {
-                        lookedUp(part, cells);
+                        lookupCompleted(part, cells);
                         listener.schedulerChanged();
                     }
                 });
     }
 
-    private void lookedUp(RequestPart part, int[] cells) {
+    private void lookupCompleted(RequestPart part, int[] cells) {
         long key = part.operation.extent;
         if (cells == null) {
-            directoryFailed();
+            directoryCallFailed();
             if (holders.removeWaiter(key, part)) {
-                release(part);
+                submitWithoutHolder(part);
             }
         } else if (cells[0] >= 0) {
-            learned(key, cells[0]);
+            holderFound(key, cells[0]);
         } else {
             listener.unallocated(part);
         }
     }
 
     /** A holder became known: parts that wait for it, here or at the scheduler, go there. */
-    void learned(long key, int cell) {
+    void holderFound(long key, int cell) {
         Set<RequestPart> parts = unlocated.remove(key);
-        List<RequestPart> parked = holders.holderLearned(key, cell);
+        List<RequestPart> waitingParts = holders.holderLearned(key, cell);
         int holder = holders.cell(key);
         changedSinceSnapshot = true;
         if (parts != null) {
@@ -265,7 +265,7 @@
                 }
             }
         }
-        for (RequestPart part : parked) {
+        for (RequestPart part : waitingParts) {
             if (!part.operation.ended) {
                 part.operation.shard = holder;
                 listener.located(part);
@@ -277,7 +277,7 @@
      * The node that the disk names as the holder denied it: the holder is unknown until it is found
      * again. True if the holder was known from disk only.
      */
-    boolean denied(RequestPart part) {
+    boolean holderDenied(RequestPart part) {
         long key = part.operation.extent;
         if (!unverified.remove(key)) {
             return false;
@@ -320,21 +320,21 @@
                 attempt.node.cell,
                 (cell, failure) -> {
                     if (cell != null) {
-                        learned(key, cell);
+                        holderFound(key, cell);
                     } else {
                         claimFailed(key, part);
                     }
                     for (RequestPart waiting : holders.claimEnded(key)) {
-                        release(waiting);
+                        submitWithoutHolder(waiting);
                     }
                     result.accept(cell);
                 });
     }
 
     private void claimFailed(long key, RequestPart part) {
-        directoryFailed();
+        directoryCallFailed();
         rerouteFirstWrites(key, shardForFirstWrite());
-        if (directoryDown && !part.operation.ended) {
+        if (directoryUnreachable && !part.operation.ended) {
             scheduler.onExtentLocated(part.operation, UNKNOWN_SHARD);
         }
     }
@@ -354,16 +354,16 @@
     // ---- the directory's failures ----
 
     /** A call of the directory failed; without a connection it counts as unreachable. */
-    void directoryFailed() {
-        directoryDown |= !directory.isOpen();
+    void directoryCallFailed() {
+        directoryUnreachable |= !directory.isOpen();
     }
 
     /** The directory answers: claims can be made, and unknown holders looked up. */
     void directoryAnswered() {
-        if (!directoryDown) {
+        if (!directoryUnreachable) {
             return;
         }
-        directoryDown = false;
+        directoryUnreachable = false;
         LOG.atInfo().addKeyValue("extents", unlocated.size()).log("directory reachable again");
         for (Map.Entry<Long, Set<RequestPart>> entry : List.copyOf(unlocated.entrySet())) {
             rerouteFirstWrites(entry.getKey(), ANY_SHARD);
--- a/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
+++ b/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
@@ -18,28 +18,28 @@
     private final DirectoryClient directory;
     private final ExtentLocator locator;
     private final Deque<ExportedVolume> remaining;
-    private final Runnable done;
+    private final Runnable onCompleted;
     private long nextExtent;
 
     /**
-     * @param done runs once all holders are known, or at once if a lookup fails: what is not known
+     * @param onCompleted runs once all holders are known, or at once if a lookup fails: what is not known
      *     then is looked up when it is needed
      */
     HolderPreloader(
             DirectoryClient directory,
             ExtentLocator locator,
             Collection<ExportedVolume> volumes,
-            Runnable done) {
+            Runnable onCompleted) {
         this.directory = directory;
         this.locator = locator;
         this.remaining = new ArrayDeque<>(volumes);
-        this.done = done;
+        this.onCompleted = onCompleted;
     }
 
     /** Begins, or goes on with, the lookups. */
     void run() {
         if (remaining.isEmpty()) {
-            done.run();
+            onCompleted.run();
             return;
         }
         ExportedVolume volume = remaining.peek();
@@ -55,10 +55,10 @@
                         LOG.atWarn()
                                 .addKeyValue("why", failure)
                                 .log("extent holders not loaded at start");
-                        done.run();
+                        onCompleted.run();
                         return;
                     }
-                    learn(volume.settings.id(), first, cells);
+                    recordHolders(volume.settings.id(), first, cells);
                     nextExtent = first + count;
                     if (nextExtent >= extents) {
                         remaining.remove();
@@ -68,10 +68,10 @@
                 });
     }
 
-    private void learn(int volumeId, long first, int[] cells) {
+    private void recordHolders(int volumeId, long first, int[] cells) {
         for (int i = 0; i < cells.length; i++) {
             if (cells[i] >= 0) {
-                locator.learned(ExtentHolders.key(volumeId, first + i), cells[i]);
+                locator.holderFound(ExtentHolders.key(volumeId, first + i), cells[i]);
             }
         }
     }
--- a/src/main/java/sagepulley/frontend/nbd/HolderSnapshots.java
+++ b/src/main/java/sagepulley/frontend/nbd/HolderSnapshots.java
@@ -32,7 +32,7 @@
         CompletableFuture<Map<Integer, int[]>> snapshot = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    if (locator.takeChanged()) {
+                    if (locator.checkAndClearChanged()) {
                         new Copy(snapshot).step();
                     } else {
                         snapshot.complete(null);
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -165,8 +165,8 @@
         accounting.start(loop);
     }
 
-    private void preloadHolders(Runnable done) {
-        new HolderPreloader(directory, locator, exportedVolumes.values(), done).run();
+    private void preloadHolders(Runnable onCompleted) {
+        new HolderPreloader(directory, locator, exportedVolumes.values(), onCompleted).run();
     }
 
     private static EndpointRecord toRecord(MembershipSettings.ConfiguredNode node) {
@@ -214,13 +214,13 @@
         PendingRequest request = new PendingRequest(session, command, volume, clock.now());
         if (requests.isStopping()) {
             command.payload().release();
-            request.fail(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
-            session.answer(request);
+            request.addError(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
+            session.sendReply(request);
             return;
         }
         requests.add(request);
         switch (command.command()) {
-            case NbdConstants.CMD_BLOCK_STATUS -> blockStatus(request);
+            case NbdConstants.CMD_BLOCK_STATUS -> lookUpBlockStatus(request);
             case NbdConstants.CMD_FLUSH -> {
                 splitter.splitFlush(request);
                 dispatchParts(request);
@@ -240,7 +240,7 @@
             requests.complete(request);
         }
         for (RequestPart part : request.parts) {
-            accounting.begin(part);
+            accounting.partStarted(part);
         }
         for (RequestPart part : List.copyOf(request.parts)) {
             dispatcher.dispatch(part);
@@ -249,7 +249,7 @@
     }
 
     /** Only the directory knows all holders, for another gateway may have written. */
-    private void blockStatus(PendingRequest request) {
+    private void lookUpBlockStatus(PendingRequest request) {
         BlockStatusRequest blockStatus =
                 BlockStatusRequest.of(
                         request, site.extentBytes(), ExtentLocator.MAX_EXTENTS_PER_STEP);
@@ -262,7 +262,7 @@
                         return;
                     }
                     if (cells == null) {
-                        request.fail(
+                        request.addError(
                                 -1, NbdConstants.EIO, "the directory did not answer: " + failure);
                     } else {
                         request.blockDescriptors = blockStatus.descriptors(cells);
@@ -293,7 +293,7 @@
             }
         }
         request.release();
-        request.session.answer(request);
+        request.session.sendReply(request);
     }
 
     // ---- what the directory brings ----
@@ -301,13 +301,13 @@
     @Override
     public void endpointListReceived(DirectoryMessages.EndpointList list) {
         locator.directoryAnswered();
-        endpointList.received(list);
+        endpointList.listReceived(list);
     }
 
     @Override
     public void endpointListFailed(String why) {
-        locator.directoryFailed();
-        endpointList.failed(why);
+        locator.directoryCallFailed();
+        endpointList.listFailed(why);
     }
 
     // ---- what nodes bring ----
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -53,7 +53,7 @@
     private static final int CLIENT_IDLE_TIMEOUT_SECONDS = 30;
 
     /** How long the last replies have to leave the sockets at the graceful shutdown. */
-    private static final long LAST_REPLIES_MILLIS = 20;
+    private static final long REPLY_FLUSH_MILLIS = 20;
 
     private static final int LISTEN_BACKLOG = 1024;
     private static final Logger LOG = LoggerFactory.getLogger(NbdGateway.class);
@@ -320,15 +320,15 @@
         if (!stopResult.compareAndSet(null, stopped)) {
             return stopResult.get();
         }
-        CompletableFuture<Void> empty = new CompletableFuture<>();
+        CompletableFuture<Void> requestsCompleted = new CompletableFuture<>();
         if (listener != null) {
             listener.close();
         }
-        engine.stop(() -> empty.complete(null));
-        empty.orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
+        engine.stop(() -> requestsCompleted.complete(null));
+        requestsCompleted.orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
                 .whenComplete(
-                        (done, late) -> {
-                            if (late != null) {
+                        (done, timeout) -> {
+                            if (timeout != null) {
                                 LOG.atWarn()
                                         .addKeyValue("open", counters().open())
                                         .log("stopped with operations in flight");
@@ -345,8 +345,8 @@
         clientGroup
                 .next()
                 .schedule(
-                        () -> clients.close().addListener(closed -> writeAccounts(stopped)),
-                        LAST_REPLIES_MILLIS,
+                        () -> clients.close().addListener(closed -> writeSnapshots(stopped)),
+                        REPLY_FLUSH_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -365,7 +365,7 @@
     }
 
     /** The last accounts are written while the loop still runs that owns them. */
-    private void writeAccounts(CompletableFuture<Void> stopped) {
+    private void writeSnapshots(CompletableFuture<Void> stopped) {
         CompletableFuture.runAsync(
                         () -> {
                             snapshotWriters.forEach(PeriodicWriter::close);
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -17,7 +17,7 @@
 
 /**
  * One client's connection in the transmission phase: passes its requests to the engine, and writes
- * each one's reply. Confined to the client's event loop, but for {@link #answer}.
+ * each one's reply. Confined to the client's event loop, but for {@link #sendReply}.
  */
 final class NbdSession extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(NbdSession.class);
@@ -54,7 +54,7 @@
                     .addKeyValue("structured", structured)
                     .log("client attached");
         } else if (event instanceof IdleStateEvent idle) {
-            closeIfStuck(idle.state());
+            closeIfStalled(idle.state());
         }
     }
 
@@ -62,15 +62,15 @@
      * A client that stops in the middle of a message, or reads no replies, holds what others could
      * use.
      */
-    private void closeIfStuck(IdleState state) {
-        boolean stuckReading =
+    private void closeIfStalled(IdleState state) {
+        boolean readStalled =
                 state == IdleState.READER_IDLE
                         && NbdServer.isInsideMessage(channel.pipeline())
                         && channel.config().isAutoRead();
-        boolean stuckWriting = state == IdleState.WRITER_IDLE && !channel.isWritable();
-        if (stuckReading || stuckWriting) {
+        boolean writeStalled = state == IdleState.WRITER_IDLE && !channel.isWritable();
+        if (readStalled || writeStalled) {
             String reason =
-                    stuckReading ? "client stopped inside a message" : "client reads no replies";
+                    readStalled ? "client stopped inside a message" : "client reads no replies";
             LOG.atInfo().addKeyValue("client", channel.remoteAddress()).log(reason);
             channel.close();
         }
@@ -111,7 +111,7 @@
     }
 
     /** Writes the one reply of a request. From any loop. */
-    void answer(PendingRequest request) {
+    void sendReply(PendingRequest request) {
         if (channel.eventLoop().inEventLoop()) {
             writeReply(request);
         } else {
--- a/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
@@ -93,7 +93,7 @@
     }
 
     /** A part of an accepted request begins. */
-    void begin(RequestPart part) {
+    void partStarted(RequestPart part) {
         part.timer =
                 accounts.begin(
                         part.request.volume.settings.id(),
@@ -104,33 +104,33 @@
     }
 
     /** A part waits for the directory from now (engine milliseconds) on. */
-    void waitsForDirectory(RequestPart part, double now) {
+    void directoryWaitStarted(RequestPart part, double now) {
         accounts.waitStarted(part.timer, LatencyComponent.DIRECTORY, 0, now);
     }
 
     /** The scheduler lets a part wait. */
-    void waitsAtScheduler(RequestPart part) {
+    void schedulerWaitStarted(RequestPart part) {
         waiting.add(part);
         updateWait(part, clock.now());
     }
 
     /** A part does not wait at the scheduler any more. */
-    void stopsWaiting(RequestPart part) {
+    void schedulerWaitEnded(RequestPart part) {
         waiting.remove(part);
     }
 
     /** An attempt waits for a claim of its extent. */
-    void claims(RequestPart part, Attempt attempt) {
+    void claimStarted(RequestPart part, Attempt attempt) {
         accounts.claimStarted(part.timer, attempt.node.id, clock.now());
     }
 
     /** An attempt goes out to its node. */
-    void sent(RequestPart part, Attempt attempt) {
+    void attemptSent(RequestPart part, Attempt attempt) {
         accounts.attemptSent(part.timer, attempt.node.id, attempt.quotaTier, clock.now());
     }
 
     /** A node served an attempt. */
-    void served(RequestPart part, StoreMessages.Answer answer) {
+    void attemptServed(RequestPart part, StoreMessages.Answer answer) {
         accounts.attemptAnswered(
                 part.timer,
                 answer.queuedMillis(),
@@ -150,10 +150,10 @@
     }
 
     /** A part has its final answer; its trace goes out if it is sampled. */
-    void ended(RequestPart part, Accounts.End end, Reason reason) {
+    void partEnded(RequestPart part, Accounts.End end, Reason reason) {
         double now = clock.now();
         accounts.end(part.timer, end, reason, connections.readyNodeOf(part.operation.shard), now);
-        tracing.ended(part, end, reason, now);
+        tracing.recordIfSampled(part, end, reason, now);
     }
 
     /**
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -94,12 +94,12 @@
     void cancel(RequestPart part) {
         part.operation.ended = true;
         counters.cancelled.increment();
-        locator.forget(part);
+        locator.stopLocating(part);
         if (part.submitted) {
             scheduler.onClientCancelled(part.operation, clock.now());
         }
-        accounting.ended(part, Accounts.End.CANCELLED, Reason.NONE);
-        accounting.stopsWaiting(part);
+        accounting.partEnded(part, Accounts.End.CANCELLED, Reason.NONE);
+        accounting.schedulerWaitEnded(part);
         part.payload.release();
     }
 
@@ -123,8 +123,8 @@
     }
 
     @Override
-    public void waitsForDirectory(RequestPart part, double now) {
-        accounting.waitsForDirectory(part, now);
+    public void directoryWaitStarted(RequestPart part, double now) {
+        accounting.directoryWaitStarted(part, now);
     }
 
     @Override
@@ -134,7 +134,7 @@
 
     private void submit(RequestPart part) {
         part.submitted = true;
-        carryOut(part, scheduler.route(part.operation, clock.now()));
+        applyDecision(part, scheduler.route(part.operation, clock.now()));
     }
 
     // ---- the scheduler's turns ----
@@ -150,17 +150,17 @@
     private void runTurn() {
         turnScheduled = false;
         double now = clock.now();
-        locator.releaseOverdue(now);
+        locator.releaseExpired(now);
         SchedulerTurn turn = scheduler.nextTurn(now);
         // Asking again at the same moment changes nothing once no operation moves.
-        while (carryOut(turn, now)) {
+        while (applyTurn(turn, now)) {
             turn = scheduler.nextTurn(now);
         }
-        timer.by(Math.min(now + turn.delay(), locator.nextOverdue()));
+        timer.by(Math.min(now + turn.delay(), locator.nextExpiry()));
     }
 
     /** Carries out what is due; tells whether an operation stopped waiting. */
-    private boolean carryOut(SchedulerTurn turn, double now) {
+    private boolean applyTurn(SchedulerTurn turn, double now) {
         for (Attempt attempt : turn.cancellations()) {
             cancel(attempt);
         }
@@ -172,13 +172,13 @@
             case FETCH -> directory.fetch();
             case NONE -> {}
         }
-        boolean moved = false;
+        boolean anyDecided = false;
         for (Operation operation : turn.due()) {
             RoutingDecision decision = scheduler.route(operation, now);
-            moved |= decision.kind() != RoutingDecision.Kind.WAIT;
-            carryOut(partOf(operation), decision);
+            anyDecided |= decision.kind() != RoutingDecision.Kind.WAIT;
+            applyDecision(partOf(operation), decision);
         }
-        return moved;
+        return anyDecided;
     }
 
     private static RequestPart partOf(Operation operation) {
@@ -187,14 +187,14 @@
 
     // ---- the scheduler's decisions ----
 
-    private void carryOut(RequestPart part, RoutingDecision decision) {
+    private void applyDecision(RequestPart part, RoutingDecision decision) {
         if (decision.kind() == RoutingDecision.Kind.WAIT) {
             if (!part.operation.ended) {
-                accounting.waitsAtScheduler(part);
+                accounting.schedulerWaitStarted(part);
             }
             return;
         }
-        accounting.stopsWaiting(part);
+        accounting.schedulerWaitEnded(part);
         switch (decision.kind()) {
             case SEND -> startAttempt(part, decision.timeout());
             case REJECT -> reject(part, decision);
@@ -215,7 +215,7 @@
                         Math.max(1, (long) (timeoutMillis * NANOS_PER_MILLI)),
                         TimeUnit.NANOSECONDS);
         if (part.operation.shard < 0) {
-            accounting.claims(part, attempt);
+            accounting.claimStarted(part, attempt);
             claimAndSend(part, attempt);
         } else {
             send(part, attempt);
@@ -268,7 +268,7 @@
 
     private void send(RequestPart part, Attempt attempt) {
         part.handedToConnection = true;
-        accounting.sent(part, attempt);
+        accounting.attemptSent(part, attempt);
         NodeConnection connection = connections.connection(attempt.node.id);
         counters.attempts.increment();
         boolean extentMustExist =
@@ -289,10 +289,10 @@
             return;
         }
         AttemptMessages.recordLoad(lastAttempt(part), answer);
-        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.denied(part);
+        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.holderDenied(part);
         if (answer.code() == StoreMessages.Code.SERVED) {
-            locator.verified(part);
-            accounting.served(part, answer);
+            locator.holderVerified(part);
+            accounting.attemptServed(part, answer);
         }
         attemptEnded(part, AttemptMessages.takeOutcome(part, answer.code(), payload));
         if (denied) {
@@ -322,8 +322,8 @@
             return;
         }
         int nodeId = lastAttempt(part).node.id;
-        boolean mayHaveRun = connections.connection(nodeId).cancel(attemptId);
-        attemptEnded(part, mayHaveRun ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
+        boolean mayHaveExecuted = connections.connection(nodeId).cancel(attemptId);
+        attemptEnded(part, mayHaveExecuted ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
     }
 
     /** Nobody waits for the attempt any more; whether it ran, nobody will know. */
@@ -359,7 +359,7 @@
             part.recordDurability(attempt.node.cell, connections.startedAt(attempt.node.id));
             completeServed(part);
         } else if (followUp == FollowUp.ROUTE_AGAIN) {
-            carryOut(part, scheduler.route(operation, now));
+            applyDecision(part, scheduler.route(operation, now));
         }
         scheduleTurn();
     }
@@ -373,21 +373,21 @@
     private void completeServed(RequestPart part) {
         part.operation.ended = true;
         counters.served.increment();
-        accounting.ended(part, Accounts.End.SERVED, Reason.NONE);
+        accounting.partEnded(part, Accounts.End.SERVED, Reason.NONE);
         complete(part);
     }
 
     private void completeFailed(
             RequestPart part, Accounts.End end, Reason reason, int error, String message) {
         part.operation.ended = true;
-        accounting.ended(part, end, reason);
-        part.request.fail(part.exportOffset, error, message);
+        accounting.partEnded(part, end, reason);
+        part.request.addError(part.exportOffset, error, message);
         complete(part);
     }
 
     private void complete(RequestPart part) {
-        accounting.stopsWaiting(part);
-        locator.forget(part);
+        accounting.schedulerWaitEnded(part);
+        locator.stopLocating(part);
         part.payload.release();
         if (--part.request.openParts == 0) {
             requests.complete(part.request);
--- a/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -31,7 +31,7 @@
     }
 
     /** A part has its final answer at this time of the engine's clock. */
-    void ended(RequestPart part, Accounts.End end, Reason reason, double now) {
+    void recordIfSampled(RequestPart part, Accounts.End end, Reason reason, double now) {
         if (tracer == null || part.timer == null) {
             return;
         }
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
@@ -53,7 +53,7 @@
     }
 
     /** Adds the error of a part. */
-    void fail(long offset, int error, String message) {
+    void addError(long offset, int error, String message) {
         errors.add(new RequestError(offset, error, message));
     }
 
@@ -63,14 +63,14 @@
     }
 
     /** The error that a simple reply tells: 0 if all parts were served. */
-    int error() {
-        int worst = 0;
+    int mostSevereError() {
+        int mostSevere = 0;
         for (RequestError error : errors) {
-            if (worst == 0 || worst == NbdConstants.ENOMEM) {
-                worst = error.error();
+            if (mostSevere == 0 || mostSevere == NbdConstants.ENOMEM) {
+                mostSevere = error.error();
             }
         }
-        return worst;
+        return mostSevere;
     }
 
     /** Releases data that is not sent. */
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequests.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequests.java
@@ -40,7 +40,7 @@
                 bySession.remove(request.session);
             }
         }
-        request.session.answer(request);
+        request.session.sendReply(request);
         notifyIfEmpty();
     }
 
--- a/src/main/java/sagepulley/frontend/nbd/ReplyWriter.java
+++ b/src/main/java/sagepulley/frontend/nbd/ReplyWriter.java
@@ -25,7 +25,7 @@
 
     /** A simple reply; all data of a read is in one piece. */
     static ChannelFuture writeSimple(Channel channel, PendingRequest request) {
-        int error = request.error();
+        int error = request.mostSevereError();
         if (error != 0) {
             request.release();
         }
