--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -24,7 +24,7 @@
  * is one.
  */
 class AccountsPathTest {
-    private static final String TWO =
+    private static final String FLOOD_VOLUME =
             """
 
             [volume flood]
@@ -63,9 +63,9 @@
 
     @Test
     void accountsNameTheTenantThatCausedTheDelay() throws Exception {
-        List<NodeProfile> traits = new ArrayList<>();
+        List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            traits.add(
+            profiles.add(
                     new NodeProfile(
                             i,
                             i,
@@ -85,11 +85,11 @@
                             1_000,
                             null));
         }
-        try (LocalCluster cluster = LocalCluster.start(traits, TrafficRecorder.NO_OP, 2)) {
+        try (LocalCluster cluster = LocalCluster.start(profiles, TrafficRecorder.NO_OP, 2)) {
             NbdGateway gateway =
                     cluster.open(
                             LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address())
-                                    + TWO,
+                                    + FLOOD_VOLUME,
                             1);
             NbdClient victim = open(cluster, gateway, "demo");
             NbdClient neighbour = open(cluster, gateway, "flood");
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -46,23 +46,23 @@
     })
     void invalidRequestGetsItsErrorAndOthersContinue(
             int command, int flags, long offset, int length, int error) throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(1)) {
-            NbdClient client = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(1)) {
+            NbdClient client = fixture.client();
             assertEquals(
                     error,
                     NbdTestFixture.error(
                             client.request(command, flags, offset, length, Unpooled.EMPTY_BUFFER)));
             assertEquals(0, NbdTestFixture.error(client.read(0, 512)));
             // The reply reaches the client before the gateway is told that it was written.
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
 
     @Test
     void writesOutOfRangeTooLongOrToReadOnlyExportsFail() throws Exception {
-        try (NbdTestFixture rig =
+        try (NbdTestFixture fixture =
                 new NbdTestFixture(1, TrafficRecorder.NO_OP, "most-request", "; most-request")) {
-            NbdClient client = rig.client();
+            NbdClient client = fixture.client();
             assertEquals(
                     NbdConstants.ENOSPC,
                     NbdTestFixture.error(client.write(64L * NbdTestFixture.MIB, new byte[512])));
@@ -71,13 +71,13 @@
                     NbdTestFixture.error(client.write(0, new byte[33 * NbdTestFixture.MIB])));
             assertEquals(0, NbdTestFixture.error(client.write(0, new byte[512])));
         }
-        try (NbdTestFixture rig =
+        try (NbdTestFixture fixture =
                 new NbdTestFixture(
                         1,
                         TrafficRecorder.NO_OP,
                         "size = 64 MiB",
                         "size = 64 MiB\nread-only = yes")) {
-            NbdClient client = rig.client();
+            NbdClient client = fixture.client();
             assertTrue((client.flags() & NbdConstants.READ_ONLY) != 0);
             assertEquals(NbdConstants.EPERM, NbdTestFixture.error(client.write(0, new byte[512])));
             assertEquals(
@@ -89,7 +89,7 @@
     }
 
     /** The first bytes of a good session: flags, NBD_OPT_EXPORT_NAME 'demo'. */
-    private static byte[] hello() {
+    private static byte[] openingBytes() {
         return ByteBuffer.allocate(24)
                 .putInt(3)
                 .putLong(NbdConstants.IHAVEOPT)
@@ -99,14 +99,14 @@
                 .array();
     }
 
-    private static Socket connect(NbdTestFixture rig) throws IOException {
-        return new Socket(rig.gateway.address().getAddress(), rig.gateway.address().getPort());
+    private static Socket connect(NbdTestFixture fixture) throws IOException {
+        return new Socket(fixture.gateway.address().getAddress(), fixture.gateway.address().getPort());
     }
 
     @Test
     void clientsThatDisconnectAnywhereLeakNothing() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(2)) {
-            NbdClient good = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(2)) {
+            NbdClient good = fixture.client();
             byte[] write =
                     ByteBuffer.allocate(28 + 4096)
                             .putInt(NbdConstants.REQUEST_MAGIC)
@@ -116,34 +116,34 @@
                             .putLong(0)
                             .putInt(4096)
                             .array();
-            byte[] whole = ByteBuffer.allocate(24 + write.length).put(hello()).put(write).array();
+            byte[] whole = ByteBuffer.allocate(24 + write.length).put(openingBytes()).put(write).array();
             for (int cut = 0; cut <= whole.length; cut += cut < 60 ? 1 : 512) {
-                try (Socket socket = connect(rig)) {
+                try (Socket socket = connect(fixture)) {
                     socket.getOutputStream().write(whole, 0, cut);
                 }
             }
             await().until(
                             () ->
-                                    rig.gateway.counters().clients.sum() - 1
-                                            == rig.gateway.counters().clientsEnded.sum());
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+                                    fixture.gateway.counters().clients.sum() - 1
+                                            == fixture.gateway.counters().clientsEnded.sum());
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
             assertEquals(0, NbdTestFixture.error(good.read(0, 4096)));
         }
     }
 
     @Test
     void malformedBytesEndOnlyTheirConnection() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(1)) {
-            NbdClient good = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(1)) {
+            NbdClient good = fixture.client();
             Random random = new Random(3);
             for (int i = 0; i < 60; i++) {
-                byte[] noise = new byte[2000];
-                random.nextBytes(noise);
-                try (Socket socket = connect(rig)) {
+                byte[] randomBytes = new byte[2000];
+                random.nextBytes(randomBytes);
+                try (Socket socket = connect(fixture)) {
                     if (i % 2 == 0) {
-                        socket.getOutputStream().write(hello());
+                        socket.getOutputStream().write(openingBytes());
                     }
-                    socket.getOutputStream().write(noise);
+                    socket.getOutputStream().write(randomBytes);
                     socket.shutdownOutput();
                     while (socket.getInputStream().read() >= 0) {
                         // until the gateway ends it
@@ -153,24 +153,24 @@
                 }
             }
             assertEquals(0, NbdTestFixture.error(good.read(0, 512)));
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
 
     @Test
     void clientThatReadsNoRepliesStaysWithinItsBudget() throws Exception {
         // 8 MiB for one client, 16 MiB in all.
-        try (NbdTestFixture rig =
+        try (NbdTestFixture fixture =
                 new NbdTestFixture(
                         3,
                         TrafficRecorder.NO_OP,
                         "[site]",
                         "client-bytes = 8 MiB\nall-bytes = 16 MiB\nmost-request = 4 MiB\n[site]")) {
-            NbdClient good = rig.client();
+            NbdClient good = fixture.client();
             NbdTestFixture.await(good.write(0, new byte[4 * NbdTestFixture.MIB]));
-            try (Socket deaf = connect(rig)) {
-                deaf.getOutputStream().write(hello());
-                DataInputStream in = new DataInputStream(deaf.getInputStream());
+            try (Socket nonReading = connect(fixture)) {
+                nonReading.getOutputStream().write(openingBytes());
+                DataInputStream in = new DataInputStream(nonReading.getInputStream());
                 in.readFully(new byte[28]);
                 byte[] read =
                         ByteBuffer.allocate(28)
@@ -182,28 +182,28 @@
                                 .putInt(NbdTestFixture.MIB)
                                 .array();
                 for (int i = 0; i < 200; i++) {
-                    deaf.getOutputStream().write(read);
+                    nonReading.getOutputStream().write(read);
                 }
                 for (int i = 0; i < 50; i++) {
                     assertEquals(0, NbdTestFixture.error(good.read(0, 65536)));
                 }
-                assertTrue(rig.gateway.maxBytesInFlight() <= 16L * NbdTestFixture.MIB);
-                assertTrue(rig.gateway.bytesInFlight() <= 8L * NbdTestFixture.MIB + 8192);
+                assertTrue(fixture.gateway.maxBytesInFlight() <= 16L * NbdTestFixture.MIB);
+                assertTrue(fixture.gateway.bytesInFlight() <= 8L * NbdTestFixture.MIB + 8192);
             }
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
 
     @Test
     void endlessWritesStayWithinTheBudgetAndOthersContinue() throws Exception {
-        try (NbdTestFixture rig =
+        try (NbdTestFixture fixture =
                 new NbdTestFixture(
                         3,
                         TrafficRecorder.NO_OP,
                         "[site]",
                         "client-bytes = 40 MiB\nall-bytes = 64 MiB\n[site]")) {
-            NbdClient good = rig.client();
-            NbdClient flood = rig.client();
+            NbdClient good = fixture.client();
+            NbdClient flood = fixture.client();
             byte[] big = new byte[32 * NbdTestFixture.MIB];
             List<java.util.concurrent.CompletableFuture<NbdReply>> writes = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
@@ -215,8 +215,8 @@
                 reply.release();
             }
             writes.forEach(NbdTestFixture::await);
-            assertTrue(rig.gateway.maxBytesInFlight() <= 64L * NbdTestFixture.MIB);
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+            assertTrue(fixture.gateway.maxBytesInFlight() <= 64L * NbdTestFixture.MIB);
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
 }
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -28,29 +28,29 @@
 class FaultsTest {
     /** What may go wrong, on one of three nodes. */
     enum Fault {
-        SILENT((rig, node) -> node.faults().unresponsive = true),
-        SLOW((rig, node) -> node.faults().slowdownFactor = 50),
-        PAUSED((rig, node) -> node.pause(true)),
-        REFUSING((rig, node) -> node.faults().rejecting = true),
-        ERRING((rig, node) -> node.faults().errorShare = 0.5),
-        LOSING((rig, node) -> node.faults().lostAnswerShare = 0.7),
-        COLD((rig, node) -> rig.cluster.restartCold(node)),
-        DRAINING((rig, node) -> rig.cluster.drain(node)),
-        CUT((rig, node) -> node.closeConnections()),
-        HALF_CLOSED((rig, node) -> node.faults().halfCloseNextAnswer = true),
-        GARBLED((rig, node) -> node.faults().garbleNextAnswer = true),
-        TWICE((rig, node) -> node.faults().duplicateNextAnswer = true),
-        INVENTED((rig, node) -> node.faults().answerUnknownAttempt = true),
-        GONE((rig, node) -> NbdTestFixture.await(node.stop())),
+        UNRESPONSIVE((fixture, node) -> node.faults().unresponsive = true),
+        SLOW((fixture, node) -> node.faults().slowdownFactor = 50),
+        PAUSED((fixture, node) -> node.pause(true)),
+        REJECTING((fixture, node) -> node.faults().rejecting = true),
+        ERRORS((fixture, node) -> node.faults().errorShare = 0.5),
+        LOST_ANSWERS((fixture, node) -> node.faults().lostAnswerShare = 0.7),
+        RESTARTED_COLD((fixture, node) -> fixture.cluster.restartCold(node)),
+        DRAINING((fixture, node) -> fixture.cluster.drain(node)),
+        CONNECTIONS_CLOSED((fixture, node) -> node.closeConnections()),
+        HALF_CLOSED((fixture, node) -> node.faults().halfCloseNextAnswer = true),
+        GARBLED_ANSWER((fixture, node) -> node.faults().garbleNextAnswer = true),
+        DUPLICATE_ANSWER((fixture, node) -> node.faults().duplicateNextAnswer = true),
+        UNKNOWN_ATTEMPT((fixture, node) -> node.faults().answerUnknownAttempt = true),
+        STOPPED((fixture, node) -> NbdTestFixture.await(node.stop())),
         UNREACHABLE(
-                (rig, node) -> {
+                (fixture, node) -> {
                     node.faults().unreachable = true;
                     node.closeConnections();
                 }),
-        DIRECTORY_DOWN((rig, node) -> NbdTestFixture.await(rig.cluster.directory().stop())),
-        DIRECTORY_SILENT((rig, node) -> rig.cluster.directory().setUnresponsive(true)),
-        DIRECTORY_FAILING((rig, node) -> rig.cluster.directory().setFailing(true)),
-        DIRECTORY_RESTARTED((rig, node) -> NbdTestFixture.await(rig.cluster.directory().restart()));
+        DIRECTORY_DOWN((fixture, node) -> NbdTestFixture.await(fixture.cluster.directory().stop())),
+        DIRECTORY_UNRESPONSIVE((fixture, node) -> fixture.cluster.directory().setUnresponsive(true)),
+        DIRECTORY_FAILING((fixture, node) -> fixture.cluster.directory().setFailing(true)),
+        DIRECTORY_RESTARTED((fixture, node) -> NbdTestFixture.await(fixture.cluster.directory().restart()));
 
         @SuppressWarnings("ImmutableEnumChecker")
         // a lambda without state
@@ -64,12 +64,12 @@
 
     /** Of one request: when it went, what came, and when. */
     private record TimedReply(long sent, long ended, NbdReply reply) {
-        double took() {
+        double durationMillis() {
             return (ended - sent) / 1e6;
         }
     }
 
-    private static CompletableFuture<TimedReply> ask(NbdClient client, int i) {
+    private static CompletableFuture<TimedReply> sendRequest(NbdClient client, int i) {
         long sent = System.nanoTime();
         long offset = i * 37L % 128 * (NbdTestFixture.MIB / 2);
         CompletableFuture<NbdReply> reply =
@@ -87,81 +87,81 @@
     void eachOperationGetsOneAnswerBeforeItsDeadline(Fault fault) throws Exception {
         // Patience is a second, so that each fault outlasts it.
 
-        try (StallDetector machine = new StallDetector();
-                NbdTestFixture rig =
+        try (StallDetector stallDetector = new StallDetector();
+                NbdTestFixture fixture =
                         new NbdTestFixture(
                                 3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
-            machine.watch(rig.cluster.loops());
-            NbdClient client = rig.client();
+            stallDetector.watch(fixture.cluster.loops());
+            NbdClient client = fixture.client();
             for (int i = 0; i < 32; i++) {
                 NbdTestFixture.await(client.write(i * 2L * NbdTestFixture.MIB, new byte[4096]));
             }
-            fault.begin.accept(rig, rig.cluster.nodes().get(0));
-            List<CompletableFuture<TimedReply>> asked = new ArrayList<>();
+            fault.begin.accept(fixture, fixture.cluster.nodes().get(0));
+            List<CompletableFuture<TimedReply>> replies = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
-                asked.add(ask(client, i));
+                replies.add(sendRequest(client, i));
                 Thread.sleep(2);
                 // a pace, not a bound: nothing below depends on it
 
             }
-            for (CompletableFuture<TimedReply> one : asked) {
-                NbdTestFixture.await(one);
+            for (CompletableFuture<TimedReply> reply : replies) {
+                NbdTestFixture.await(reply);
             }
-            int satisfied = 0;
-            for (CompletableFuture<TimedReply> one : asked) {
-                satisfied += one.join().reply().error == 0 ? 1 : 0;
-                // Reads have a patience of 2.5 s, writes of 1 s, besides what this machine stood
+            int served = 0;
+            for (CompletableFuture<TimedReply> reply : replies) {
+                served += reply.join().reply().error == 0 ? 1 : 0;
+                // Reads have a patience of 2.5 s, writes of 1 s, besides what this stallDetector stood
 
                 // still.
 
                 assertTrue(
-                        one.join().took() < 2500 + 100 + machine.worstStallMillis(),
-                        "took " + one.join().took());
+                        reply.join().durationMillis() < 2500 + 100 + stallDetector.worstStallMillis(),
+                        "took " + reply.join().durationMillis());
             }
-            Counters counters = rig.gateway.counters();
+            Counters counters = fixture.gateway.counters();
             assertEquals(0, counters.open());
             assertEquals(0, counters.cancelled.sum());
             assertEquals(200 + 32, counters.accepted.sum());
-            assertEquals(32 + satisfied, counters.served.sum());
-            assertEquals(200 - satisfied, counters.rejected.sum() + counters.abandoned.sum());
-            assertTrue(satisfied >= 60, "only " + satisfied + " of 200 were satisfied");
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+            assertEquals(32 + served, counters.served.sum());
+            assertEquals(200 - served, counters.rejected.sum() + counters.abandoned.sum());
+            assertTrue(served >= 60, "only " + served + " of 200 were satisfied");
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
 
     @Test
     void disconnectingClientLeaksNothing() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            NbdClient other = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            NbdClient other = fixture.client();
             NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
-            rig.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
-            NbdClient leaver = rig.client();
+            fixture.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
+            NbdClient disconnecting = fixture.client();
             AtomicInteger ends = new AtomicInteger();
             for (int i = 0; i < 20; i++) {
-                leaver.read(i * 1024L, 1024)
+                disconnecting.read(i * 1024L, 1024)
                         .whenComplete((reply, failure) -> ends.incrementAndGet());
             }
-            await().until(() -> rig.gateway.counters().accepted.sum() >= 21);
-            leaver.channel().close().syncUninterruptibly();
-            await().until(() -> rig.gateway.counters().open() == 0 && ends.get() == 20);
-            assertTrue(rig.gateway.counters().cancelled.sum() > 0);
-            rig.cluster.nodes().forEach(node -> node.faults().unresponsive = false);
+            await().until(() -> fixture.gateway.counters().accepted.sum() >= 21);
+            disconnecting.channel().close().syncUninterruptibly();
+            await().until(() -> fixture.gateway.counters().open() == 0 && ends.get() == 20);
+            assertTrue(fixture.gateway.counters().cancelled.sum() > 0);
+            fixture.cluster.nodes().forEach(node -> node.faults().unresponsive = false);
             await().until(() -> NbdTestFixture.error(other.read(0, 512)) == 0);
-            await().until(() -> rig.gateway.bytesInFlight() == 0);
+            await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
 
     @Test
     void failedPartIsReportedWithItsOffset() throws Exception {
-        try (NbdTestFixture rig =
+        try (NbdTestFixture fixture =
                 new NbdTestFixture(3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
-            NbdClient client = rig.client();
-            byte[] old = NbdTestFixture.noise(5, 4 * NbdTestFixture.MIB);
-            assertEquals(0, NbdTestFixture.error(client.write(0, old)));
-            StandInNode dead = rig.cluster.nodes().get(1);
-            NbdTestFixture.await(dead.stop());
-            byte[] fresh = NbdTestFixture.noise(6, 4 * NbdTestFixture.MIB);
-            NbdReply reply = NbdTestFixture.await(client.write(0, fresh));
+            NbdClient client = fixture.client();
+            byte[] oldData = NbdTestFixture.randomBytes(5, 4 * NbdTestFixture.MIB);
+            assertEquals(0, NbdTestFixture.error(client.write(0, oldData)));
+            StandInNode stoppedNode = fixture.cluster.nodes().get(1);
+            NbdTestFixture.await(stoppedNode.stop());
+            byte[] newData = NbdTestFixture.randomBytes(6, 4 * NbdTestFixture.MIB);
+            NbdReply reply = NbdTestFixture.await(client.write(0, newData));
             assertTrue(
                     reply.error == NbdConstants.EIO || reply.error == NbdConstants.ENOMEM,
                     "error " + reply.error);
@@ -178,7 +178,7 @@
                     assertTrue(
                             java.util.Arrays.equals(
                                     java.util.Arrays.copyOfRange(
-                                            fresh,
+                                            newData,
                                             extent * NbdTestFixture.MIB,
                                             extent * NbdTestFixture.MIB + 4096),
                                     NbdTestFixture.data(read)));
@@ -188,8 +188,8 @@
     }
 
     /** Writes until it is served: a rejected write may be retried. */
-    private static CompletableFuture<Void> asked(NbdClient client, long at, byte[] data) {
-        return client.write(at, data)
+    private static CompletableFuture<Void> writeUntilServed(NbdClient client, long offset, byte[] data) {
+        return client.write(offset, data)
                 .thenCompose(
                         reply -> {
                             assertTrue(
@@ -197,62 +197,62 @@
                                     reply.message);
                             return reply.error == 0
                                     ? CompletableFuture.<Void>completedFuture(null)
-                                    : asked(client, at, data);
+                                    : writeUntilServed(client, offset, data);
                         });
     }
 
     @Test
     void concurrentFirstWritesEndWithOneHolder() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(6)) {
-            NbdGateway second = rig.cluster.open(rig.site(1, 2), 2);
-            NbdClient a = rig.client();
-            NbdClient b = rig.client(second, NbdClient.Style.GO);
+        try (NbdTestFixture fixture = new NbdTestFixture(6)) {
+            NbdGateway second = fixture.cluster.open(fixture.site(1, 2), 2);
+            NbdClient a = fixture.client();
+            NbdClient b = fixture.client(second, NbdClient.Style.GO);
             for (int extent = 0; extent < 40; extent++) {
-                long at = extent * (long) NbdTestFixture.MIB;
-                byte[] one = NbdTestFixture.noise(extent, 8192);
-                byte[] two = NbdTestFixture.noise(1000 + extent, 8192);
+                long offset = extent * (long) NbdTestFixture.MIB;
+                byte[] dataA = NbdTestFixture.randomBytes(extent, 8192);
+                byte[] dataB = NbdTestFixture.randomBytes(1000 + extent, 8192);
                 // The second half of the extent comes through both as well, at the same moment.
 
-                var all =
+                var writes =
                         List.of(
-                                asked(a, at, one),
-                                asked(b, at, two),
-                                asked(a, at + 65536, one),
-                                asked(b, at + 131072, two));
-                all.forEach(NbdTestFixture::await);
-                byte[] seenA = NbdTestFixture.data(NbdTestFixture.await(a.read(at, 8192)));
-                byte[] seenB = NbdTestFixture.data(NbdTestFixture.await(b.read(at, 8192)));
-                assertTrue(java.util.Arrays.equals(seenA, seenB));
+                                writeUntilServed(a, offset, dataA),
+                                writeUntilServed(b, offset, dataB),
+                                writeUntilServed(a, offset + 65536, dataA),
+                                writeUntilServed(b, offset + 131072, dataB));
+                writes.forEach(NbdTestFixture::await);
+                byte[] readFromA = NbdTestFixture.data(NbdTestFixture.await(a.read(offset, 8192)));
+                byte[] readFromB = NbdTestFixture.data(NbdTestFixture.await(b.read(offset, 8192)));
+                assertTrue(java.util.Arrays.equals(readFromA, readFromB));
                 assertTrue(
-                        java.util.Arrays.equals(seenA, one) || java.util.Arrays.equals(seenA, two));
+                        java.util.Arrays.equals(readFromA, dataA) || java.util.Arrays.equals(readFromA, dataB));
                 assertTrue(
                         java.util.Arrays.equals(
-                                one,
+                                dataA,
                                 NbdTestFixture.data(
-                                        NbdTestFixture.await(b.read(at + 65536, 8192)))));
+                                        NbdTestFixture.await(b.read(offset + 65536, 8192)))));
                 assertTrue(
                         java.util.Arrays.equals(
-                                two,
+                                dataB,
                                 NbdTestFixture.data(
-                                        NbdTestFixture.await(a.read(at + 131072, 8192)))));
+                                        NbdTestFixture.await(a.read(offset + 131072, 8192)))));
             }
-            assertEquals(40, NbdTestFixture.await(rig.cluster.directory().counts())[0]);
+            assertEquals(40, NbdTestFixture.await(fixture.cluster.directory().counts())[0]);
         }
     }
 
     @Test
     void unresponsiveDirectoryRejectsFirstWritesOnly() throws Exception {
-        try (NbdTestFixture rig =
+        try (NbdTestFixture fixture =
                 new NbdTestFixture(3, TrafficRecorder.NO_OP, "patience = 4 s", "patience = 1 s")) {
-            NbdClient client = rig.client();
+            NbdClient client = fixture.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
-            rig.cluster.directory().setUnresponsive(true);
-            var one = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
-            var two = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
+            fixture.cluster.directory().setUnresponsive(true);
+            var firstWrite = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
+            var secondWrite = client.write(10L * NbdTestFixture.MIB, new byte[4096]);
             assertEquals(0, NbdTestFixture.error(client.read(0, 4096)));
-            assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(one).error);
-            assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(two).error);
-            rig.cluster.directory().setUnresponsive(false);
+            assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(firstWrite).error);
+            assertEquals(NbdConstants.ENOMEM, NbdTestFixture.await(secondWrite).error);
+            fixture.cluster.directory().setUnresponsive(false);
             await().until(
                             () ->
                                     NbdTestFixture.error(
@@ -266,17 +266,17 @@
 
     @Test
     void gatewayStartedWithoutDirectoryBecomesReadyOnceItAnswers() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(2)) {
-            rig.cluster.directory().setUnresponsive(true);
-            NbdGateway second = new NbdGateway(SiteConfig.read("second", rig.site(1, 2)), 5);
+        try (NbdTestFixture fixture = new NbdTestFixture(2)) {
+            fixture.cluster.directory().setUnresponsive(true);
+            NbdGateway second = new NbdGateway(SiteConfig.read("second", fixture.site(1, 2)), 5);
             CompletableFuture<NbdGateway> ready = second.start();
             Thread.sleep(300);
             // time for its call to be swallowed; what follows holds either way
 
             assertTrue(!ready.isDone());
-            rig.cluster.directory().setUnresponsive(false);
+            fixture.cluster.directory().setUnresponsive(false);
             NbdTestFixture.await(ready);
-            NbdClient client = rig.client(second, NbdClient.Style.GO);
+            NbdClient client = fixture.client(second, NbdClient.Style.GO);
             assertEquals(0, NbdTestFixture.error(client.write(0, new byte[4096])));
             client.channel().close().syncUninterruptibly();
             NbdTestFixture.await(second.stop());
@@ -285,39 +285,39 @@
 
     @Test
     void gracefulShutdownAnswersRequestsInFlight() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            NbdClient client = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            NbdClient client = fixture.client();
             NbdTestFixture.await(client.write(0, new byte[4096]));
-            rig.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
-            List<CompletableFuture<NbdReply>> asked = new ArrayList<>();
+            fixture.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
+            List<CompletableFuture<NbdReply>> replies = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                asked.add(client.read(0, 4096));
+                replies.add(client.read(0, 4096));
             }
-            await().until(() -> rig.gateway.counters().open() == 10);
-            CompletableFuture<Void> stopped = rig.gateway.stop();
+            await().until(() -> fixture.gateway.counters().open() == 10);
+            CompletableFuture<Void> stopped = fixture.gateway.stop();
             // Asked on the gateway's loop behind the stop: what comes after this cannot overtake
 
             // it.
 
-            NbdTestFixture.await(rig.gateway.nodes());
-            asked.add(client.request(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
-            for (var one : asked) {
-                assertTrue(NbdTestFixture.await(one).error != 0);
+            NbdTestFixture.await(fixture.gateway.nodes());
+            replies.add(client.request(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
+            for (var reply : replies) {
+                assertTrue(NbdTestFixture.await(reply).error != 0);
             }
-            assertEquals(NbdConstants.ESHUTDOWN, asked.get(10).join().error);
+            assertEquals(NbdConstants.ESHUTDOWN, replies.get(10).join().error);
             NbdTestFixture.await(stopped);
-            assertEquals(0, rig.gateway.counters().open());
+            assertEquals(0, fixture.gateway.counters().open());
         }
     }
 
     @Test
     void killedGatewayLosesNoAcknowledgedWrite() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(4)) {
-            NbdClient client = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(4)) {
+            NbdClient client = fixture.client();
             List<Integer> acknowledged = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 int number = i;
-                client.write(i * 65536L, NbdTestFixture.noise(i, 4096))
+                client.write(i * 65536L, NbdTestFixture.randomBytes(i, 4096))
                         .thenAccept(
                                 reply -> {
                                     if (reply.error == 0) {
@@ -333,9 +333,9 @@
                                     return acknowledged.size() > 50;
                                 }
                             });
-            NbdTestFixture.await(rig.gateway.kill());
-            NbdGateway again = rig.cluster.open(rig.site(0, 1), 99);
-            NbdClient back = rig.client(again, NbdClient.Style.GO);
+            NbdTestFixture.await(fixture.gateway.kill());
+            NbdGateway restarted = fixture.cluster.open(fixture.site(0, 1), 99);
+            NbdClient newClient = fixture.client(restarted, NbdClient.Style.GO);
             List<Integer> kept;
             synchronized (acknowledged) {
                 kept = List.copyOf(acknowledged);
@@ -343,9 +343,9 @@
             for (int i : kept) {
                 assertTrue(
                         java.util.Arrays.equals(
-                                NbdTestFixture.noise(i, 4096),
+                                NbdTestFixture.randomBytes(i, 4096),
                                 NbdTestFixture.data(
-                                        NbdTestFixture.await(back.read(i * 65536L, 4096)))));
+                                        NbdTestFixture.await(newClient.read(i * 65536L, 4096)))));
             }
         }
     }
--- a/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -17,10 +17,10 @@
     @ParameterizedTest
     @EnumSource(NbdClient.Style.class)
     void writtenDataIsReadBackInEveryStyle(NbdClient.Style style) throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            NbdClient client = rig.client(rig.gateway, style);
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            NbdClient client = fixture.client(fixture.gateway, style);
             assertEquals(64L * NbdTestFixture.MIB, client.size());
-            byte[] data = NbdTestFixture.noise(1, 3 * NbdTestFixture.MIB);
+            byte[] data = NbdTestFixture.randomBytes(1, 3 * NbdTestFixture.MIB);
             assertEquals(0, NbdTestFixture.error(client.write(NbdTestFixture.MIB / 2, data)));
             NbdReply reply = NbdTestFixture.await(client.read(NbdTestFixture.MIB / 2, data.length));
             assertEquals(0, reply.error);
@@ -47,10 +47,10 @@
 
     @Test
     void trimWriteZeroesFlushAndBlockStatus() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            NbdClient client = rig.client();
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            NbdClient client = fixture.client();
             assertTrue(client.hasBaseAllocation());
-            NbdTestFixture.await(client.write(0, NbdTestFixture.noise(2, 2 * NbdTestFixture.MIB)));
+            NbdTestFixture.await(client.write(0, NbdTestFixture.randomBytes(2, 2 * NbdTestFixture.MIB)));
             assertEquals(
                     0,
                     NbdTestFixture.error(
@@ -94,8 +94,8 @@
                     },
                     status.blocks);
             // A power failure after the flush loses nothing.
-            rig.cluster.nodes().forEach(node -> NbdTestFixture.await(node.failPower()));
-            byte[] kept = NbdTestFixture.noise(2, 4096);
+            fixture.cluster.nodes().forEach(node -> NbdTestFixture.await(node.failPower()));
+            byte[] expected = NbdTestFixture.randomBytes(2, 4096);
             assertEquals(
                     0,
                     NbdTestFixture.error(
@@ -107,28 +107,28 @@
                                 NbdReply reply = NbdTestFixture.await(client.read(0, 4096));
                                 return reply.error == 0
                                         && java.util.Arrays.equals(
-                                                kept, NbdTestFixture.data(reply));
+                                                expected, NbdTestFixture.data(reply));
                             });
         }
     }
 
     @Test
     void concurrentRequestsEachEndOnce() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(6)) {
-            NbdClient client = rig.client();
-            java.util.List<java.util.concurrent.CompletableFuture<NbdReply>> all =
+        try (NbdTestFixture fixture = new NbdTestFixture(6)) {
+            NbdClient client = fixture.client();
+            java.util.List<java.util.concurrent.CompletableFuture<NbdReply>> writes =
                     new java.util.ArrayList<>();
             for (int i = 0; i < 512; i++) {
-                all.add(client.write(i * 128L * 1024, NbdTestFixture.noise(i, 128 * 1024)));
+                writes.add(client.write(i * 128L * 1024, NbdTestFixture.randomBytes(i, 128 * 1024)));
             }
-            int satisfied = 0;
-            for (var one : all) {
-                satisfied += NbdTestFixture.await(one).error == 0 ? 1 : 0;
+            int served = 0;
+            for (var write : writes) {
+                served += NbdTestFixture.await(write).error == 0 ? 1 : 0;
             }
-            assertEquals(512, rig.gateway.counters().accepted.sum());
-            assertEquals(0, rig.gateway.counters().open());
-            assertEquals(satisfied, rig.gateway.counters().served.sum());
-            assertTrue(satisfied > 0);
+            assertEquals(512, fixture.gateway.counters().accepted.sum());
+            assertEquals(0, fixture.gateway.counters().open());
+            assertEquals(served, fixture.gateway.counters().served.sum());
+            assertTrue(served > 0);
         }
     }
 }
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -25,14 +25,14 @@
     }
 
     /** With one piece of the demo's site file put in place of another. */
-    NbdTestFixture(int nodes, TrafficRecorder recorder, String piece, String other)
+    NbdTestFixture(int nodes, TrafficRecorder recorder, String target, String replacement)
             throws Exception {
-        List<NodeProfile> traits = new ArrayList<>();
+        List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            traits.add(NodeProfile.quick(i, MIB));
+            profiles.add(NodeProfile.quick(i, MIB));
         }
-        cluster = LocalCluster.start(traits, recorder, 2);
-        gateway = cluster.open(site(0, 1).replace(piece, other), 1);
+        cluster = LocalCluster.start(profiles, recorder, 2);
+        gateway = cluster.open(site(0, 1).replace(target, replacement), 1);
     }
 
     String site(int number, int gateways) {
@@ -44,16 +44,16 @@
         return client(gateway, NbdClient.Style.GO);
     }
 
-    NbdClient client(NbdGateway of, NbdClient.Style style) {
+    NbdClient client(NbdGateway target, NbdClient.Style style) {
         NbdClient client =
                 await(
                         NbdClient.open(
-                                cluster.loops(), EventLoops.socket(), of.address(), "demo", style));
+                                cluster.loops(), EventLoops.socket(), target.address(), "demo", style));
         clients.add(client);
         return client;
     }
 
-    static byte[] noise(int seed, int length) {
+    static byte[] randomBytes(int seed, int length) {
         byte[] data = new byte[length];
         new Random(seed).nextBytes(data);
         return data;
@@ -70,8 +70,8 @@
     }
 
     /** The error of a reply whose data nobody looks at. */
-    static int error(CompletableFuture<NbdReply> asked) {
-        NbdReply reply = await(asked);
+    static int error(CompletableFuture<NbdReply> pending) {
+        NbdReply reply = await(pending);
         reply.release();
         return reply.error;
     }
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -25,27 +25,27 @@
 /** Gateways that start, run and go on while the directory is down. */
 class WithoutDiscoveryTest {
     private static final String SITE = "sagepulley";
-    @TempDir private Path folder;
+    @TempDir private Path tempDir;
 
-    private String site(NbdTestFixture rig) {
-        return rig.site(0, 1)
+    private String site(NbdTestFixture fixture) {
+        return fixture.site(0, 1)
                 + "\n[membership]\nlist = "
-                + folder.resolve("nodes")
+                + tempDir.resolve("nodes")
                 + "\nholders = "
-                + folder.resolve("holders")
+                + tempDir.resolve("holders")
                 + "\n";
     }
 
     /** A gateway's first life: some extents get holders, and all is kept. */
-    private String firstLife(NbdTestFixture rig) throws Exception {
-        String site = site(rig);
+    private String runFirstIncarnation(NbdTestFixture fixture) throws Exception {
+        String site = site(fixture);
         NbdGateway first =
                 NbdTestFixture.await(new NbdGateway(SiteConfig.read("site", site), 11).start());
-        NbdClient client = rig.client(first, NbdClient.Style.GO);
+        NbdClient client = fixture.client(first, NbdClient.Style.GO);
         for (int i = 0; i < 6; i++) {
             NbdTestFixture.await(
                             client.write(
-                                    i * (long) NbdTestFixture.MIB, NbdTestFixture.noise(i, 4096)))
+                                    i * (long) NbdTestFixture.MIB, NbdTestFixture.randomBytes(i, 4096)))
                     .release();
         }
         NbdTestFixture.await(first.stop());
@@ -53,15 +53,15 @@
     }
 
     /** Makes the kept list as if it had last been confirmed so long ago. */
-    private void age(double by) throws Exception {
-        EndpointListFile file = new EndpointListFile(folder.resolve("nodes"), SITE);
+    private void ageStoredList(double millis) throws Exception {
+        EndpointListFile file = new EndpointListFile(tempDir.resolve("nodes"), SITE);
         StoredEndpointList list = file.inspect().list();
         file.write(
                 new StoredEndpointList(
                         list.site(),
                         list.history(),
                         list.version(),
-                        list.confirmedAt() - (long) by,
+                        list.confirmedAt() - (long) millis,
                         list.endpoints()),
                 System.currentTimeMillis());
     }
@@ -70,110 +70,110 @@
         return NbdTestFixture.await(new NbdGateway(SiteConfig.read("site", site), seed).start());
     }
 
-    private static void reads(NbdClient client) {
+    private static void assertExtentsReadable(NbdClient client) {
         for (int i = 0; i < 6; i++) {
             NbdReply reply = NbdTestFixture.await(client.read(i * (long) NbdTestFixture.MIB, 4096));
             assertEquals(0, reply.error, "extent " + i);
-            assertArrayEquals(NbdTestFixture.noise(i, 4096), NbdTestFixture.data(reply));
+            assertArrayEquals(NbdTestFixture.randomBytes(i, 4096), NbdTestFixture.data(reply));
             reply.release();
         }
     }
 
     @Test
     void startsWithStoredListOfAnyAgeAndReadsKnownExtents() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            String site = firstLife(rig);
-            NbdTestFixture.await(rig.cluster.directory().stop());
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            String site = runFirstIncarnation(fixture);
+            NbdTestFixture.await(fixture.cluster.directory().stop());
             double[] ages = {60_000, 3_600_000, 7 * 86_400_000.0};
-            ListFreshness[] trusts = {ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD};
+            ListFreshness[] expectedFreshness = {ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD};
             for (int i = 0; i < ages.length; i++) {
-                age(ages[i]);
-                NbdGateway again = start(site, 20 + i);
-                assertEquals(trusts[i], NbdTestFixture.await(again.nodes()).trust());
-                reads(rig.client(again, NbdClient.Style.GO));
-                NbdTestFixture.await(again.kill());
+                ageStoredList(ages[i]);
+                NbdGateway restarted = start(site, 20 + i);
+                assertEquals(expectedFreshness[i], NbdTestFixture.await(restarted.nodes()).trust());
+                assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
+                NbdTestFixture.await(restarted.kill());
             }
         }
     }
 
     @Test
     void drainingNodeAnnouncesItInHandshakeAndGetsNoAttempts() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            String site = firstLife(rig);
-            NbdTestFixture.await(rig.cluster.directory().stop());
-            rig.cluster.nodes().get(0).drain();
-            age(60_000);
-            NbdGateway again = start(site, 30);
-            long before = again.counters().attempts.sum();
-            NbdClient client = rig.client(again, NbdClient.Style.GO);
-            List<CompletableFuture<NbdReply>> all = new java.util.ArrayList<>();
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            String site = runFirstIncarnation(fixture);
+            NbdTestFixture.await(fixture.cluster.directory().stop());
+            fixture.cluster.nodes().get(0).drain();
+            ageStoredList(60_000);
+            NbdGateway restarted = start(site, 30);
+            long before = restarted.counters().attempts.sum();
+            NbdClient client = fixture.client(restarted, NbdClient.Style.GO);
+            List<CompletableFuture<NbdReply>> reads = new java.util.ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                all.add(client.read(i * (long) NbdTestFixture.MIB, 4096));
+                reads.add(client.read(i * (long) NbdTestFixture.MIB, 4096));
             }
-            for (CompletableFuture<NbdReply> one : all) {
-                NbdTestFixture.await(one).release();
+            for (CompletableFuture<NbdReply> read : reads) {
+                NbdTestFixture.await(read).release();
             }
-            assertTrue(again.counters().attempts.sum() > before);
-            NodesView view = NbdTestFixture.await(again.nodes());
+            assertTrue(restarted.counters().attempts.sum() > before);
+            NodesView view = NbdTestFixture.await(restarted.nodes());
             assertEquals(
                     EndpointRecord.Phase.DRAINING,
                     view.nodes().get(0).phase(),
                     view.nodes().get(0).reason());
-            NbdTestFixture.await(again.kill());
+            NbdTestFixture.await(restarted.kill());
         }
     }
 
     @Test
     void firstWritesAreRejectedUntilTheDirectoryIsReachable() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            String site = firstLife(rig);
-            NbdTestFixture.await(rig.cluster.directory().stop());
-            NbdGateway again = start(site, 40);
-            NbdClient client = rig.client(again, NbdClient.Style.GO);
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            String site = runFirstIncarnation(fixture);
+            NbdTestFixture.await(fixture.cluster.directory().stop());
+            NbdGateway restarted = start(site, 40);
+            NbdClient client = fixture.client(restarted, NbdClient.Style.GO);
             assertEquals(
                     NbdConstants.ENOMEM,
                     NbdTestFixture.error(
                             client.write(
-                                    40L * NbdTestFixture.MIB, NbdTestFixture.noise(40, 4096))));
-            long attempts = again.counters().attempts.sum();
+                                    40L * NbdTestFixture.MIB, NbdTestFixture.randomBytes(40, 4096))));
+            long attempts = restarted.counters().attempts.sum();
             assertEquals(
                     0,
-                    NbdTestFixture.error(client.write(0, NbdTestFixture.noise(0, 4096))),
+                    NbdTestFixture.error(client.write(0, NbdTestFixture.randomBytes(0, 4096))),
                     "a known extent is written");
-            assertEquals(attempts + 1, again.counters().attempts.sum());
-            NbdTestFixture.await(rig.cluster.directory().restart());
+            assertEquals(attempts + 1, restarted.counters().attempts.sum());
+            NbdTestFixture.await(fixture.cluster.directory().restart());
             await().until(
                             () -> {
                                 NbdReply reply =
                                         NbdTestFixture.await(
                                                 client.write(
                                                         40L * NbdTestFixture.MIB,
-                                                        NbdTestFixture.noise(40, 4096)));
+                                                        NbdTestFixture.randomBytes(40, 4096)));
                                 reply.release();
                                 return reply.error == 0;
                             });
-            assertEquals(ListFreshness.FRESH, NbdTestFixture.await(again.nodes()).trust());
-            NbdTestFixture.await(again.kill());
+            assertEquals(ListFreshness.FRESH, NbdTestFixture.await(restarted.nodes()).trust());
+            NbdTestFixture.await(restarted.kill());
         }
     }
 
     @Test
     void wrongStoredHolderDeniesAndRightOneIsFound() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            String site = firstLife(rig);
-            HolderFile file = new HolderFile(folder.resolve("holders"), SITE);
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            String site = runFirstIncarnation(fixture);
+            HolderFile file = new HolderFile(tempDir.resolve("holders"), SITE);
             int[] cells = file.load().get(1);
             int[] wrong = cells.clone();
             for (int i = 0; i < 6; i++) {
                 wrong[i] = 1 + cells[i] % 3;
             }
             file.write(java.util.Map.of(1, wrong), System.currentTimeMillis());
-            NbdGateway again = start(site, 50);
-            reads(rig.client(again, NbdClient.Style.GO));
+            NbdGateway restarted = start(site, 50);
+            assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
             assertTrue(
-                    again.counters().notExecuted.sum() >= 6,
-                    "each was denied once: " + again.counters().notExecuted.sum());
-            NbdTestFixture.await(again.stop());
+                    restarted.counters().notExecuted.sum() >= 6,
+                    "each was denied once: " + restarted.counters().notExecuted.sum());
+            NbdTestFixture.await(restarted.stop());
             assertArrayEquals(
                     Arrays.copyOf(cells, 6), Arrays.copyOf(file.load().get(1), 6), "and corrected");
         }
@@ -181,18 +181,18 @@
 
     @Test
     void tornListFallsBackAndListOfAnotherSiteIsIgnored() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            String site = firstLife(rig);
-            age(0); // writes a second generation
-            Path file = folder.resolve("nodes");
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            String site = runFirstIncarnation(fixture);
+            ageStoredList(0); // writes a second generation
+            Path file = tempDir.resolve("nodes");
             byte[] whole = Files.readAllBytes(file);
             Files.write(file, Arrays.copyOf(whole, whole.length / 3));
-            NbdTestFixture.await(rig.cluster.directory().stop());
-            NbdGateway again = start(site, 60);
-            reads(rig.client(again, NbdClient.Style.GO));
-            assertTrue(Files.exists(folder.resolve("nodes.set-aside")));
-            NbdTestFixture.await(again.kill());
-            NbdTestFixture.await(rig.cluster.directory().restart());
+            NbdTestFixture.await(fixture.cluster.directory().stop());
+            NbdGateway restarted = start(site, 60);
+            assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
+            assertTrue(Files.exists(tempDir.resolve("nodes.set-aside")));
+            NbdTestFixture.await(restarted.kill());
+            NbdTestFixture.await(fixture.cluster.directory().restart());
             String other = site.replace("[site]", "[site]\nname = elsewhere");
             NbdGateway elsewhere = start(other, 61);
             NodesView view = NbdTestFixture.await(elsewhere.nodes());
@@ -204,17 +204,17 @@
 
     @Test
     void listOfAnotherSiteOrEmptyListChangesNothing() throws Exception {
-        try (NbdTestFixture rig = new NbdTestFixture(3)) {
-            String site = firstLife(rig);
-            NbdGateway again = start(site, 70);
-            NbdClient client = rig.client(again, NbdClient.Style.GO);
-            NbdTestFixture.await(rig.cluster.directory().stop());
-            NbdTestFixture.await(rig.cluster.directory().replaceWith("another", 9, 1, List.of()));
-            NbdTestFixture.await(rig.cluster.directory().restart());
-            long lists = rig.cluster.directory().completeLists();
-            await().until(() -> rig.cluster.directory().completeLists() > lists);
-            reads(client);
-            NbdTestFixture.await(again.kill());
+        try (NbdTestFixture fixture = new NbdTestFixture(3)) {
+            String site = runFirstIncarnation(fixture);
+            NbdGateway restarted = start(site, 70);
+            NbdClient client = fixture.client(restarted, NbdClient.Style.GO);
+            NbdTestFixture.await(fixture.cluster.directory().stop());
+            NbdTestFixture.await(fixture.cluster.directory().replaceWith("another", 9, 1, List.of()));
+            NbdTestFixture.await(fixture.cluster.directory().restart());
+            long lists = fixture.cluster.directory().completeLists();
+            await().until(() -> fixture.cluster.directory().completeLists() > lists);
+            assertExtentsReadable(client);
+            NbdTestFixture.await(restarted.kill());
         }
     }
 }
