--- a/src/main/java/sagepulley/frontend/nbd/AccountReports.java
+++ b/src/main/java/sagepulley/frontend/nbd/AccountReports.java
@@ -15,8 +15,9 @@
 import sagepulley.persistence.GatewayAccounts;
 
 /**
- * Hands the accounts to operators and to the disk. Its public face may be called from any thread;
- * the accounts are read on the engine's event loop only, a few at a time.
+ * Provides reports and copies of the accounts for operators and for storage on disk. Its methods
+ * may be called from any thread; the accounts are read on the engine's event loop only, and copied
+ * in small steps.
  */
 final class AccountReports {
     private static final int WINDOWS_PER_COPY_STEP = 64;
@@ -29,8 +30,8 @@
     private final Supplier<Map<Long, Double>> listVersions;
 
     /**
-     * @param listVersions when the latest versions of the endpoint list came, in wall-clock
-     *     milliseconds; asked on the loop
+     * @param listVersions supplies the arrival times of the latest endpoint list versions, in
+     *     wall-clock milliseconds; called on the loop
      */
     AccountReports(
             String gatewayName,
@@ -47,10 +48,14 @@
         this.listVersions = listVersions;
     }
 
-    /** A copy of the accounts, and the versions of the endpoint list when it was complete. */
+    /**
+     * A copy of the accounts, with the endpoint list versions at the time when it was completed.
+     */
     private record AccountCopy(LatencyAccount account, Map<Long, Double> listVersions) {}
 
-    /** Each volume's account of the last so many milliseconds, by name. */
+    /**
+     * Returns the report of each volume for the last {@code millis} milliseconds, by volume name.
+     */
     CompletableFuture<Map<String, LatencyReport>> recent(double millis) {
         return CompletableFuture.supplyAsync(() -> recentOnLoop(millis), loop);
     }
@@ -70,12 +75,15 @@
         return reports;
     }
 
-    /** Sums since the start. */
+    /** Returns the totals since the start. */
     CompletableFuture<Totals> totals() {
         return CompletableFuture.supplyAsync(accounts::totals, loop);
     }
 
-    /** The accounts as they go to disk; assembled off the event loop from a copy. */
+    /**
+     * Returns the accounts in the form that is written to disk, assembled off the event loop from a
+     * copy.
+     */
     CompletableFuture<GatewayAccounts> snapshot() {
         CompletableFuture<AccountCopy> copied = new CompletableFuture<>();
         loop.execute(() -> copyStep(accounts.startCopy(), copied));
--- a/src/main/java/sagepulley/frontend/nbd/AttemptMessages.java
+++ b/src/main/java/sagepulley/frontend/nbd/AttemptMessages.java
@@ -6,14 +6,14 @@
 import sagepulley.model.Outcome;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Maps attempts to messages of the store protocol, and answers back to the model's terms. */
+/** Maps attempts to messages of the store protocol, and answers to the scheduler's model. */
 final class AttemptMessages {
     private AttemptMessages() {}
 
     /**
-     * The message that carries an attempt to its node.
+     * Returns the message that carries an attempt to its node.
      *
-     * @param extentMustExist whether a node without the extent must not run it
+     * @param extentMustExist whether a node that does not have the extent must refuse to execute it
      */
     static StoreMessages.Send send(RequestPart part, Attempt attempt, boolean extentMustExist) {
         Operation operation = part.operation;
@@ -33,15 +33,15 @@
                 extentMustExist);
     }
 
-    /** Records what an answer tells of the node's load. */
+    /** Records the load that a node reported with its answer. */
     static void recordLoad(Attempt attempt, StoreMessages.Answer answer) {
-        // On the wire, 0 stands for no figure.
+        // On the wire, 0 means that no value is reported.
         attempt.planUsagePercent = answer.planUsage() == 0 ? Double.NaN : answer.planUsage() - 1;
         attempt.otherGatewaysUnits = answer.otherGatewaysUnits();
         attempt.report = loadReport(answer.loadReport());
     }
 
-    /** The values of a load report; null if it has none. */
+    /** Returns the values of a load report, or null if it is empty. */
     static double[] loadReport(float[] loadReport) {
         if (loadReport.length == 0) {
             return null;
@@ -54,8 +54,9 @@
     }
 
     /**
-     * The outcome of an answered attempt. The data of a read goes to its request, any other payload
-     * is released; a read of the wrong length has failed.
+     * Returns the outcome of an answered attempt. Adds the data of a served read to its request and
+     * releases any other payload. A served answer whose payload has the wrong length counts as
+     * failed.
      */
     static Outcome takeOutcome(RequestPart part, StoreMessages.Code code, ByteBuf payload) {
         Outcome outcome = outcome(code);
@@ -77,7 +78,7 @@
             case SERVED -> Outcome.SERVED;
             case FAILED -> Outcome.FAILED;
             case FULL, DRAINING -> Outcome.REJECTED;
-            // A write whose token went to another gateway never ran, and the node is not to blame.
+            // A write with a stale token was not executed, and the node is not at fault.
             case NOT_EXECUTED, STALE_WRITE_TOKEN -> Outcome.NOT_EXECUTED;
             case CANCELLED -> Outcome.CANCELLED;
         };
--- a/src/main/java/sagepulley/frontend/nbd/BlockStatusRequest.java
+++ b/src/main/java/sagepulley/frontend/nbd/BlockStatusRequest.java
@@ -5,16 +5,16 @@
 import sagepulley.codec.nbd.NbdConstants;
 
 /**
- * The extents that an NBD_CMD_BLOCK_STATUS request touches, and the base:allocation descriptors
- * that answer it: an extent without a holder is a hole that reads as zeroes.
+ * The extents that an NBD_CMD_BLOCK_STATUS request covers. Builds the base:allocation descriptors
+ * of its reply: an extent without a holder is a hole that reads as zeroes.
  *
- * @param firstExtent number of the first extent in the export
- * @param extentCount how many extents are looked up; a longer range is answered in part, which the
- *     protocol text allows
+ * @param firstExtent index of the first extent in the export
+ * @param extentCount number of extents to look up; a longer range is answered in part, which the
+ *     NBD protocol allows
  */
 record BlockStatusRequest(
         PendingRequest request, int extentBytes, long firstExtent, int extentCount) {
-    /** The extents of a request, at most so many. */
+    /** Returns the extents that a request covers, limited to {@code maxExtents}. */
     static BlockStatusRequest of(PendingRequest request, int extentBytes, int maxExtents) {
         long firstExtent = request.command.offset() / extentBytes;
         long lastExtent = (end(request) - 1) / extentBytes;
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Lengths in bytes and status flags by turns; neighbours with the same status are one
-     * descriptor. Only the first with NBD_CMD_FLAG_REQ_ONE.
+     * Returns alternating lengths in bytes and status flags. Adjacent extents with the same status
+     * share one descriptor. With NBD_CMD_FLAG_REQ_ONE only the first descriptor is returned.
      *
      * @param cells the cell that holds each extent, negative for none
      */
--- a/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
+++ b/src/main/java/sagepulley/frontend/nbd/BufferBudget.java
@@ -4,8 +4,9 @@
 import sagepulley.codec.nbd.AdmissionGate;
 
 /**
- * Bounds the bytes of requests in flight, in all and for each client. What does not fit waits in
- * order, and its socket is not read meanwhile. Safe for use from any thread.
+ * Limits the bytes of requests in flight, in total and per client. A request that does not fit
+ * waits, and its connection is not read meanwhile; requests that wait for the total are admitted in
+ * order. Safe for use from any thread.
  */
 public final class BufferBudget {
     private final long maxBytes;
@@ -13,17 +14,17 @@
     private long maxUsedBytes;
     private final ArrayDeque<ClientBudget> queue = new ArrayDeque<>();
 
-    /** A budget of so many bytes for all clients together. */
+    /** Creates a budget of {@code maxBytes} for all clients together. */
     public BufferBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Bytes in flight now. */
+    /** Returns the bytes in flight. */
     public synchronized long usedBytes() {
         return usedBytes;
     }
 
-    /** The most bytes that were ever in flight at once. */
+    /** Returns the maximum bytes that were in flight at once. */
     public synchronized long maxUsedBytes() {
         return maxUsedBytes;
     }
@@ -33,10 +34,12 @@
         private final long maxClientBytes;
         private long usedClientBytes;
 
-        /** Bytes that it waits for; 0 for none. */
+        /** Bytes that the client waits for; 0 if it does not wait. */
         private long waitingForBytes;
 
+        /** Whether the awaited bytes have been granted and the retry has not used them yet. */
         private boolean granted;
+
         private Runnable retry;
 
         ClientBudget(long maxClientBytes) {
@@ -81,7 +84,10 @@
             }
         }
 
-        /** The connection has ended: it waits for nothing any more. */
+        /**
+         * Stops waiting and returns granted bytes that were not used. Called when the connection
+         * has closed.
+         */
         public void close() {
             synchronized (BufferBudget.this) {
                 queue.remove(this);
@@ -102,11 +108,12 @@
         }
     }
 
-    /** A new client's share, of at most so many bytes. */
+    /** Creates the share of a new client, limited to {@code maxClientBytes}. */
     public ClientBudget client(long maxClientBytes) {
         return new ClientBudget(maxClientBytes);
     }
 
+    /** Grants waiting clients their bytes, in order, until the next does not fit the total. */
     private void grantNext() {
         for (ClientBudget first = queue.peek();
                 first != null && usedBytes + first.waitingForBytes <= maxBytes;
--- a/src/main/java/sagepulley/frontend/nbd/Counters.java
+++ b/src/main/java/sagepulley/frontend/nbd/Counters.java
@@ -3,44 +3,44 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts of one gateway since its start. Operations are the parts of requests; each accepted one is
- * served, rejected, abandoned or cancelled in the end. Safe for use from any thread.
+ * Counters of one gateway since its start. An operation is one part of a request; each accepted
+ * operation ends as served, rejected, abandoned or cancelled. Safe for use from any thread.
  */
 public final class Counters {
     /** Operations accepted. */
     public final LongAdder accepted = new LongAdder();
 
-    /** Operations that a node served, or that needed none. */
+    /** Operations that a node served, or that needed no node. */
     public final LongAdder served = new LongAdder();
 
-    /** Operations answered with ENOMEM: they did not run. */
+    /** Operations rejected with ENOMEM; they were not executed. */
     public final LongAdder rejected = new LongAdder();
 
-    /** Operations answered with EIO: they may have run. */
+    /** Operations abandoned with EIO; they may have been executed. */
     public final LongAdder abandoned = new LongAdder();
 
-    /** Operations whose client disconnected. */
+    /** Operations cancelled because their client disconnected. */
     public final LongAdder cancelled = new LongAdder();
 
-    /** Attempts sent to nodes. */
+    /** Attempts handed to the connections of nodes. */
     public final LongAdder attempts = new LongAdder();
 
-    /** Attempts that ended with proof that they never ran. */
+    /** Attempts that ended with the outcome NOT_EXECUTED. */
     public final LongAdder notExecuted = new LongAdder();
 
-    /** Operations at extents without a holder. */
+    /** Operations on extents without a holder, which need no node. */
     public final LongAdder holes = new LongAdder();
 
     /** Client connections accepted. */
     public final LongAdder clients = new LongAdder();
 
-    /** Client connections ended. */
+    /** Accepted client connections that have closed. */
     public final LongAdder clientsEnded = new LongAdder();
 
-    /** Client connections ended for a malformed message. */
+    /** Client connections closed because of a malformed message. */
     public final LongAdder protocolErrors = new LongAdder();
 
-    /** Operations accepted that have no final answer yet. */
+    /** Returns the number of accepted operations without a final answer. */
     public long open() {
         return accepted.sum() - served.sum() - rejected.sum() - abandoned.sum() - cancelled.sum();
     }
--- a/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
+++ b/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
@@ -26,16 +26,18 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Brings endpoint lists and the nodes' own words to membership, and membership's view of the nodes
- * to the scheduler, the connections and the accounts. Owns the membership; confined to the engine's
- * event loop, but for {@link #snapshot}.
+ * Applies endpoint lists and node handshakes to the membership, and publishes the resulting view of
+ * the nodes to the scheduler, the connections and the accounts. Owns the membership; confined to
+ * the engine's event loop, except for {@link #snapshot}.
  */
 final class EndpointListFollower {
     private static final double MIN_FETCH_BACKOFF_MILLIS = 100;
     private static final double MAX_FETCH_BACKOFF_MILLIS = 5_000;
     private static final long MEMBERSHIP_CHECK_INTERVAL_MILLIS = 50;
 
-    /** A silent subscription is confirmed this often, so that the list keeps its freshness. */
+    /**
+     * Interval at which a subscription without changes is confirmed, so that the list stays fresh.
+     */
     private static final double CONFIRMATION_INTERVAL_MILLIS = 30_000;
 
     private static final double MAX_SNAPSHOT_AGE_MILLIS = 30_000;
@@ -56,14 +58,14 @@
     private Runnable firstListReceived;
 
     /**
-     * When the latest versions of the list came, in wall-clock milliseconds: by these, the accounts
-     * of several gateways are aligned.
+     * Arrival times of the latest list versions, in wall-clock milliseconds. They serve to align
+     * the accounts of several gateways.
      */
     private final Map<Long, Double> listVersions = new LinkedHashMap<>();
 
     private ScheduledFuture<?> membershipChecks;
 
-    /** Whether there is a list to serve by, from the directory or from disk. */
+    /** Whether a list is known, from the directory, the settings or disk. */
     private boolean listKnown;
 
     private double confirmAt = Double.NEGATIVE_INFINITY;
@@ -96,16 +98,16 @@
                 new ReconnectBackoff(MIN_FETCH_BACKOFF_MILLIS, MAX_FETCH_BACKOFF_MILLIS, random);
     }
 
-    /** Takes over the list that an earlier incarnation stored. Before the start. */
+    /** Restores the list that an earlier incarnation stored. Called before the start. */
     void restore(StoredEndpointList stored) {
         membership.restore(stored, wallMillis());
     }
 
     /**
-     * Begins to check the membership. Without a known list it fetches one, and runs the callback
-     * once the first has come.
+     * Starts the periodic membership checks. If no list is known, fetches one and runs the callback
+     * after the first list is accepted.
      *
-     * @return whether a list is known already, by the settings or from disk
+     * @return whether a list is already known, from the settings or from disk
      */
     boolean start(List<EndpointRecord> configured, Runnable firstListReceived) {
         this.firstListReceived = firstListReceived;
@@ -120,7 +122,7 @@
             directory.fetch();
             return false;
         }
-        // The scheduler polls the list from here on; what is known serves meanwhile.
+        // The known list is used until the scheduler's first poll brings a newer one.
         LOG.atInfo()
                 .addKeyValue("freshness", membership.freshness(wallMillis()))
                 .addKeyValue("age", membership.age(wallMillis()))
@@ -130,7 +132,7 @@
         return true;
     }
 
-    /** Ends the checks. */
+    /** Stops the membership checks. */
     void close() {
         if (membershipChecks != null) {
             membershipChecks.cancel(false);
@@ -139,7 +141,7 @@
 
     // ---- the directory ----
 
-    /** An endpoint list came from the directory, pushed or asked for. */
+    /** Applies an endpoint list from the directory, pushed or requested. */
     void listReceived(DirectoryMessages.EndpointList list) {
         Membership.UpdateResult result = membership.applyUpdate(toUpdate(list), wallMillis());
         LOG.atInfo()
@@ -175,7 +177,7 @@
         schedulerChanged.run();
     }
 
-    /** The subscription dropped, or a poll of the list failed. */
+    /** Handles the loss of the subscription, or a failed request for the list. */
     void listFailed(String why) {
         LOG.atWarn().addKeyValue("why", why).log("endpoint list poll failed");
         pollFailed();
@@ -217,9 +219,12 @@
                 endpoint.port());
     }
 
-    // ---- the nodes' own words ----
+    // ---- node events ----
 
-    /** A node has said who it is; false if attempts that wait must not go out to it. */
+    /**
+     * Applies a node's handshake reply. Returns whether the attempts that wait for the connection
+     * may be sent to the node.
+     */
     boolean handshakeCompleted(Node node, StoreMessages.HandshakeReply reply) {
         Membership.HandshakeVerdict verdict =
                 membership.handshakeCompleted(
@@ -242,21 +247,21 @@
         return verdict == Membership.HandshakeVerdict.ACCEPTED && node.phase == Node.Phase.READY;
     }
 
-    /** A node announced its graceful shutdown. */
+    /** Applies a node's announcement of its graceful shutdown. */
     void draining(int nodeId) {
         LOG.atInfo().addKeyValue("node", nodeId).log("node announces that it drains");
         membership.drainAnnounced(nodeId);
         publish();
     }
 
-    /** A node's connection ended, or could not be opened. */
+    /** Records that a node's connection has closed or could not be opened. */
     void disconnected(int nodeId) {
         membership.disconnected(nodeId, wallMillis());
     }
 
     // ---- the view of the nodes ----
 
-    /** Publishes the nodes as membership sees them now. */
+    /** Publishes the membership's current view of the nodes. */
     private void publish() {
         List<Node> nodes = new ArrayList<>();
         connections.beginUpdate();
@@ -270,7 +275,10 @@
         schedulerChanged.run();
     }
 
-    /** Publishes what changes with time, and asks a few nodes who they are. */
+    /**
+     * Publishes changes that come with time, connects to the nodes that are due for a probe, and
+     * confirms the list if that is due.
+     */
     private void checkMembership() {
         double wallMillis = wallMillis();
         if (listKnown && membership.advanceTo(wallMillis)) {
@@ -285,7 +293,10 @@
         }
     }
 
-    /** Any answer of the directory confirms the list, for a subscription tells every change. */
+    /**
+     * Confirms the list by a lookup. While the subscription is active the directory pushes every
+     * change, so any of its answers proves that the list is current.
+     */
     private void confirmList() {
         directory.lookup(
                 volumes.iterator().next().settings.id(),
@@ -302,7 +313,9 @@
         return clock.toWallClock(clock.now());
     }
 
-    /** What the endpoint list is now, for operators; the caller adds what it knows itself. */
+    /**
+     * Returns the current view of the nodes; the caller supplies the values that are not held here.
+     */
     NodesView view(String gatewayName, boolean directoryReachable, int unverifiedExtents) {
         return new NodesView(
                 gatewayName,
@@ -313,12 +326,12 @@
                 membership.members(wallMillis()));
     }
 
-    /** When the latest versions of the list came, in wall-clock milliseconds. */
+    /** Returns the arrival times of the latest list versions, in wall-clock milliseconds. */
     Map<Long, Double> listVersions() {
         return listVersions;
     }
 
-    /** The list as it goes to disk; null if nothing is new. From any thread. */
+    /** Returns the list to store, or null if no write is due. May be called from any thread. */
     CompletableFuture<StoredEndpointList> snapshot() {
         CompletableFuture<StoredEndpointList> snapshot = new CompletableFuture<>();
         loop.execute(
--- a/src/main/java/sagepulley/frontend/nbd/ExportedVolume.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExportedVolume.java
@@ -10,8 +10,8 @@
 import sagepulley.model.Volume;
 
 /**
- * A volume in service: its settings, its export, and which nodes may hold writes that are not
- * durable yet. What changes is confined to the engine's event loop.
+ * A volume that is exported: its settings, its NBD export, and the writes at each node that are not
+ * durable yet. Its mutable state is confined to the engine's event loop.
  */
 final class ExportedVolume {
     /** Minimum block size of the exports ('Block size constraints'). */
@@ -20,9 +20,9 @@
     /** Preferred block size of the exports. */
     private static final int PREFERRED_BLOCK_BYTES = 4096;
 
-    /** Writes that a node acknowledged since the last flush. */
+    /** Writes that a node acknowledged since the last flush there. */
     static final class UnflushedWrites {
-        /** The node's incarnation, by its start in wall-clock milliseconds. */
+        /** The start time of the node's incarnation, in wall-clock milliseconds. */
         long nodeStartedAt;
 
         long writeCount;
@@ -32,7 +32,7 @@
     final Volume volume;
     final Export export;
 
-    /** Writes that may not be durable yet, by the cell whose node acknowledged them. */
+    /** Writes that may not be durable yet, by the cell of the node that acknowledged them. */
     final Map<Integer, UnflushedWrites> unflushedByCell = new HashMap<>();
 
     ExportedVolume(VolumeSettings settings, Volume volume, Export export) {
@@ -41,7 +41,7 @@
         this.export = export;
     }
 
-    /** All volumes of a site by name, in the order of its file. */
+    /** Returns all volumes of a site by name, in the order of the site file. */
     static Map<String, ExportedVolume> all(SiteConfig site) {
         Map<String, ExportedVolume> volumes = new LinkedHashMap<>();
         for (VolumeSettings settings : site.volumes()) {
@@ -56,7 +56,7 @@
     }
 
     private static Export export(VolumeSettings settings, int maxBlockBytes) {
-        // A flush reaches every write acknowledged by this gateway, whatever connection it came by.
+        // A flush covers every write that this gateway acknowledged, on any connection.
         boolean multiConn = true;
         return new Export(
                 settings.name(),
@@ -69,7 +69,7 @@
                 maxBlockBytes);
     }
 
-    /** A write was acknowledged that its node may not have durably. */
+    /** Records a write that a node acknowledged without making it durable. */
     void recordWrite(int cell, long nodeStartedAt) {
         UnflushedWrites unflushed = unflushedByCell.get(cell);
         if (unflushed == null) {
@@ -80,7 +80,12 @@
         unflushed.writeCount++;
     }
 
-    /** A flush was acknowledged that began when the volume had so many unflushed writes there. */
+    /**
+     * Records an acknowledged flush. The cell has no unflushed writes left unless further writes
+     * were acknowledged after the flush began.
+     *
+     * @param writeCount the number of unflushed writes at the cell when the flush began
+     */
     void recordFlush(int cell, long writeCount) {
         UnflushedWrites unflushed = unflushedByCell.get(cell);
         if (unflushed != null && unflushed.writeCount == writeCount) {
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -17,36 +17,43 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Finds the cell that holds an extent: by what is cached, by a lookup, or by a claim at the
- * directory for a first write (docs/protocols.md). Owns the parts that wait for an answer; confined
+ * Finds the cell that holds an extent: from the cache, by a lookup at the directory, or for a first
+ * write by a claim there (docs/protocols.md). Owns the parts that wait for the directory; confined
  * to the engine's event loop.
  */
 final class ExtentLocator {
-    /** Extents that one lookup asks for, and one step of a snapshot copies. */
+    /** Maximum number of extents in one lookup, and in one step of a snapshot. */
     static final int MAX_EXTENTS_PER_STEP = 1 << 14;
 
     /**
-     * A shard that no node has: the scheduler keeps such an operation until its holder is known.
+     * Shard of an operation whose holder is unknown. No node has this shard, so the scheduler keeps
+     * the operation until its holder is known.
      */
     private static final int UNKNOWN_SHARD = Integer.MAX_VALUE;
 
-    /** The scheduler chooses a node for an operation with this shard. */
+    /** Shard of a first write, for which the scheduler chooses a node. */
     private static final int ANY_SHARD = -1;
 
     private static final Logger LOG = LoggerFactory.getLogger(ExtentLocator.class);
 
-    /** Receives what became of the parts whose extent was sought. */
+    /** Receives the results of locating parts. */
     interface Listener {
-        /** The part's shard is set as far as it is known: it goes to the scheduler. */
+        /**
+         * Called when the part can go to the scheduler; its shard is set, to a placeholder if the
+         * holder is not known.
+         */
         void located(RequestPart part);
 
-        /** No cell holds the part's extent: it reads as zeroes, and needs no node. */
+        /** Called when no cell holds the part's extent: it reads as zeroes and needs no node. */
         void unallocated(RequestPart part);
 
-        /** The part waits for the directory from this time of the engine's clock on. */
+        /**
+         * Called when the part starts to wait for the directory, at {@code now} in engine
+         * milliseconds.
+         */
         void directoryWaitStarted(RequestPart part, double now);
 
-        /** The scheduler may have work that became due. */
+        /** Called when the scheduler may have work that is due. */
         void schedulerChanged();
     }
 
@@ -57,13 +64,16 @@
     private final Listener listener;
     private final ExtentHolders<RequestPart> holders = new ExtentHolders<>();
 
-    /** Parts in flight whose holder is not known, by extent. */
+    /** Parts in flight whose holder is unknown, by extent. */
     private final Map<Long, Set<RequestPart>> unlocated = new HashMap<>();
 
-    /** Extents whose holder is known from disk only: the first node that is asked confirms it. */
+    /** Extents whose holder was read from disk and is not confirmed by a node yet. */
     private final Set<Long> unverified = new HashSet<>();
 
-    /** The directory cannot be reached: only the scheduler's polls try it. */
+    /**
+     * Whether the directory is unreachable. No lookup or claim is sent until it answers a poll of
+     * the endpoint list.
+     */
     private boolean directoryUnreachable;
 
     private boolean changedSinceSnapshot;
@@ -81,10 +91,11 @@
         this.listener = listener;
     }
 
-    // ---- what is cached ----
+    // ---- cached holders ----
 
     /**
-     * Takes over the holders that an earlier incarnation stored: the cell of each extent, or -1.
+     * Restores the holders that an earlier incarnation stored, given as the cell of each extent or
+     * -1.
      */
     void restore(ExportedVolume volume, int[] cells) {
         int volumeId = volume.settings.id();
@@ -97,46 +108,54 @@
         }
     }
 
-    /** How many extents a volume has. */
+    /** Returns the number of extents of a volume. */
     long extentCount(ExportedVolume volume) {
         return (volume.settings.sizeBytes() - 1) / extentBytes + 1;
     }
 
-    /** The cell that holds an extent, or -1 where none is known. */
+    /** Returns the cell that holds an extent, or -1 if it is unknown. */
     int holder(int volumeId, long extent) {
         return holders.cell(ExtentHolders.key(volumeId, extent));
     }
 
-    /** Whether a holder has changed since the last call. */
+    /** Returns whether a holder has changed since the last call. */
     boolean checkAndClearChanged() {
         boolean changed = changedSinceSnapshot;
         changedSinceSnapshot = false;
         return changed;
     }
 
-    /** How many holders are known from disk only. */
+    /**
+     * Returns the number of holders that were read from disk and are not confirmed by a node yet.
+     */
     int unverifiedCount() {
         return unverified.size();
     }
 
-    /** Whether the node must confirm that it has the part's extent, which is known from disk. */
+    /**
+     * Returns whether the holder of the part's extent was read from disk, so that the node must
+     * confirm that it has the extent.
+     */
     boolean isUnverified(RequestPart part) {
         return unverified.contains(part.operation.extent);
     }
 
-    /** A node served an operation at the part's extent. */
+    /** Records that a node served an operation on the part's extent, which confirms the holder. */
     void holderVerified(RequestPart part) {
         unverified.remove(part.operation.extent);
     }
 
-    /** Whether the directory answers, as far as is known. */
+    /** Returns whether the directory is reachable, as far as is known. */
     boolean isDirectoryReachable() {
         return !directoryUnreachable && directory.isOpen();
     }
 
-    // ---- parts that look for their holder ----
+    // ---- locating parts ----
 
-    /** Finds the holder of a part's extent; the listener receives it, at once or later. */
+    /**
+     * Finds the holder of a part's extent. The listener is called at once if no answer of the
+     * directory is needed, and later otherwise.
+     */
     void locate(RequestPart part) {
         long key = part.operation.extent;
         int cell = holders.cell(key);
@@ -157,7 +176,7 @@
         }
     }
 
-    /** A part has ended: it needs no holder any more. */
+    /** Removes a part that has ended from the parts that wait for a holder. */
     void stopLocating(RequestPart part) {
         long key = part.operation.extent;
         Set<RequestPart> parts = unlocated.get(key);
@@ -167,14 +186,20 @@
         holders.removeWaiter(key, part);
     }
 
-    /** Hands parts on that have waited long enough for the directory: the scheduler decides. */
+    /**
+     * Hands the parts that have waited for the directory for the maximum time to the listener
+     * without a holder.
+     */
     void releaseExpired(double now) {
         for (RequestPart part : holders.takeExpired(now)) {
             submitWithoutHolder(part);
         }
     }
 
-    /** When a part will have waited long enough, in engine milliseconds; infinite if none waits. */
+    /**
+     * Returns the time at which the next part has waited for the maximum time, in engine
+     * milliseconds; infinity if none waits.
+     */
     double nextExpiry() {
         return holders.nextExpiry();
     }
@@ -197,7 +222,10 @@
         listener.located(part);
     }
 
-    /** Whether the extent must have a holder afterwards. */
+    /**
+     * Returns whether the operation allocates its extent: a write, or a write of zeroes that must
+     * not leave a hole.
+     */
     private static boolean allocates(RequestPart part) {
         return part.kind == StoreMessages.Kind.WRITE
                 || (part.kind == StoreMessages.Kind.ZERO
@@ -208,7 +236,10 @@
         return allocates(part) ? shardForFirstWrite() : UNKNOWN_SHARD;
     }
 
-    /** Where a first write goes: to any node, or, while no claim can be made, to none yet. */
+    /**
+     * Returns the shard for a first write: any node, or unknown while the directory cannot process
+     * claims.
+     */
     private int shardForFirstWrite() {
         return directoryUnreachable ? UNKNOWN_SHARD : ANY_SHARD;
     }
@@ -216,8 +247,8 @@
     // ---- lookups ----
 
     /**
-     * Looked up after the operation came: an older answer could not know of a write acknowledged
-     * since.
+     * Looks up the holder of a part's extent. The lookup must start after the part arrived, because
+     * an earlier answer may miss a write that was acknowledged since.
      */
     private void lookup(RequestPart part) {
         if (directoryUnreachable) {
@@ -252,7 +283,10 @@
         }
     }
 
-    /** A holder became known: parts that wait for it, here or at the scheduler, go there. */
+    /**
+     * Records the holder of an extent, and routes the parts that wait for it here or at the
+     * scheduler.
+     */
     void holderFound(long key, int cell) {
         Set<RequestPart> parts = unlocated.remove(key);
         List<RequestPart> waitingParts = holders.holderLearned(key, cell);
@@ -274,8 +308,10 @@
     }
 
     /**
-     * The node that the disk names as the holder denied it: the holder is unknown until it is found
-     * again. True if the holder was known from disk only.
+     * Handles a node's answer that it did not execute an attempt. If the extent's holder was read
+     * from disk, the holder is wrong and becomes unknown.
+     *
+     * @return whether the holder was read from disk
      */
     boolean holderDenied(RequestPart part) {
         long key = part.operation.extent;
@@ -295,7 +331,10 @@
         return true;
     }
 
-    /** Looks up the extent of a part whose attempt was denied, unless a claim will find it. */
+    /**
+     * Looks up the extent of a part whose holder proved wrong. A part that allocates its extent
+     * claims it instead.
+     */
     void locateAfterDenial(RequestPart part) {
         if (!part.operation.ended && !allocates(part)) {
             lookup(part);
@@ -306,13 +345,13 @@
 
     /**
      * Claims a part's extent for the cell of its attempt's node. The result is the cell that holds
-     * it, or null if the directory did not answer.
+     * the extent, or null if the claim failed.
      */
     void claim(RequestPart part, Attempt attempt, Consumer<Integer> result) {
         long key = part.operation.extent;
         holders.claimStarted(key);
-        // Other first writes to the extent wait for this claim, or they would lose theirs against
-        // it.
+        // Holds back other first writes to the extent until the claim ends, because claims for
+        // other cells would fail.
         rerouteFirstWrites(key, UNKNOWN_SHARD);
         directory.claim(
                 part.request.volume.settings.id(),
@@ -339,7 +378,7 @@
         }
     }
 
-    /** Tells the scheduler anew where the first writes to an extent go that wait with it. */
+    /** Changes the shard of the first writes to an extent that wait at the scheduler. */
     private void rerouteFirstWrites(long key, int shard) {
         for (RequestPart part : unlocated.getOrDefault(key, Set.of())) {
             if (part.submitted
@@ -351,14 +390,20 @@
         }
     }
 
-    // ---- the directory's failures ----
+    // ---- directory failures ----
 
-    /** A call of the directory failed; without a connection it counts as unreachable. */
+    /**
+     * Records that a call to the directory has failed. The directory counts as unreachable if its
+     * connection is closed.
+     */
     void directoryCallFailed() {
         directoryUnreachable |= !directory.isOpen();
     }
 
-    /** The directory answers: claims can be made, and unknown holders looked up. */
+    /**
+     * Records that the directory has answered. If it was unreachable, first writes may claim
+     * extents again and pending lookups are repeated.
+     */
     void directoryAnswered() {
         if (!directoryUnreachable) {
             return;
--- a/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
+++ b/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
@@ -9,7 +9,7 @@
 import sagepulley.placement.ExtentHolders;
 
 /**
- * Looks up the holders of all extents of the volumes at the start, some at a time. Confined to the
+ * Looks up the holders of all extents in batches at the start of the gateway. Confined to the
  * engine's event loop.
  */
 final class HolderPreloader {
@@ -22,8 +22,8 @@
     private long nextExtent;
 
     /**
-     * @param onCompleted runs once all holders are known, or at once if a lookup fails: what is not known
-     *     then is looked up when it is needed
+     * @param onCompleted runs once all holders are loaded or a lookup has failed; the holders that
+     *     are missing then are looked up on demand
      */
     HolderPreloader(
             DirectoryClient directory,
@@ -36,7 +36,7 @@
         this.onCompleted = onCompleted;
     }
 
-    /** Begins, or goes on with, the lookups. */
+    /** Looks up the next batch; runs the callback if no batch is left. */
     void run() {
         if (remaining.isEmpty()) {
             onCompleted.run();
--- a/src/main/java/sagepulley/frontend/nbd/HolderSnapshots.java
+++ b/src/main/java/sagepulley/frontend/nbd/HolderSnapshots.java
@@ -10,8 +10,8 @@
 import sagepulley.persistence.HolderFile;
 
 /**
- * Copies the known holders of all extents for the disk, a step at a time, so that the engine's
- * event loop is never held up.
+ * Copies the known holders of all extents for storage on disk. A copy is spread over several tasks
+ * so that it does not block the engine's event loop.
  */
 final class HolderSnapshots {
     private final EventLoop loop;
@@ -25,8 +25,8 @@
     }
 
     /**
-     * The cell of each extent (-1 for none) by volume id; null if nothing changed since the last.
-     * From any thread.
+     * Returns the cell of each extent (-1 for none) by volume id, or null if nothing has changed
+     * since the last snapshot. May be called from any thread.
      */
     CompletableFuture<Map<Integer, int[]>> take() {
         CompletableFuture<Map<Integer, int[]>> snapshot = new CompletableFuture<>();
@@ -41,7 +41,7 @@
         return snapshot;
     }
 
-    /** One snapshot in the making. */
+    /** A snapshot in progress. */
     private final class Copy {
         private final CompletableFuture<Map<Integer, int[]>> snapshot;
         private final Map<Integer, int[]> cellsByVolume = new LinkedHashMap<>();
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -28,9 +28,9 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Serves NBD requests: composes the modules that locate extents, dispatch operations, follow the
- * endpoint list and keep the accounts, and passes them what sessions, nodes and the directory
- * bring. All of it runs on one event loop, but for the methods that say otherwise.
+ * Serves NBD requests. Composes the modules that locate extents, dispatch operations, follow the
+ * endpoint list and keep the accounts, and forwards to them the events from client sessions, nodes
+ * and the directory. Confined to one event loop, except for methods documented otherwise.
  */
 final class NbdEngine implements DirectoryClient.Listener, NodeConnectionRegistry.Listener {
     private final SiteConfig site;
@@ -51,9 +51,9 @@
     private final HolderSnapshots holderSnapshots;
 
     /**
-     * @param seed starts the random draws, and names this incarnation of the gateway to nodes and
-     *     directory
-     * @param tracer null if traces are not wanted
+     * @param seed seeds the random draws and identifies this incarnation of the gateway to nodes
+     *     and the directory
+     * @param tracer null if tracing is disabled
      */
     NbdEngine(
             SiteConfig site,
@@ -135,7 +135,8 @@
     // ---- start and shutdown ----
 
     /**
-     * What an earlier incarnation stored. On the loop, before the start.
+     * Restores the state that an earlier incarnation stored. Called on the event loop before the
+     * start.
      *
      * @param storedList the endpoint list, or null
      * @param storedHolders the cell of each extent (negative for none), by volume id
@@ -149,12 +150,15 @@
         }
     }
 
-    /** Goes on with the accounts of an earlier incarnation. On the loop. */
+    /** Restores the accounts of an earlier incarnation. Called on the event loop. */
     void restoreAccounts(LatencyAccount account) {
         accounting.accounts().restore(account, clock.now());
     }
 
-    /** Runs the callback once an endpoint list is known; without one, holders are loaded first. */
+    /**
+     * Starts to follow the endpoint list and runs the callback once a list is known. A list that
+     * has to be fetched first is followed by a preload of the extent holders before the callback.
+     */
     void start(Runnable ready) {
         List<EndpointRecord> configured =
                 site.membership().configuredNodes().stream().map(NbdEngine::toRecord).toList();
@@ -183,14 +187,14 @@
     }
 
     /**
-     * Begins the graceful shutdown: refuses new requests, and runs the callback once all in flight
-     * have their reply. From any thread.
+     * Begins the graceful shutdown: refuses new requests, and runs the callback once every request
+     * in flight has its reply. May be called from any thread.
      */
     void stop(Runnable whenEmpty) {
         loop.execute(() -> requests.stop(whenEmpty));
     }
 
-    /** Ends all connections and timers. On the loop, once nothing is in flight or wanted. */
+    /** Closes all connections and timers. Called on the event loop. */
     void close() {
         accounting.close();
         endpointList.close();
@@ -201,7 +205,7 @@
 
     // ---- requests ----
 
-    /** Begins a request that was found to be well-formed. From the client's loop. */
+    /** Starts a validated request. Called on the client's event loop. */
     void submit(NbdSession session, NbdRequest command, ExportedVolume volume) {
         if (loop.inEventLoop()) {
             begin(session, command, volume);
@@ -248,7 +252,10 @@
         dispatcher.scheduleTurn();
     }
 
-    /** Only the directory knows all holders, for another gateway may have written. */
+    /**
+     * Looks up the holders at the directory, because the cache may miss extents that other gateways
+     * have allocated.
+     */
     private void lookUpBlockStatus(PendingRequest request) {
         BlockStatusRequest blockStatus =
                 BlockStatusRequest.of(
@@ -271,7 +278,10 @@
                 });
     }
 
-    /** Cancels the requests of a client whose connection has ended. From the client's loop. */
+    /**
+     * Cancels the requests of a client whose connection has closed. Called on the client's event
+     * loop.
+     */
     void sessionClosed(NbdSession session) {
         loop.execute(
                 () -> {
@@ -296,7 +306,7 @@
         request.session.sendReply(request);
     }
 
-    // ---- what the directory brings ----
+    // ---- directory events ----
 
     @Override
     public void endpointListReceived(DirectoryMessages.EndpointList list) {
@@ -310,7 +320,7 @@
         endpointList.listFailed(why);
     }
 
-    // ---- what nodes bring ----
+    // ---- node events ----
 
     @Override
     public void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
@@ -349,39 +359,41 @@
         endpointList.disconnected(nodeId);
     }
 
-    // ---- what operators and the disk read, from any thread ----
+    // ---- views and snapshots, from any thread ----
 
-    /** Counts since the start. */
+    /** Returns the counters since the start. */
     Counters counters() {
         return counters;
     }
 
-    /** An exported volume, or null: they do not change in service. */
+    /**
+     * Returns the exported volume of that name, or null. The set of volumes is fixed at the start.
+     */
     ExportedVolume exportedVolume(String name) {
         return exportedVolumes.get(name);
     }
 
-    /** All exported volumes by name, in the order of the site file. */
+    /** Returns all exported volumes by name, in the order of the site file. */
     Map<String, ExportedVolume> exportedVolumes() {
         return exportedVolumes;
     }
 
-    /** The accounts, for operators and the disk. */
+    /** Returns the accessor to the accounts. */
     AccountReports accountReports() {
         return accountReports;
     }
 
-    /** The holders of extents, for the disk. */
+    /** Returns the source of snapshots of the extent holders. */
     HolderSnapshots holderSnapshots() {
         return holderSnapshots;
     }
 
-    /** The endpoint list as it goes to disk; null if nothing is new. */
+    /** Returns the endpoint list to store, or null if no write is due. */
     CompletableFuture<StoredEndpointList> endpointListSnapshot() {
         return endpointList.snapshot();
     }
 
-    /** The nodes as they are seen, for operators. */
+    /** Returns the current view of the nodes. */
     CompletableFuture<NodesView> nodesView() {
         CompletableFuture<NodesView> view = new CompletableFuture<>();
         loop.execute(
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -39,20 +39,22 @@
 import sagepulley.tracing.Tracer;
 
 /**
- * One NBD gateway in service: owns the listener, the client connections, the event loops and the
- * snapshot files around the engine. Its public methods may be called from any thread.
+ * Runs one NBD gateway: owns the listener, the client connections, the event loops and the snapshot
+ * files around the engine. Public methods may be called from any thread.
  */
 public final class NbdGateway {
-    /** So many volumes, the first of the site file, have totals of their own since the start. */
+    /** Maximum number of volumes with totals since the start, the first of the site file. */
     public static final int MAX_VOLUMES_WITH_TOTALS = 100;
 
     private static final double ENDPOINT_LIST_CHECK_INTERVAL_MILLIS = 500;
     private static final double HOLDERS_CHECK_INTERVAL_MILLIS = 10_000;
 
-    /** A client that stops inside a message, or reads no replies, for so long is disconnected. */
+    /**
+     * A client that stalls within a message or reads no replies is disconnected after this time.
+     */
     private static final int CLIENT_IDLE_TIMEOUT_SECONDS = 30;
 
-    /** How long the last replies have to leave the sockets at the graceful shutdown. */
+    /** Time for the last replies to leave the sockets during the graceful shutdown. */
     private static final long REPLY_FLUSH_MILLIS = 20;
 
     private static final int LISTEN_BACKLOG = 1024;
@@ -70,16 +72,16 @@
     private final List<PeriodicWriter<?>> snapshotWriters = new ArrayList<>();
 
     /**
-     * A gateway that is not started yet.
+     * Creates a gateway without starting it.
      *
-     * @param seed starts the random draws; it must differ at each start, for it names this
-     *     incarnation of the gateway
+     * @param seed seeds the random draws and identifies this incarnation of the gateway, so it must
+     *     differ at each start
      */
     public NbdGateway(SiteConfig site, long seed) {
         this(site, seed, new Scheduler(site.deployment(), seed), newMembership(site, seed));
     }
 
-    /** With another membership, to measure baselines. */
+    /** Creates a gateway with the given membership, which lets benchmarks measure a baseline. */
     public NbdGateway(SiteConfig site, long seed, Membership membership) {
         this(site, seed, new Scheduler(site.deployment(), seed), membership);
     }
@@ -120,7 +122,10 @@
                 new SplittableRandom(seed));
     }
 
-    /** Listens once an endpoint list is known, and is ready then; fails if it cannot listen. */
+    /**
+     * Starts the gateway. It listens once an endpoint list is known; the future completes then, or
+     * fails if the address cannot be bound.
+     */
     public CompletableFuture<NbdGateway> start() {
         CompletableFuture<NbdGateway> ready = new CompletableFuture<>();
         AccountFile.Loaded storedAccounts = readStoredAccounts();
@@ -140,8 +145,9 @@
     }
 
     /**
-     * What an earlier incarnation stored; null if there is nothing valid. That never keeps a
-     * gateway from starting.
+     * Returns the accounts that an earlier incarnation stored, or null if there are none that are
+     * valid, and starts the periodic writes of the account file. A read failure does not prevent
+     * the start.
      */
     private AccountFile.Loaded readStoredAccounts() {
         if (!site.accounts().enabled() || site.accounts().file() == null) {
@@ -244,7 +250,7 @@
                 client.pipeline(), new VolumeExports(), budget, new NbdSession(engine, budget));
     }
 
-    /** The volumes as exports; the first is the default. */
+    /** Exposes the volumes as NBD exports; the first is the default export. */
     private final class VolumeExports implements Exports {
         @Override
         public List<Export> all() {
@@ -261,59 +267,59 @@
         }
     }
 
-    /** Where NBD clients connect, once ready. */
+    /** Returns the address that NBD clients connect to; available once the gateway is ready. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Counts since the start. */
+    /** Returns the counters since the start. */
     public Counters counters() {
         return engine.counters();
     }
 
-    /** Each volume's latency account of the last so many milliseconds, by its name. */
+    /** Returns each volume's latency report for the given recent period, by volume name. */
     public CompletableFuture<Map<String, LatencyReport>> accounts(double recentMillis) {
         return engine.accountReports().recent(recentMillis);
     }
 
-    /** The nodes as the gateway sees them. */
+    /** Returns the gateway's current view of the nodes. */
     public CompletableFuture<NodesView> nodes() {
         return engine.nodesView();
     }
 
-    /** Sums of the accounts since the start. */
+    /** Returns the totals of the accounts since the start. */
     public CompletableFuture<Totals> totals() {
         return engine.accountReports().totals();
     }
 
-    /** Traces recorded since the start; 0 if traces are not wanted. */
+    /** Returns the number of traces exported since the start; 0 if tracing is disabled. */
     public long tracesRecorded() {
         return tracer == null ? 0 : tracer.exported();
     }
 
-    /** Traces dropped since the start; 0 if traces are not wanted. */
+    /** Returns the number of traces dropped since the start; 0 if tracing is disabled. */
     public long tracesDropped() {
         return tracer == null ? 0 : tracer.dropped();
     }
 
-    /** A copy of all accounts, as they go to disk. */
+    /** Returns a copy of all accounts in the form that is written to disk. */
     public CompletableFuture<GatewayAccounts> accountSnapshot() {
         return engine.accountReports().snapshot();
     }
 
-    /** Bytes of requests in flight now. */
+    /** Returns the bytes of requests in flight. */
     public long bytesInFlight() {
         return bufferBudget.usedBytes();
     }
 
-    /** The most bytes of requests that were ever in flight at once. */
+    /** Returns the maximum bytes of requests that were in flight at once. */
     public long maxBytesInFlight() {
         return bufferBudget.maxUsedBytes();
     }
 
     /**
-     * Shuts down gracefully: refuses new requests, answers those in flight as far as the site's
-     * time for it allows, then ends every connection.
+     * Shuts down gracefully: refuses new requests, answers those in flight until the site's
+     * shutdown timeout, then closes every connection.
      */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
@@ -340,8 +346,7 @@
 
     private void closeClients(CompletableFuture<Void> stopped) {
         clients.flush();
-        // What was answered last still has to leave the sockets.
-
+        // Gives the last replies time to leave the sockets.
         clientGroup
                 .next()
                 .schedule(
@@ -350,7 +355,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Ends at once, as a killed process would: nothing is answered any more. */
+    /** Stops immediately without answering requests or writing snapshots, like a killed process. */
     public CompletableFuture<Void> kill() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         if (!stopResult.compareAndSet(null, stopped)) {
@@ -364,7 +369,10 @@
         return stopped;
     }
 
-    /** The last accounts are written while the loop still runs that owns them. */
+    /**
+     * Writes the last snapshots, then closes the engine. Snapshots are taken on the engine's event
+     * loop, so it must still run.
+     */
     private void writeSnapshots(CompletableFuture<Void> stopped) {
         CompletableFuture.runAsync(
                         () -> {
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -16,8 +16,9 @@
 import sagepulley.codec.nbd.NbdServer;
 
 /**
- * One client's connection in the transmission phase: passes its requests to the engine, and writes
- * each one's reply. Confined to the client's event loop, but for {@link #sendReply}.
+ * Handles one client connection in the transmission phase: validates requests, passes them to the
+ * engine and writes their replies. Confined to the client's event loop, except for {@link
+ * #sendReply}.
  */
 final class NbdSession extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(NbdSession.class);
@@ -59,8 +60,8 @@
     }
 
     /**
-     * A client that stops in the middle of a message, or reads no replies, holds what others could
-     * use.
+     * Closes the connection if the client stalls within a message or does not read replies, because
+     * it holds buffer budget that other clients need.
      */
     private void closeIfStalled(IdleState state) {
         boolean readStalled =
@@ -100,7 +101,10 @@
         writeReply(request);
     }
 
-    /** 'Terminating the transmission phase': requests in flight may be answered first. */
+    /**
+     * Handles NBD_CMD_DISC: stops reading, and closes the connection once the requests in flight
+     * are answered ('Terminating the transmission phase').
+     */
     private void disconnect(NbdRequest command) {
         budget.release(command.admitted());
         disconnecting = true;
@@ -110,7 +114,7 @@
         }
     }
 
-    /** Writes the one reply of a request. From any loop. */
+    /** Sends the reply of a request. May be called from any event loop. */
     void sendReply(PendingRequest request) {
         if (channel.eventLoop().inEventLoop()) {
             writeReply(request);
--- a/src/main/java/sagepulley/frontend/nbd/NodeConnectionRegistry.java
+++ b/src/main/java/sagepulley/frontend/nbd/NodeConnectionRegistry.java
@@ -16,31 +16,35 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * The nodes that membership names, each with its connection, which opens when an attempt needs it.
- * Owns the connections; confined to the engine's event loop.
+ * Tracks the nodes that the membership names and the connection to each of them. A connection is
+ * opened when an attempt or a probe needs it. Owns the connections; confined to the engine's event
+ * loop.
  */
 final class NodeConnectionRegistry {
-    /** Receives what the nodes' connections bring. */
+    /** Receives the events of the nodes' connections. */
     interface Listener {
-        /** A node answered an attempt; the listener owns the payload. */
+        /** Called when a node has answered an attempt. The listener owns the payload. */
         void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload);
 
-        /** An attempt ended without an answer. */
+        /** Called when an attempt has ended without an answer. */
         void failed(long attemptId, NodeConnection.ConnectionFailure failure);
 
-        /** A node answered an attempt that had been cancelled. */
+        /** Called when a node has answered an attempt that was already cancelled. */
         void answeredAfterCancel(int nodeId, StoreMessages.Answer answer);
 
-        /** A node answered a health check. */
+        /** Called when a node has answered a health check. */
         void healthReported(Node node, float[] loadReport);
 
-        /** A node has said who it is; false if attempts that wait must not go out to it. */
+        /**
+         * Called when a node has completed the handshake. Returns whether the attempts that wait
+         * for the connection may be sent.
+         */
         boolean handshakeCompleted(Node node, StoreMessages.HandshakeReply reply);
 
-        /** A node announced its graceful shutdown. */
+        /** Called when a node has announced its graceful shutdown. */
         void draining(int nodeId);
 
-        /** A node's connection ended, or could not be opened. */
+        /** Called when a node's connection has closed or could not be opened. */
         void disconnected(int nodeId);
     }
 
@@ -70,12 +74,12 @@
         this.listener = listener;
     }
 
-    /** A node with its connection, and the incarnation that the last handshake named. */
+    /** A node, its connection and the incarnation of its latest handshake. */
     private final class RegisteredNode implements NodeConnection.Listener {
         final Node node;
         NodeConnection connection;
 
-        /** Wall-clock milliseconds. */
+        /** Start of the incarnation in wall-clock milliseconds. */
         long startedAt;
 
         RegisteredNode(int id) {
@@ -119,12 +123,15 @@
         }
     }
 
-    /** Forgets which node of each cell is ready, before all are updated. */
+    /** Clears the ready node of each cell. Called before all nodes are updated. */
     void beginUpdate() {
         readyByCell.clear();
     }
 
-    /** Takes over membership's view of a node; a changed address closes its connection. */
+    /**
+     * Applies the membership's view of a node. The connection is replaced if the node's address has
+     * changed.
+     */
     Node update(Membership.MemberView member) {
         EndpointRecord endpoint = member.endpoint();
         RegisteredNode registered = nodes.computeIfAbsent(endpoint.node(), RegisteredNode::new);
@@ -167,23 +174,26 @@
                         registered);
     }
 
-    /** The connection to a node that membership has named. */
+    /** Returns the connection to a node that the membership has named. */
     NodeConnection connection(int nodeId) {
         return nodes.get(nodeId).connection;
     }
 
-    /** When the node's current incarnation started, in wall-clock milliseconds. */
+    /**
+     * Returns the start of the node's incarnation, as named in its latest handshake, in wall-clock
+     * milliseconds.
+     */
     long startedAt(int nodeId) {
         return nodes.get(nodeId).startedAt;
     }
 
-    /** The id of the ready node of a cell; 0 if none is. */
+    /** Returns the id of the ready node of a cell; 0 if there is none. */
     int readyNodeOf(int cell) {
         Node node = readyByCell.get(cell);
         return node == null ? 0 : node.id;
     }
 
-    /** Closes all connections; attempts in flight fail. */
+    /** Closes all connections; the attempts in flight fail. */
     void close() {
         for (RegisteredNode registered : nodes.values()) {
             if (registered.connection != null) {
--- a/src/main/java/sagepulley/frontend/nbd/NodesView.java
+++ b/src/main/java/sagepulley/frontend/nbd/NodesView.java
@@ -5,12 +5,13 @@
 import sagepulley.membership.Membership;
 
 /**
- * What a gateway knows of its nodes. Component names are keys of the JSON that operators read.
+ * A gateway's view of its nodes. The component names are the JSON keys of /nodes.
  *
  * @param trust the freshness of the endpoint list
- * @param age milliseconds since a directory confirmed the list; infinite if none did
+ * @param age milliseconds since a directory last confirmed the list; infinite if none has
  * @param directory whether the directory is reachable
- * @param unverifiedExtents extents whose holder is known from disk only
+ * @param unverifiedExtents number of extents whose holder was read from disk and not confirmed by a
+ *     node since
  */
 public record NodesView(
         String gateway,
--- a/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
@@ -22,8 +22,8 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Charges each operation's time to what it was spent on, and to whom it waited behind. Owns the
- * gateway's accounts; confined to the engine's event loop.
+ * Attributes the time of each operation to latency components and causes. Owns the gateway's
+ * accounts; confined to the engine's event loop.
  */
 final class OperationAccounting {
     private static final int MAX_WAITS_PER_UPDATE = 256;
@@ -36,7 +36,7 @@
     private final OperationTracing tracing;
     private final Accounts accounts;
 
-    /** Parts that wait at the scheduler, in the order in which their reason is updated. */
+    /** Parts that wait at the scheduler, in the order in which their reasons are updated next. */
     private final Set<RequestPart> waiting = new LinkedHashSet<>();
 
     private ScheduledFuture<?> updates;
@@ -62,7 +62,7 @@
                                 .collect(Collectors.toSet()));
     }
 
-    /** Begins to update the reasons for which operations wait, if accounts are wanted. */
+    /** Starts the periodic update of the wait reasons if accounts are enabled. */
     void start(EventLoop loop) {
         if (site.accounts().enabled()) {
             updates =
@@ -74,25 +74,27 @@
         }
     }
 
-    /** Ends the updates. */
+    /** Stops the periodic update. */
     void close() {
         if (updates != null) {
             updates.cancel(false);
         }
     }
 
-    /** The accounts, for copies and reports. */
+    /** Returns the accounts. */
     Accounts accounts() {
         return accounts;
     }
 
-    /** A node as membership sees it now. */
+    /**
+     * Records a node's zone and the end of its slow start, from the latest view of the membership.
+     */
     void nodeUpdated(Node node) {
         accounts.nodeListed(
                 node.id, node.zone, node.startedAt + site.deployment().policy().slowStartTime());
     }
 
-    /** A part of an accepted request begins. */
+    /** Starts the time accounting of a part. */
     void partStarted(RequestPart part) {
         part.timer =
                 accounts.begin(
@@ -103,33 +105,33 @@
                         part.request.arrivedAt);
     }
 
-    /** A part waits for the directory from now (engine milliseconds) on. */
+    /** Records that a part waits for the directory from {@code now} on (engine milliseconds). */
     void directoryWaitStarted(RequestPart part, double now) {
         accounts.waitStarted(part.timer, LatencyComponent.DIRECTORY, 0, now);
     }
 
-    /** The scheduler lets a part wait. */
+    /** Records that a part waits at the scheduler, and the current reason. */
     void schedulerWaitStarted(RequestPart part) {
         waiting.add(part);
         updateWait(part, clock.now());
     }
 
-    /** A part does not wait at the scheduler any more. */
+    /** Records that a part no longer waits at the scheduler. */
     void schedulerWaitEnded(RequestPart part) {
         waiting.remove(part);
     }
 
-    /** An attempt waits for a claim of its extent. */
+    /** Records that an attempt waits for the claim of its extent. */
     void claimStarted(RequestPart part, Attempt attempt) {
         accounts.claimStarted(part.timer, attempt.node.id, clock.now());
     }
 
-    /** An attempt goes out to its node. */
+    /** Records that an attempt is sent to its node. */
     void attemptSent(RequestPart part, Attempt attempt) {
         accounts.attemptSent(part.timer, attempt.node.id, attempt.quotaTier, clock.now());
     }
 
-    /** A node served an attempt. */
+    /** Records the times and the load that a node reported with a served attempt. */
     void attemptServed(RequestPart part, StoreMessages.Answer answer) {
         accounts.attemptAnswered(
                 part.timer,
@@ -139,17 +141,17 @@
                 clock.now());
     }
 
-    /** A node answered an attempt that had been cancelled. */
+    /** Records the times that a node reported for an attempt that was already cancelled. */
     void answeredAfterCancel(int nodeId, StoreMessages.Answer answer) {
         accounts.lateAnswer(nodeId, answer.queuedMillis(), answer.serviceMillis());
     }
 
-    /** An attempt ended without being served. */
+    /** Records an attempt that ended with an outcome other than SERVED. */
     void attemptFailed(RequestPart part, Outcome outcome, double now) {
         accounts.attemptFailed(part.timer, outcome, now);
     }
 
-    /** A part has its final answer; its trace goes out if it is sampled. */
+    /** Records the final result of a part, and its trace if it is sampled. */
     void partEnded(RequestPart part, Accounts.End end, Reason reason) {
         double now = clock.now();
         accounts.end(part.timer, end, reason, connections.readyNodeOf(part.operation.shard), now);
@@ -157,8 +159,8 @@
     }
 
     /**
-     * Operations wait for reasons that change without anything happening to them: some are asked
-     * for theirs each time.
+     * Updates the reasons of up to {@link #MAX_WAITS_PER_UPDATE} waiting parts, in rotation. A
+     * reason can change without an event of the operation itself.
      */
     private void updateWaits() {
         double now = clock.now();
@@ -176,7 +178,7 @@
 
     private void updateWait(RequestPart part, double now) {
         if (part.timer == null) {
-            return; // no accounts are kept
+            return; // accounts are disabled
         }
         LatencyComponent component =
                 LatencyComponent.of(WaitExplainer.reasonFor(scheduler, part.operation, now));
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -23,9 +23,9 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Hosts the scheduler for the parts of NBD requests: tells it what happens to them and carries out
- * what it decides, so that each part ends exactly once. Owns the attempts in flight and their
- * timeouts; confined to the engine's event loop.
+ * Drives the scheduler for the parts of NBD requests: reports events to it and carries out its
+ * decisions, so that each part ends exactly once. Owns the attempts in flight and their timeouts;
+ * confined to the engine's event loop.
  */
 final class OperationDispatcher implements ExtentLocator.Listener {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -41,7 +41,7 @@
     private final Counters counters;
     private final EventLoopTimer timer;
 
-    /** Parts with an attempt in flight, by the attempt's number on the wire. */
+    /** Parts with an attempt in flight, by the attempt's id on the wire. */
     private final Map<Long, RequestPart> inFlight = new HashMap<>();
 
     private long lastAttemptId;
@@ -69,19 +69,22 @@
         this.timer = new EventLoopTimer(loop, clock::now, this::runTurn);
     }
 
-    /** Finds the holders of the parts' extents. */
+    /** Returns the locator of the parts' extents. */
     ExtentLocator locator() {
         return locator;
     }
 
-    /** Ends the timer of the scheduler's turns. */
+    /** Cancels the timer of the scheduler's turns. */
     void close() {
         timer.cancel();
     }
 
     // ---- from the request to the scheduler ----
 
-    /** Begins a part of a request: at the scheduler, or first at the directory. */
+    /**
+     * Starts a part: submits a flush to the scheduler at once, and first locates the extent of any
+     * other part.
+     */
     void dispatch(RequestPart part) {
         if (part.kind == StoreMessages.Kind.FLUSH) {
             submit(part);
@@ -90,7 +93,7 @@
         }
     }
 
-    /** The part's client has gone: nobody waits for its end. */
+    /** Cancels a part whose client has disconnected. */
     void cancel(RequestPart part) {
         part.operation.ended = true;
         counters.cancelled.increment();
@@ -139,7 +142,7 @@
 
     // ---- the scheduler's turns ----
 
-    /** Asks the scheduler what is due, once for all that this turn of the event loop brings. */
+    /** Schedules a scheduler turn; several calls within one event loop iteration share one turn. */
     void scheduleTurn() {
         if (!turnScheduled) {
             turnScheduled = true;
@@ -152,14 +155,17 @@
         double now = clock.now();
         locator.releaseExpired(now);
         SchedulerTurn turn = scheduler.nextTurn(now);
-        // Asking again at the same moment changes nothing once no operation moves.
+        // Once no operation gets a decision, another turn at the same time would change nothing.
         while (applyTurn(turn, now)) {
             turn = scheduler.nextTurn(now);
         }
         timer.by(Math.min(now + turn.delay(), locator.nextExpiry()));
     }
 
-    /** Carries out what is due; tells whether an operation stopped waiting. */
+    /**
+     * Carries out the actions of a turn. Returns whether any operation got a decision other than to
+     * wait.
+     */
     private boolean applyTurn(SchedulerTurn turn, double now) {
         for (Attempt attempt : turn.cancellations()) {
             cancel(attempt);
@@ -259,7 +265,8 @@
                     } else if (cell != null && cell == attempt.node.cell) {
                         send(part, attempt);
                     } else {
-                        // Another node holds it, or nobody can say: the attempt never went out.
+                        // Another cell holds the extent, or the claim failed: the attempt was
+                        // never sent.
                         inFlight.remove(part.attemptId);
                         attemptEnded(part, Outcome.NOT_EXECUTED);
                     }
@@ -281,7 +288,7 @@
 
     // ---- ends of attempts ----
 
-    /** A node answered an attempt; the payload is owned here. */
+    /** Ends an attempt that a node answered. Takes ownership of the payload. */
     void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
         RequestPart part = inFlight.remove(attemptId);
         if (part == null) {
@@ -300,7 +307,7 @@
         }
     }
 
-    /** A connection could not deliver an attempt, or ended before its answer. */
+    /** Ends an attempt whose connection could not send it, or closed before the answer. */
     void failed(long attemptId, NodeConnection.ConnectionFailure failure) {
         RequestPart part = inFlight.remove(attemptId);
         if (part != null) {
@@ -326,7 +333,9 @@
         attemptEnded(part, mayHaveExecuted ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
     }
 
-    /** Nobody waits for the attempt any more; whether it ran, nobody will know. */
+    /**
+     * Cancels an attempt at the scheduler's request. It is unknown whether the node executed it.
+     */
     private void cancel(Attempt attempt) {
         RequestPart part = partOf(attempt.operation);
         if (attempt.outcome != null || part.attemptId == 0) {
--- a/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -14,13 +14,15 @@
 import sagepulley.tracing.TailSampler;
 import sagepulley.tracing.Tracer;
 
-/** Records the traces of sampled operations once they have ended. Confined to the event loop. */
+/**
+ * Records the traces of sampled operations that have ended. Confined to the engine's event loop.
+ */
 final class OperationTracing {
     private final String gatewayName;
     private final Clock clock;
     private final TailSampler sampler;
 
-    /** Null if traces are not wanted. */
+    /** Null if tracing is disabled. */
     private final Tracer tracer;
 
     OperationTracing(String gatewayName, Clock clock, TailSampler sampler, Tracer tracer) {
@@ -30,7 +32,9 @@
         this.tracer = tracer;
     }
 
-    /** A part has its final answer at this time of the engine's clock. */
+    /**
+     * Records the trace of a part that ended at {@code now} (engine milliseconds) if it is sampled.
+     */
     void recordIfSampled(RequestPart part, Accounts.End end, Reason reason, double now) {
         if (tracer == null || part.timer == null) {
             return;
@@ -103,7 +107,7 @@
                 + (cause.estimate() ? ", estimate" : "");
     }
 
-    /** A constant's external name, as text. */
+    /** Returns a constant's external name with spaces in place of underscores. */
     static String toText(Enum<?> constant) {
         return ExternalName.of(constant).replace('_', ' ');
     }
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequest.java
@@ -7,23 +7,26 @@
 import sagepulley.codec.nbd.NbdRequest;
 
 /**
- * An NBD request in flight. Its one reply is written when all its parts have ended, and their
- * results are gathered here: the most severe error counts (abandoned over rejected), and each has
- * its own offset. Owns the data of its read chunks until they are written or released; confined to
- * the engine's event loop, then to the client's.
+ * An NBD request in flight. Collects the results of its parts; the reply is written when all parts
+ * have ended.
+ *
+ * <p>An error other than ENOMEM takes precedence in a simple reply, so that abandoned parts
+ * outweigh rejected ones. Each error keeps its own offset. The request owns the data of its read
+ * chunks until they are written or released. Confined to the engine's event loop, then to the
+ * client's.
  */
 final class PendingRequest {
     /** The offset of an error that concerns the whole request. */
     static final long NO_OFFSET = -1;
 
-    /** The result of a part of a read: data, or a hole of so many bytes where the data is null. */
+    /** The result of one part of a read: its data, or null for a hole that reads as zeroes. */
     record ReadChunk(long offset, int length, ByteBuf data) {}
 
     /**
      * An error of the request or of one of its parts.
      *
-     * @param offset where in the export it occurred, or {@link #NO_OFFSET}
-     * @param error its number in the protocol text ('Error values')
+     * @param offset the offset in the export where it occurred, or {@link #NO_OFFSET}
+     * @param error the error number of the NBD protocol ('Error values')
      */
     record RequestError(long offset, int error, String message) {}
 
@@ -31,17 +34,19 @@
     final NbdRequest command;
     final ExportedVolume volume;
 
-    /** Engine milliseconds. */
+    /** Time of arrival in engine milliseconds. */
     final double arrivedAt;
 
     final List<RequestPart> parts = new ArrayList<>(1);
     final List<ReadChunk> readChunks = new ArrayList<>(1);
     final List<RequestError> errors = new ArrayList<>(0);
 
-    /** Lengths and flags by turns, for a block status; else null. */
+    /**
+     * Alternating lengths and flags that answer a block status request; null for other requests.
+     */
     int[] blockDescriptors;
 
-    /** Parts that have not ended. */
+    /** Number of parts that have not ended. */
     int openParts;
 
     PendingRequest(
@@ -52,17 +57,17 @@
         this.arrivedAt = arrivedAt;
     }
 
-    /** Adds the error of a part. */
+    /** Adds an error of the request or of one of its parts. */
     void addError(long offset, int error, String message) {
         errors.add(new RequestError(offset, error, message));
     }
 
-    /** Whether what is written must be durable before the reply (NBD_CMD_FLAG_FUA). */
+    /** Returns whether written data must be durable before the reply (NBD_CMD_FLAG_FUA). */
     boolean isDurable() {
         return (command.flags() & NbdConstants.CMD_FLAG_FUA) != 0;
     }
 
-    /** The error that a simple reply tells: 0 if all parts were served. */
+    /** Returns the error of a simple reply; 0 if all parts were served. */
     int mostSevereError() {
         int mostSevere = 0;
         for (RequestError error : errors) {
@@ -73,7 +78,7 @@
         return mostSevere;
     }
 
-    /** Releases data that is not sent. */
+    /** Releases the read data without sending it. */
     void release() {
         for (ReadChunk chunk : readChunks) {
             if (chunk.data() != null) {
--- a/src/main/java/sagepulley/frontend/nbd/PendingRequests.java
+++ b/src/main/java/sagepulley/frontend/nbd/PendingRequests.java
@@ -6,32 +6,32 @@
 import java.util.Set;
 
 /**
- * Requests in flight, by the session that sent them, and the graceful shutdown that waits for the
- * last of them. Confined to the engine's event loop.
+ * Tracks the requests in flight by session, and completes the graceful shutdown after the last of
+ * them. Confined to the engine's event loop.
  */
 final class PendingRequests {
     private final Map<NbdSession, Set<PendingRequest>> bySession = new HashMap<>();
     private boolean stopping;
     private Runnable whenEmpty;
 
-    /** Counts a request as in flight until {@link #complete}. */
+    /** Adds a request, which stays in flight until {@link #complete} or {@link #removeAll}. */
     void add(PendingRequest request) {
         bySession.computeIfAbsent(request.session, any -> new HashSet<>()).add(request);
     }
 
-    /** Whether the request is in flight. */
+    /** Returns whether the request is in flight. */
     boolean contains(PendingRequest request) {
         Set<PendingRequest> requests = bySession.get(request.session);
         return requests != null && requests.contains(request);
     }
 
-    /** Takes out all requests of a session that has ended; empty if it had none. */
+    /** Removes and returns all requests of a session whose connection has closed. */
     Set<PendingRequest> removeAll(NbdSession session) {
         Set<PendingRequest> removed = bySession.remove(session);
         return removed == null ? Set.of() : removed;
     }
 
-    /** Answers a request whose parts have all ended. */
+    /** Removes a request that has its result, and sends its reply. */
     void complete(PendingRequest request) {
         Set<PendingRequest> requests = bySession.get(request.session);
         if (requests != null) {
@@ -44,19 +44,19 @@
         notifyIfEmpty();
     }
 
-    /** Begins the graceful shutdown: runs the callback once no request is in flight. */
+    /** Begins the graceful shutdown; runs the callback once no request is in flight. */
     void stop(Runnable whenEmpty) {
         this.stopping = true;
         this.whenEmpty = whenEmpty;
         notifyIfEmpty();
     }
 
-    /** Whether the graceful shutdown has begun, so that new requests are refused. */
+    /** Returns whether the graceful shutdown has begun, so that new requests are refused. */
     boolean isStopping() {
         return stopping;
     }
 
-    /** Runs the shutdown's callback, once, if nothing is in flight any more. */
+    /** Runs the shutdown callback, at most once, if no request is in flight. */
     void notifyIfEmpty() {
         if (stopping && whenEmpty != null && bySession.isEmpty()) {
             Runnable callback = whenEmpty;
--- a/src/main/java/sagepulley/frontend/nbd/ReplyWriter.java
+++ b/src/main/java/sagepulley/frontend/nbd/ReplyWriter.java
@@ -10,8 +10,9 @@
 import sagepulley.codec.nbd.NbdReplies;
 
 /**
- * Writes the one reply of a request as its session negotiated it ('Simple reply message',
- * 'Structured reply chunk message'). Uses up the data that the request holds; flushes nothing.
+ * Writes the reply of a request in the form that its session negotiated ('Simple reply message',
+ * 'Structured reply chunk message'). Consumes the data that the request holds, and does not flush
+ * the channel.
  */
 final class ReplyWriter {
     private static final int ZERO_BLOCK_BYTES = 1 << 16;
@@ -23,7 +24,7 @@
 
     private ReplyWriter() {}
 
-    /** A simple reply; all data of a read is in one piece. */
+    /** Writes a simple reply, with all data of a read in one piece. */
     static ChannelFuture writeSimple(Channel channel, PendingRequest request) {
         int error = request.mostSevereError();
         if (error != 0) {
@@ -33,7 +34,10 @@
                 channel, request.command.cookie(), error, joinChunks(channel, request));
     }
 
-    /** A structured reply: in as many chunks as there are results, or one with NBD_CMD_FLAG_DF. */
+    /**
+     * Writes a structured reply with one chunk for each result. With NBD_CMD_FLAG_DF the data of a
+     * read is joined into one chunk, and left out if there is an error.
+     */
     static ChannelFuture writeStructured(Channel channel, PendingRequest request) {
         long cookie = request.command.cookie();
         boolean singleChunk = (request.command.flags() & NbdConstants.CMD_FLAG_DF) != 0;
@@ -66,7 +70,8 @@
                             : NbdReplies.data(channel, cookie, chunk.offset(), chunk.data(), last);
         }
         request.readChunks.clear();
-        // The most severe first: clients take the first error for the request's.
+        // Rejections come last, because clients report the first error as the error of the
+        // request.
         request.errors.sort(Comparator.comparing(error -> error.error() == NbdConstants.ENOMEM));
         for (PendingRequest.RequestError error : request.errors) {
             boolean last = --remaining == 0;
@@ -77,7 +82,7 @@
         return written;
     }
 
-    /** All data of a read in order, holes as zeroes; the caller owns it. */
+    /** Joins the data of a read in order, with holes as zeroes. The caller owns the result. */
     private static ByteBuf joinChunks(Channel channel, PendingRequest request) {
         if (request.readChunks.size() == 1 && request.readChunks.get(0).data() != null) {
             return request.readChunks.remove(0).data();
--- a/src/main/java/sagepulley/frontend/nbd/RequestPart.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -7,7 +7,7 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * The part of a request that lies in one extent: one operation, until its one final answer. Owns
+ * The part of a request that lies within one extent; the scheduler sees it as one operation. Owns
  * its payload; confined to the engine's event loop.
  */
 final class RequestPart {
@@ -15,40 +15,48 @@
     final Operation operation;
     final StoreMessages.Kind kind;
 
-    /** Number of the extent in the export. */
+    /** Index of the extent in the export. */
     final long extent;
 
-    /** Bytes. */
+    /** Offset in the extent, in bytes. */
     final int offsetInExtent;
 
-    /** Bytes. */
+    /** Length in bytes. */
     final int length;
 
-    /** Where the part starts in the export; -1 for a flush. */
+    /** Offset in the export, in bytes; -1 for a flush. */
     final long exportOffset;
 
-    /** What is written; empty for all else. Released when the part has ended. */
+    /** Data to write; empty for other kinds. Released when the part ends. */
     final ByteBuf payload;
 
-    /** The number on the wire of the attempt in flight; 0 for none. */
+    /** Id on the wire of the attempt in flight; 0 if there is none. */
     long attemptId;
 
-    /** Ends the attempt in flight. */
+    /** Timeout of the attempt in flight. */
     ScheduledFuture<?> timeout;
 
-    /** Whether the attempt went to a connection, and does not wait for a claim. */
+    /** Whether the attempt was handed to a connection; false while its extent is being claimed. */
     boolean handedToConnection;
 
-    /** Whether the scheduler knows the operation; else it waits for the directory. */
+    /**
+     * Whether the operation was submitted to the scheduler; until then the part waits for the
+     * directory.
+     */
     boolean submitted;
 
-    /** What the operation's time was spent on; null if no accounts are kept. */
+    /** Time accounting of the operation; null if accounts are disabled. */
     OperationTimer timer;
 
-    /** For a flush: the volume's unflushed writes at the node when it began. */
+    /**
+     * For a flush: the number of the volume's unflushed writes at the node when the flush began.
+     */
     long writesBeforeFlush;
 
-    /** For a flush: the incarnation that the node must still have, else 0. */
+    /**
+     * For a flush: the start time of the node incarnation that acknowledged the writes; 0
+     * otherwise.
+     */
     long expectedNodeStart;
 
     RequestPart(
@@ -72,10 +80,10 @@
     }
 
     /**
-     * The part was served: what that means for the volume's next flush.
+     * Updates the volume's unflushed writes after this part was served.
      *
      * @param cell the cell of the node that served it
-     * @param nodeStartedAt the node's incarnation, by its start in wall-clock milliseconds
+     * @param nodeStartedAt the start time of the node's incarnation, in wall-clock milliseconds
      */
     void recordDurability(int cell, long nodeStartedAt) {
         if (kind == StoreMessages.Kind.FLUSH) {
@@ -85,7 +93,7 @@
         }
     }
 
-    /** The attempt has ended: its timeout is cancelled. */
+    /** Clears the state of an attempt that has ended, and cancels its timeout. */
     void clearAttempt() {
         attemptId = 0;
         if (timeout != null) {
--- a/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestSplitter.java
@@ -12,8 +12,8 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Splits requests at extent edges into parts, one operation each. Confined to the engine's event
- * loop.
+ * Splits requests at extent boundaries into parts, one operation each. Confined to the engine's
+ * event loop.
  */
 final class RequestSplitter {
     private final Deployment deployment;
@@ -28,8 +28,7 @@
     }
 
     /**
-     * Adds the request's parts, one for each extent that it touches. Each owns a slice of the
-     * payload.
+     * Adds one part for each extent that the request covers. Each part owns a slice of the payload.
      */
     void split(PendingRequest request) {
         long offset = request.command.offset();
@@ -72,7 +71,7 @@
         }
     }
 
-    /** Adds a flush for each node that acknowledged writes since the last flush there. */
+    /** Adds one flush part for each node that acknowledged writes since its last flush. */
     void splitFlush(PendingRequest request) {
         request.volume.unflushedByCell.forEach(
                 (cell, unflushed) -> {
@@ -83,7 +82,7 @@
                 });
     }
 
-    /** A flush of what one cell's node has of the volume. */
+    /** Returns a part that flushes the volume's writes at one cell's node. */
     private RequestPart newFlushPart(PendingRequest request, int cell) {
         RequestPart part =
                 newPart(
@@ -109,7 +108,7 @@
             long exportOffset,
             ByteBuf payload) {
         TrafficClass trafficClass = deployment.trafficClasses().get(trafficClassIndex);
-        // What moves no data still costs the node a look.
+        // Commands without data cost one unit.
         double units =
                 kind == StoreMessages.Kind.READ || kind == StoreMessages.Kind.WRITE
                         ? Math.max(1, Math.ceil((double) length / unitBytes))
--- a/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
@@ -4,7 +4,7 @@
 import sagepulley.codec.nbd.NbdRequest;
 
 /**
- * Checks a request of the transmission phase as the protocol text asks ('Request types', 'Command
+ * Validates requests of the transmission phase against the NBD protocol ('Request types', 'Command
  * flags', 'Block size constraints').
  */
 final class RequestValidator {
@@ -20,7 +20,7 @@
 
     /**
      * @param structured whether structured replies were negotiated
-     * @param baseAllocation whether the metadata context base:allocation was chosen
+     * @param baseAllocation whether the metadata context base:allocation was negotiated
      */
     RequestValidator(ExportedVolume volume, boolean structured, boolean baseAllocation) {
         this.volume = volume;
@@ -28,7 +28,7 @@
         this.baseAllocation = baseAllocation;
     }
 
-    /** The error that answers the request as it stands, or null if it may go on. */
+    /** Returns the error of an invalid request, or null for a valid one. */
     PendingRequest.RequestError validate(NbdRequest request) {
         PendingRequest.RequestError error = validateFlags(request.command(), request.flags());
         if (error == null && request.command() == NbdConstants.CMD_FLUSH) {
@@ -47,7 +47,7 @@
                             Integer.toUnsignedLong(request.length()));
         }
         if (error == null && request.admitted() == 0) {
-            // Its payload was dropped unread, for it was too long.
+            // The decoder discarded the payload because it exceeds the maximum length.
             error = tooLong(NbdConstants.EINVAL);
         }
         return error;
