--- a/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
+++ b/src/main/java/sagepulley/frontend/nbd/EndpointListFollower.java
@@ -126,7 +126,7 @@
         LOG.atInfo()
                 .addKeyValue("freshness", membership.freshness(wallMillis()))
                 .addKeyValue("age", membership.age(wallMillis()))
-                .log("starts with a known endpoint list");
+                .log("starting with known endpoint list");
         listKnown = true;
         publish();
         return true;
@@ -249,7 +249,7 @@
 
     /** Applies a node's announcement of its graceful shutdown. */
     void draining(int nodeId) {
-        LOG.atInfo().addKeyValue("node", nodeId).log("node announces that it drains");
+        LOG.atInfo().addKeyValue("node", nodeId).log("node announced its graceful shutdown");
         membership.drainAnnounced(nodeId);
         publish();
     }
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -321,7 +321,7 @@
         LOG.atInfo()
                 .addKeyValue("volume", part.request.volume.settings.name())
                 .addKeyValue("extent", part.extent)
-                .log("node denies that it holds the extent, as read from disk");
+                .log("stored extent holder is wrong, node does not have the extent");
         holders.forget(key);
         changedSinceSnapshot = true;
         addUnlocated(key, part);
--- a/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
+++ b/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
@@ -54,7 +54,7 @@
                     if (cells == null) {
                         LOG.atWarn()
                                 .addKeyValue("why", failure)
-                                .log("extent holders not loaded at start");
+                                .log("preloading extent holders failed");
                         onCompleted.run();
                         return;
                     }
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -218,7 +218,7 @@
         PendingRequest request = new PendingRequest(session, command, volume, clock.now());
         if (requests.isStopping()) {
             command.payload().release();
-            request.addError(-1, NbdConstants.ESHUTDOWN, "the gateway is stopping; nothing was done");
+            request.addError(-1, NbdConstants.ESHUTDOWN, "the gateway is shutting down; the request was not executed");
             session.sendReply(request);
             return;
         }
@@ -270,7 +270,7 @@
                     }
                     if (cells == null) {
                         request.addError(
-                                -1, NbdConstants.EIO, "the directory did not answer: " + failure);
+                                -1, NbdConstants.EIO, "directory lookup failed: " + failure);
                     } else {
                         request.blockDescriptors = blockStatus.descriptors(cells);
                     }
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -166,7 +166,7 @@
             LOG.atWarn()
                     .addKeyValue("file", site.accounts().file())
                     .addKeyValue("why", e.toString())
-                    .log("stored accounts not read");
+                    .log("reading stored accounts failed");
             return null;
         }
     }
@@ -234,7 +234,7 @@
         if (clients.size() >= site.maxClients()) {
             LOG.atWarn()
                     .addKeyValue("client", client.remoteAddress())
-                    .log("too many clients, connection rejected");
+                    .log("client limit reached, connection rejected");
             client.close();
             return;
         }
@@ -337,7 +337,7 @@
                             if (timeout != null) {
                                 LOG.atWarn()
                                         .addKeyValue("open", counters().open())
-                                        .log("stopped with operations in flight");
+                                        .log("shutdown timed out with operations in flight");
                             }
                             closeClients(stopped);
                         });
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -205,7 +205,7 @@
             case SEND -> startAttempt(part, decision.timeout());
             case REJECT -> reject(part, decision);
             case ABANDON -> abandon(part, decision);
-            case WAIT -> throw new IllegalStateException("handled above");
+            case WAIT -> throw new IllegalStateException("a WAIT decision returns earlier");
         }
     }
 
@@ -232,16 +232,16 @@
         counters.rejected.increment();
         String retryAfter =
                 decision.retryAfter() > 0
-                        ? "; come back in " + (long) Math.ceil(decision.retryAfter()) + " ms"
+                        ? "; retry after " + (long) Math.ceil(decision.retryAfter()) + " ms"
                         : "";
         completeFailed(
                 part,
                 Accounts.End.REJECTED,
                 decision.reason(),
                 NbdConstants.ENOMEM,
-                "declined ("
+                "rejected ("
                         + OperationTracing.toText(decision.reason())
-                        + "): asking again does no harm"
+                        + "): not executed, safe to retry"
                         + retryAfter);
     }
 
@@ -252,7 +252,7 @@
                 Accounts.End.ABANDONED,
                 decision.reason(),
                 NbdConstants.EIO,
-                "scrapped: it may have taken effect or not");
+                "abandoned: it may have been executed");
     }
 
     private void claimAndSend(RequestPart part, Attempt attempt) {
--- a/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
@@ -34,7 +34,12 @@
         if (error == null && request.command() == NbdConstants.CMD_FLUSH) {
             return request.offset() == 0 && request.length() == 0
                     ? null
-                    : invalid("a flush has neither offset nor length");
+                    : invalid(
+                            "flush with offset "
+                                    + Long.toUnsignedString(request.offset())
+                                    + " and length "
+                                    + Integer.toUnsignedString(request.length())
+                                    + ", expected 0 and 0");
         }
         if (error == null) {
             error = validateAccess(request.command());
@@ -55,21 +60,25 @@
 
     private PendingRequest.RequestError validateFlags(int command, int flags) {
         if (command > NbdConstants.CMD_BLOCK_STATUS || command == NbdConstants.CMD_CACHE) {
-            return invalid("command " + command + " is not served here");
+            return invalid("command " + command + " is not supported");
         }
         if ((flags & ~KNOWN_FLAGS) != 0) {
             return invalid(
-                    "command flags 0x" + Integer.toHexString(flags) + " are not served here");
+                    "command flags 0x" + Integer.toHexString(flags) + " are not supported");
         }
         if ((flags & NbdConstants.CMD_FLAG_DF) != 0
                 && !(structured && command == NbdConstants.CMD_READ)) {
-            return invalid("DF is for reads with structured replies");
+            return invalid("flag DF is valid only for reads with structured replies");
         }
         boolean noHole = (flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0;
         boolean reqOne = (flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
         if ((noHole && command != NbdConstants.CMD_WRITE_ZEROES)
                 || (reqOne && command != NbdConstants.CMD_BLOCK_STATUS)) {
-            return invalid("a flag of another command");
+            return invalid(
+                    "command flags 0x"
+                            + Integer.toHexString(flags)
+                            + " are not valid for command "
+                            + command);
         }
         return null;
     }
@@ -83,7 +92,7 @@
             return error(NbdConstants.EPERM, "the export is read-only");
         }
         if (command == NbdConstants.CMD_BLOCK_STATUS && !baseAllocation) {
-            return invalid("no metadata context was chosen");
+            return invalid("metadata context base:allocation was not negotiated");
         }
         return null;
     }
@@ -91,18 +100,31 @@
     private PendingRequest.RequestError validateRange(int command, long offset, long length) {
         long size = volume.settings.sizeBytes();
         if (length == 0) {
-            return invalid("a length of zero");
+            return invalid("request length is 0");
         }
         if (offset < 0 || offset > size || length > size - offset) {
             boolean needsSpace =
                     command == NbdConstants.CMD_WRITE || command == NbdConstants.CMD_WRITE_ZEROES;
             return error(
                     needsSpace ? NbdConstants.ENOSPC : NbdConstants.EINVAL,
-                    "past the end of the export at " + size);
+                    "offset "
+                            + Long.toUnsignedString(offset)
+                            + " and length "
+                            + length
+                            + " exceed the export size of "
+                            + size
+                            + " bytes");
         }
         int minBlockSize = volume.export.minBlockSize();
         if ((offset | length) % minBlockSize != 0) {
-            return invalid("not aligned to " + minBlockSize + " bytes");
+            return invalid(
+                    "offset "
+                            + offset
+                            + " and length "
+                            + length
+                            + " must be multiples of "
+                            + minBlockSize
+                            + " bytes");
         }
         if (length > volume.export.maxBlockSize()) {
             if (command == NbdConstants.CMD_READ) {
@@ -116,7 +138,7 @@
     }
 
     private PendingRequest.RequestError tooLong(int error) {
-        return error(error, "longer than " + volume.export.maxBlockSize() + " bytes");
+        return error(error, "request length exceeds the maximum of " + volume.export.maxBlockSize() + " bytes");
     }
 
     private static PendingRequest.RequestError invalid(String message) {
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -54,7 +54,6 @@
 
         @SuppressWarnings("ImmutableEnumChecker")
         // a lambda without state
-
         final BiConsumer<NbdTestFixture, StandInNode> begin;
 
         Fault(BiConsumer<NbdTestFixture, StandInNode> begin) {
@@ -86,7 +85,6 @@
     @EnumSource(Fault.class)
     void eachOperationGetsOneAnswerBeforeItsDeadline(Fault fault) throws Exception {
         // Patience is a second, so that each fault outlasts it.
-
         try (StallDetector stallDetector = new StallDetector();
                 NbdTestFixture fixture =
                         new NbdTestFixture(
@@ -102,7 +100,6 @@
                 replies.add(sendRequest(client, i));
                 Thread.sleep(2);
                 // a pace, not a bound: nothing below depends on it
-
             }
             for (CompletableFuture<TimedReply> reply : replies) {
                 NbdTestFixture.await(reply);
@@ -111,9 +108,7 @@
             for (CompletableFuture<TimedReply> reply : replies) {
                 served += reply.join().reply().error == 0 ? 1 : 0;
                 // Reads have a patience of 2.5 s, writes of 1 s, besides what this stallDetector stood
-
                 // still.
-
                 assertTrue(
                         reply.join().durationMillis() < 2500 + 100 + stallDetector.worstStallMillis(),
                         "took " + reply.join().durationMillis());
@@ -124,7 +119,7 @@
             assertEquals(200 + 32, counters.accepted.sum());
             assertEquals(32 + served, counters.served.sum());
             assertEquals(200 - served, counters.rejected.sum() + counters.abandoned.sum());
-            assertTrue(served >= 60, "only " + served + " of 200 were satisfied");
+            assertTrue(served >= 60, "only " + served + " of 200 were served");
             await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
@@ -166,13 +161,12 @@
                     reply.error == NbdConstants.EIO || reply.error == NbdConstants.ENOMEM,
                     "error " + reply.error);
             assertTrue(
-                    reply.message.startsWith("declined") || reply.message.startsWith("scrapped"));
+                    reply.message.startsWith("rejected") || reply.message.startsWith("abandoned"));
             for (int extent = 0; extent < 4; extent++) {
                 NbdReply read =
                         NbdTestFixture.await(client.read(extent * (long) NbdTestFixture.MIB, 4096));
                 boolean failed = reply.errorOffsets.contains(extent * (long) NbdTestFixture.MIB);
                 // What is reported as failed lies on the dead node; the rest is written.
-
                 assertEquals(failed, read.error != 0);
                 if (!failed) {
                     assertTrue(
@@ -212,7 +206,6 @@
                 byte[] dataA = NbdTestFixture.randomBytes(extent, 8192);
                 byte[] dataB = NbdTestFixture.randomBytes(1000 + extent, 8192);
                 // The second half of the extent comes through both as well, at the same moment.
-
                 var writes =
                         List.of(
                                 writeUntilServed(a, offset, dataA),
@@ -272,7 +265,6 @@
             CompletableFuture<NbdGateway> ready = second.start();
             Thread.sleep(300);
             // time for its call to be swallowed; what follows holds either way
-
             assertTrue(!ready.isDone());
             fixture.cluster.directory().setUnresponsive(false);
             NbdTestFixture.await(ready);
@@ -296,9 +288,7 @@
             await().until(() -> fixture.gateway.counters().open() == 10);
             CompletableFuture<Void> stopped = fixture.gateway.stop();
             // Asked on the gateway's loop behind the stop: what comes after this cannot overtake
-
             // it.
-
             NbdTestFixture.await(fixture.gateway.nodes());
             replies.add(client.request(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
             for (var reply : replies) {
