--- a/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/AccountsPathTest.java
@@ -19,10 +19,7 @@
 import sagepulley.standin.NodeProfile;
 import sagepulley.standin.TrafficRecorder;
 
-/**
- * A volume that floods is named as the main cause of another's waits; a slow node is named where it
- * is one.
- */
+/** Verifies that the accounts attribute a volume's delay to the neighbour that floods the nodes. */
 class AccountsPathTest {
     private static final String FLOOD_VOLUME =
             """
@@ -36,7 +33,7 @@
             bulk-from = 16 MiB
             """;
 
-    /** Keeps so many writes of a client in flight until told to stop. */
+    /** Sends a write, and another after each reply, until {@code stop} is set. */
     private static void flood(NbdClient client, int number, AtomicBoolean stop) {
         client.request(
                 NbdConstants.CMD_WRITE,
@@ -112,7 +109,7 @@
             assertEquals(
                     Cause.Kind.NEIGHBOUR, report.mainCause().kind(), report.causes().toString());
             assertEquals(9, report.mainCause().volume());
-            // The flood itself waited on its own load.
+            // The flooding volume is delayed by its own load.
             assertEquals(Cause.Kind.OWN_LOAD, reports.get("flood").mainCause().kind());
             assertTrue(reports.get("flood").components().containsKey(LatencyComponent.NODE_WORK));
             victim.channel().close();
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -21,7 +21,10 @@
 import sagepulley.codec.nbd.NbdReply;
 import sagepulley.standin.TrafficRecorder;
 
-/** What a client sends can end its own connection, nothing more. */
+/**
+ * Verifies that invalid requests, malformed bytes and slow readers affect only their own
+ * connection.
+ */
 class BadClientsTest {
     @ParameterizedTest
     @CsvSource({
@@ -53,7 +56,8 @@
                     NbdTestFixture.error(
                             client.request(command, flags, offset, length, Unpooled.EMPTY_BUFFER)));
             assertEquals(0, NbdTestFixture.error(client.read(0, 512)));
-            // The reply reaches the client before the gateway is told that it was written.
+            // The reply can reach the client before the gateway's write listener releases the
+            // budget.
             await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
@@ -88,7 +92,9 @@
         }
     }
 
-    /** The first bytes of a good session: flags, NBD_OPT_EXPORT_NAME 'demo'. */
+    /**
+     * Returns the first bytes of a valid session: client flags and NBD_OPT_EXPORT_NAME for 'demo'.
+     */
     private static byte[] openingBytes() {
         return ByteBuffer.allocate(24)
                 .putInt(3)
@@ -146,10 +152,10 @@
                     socket.getOutputStream().write(randomBytes);
                     socket.shutdownOutput();
                     while (socket.getInputStream().read() >= 0) {
-                        // until the gateway ends it
+                        // Reads until the gateway closes the connection.
                     }
                 } catch (IOException reset) {
-                    // so may a reset
+                    // A connection reset is accepted as well.
                 }
             }
             assertEquals(0, NbdTestFixture.error(good.read(0, 512)));
@@ -159,7 +165,7 @@
 
     @Test
     void clientThatReadsNoRepliesStaysWithinItsBudget() throws Exception {
-        // 8 MiB for one client, 16 MiB in all.
+        // The budget is 8 MiB per client and 16 MiB in total.
         try (NbdTestFixture fixture =
                 new NbdTestFixture(
                         3,
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -22,11 +22,11 @@
 import sagepulley.standin.TrafficRecorder;
 
 /**
- * Every fault of a node or directory: as many final answers as operations, all before patience
- * ends.
+ * Verifies that under each fault of a node or the directory every operation gets exactly one final
+ * answer before its deadline.
  */
 class FaultsTest {
-    /** What may go wrong, on one of three nodes. */
+    /** Faults, injected at one of three nodes or at the directory. */
     enum Fault {
         UNRESPONSIVE((fixture, node) -> node.faults().unresponsive = true),
         SLOW((fixture, node) -> node.faults().slowdownFactor = 50),
@@ -52,8 +52,7 @@
         DIRECTORY_FAILING((fixture, node) -> fixture.cluster.directory().setFailing(true)),
         DIRECTORY_RESTARTED((fixture, node) -> NbdTestFixture.await(fixture.cluster.directory().restart()));
 
-        @SuppressWarnings("ImmutableEnumChecker")
-        // a lambda without state
+        @SuppressWarnings("ImmutableEnumChecker") // the lambdas hold no state
         final BiConsumer<NbdTestFixture, StandInNode> begin;
 
         Fault(BiConsumer<NbdTestFixture, StandInNode> begin) {
@@ -61,7 +60,7 @@
         }
     }
 
-    /** Of one request: when it went, what came, and when. */
+    /** The reply to one request, with the times of request and reply in nanoseconds. */
     private record TimedReply(long sent, long ended, NbdReply reply) {
         double durationMillis() {
             return (ended - sent) / 1e6;
@@ -84,7 +83,7 @@
     @ParameterizedTest
     @EnumSource(Fault.class)
     void eachOperationGetsOneAnswerBeforeItsDeadline(Fault fault) throws Exception {
-        // Patience is a second, so that each fault outlasts it.
+        // The deadline of writes is 1 s, so that each fault outlasts it.
         try (StallDetector stallDetector = new StallDetector();
                 NbdTestFixture fixture =
                         new NbdTestFixture(
@@ -98,8 +97,7 @@
             List<CompletableFuture<TimedReply>> replies = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
                 replies.add(sendRequest(client, i));
-                Thread.sleep(2);
-                // a pace, not a bound: nothing below depends on it
+                Thread.sleep(2); // paces the requests; no assertion depends on it
             }
             for (CompletableFuture<TimedReply> reply : replies) {
                 NbdTestFixture.await(reply);
@@ -107,8 +105,8 @@
             int served = 0;
             for (CompletableFuture<TimedReply> reply : replies) {
                 served += reply.join().reply().error == 0 ? 1 : 0;
-                // Reads have a patience of 2.5 s, writes of 1 s, besides what this stallDetector stood
-                // still.
+                // The deadline is 2.5 s for reads and 1 s for writes; stalls of this machine are
+                // added to it.
                 assertTrue(
                         reply.join().durationMillis() < 2500 + 100 + stallDetector.worstStallMillis(),
                         "took " + reply.join().durationMillis());
@@ -166,7 +164,8 @@
                 NbdReply read =
                         NbdTestFixture.await(client.read(extent * (long) NbdTestFixture.MIB, 4096));
                 boolean failed = reply.errorOffsets.contains(extent * (long) NbdTestFixture.MIB);
-                // What is reported as failed lies on the dead node; the rest is written.
+                // Only the extents on the stopped node are reported as failed; the others are
+                // written.
                 assertEquals(failed, read.error != 0);
                 if (!failed) {
                     assertTrue(
@@ -181,7 +180,7 @@
         }
     }
 
-    /** Writes until it is served: a rejected write may be retried. */
+    /** Repeats a write until it is served; a rejected write may be retried. */
     private static CompletableFuture<Void> writeUntilServed(NbdClient client, long offset, byte[] data) {
         return client.write(offset, data)
                 .thenCompose(
@@ -205,7 +204,7 @@
                 long offset = extent * (long) NbdTestFixture.MIB;
                 byte[] dataA = NbdTestFixture.randomBytes(extent, 8192);
                 byte[] dataB = NbdTestFixture.randomBytes(1000 + extent, 8192);
-                // The second half of the extent comes through both as well, at the same moment.
+                // Both clients also write to other parts of the same extent at the same time.
                 var writes =
                         List.of(
                                 writeUntilServed(a, offset, dataA),
@@ -263,8 +262,7 @@
             fixture.cluster.directory().setUnresponsive(true);
             NbdGateway second = new NbdGateway(SiteConfig.read("second", fixture.site(1, 2)), 5);
             CompletableFuture<NbdGateway> ready = second.start();
-            Thread.sleep(300);
-            // time for its call to be swallowed; what follows holds either way
+            Thread.sleep(300); // lets the unresponsive directory receive the call
             assertTrue(!ready.isDone());
             fixture.cluster.directory().setUnresponsive(false);
             NbdTestFixture.await(ready);
@@ -287,8 +285,8 @@
             }
             await().until(() -> fixture.gateway.counters().open() == 10);
             CompletableFuture<Void> stopped = fixture.gateway.stop();
-            // Asked on the gateway's loop behind the stop: what comes after this cannot overtake
-            // it.
+            // The view is created on the engine's event loop after the stop, so the next request
+            // arrives after the shutdown has begun.
             NbdTestFixture.await(fixture.gateway.nodes());
             replies.add(client.request(NbdConstants.CMD_READ, 0, 0, 512, Unpooled.EMPTY_BUFFER));
             for (var reply : replies) {
--- a/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -12,7 +12,7 @@
 import sagepulley.codec.nbd.NbdConstants;
 import sagepulley.codec.nbd.NbdReply;
 
-/** From an NBD client through the gateway to stand-in nodes and back. */
+/** Exercises the path from an NBD client through the gateway to stand-in nodes and back. */
 class FullPathTest {
     @ParameterizedTest
     @EnumSource(NbdClient.Style.class)
@@ -25,7 +25,7 @@
             NbdReply reply = NbdTestFixture.await(client.read(NbdTestFixture.MIB / 2, data.length));
             assertEquals(0, reply.error);
             assertArrayEquals(data, NbdTestFixture.data(reply));
-            // What was never written reads as zeroes, and beside what was.
+            // Unwritten ranges read as zeroes, also next to written data.
             assertArrayEquals(
                     new byte[4096],
                     NbdTestFixture.data(
@@ -93,7 +93,7 @@
                         NbdConstants.STATE_HOLE | NbdConstants.STATE_ZERO
                     },
                     status.blocks);
-            // A power failure after the flush loses nothing.
+            // A power failure after the flush loses no data.
             fixture.cluster.nodes().forEach(node -> NbdTestFixture.await(node.failPower()));
             byte[] expected = NbdTestFixture.randomBytes(2, 4096);
             assertEquals(
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -13,7 +13,7 @@
 import sagepulley.standin.NodeProfile;
 import sagepulley.standin.TrafficRecorder;
 
-/** A small local cluster with a gateway, and clients of it. */
+/** A local cluster of stand-in nodes with a gateway and its clients. */
 final class NbdTestFixture implements AutoCloseable {
     static final int MIB = 1 << 20;
     final LocalCluster cluster;
@@ -24,7 +24,9 @@
         this(nodes, TrafficRecorder.NO_OP, "", "");
     }
 
-    /** With one piece of the demo's site file put in place of another. */
+    /**
+     * Creates a cluster whose demo site file has {@code target} replaced by {@code replacement}.
+     */
     NbdTestFixture(int nodes, TrafficRecorder recorder, String target, String replacement)
             throws Exception {
         List<NodeProfile> profiles = new ArrayList<>();
@@ -59,7 +61,7 @@
         return data;
     }
 
-    /** The reply's data as an array. */
+    /** Returns the data of a reply and releases it. */
     static byte[] data(NbdReply reply) {
         ByteBuf data = reply.data();
         try {
@@ -69,7 +71,7 @@
         }
     }
 
-    /** The error of a reply whose data nobody looks at. */
+    /** Waits for a reply, releases its data and returns its error. */
     static int error(CompletableFuture<NbdReply> pending) {
         NbdReply reply = await(pending);
         reply.release();
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -22,7 +22,10 @@
 import sagepulley.persistence.EndpointListFile;
 import sagepulley.persistence.HolderFile;
 
-/** Gateways that start, run and go on while the directory is down. */
+/**
+ * Verifies that gateways start and serve known extents from stored state while the directory is
+ * down.
+ */
 class WithoutDiscoveryTest {
     private static final String SITE = "sagepulley";
     @TempDir private Path tempDir;
@@ -36,7 +39,10 @@
                 + "\n";
     }
 
-    /** A gateway's first life: some extents get holders, and all is kept. */
+    /**
+     * Runs a gateway that writes six extents and stores its state at shutdown. Returns its site
+     * file.
+     */
     private String runFirstIncarnation(NbdTestFixture fixture) throws Exception {
         String site = site(fixture);
         NbdGateway first =
@@ -52,7 +58,7 @@
         return site;
     }
 
-    /** Makes the kept list as if it had last been confirmed so long ago. */
+    /** Moves the confirmation time of the stored list back by the given milliseconds. */
     private void ageStoredList(double millis) throws Exception {
         EndpointListFile file = new EndpointListFile(tempDir.resolve("nodes"), SITE);
         StoredEndpointList list = file.inspect().list();
@@ -139,7 +145,7 @@
             assertEquals(
                     0,
                     NbdTestFixture.error(client.write(0, NbdTestFixture.randomBytes(0, 4096))),
-                    "a known extent is written");
+                    "write to a known extent");
             assertEquals(attempts + 1, restarted.counters().attempts.sum());
             NbdTestFixture.await(fixture.cluster.directory().restart());
             await().until(
@@ -172,10 +178,10 @@
             assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
             assertTrue(
                     restarted.counters().notExecuted.sum() >= 6,
-                    "each was denied once: " + restarted.counters().notExecuted.sum());
+                    "attempts not executed: " + restarted.counters().notExecuted.sum());
             NbdTestFixture.await(restarted.stop());
             assertArrayEquals(
-                    Arrays.copyOf(cells, 6), Arrays.copyOf(file.load().get(1), 6), "and corrected");
+                    Arrays.copyOf(cells, 6), Arrays.copyOf(file.load().get(1), 6), "stored holders are corrected");
         }
     }
 
@@ -196,7 +202,7 @@
             String other = site.replace("[site]", "[site]\nname = elsewhere");
             NbdGateway elsewhere = start(other, 61);
             NodesView view = NbdTestFixture.await(elsewhere.nodes());
-            assertEquals(3, view.nodes().size(), "told by the directory, not by the file");
+            assertEquals(3, view.nodes().size(), "nodes come from the directory, not from the stored list");
             assertEquals(0, view.unverifiedExtents());
             NbdTestFixture.await(elsewhere.kill());
         }
