--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -71,8 +71,8 @@
     private final Set<Long> unverified = new HashSet<>();
 
     /**
-     * Whether the directory is unreachable. No lookup or claim is sent until it answers a poll of
-     * the endpoint list.
+     * Whether the directory is unreachable. This class sends no lookup or claim until it answers
+     * a request for the endpoint list.
      */
     private boolean directoryUnreachable;
 
@@ -309,9 +309,9 @@
 
     /**
      * Handles a node's answer that it did not execute an attempt. If the extent's holder was read
-     * from disk, the holder is wrong and becomes unknown.
+     * from disk and not confirmed since, the holder is wrong and becomes unknown.
      *
-     * @return whether the holder was read from disk
+     * @return whether the holder was read from disk and not confirmed since
      */
     boolean holderDenied(RequestPart part) {
         long key = part.operation.extent;
