--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -23,9 +23,9 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Hosts the scheduler for the parts of NBD requests: tells it what happens to them and carries out
- * what it decides, so that each part ends exactly once. Owns the attempts in flight and their
- * timeouts; confined to the engine's event loop.
+ * Drives the scheduler for the parts of NBD requests: reports events to it and carries out its
+ * decisions, so that each part ends exactly once. Owns the attempts in flight and their timeouts;
+ * confined to the engine's event loop.
  */
 final class OperationDispatcher implements ExtentLocator.Listener {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -41,7 +41,7 @@
     private final Counters counters;
     private final EventLoopTimer timer;
 
-    /** Parts with an attempt in flight, by the attempt's number on the wire. */
+    /** Parts with an attempt in flight, by the attempt's id on the wire. */
     private final Map<Long, RequestPart> inFlight = new HashMap<>();
 
     private long lastAttemptId;
@@ -69,19 +69,22 @@
         this.timer = new EventLoopTimer(loop, clock::now, this::runTurn);
     }
 
-    /** Finds the holders of the parts' extents. */
+    /** Returns the locator of the parts' extents. */
     ExtentLocator locator() {
         return locator;
     }
 
-    /** Ends the timer of the scheduler's turns. */
+    /** Cancels the timer of the scheduler's turns. */
     void close() {
         timer.cancel();
     }
 
     // ---- from the request to the scheduler ----
 
-    /** Begins a part of a request: at the scheduler, or first at the directory. */
+    /**
+     * Starts a part: submits a flush to the scheduler at once, and first locates the extent of any
+     * other part.
+     */
     void dispatch(RequestPart part) {
         if (part.kind == StoreMessages.Kind.FLUSH) {
             submit(part);
@@ -90,16 +93,16 @@
         }
     }
 
-    /** The part's client has gone: nobody waits for its end. */
+    /** Cancels a part whose client has disconnected. */
     void cancel(RequestPart part) {
         part.operation.ended = true;
         counters.cancelled.increment();
-        locator.forget(part);
+        locator.stopLocating(part);
         if (part.submitted) {
             scheduler.onClientCancelled(part.operation, clock.now());
         }
-        accounting.ended(part, Accounts.End.CANCELLED, Reason.NONE);
-        accounting.stopsWaiting(part);
+        accounting.partEnded(part, Accounts.End.CANCELLED, Reason.NONE);
+        accounting.schedulerWaitEnded(part);
         part.payload.release();
     }
 
@@ -123,8 +126,8 @@
     }
 
     @Override
-    public void waitsForDirectory(RequestPart part, double now) {
-        accounting.waitsForDirectory(part, now);
+    public void directoryWaitStarted(RequestPart part, double now) {
+        accounting.directoryWaitStarted(part, now);
     }
 
     @Override
@@ -134,12 +137,12 @@
 
     private void submit(RequestPart part) {
         part.submitted = true;
-        carryOut(part, scheduler.route(part.operation, clock.now()));
+        applyDecision(part, scheduler.route(part.operation, clock.now()));
     }
 
     // ---- the scheduler's turns ----
 
-    /** Asks the scheduler what is due, once for all that this turn of the event loop brings. */
+    /** Schedules a scheduler turn; several calls within one event loop iteration share one turn. */
     void scheduleTurn() {
         if (!turnScheduled) {
             turnScheduled = true;
@@ -150,17 +153,20 @@
     private void runTurn() {
         turnScheduled = false;
         double now = clock.now();
-        locator.releaseOverdue(now);
+        locator.releaseExpired(now);
         SchedulerTurn turn = scheduler.nextTurn(now);
-        // Asking again at the same moment changes nothing once no operation moves.
-        while (carryOut(turn, now)) {
+        // Once no operation gets a decision, another turn at the same time would change nothing.
+        while (applyTurn(turn, now)) {
             turn = scheduler.nextTurn(now);
         }
-        timer.by(Math.min(now + turn.delay(), locator.nextOverdue()));
+        timer.by(Math.min(now + turn.delay(), locator.nextExpiry()));
     }
 
-    /** Carries out what is due; tells whether an operation stopped waiting. */
-    private boolean carryOut(SchedulerTurn turn, double now) {
+    /**
+     * Carries out the actions of a turn. Returns whether any operation got a decision other than to
+     * wait.
+     */
+    private boolean applyTurn(SchedulerTurn turn, double now) {
         for (Attempt attempt : turn.cancellations()) {
             cancel(attempt);
         }
@@ -172,13 +178,13 @@
             case FETCH -> directory.fetch();
             case NONE -> {}
         }
-        boolean moved = false;
+        boolean anyDecided = false;
         for (Operation operation : turn.due()) {
             RoutingDecision decision = scheduler.route(operation, now);
-            moved |= decision.kind() != RoutingDecision.Kind.WAIT;
-            carryOut(partOf(operation), decision);
+            anyDecided |= decision.kind() != RoutingDecision.Kind.WAIT;
+            applyDecision(partOf(operation), decision);
         }
-        return moved;
+        return anyDecided;
     }
 
     private static RequestPart partOf(Operation operation) {
@@ -187,19 +193,19 @@
 
     // ---- the scheduler's decisions ----
 
-    private void carryOut(RequestPart part, RoutingDecision decision) {
+    private void applyDecision(RequestPart part, RoutingDecision decision) {
         if (decision.kind() == RoutingDecision.Kind.WAIT) {
             if (!part.operation.ended) {
-                accounting.waitsAtScheduler(part);
+                accounting.schedulerWaitStarted(part);
             }
             return;
         }
-        accounting.stopsWaiting(part);
+        accounting.schedulerWaitEnded(part);
         switch (decision.kind()) {
             case SEND -> startAttempt(part, decision.timeout());
             case REJECT -> reject(part, decision);
             case ABANDON -> abandon(part, decision);
-            case WAIT -> throw new IllegalStateException("handled above");
+            case WAIT -> throw new IllegalStateException("a WAIT decision returns earlier");
         }
     }
 
@@ -215,7 +221,7 @@
                         Math.max(1, (long) (timeoutMillis * NANOS_PER_MILLI)),
                         TimeUnit.NANOSECONDS);
         if (part.operation.shard < 0) {
-            accounting.claims(part, attempt);
+            accounting.claimStarted(part, attempt);
             claimAndSend(part, attempt);
         } else {
             send(part, attempt);
@@ -226,16 +232,16 @@
         counters.rejected.increment();
         String retryAfter =
                 decision.retryAfter() > 0
-                        ? "; come back in " + (long) Math.ceil(decision.retryAfter()) + " ms"
+                        ? "; retry after " + (long) Math.ceil(decision.retryAfter()) + " ms"
                         : "";
         completeFailed(
                 part,
                 Accounts.End.REJECTED,
                 decision.reason(),
                 NbdConstants.ENOMEM,
-                "declined ("
+                "rejected ("
                         + OperationTracing.toText(decision.reason())
-                        + "): asking again does no harm"
+                        + "): not executed, safe to retry"
                         + retryAfter);
     }
 
@@ -246,7 +252,7 @@
                 Accounts.End.ABANDONED,
                 decision.reason(),
                 NbdConstants.EIO,
-                "scrapped: it may have taken effect or not");
+                "abandoned: it may have been executed");
     }
 
     private void claimAndSend(RequestPart part, Attempt attempt) {
@@ -259,7 +265,8 @@
                     } else if (cell != null && cell == attempt.node.cell) {
                         send(part, attempt);
                     } else {
-                        // Another node holds it, or nobody can say: the attempt never went out.
+                        // Another cell holds the extent, or the claim failed: the attempt was
+                        // never sent.
                         inFlight.remove(part.attemptId);
                         attemptEnded(part, Outcome.NOT_EXECUTED);
                     }
@@ -268,7 +275,7 @@
 
     private void send(RequestPart part, Attempt attempt) {
         part.handedToConnection = true;
-        accounting.sent(part, attempt);
+        accounting.attemptSent(part, attempt);
         NodeConnection connection = connections.connection(attempt.node.id);
         counters.attempts.increment();
         boolean extentMustExist =
@@ -281,7 +288,7 @@
 
     // ---- ends of attempts ----
 
-    /** A node answered an attempt; the payload is owned here. */
+    /** Ends an attempt that a node answered. Takes ownership of the payload. */
     void answered(long attemptId, StoreMessages.Answer answer, ByteBuf payload) {
         RequestPart part = inFlight.remove(attemptId);
         if (part == null) {
@@ -289,10 +296,10 @@
             return;
         }
         AttemptMessages.recordLoad(lastAttempt(part), answer);
-        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.denied(part);
+        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.holderDenied(part);
         if (answer.code() == StoreMessages.Code.SERVED) {
-            locator.verified(part);
-            accounting.served(part, answer);
+            locator.holderVerified(part);
+            accounting.attemptServed(part, answer);
         }
         attemptEnded(part, AttemptMessages.takeOutcome(part, answer.code(), payload));
         if (denied) {
@@ -300,7 +307,7 @@
         }
     }
 
-    /** A connection could not deliver an attempt, or ended before its answer. */
+    /** Ends an attempt whose connection could not send it, or closed before the answer. */
     void failed(long attemptId, NodeConnection.ConnectionFailure failure) {
         RequestPart part = inFlight.remove(attemptId);
         if (part != null) {
@@ -322,11 +329,13 @@
             return;
         }
         int nodeId = lastAttempt(part).node.id;
-        boolean mayHaveRun = connections.connection(nodeId).cancel(attemptId);
-        attemptEnded(part, mayHaveRun ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
+        boolean mayHaveExecuted = connections.connection(nodeId).cancel(attemptId);
+        attemptEnded(part, mayHaveExecuted ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
     }
 
-    /** Nobody waits for the attempt any more; whether it ran, nobody will know. */
+    /**
+     * Cancels an attempt at the scheduler's request. It is unknown whether the node executed it.
+     */
     private void cancel(Attempt attempt) {
         RequestPart part = partOf(attempt.operation);
         if (attempt.outcome != null || part.attemptId == 0) {
@@ -359,7 +368,7 @@
             part.recordDurability(attempt.node.cell, connections.startedAt(attempt.node.id));
             completeServed(part);
         } else if (followUp == FollowUp.ROUTE_AGAIN) {
-            carryOut(part, scheduler.route(operation, now));
+            applyDecision(part, scheduler.route(operation, now));
         }
         scheduleTurn();
     }
@@ -373,21 +382,21 @@
     private void completeServed(RequestPart part) {
         part.operation.ended = true;
         counters.served.increment();
-        accounting.ended(part, Accounts.End.SERVED, Reason.NONE);
+        accounting.partEnded(part, Accounts.End.SERVED, Reason.NONE);
         complete(part);
     }
 
     private void completeFailed(
             RequestPart part, Accounts.End end, Reason reason, int error, String message) {
         part.operation.ended = true;
-        accounting.ended(part, end, reason);
-        part.request.fail(part.exportOffset, error, message);
+        accounting.partEnded(part, end, reason);
+        part.request.addError(part.exportOffset, error, message);
         complete(part);
     }
 
     private void complete(RequestPart part) {
-        accounting.stopsWaiting(part);
-        locator.forget(part);
+        accounting.schedulerWaitEnded(part);
+        locator.stopLocating(part);
         part.payload.release();
         if (--part.request.openParts == 0) {
             requests.complete(part.request);
--- a/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
@@ -4,7 +4,7 @@
 import sagepulley.codec.nbd.NbdRequest;
 
 /**
- * Checks a request of the transmission phase as the protocol text asks ('Request types', 'Command
+ * Validates requests of the transmission phase against the NBD protocol ('Request types', 'Command
  * flags', 'Block size constraints').
  */
 final class RequestValidator {
@@ -20,7 +20,7 @@
 
     /**
      * @param structured whether structured replies were negotiated
-     * @param baseAllocation whether the metadata context base:allocation was chosen
+     * @param baseAllocation whether the metadata context base:allocation was negotiated
      */
     RequestValidator(ExportedVolume volume, boolean structured, boolean baseAllocation) {
         this.volume = volume;
@@ -28,13 +28,18 @@
         this.baseAllocation = baseAllocation;
     }
 
-    /** The error that answers the request as it stands, or null if it may go on. */
+    /** Returns the error of an invalid request, or null for a valid one. */
     PendingRequest.RequestError validate(NbdRequest request) {
         PendingRequest.RequestError error = validateFlags(request.command(), request.flags());
         if (error == null && request.command() == NbdConstants.CMD_FLUSH) {
             return request.offset() == 0 && request.length() == 0
                     ? null
-                    : invalid("a flush has neither offset nor length");
+                    : invalid(
+                            "flush with offset "
+                                    + Long.toUnsignedString(request.offset())
+                                    + " and length "
+                                    + Integer.toUnsignedString(request.length())
+                                    + ", expected 0 and 0");
         }
         if (error == null) {
             error = validateAccess(request.command());
@@ -47,7 +52,7 @@
                             Integer.toUnsignedLong(request.length()));
         }
         if (error == null && request.admitted() == 0) {
-            // Its payload was dropped unread, for it was too long.
+            // The decoder discarded the payload because it exceeds the maximum length.
             error = tooLong(NbdConstants.EINVAL);
         }
         return error;
@@ -55,21 +60,25 @@
 
     private PendingRequest.RequestError validateFlags(int command, int flags) {
         if (command > NbdConstants.CMD_BLOCK_STATUS || command == NbdConstants.CMD_CACHE) {
-            return invalid("command " + command + " is not served here");
+            return invalid("command " + command + " is not supported");
         }
         if ((flags & ~KNOWN_FLAGS) != 0) {
             return invalid(
-                    "command flags 0x" + Integer.toHexString(flags) + " are not served here");
+                    "command flags 0x" + Integer.toHexString(flags) + " are not supported");
         }
         if ((flags & NbdConstants.CMD_FLAG_DF) != 0
                 && !(structured && command == NbdConstants.CMD_READ)) {
-            return invalid("DF is for reads with structured replies");
+            return invalid("flag DF is valid only for reads with structured replies");
         }
         boolean noHole = (flags & NbdConstants.CMD_FLAG_NO_HOLE) != 0;
         boolean reqOne = (flags & NbdConstants.CMD_FLAG_REQ_ONE) != 0;
         if ((noHole && command != NbdConstants.CMD_WRITE_ZEROES)
                 || (reqOne && command != NbdConstants.CMD_BLOCK_STATUS)) {
-            return invalid("a flag of another command");
+            return invalid(
+                    "command flags 0x"
+                            + Integer.toHexString(flags)
+                            + " are not valid for command "
+                            + command);
         }
         return null;
     }
@@ -83,7 +92,7 @@
             return error(NbdConstants.EPERM, "the export is read-only");
         }
         if (command == NbdConstants.CMD_BLOCK_STATUS && !baseAllocation) {
-            return invalid("no metadata context was chosen");
+            return invalid("metadata context base:allocation was not negotiated");
         }
         return null;
     }
@@ -91,18 +100,31 @@
     private PendingRequest.RequestError validateRange(int command, long offset, long length) {
         long size = volume.settings.sizeBytes();
         if (length == 0) {
-            return invalid("a length of zero");
+            return invalid("request length is 0");
         }
         if (offset < 0 || offset > size || length > size - offset) {
             boolean needsSpace =
                     command == NbdConstants.CMD_WRITE || command == NbdConstants.CMD_WRITE_ZEROES;
             return error(
                     needsSpace ? NbdConstants.ENOSPC : NbdConstants.EINVAL,
-                    "past the end of the export at " + size);
+                    "offset "
+                            + Long.toUnsignedString(offset)
+                            + " and length "
+                            + length
+                            + " exceed the export size of "
+                            + size
+                            + " bytes");
         }
         int minBlockSize = volume.export.minBlockSize();
         if ((offset | length) % minBlockSize != 0) {
-            return invalid("not aligned to " + minBlockSize + " bytes");
+            return invalid(
+                    "offset "
+                            + offset
+                            + " and length "
+                            + length
+                            + " must be multiples of "
+                            + minBlockSize
+                            + " bytes");
         }
         if (length > volume.export.maxBlockSize()) {
             if (command == NbdConstants.CMD_READ) {
@@ -116,7 +138,7 @@
     }
 
     private PendingRequest.RequestError tooLong(int error) {
-        return error(error, "longer than " + volume.export.maxBlockSize() + " bytes");
+        return error(error, "request length exceeds the maximum of " + volume.export.maxBlockSize() + " bytes");
     }
 
     private static PendingRequest.RequestError invalid(String message) {
