--- a/src/main/java/sagepulley/accounts/AccountWindow.java
+++ b/src/main/java/sagepulley/accounts/AccountWindow.java
@@ -52,7 +52,7 @@
         }
         OperationTimer timer = operation.timer();
         for (int i = 0; i < timer.stepCount(); i++) {
-            components[timer.step(i).ordinal()] += timer.stepLength(i);
+            components[timer.step(i).ordinal()] += timer.stepMillis(i);
         }
         causes.addAll(timer.charges, operation.lostWeight());
     }
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -215,7 +215,7 @@
     }
 
     /** A node answered an attempt that had been given up: it had paused, and was no fault. */
-    public void lateAnswer(int node, double waited, double worked) {
+    public void lateAnswerReceived(int node, double waited, double worked) {
         NodeActivity activity = nodes.get(node);
         if (activity != null && waited + worked > 0) {
             activity.answeredLate();
--- a/src/main/java/sagepulley/accounts/Cause.java
+++ b/src/main/java/sagepulley/accounts/Cause.java
@@ -8,9 +8,9 @@
  *
  * @param volume a volume's number; 0 for none or several
  * @param node where it happened; 0 for none or several
- * @param estimate whether it was computed from nodes' reports, and not observed here
+ * @param isEstimated whether it was computed from nodes' reports, and not observed here
  */
-public record Cause(Kind kind, long volume, int node, boolean estimate) {
+public record Cause(Kind kind, long volume, int node, boolean isEstimated) {
     /**
      * Kinds of causes. Stored accounts refer to a kind by its ordinal, so new ones go to the end.
      */
@@ -62,10 +62,10 @@
     private static final long MAX_VOLUME = (1L << VOLUME_BITS) - 1;
 
     /** One number for a cause, as it is stored; a node or volume too large for it counts as 0. */
-    static long key(Kind kind, long volume, int node, boolean estimate) {
+    static long key(Kind kind, long volume, int node, boolean isEstimated) {
         long volumeBits = volume < 0 || volume > MAX_VOLUME ? 0 : volume;
         long nodeBits = node < 0 || node > MAX_NODE ? 0 : node;
-        return ((long) kind.ordinal() << 1 | (estimate ? 1 : 0)) << (NODE_BITS + VOLUME_BITS)
+        return ((long) kind.ordinal() << 1 | (isEstimated ? 1 : 0)) << (NODE_BITS + VOLUME_BITS)
                 | nodeBits << VOLUME_BITS
                 | volumeBits;
     }
@@ -88,7 +88,7 @@
     }
 
     long key() {
-        return key(kind, volume, node, estimate);
+        return key(kind, volume, node, isEstimated);
     }
 
     /** The same cause at any node, which small ones are merged into. */
--- a/src/main/java/sagepulley/accounts/CauseRanking.java
+++ b/src/main/java/sagepulley/accounts/CauseRanking.java
@@ -36,7 +36,7 @@
 
         void add(CauseCharges charges, int index, Cause cause) {
             waited += charges.waited(index);
-            observed += cause.estimate() ? 0 : charges.waited(index);
+            observed += cause.isEstimated() ? 0 : charges.waited(index);
             lowerBound += charges.lowerBound(index);
             upperBound += charges.upperBound(index);
             lostWeight += charges.lostWeight(index);
--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -180,7 +180,7 @@
      * The nodes of one zone that share a fault, when it is more than one and at least half of the
      * zone's.
      */
-    public static List<Integer> zoneAtFault(
+    public static List<Integer> faultyNodesOfZone(
             LatencyAccount account, int zone, List<Integer> atFault) {
         int[] nodesInZone =
                 account.zones.entrySet().stream()
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -47,13 +47,13 @@
             Cause cause = Cause.of(flow.units.key(i));
             double[] allAndWrites = units.computeIfAbsent(cause.volume(), any -> new double[2]);
             allAndWrites[0] += flow.units.waited(i);
-            allAndWrites[1] += cause.estimate() ? flow.units.waited(i) : 0;
+            allAndWrites[1] += cause.isEstimated() ? flow.units.waited(i) : 0;
         }
         return units;
     }
 
     /** The end of the newest window; minus infinity if there is none. */
-    public double lastBookedAt() {
+    public double newestWindowEnd() {
         double newest = Double.NEGATIVE_INFINITY;
         for (Timeline<AccountWindow> timeline : volumes.values()) {
             for (int level = 0; level < Timeline.LEVELS; level++) {
@@ -68,9 +68,9 @@
     /**
      * What lies after a time, by a clock that was set back since, is moved before it: whole hours.
      */
-    void moveBefore(double wall) {
-        volumes.values().forEach(timeline -> timeline.moveBefore(wall));
-        flows.values().forEach(timeline -> timeline.moveBefore(wall));
+    void moveBefore(double wallMillis) {
+        volumes.values().forEach(timeline -> timeline.moveBefore(wallMillis));
+        flows.values().forEach(timeline -> timeline.moveBefore(wallMillis));
     }
 
     /** Adds another's, whose clock was ahead by so many milliseconds. */
@@ -89,13 +89,13 @@
     /**
      * One point of a volume's history.
      *
-     * @param wall middle of the window
+     * @param wallMillis middle of the window
      * @param length milliseconds of the window
      * @param waited milliseconds that were no node's work
      * @param work milliseconds of nodes' work
      */
     public record Point(
-            double wall, double length, long operations, long missed, double waited, double work) {
+            double wallMillis, double length, long operations, long missed, double waited, double work) {
         private static Point of(AccountWindow window, double middle, double length) {
             double work = window.components[LatencyComponent.NODE_WORK.ordinal()];
             double total = 0;
@@ -128,7 +128,7 @@
                                 }
                             });
         }
-        points.sort(Comparator.comparingDouble(Point::wall));
+        points.sort(Comparator.comparingDouble(Point::wallMillis));
         return points;
     }
 
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -130,7 +130,7 @@
     }
 
     /** A step's milliseconds. */
-    public double stepLength(int index) {
+    public double stepMillis(int index) {
         return lengths[index];
     }
 
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -13,7 +13,7 @@
      * Of one volume: operations within their latency objective and not, and of the latter those
      * rejected, abandoned and cancelled; units; milliseconds waited; priority weight lost.
      */
-    public static final class OfVolume {
+    public static final class VolumeTotals {
         public long met;
         public long missed;
         public long rejected;
@@ -40,7 +40,7 @@
             waitedMillis += operation.timer().waitedMillis();
         }
 
-        private void copyFrom(OfVolume other) {
+        private void copyFrom(VolumeTotals other) {
             met = other.met;
             missed = other.missed;
             rejected = other.rejected;
@@ -52,7 +52,7 @@
         }
     }
 
-    private final Map<Long, OfVolume> volumes = new LinkedHashMap<>();
+    private final Map<Long, VolumeTotals> volumes = new LinkedHashMap<>();
     private final double[] componentMillis = new double[LatencyComponent.values().length];
     private final double[] causeMillis = new double[Cause.Kind.values().length];
     private final double[] causeLostWeight = new double[Cause.Kind.values().length];
@@ -60,13 +60,13 @@
 
     /** With sums of their own for these volumes; all others share number 0. */
     public Totals(Set<Long> ownVolumes) {
-        ownVolumes.forEach(volume -> volumes.put(volume, new OfVolume()));
-        volumes.put(0L, new OfVolume());
+        ownVolumes.forEach(volume -> volumes.put(volume, new VolumeTotals()));
+        volumes.put(0L, new VolumeTotals());
     }
 
     /** A volume's sums, or those of all that have none of their own. */
-    public OfVolume of(long volume) {
-        OfVolume own = volumes.get(volume);
+    public VolumeTotals of(long volume) {
+        VolumeTotals own = volumes.get(volume);
         return own == null ? volumes.get(0L) : own;
     }
 
@@ -99,7 +99,7 @@
     void add(EndedOperation operation) {
         OperationTimer timer = operation.timer();
         for (int i = 0; i < timer.stepCount(); i++) {
-            componentMillis[timer.step(i).ordinal()] += timer.stepLength(i);
+            componentMillis[timer.step(i).ordinal()] += timer.stepMillis(i);
         }
         CauseCharges charges = timer.charges;
         double total = charges.totalWaited();
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -54,7 +54,7 @@
         }
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(result));
-            return result.good() ? Commands.OK : Commands.FAILED;
+            return result.passed() ? Commands.OK : Commands.FAILED;
         }
         System.out.println(
                 result.day()
@@ -78,6 +78,6 @@
                                 System.out.printf(
                                         "service of %-20s %5.1f %%%n", volume, 100 * share));
         result.unmet().forEach(System.out::println);
-        return result.good() ? Commands.OK : Commands.FAILED;
+        return result.passed() ? Commands.OK : Commands.FAILED;
     }
 }
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -62,7 +62,7 @@
                 accounts == null
                         ? new ThroughputComparison(seconds, 4).run(6, sizes, depths)
                         : new ThroughputComparison(seconds, 8)
-                                .accounts(6, sizes, depths, records, accounts);
+                                .compareRecordKeeping(6, sizes, depths, records, accounts);
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(rows));
             return Commands.OK;
--- a/src/main/java/sagepulley/cli/Plots.java
+++ b/src/main/java/sagepulley/cli/Plots.java
@@ -31,7 +31,7 @@
         List<Double> waited = new ArrayList<>();
         List<Double> worked = new ArrayList<>();
         for (LatencyAccount.Point point : points) {
-            times.add(new Date((long) point.wall()));
+            times.add(new Date((long) point.wallMillis()));
             waited.add(point.waited() / point.length());
             worked.add(point.work() / point.length());
         }
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -73,7 +73,7 @@
     public Integer call() throws IOException {
         FleetMerger.Merged merged = FleetMerger.merge(readMembers());
         LatencyAccount account = merged.account();
-        double newest = account.lastBookedAt();
+        double newest = account.newestWindowEnd();
         double to = until == null ? newest : time(until, newest);
         double from = time(since, to);
         List<LatencyReport> reports = reports(account, from, to);
--- a/src/main/java/sagepulley/cli/ReportPage.java
+++ b/src/main/java/sagepulley/cli/ReportPage.java
@@ -161,6 +161,6 @@
                         .filter(charged -> charged.kind() == Cause.Kind.FAULT)
                         .map(LatencyReport.CauseReport::node)
                         .toList();
-        return FleetMerger.zoneAtFault(book, book.zones().getOrDefault(main.node(), -1), faulty);
+        return FleetMerger.faultyNodesOfZone(book, book.zones().getOrDefault(main.node(), -1), faulty);
     }
 }
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -52,23 +52,23 @@
                 "| way | age | changed since | hops to drained or replaced | pushed over | first satisfied "
                         + "| service of what is left | of all |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (ColdStartExperiment.Since since : ColdStartExperiment.Since.values()) {
-            int changed = since == ColdStartExperiment.Since.NOTHING ? 0 : HALF_OF_THE_NODES;
+        for (ColdStartExperiment.NodeChange nodeChange : ColdStartExperiment.NodeChange.values()) {
+            int changed = nodeChange == ColdStartExperiment.NodeChange.NOTHING ? 0 : HALF_OF_THE_NODES;
             for (double age : AGES_HOURS) {
-                print(experiment.run(ColdStartExperiment.Way.BY_AGE, age, since, changed, seed));
+                print(experiment.run(ColdStartExperiment.ListPolicy.BY_AGE, age, nodeChange, changed, seed));
             }
-            if (since != ColdStartExperiment.Since.NOTHING) {
-                print(experiment.run(ColdStartExperiment.Way.BY_AGE, WEEK_HOURS, since, 2, seed));
+            if (nodeChange != ColdStartExperiment.NodeChange.NOTHING) {
+                print(experiment.run(ColdStartExperiment.ListPolicy.BY_AGE, WEEK_HOURS, nodeChange, 2, seed));
             }
             print(
                     experiment.run(
-                            ColdStartExperiment.Way.BLINDLY, WEEK_HOURS, since, changed, seed));
+                            ColdStartExperiment.ListPolicy.BLINDLY, WEEK_HOURS, nodeChange, changed, seed));
         }
         print(
                 experiment.run(
-                        ColdStartExperiment.Way.WAITING,
+                        ColdStartExperiment.ListPolicy.WAITING,
                         WEEK_HOURS,
-                        ColdStartExperiment.Since.NOTHING,
+                        ColdStartExperiment.NodeChange.NOTHING,
                         0,
                         seed));
     }
@@ -78,11 +78,11 @@
                 "| gateways | pauses | most calls in 100 ms | calls | all hold a list after |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int gateways : STORM_GATEWAYS) {
-            for (boolean spread : new boolean[] {false, true}) {
+            for (boolean usesBackoff : new boolean[] {false, true}) {
                 ReconnectStorm storm =
                         ReconnectStorm.simulate(
                                 gateways,
-                                spread,
+                                usesBackoff,
                                 STORM_OUTAGE_MILLIS,
                                 STORM_CALLS_PER_SECOND,
                                 STORM_QUEUE,
@@ -90,7 +90,7 @@
                 System.out.printf(
                         "| %d | %s | %d | %d | %.0f ms |%n",
                         gateways,
-                        spread ? "drawn" : "250 ms",
+                        usesBackoff ? "drawn" : "250 ms",
                         storm.maxCallsInTenthSecond(),
                         storm.calls(),
                         storm.allListedMillis());
@@ -101,18 +101,18 @@
     private static void print(ColdStartExperiment.Row row) {
         System.out.printf(
                 "| %s | %s | %s | %d | %d | %s | %.0f %% | %.0f %% |%n",
-                AccountFormatter.of(row.way()),
+                AccountFormatter.of(row.listPolicy()),
                 ageText(row.ageHours()),
-                row.since() == ColdStartExperiment.Since.NOTHING
+                row.nodeChange() == ColdStartExperiment.NodeChange.NOTHING
                         ? "nothing"
-                        : row.changed() + " of 8 " + AccountFormatter.of(row.since()),
-                row.wrongAttempts(),
+                        : row.changed() + " of 8 " + AccountFormatter.of(row.nodeChange()),
+                row.misdirectedAttempts(),
                 row.collapsedNodes(),
                 Double.isNaN(row.firstServedMillis())
                         ? "never"
                         : String.format(Locale.ROOT, "%.0f ms", row.firstServedMillis()),
                 100 * row.service(),
-                100 * row.serviceOfAll());
+                100 * row.serviceOfAllReads());
     }
 
     private static String ageText(double hours) {
--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -26,7 +26,7 @@
     }
 
     /** Runs the task at this time at the latest; an infinite time changes nothing. */
-    public void by(double time) {
+    public void scheduleBy(double time) {
         if ((scheduled != null && time >= scheduledAt) || time == Double.POSITIVE_INFINITY) {
             return;
         }
--- a/src/main/java/sagepulley/codec/nbd/Exports.java
+++ b/src/main/java/sagepulley/codec/nbd/Exports.java
@@ -7,5 +7,5 @@
     List<Export> all();
 
     /** The export of that name (the empty name is the default export), or null. */
-    Export named(String name);
+    Export findByName(String name);
 }
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -116,7 +116,7 @@
 
     /** 'NBD_OPT_EXPORT_NAME': there is no way to answer an error but to end the session. */
     private void exportName(ChannelHandlerContext ctx, ByteBuf data) {
-        Export export = exports.named(data.toString(StandardCharsets.UTF_8));
+        Export export = exports.findByName(data.toString(StandardCharsets.UTF_8));
         if (export == null) {
             ctx.fireExceptionCaught(new MalformedMessageException("no such export"));
             return;
@@ -170,7 +170,7 @@
                     "the number of information requests is wrong");
             return;
         }
-        Export export = exports.named(name);
+        Export export = exports.findByName(name);
         if (export == null) {
             replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
@@ -247,7 +247,7 @@
                     "structured replies must be chosen first");
             return;
         }
-        Export export = exports.named(name);
+        Export export = exports.findByName(name);
         if (export == null) {
             replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
--- a/src/main/java/sagepulley/config/settings/MissingSettingException.java
+++ b/src/main/java/sagepulley/config/settings/InvalidSettingException.java
@@ -1,11 +1,11 @@
 package sagepulley.config.settings;
 
 /** A setting that the decisions depend on is missing or unreadable; the message names its path. */
-public final class MissingSettingException extends RuntimeException {
+public final class InvalidSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /** Without a stack trace, as it reports a fault of the input. */
-    public MissingSettingException(String message) {
+    public InvalidSettingException(String message) {
         super(message, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/config/settings/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -50,7 +50,7 @@
         double gateways = count("balancers");
         double index = count("me");
         if (index < 0 || index >= gateways) {
-            throw new MissingSettingException(
+            throw new InvalidSettingException(
                     "me=" + (int) index + " does not lie below balancers=" + (int) gateways);
         }
         boolean mustPoll = optional("discovery", "automatic").equals("subscribe");
@@ -189,7 +189,7 @@
     private String text(String path) {
         String value = pairs.get(path);
         if (value == null) {
-            throw new MissingSettingException(path + " is missing");
+            throw new InvalidSettingException(path + " is missing");
         }
         return value;
     }
@@ -249,7 +249,7 @@
         };
     }
 
-    private MissingSettingException unreadable(String path) {
-        return new MissingSettingException(path + "=" + pairs.get(path) + " cannot be read");
+    private InvalidSettingException unreadable(String path) {
+        return new InvalidSettingException(path + "=" + pairs.get(path) + " cannot be read");
     }
 }
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -258,7 +258,7 @@
         }
 
         @Override
-        public Export named(String name) {
+        public Export findByName(String name) {
             if (name.isEmpty() && !engine.exportedVolumes().isEmpty()) {
                 return all().get(0);
             }
@@ -294,7 +294,7 @@
 
     /** Returns the number of traces exported since the start; 0 if tracing is disabled. */
     public long tracesRecorded() {
-        return tracer == null ? 0 : tracer.exported();
+        return tracer == null ? 0 : tracer.recorded();
     }
 
     /** Returns the number of traces dropped since the start; 0 if tracing is disabled. */
--- a/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationAccounting.java
@@ -143,7 +143,7 @@
 
     /** Records the times that a node reported for an attempt that was already cancelled. */
     void answeredAfterCancel(int nodeId, StoreMessages.Answer answer) {
-        accounts.lateAnswer(nodeId, answer.queuedMillis(), answer.serviceMillis());
+        accounts.lateAnswerReceived(nodeId, answer.queuedMillis(), answer.serviceMillis());
     }
 
     /** Records an attempt that ended with an outcome other than SERVED. */
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -159,7 +159,7 @@
         while (applyTurn(turn, now)) {
             turn = scheduler.nextTurn(now);
         }
-        timer.by(Math.min(now + turn.delay(), locator.nextExpiry()));
+        timer.scheduleBy(Math.min(now + turn.delay(), locator.nextExpiry()));
     }
 
     /**
--- a/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationTracing.java
@@ -77,7 +77,7 @@
         List<OperationTrace.Step> steps = new ArrayList<>(timer.stepCount());
         for (int i = 0; i < timer.stepCount(); i++) {
             steps.add(
-                    new OperationTrace.Step(timer.step(i), timer.stepNode(i), timer.stepLength(i)));
+                    new OperationTrace.Step(timer.step(i), timer.stepNode(i), timer.stepMillis(i)));
         }
         return steps;
     }
@@ -104,7 +104,7 @@
         return toText(cause.kind())
                 + (cause.volume() == 0 ? "" : ", volume " + cause.volume())
                 + (cause.node() == 0 ? "" : ", node " + cause.node())
-                + (cause.estimate() ? ", estimate" : "");
+                + (cause.isEstimated() ? ", estimate" : "");
     }
 
     /** Returns a constant's external name with spaces in place of underscores. */
--- a/src/main/java/sagepulley/frontend/resp/DueWorkScheduler.java
+++ b/src/main/java/sagepulley/frontend/resp/DueWorkScheduler.java
@@ -44,6 +44,6 @@
 
     /** Schedules the due work for this time at the latest; an infinite time has no effect. */
     void wakeUpAt(double time) {
-        wakeUpTimer.by(time);
+        wakeUpTimer.scheduleBy(time);
     }
 }
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -263,7 +263,7 @@
     }
 
     private void operations(
-            long id, String name, String end, ToDoubleFunction<Totals.OfVolume> figure) {
+            long id, String name, String end, ToDoubleFunction<Totals.VolumeTotals> figure) {
         volumeTotal(
                 "sagepulley.operations",
                 "operations by their end",
@@ -277,7 +277,7 @@
             String description,
             Tags tags,
             long id,
-            ToDoubleFunction<Totals.OfVolume> figure) {
+            ToDoubleFunction<Totals.VolumeTotals> figure) {
         FunctionCounter.builder(metric, this, server -> figure.applyAsDouble(server.totals.of(id)))
                 .description(description)
                 .tags(tags)
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -41,7 +41,7 @@
     private static final double NANOS_PER_MILLI = 1e6;
 
     /** What became of some nodes while the list lay. */
-    public enum Since {
+    public enum NodeChange {
         NOTHING,
         DRAINED,
         REPLACED,
@@ -52,7 +52,7 @@
      * How the gateway believes its list: by its age, blindly, or not at all (it waits for
      * discovery).
      */
-    public enum Way {
+    public enum ListPolicy {
         BY_AGE,
         BLINDLY,
         WAITING
@@ -64,15 +64,15 @@
      * their target time in the first seconds, among those of extents whose nodes still hold them.
      */
     public record Row(
-            Way way,
+            ListPolicy listPolicy,
             double ageHours,
-            Since since,
+            NodeChange nodeChange,
             int changed,
-            long wrongAttempts,
+            long misdirectedAttempts,
             int collapsedNodes,
             double firstServedMillis,
             double service,
-            double serviceOfAll) {}
+            double serviceOfAllReads) {}
 
     private static final class UncheckedMembership extends Membership {
         UncheckedMembership(String site, Policy policy) {
@@ -125,7 +125,7 @@
     }
 
     /** One start, with so many of the nodes changed. */
-    public Row run(Way way, double ageHours, Since since, int changed, long seed)
+    public Row run(ListPolicy listPolicy, double ageHours, NodeChange nodeChange, int changed, long seed)
             throws SiteConfigException, IOException {
         AttemptCounter counter = new AttemptCounter();
         List<NodeProfile> profiles = new ArrayList<>();
@@ -146,8 +146,8 @@
                 ageStoredList(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
             }
             LocalCluster.await(cluster.directory().stop());
-            changeNodes(cluster, counter, since, changed);
-            return serve(cluster, way, ageHours, since, changed, sites, counter, seed);
+            changeNodes(cluster, counter, nodeChange, changed);
+            return serve(cluster, listPolicy, ageHours, nodeChange, changed, sites, counter, seed);
         }
     }
 
@@ -210,9 +210,9 @@
     }
 
     private static void changeNodes(
-            LocalCluster cluster, AttemptCounter counter, Since since, int changed) {
+            LocalCluster cluster, AttemptCounter counter, NodeChange nodeChange, int changed) {
         for (StandInNode node : cluster.nodes().subList(0, changed)) {
-            switch (since) {
+            switch (nodeChange) {
                 case NOTHING -> {}
                 case DRAINED -> node.drain();
                 case REPLACED -> {
@@ -227,9 +227,9 @@
                 }
                 case COLD -> LocalCluster.await(node.restartCold());
             }
-            if (since == Since.DRAINED || since == Since.REPLACED) {
+            if (nodeChange == NodeChange.DRAINED || nodeChange == NodeChange.REPLACED) {
                 synchronized (counter.watched) {
-                    counter.watched.add(node.profile().id() + (since == Since.REPLACED ? 100 : 0));
+                    counter.watched.add(node.profile().id() + (nodeChange == NodeChange.REPLACED ? 100 : 0));
                 }
             }
         }
@@ -237,9 +237,9 @@
 
     private static Row serve(
             LocalCluster cluster,
-            Way way,
+            ListPolicy listPolicy,
             double ageHours,
-            Since since,
+            NodeChange nodeChange,
             int changed,
             List<String> sites,
             AttemptCounter counter,
@@ -247,7 +247,7 @@
             throws SiteConfigException {
         long start = System.nanoTime();
         List<NbdClient> clients = new ArrayList<>();
-        List<NbdGateway> gateways = startGateways(cluster, way, sites, seed, clients);
+        List<NbdGateway> gateways = startGateways(cluster, listPolicy, sites, seed, clients);
         ColdStartReadLoad load =
                 new ColdStartReadLoad(
                         REQUESTS_PER_SECOND * GATEWAYS,
@@ -261,14 +261,14 @@
         clients.forEach(client -> client.channel().close().syncUninterruptibly());
         gateways.forEach(gateway -> LocalCluster.await(gateway.kill()));
         double reachable =
-                since == Since.DRAINED || since == Since.REPLACED
+                nodeChange == NodeChange.DRAINED || nodeChange == NodeChange.REPLACED
                         ? 1 - (double) changed / NODES
                         : 1;
         long firstServedAt = load.firstServedAt();
         return new Row(
-                way,
+                listPolicy,
                 ageHours,
-                since,
+                nodeChange,
                 changed,
                 counter.wrong.get(),
                 counter.collapsed.get(),
@@ -279,13 +279,13 @@
 
     /** Starts all gateways; adds a client for each that is ready without discovery. */
     private static List<NbdGateway> startGateways(
-            LocalCluster cluster, Way way, List<String> sites, long seed, List<NbdClient> clients)
+            LocalCluster cluster, ListPolicy listPolicy, List<String> sites, long seed, List<NbdClient> clients)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            NbdGateway gateway = gateway(way, sites.get(i), seed * 1000 + i);
+            NbdGateway gateway = gateway(listPolicy, sites.get(i), seed * 1000 + i);
             CompletableFuture<NbdGateway> ready = gateway.start();
-            if (way != Way.WAITING) {
+            if (listPolicy != ListPolicy.WAITING) {
                 LocalCluster.await(ready);
                 clients.add(open(cluster.loops(), gateway));
             }
@@ -294,14 +294,14 @@
         return gateways;
     }
 
-    private static NbdGateway gateway(Way way, String siteText, long seed)
+    private static NbdGateway gateway(ListPolicy listPolicy, String siteText, long seed)
             throws SiteConfigException {
         String text =
-                way == Way.WAITING
+                listPolicy == ListPolicy.WAITING
                         ? siteText.substring(0, siteText.indexOf("[membership]"))
                         : siteText;
         SiteConfig site = SiteConfig.read("site", text);
-        return way == Way.BLINDLY
+        return listPolicy == ListPolicy.BLINDLY
                 ? new NbdGateway(
                         site,
                         seed,
--- a/src/main/java/sagepulley/scenario/ReconnectStorm.java
+++ b/src/main/java/sagepulley/scenario/ReconnectStorm.java
@@ -11,13 +11,13 @@
 /**
  * Gateways that lost one directory together and poll it until it answers.
  *
- * @param spread whether they back off as the gateway does, or poll every 250 ms
+ * @param usesBackoff whether they back off as the gateway does, or poll every 250 ms
  * @param maxCallsInTenthSecond the most calls in a tenth of a second, the first second left out
  * @param allListedMillis how long after the directory's return all of them had a list
  */
 public record ReconnectStorm(
         int gateways,
-        boolean spread,
+        boolean usesBackoff,
         int maxCallsInTenthSecond,
         long calls,
         double allListedMillis) {
@@ -39,7 +39,7 @@
      */
     public static ReconnectStorm simulate(
             int gateways,
-            boolean spread,
+            boolean usesBackoff,
             double downMillis,
             double callsPerSecond,
             int queue,
@@ -63,7 +63,7 @@
             if (now >= FIRST_COUNTED_MILLIS) {
                 callsByTenth.merge((long) (now / TENTH_MILLIS), 1, Integer::sum);
             }
-            double pause = spread ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
+            double pause = usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
             if (now < downMillis) {
                 due.add(new Call(now + pause, call.gateway()));
             } else if (busyUntil - now > queue * MILLIS_PER_SECOND / callsPerSecond) {
@@ -74,6 +74,6 @@
             }
         }
         int maxCalls = callsByTenth.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        return new ReconnectStorm(gateways, spread, maxCalls, calls, last - downMillis);
+        return new ReconnectStorm(gateways, usesBackoff, maxCalls, calls, last - downMillis);
     }
 }
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -46,7 +46,7 @@
             long attempts,
             @JsonProperty("stoodStill") double stallMillis) {
         /** Whether every rule and promise was kept, and every expectation met. */
-        public boolean good() {
+        public boolean passed() {
             return unmet.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
         }
     }
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -30,15 +30,15 @@
     private static final int EXTENTS = 48;
 
     /** One way's figures: requests a second, and times in microseconds. */
-    public record Way(double perSecond, double p50, double p99, long failed) {}
+    public record PathMetrics(double perSecond, double p50, double p99, long failed) {}
 
     /** Both ways for one kind of request. */
     public record Row(
             String kind,
             int bytes,
             int depth,
-            Way direct,
-            Way through,
+            PathMetrics direct,
+            PathMetrics through,
             double heapBytes,
             double loopBusyMicros,
             double directHeapBytes,
@@ -146,7 +146,7 @@
      * place of the direct way; files go to a folder. With neither on both sides it tells what
      * differs by itself.
      */
-    public List<Row> accounts(
+    public List<Row> compareRecordKeeping(
             int nodes, int[] sizes, int[] depths, RecordKeeping records, Path folder)
             throws SiteConfigException {
         EventLoopGroup clients = EventLoops.group(1, "client-side");
@@ -273,8 +273,8 @@
         long heap;
         long cpu;
 
-        Way way() {
-            return new Way(
+        PathMetrics way() {
+            return new PathMetrics(
                     ended / took,
                     times.getValueAtPercentile(50) / 1e3,
                     times.getValueAtPercentile(99) / 1e3,
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -11,7 +11,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sagepulley.config.settings.MissingSettingException;
+import sagepulley.config.settings.InvalidSettingException;
 import sagepulley.config.settings.SettingsReader;
 import sagepulley.engine.EndpointEntry;
 import sagepulley.engine.GatewayEngine;
@@ -141,7 +141,7 @@
                     new SimulatedGateway(reply, deployment, batch.u64(record, 5));
             gateways.put(gatewayId, gateway);
             activate(gateway);
-        } catch (MissingSettingException missing) {
+        } catch (InvalidSettingException missing) {
             gateways.remove(gatewayId);
             reply.fatal("first message: " + missing.getMessage());
         }
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -33,7 +33,7 @@
     private final SpanMaker spans;
     private final BlockingQueue<OperationTrace> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TRACES);
     private final Thread thread = new Thread(this::run, "traces");
-    private final LongAdder exported = new LongAdder();
+    private final LongAdder recorded = new LongAdder();
     private final LongAdder dropped = new LongAdder();
     private volatile boolean closing;
 
@@ -77,8 +77,8 @@
     }
 
     /** Traces that were made into spans since the start. */
-    public long exported() {
-        return exported.sum();
+    public long recorded() {
+        return recorded.sum();
     }
 
     /** Traces that were dropped since the start. */
@@ -92,7 +92,7 @@
                 OperationTrace trace = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 if (trace != null) {
                     spans.make(trace, Context.root());
-                    exported.increment();
+                    recorded.increment();
                 }
             }
         } catch (InterruptedException e) {
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -45,7 +45,7 @@
                         }
 
                         @Override
-                        public Export named(String name) {
+                        public Export findByName(String name) {
                             return name.equals("vol") ? EXPORT : null;
                         }
                     };
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingClient.java
@@ -138,11 +138,11 @@
 
         @Override
         public List<Export> all() {
-            return site.volumes().stream().map(line -> named(line.name())).toList();
+            return site.volumes().stream().map(line -> findByName(line.name())).toList();
         }
 
         @Override
-        public Export named(String name) {
+        public Export findByName(String name) {
             return site.volumes().stream()
                     .filter(line -> line.name().equals(name))
                     .findFirst()
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -81,7 +81,7 @@
         ScenarioRunner.Result result = new ScenarioRunner(day, new MisbehavingClient(way)).run();
         assertFalse(
                 result.verdicts().get(rule).satisfied(), result.verdicts().get(rule).toString());
-        assertFalse(result.good());
+        assertFalse(result.passed());
         // The real one keeps the same rule on the same day.
         ScenarioRunner.Result real = new ScenarioRunner(day).run();
         real.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -172,7 +172,7 @@
                         true,
                         true,
                         true);
-        ThroughputComparison.Way way = new ThroughputComparison.Way(1, 2, 3, 4);
+        ThroughputComparison.PathMetrics pathMetrics = new ThroughputComparison.PathMetrics(1, 2, 3, 4);
         ScenarioRunner.Result drill =
                 new ScenarioRunner.Result(
                         "day",
@@ -189,7 +189,7 @@
                                 "truth",
                                 truth,
                                 "measure",
-                                new ThroughputComparison.Row("read", 1, 2, way, way, 3, 4, 5, 6),
+                                new ThroughputComparison.Row("read", 1, 2, pathMetrics, pathMetrics, 3, 4, 5, 6),
                                 "drill",
                                 drill,
                                 "confidence",
