--- a/src/jmh/java/sagepulley/accounts/AccountsBench.java
+++ b/src/jmh/java/sagepulley/accounts/AccountsBench.java
@@ -25,9 +25,9 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class AccountsBench {
-    private static final TrafficClass BAND = new TrafficClass(0, "read", TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.CELL, 0, false, false,
+    private static final TrafficClass TRAFFIC_CLASS = new TrafficClass(0, "read", TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.CELL, 0, false, false,
             200, 0, 1000, 3, 0.2);
-    private static final int OUT = 32;
+    private static final int MAX_IN_FLIGHT = 32;
 
     @Param({"10", "10000"})
     public int volumes;
@@ -36,19 +36,19 @@
 
     private final Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 0);
     private final TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(1));
-    private final OperationTimer[] out = new OperationTimer[OUT];
+    private final OperationTimer[] inFlight = new OperationTimer[MAX_IN_FLIGHT];
     private final SplittableRandom random = new SplittableRandom(2);
     private double now;
-    private int at;
+    private int nextSlot;
 
     @Benchmark
     public Object ordinary() {
-        return one(false);
+        return runOperation(false);
     }
 
     @Benchmark
     public Object held() {
-        return one(true);
+        return runOperation(true);
     }
 
     @Benchmark
@@ -58,22 +58,22 @@
     }
 
     /** One comes while others are out; the oldest out is answered. */
-    private Object one(boolean waits) {
+    private Object runOperation(boolean isHeld) {
         now += 0.03;
-        OperationTimer meter = accounts.begin(1 + random.nextInt(volumes), BAND, false, 1, now);
+        OperationTimer timer = accounts.begin(1 + random.nextInt(volumes), TRAFFIC_CLASS, false, 1, now);
         int node = 1 + random.nextInt(nodes);
-        if (waits) {
-            accounts.waitStarted(meter, LatencyComponent.SHARE_FULL, node, now);
-            accounts.waitStarted(meter, LatencyComponent.SHARE_FULL, node, now + 0.01);
+        if (isHeld) {
+            accounts.waitStarted(timer, LatencyComponent.SHARE_FULL, node, now);
+            accounts.waitStarted(timer, LatencyComponent.SHARE_FULL, node, now + 0.01);
         }
-        accounts.attemptSent(meter, node, QuotaTier.SHARE, now + 0.02);
-        OperationTimer oldest = out[at];
-        out[at] = meter;
-        at = (at + 1) % OUT;
+        accounts.attemptSent(timer, node, QuotaTier.SHARE, now + 0.02);
+        OperationTimer oldest = inFlight[nextSlot];
+        inFlight[nextSlot] = timer;
+        nextSlot = (nextSlot + 1) % MAX_IN_FLIGHT;
         if (oldest != null) {
             accounts.attemptAnswered(oldest, 0.3 * random.nextDouble(), 0.2 + 0.1 * random.nextDouble(), 2, now + 0.02);
             accounts.end(oldest, Accounts.End.SERVED, Reason.NONE, 1, now + 0.02);
         }
-        return meter;
+        return timer;
     }
 }
--- a/src/main/java/sagepulley/accounts/AccountWindow.java
+++ b/src/main/java/sagepulley/accounts/AccountWindow.java
@@ -37,7 +37,7 @@
         int tier = operation.tier().ordinal();
         units[tier] += operation.timer().units;
         lostWeight[tier] += operation.lostWeight();
-        if (operation.met()) {
+        if (operation.metObjective()) {
             met[tier]++;
         } else {
             missed[tier]++;
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -35,7 +35,7 @@
     private static final double MIN_QUEUE_MILLIS = 0.1;
 
     /** What an operation is charged that did not wait, so that its lost weight has a cause. */
-    private static final double TOKEN_WAIT_MILLIS = 1e-9;
+    private static final double NOMINAL_WAIT_MILLIS = 1e-9;
 
     /** How an operation ended. */
     public enum End implements ExternalName {
@@ -61,7 +61,7 @@
     }
 
     private final boolean enabled;
-    private final double wallAtZero;
+    private final double wallClockOffset;
     private final VolumeWindows windows;
     private final NodeActivities nodes;
     private final WaitAttribution attribution;
@@ -71,17 +71,17 @@
     /**
      * Empty accounts.
      *
-     * @param wallAtZero the wall-clock time, in milliseconds, at zero of the clock that is handed
-     *     in
+     * @param wallClockOffset the wall-clock time, in milliseconds, at zero of the clock that is
+     *     handed in
      */
-    public Accounts(Bounds bounds, double wallAtZero) {
-        this(bounds, wallAtZero, Set.of());
+    public Accounts(Bounds bounds, double wallClockOffset) {
+        this(bounds, wallClockOffset, Set.of());
     }
 
     /** The same, with sums since the start for these volumes. */
-    public Accounts(Bounds bounds, double wallAtZero, Set<Long> summedVolumes) {
+    public Accounts(Bounds bounds, double wallClockOffset, Set<Long> summedVolumes) {
         this.enabled = bounds.volumes() > 0;
-        this.wallAtZero = wallAtZero;
+        this.wallClockOffset = wallClockOffset;
         this.windows = new VolumeWindows(bounds.volumes(), bounds.windows());
         this.nodes = new NodeActivities(bounds.nodes());
         this.attribution = new WaitAttribution(nodes);
@@ -104,8 +104,8 @@
      * An operation came. Its timer is null where accounts are off, which all other methods accept.
      */
     public OperationTimer begin(
-            long volume, TrafficClass trafficClass, boolean writes, double units, double now) {
-        return enabled ? new OperationTimer(volume, trafficClass, writes, units, now) : null;
+            long volume, TrafficClass trafficClass, boolean isWrite, double units, double now) {
+        return enabled ? new OperationTimer(volume, trafficClass, isWrite, units, now) : null;
     }
 
     /** From now on it waits at this gateway, for a node (0: none). */
@@ -116,7 +116,7 @@
         }
         steps.end(timer, now);
         steps.start(timer, component, node);
-        timer.rateLimited |= component == LatencyComponent.LIMIT;
+        timer.wasRateLimited |= component == LatencyComponent.LIMIT;
         timer.quotaTier =
                 switch (component) {
                     case RESERVATION_FULL -> QuotaTier.RESERVATION;
@@ -162,7 +162,7 @@
             timer.attemptKey = activity.outstanding.add(key, timer.units);
             timer.totalAttemptKey = nodes.outstanding.add(key, timer.units);
             activity.attemptSent(now);
-            if (timer.writes) {
+            if (timer.isWrite) {
                 activity.recentWrites.add(timer.volume, timer.units, now);
             }
         }
@@ -180,23 +180,25 @@
         if (timer == null) {
             return;
         }
-        double length = Math.max(0, now - timer.since);
+        double length = Math.max(0, now - timer.stepStartedAt);
         NodeActivity activity = timer.attemptActivity;
-        timer.since = now;
-        if (!timer.ended) {
-            addAnswer(timer, length, waited, worked, now);
+        timer.stepStartedAt = now;
+        if (!timer.hasEnded) {
+            addAnsweredAttempt(timer, length, waited, worked, now);
         }
         if (activity != null) {
             nodes.compareServiceTimes(now);
-            activity.answered(timer.writes, timer.units, waited, worked, length, queue, now);
-            activity.flows.at(wallAtZero + now).worked(timer.volume, timer.writes, timer.units);
+            activity.answerReceived(timer.isWrite, timer.units, waited, worked, length, queue, now);
+            activity.flows
+                    .windowAt(wallClockOffset + now)
+                    .addWork(timer.volume, timer.isWrite, timer.units);
         }
         steps.endAttempt(timer);
         steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
     }
 
     /** Splits an answered attempt's time into network, queue and work. */
-    private void addAnswer(
+    private void addAnsweredAttempt(
             OperationTimer timer, double length, double waited, double worked, double now) {
         double queued = Math.min(length, Math.max(0, waited));
         double work = Math.min(length - queued, Math.max(0, worked));
@@ -218,7 +220,7 @@
     public void lateAnswerReceived(int node, double waited, double worked) {
         NodeActivity activity = nodes.get(node);
         if (activity != null && waited + worked > 0) {
-            activity.answeredLate();
+            activity.lateAnswerReceived();
         }
     }
 
@@ -234,12 +236,12 @@
             steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
             return;
         }
-        double length = Math.max(0, now - timer.since);
-        if (length > 0 && !timer.ended) {
+        double length = Math.max(0, now - timer.stepStartedAt);
+        if (length > 0 && !timer.hasEnded) {
             timer.addStep(LatencyComponent.FAILED_ATTEMPT, timer.node, length);
             chargeFailure(timer, outcome, length, now);
         }
-        timer.since = now;
+        timer.stepStartedAt = now;
         steps.endAttempt(timer);
         steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
     }
@@ -261,29 +263,31 @@
      * @param node at which it was given up; 0 for none
      */
     public void end(OperationTimer timer, End end, Reason reason, int node, double now) {
-        if (timer == null || timer.ended) {
+        if (timer == null || timer.hasEnded) {
             return;
         }
         steps.end(timer, now);
         endClaim(timer);
-        timer.ended = true;
+        timer.hasEnded = true;
         double duration = now - timer.arrivedAt;
-        boolean met = end == End.SERVED && duration <= timer.trafficClass.latencyObjective();
-        double lostWeight = lostWeight(timer.trafficClass, end, met);
+        boolean metObjective =
+                end == End.SERVED && duration <= timer.trafficClass.latencyObjective();
+        double lostWeight = lostWeight(timer.trafficClass, end, metObjective);
         if (lostWeight > 0 && timer.charges.size() == 0) {
-            chargeTokenWait(timer, reason, node, now);
+            chargeNominalWait(timer, reason, node, now);
         }
         EndedOperation ended =
-                new EndedOperation(timer, end, tier(timer, reason), met, lostWeight, duration);
-        windows.at(timer.volume, wallAtZero + now).add(ended);
+                new EndedOperation(
+                        timer, end, tier(timer, reason), metObjective, lostWeight, duration);
+        windows.windowAt(timer.volume, wallClockOffset + now).add(ended);
         totals.add(ended);
         if (timer.attemptActivity == null) {
             steps.releaseTable(timer);
         }
     }
 
-    private static double lostWeight(TrafficClass trafficClass, End end, boolean met) {
-        if (met) {
+    private static double lostWeight(TrafficClass trafficClass, End end, boolean metObjective) {
+        if (metObjective) {
             return 0;
         }
         return trafficClass.priorityWeight()
@@ -291,21 +295,21 @@
     }
 
     private static PlanTier tier(OperationTimer timer, Reason reason) {
-        if (timer.rateLimited || reason == Reason.LIMIT) {
+        if (timer.wasRateLimited || reason == Reason.LIMIT) {
             return PlanTier.LIMIT;
         }
         return timer.wasSent ? PlanTier.of(timer.quotaTier) : PlanTier.NONE;
     }
 
     /** Given up at once: nothing was waited for, but what it would have waited for is the cause. */
-    private void chargeTokenWait(OperationTimer timer, Reason reason, int node, double now) {
+    private void chargeNominalWait(OperationTimer timer, Reason reason, int node, double now) {
         LatencyComponent component =
                 switch (reason) {
                     case OBJECTIVE_MISSED, DEADLINE -> LatencyComponent.SHARE_FULL;
                     default -> LatencyComponent.of(reason);
                 };
         steps.start(timer, component, node);
-        attribution.charge(timer, component, TOKEN_WAIT_MILLIS, now);
+        attribution.charge(timer, component, NOMINAL_WAIT_MILLIS, now);
         timer.component = LatencyComponent.LOWER_PRIORITY;
     }
 
@@ -313,7 +317,7 @@
 
     /** A volume's account from a time to another on the clock handed in. */
     public LatencyReport report(long volume, double from, double to) {
-        return snapshot().report(volume, wallAtZero + from, wallAtZero + to);
+        return snapshot().report(volume, wallClockOffset + from, wallClockOffset + to);
     }
 
     /** Sums since the start; the caller's own copy. */
@@ -343,7 +347,7 @@
      * back.
      */
     public void restore(LatencyAccount account, double now) {
-        account.moveBefore(wallAtZero + now);
+        account.shiftBefore(wallClockOffset + now);
         windows.merge(account.volumes);
         account.flows.forEach(
                 (id, flows) -> {
--- a/src/main/java/sagepulley/accounts/Cause.java
+++ b/src/main/java/sagepulley/accounts/Cause.java
@@ -83,7 +83,7 @@
     }
 
     /** Whether a number is a cause's: what is read from a file may be anything. */
-    static boolean isKey(long key) {
+    static boolean isValidKey(long key) {
         return key >= 0 && key >>> (NODE_BITS + VOLUME_BITS + 1) < KINDS.length;
     }
 
@@ -92,12 +92,12 @@
     }
 
     /** The same cause at any node, which small ones are merged into. */
-    static long anywhere(long key) {
+    static long withoutNode(long key) {
         return key & ~(MAX_NODE << VOLUME_BITS);
     }
 
     /** The same cause at any node and of any volume, which small ones are merged into. */
-    static long anybody(long key) {
-        return anywhere(key) & ~MAX_VOLUME;
+    static long withoutNodeAndVolume(long key) {
+        return withoutNode(key) & ~MAX_VOLUME;
     }
 }
--- a/src/main/java/sagepulley/accounts/CauseCharges.java
+++ b/src/main/java/sagepulley/accounts/CauseCharges.java
@@ -9,19 +9,19 @@
  * estimated the bounds are summed too.
  */
 final class CauseCharges {
-    private static final int INITIAL_SIZE = 6;
+    private static final int INITIAL_CAPACITY = 6;
 
     /** Sums to a key: waited, its lower bound, its upper bound, weight lost. */
     static final int SUMS = 4;
 
     /** One in so many causes is left as it is when others are merged. */
-    private static final int LARGEST_PART = 4;
+    private static final int KEPT_DIVISOR = 4;
 
     private final int maxSize;
-    private long[] keys = new long[INITIAL_SIZE];
-    private double[] sums = new double[SUMS * INITIAL_SIZE];
+    private long[] keys = new long[INITIAL_CAPACITY];
+    private double[] sums = new double[SUMS * INITIAL_CAPACITY];
     private int size;
-    private boolean merged;
+    private boolean hasMerged;
 
     CauseCharges(int maxSize) {
         this.maxSize = maxSize;
@@ -53,7 +53,7 @@
 
     void clear() {
         size = 0;
-        merged = false;
+        hasMerged = false;
     }
 
     /** Milliseconds charged to a cause that was observed. */
@@ -63,8 +63,8 @@
 
     void add(long key, double waited, double lowerBound, double upperBound, double lostWeight) {
         int index = find(key);
-        if (index < 0 && merged) {
-            index = find(Cause.anywhere(key)); // what was merged over nodes stays so
+        if (index < 0 && hasMerged) {
+            index = find(Cause.withoutNode(key)); // what was merged over nodes stays so
         }
         if (index < 0) {
             index = append(key);
@@ -143,28 +143,28 @@
      * observed and estimated.
      */
     private void mergeSmallest() {
-        int targetSize = maxSize - maxSize / LARGEST_PART;
-        merged = false;
-        widen(Cause::anywhere, size / LARGEST_PART);
+        int targetSize = maxSize - maxSize / KEPT_DIVISOR;
+        hasMerged = false;
+        mergeKeys(Cause::withoutNode, size / KEPT_DIVISOR);
         if (size > targetSize) {
-            widen(Cause::anybody, size / LARGEST_PART);
+            mergeKeys(Cause::withoutNodeAndVolume, size / KEPT_DIVISOR);
         }
         if (size > targetSize) {
-            widen(Cause::anybody, 0);
+            mergeKeys(Cause::withoutNodeAndVolume, 0);
         }
-        merged = true;
+        hasMerged = true;
     }
 
-    private void widen(LongUnaryOperator wider, int largest) {
+    private void mergeKeys(LongUnaryOperator mergedKey, int keptCount) {
         long[] oldKeys = Arrays.copyOf(keys, size);
         double[] oldSums = Arrays.copyOf(sums, SUMS * size);
-        double threshold = largest == 0 ? Double.POSITIVE_INFINITY : largestWaits(largest);
-        int left = largest;
+        double threshold = keptCount == 0 ? Double.POSITIVE_INFINITY : nthLargestWait(keptCount);
+        int keptLeft = keptCount;
         size = 0;
         for (int i = 0; i < oldKeys.length; i++) {
-            boolean stays = oldSums[SUMS * i] >= threshold && left-- > 0;
+            boolean isKept = oldSums[SUMS * i] >= threshold && keptLeft-- > 0;
             add(
-                    stays ? oldKeys[i] : wider.applyAsLong(oldKeys[i]),
+                    isKept ? oldKeys[i] : mergedKey.applyAsLong(oldKeys[i]),
                     oldSums[SUMS * i],
                     oldSums[SUMS * i + 1],
                     oldSums[SUMS * i + 2],
@@ -173,7 +173,7 @@
     }
 
     /** The least of so many of the largest waits. */
-    private double largestWaits(int count) {
+    private double nthLargestWait(int count) {
         double[] ranked = new double[size];
         for (int i = 0; i < size; i++) {
             ranked[i] = waited(i);
--- a/src/main/java/sagepulley/accounts/CauseRanking.java
+++ b/src/main/java/sagepulley/accounts/CauseRanking.java
@@ -18,7 +18,7 @@
     private static final double MAJORITY = 0.5;
 
     /** The next cause has at most this part of the largest. */
-    private static final double MAX_NEXT_PART = 0.6;
+    private static final double MAX_RUNNER_UP_FRACTION = 0.6;
 
     private static final double MIN_SHARE = 0.3;
     private static final double MIN_OBSERVED_SHARE = 0.7;
@@ -49,16 +49,16 @@
          * A fault, a slow or starting node is itself the cause; of others it is where they acted.
          */
         static Key of(Cause cause) {
-            boolean ofNode =
+            boolean isNodeSpecific =
                     switch (cause.kind()) {
                         case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> true;
                         default -> false;
                     };
-            return new Key(cause.kind(), cause.volume(), ofNode ? cause.node() : 0);
+            return new Key(cause.kind(), cause.volume(), isNodeSpecific ? cause.node() : 0);
         }
 
         /** Orders causes of the same size; not to be changed, for reports show that order. */
-        String name() {
+        String sortKey() {
             return "[" + kind.externalName() + ", " + volume + ", " + node + "]";
         }
     }
@@ -94,10 +94,10 @@
             total += cause.kind() == Cause.Kind.OWN_WORK ? 0 : sum.causes.waited(i);
         }
         this.totalWaited = Math.max(MIN_MILLIS, total);
-        sums.forEach((key, ofKey) -> ranked.add(new Ranked(key, ofKey)));
+        sums.forEach((key, keySum) -> ranked.add(new Ranked(key, keySum)));
         ranked.sort(
                 Comparator.comparingDouble((Ranked cause) -> -cause.sum().waited)
-                        .thenComparing(cause -> cause.key().name()));
+                        .thenComparing(cause -> cause.key().sortKey()));
     }
 
     List<LatencyReport.CauseReport> reports() {
@@ -135,7 +135,7 @@
         }
         if (share >= MAJORITY
                 && observedShare >= MIN_OBSERVED_SHARE
-                && largestOther(cause) / totalWaited <= MAX_NEXT_PART * share) {
+                && largestOther(cause) / totalWaited <= MAX_RUNNER_UP_FRACTION * share) {
             return LatencyReport.Confidence.HIGH;
         }
         return share >= MAJORITY || cause.sum().lowerBound / totalWaited >= MIN_SHARE
--- a/src/main/java/sagepulley/accounts/EndedOperation.java
+++ b/src/main/java/sagepulley/accounts/EndedOperation.java
@@ -4,7 +4,7 @@
  * How an operation ended, for the sums that it is booked into.
  *
  * @param tier by which it was served, or held
- * @param met whether it was served within its latency objective
+ * @param metObjective whether it was served within its latency objective
  * @param lostWeight priority weight that was lost because it was not
  * @param duration milliseconds from arrival to final answer
  */
@@ -12,6 +12,6 @@
         OperationTimer timer,
         Accounts.End end,
         PlanTier tier,
-        boolean met,
+        boolean metObjective,
         double lostWeight,
         double duration) {}
--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -60,7 +60,7 @@
         for (int i = 0; i < aligned.size(); i++) {
             // Names are read from the others' flows, which naming leaves as they are.
             if (aligned.size() > 1) {
-                nameOtherGateways(i);
+                attributeOtherGateways(i);
             }
             merged.merge(aligned.get(i), 0);
         }
@@ -76,8 +76,9 @@
         if (!Double.isNaN(direct)) {
             return direct;
         }
-        for (GatewayAccount between : accounts) {
-            double sum = medianDifference(first, between) + medianDifference(between, member);
+        for (GatewayAccount intermediate : accounts) {
+            double sum =
+                    medianDifference(first, intermediate) + medianDifference(intermediate, member);
             if (!Double.isNaN(sum)) {
                 return sum;
             }
@@ -101,7 +102,7 @@
     // ---- names ----
 
     /** Names volumes in place of other gateways' work, as the other gateways' accounts tell. */
-    private void nameOtherGateways(int index) {
+    private void attributeOtherGateways(int index) {
         aligned.get(index)
                 .volumes
                 .forEach(
@@ -111,7 +112,7 @@
                                 timeline.level(level)
                                         .forEach(
                                                 (number, window) ->
-                                                        nameOtherGateways(
+                                                        attributeOtherGateways(
                                                                 index,
                                                                 volume,
                                                                 window.causes,
@@ -121,45 +122,45 @@
                         });
     }
 
-    private void nameOtherGateways(
+    private void attributeOtherGateways(
             int index, long volume, CauseCharges charges, double from, double to) {
-        CauseCharges before = new CauseCharges(AccountWindow.MAX_CAUSES);
-        before.addAll(charges);
+        CauseCharges original = new CauseCharges(AccountWindow.MAX_CAUSES);
+        original.addAll(charges);
         charges.clear();
-        for (int i = 0; i < before.size(); i++) {
-            Cause cause = Cause.of(before.key(i));
+        for (int i = 0; i < original.size(); i++) {
+            Cause cause = Cause.of(original.key(i));
             Map<Long, Double> units =
                     cause.kind() == Cause.Kind.OTHER_GATEWAYS
-                            ? unitsOfOthers(index, cause.node(), from, to)
+                            ? unitsOfOtherGateways(index, cause.node(), from, to)
                             : Map.of();
             double sum = units.values().stream().mapToDouble(Double::doubleValue).sum();
             if (sum <= 0) {
-                addPart(charges, before.key(i), before, i, 1);
+                addFraction(charges, original.key(i), original, i, 1);
                 continue;
             }
-            int charged = i;
+            int causeIndex = i;
             units.forEach(
                     (other, amount) -> {
                         Cause.Kind kind =
                                 other == volume ? Cause.Kind.OWN_LOAD : Cause.Kind.NEIGHBOUR;
                         long key = Cause.key(kind, other, cause.node(), true);
-                        addPart(charges, key, before, charged, amount / sum);
+                        addFraction(charges, key, original, causeIndex, amount / sum);
                     });
         }
     }
 
-    private static void addPart(
-            CauseCharges charges, long key, CauseCharges from, int index, double part) {
+    private static void addFraction(
+            CauseCharges charges, long key, CauseCharges from, int index, double fraction) {
         charges.add(
                 key,
-                part * from.waited(index),
-                part * from.lowerBound(index),
-                part * from.upperBound(index),
-                part * from.lostWeight(index));
+                fraction * from.waited(index),
+                fraction * from.lowerBound(index),
+                fraction * from.upperBound(index),
+                fraction * from.lostWeight(index));
     }
 
     /** Units that the other gateways sent to a node about a time, by volume. */
-    private Map<Long, Double> unitsOfOthers(int index, int node, double from, double to) {
+    private Map<Long, Double> unitsOfOtherGateways(int index, int node, double from, double to) {
         Map<Long, Double> units = new TreeMap<>();
         for (int i = 0; i < aligned.size(); i++) {
             Timeline<NodeFlow> timeline = aligned.get(i).flows.get(node);
@@ -168,9 +169,9 @@
             }
             NodeFlow sum = new NodeFlow();
             timeline.sum(sum, from - MAX_FLOW_DISTANCE_MILLIS, to + MAX_FLOW_DISTANCE_MILLIS - 1);
-            for (int at = 0; at < sum.units.size(); at++) {
-                long volume = Cause.of(sum.units.key(at)).volume();
-                units.merge(volume, sum.units.waited(at), Double::sum);
+            for (int flowIndex = 0; flowIndex < sum.units.size(); flowIndex++) {
+                long volume = Cause.of(sum.units.key(flowIndex)).volume();
+                units.merge(volume, sum.units.waited(flowIndex), Double::sum);
             }
         }
         return units;
@@ -181,14 +182,16 @@
      * zone's.
      */
     public static List<Integer> faultyNodesOfZone(
-            LatencyAccount account, int zone, List<Integer> atFault) {
+            LatencyAccount account, int zone, List<Integer> faultyNodes) {
         int[] nodesInZone =
                 account.zones.entrySet().stream()
                         .filter(entry -> entry.getValue() == zone)
                         .mapToInt(Map.Entry::getKey)
                         .toArray();
-        List<Integer> faulty =
-                Arrays.stream(nodesInZone).filter(atFault::contains).boxed().toList();
-        return faulty.size() > 1 && 2 * faulty.size() >= nodesInZone.length ? faulty : List.of();
+        List<Integer> faultyInZone =
+                Arrays.stream(nodesInZone).filter(faultyNodes::contains).boxed().toList();
+        return faultyInZone.size() > 1 && 2 * faultyInZone.size() >= nodesInZone.length
+                ? faultyInZone
+                : List.of();
     }
 }
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -68,21 +68,21 @@
     /**
      * What lies after a time, by a clock that was set back since, is moved before it: whole hours.
      */
-    void moveBefore(double wallMillis) {
-        volumes.values().forEach(timeline -> timeline.moveBefore(wallMillis));
-        flows.values().forEach(timeline -> timeline.moveBefore(wallMillis));
+    void shiftBefore(double wallMillis) {
+        volumes.values().forEach(timeline -> timeline.shiftBefore(wallMillis));
+        flows.values().forEach(timeline -> timeline.shiftBefore(wallMillis));
     }
 
     /** Adds another's, whose clock was ahead by so many milliseconds. */
-    void merge(LatencyAccount other, double ahead) {
+    void merge(LatencyAccount other, double clockOffsetMillis) {
         other.volumes.forEach(
                 (volume, timeline) ->
                         volumes.computeIfAbsent(volume, any -> new Timeline<>(AccountWindow::new))
-                                .merge(timeline, -ahead));
+                                .merge(timeline, -clockOffsetMillis));
         other.flows.forEach(
                 (node, timeline) ->
                         flows.computeIfAbsent(node, any -> new Timeline<>(NodeFlow::new))
-                                .merge(timeline, -ahead));
+                                .merge(timeline, -clockOffsetMillis));
         other.zones.forEach(zones::putIfAbsent);
     }
 
@@ -95,7 +95,12 @@
      * @param work milliseconds of nodes' work
      */
     public record Point(
-            double wallMillis, double length, long operations, long missed, double waited, double work) {
+            double wallMillis,
+            double length,
+            long operations,
+            long missed,
+            double waited,
+            double work) {
         private static Point of(AccountWindow window, double middle, double length) {
             double work = window.components[LatencyComponent.NODE_WORK.ordinal()];
             double total = 0;
@@ -103,8 +108,8 @@
                 total += component;
             }
             long missed = 0;
-            for (long ofTier : window.missed) {
-                missed += ofTier;
+            for (long missedInTier : window.missed) {
+                missed += missedInTier;
             }
             return new Point(middle, length, window.operations(), missed, total - work, work);
         }
--- a/src/main/java/sagepulley/accounts/NodeActivities.java
+++ b/src/main/java/sagepulley/accounts/NodeActivities.java
@@ -96,31 +96,31 @@
     }
 
     private static final class ServiceTimes {
-        private final boolean ofWrites;
+        private final boolean isWrite;
         private double sum;
         private int count;
 
-        ServiceTimes(boolean ofWrites) {
-            this.ofWrites = ofWrites;
+        ServiceTimes(boolean isWrite) {
+            this.isWrite = isWrite;
         }
 
         void sum(Map<Integer, NodeActivity> nodes) {
             sum = 0;
             count = 0;
             for (NodeActivity activity : nodes.values()) {
-                if (activity.takeForComparison(ofWrites)) {
-                    sum += activity.comparedServiceTime(ofWrites);
+                if (activity.captureServiceTime(isWrite)) {
+                    sum += activity.comparedServiceTime(isWrite);
                     count++;
                 }
             }
         }
 
         double slowFraction(NodeActivity activity) {
-            double own = activity.serviceTime(ofWrites);
-            if (Double.isNaN(own) || count < 2 || !activity.isCompared(ofWrites)) {
+            double own = activity.serviceTime(isWrite);
+            if (Double.isNaN(own) || count < 2 || !activity.hasComparedServiceTime(isWrite)) {
                 return 0;
             }
-            double others = (sum - activity.comparedServiceTime(ofWrites)) / (count - 1);
+            double others = (sum - activity.comparedServiceTime(isWrite)) / (count - 1);
             return others > 0 && own > SLOW_FACTOR * others ? 1 - others / own : 0;
         }
     }
--- a/src/main/java/sagepulley/accounts/NodeActivity.java
+++ b/src/main/java/sagepulley/accounts/NodeActivity.java
@@ -19,13 +19,13 @@
     /** The wait for a unit ahead is followed towards its lower quartile, in steps of this part. */
     private static final double QUARTILE_STEP = 0.05;
 
-    private static final double USUAL_WAIT_FACTOR = 2;
-    private static final double USUAL_WAIT_ALLOWANCE_MILLIS = 1;
+    private static final double TYPICAL_WAIT_FACTOR = 2;
+    private static final double TYPICAL_WAIT_ALLOWANCE_MILLIS = 1;
 
     /** A node is quiet when it is silent for so many average attempts and an allowance. */
-    private static final double QUIET_ATTEMPTS = 4;
+    private static final double SILENCE_ATTEMPT_FACTOR = 4;
 
-    private static final double QUIET_ALLOWANCE_MILLIS = 20;
+    private static final double SILENCE_ALLOWANCE_MILLIS = 20;
 
     private static final double PAUSE_SMOOTHING = 0.4;
 
@@ -46,7 +46,7 @@
     /** Units of operations that hold a slot here while they wait for a claim. */
     double claimingUnits;
 
-    double answeredAt = Double.NEGATIVE_INFINITY;
+    double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
     /** Of an attempt's time, the parts that went to other gateways' work and to its own pauses. */
     double otherGatewaysFraction;
@@ -64,19 +64,19 @@
     /** The same as it was at the latest comparison with other nodes. */
     private final double[] comparedServiceTime = {Double.NaN, Double.NaN};
 
-    private double attemptTime = Double.NaN;
+    private double averageAttemptMillis = Double.NaN;
 
     /** Of waits in the queue while no other gateway's work was there; NaN before the first. */
     private double waitPerUnitAhead = Double.NaN;
 
     /** Attempts of all gateways in its queue, as its latest answer reported. */
-    private double reportedQueue;
+    private double reportedAttempts;
 
     /** This gateway's attempts in flight then. */
-    private double ownQueue;
+    private double ownAttemptsAtReport;
 
     /** Of the latest quiet times, the part that proved to be pauses. */
-    private double pauseFraction;
+    private double silencePauseFraction;
 
     NodeActivity(int id) {
         this.id = id;
@@ -99,29 +99,29 @@
      *
      * @param waited in the node's queue, as the node reported
      * @param worked by the node, as it reported
-     * @param took from sending to answer
+     * @param duration from sending to answer
      * @param queue attempts in the node's queue; NaN if not reported
      */
-    void answered(
-            boolean writes,
+    void answerReceived(
+            boolean isWrite,
             double units,
             double waited,
             double worked,
-            double took,
+            double duration,
             double queue,
             double now) {
-        double quietTime = now - Math.max(answeredAt, busySince);
-        if (quietTime > quietAfter()) {
-            boolean wasPause = waited + worked > PAUSE_FRACTION * quietTime;
-            pauseFraction += PAUSE_SMOOTHING * ((wasPause ? 1 : 0) - pauseFraction);
+        double silentMillis = now - Math.max(lastAnsweredAt, busySince);
+        if (silentMillis > silenceThreshold()) {
+            boolean wasPause = waited + worked > PAUSE_FRACTION * silentMillis;
+            silencePauseFraction += PAUSE_SMOOTHING * ((wasPause ? 1 : 0) - silencePauseFraction);
         }
-        answeredAt = now;
-        int direction = direction(writes);
+        lastAnsweredAt = now;
+        int direction = direction(isWrite);
         double latest = Math.max(0, worked) / Math.max(MIN_UNITS, units);
         serviceTime[direction] = average(serviceTime[direction], latest);
-        attemptTime = average(attemptTime, took);
-        reportedQueue = Double.isNaN(queue) ? 0 : queue;
-        ownQueue = attemptsInFlight;
+        averageAttemptMillis = average(averageAttemptMillis, duration);
+        reportedAttempts = Double.isNaN(queue) ? 0 : queue;
+        ownAttemptsAtReport = attemptsInFlight;
     }
 
     private static double average(double average, double latest) {
@@ -133,12 +133,12 @@
     }
 
     /** An attempt that had been given up was answered: the node had paused, or was long at it. */
-    void answeredLate() {
-        pauseFraction += PAUSE_SMOOTHING * (1 - pauseFraction);
+    void lateAnswerReceived() {
+        silencePauseFraction += PAUSE_SMOOTHING * (1 - silencePauseFraction);
     }
 
     /** How an attempt's time was composed. */
-    void attemptComposed(double otherGateways, double paused) {
+    void recordAttemptBreakdown(double otherGateways, double paused) {
         otherGatewaysFraction += SMOOTHING * (otherGateways - otherGatewaysFraction);
         pausedFraction += SMOOTHING * (paused - pausedFraction);
     }
@@ -147,16 +147,16 @@
 
     /** At least so many attempts in its queue are other gateways'. */
     double minOtherAttempts() {
-        return Math.max(0, reportedQueue - ownQueue);
+        return Math.max(0, reportedAttempts - ownAttemptsAtReport);
     }
 
     /** At most so many attempts in its queue are other gateways'. */
     double maxOtherAttempts() {
-        return reportedQueue;
+        return reportedAttempts;
     }
 
     /** What a wait in the queue was with so many units ahead, none of them other gateways'. */
-    void waitedBehindOwn(double waited, double units) {
+    void recordQueueWait(double waited, double units) {
         double latest = waited / units;
         if (Double.isNaN(waitPerUnitAhead)) {
             waitPerUnitAhead = latest;
@@ -169,34 +169,34 @@
     }
 
     /** Upper bound of the usual wait with so many units ahead; NaN if none was observed. */
-    double usualWait(double units) {
+    double maxTypicalWait(double units) {
         return Double.isNaN(waitPerUnitAhead)
                 ? Double.NaN
-                : USUAL_WAIT_FACTOR * waitPerUnitAhead * units + USUAL_WAIT_ALLOWANCE_MILLIS;
+                : TYPICAL_WAIT_FACTOR * waitPerUnitAhead * units + TYPICAL_WAIT_ALLOWANCE_MILLIS;
     }
 
     // ---- its service time ----
 
-    private static int direction(boolean writes) {
-        return writes ? 1 : 0;
+    private static int direction(boolean isWrite) {
+        return isWrite ? 1 : 0;
     }
 
-    double serviceTime(boolean writes) {
-        return serviceTime[direction(writes)];
+    double serviceTime(boolean isWrite) {
+        return serviceTime[direction(isWrite)];
     }
 
     /** Remembers the service time for a comparison over all nodes; false if there is none. */
-    boolean takeForComparison(boolean writes) {
-        comparedServiceTime[direction(writes)] = serviceTime[direction(writes)];
-        return isCompared(writes);
+    boolean captureServiceTime(boolean isWrite) {
+        comparedServiceTime[direction(isWrite)] = serviceTime[direction(isWrite)];
+        return hasComparedServiceTime(isWrite);
     }
 
-    boolean isCompared(boolean writes) {
-        return !Double.isNaN(comparedServiceTime[direction(writes)]);
+    boolean hasComparedServiceTime(boolean isWrite) {
+        return !Double.isNaN(comparedServiceTime[direction(isWrite)]);
     }
 
-    double comparedServiceTime(boolean writes) {
-        return comparedServiceTime[direction(writes)];
+    double comparedServiceTime(boolean isWrite) {
+        return comparedServiceTime[direction(isWrite)];
     }
 
     // ---- its pauses ----
@@ -205,27 +205,30 @@
      * What an attempt that was sent at a time may usually take; 0 if the node has answered nothing
      * since.
      */
-    double usualAttemptSince(double sentAt) {
-        return answeredAt <= sentAt || Double.isNaN(attemptTime)
+    double maxTypicalAttempt(double sentAt) {
+        return lastAnsweredAt <= sentAt || Double.isNaN(averageAttemptMillis)
                 ? 0
-                : QUIET_ATTEMPTS * attemptTime + QUIET_ALLOWANCE_MILLIS;
+                : SILENCE_ATTEMPT_FACTOR * averageAttemptMillis + SILENCE_ALLOWANCE_MILLIS;
     }
 
     /** Of a wait for this node, the milliseconds in which it was quiet. */
-    double quietTime(double from, double to) {
+    double silentMillis(double from, double to) {
         if (attemptsInFlight == 0) {
             return 0;
         }
-        double quietSince = Math.max(answeredAt, busySince) + quietAfter();
-        return Math.max(0, to - Math.max(from, quietSince));
+        double silentSince = Math.max(lastAnsweredAt, busySince) + silenceThreshold();
+        return Math.max(0, to - Math.max(from, silentSince));
     }
 
-    private double quietAfter() {
-        double attempt = Double.isNaN(attemptTime) ? QUIET_ALLOWANCE_MILLIS : attemptTime;
-        return QUIET_ATTEMPTS * attempt + QUIET_ALLOWANCE_MILLIS;
+    private double silenceThreshold() {
+        double attempt =
+                Double.isNaN(averageAttemptMillis)
+                        ? SILENCE_ALLOWANCE_MILLIS
+                        : averageAttemptMillis;
+        return SILENCE_ATTEMPT_FACTOR * attempt + SILENCE_ALLOWANCE_MILLIS;
     }
 
-    double pauseFraction() {
-        return pauseFraction;
+    double silencePauseFraction() {
+        return silencePauseFraction;
     }
 }
--- a/src/main/java/sagepulley/accounts/NodeFlow.java
+++ b/src/main/java/sagepulley/accounts/NodeFlow.java
@@ -10,8 +10,8 @@
      */
     final CauseCharges units = new CauseCharges(MAX_VOLUMES);
 
-    void worked(long volume, boolean writes, double amount) {
-        units.add(Cause.key(Cause.Kind.NEIGHBOUR, volume, 0, writes), amount);
+    void addWork(long volume, boolean isWrite, double amount) {
+        units.add(Cause.key(Cause.Kind.NEIGHBOUR, volume, 0, isWrite), amount);
     }
 
     @Override
--- a/src/main/java/sagepulley/accounts/OperationSteps.java
+++ b/src/main/java/sagepulley/accounts/OperationSteps.java
@@ -7,13 +7,13 @@
  * flight each step waits.
  */
 final class OperationSteps {
-    private static final int MAX_SPARE_TABLES = 4096;
+    private static final int MAX_POOLED_TABLES = 4096;
 
     private final NodeActivities nodes;
     private final WaitAttribution attribution;
 
     /** Tables of ended operations, to be used again. */
-    private final ArrayDeque<OutstandingWork> spareTables = new ArrayDeque<>();
+    private final ArrayDeque<OutstandingWork> tablePool = new ArrayDeque<>();
 
     OperationSteps(NodeActivities nodes, WaitAttribution attribution) {
         this.nodes = nodes;
@@ -22,12 +22,12 @@
 
     /** Ends what the operation spends its time in. */
     void end(OperationTimer timer, double now) {
-        double length = Math.max(0, now - timer.since);
-        if (length > 0 && !timer.ended) {
+        double length = Math.max(0, now - timer.stepStartedAt);
+        if (length > 0 && !timer.hasEnded) {
             timer.addStep(timer.component, timer.node, length);
             attribution.charge(timer, timer.component, length, now);
         }
-        timer.since = now;
+        timer.stepStartedAt = now;
     }
 
     /** From now on its time goes to a component, at a node or for one (0: none). */
@@ -42,7 +42,7 @@
             return;
         }
         if (timer.workAhead == null) {
-            timer.workAhead = spareTables.isEmpty() ? new OutstandingWork() : spareTables.pop();
+            timer.workAhead = tablePool.isEmpty() ? new OutstandingWork() : tablePool.pop();
         }
         timer.workAhead.copyFrom(node == 0 ? nodes.outstanding : timer.activity.outstanding);
     }
@@ -58,8 +58,8 @@
 
     /** It waits behind no others any more. */
     void releaseTable(OperationTimer timer) {
-        if (timer.workAhead != null && spareTables.size() < MAX_SPARE_TABLES) {
-            spareTables.push(timer.workAhead);
+        if (timer.workAhead != null && tablePool.size() < MAX_POOLED_TABLES) {
+            tablePool.push(timer.workAhead);
         }
         timer.workAhead = null;
     }
@@ -73,7 +73,7 @@
             activity.attemptEnded();
         }
         timer.attemptActivity = null;
-        if (timer.ended) {
+        if (timer.hasEnded) {
             releaseTable(timer);
         }
     }
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -20,7 +20,7 @@
 
     final long volume;
     final TrafficClass trafficClass;
-    final boolean writes;
+    final boolean isWrite;
     final double units;
     final double arrivedAt;
     final CauseCharges charges = new CauseCharges(MAX_CAUSES);
@@ -28,7 +28,7 @@
     /** Where its time goes now, and since when. */
     LatencyComponent component = LatencyComponent.LOWER_PRIORITY;
 
-    double since;
+    double stepStartedAt;
 
     /** The node it is at or waits for (0: none), and what is known of that; null for none. */
     int node;
@@ -54,9 +54,9 @@
     /** The node where it holds a slot while it waits for a claim; 0 for none. */
     int claimNode;
 
-    boolean rateLimited;
+    boolean wasRateLimited;
     boolean wasSent;
-    boolean ended;
+    boolean hasEnded;
     private byte[] components = new byte[INITIAL_STEPS];
     private int[] nodes = new int[INITIAL_STEPS];
     private double[] lengths = new double[INITIAL_STEPS];
@@ -65,27 +65,27 @@
     OperationTimer(
             long volume,
             TrafficClass trafficClass,
-            boolean writes,
+            boolean isWrite,
             double units,
             double arrivedAt) {
         this.volume = volume;
         this.trafficClass = trafficClass;
-        this.writes = writes;
+        this.isWrite = isWrite;
         this.units = units;
         this.arrivedAt = arrivedAt;
-        this.since = arrivedAt;
+        this.stepStartedAt = arrivedAt;
     }
 
     // ---- steps ----
 
     /** Adds a step; one like the last is merged with it, and past the bound with any like it. */
     void addStep(LatencyComponent ofComponent, int atNode, double length) {
-        int like = indexOfLike(ofComponent);
+        int index = indexToMerge(ofComponent);
         boolean isFull = count == MAX_STEPS;
-        if (like >= 0
-                && components[like] == ofComponent.ordinal()
-                && (nodes[like] == atNode || isFull)) {
-            lengths[like] += length;
+        if (index >= 0
+                && components[index] == ofComponent.ordinal()
+                && (nodes[index] == atNode || isFull)) {
+            lengths[index] += length;
             return;
         }
         if (isFull) {
@@ -103,15 +103,15 @@
         lengths[count++] = length;
     }
 
-    private int indexOfLike(LatencyComponent ofComponent) {
+    private int indexToMerge(LatencyComponent ofComponent) {
         if (count < MAX_STEPS) {
             return count - 1;
         }
-        int like = 0;
-        while (like < count - 1 && components[like] != ofComponent.ordinal()) {
-            like++;
+        int index = 0;
+        while (index < count - 1 && components[index] != ofComponent.ordinal()) {
+            index++;
         }
-        return like;
+        return index;
     }
 
     /** How many steps it took so far, in order of time. */
@@ -160,10 +160,10 @@
     // ---- causes ----
 
     /** Charges a wait to what happened at a node (0: none); an estimate may be none of it. */
-    void charge(Cause.Kind kind, int atNode, double length, boolean estimate) {
+    void charge(Cause.Kind kind, int atNode, double length, boolean isEstimated) {
         if (length > 0) {
-            long key = Cause.key(kind, 0, atNode, estimate);
-            charges.add(key, length, estimate ? 0 : length, length, 0);
+            long key = Cause.key(kind, 0, atNode, isEstimated);
+            charges.add(key, length, isEstimated ? 0 : length, length, 0);
         }
     }
 
--- a/src/main/java/sagepulley/accounts/OutstandingWork.java
+++ b/src/main/java/sagepulley/accounts/OutstandingWork.java
@@ -55,24 +55,24 @@
      * @return the key it was counted under, by which it is to be removed again
      */
     long add(long key, double amount) {
-        int at = 0;
-        while (at < size && keys[at] != key) {
-            at++;
+        int index = 0;
+        while (index < size && keys[index] != key) {
+            index++;
         }
-        if (at == size) {
+        if (index == size) {
             if (size >= MAX_KEYS - QUOTA_TIERS.length && key >> TIER_BITS != 0) {
                 return add(key & TIER_MASK, amount);
             }
             keys[size] = key;
             units[size++] = 0;
         }
-        units[at] += amount;
-        if (units[at] < MIN_UNITS) {
+        units[index] += amount;
+        if (units[index] < MIN_UNITS) {
             size--;
-            keys[at] = keys[size];
-            units[at] = units[size];
-        } else if (at > 0 && units[at] > units[at - 1]) {
-            swapWithPrevious(at);
+            keys[index] = keys[size];
+            units[index] = units[size];
+        } else if (index > 0 && units[index] > units[index - 1]) {
+            swapWithPrevious(index);
         }
         return key;
     }
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -137,20 +137,23 @@
      */
     public LatencyAccount toAccount() {
         LatencyAccount account = new LatencyAccount();
-        for (StoredVolume volume : checked(volumes)) {
+        for (StoredVolume volume : requireComplete(volumes)) {
             Timeline<AccountWindow> timeline = new Timeline<>(AccountWindow::new);
-            for (StoredWindow window : checked(volume.windows)) {
-                read(window, timeline.put(checkedLevel(window.level), window.number));
+            for (StoredWindow window : requireComplete(volume.windows)) {
+                readWindow(
+                        window,
+                        timeline.getOrCreate(requireValidLevel(window.level), window.number));
             }
             if (volume.volume < 0 || account.volumes.put(volume.volume, timeline) != null) {
                 throw new IllegalArgumentException(
                         "volume " + volume.volume + " is no volume, or there twice");
             }
         }
-        for (StoredNode node : checked(nodes)) {
+        for (StoredNode node : requireComplete(nodes)) {
             Timeline<NodeFlow> timeline = new Timeline<>(NodeFlow::new);
-            for (StoredFlow flow : checked(node.flows)) {
-                CauseCharges units = timeline.put(checkedLevel(flow.level), flow.number).units;
+            for (StoredFlow flow : requireComplete(node.flows)) {
+                CauseCharges units =
+                        timeline.getOrCreate(requireValidLevel(flow.level), flow.number).units;
                 readCharges(flow.keys, flow.sums, units, NodeFlow.MAX_VOLUMES);
             }
             account.flows.put(node.node, timeline);
@@ -159,28 +162,28 @@
         return account;
     }
 
-    private static <T> List<T> checked(List<T> list) {
+    private static <T> List<T> requireComplete(List<T> list) {
         if (list == null || list.contains(null)) {
             throw new IllegalArgumentException("a list is missing or has gaps");
         }
         return list;
     }
 
-    private static int checkedLevel(int level) {
+    private static int requireValidLevel(int level) {
         if (level < 0 || level >= Timeline.LEVELS) {
             throw new IllegalArgumentException("level " + level + " is none");
         }
         return level;
     }
 
-    private static double checkedFigure(double value) {
+    private static double requireValidFigure(double value) {
         if (!(value >= 0 && value < MAX_FIGURE)) {
             throw new IllegalArgumentException("a figure of " + value + " can be none");
         }
         return value;
     }
 
-    private static void read(StoredWindow from, AccountWindow to) {
+    private static void readWindow(StoredWindow from, AccountWindow to) {
         copy(from.parts, to.components);
         readCharges(from.keys, from.sums, to.causes, AccountWindow.MAX_CAUSES);
         long[] ends = new long[3];
@@ -222,7 +225,7 @@
             throw new IllegalArgumentException("so many figures are none of ours");
         }
         for (int i = 0; i < to.length; i++) {
-            to[i] = checkedFigure(from[i]);
+            to[i] = requireValidFigure(from[i]);
         }
     }
 
@@ -246,15 +249,15 @@
             throw new IllegalArgumentException("causes and their sums do not go together");
         }
         for (int i = 0; i < keys.length; i++) {
-            if (!Cause.isKey(keys[i])) {
+            if (!Cause.isValidKey(keys[i])) {
                 throw new IllegalArgumentException("cause " + keys[i] + " is none");
             }
             to.add(
                     keys[i],
-                    checkedFigure(sums[CauseCharges.SUMS * i]),
-                    checkedFigure(sums[CauseCharges.SUMS * i + 1]),
-                    checkedFigure(sums[CauseCharges.SUMS * i + 2]),
-                    checkedFigure(sums[CauseCharges.SUMS * i + 3]));
+                    requireValidFigure(sums[CauseCharges.SUMS * i]),
+                    requireValidFigure(sums[CauseCharges.SUMS * i + 1]),
+                    requireValidFigure(sums[CauseCharges.SUMS * i + 2]),
+                    requireValidFigure(sums[CauseCharges.SUMS * i + 3]));
         }
     }
 }
--- a/src/main/java/sagepulley/accounts/Timeline.java
+++ b/src/main/java/sagepulley/accounts/Timeline.java
@@ -16,15 +16,15 @@
     static final int LEVELS = WINDOW_MILLIS.length;
 
     /** Numbers that a level spans, from its newest window back. */
-    private static final int[] MAX_AGE = {60, 72, 72};
+    private static final int[] MAX_AGE_WINDOWS = {60, 72, 72};
 
     private final Supplier<T> newWindow;
     private final TreeMap<Long, T>[] levels;
 
     /** The finest window that was asked for last: nearly always the one that is asked for next. */
-    private T latest;
+    private T latestWindow;
 
-    private long latestNumber;
+    private long latestWindowNumber;
     private int size;
 
     @SuppressWarnings({"unchecked", "rawtypes"})
@@ -36,35 +36,35 @@
         }
     }
 
-    static long number(int level, double wall) {
-        return (long) Math.floor(wall / WINDOW_MILLIS[level]);
+    static long windowNumber(int level, double wallMillis) {
+        return (long) Math.floor(wallMillis / WINDOW_MILLIS[level]);
     }
 
     /** The finest window of a time, created if need be; those too old for their level move up. */
-    T at(double wall) {
-        long number = number(0, wall);
-        if (latest == null || latestNumber != number) {
-            latest = at(0, number);
-            latestNumber = number;
+    T windowAt(double wallMillis) {
+        long number = windowNumber(0, wallMillis);
+        if (latestWindow == null || latestWindowNumber != number) {
+            latestWindow = windowAt(0, number);
+            latestWindowNumber = number;
         }
-        return latest;
+        return latestWindow;
     }
 
-    T at(int level, long number) {
+    T windowAt(int level, long number) {
         Map.Entry<Long, T> last = levels[level].lastEntry();
         if (last != null && last.getKey() == number) {
             return last.getValue();
         }
         T window = levels[level].get(number);
         if (window == null) {
-            window = put(level, number);
-            moveOldUp(level);
+            window = getOrCreate(level, number);
+            coarsenAged(level);
         }
         return window;
     }
 
     /** A window of any age, created if need be; nothing moves up. */
-    T put(int level, long number) {
+    T getOrCreate(int level, long number) {
         T window = levels[level].get(number);
         if (window == null) {
             window = newWindow.get();
@@ -74,26 +74,28 @@
         return window;
     }
 
-    private void moveOldUp(int level) {
+    private void coarsenAged(int level) {
         TreeMap<Long, T> windows = levels[level];
         long newest = windows.lastKey();
-        while (windows.firstKey() <= newest - MAX_AGE[level]) {
-            moveOldestUp(level);
+        while (windows.firstKey() <= newest - MAX_AGE_WINDOWS[level]) {
+            coarsenOldest(level);
         }
     }
 
     /** Adds the oldest window of a level to the next level that spans it, if there is one. */
-    private void moveOldestUp(int level) {
+    private void coarsenOldest(int level) {
         Map.Entry<Long, T> oldest = levels[level].pollFirstEntry();
         size--;
-        latest = null;
+        latestWindow = null;
         if (oldest.getValue().isEmpty()) {
             return;
         }
-        for (int up = level + 1; up < LEVELS; up++) {
-            long number = number(up, oldest.getKey() * WINDOW_MILLIS[level]);
-            if (levels[up].isEmpty() || number > levels[up].lastKey() - MAX_AGE[up]) {
-                at(up, number).add(oldest.getValue());
+        for (int coarserLevel = level + 1; coarserLevel < LEVELS; coarserLevel++) {
+            long number = windowNumber(coarserLevel, oldest.getKey() * WINDOW_MILLIS[level]);
+            if (levels[coarserLevel].isEmpty()
+                    || number
+                            > levels[coarserLevel].lastKey() - MAX_AGE_WINDOWS[coarserLevel]) {
+                windowAt(coarserLevel, number).add(oldest.getValue());
                 return;
             }
         }
@@ -108,7 +110,7 @@
             if (!levels[level].isEmpty() && size() > 1) {
                 int before = size();
                 while (!levels[level].isEmpty()) {
-                    moveOldestUp(level);
+                    coarsenOldest(level);
                 }
                 if (size() < before) {
                     return true;
@@ -131,7 +133,9 @@
     void sum(T into, double from, double to) {
         for (int i = 0; i < LEVELS; i++) {
             for (Map.Entry<Long, T> entry :
-                    levels[i].subMap(number(i, from), true, number(i, to), true).entrySet()) {
+                    levels[i]
+                            .subMap(windowNumber(i, from), true, windowNumber(i, to), true)
+                            .entrySet()) {
                 into.add(entry.getValue());
             }
         }
@@ -142,29 +146,29 @@
         for (int i = 0; i < LEVELS; i++) {
             for (Map.Entry<Long, T> entry : other.levels[i].entrySet()) {
                 double middle = (entry.getKey() + 0.5) * WINDOW_MILLIS[i] + offset;
-                put(i, number(i, middle)).add(entry.getValue());
+                getOrCreate(i, windowNumber(i, middle)).add(entry.getValue());
             }
         }
     }
 
     /** Moves every window back by whole hours, if the newest lies after a time. */
-    void moveBefore(double wall) {
+    void shiftBefore(double wallMillis) {
         double newest = Double.NEGATIVE_INFINITY;
         for (int i = 0; i < LEVELS; i++) {
             if (!levels[i].isEmpty()) {
                 newest = Math.max(newest, levels[i].lastKey() * WINDOW_MILLIS[i]);
             }
         }
-        if (newest <= wall) {
+        if (newest <= wallMillis) {
             return;
         }
-        latest = null;
-        long hours = (long) Math.ceil((newest - wall) / WINDOW_MILLIS[LEVELS - 1]);
+        latestWindow = null;
+        long hours = (long) Math.ceil((newest - wallMillis) / WINDOW_MILLIS[LEVELS - 1]);
         for (int i = 0; i < LEVELS; i++) {
-            long by = (long) (hours * (WINDOW_MILLIS[LEVELS - 1] / WINDOW_MILLIS[i]));
-            TreeMap<Long, T> moved = new TreeMap<>();
-            levels[i].forEach((number, window) -> moved.put(number - by, window));
-            levels[i] = moved;
+            long shift = (long) (hours * (WINDOW_MILLIS[LEVELS - 1] / WINDOW_MILLIS[i]));
+            TreeMap<Long, T> shifted = new TreeMap<>();
+            levels[i].forEach((number, window) -> shifted.put(number - shift, window));
+            levels[i] = shifted;
         }
     }
 }
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -24,7 +24,7 @@
         public double lostWeight;
 
         private void add(EndedOperation operation) {
-            if (operation.met()) {
+            if (operation.metObjective()) {
                 met++;
             } else {
                 missed++;
@@ -59,15 +59,15 @@
     private final double[] tierUnits = new double[PlanTier.values().length];
 
     /** With sums of their own for these volumes; all others share number 0. */
-    public Totals(Set<Long> ownVolumes) {
-        ownVolumes.forEach(volume -> volumes.put(volume, new VolumeTotals()));
+    public Totals(Set<Long> summedVolumes) {
+        summedVolumes.forEach(volume -> volumes.put(volume, new VolumeTotals()));
         volumes.put(0L, new VolumeTotals());
     }
 
     /** A volume's sums, or those of all that have none of their own. */
     public VolumeTotals of(long volume) {
-        VolumeTotals own = volumes.get(volume);
-        return own == null ? volumes.get(0L) : own;
+        VolumeTotals totals = volumes.get(volume);
+        return totals == null ? volumes.get(0L) : totals;
     }
 
     /** The volumes that have sums of their own, and 0. */
--- a/src/main/java/sagepulley/accounts/VolumeWindows.java
+++ b/src/main/java/sagepulley/accounts/VolumeWindows.java
@@ -28,10 +28,10 @@
     }
 
     /** A volume's window at a wall-clock time, created if need be. */
-    AccountWindow at(long volume, double wall) {
+    AccountWindow windowAt(long volume, double wallMillis) {
         Timeline<AccountWindow> timeline = timeline(volume);
         int before = timeline.size();
-        AccountWindow window = timeline.at(wall);
+        AccountWindow window = timeline.windowAt(wallMillis);
         size += timeline.size() - before;
         enforceBound(timeline);
         return window;
@@ -41,10 +41,10 @@
     void merge(Map<Long, Timeline<AccountWindow>> stored) {
         stored.forEach(
                 (volume, timeline) -> {
-                    Timeline<AccountWindow> own = timeline(volume);
-                    int before = own.size();
-                    own.merge(timeline, 0);
-                    size += own.size() - before;
+                    Timeline<AccountWindow> target = timeline(volume);
+                    int before = target.size();
+                    target.merge(timeline, 0);
+                    size += target.size() - before;
                 });
         enforceBound(null);
     }
@@ -70,17 +70,18 @@
         return timeline;
     }
 
-    private void enforceBound(Timeline<AccountWindow> spared) {
-        while (size > maxWindows && (coarsenIdlest(spared) || shareIdlest(spared))) {
+    private void enforceBound(Timeline<AccountWindow> exempt) {
+        while (size > maxWindows
+                && (coarsenLeastRecentlyUsed(exempt) || mergeLeastRecentlyUsed(exempt))) {
             // once for each window too many
         }
     }
 
     /** The volume that was idle longest, of those that can, gives up detail. */
-    private boolean coarsenIdlest(Timeline<AccountWindow> spared) {
+    private boolean coarsenLeastRecentlyUsed(Timeline<AccountWindow> exempt) {
         for (Timeline<AccountWindow> timeline : volumes.values()) {
             int before = timeline.size();
-            if (timeline != spared && timeline.coarsen()) {
+            if (timeline != exempt && timeline.coarsen()) {
                 size += timeline.size() - before;
                 return true;
             }
@@ -89,9 +90,9 @@
     }
 
     /** The volume that was idle longest goes into the shared account. */
-    private boolean shareIdlest(Timeline<AccountWindow> spared) {
+    private boolean mergeLeastRecentlyUsed(Timeline<AccountWindow> exempt) {
         for (Map.Entry<Long, Timeline<AccountWindow>> entry : volumes.entrySet()) {
-            if (entry.getKey() != SHARED_VOLUME && entry.getValue() != spared) {
+            if (entry.getKey() != SHARED_VOLUME && entry.getValue() != exempt) {
                 Timeline<AccountWindow> removed = volumes.remove(entry.getKey());
                 Timeline<AccountWindow> shared = timeline(SHARED_VOLUME);
                 int before = shared.size();
--- a/src/main/java/sagepulley/accounts/WaitAttribution.java
+++ b/src/main/java/sagepulley/accounts/WaitAttribution.java
@@ -54,20 +54,21 @@
      */
     void chargeUnanswered(OperationTimer timer, NodeActivity activity, double length, double now) {
         double queued =
-                activity == null ? 0 : Math.min(length, activity.usualAttemptSince(now - length));
+                activity == null ? 0 : Math.min(length, activity.maxTypicalAttempt(now - length));
         if (queued > 0) {
             chargeHeld(timer, LatencyComponent.QUEUE_AT_NODE, queued, now - length + queued);
         }
-        chargeQuiet(timer, length - queued, now, false);
+        chargeSilence(timer, length - queued, now, false);
     }
 
     /** Charges time at work: beyond what other nodes take for it, to the node's slowness. */
     void chargeWork(OperationTimer timer, NodeActivity activity, double length) {
-        double slow = activity == null ? 0 : length * nodes.slowFraction(activity, timer.writes);
-        if (slow > 0) {
-            timer.charge(Cause.Kind.SLOW_NODE, activity.id, slow, false);
+        double slowMillis =
+                activity == null ? 0 : length * nodes.slowFraction(activity, timer.isWrite);
+        if (slowMillis > 0) {
+            timer.charge(Cause.Kind.SLOW_NODE, activity.id, slowMillis, false);
         }
-        timer.chargeOwn(Cause.Kind.OWN_WORK, length - slow);
+        timer.chargeOwn(Cause.Kind.OWN_WORK, length - slowMillis);
     }
 
     /**
@@ -85,32 +86,36 @@
             timer.charge(Cause.Kind.LOCAL_THROTTLING, timer.node, length, true);
             return;
         }
-        double own = timer.workAhead == null ? 0 : timer.workAhead.sum();
+        double ownUnits = timer.workAhead == null ? 0 : timer.workAhead.sum();
         double unitsPerAttempt = Math.max(MIN_UNITS, timer.units);
-        double minOthers = timer.minOtherAttempts * unitsPerAttempt;
-        double maxOthers = timer.maxOtherAttempts * unitsPerAttempt;
-        if (own > 0 && minOthers == 0 && length > MIN_QUEUE_SAMPLE_MILLIS) {
-            activity.waitedBehindOwn(length, own);
+        double minOtherUnits = timer.minOtherAttempts * unitsPerAttempt;
+        double maxOtherUnits = timer.maxOtherAttempts * unitsPerAttempt;
+        if (ownUnits > 0 && minOtherUnits == 0 && length > MIN_QUEUE_SAMPLE_MILLIS) {
+            activity.recordQueueWait(length, ownUnits);
         }
-        double usual = activity.usualWait(own);
-        double behindOwn = minOthers + own > 0 ? length * own / (own + minOthers) : 0;
-        if (!Double.isNaN(usual)) {
-            behindOwn = Math.min(behindOwn, usual);
+        double maxTypical = activity.maxTypicalWait(ownUnits);
+        double behindOwn =
+                minOtherUnits + ownUnits > 0 ? length * ownUnits / (ownUnits + minOtherUnits) : 0;
+        if (!Double.isNaN(maxTypical)) {
+            behindOwn = Math.min(behindOwn, maxTypical);
         }
-        double rest = length - behindOwn;
-        double otherGateways = minOthers > 0 ? rest : 0;
-        double paused = rest - otherGateways;
+        double remaining = length - behindOwn;
+        double otherGateways = minOtherUnits > 0 ? remaining : 0;
+        double paused = remaining - otherGateways;
         if (otherGateways > 0) {
-            double lowerBound = length * minOthers / (own + minOthers);
+            double lowerBound = length * minOtherUnits / (ownUnits + minOtherUnits);
             chargeOtherGateways(timer, activity, new Estimate(otherGateways, lowerBound, length));
         }
         chargePause(timer, activity, paused, now);
         if (behindOwn > 0) {
-            double lowerBound = Double.isNaN(usual) ? 0 : behindOwn * own / (own + maxOthers);
+            double lowerBound =
+                    Double.isNaN(maxTypical)
+                            ? 0
+                            : behindOwn * ownUnits / (ownUnits + maxOtherUnits);
             chargeWorkAhead(timer, activity, new Estimate(behindOwn, lowerBound, length), false);
         }
         if (attemptTime > 0) {
-            activity.attemptComposed(otherGateways / attemptTime, paused / attemptTime);
+            activity.recordAttemptBreakdown(otherGateways / attemptTime, paused / attemptTime);
         }
     }
 
@@ -137,17 +142,18 @@
         }
         // Operations that wait for a claim hold slots, too.
         double claiming = nodes.claimingUnits(timer.activity);
-        double claims = claiming > 0 ? length * claiming / (claiming + timer.workAhead.sum()) : 0;
-        timer.charge(Cause.Kind.DIRECTORY, 0, claims, false);
+        double claimWait =
+                claiming > 0 ? length * claiming / (claiming + timer.workAhead.sum()) : 0;
+        timer.charge(Cause.Kind.DIRECTORY, 0, claimWait, false);
         if (timer.activity == null) {
-            chargeHeldByAllNodes(timer, length - claims);
+            chargeHeldForAnyNode(timer, length - claimWait);
         } else {
-            chargeHeldByNode(timer, component, length - claims, now);
+            chargeHeldForNode(timer, component, length - claimWait, now);
         }
     }
 
     /** A new object, for which no node has a slot: behind all that is in flight anywhere. */
-    private void chargeHeldByAllNodes(OperationTimer timer, double length) {
+    private void chargeHeldForAnyNode(OperationTimer timer, double length) {
         if (timer.workAhead.sum() > 0) {
             chargeWorkAhead(timer, null, new Estimate(length, length, length), true);
         } else {
@@ -155,47 +161,47 @@
         }
     }
 
-    private void chargeHeldByNode(
+    private void chargeHeldForNode(
             OperationTimer timer, LatencyComponent component, double length, double now) {
         NodeActivity activity = timer.activity;
-        double quiet = Math.min(length, activity.quietTime(now - length, now));
-        chargeQuiet(timer, quiet, now, true);
-        double rest = length - quiet;
-        if (rest <= 0) {
+        double silent = Math.min(length, activity.silentMillis(now - length, now));
+        chargeSilence(timer, silent, now, true);
+        double remaining = length - silent;
+        if (remaining <= 0) {
             return;
         }
         if (now < activity.warmingUpUntil) {
-            timer.charge(Cause.Kind.WARMING_UP_NODE, activity.id, rest, true);
+            timer.charge(Cause.Kind.WARMING_UP_NODE, activity.id, remaining, true);
             return;
         }
-        chargeHeldBySlots(timer, component, rest, now);
+        chargeHeldForSlot(timer, component, remaining, now);
     }
 
-    private void chargeHeldBySlots(
+    private void chargeHeldForSlot(
             OperationTimer timer, LatencyComponent component, double length, double now) {
         NodeActivity activity = timer.activity;
         double paused = length * activity.pausedFraction;
         chargePause(timer, activity, paused, now);
         double otherGateways = length * activity.otherGatewaysFraction;
         timer.charge(Cause.Kind.OTHER_GATEWAYS, activity.id, otherGateways, true);
-        double rest = length - (paused + otherGateways);
+        double remaining = length - (paused + otherGateways);
         // A queue estimate comes from answers only: who is in that queue is not observed.
-        boolean observed = component != LatencyComponent.QUEUE_AT_NODE;
+        boolean isObserved = component != LatencyComponent.QUEUE_AT_NODE;
         if (timer.workAhead.sum() <= 0) {
-            Cause.Kind kind = observed ? Cause.Kind.LOCAL_THROTTLING : Cause.Kind.OTHER_GATEWAYS;
-            timer.charge(kind, activity.id, rest, !observed);
+            Cause.Kind kind = isObserved ? Cause.Kind.LOCAL_THROTTLING : Cause.Kind.OTHER_GATEWAYS;
+            timer.charge(kind, activity.id, remaining, !isObserved);
             return;
         }
-        double lowerFraction = observed ? 1 : ESTIMATE_LOWER_FRACTION;
-        boolean exact =
-                observed
+        double lowerFraction = isObserved ? 1 : ESTIMATE_LOWER_FRACTION;
+        boolean isExact =
+                isObserved
                         && activity.otherGatewaysFraction + activity.pausedFraction
                                 < MAX_EXACT_FRACTION;
         chargeWorkAhead(
                 timer,
                 activity,
-                new Estimate(rest, lowerFraction * rest, rest + otherGateways),
-                exact);
+                new Estimate(remaining, lowerFraction * remaining, remaining + otherGateways),
+                isExact);
     }
 
     /** A wait in milliseconds, and what it can have been. */
@@ -207,21 +213,21 @@
      * waits.
      */
     private void chargeWorkAhead(
-            OperationTimer timer, NodeActivity activity, Estimate wait, boolean exact) {
-        double slow = activity == null ? 0 : nodes.slowFraction(activity, timer.writes);
+            OperationTimer timer, NodeActivity activity, Estimate wait, boolean isExact) {
+        double slowFraction = activity == null ? 0 : nodes.slowFraction(activity, timer.isWrite);
         int node = activity == null ? 0 : activity.id;
-        timer.charge(Cause.Kind.SLOW_NODE, node, wait.length * slow, true);
+        timer.charge(Cause.Kind.SLOW_NODE, node, wait.length * slowFraction, true);
         OutstandingWork ahead = timer.workAhead;
         double sum = ahead.sum();
         for (int i = 0; i < ahead.size(); i++) {
-            double fraction = (1 - slow) * ahead.units(i) / sum;
-            boolean own =
+            double fraction = (1 - slowFraction) * ahead.units(i) / sum;
+            boolean isOwnLoad =
                     ahead.volume(i) == timer.volume
                             || ahead.quotaTier(i).compareTo(timer.quotaTier) < 0;
             long key =
-                    own
-                            ? Cause.key(Cause.Kind.OWN_LOAD, timer.volume, node, !exact)
-                            : Cause.key(Cause.Kind.NEIGHBOUR, ahead.volume(i), node, !exact);
+                    isOwnLoad
+                            ? Cause.key(Cause.Kind.OWN_LOAD, timer.volume, node, !isExact)
+                            : Cause.key(Cause.Kind.NEIGHBOUR, ahead.volume(i), node, !isExact);
             timer.charges.add(
                     key,
                     wait.length * fraction,
@@ -234,25 +240,26 @@
     /** Held for an unresponsive node; but one that is slow and answered lately is just that. */
     private void chargeUnresponsive(OperationTimer timer, double length, double now) {
         NodeActivity activity = timer.activity;
-        double slow =
-                activity == null || now - activity.answeredAt > RECENT_ANSWER_MILLIS
+        double slowMillis =
+                activity == null || now - activity.lastAnsweredAt > RECENT_ANSWER_MILLIS
                         ? 0
                         : length
                                 * Math.max(
                                         nodes.slowFraction(activity, false),
                                         nodes.slowFraction(activity, true));
-        timer.charge(Cause.Kind.SLOW_NODE, timer.node, slow, true);
-        chargeQuiet(timer, length - slow, now, false);
+        timer.charge(Cause.Kind.SLOW_NODE, timer.node, slowMillis, true);
+        chargeSilence(timer, length - slowMillis, now, false);
     }
 
     /** A quiet node: a fault, or a pause as far as its latest quiet times proved to be pauses. */
-    private void chargeQuiet(OperationTimer timer, double length, double now, boolean estimate) {
+    private void chargeSilence(
+            OperationTimer timer, double length, double now, boolean isEstimated) {
         NodeActivity activity = timer.activity;
-        double paused = activity == null ? 0 : length * activity.pauseFraction();
+        double paused = activity == null ? 0 : length * activity.silencePauseFraction();
         if (paused > 0) {
             chargePause(timer, activity, paused, now);
         }
-        timer.charge(Cause.Kind.FAULT, timer.node, length - paused, estimate);
+        timer.charge(Cause.Kind.FAULT, timer.node, length - paused, isEstimated);
     }
 
     /**
@@ -264,17 +271,17 @@
         if (length <= 0) {
             return;
         }
-        DecayingUsage writes = activity.recentWrites;
-        writes.decay(now);
-        double sum = writes.sum();
+        DecayingUsage recentWrites = activity.recentWrites;
+        recentWrites.decay(now);
+        double sum = recentWrites.sum();
         if (sum < MIN_WRITTEN_UNITS) {
             timer.charge(Cause.Kind.PAUSE, activity.id, length, true);
             return;
         }
-        for (int i = 0; i < writes.size(); i++) {
+        for (int i = 0; i < recentWrites.size(); i++) {
             timer.charges.add(
-                    Cause.key(Cause.Kind.PAUSE, writes.volume(i), activity.id, true),
-                    length * writes.units(i) / sum,
+                    Cause.key(Cause.Kind.PAUSE, recentWrites.volume(i), activity.id, true),
+                    length * recentWrites.units(i) / sum,
                     0,
                     length,
                     0);
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -34,7 +34,7 @@
                     1000,
                     3,
                     0.2);
-    private static final Accounts.Bounds SMALL = new Accounts.Bounds(5, 60, 8);
+    private static final Accounts.Bounds SMALL_BOUNDS = new Accounts.Bounds(5, 60, 8);
 
     private final Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 0);
 
@@ -77,25 +77,25 @@
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 46) Integer> steps,
             @ForAll @DoubleRange(min = 0, max = 1e7) double start,
             @ForAll @Size(min = 1, max = 5) List<@DoubleRange(min = 0, max = 900) Double> lengths) {
-        Accounts all = new Accounts(SMALL, 1e12);
+        Accounts tracked = new Accounts(SMALL_BOUNDS, 1e12);
         List<OperationTimer> others = new ArrayList<>();
-        OperationTimer timer = all.begin(7, TRAFFIC_CLASS, steps.size() % 2 == 0, 2, start);
+        OperationTimer timer = tracked.begin(7, TRAFFIC_CLASS, steps.size() % 2 == 0, 2, start);
         double now = start;
         for (int i = 0; i < steps.size(); i++) {
             double length = lengths.get(i % lengths.size());
             int step = steps.get(i);
             if (i % 3 == 0) {
-                OperationTimer other = all.begin(step % 9, TRAFFIC_CLASS, true, 1, now);
-                all.attemptSent(other, step % 4, QuotaTier.values()[step % 3], now);
+                OperationTimer other = tracked.begin(step % 9, TRAFFIC_CLASS, true, 1, now);
+                tracked.attemptSent(other, step % 4, QuotaTier.values()[step % 3], now);
                 others.add(other);
             }
             now += length;
             if (step < 16) {
-                all.waitStarted(timer, LatencyComponent.values()[step], step % 3, now);
+                tracked.waitStarted(timer, LatencyComponent.values()[step], step % 3, now);
             } else if (step < 28) {
-                all.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
+                tracked.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
                 // A node may tell more than the attempt took.
-                all.attemptAnswered(
+                tracked.attemptAnswered(
                         timer,
                         length * (step - 16) / 6,
                         length * (step - 20) / 4,
@@ -103,20 +103,20 @@
                         now + length);
                 now += length;
             } else {
-                all.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
-                all.attemptFailed(
+                tracked.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
+                tracked.attemptFailed(
                         timer, Outcome.values()[step % Outcome.values().length], now + length / 2);
                 now += length;
             }
         }
-        all.end(timer, Accounts.End.SERVED, Reason.NONE, 1, now);
-        all.waitStarted(
+        tracked.end(timer, Accounts.End.SERVED, Reason.NONE, 1, now);
+        tracked.waitStarted(
                 timer,
                 LatencyComponent.FAILED_ATTEMPT,
                 1,
                 now + 500); // after its end nothing is added
         for (OperationTimer other : others) {
-            all.attemptFailed(other, Outcome.TIMED_OUT, now + 1);
+            tracked.attemptFailed(other, Outcome.TIMED_OUT, now + 1);
         }
         double sum = 0;
         for (LatencyComponent component : LatencyComponent.values()) {
@@ -124,7 +124,7 @@
             sum += timer.millisIn(component);
         }
         assertEquals(now - start, sum, 1e-6 * Math.max(1, now));
-        LatencyReport report = all.report(7, start, now);
+        LatencyReport report = tracked.report(7, start, now);
         double causes =
                 report.causes().stream().mapToDouble(LatencyReport.CauseReport::waited).sum();
         assertEquals(sum, causes, 1e-6 * Math.max(1, now));
@@ -132,11 +132,11 @@
                 sum,
                 report.components().values().stream().mapToDouble(Double::doubleValue).sum(),
                 1e-6 * now + 1e-6);
-        for (LatencyReport.CauseReport charged : report.causes()) {
+        for (LatencyReport.CauseReport cause : report.causes()) {
             assertTrue(
-                    charged.lowerBound() <= charged.waited() + 1e-6
-                            && charged.waited() <= charged.upperBound() + 1e-6,
-                    charged.toString());
+                    cause.lowerBound() <= cause.waited() + 1e-6
+                            && cause.waited() <= cause.upperBound() + 1e-6,
+                    cause.toString());
         }
     }
 
@@ -149,9 +149,9 @@
         }
         OperationTimer flood = accounts.begin(9, TRAFFIC_CLASS, false, 3, 600);
         accounts.attemptSent(flood, 4, QuotaTier.EXCESS, 600);
-        OperationTimer waits = accounts.begin(2, TRAFFIC_CLASS, false, 1, 600);
-        accounts.waitStarted(waits, LatencyComponent.SHARE_FULL, 4, 600);
-        accounts.end(waits, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 4, 900);
+        OperationTimer waiting = accounts.begin(2, TRAFFIC_CLASS, false, 1, 600);
+        accounts.waitStarted(waiting, LatencyComponent.SHARE_FULL, 4, 600);
+        accounts.end(waiting, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 4, 900);
         LatencyReport report = accounts.report(2, 0, 2000);
         assertEquals(Cause.Kind.SLOW_NODE, report.mainCause().kind());
         assertEquals(4, report.mainCause().node());
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aVolumeInExcessOfItsShareWaitsOnItsOwnLoad() {
+    void aWaitInTheExcessTierIsChargedToTheVolumesOwnLoad() {
         for (int i = 0; i < 8; i++) {
             accounts.attemptSent(
                     accounts.begin(3, TRAFFIC_CLASS, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
@@ -192,15 +192,15 @@
     }
 
     @Test
-    void workOfOtherGatewaysIsNotChargedToAVolumeInFlightHere() {
+    void loadOfOtherGatewaysIsNotChargedToALocalVolume() {
         for (int i = 0; i < 60; i++) {
             double at = 100 * i;
-            OperationTimer small = accounts.begin(5, TRAFFIC_CLASS, false, 1, at);
-            accounts.attemptSent(small, 1, QuotaTier.SHARE, at);
+            OperationTimer local = accounts.begin(5, TRAFFIC_CLASS, false, 1, at);
+            accounts.attemptSent(local, 1, QuotaTier.SHARE, at);
             // The node tells of a queue that is not this gateway's.
             attempt(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
-            accounts.attemptAnswered(small, 60, 5, 30, at + 66);
-            accounts.end(small, Accounts.End.SERVED, Reason.NONE, 1, at + 66);
+            accounts.attemptAnswered(local, 60, 5, 30, at + 66);
+            accounts.end(local, Accounts.End.SERVED, Reason.NONE, 1, at + 66);
         }
         for (int i = 0; i < 30; i++) {
             heldUntilRejected(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
@@ -212,18 +212,18 @@
     }
 
     @Test
-    void aPauseIsNotChargedToTheReaders() {
+    void aPauseIsChargedToEarlierWritesAndNotToReads() {
         for (int i = 0; i < 100; i++) {
             OperationTimer writer = accounts.begin(8, TRAFFIC_CLASS, true, 1, 20 * i);
             accounts.attemptSent(writer, 1, QuotaTier.SHARE, 20 * i);
             accounts.attemptAnswered(writer, 0, 5, 0, 20 * i + 5);
             accounts.end(writer, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 5);
-            OperationTimer before = accounts.begin(3, TRAFFIC_CLASS, false, 1, 20 * i + 6);
-            accounts.attemptSent(before, 1, QuotaTier.SHARE, 20 * i + 6);
+            OperationTimer earlier = accounts.begin(3, TRAFFIC_CLASS, false, 1, 20 * i + 6);
+            accounts.attemptSent(earlier, 1, QuotaTier.SHARE, 20 * i + 6);
             // Usually a unit ahead is waited for 5 ms; once in a while for 300.
             attempt(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
-            accounts.attemptAnswered(before, 0, 5, 0, 20 * i + 11);
-            accounts.end(before, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 11);
+            accounts.attemptAnswered(earlier, 0, 5, 0, 20 * i + 11);
+            accounts.end(earlier, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 11);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.PAUSE, report.mainCause().kind(), report.causes().toString());
@@ -232,7 +232,7 @@
     }
 
     @Test
-    void waitsForAQuietNodeAreItsFault() {
+    void waitsForASilentNodeAreChargedAsItsFault() {
         for (int i = 0; i < 20; i++) {
             attempt(accounts, 3, 1, QuotaTier.SHARE, 10 * i, 0, 5, 0);
         }
@@ -249,23 +249,23 @@
     }
 
     @Test
-    void anAttemptThatTimedOutInALongQueueIsNotTheNodesFault() {
+    void aTimeoutInALongQueueIsNotChargedAsAFault() {
         OperationTimer flood = accounts.begin(9, TRAFFIC_CLASS, false, 20, 0);
         accounts.attemptSent(flood, 1, QuotaTier.EXCESS, 0);
         for (int i = 0; i < 40; i++) {
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 100 * i, 90, 10, 0);
         }
         for (int i = 0; i < 30; i++) {
-            OperationTimer late = accounts.begin(2, TRAFFIC_CLASS, false, 1, 3900);
-            accounts.attemptSent(late, 1, QuotaTier.SHARE, 3900);
+            OperationTimer rejected = accounts.begin(2, TRAFFIC_CLASS, false, 1, 3900);
+            accounts.attemptSent(rejected, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
-            accounts.attemptFailed(late, Outcome.TIMED_OUT, 4100);
-            accounts.end(late, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 1, 4100);
-            OperationTimer lost = accounts.begin(3, TRAFFIC_CLASS, false, 1, 3900);
-            accounts.attemptSent(lost, 1, QuotaTier.SHARE, 3900);
+            accounts.attemptFailed(rejected, Outcome.TIMED_OUT, 4100);
+            accounts.end(rejected, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 1, 4100);
+            OperationTimer abandoned = accounts.begin(3, TRAFFIC_CLASS, false, 1, 3900);
+            accounts.attemptSent(abandoned, 1, QuotaTier.SHARE, 3900);
             attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
-            accounts.attemptFailed(lost, Outcome.TIMED_OUT, 6900);
-            accounts.end(lost, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, 6900);
+            accounts.attemptFailed(abandoned, Outcome.TIMED_OUT, 6900);
+            accounts.end(abandoned, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, 6900);
         }
         assertEquals(Cause.Kind.NEIGHBOUR, accounts.report(2, 0, 9000).mainCause().kind());
         assertEquals(
@@ -276,27 +276,27 @@
 
     @Test
     void memoryIsBoundedForAnyNumberOfVolumes() {
-        Accounts small = new Accounts(SMALL, 0);
+        Accounts bounded = new Accounts(SMALL_BOUNDS, 0);
         for (int i = 0; i < 100_000; i++) {
             double at = i * 100.0;
-            OperationTimer timer = small.begin(i + 1, TRAFFIC_CLASS, i % 2 == 0, 1, at);
-            small.attemptSent(timer, 1 + i % 30, QuotaTier.SHARE, at);
-            small.attemptFailed(timer, Outcome.RESET, at + 10);
-            small.waitStarted(timer, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
-            small.end(timer, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
+            OperationTimer timer = bounded.begin(i + 1, TRAFFIC_CLASS, i % 2 == 0, 1, at);
+            bounded.attemptSent(timer, 1 + i % 30, QuotaTier.SHARE, at);
+            bounded.attemptFailed(timer, Outcome.RESET, at + 10);
+            bounded.waitStarted(timer, LatencyComponent.SHARE_FULL, 1 + i % 30, at + 10);
+            bounded.end(timer, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
         }
-        assertTrue(small.volumes().size() <= 6, small.volumes().toString());
-        assertTrue(small.windowCount() <= 60, "windows " + small.windowCount());
-        assertTrue(small.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MAX_CAUSES);
+        assertTrue(bounded.volumes().size() <= 6, bounded.volumes().toString());
+        assertTrue(bounded.windowCount() <= 60, "windows " + bounded.windowCount());
+        assertTrue(bounded.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MAX_CAUSES);
         long operations =
-                small.volumes().stream()
-                        .mapToLong(volume -> small.report(volume, 0, 10_000_000).operations())
+                bounded.volumes().stream()
+                        .mapToLong(volume -> bounded.report(volume, 0, 10_000_000).operations())
                         .sum();
         assertEquals(100_000, operations, "what is given up is detail, not sums");
     }
 
     @Test
-    void tenThousandVolumesOfOneOperationEach() {
+    void tenThousandVolumesEachHaveAnAccount() {
         for (int i = 1; i <= 10_000; i++) {
             attempt(accounts, i, 1 + i % 40, QuotaTier.SHARE, i, 1, 1, 0);
         }
@@ -306,7 +306,7 @@
     }
 
     @Test
-    void planTiersAreCountedApart() {
+    void planTiersAreCountedSeparately() {
         attempt(accounts, 2, 1, QuotaTier.RESERVATION, 0, 1, 4, 0);
         attempt(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
         OperationTimer limited = accounts.begin(2, TRAFFIC_CLASS, false, 1, 0);
@@ -325,10 +325,10 @@
     }
 
     @Test
-    void accountsContinueAfterARestartWithTheClockSetBack() {
-        Accounts before = new Accounts(Accounts.Bounds.DEFAULT, 5e9);
-        attempt(before, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
-        LatencyAccount stored = StoredAccounts.of(before.snapshot()).toAccount();
+    void storedAccountsAreRestoredWithTheClockSetBack() {
+        Accounts earlier = new Accounts(Accounts.Bounds.DEFAULT, 5e9);
+        attempt(earlier, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
+        LatencyAccount stored = StoredAccounts.of(earlier.snapshot()).toAccount();
         Accounts after = new Accounts(Accounts.Bounds.DEFAULT, 5e9 - 7_200_000);
         after.restore(stored, 0);
         assertEquals(1, after.report(2, -86_400_000, 0).operations());
@@ -337,27 +337,29 @@
     }
 
     @Test
-    void accountsOfOtherGatewaysNameTheVolumesThatWorkedThere() {
+    void mergingChargesOtherGatewaysLoadToItsVolumes() {
         // The second gateway's clock is an hour ahead; both note the list's versions 4 and 5.
-        Accounts flooder = new Accounts(Accounts.Bounds.DEFAULT, 1e12 + 3_600_000);
+        Accounts floodingGateway = new Accounts(Accounts.Bounds.DEFAULT, 1e12 + 3_600_000);
         for (int i = 0; i < 200; i++) {
-            attempt(flooder, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
+            attempt(floodingGateway, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
         }
-        Accounts victims = new Accounts(Accounts.Bounds.DEFAULT, 1e12);
+        Accounts affectedGateway = new Accounts(Accounts.Bounds.DEFAULT, 1e12);
         for (int i = 0; i < 60; i++) {
-            attempt(victims, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
+            attempt(affectedGateway, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
         }
-        assertEquals(Cause.Kind.OTHER_GATEWAYS, victims.report(2, 0, 10_000).mainCause().kind());
+        assertEquals(
+                Cause.Kind.OTHER_GATEWAYS,
+                affectedGateway.report(2, 0, 10_000).mainCause().kind());
         FleetMerger.Merged merged =
                 FleetMerger.merge(
                         List.of(
                                 new FleetMerger.GatewayAccount(
                                         "one",
-                                        victims.snapshot(),
+                                        affectedGateway.snapshot(),
                                         Map.of(4L, 1e12 + 1, 5L, 1e12 + 900)),
                                 new FleetMerger.GatewayAccount(
                                         "two",
-                                        flooder.snapshot(),
+                                        floodingGateway.snapshot(),
                                         Map.of(4L, 1e12 + 3_600_003, 5L, 1e12 + 3_600_902))));
         assertEquals(3_600_002, merged.clocks().get(1).offsetMillis(), 1);
         LatencyReport report = merged.account().report(2, 1e12, 1e12 + 10_000);
