--- a/src/main/java/sagepulley/accounts/DecayingUsage.java
+++ b/src/main/java/sagepulley/accounts/DecayingUsage.java
@@ -11,7 +11,7 @@
     private static final double TIME_CONSTANT_MILLIS = 1_500;
 
     /** Decay is computed no more often than this. */
-    private static final double MIN_STEP_MILLIS = 10;
+    private static final double MIN_DECAY_INTERVAL_MILLIS = 10;
 
     private final long[] volumes = new long[MAX_VOLUMES];
     private final double[] units = new double[MAX_VOLUMES];
@@ -41,7 +41,7 @@
     }
 
     void decay(double now) {
-        if (now - decayedAt < MIN_STEP_MILLIS) {
+        if (now - decayedAt < MIN_DECAY_INTERVAL_MILLIS) {
             return;
         }
         double factor = Math.exp(-(now - decayedAt) / TIME_CONSTANT_MILLIS);
--- a/src/main/java/sagepulley/accounts/NodeActivity.java
+++ b/src/main/java/sagepulley/accounts/NodeActivity.java
@@ -17,7 +17,7 @@
     private static final double OUTLIER_ALLOWANCE_MILLIS = 1;
 
     /** The wait for a unit ahead is followed towards its lower quartile, in steps of this part. */
-    private static final double QUARTILE_STEP = 0.05;
+    private static final double WAIT_SMOOTHING = 0.05;
 
     private static final double TYPICAL_WAIT_FACTOR = 2;
     private static final double TYPICAL_WAIT_ALLOWANCE_MILLIS = 1;
@@ -161,10 +161,10 @@
         if (Double.isNaN(waitPerUnitAhead)) {
             waitPerUnitAhead = latest;
         } else if (latest < waitPerUnitAhead) {
-            waitPerUnitAhead -= 3 * QUARTILE_STEP * (waitPerUnitAhead - latest);
+            waitPerUnitAhead -= 3 * WAIT_SMOOTHING * (waitPerUnitAhead - latest);
         } else {
             waitPerUnitAhead +=
-                    QUARTILE_STEP * Math.min(latest - waitPerUnitAhead, waitPerUnitAhead);
+                    WAIT_SMOOTHING * Math.min(latest - waitPerUnitAhead, waitPerUnitAhead);
         }
     }
 
