--- a/src/jmh/java/sagepulley/accounts/AccountsBench.java
+++ b/src/jmh/java/sagepulley/accounts/AccountsBench.java
@@ -17,7 +17,10 @@
 import sagepulley.model.Reason;
 import sagepulley.tracing.TailSampler;
 
-/** What the accounts of one operation cost: taken, sent, answered, ended; and held first, and the sampler. */
+/**
+ * Measures the accounting of one operation, dispatched at once or held first, and of the tail
+ * sampler.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -57,10 +60,11 @@
         return sampler.sample(Accounts.End.SERVED, false, 0, random.nextDouble() * 10, now);
     }
 
-    /** One comes while others are out; the oldest out is answered. */
+    /** Starts one operation and answers the oldest one in flight. */
     private Object runOperation(boolean isHeld) {
         now += 0.03;
-        OperationTimer timer = accounts.begin(1 + random.nextInt(volumes), TRAFFIC_CLASS, false, 1, now);
+        OperationTimer timer =
+                accounts.begin(1 + random.nextInt(volumes), TRAFFIC_CLASS, false, 1, now);
         int node = 1 + random.nextInt(nodes);
         if (isHeld) {
             accounts.waitStarted(timer, LatencyComponent.SHARE_FULL, node, now);
--- a/src/main/java/sagepulley/accounts/AccountWindow.java
+++ b/src/main/java/sagepulley/accounts/AccountWindow.java
@@ -2,21 +2,24 @@
 
 import org.HdrHistogram.IntCountsHistogram;
 
-/** Sums of one volume over one window of time. */
+/** The sums of one volume over one window of time. */
 final class AccountWindow implements Mergeable<AccountWindow> {
     static final int MAX_CAUSES = 40;
 
-    /** Histograms count ticks of ten microseconds, to one digit, which is 6 percent. */
+    /**
+     * Histogram values are ticks of 10 microseconds; one significant digit keeps errors below 7
+     * percent.
+     */
     static final double TICKS_PER_MILLI = 100;
 
-    /** An hour. */
+    /** Longer durations are recorded as one hour. */
     static final long MAX_TICKS = 100L * 3_600_000;
 
     static final int TIERS = PlanTier.values().length;
 
     private static final int HISTOGRAM_DIGITS = 1;
 
-    /** Milliseconds, by component. */
+    /** Milliseconds by latency component. */
     final double[] components = new double[LatencyComponent.values().length];
 
     final CauseCharges causes = new CauseCharges(MAX_CAUSES);
@@ -24,7 +27,7 @@
     long abandoned;
     long cancelled;
 
-    /** By plan tier, as are the following. */
+    /** Operations within their latency objective, by plan tier, as are the following arrays. */
     final long[] met = new long[TIERS];
 
     final long[] missed = new long[TIERS];
@@ -32,7 +35,9 @@
     final double[] lostWeight = new double[TIERS];
     final IntCountsHistogram[] durations = new IntCountsHistogram[TIERS];
 
-    /** Books an operation; its lost weight is shared among its causes by what each made it wait. */
+    /**
+     * Adds an operation. Its lost weight is divided among its causes in proportion to their waits.
+     */
     void add(EndedOperation operation) {
         int tier = operation.tier().ordinal();
         units[tier] += operation.timer().units;
@@ -57,7 +62,7 @@
         causes.addAll(timer.charges, operation.lostWeight());
     }
 
-    /** The histogram of a tier, created if need be. */
+    /** Returns the histogram of a tier and creates it if it is absent. */
     IntCountsHistogram durations(int tier) {
         if (durations[tier] == null) {
             durations[tier] = new IntCountsHistogram(HISTOGRAM_DIGITS);
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -9,43 +9,47 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Accounts of latency by volume: where each operation's time went, without remainder, and what it
- * waited behind (docs/accounts.md). No I/O and no clock; times are milliseconds on the monotonic
- * clock, handed in. Memory is bounded, whatever comes. Owned by the engine's thread.
+ * Keeps latency accounts by volume: in which components the whole time of each operation was spent,
+ * and what caused its waits (docs/accounts.md). The class does no I/O and reads no clock; callers
+ * pass the time in milliseconds of the monotonic clock. Memory is bounded. All methods are called
+ * on the engine's thread.
  *
- * <p>This class follows operations through their events; {@link OperationSteps} adds up their time,
+ * <p>This class tracks operations by their events; {@link OperationSteps} adds up their time,
  * {@link WaitAttribution} charges their waits to causes, {@link VolumeWindows} holds the sums.
  */
 public final class Accounts {
     /**
      * Bounds of memory.
      *
-     * @param volumes with an account of their own; the rest share one, number 0
-     * @param windows of all volumes; detail is given up first where nothing happened for longest
+     * @param volumes the number of volumes with an account of their own; the others share one,
+     *     number 0
+     * @param windows the number of windows of all volumes; beyond it, windows of the least recently
+     *     used volume are merged
+     * @param nodes the number of nodes whose activity is tracked
      */
     public record Bounds(int volumes, int windows, int nodes) {
-        /** Those of a gateway. */
+        /** The bounds of a gateway. */
         public static final Bounds DEFAULT = new Bounds(10_000, 40_000, 512);
 
-        /** No accounts at all: no operation gets a timer. */
+        /** Disables accounts: no operation gets a timer. */
         public static final Bounds NONE = new Bounds(0, 0, 0);
     }
 
-    /** A queue wait below this is the network's jitter. */
+    /** Shorter queue waits are charged to the network. */
     private static final double MIN_QUEUE_MILLIS = 0.1;
 
-    /** What an operation is charged that did not wait, so that its lost weight has a cause. */
+    /** Charged to an operation that did not wait, so that its lost weight has a cause. */
     private static final double NOMINAL_WAIT_MILLIS = 1e-9;
 
     /** How an operation ended. */
     public enum End implements ExternalName {
-        /** With a result. */
+        /** The operation ended with a result. */
         SERVED("satisfied"),
-        /** Rejected before execution. */
+        /** The operation was rejected before execution. */
         REJECTED("declined"),
-        /** Without a result; it may have been executed. */
+        /** The operation ended without a result; it may have been executed. */
         ABANDONED("scrapped"),
-        /** Its client disconnected. */
+        /** The client of the operation disconnected. */
         CANCELLED("left");
 
         private final String externalName;
@@ -69,16 +73,15 @@
     private final Totals totals;
 
     /**
-     * Empty accounts.
+     * Creates empty accounts.
      *
-     * @param wallClockOffset the wall-clock time, in milliseconds, at zero of the clock that is
-     *     handed in
+     * @param wallClockOffset the wall-clock time, in milliseconds, at zero of the monotonic clock
      */
     public Accounts(Bounds bounds, double wallClockOffset) {
         this(bounds, wallClockOffset, Set.of());
     }
 
-    /** The same, with sums since the start for these volumes. */
+    /** Creates empty accounts that also keep totals since the start for the given volumes. */
     public Accounts(Bounds bounds, double wallClockOffset, Set<Long> summedVolumes) {
         this.enabled = bounds.volumes() > 0;
         this.wallClockOffset = wallClockOffset;
@@ -91,7 +94,7 @@
 
     // ---- events ----
 
-    /** A node that may be sent to; until a time on the clock handed in it is in slow start. */
+    /** Records a listed node and the time on the monotonic clock at which its slow start ends. */
     public void nodeListed(int id, int zone, double warmingUpUntil) {
         NodeActivity node = nodes.getOrCreate(id);
         if (node != null) {
@@ -101,14 +104,15 @@
     }
 
     /**
-     * An operation came. Its timer is null where accounts are off, which all other methods accept.
+     * Starts the timer of an operation that arrived. Returns null if accounts are disabled; the
+     * other methods ignore a null timer.
      */
     public OperationTimer begin(
             long volume, TrafficClass trafficClass, boolean isWrite, double units, double now) {
         return enabled ? new OperationTimer(volume, trafficClass, isWrite, units, now) : null;
     }
 
-    /** From now on it waits at this gateway, for a node (0: none). */
+    /** Records that an operation waits at this gateway, for the given node (0: none). */
     public void waitStarted(
             OperationTimer timer, LatencyComponent component, int node, double now) {
         if (timer == null) {
@@ -125,7 +129,7 @@
                 };
     }
 
-    /** It holds a slot at a node and waits for the claim of its extent. */
+    /** Records that an operation holds a slot at a node and waits for the claim of its extent. */
     public void claimStarted(OperationTimer timer, int node, double now) {
         if (timer == null) {
             return;
@@ -143,7 +147,7 @@
         }
     }
 
-    /** An attempt of it goes to a node, in this quota tier. */
+    /** Records that an attempt was sent to a node in the given quota tier. */
     public void attemptSent(OperationTimer timer, int node, QuotaTier quotaTier, double now) {
         if (timer == null) {
             return;
@@ -169,11 +173,11 @@
     }
 
     /**
-     * Its attempt was answered with a result.
+     * Records that the attempt in flight was answered with a result.
      *
-     * @param waited milliseconds in the node's queue, as the node reported
-     * @param worked milliseconds of work, as the node reported
-     * @param queue attempts of all gateways in its queue then; NaN if not reported
+     * @param waited milliseconds in the node's queue, as reported by the node
+     * @param worked milliseconds of execution, as reported by the node
+     * @param queue attempts of all gateways in the node's queue at that time; NaN if not reported
      */
     public void attemptAnswered(
             OperationTimer timer, double waited, double worked, double queue, double now) {
@@ -197,7 +201,7 @@
         steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
     }
 
-    /** Splits an answered attempt's time into network, queue and work. */
+    /** Splits the time of an answered attempt into network, queue and execution. */
     private void addAnsweredAttempt(
             OperationTimer timer, double length, double waited, double worked, double now) {
         double queued = Math.min(length, Math.max(0, waited));
@@ -216,7 +220,10 @@
         attribution.chargeWork(timer, activity, work);
     }
 
-    /** A node answered an attempt that had been given up: it had paused, and was no fault. */
+    /**
+     * Records the answer to a cancelled attempt, which shows that the node had paused and not
+     * failed.
+     */
     public void lateAnswerReceived(int node, double waited, double worked) {
         NodeActivity activity = nodes.get(node);
         if (activity != null && waited + worked > 0) {
@@ -224,13 +231,13 @@
         }
     }
 
-    /** Its attempt ended without a result. */
+    /** Records that the attempt in flight, or the claim before it, ended without a result. */
     public void attemptFailed(OperationTimer timer, Outcome outcome, double now) {
         if (timer == null) {
             return;
         }
         if (timer.claimNode != 0) {
-            // It was never sent: the claim was lost, or the directory did not answer.
+            // The attempt was not sent: the claim was lost, or the directory did not answer.
             steps.end(timer, now);
             endClaim(timer);
             steps.start(timer, LatencyComponent.LOWER_PRIORITY, 0);
@@ -257,10 +264,10 @@
     }
 
     /**
-     * Its final answer is sent, or its client disconnected.
+     * Records the end of an operation: its final answer, or the disconnection of its client.
      *
-     * @param reason why it was given up
-     * @param node at which it was given up; 0 for none
+     * @param reason why the operation was not served
+     * @param node the node for which the operation was rejected or abandoned; 0 for none
      */
     public void end(OperationTimer timer, End end, Reason reason, int node, double now) {
         if (timer == null || timer.hasEnded) {
@@ -301,7 +308,10 @@
         return timer.wasSent ? PlanTier.of(timer.quotaTier) : PlanTier.NONE;
     }
 
-    /** Given up at once: nothing was waited for, but what it would have waited for is the cause. */
+    /**
+     * Charges a nominal wait to an operation that ended without waiting, in the component in which
+     * it would have waited.
+     */
     private void chargeNominalWait(OperationTimer timer, Reason reason, int node, double now) {
         LatencyComponent component =
                 switch (reason) {
@@ -315,22 +325,25 @@
 
     // ---- results ----
 
-    /** A volume's account from a time to another on the clock handed in. */
+    /** Returns the account of a volume over a period on the monotonic clock. */
     public LatencyReport report(long volume, double from, double to) {
         return snapshot().report(volume, wallClockOffset + from, wallClockOffset + to);
     }
 
-    /** Sums since the start; the caller's own copy. */
+    /** Returns a copy of the totals since the start. */
     public Totals totals() {
         return totals.copy();
     }
 
-    /** Begins a copy that is taken piece by piece; on the thread that owns these accounts. */
+    /** Starts a copy that is taken in steps, on the thread that owns these accounts. */
     public IncrementalCopy startCopy() {
         return new IncrementalCopy(snapshot());
     }
 
-    /** All of it; shares its windows with these accounts, so that it is for the same thread. */
+    /**
+     * Returns a view of all accounts. It shares its windows with this object, so it is for the same
+     * thread only.
+     */
     public LatencyAccount snapshot() {
         LatencyAccount account = new LatencyAccount();
         windows.forEach(account.volumes::put);
@@ -343,8 +356,8 @@
     }
 
     /**
-     * Continues what an earlier life stored, as much as fits; windows that lie after now are moved
-     * back.
+     * Adds the stored accounts of an earlier process, within the bounds. Windows later than the
+     * current time are shifted back.
      */
     public void restore(LatencyAccount account, double now) {
         account.shiftBefore(wallClockOffset + now);
@@ -358,12 +371,12 @@
                 });
     }
 
-    /** The volumes that have an account, in order. */
+    /** Returns the volumes that have an account, in ascending order. */
     public List<Long> volumes() {
         return windows.volumes();
     }
 
-    /** Windows of all volumes. */
+    /** Returns the number of windows of all volumes. */
     public int windowCount() {
         return windows.size();
     }
--- a/src/main/java/sagepulley/accounts/Cause.java
+++ b/src/main/java/sagepulley/accounts/Cause.java
@@ -4,41 +4,43 @@
 import sagepulley.model.ExternalName;
 
 /**
- * What made an operation wait.
+ * A cause of an operation's wait.
  *
- * @param volume a volume's number; 0 for none or several
- * @param node where it happened; 0 for none or several
- * @param isEstimated whether it was computed from nodes' reports, and not observed here
+ * @param volume the number of the volume that caused it; 0 for none or several
+ * @param node the node at which it occurred; 0 for none or several
+ * @param isEstimated whether it was estimated from reports of nodes and not observed at this
+ *     gateway
  */
 public record Cause(Kind kind, long volume, int node, boolean isEstimated) {
     /**
-     * Kinds of causes. Stored accounts refer to a kind by its ordinal, so new ones go to the end.
+     * Kinds of causes. Stored accounts refer to a kind by its ordinal, so new kinds are added at
+     * the end.
      */
     public enum Kind implements ExternalName {
         /** The volume's own load. */
         OWN_LOAD("own_load"),
         /** The rate limit of the volume's plan. */
         OWN_LIMIT("own_limit"),
-        /** The work that the volume asked for. */
+        /** The execution of the work that the volume requested. */
         OWN_WORK("own_work"),
-        /** Another volume's load through this gateway. */
+        /** The load of another volume through this gateway. */
         NEIGHBOUR("neighbour"),
-        /** Any volume's load through other gateways. */
+        /** The load of any volume through other gateways. */
         @JsonProperty("ELSEWHERE")
         OTHER_GATEWAYS("elsewhere"),
-        /** A node that works slower than the rest. */
+        /** A node with longer service times than the other nodes. */
         SLOW_NODE("slow_node"),
-        /** A pause of a node's own, such as a flush of deferred writes. */
+        /** A pause of a node, such as a flush of deferred writes. */
         PAUSE("pause"),
         /** A node in slow start. */
         @JsonProperty("COLD_NODE")
         WARMING_UP_NODE("cold_node"),
-        /** A node that did not do its work, or no ready node. */
+        /** A node that failed or did not answer, or the absence of a ready node. */
         FAULT("fault"),
-        /** This gateway's own restraint: a queue estimate, the retry budget, a priority. */
+        /** Throttling by this gateway: a queue estimate, the retry budget or a priority. */
         @JsonProperty("CAUTION")
         LOCAL_THROTTLING("caution"),
-        /** The directory. */
+        /** The directory, including claims of extents. */
         DIRECTORY("directory"),
         /** The network between gateway and node. */
         NETWORK("network");
@@ -61,7 +63,10 @@
     private static final long MAX_NODE = (1L << NODE_BITS) - 1;
     private static final long MAX_VOLUME = (1L << VOLUME_BITS) - 1;
 
-    /** One number for a cause, as it is stored; a node or volume too large for it counts as 0. */
+    /**
+     * Encodes a cause as the number under which it is stored. A node or volume that does not fit is
+     * encoded as 0.
+     */
     static long key(Kind kind, long volume, int node, boolean isEstimated) {
         long volumeBits = volume < 0 || volume > MAX_VOLUME ? 0 : volume;
         long nodeBits = node < 0 || node > MAX_NODE ? 0 : node;
@@ -82,7 +87,7 @@
         return KINDS[(int) (key >>> (NODE_BITS + VOLUME_BITS + 1))];
     }
 
-    /** Whether a number is a cause's: what is read from a file may be anything. */
+    /** Returns whether a number is a valid cause key. Numbers read from a file may not be. */
     static boolean isValidKey(long key) {
         return key >= 0 && key >>> (NODE_BITS + VOLUME_BITS + 1) < KINDS.length;
     }
@@ -91,12 +96,15 @@
         return key(kind, volume, node, isEstimated);
     }
 
-    /** The same cause at any node, which small ones are merged into. */
+    /** Returns the key of the same cause at any node, into which small charges are merged. */
     static long withoutNode(long key) {
         return key & ~(MAX_NODE << VOLUME_BITS);
     }
 
-    /** The same cause at any node and of any volume, which small ones are merged into. */
+    /**
+     * Returns the key of the same cause at any node and by any volume, into which small charges are
+     * merged.
+     */
     static long withoutNodeAndVolume(long key) {
         return withoutNode(key) & ~MAX_VOLUME;
     }
--- a/src/main/java/sagepulley/accounts/CauseCharges.java
+++ b/src/main/java/sagepulley/accounts/CauseCharges.java
@@ -4,17 +4,20 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Milliseconds of waiting and priority weight lost, by cause, in a table of bounded size; when it
- * is full the smallest are merged, first over nodes and then over volumes. Of a wait that is
- * estimated the bounds are summed too.
+ * Waiting time in milliseconds and lost priority weight by cause, in a table of bounded size. When
+ * the table is full, the smallest charges are merged, first across nodes and then across volumes.
+ * Each wait has a lower and an upper bound, which differ from it if it is estimated.
  */
 final class CauseCharges {
     private static final int INITIAL_CAPACITY = 6;
 
-    /** Sums to a key: waited, its lower bound, its upper bound, weight lost. */
+    /** Sums per key: wait, its lower bound, its upper bound, lost weight. */
     static final int SUMS = 4;
 
-    /** One in so many causes is left as it is when others are merged. */
+    /**
+     * Reciprocal of the fraction of charges that a merge keeps separate and of the fraction of the
+     * table that it aims to free.
+     */
     private static final int KEPT_DIVISOR = 4;
 
     private final int maxSize;
@@ -56,7 +59,7 @@
         hasMerged = false;
     }
 
-    /** Milliseconds charged to a cause that was observed. */
+    /** Adds an observed wait in milliseconds. */
     void add(long key, double waited) {
         add(key, waited, waited, waited, 0);
     }
@@ -64,7 +67,7 @@
     void add(long key, double waited, double lowerBound, double upperBound, double lostWeight) {
         int index = find(key);
         if (index < 0 && hasMerged) {
-            index = find(Cause.withoutNode(key)); // what was merged over nodes stays so
+            index = find(Cause.withoutNode(key)); // merged charges are not split again
         }
         if (index < 0) {
             index = append(key);
@@ -101,7 +104,10 @@
         }
     }
 
-    /** Adds another's with a weight lost, shared among its causes by what was waited for each. */
+    /**
+     * Adds the charges of another table and divides a lost weight among them in proportion to their
+     * waits.
+     */
     void addAll(CauseCharges other, double lostWeight) {
         double total = other.totalWaited();
         for (int i = 0; i < other.size; i++) {
@@ -123,7 +129,7 @@
         return total;
     }
 
-    /** A cause's share of a weight lost, by what was waited for it. */
+    /** Returns a charge's share of a lost weight, in proportion to its wait. */
     double shareOf(double lostWeight, int index, double totalWaited) {
         return totalWaited > 0 ? lostWeight * waited(index) / totalWaited : lostWeight / size;
     }
@@ -138,9 +144,9 @@
     }
 
     /**
-     * Makes room for many at once: all but the largest go to the same cause at any node, if that is
-     * not enough to that of any volume, and at last the largest too: a table holds all kinds,
-     * observed and estimated.
+     * Frees several entries at once: merges all but the largest charges across nodes, then across
+     * volumes if that is not enough, and finally the largest ones too. The table has room for every
+     * kind, observed and estimated.
      */
     private void mergeSmallest() {
         int targetSize = maxSize - maxSize / KEPT_DIVISOR;
@@ -172,7 +178,7 @@
         }
     }
 
-    /** The least of so many of the largest waits. */
+    /** Returns the smallest of the given number of largest waits. */
     private double nthLargestWait(int count) {
         double[] ranked = new double[size];
         for (int i = 0; i < size; i++) {
--- a/src/main/java/sagepulley/accounts/CauseRanking.java
+++ b/src/main/java/sagepulley/accounts/CauseRanking.java
@@ -8,22 +8,23 @@
 import java.util.TreeMap;
 
 /**
- * The causes of one volume's waiting over a time, the largest first, each with how far it can be
- * relied on. The same cause at several nodes, observed or estimated, is one.
+ * Ranks the causes of one volume's waiting over a period, largest first, and rates the confidence
+ * in each. Charges to the same cause at several nodes, observed or estimated, are combined unless
+ * the kind of cause is specific to a node.
  */
 final class CauseRanking {
-    /** With fewer operations no cause has more than low confidence. */
+    /** With fewer operations, every cause has low confidence. */
     private static final long MIN_OPERATIONS = 20;
 
     private static final double MAJORITY = 0.5;
 
-    /** The next cause has at most this part of the largest. */
+    /** For high confidence, the largest other wait is at most this fraction of the cause. */
     private static final double MAX_RUNNER_UP_FRACTION = 0.6;
 
     private static final double MIN_SHARE = 0.3;
     private static final double MIN_OBSERVED_SHARE = 0.7;
 
-    /** In place of zero as a divisor. */
+    /** Replaces zero as a divisor. */
     private static final double MIN_MILLIS = 1e-9;
 
     private static final class Sum {
@@ -46,7 +47,8 @@
 
     private record Key(Cause.Kind kind, long volume, int node) {
         /**
-         * A fault, a slow or starting node is itself the cause; of others it is where they acted.
+         * Returns the key under which charges are combined. It includes the node only for causes
+         * that are specific to a node.
          */
         static Key of(Cause cause) {
             boolean isNodeSpecific =
@@ -57,7 +59,10 @@
             return new Key(cause.kind(), cause.volume(), isNodeSpecific ? cause.node() : 0);
         }
 
-        /** Orders causes of the same size; not to be changed, for reports show that order. */
+        /**
+         * Returns the text that orders causes of equal size. It must not change, because reports
+         * show that order.
+         */
         String sortKey() {
             return "[" + kind.externalName() + ", " + volume + ", " + node + "]";
         }
@@ -78,9 +83,9 @@
     private final List<Ranked> ranked = new ArrayList<>();
 
     /**
-     * Ranks what a sum of windows was charged.
+     * Ranks the charges in a sum of windows.
      *
-     * @param timeline where the windows are, to find the worst; null if there are none
+     * @param timeline the windows in which the worst one is found; null if there are none
      */
     CauseRanking(AccountWindow sum, Timeline<AccountWindow> timeline, double from, double to) {
         this.timeline = timeline;
@@ -143,7 +148,7 @@
                 : LatencyReport.Confidence.LOW;
     }
 
-    @SuppressWarnings("ReferenceEquality") // the cause itself, not one like it
+    @SuppressWarnings("ReferenceEquality") // excludes this cause by identity
     private double largestOther(Ranked cause) {
         double largest = 0;
         for (Ranked other : ranked) {
@@ -154,7 +159,7 @@
         return largest;
     }
 
-    /** The window in which a cause was charged most for the window's length. */
+    /** Returns the window with the highest charge to a cause relative to the window's length. */
     private Period worstWindow(Key key) {
         double highest = 0;
         Period worst = period;
--- a/src/main/java/sagepulley/accounts/DecayingUsage.java
+++ b/src/main/java/sagepulley/accounts/DecayingUsage.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * Recent units by volume, with exponential decay, in a table of bounded size; the volume with the
- * fewest is evicted. Times are milliseconds.
+ * Recent units by volume with exponential decay, in a table of bounded size that evicts the volume
+ * with the fewest units. Times are milliseconds.
  */
 final class DecayingUsage {
     private static final int MAX_VOLUMES = 16;
     private static final double TIME_CONSTANT_MILLIS = 1_500;
 
-    /** Decay is computed no more often than this. */
+    /** The decay is computed at most once per interval. */
     private static final double MIN_DECAY_INTERVAL_MILLIS = 10;
 
     private final long[] volumes = new long[MAX_VOLUMES];
--- a/src/main/java/sagepulley/accounts/EndedOperation.java
+++ b/src/main/java/sagepulley/accounts/EndedOperation.java
@@ -1,12 +1,12 @@
 package sagepulley.accounts;
 
 /**
- * How an operation ended, for the sums that it is booked into.
+ * An operation that ended, with the figures that are added to the sums.
  *
- * @param tier by which it was served, or held
+ * @param tier the plan tier in which it was served or held
  * @param metObjective whether it was served within its latency objective
- * @param lostWeight priority weight that was lost because it was not
- * @param duration milliseconds from arrival to final answer
+ * @param lostWeight the priority weight lost because it was not
+ * @param duration milliseconds from arrival to the final answer
  */
 record EndedOperation(
         OperationTimer timer,
--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -8,40 +8,44 @@
 import java.util.TreeMap;
 
 /**
- * Merges the accounts of several gateways. Their clocks differ: every gateway is notified of each
- * version of the endpoint list at nearly the same moment, so that the times at which two noted the
- * same version show by how much. And what one gateway knows only as other gateways' work at a node,
- * the others' own accounts name.
+ * Merges the accounts of several gateways.
+ *
+ * <p>Gateways are notified of a version of the endpoint list at nearly the same time, so the
+ * notification times of a common version give the offset between two clocks. Load that one gateway
+ * can charge only to other gateways is attributed to volumes by the accounts of those gateways.
  */
 public final class FleetMerger {
     /**
-     * A gateway's account.
+     * The account of one gateway.
      *
-     * @param versionNotifiedAt when, by its own clock, each version of the endpoint list was
-     *     notified, wall-clock milliseconds
+     * @param versionNotifiedAt when the gateway was notified of each version of the endpoint list,
+     *     in wall-clock milliseconds of its own clock
      */
     public record GatewayAccount(
             String gateway, LatencyAccount account, Map<Long, Double> versionNotifiedAt) {}
 
     /**
-     * By how many milliseconds a gateway's clock is ahead of the first's; NaN where nothing shows
-     * it. The property name is that of {@code report --json}.
+     * The milliseconds by which a gateway's clock is ahead of the first gateway's; NaN if unknown.
+     * The property name is that of {@code report --json}.
      */
     public record ClockOffset(String gateway, @JsonProperty("ahead") double offsetMillis) {}
 
-    /** One account for all, and how the clocks were aligned. */
+    /** The merged account and the clock offsets that were applied. */
     public record Merged(LatencyAccount account, List<ClockOffset> clocks) {}
 
-    /** Flows further than this from the time of a wait do not explain it. */
+    /** Load further than this from the time of a wait is not attributed to it. */
     private static final double MAX_FLOW_DISTANCE_MILLIS = 10_000;
 
-    /** The accounts, by the clock of the first. */
+    /** The accounts, shifted to the clock of the first gateway. */
     private final List<LatencyAccount> aligned = new ArrayList<>();
 
     private FleetMerger() {}
 
-    /** Merges all by the clock of the first; names who worked elsewhere, as an estimate. */
-    @SuppressWarnings("ReferenceEquality") // the first account itself, not one like it
+    /**
+     * Merges all accounts on the clock of the first gateway and attributes the load of other
+     * gateways to volumes, as an estimate.
+     */
+    @SuppressWarnings("ReferenceEquality") // identifies the first account by identity
     public static Merged merge(List<GatewayAccount> accounts) {
         List<ClockOffset> clocks = new ArrayList<>();
         FleetMerger merger = new FleetMerger();
@@ -58,7 +62,7 @@
     private LatencyAccount mergeAligned() {
         LatencyAccount merged = new LatencyAccount();
         for (int i = 0; i < aligned.size(); i++) {
-            // Names are read from the others' flows, which naming leaves as they are.
+            // The attribution reads only the flows of the other accounts, which it does not change.
             if (aligned.size() > 1) {
                 attributeOtherGateways(i);
             }
@@ -69,7 +73,10 @@
 
     // ---- clocks ----
 
-    /** From common versions with the first, or by way of another gateway that has both. */
+    /**
+     * Returns the median offset over versions in common with the first gateway, or the sum of two
+     * offsets through an intermediate gateway.
+     */
     private static double clockOffset(List<GatewayAccount> accounts, GatewayAccount member) {
         GatewayAccount first = accounts.get(0);
         double direct = medianDifference(first, member);
@@ -99,9 +106,12 @@
         return differences.length == 0 ? Double.NaN : differences[differences.length / 2];
     }
 
-    // ---- names ----
+    // ---- attribution ----
 
-    /** Names volumes in place of other gateways' work, as the other gateways' accounts tell. */
+    /**
+     * Replaces charges to other gateways by charges to volumes, in proportion to the units that the
+     * other gateways sent to the node at about that time.
+     */
     private void attributeOtherGateways(int index) {
         aligned.get(index)
                 .volumes
@@ -159,7 +169,9 @@
                 fraction * from.lostWeight(index));
     }
 
-    /** Units that the other gateways sent to a node about a time, by volume. */
+    /**
+     * Returns the units that the other gateways sent to a node at about the given time, by volume.
+     */
     private Map<Long, Double> unitsOfOtherGateways(int index, int node, double from, double to) {
         Map<Long, Double> units = new TreeMap<>();
         for (int i = 0; i < aligned.size(); i++) {
@@ -178,8 +190,8 @@
     }
 
     /**
-     * The nodes of one zone that share a fault, when it is more than one and at least half of the
-     * zone's.
+     * Returns the faulty nodes of a zone if there are at least two and they are at least half of
+     * the nodes of the zone; otherwise an empty list.
      */
     public static List<Integer> faultyNodesOfZone(
             LatencyAccount account, int zone, List<Integer> faultyNodes) {
--- a/src/main/java/sagepulley/accounts/IncrementalCopy.java
+++ b/src/main/java/sagepulley/accounts/IncrementalCopy.java
@@ -5,14 +5,17 @@
 import java.util.Map;
 
 /**
- * A copy of accounts that is taken piece by piece, so that their owner's thread is never held up
- * for long. All calls are on that thread.
+ * A copy of accounts that is taken in steps, so that it does not block the owner's thread for long.
+ * All calls are on that thread.
  */
 public final class IncrementalCopy {
     private final Iterator<Map.Entry<Long, Timeline<AccountWindow>>> remaining;
     private final LatencyAccount copy = new LatencyAccount();
 
-    /** Of a snapshot that shares its windows with the accounts; the nodes are copied at once. */
+    /**
+     * Starts the copy of a view that shares its windows with the accounts. The nodes are copied at
+     * once.
+     */
     IncrementalCopy(LatencyAccount shared) {
         this.remaining = List.copyOf(shared.volumes.entrySet()).iterator();
         LatencyAccount nodes = new LatencyAccount();
@@ -21,7 +24,10 @@
         copy.merge(nodes, 0);
     }
 
-    /** Copies some more volumes; returns the copy once it is complete, else null. */
+    /**
+     * Copies the given number of further volumes. Returns the copy if it is complete, null
+     * otherwise.
+     */
     public LatencyAccount copyNext(int count) {
         for (int i = 0; i < count && remaining.hasNext(); i++) {
             Map.Entry<Long, Timeline<AccountWindow>> next = remaining.next();
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /**
- * Accounts as they stood at a moment: of one gateway, or of several together. Times are wall-clock
+ * The accounts of one gateway, or of several merged, at one point in time. Times are wall-clock
  * milliseconds.
  */
 public final class LatencyAccount {
@@ -16,17 +16,19 @@
     final Map<Integer, Timeline<NodeFlow>> flows = new TreeMap<>();
     final Map<Integer, Integer> zones = new TreeMap<>();
 
-    /** The volumes that have an account, in order. */
+    /** Returns the volumes that have an account, in ascending order. */
     public List<Long> volumes() {
         return List.copyOf(volumes.keySet());
     }
 
-    /** The zone of each node that was listed. */
+    /** Returns the zone of each listed node. */
     public Map<Integer, Integer> zones() {
         return zones;
     }
 
-    /** Units that each node worked on from a time to another, by volume: all, and the writes. */
+    /**
+     * Returns the units that each node executed in a period, by volume: in total, and of writes.
+     */
     public Map<Integer, Map<Long, double[]>> flows(double from, double to) {
         Map<Integer, Map<Long, double[]>> flowsByNode = new LinkedHashMap<>();
         flows.forEach(
@@ -52,7 +54,9 @@
         return units;
     }
 
-    /** The end of the newest window; minus infinity if there is none. */
+    /**
+     * Returns the end of the newest window of any volume, or negative infinity if there is none.
+     */
     public double newestWindowEnd() {
         double newest = Double.NEGATIVE_INFINITY;
         for (Timeline<AccountWindow> timeline : volumes.values()) {
@@ -66,14 +70,15 @@
     }
 
     /**
-     * What lies after a time, by a clock that was set back since, is moved before it: whole hours.
+     * Shifts the windows of each timeline back by whole hours if its newest starts after the given
+     * time, as happens when the clock was set back.
      */
     void shiftBefore(double wallMillis) {
         volumes.values().forEach(timeline -> timeline.shiftBefore(wallMillis));
         flows.values().forEach(timeline -> timeline.shiftBefore(wallMillis));
     }
 
-    /** Adds another's, whose clock was ahead by so many milliseconds. */
+    /** Adds the windows of an account whose clock was ahead by the given milliseconds. */
     void merge(LatencyAccount other, double clockOffsetMillis) {
         other.volumes.forEach(
                 (volume, timeline) ->
@@ -87,12 +92,12 @@
     }
 
     /**
-     * One point of a volume's history.
+     * One point of the history of a volume.
      *
-     * @param wallMillis middle of the window
-     * @param length milliseconds of the window
-     * @param waited milliseconds that were no node's work
-     * @param work milliseconds of nodes' work
+     * @param wallMillis the middle of the window
+     * @param length the length of the window in milliseconds
+     * @param waited milliseconds outside of execution by nodes
+     * @param work milliseconds of execution by nodes
      */
     public record Point(
             double wallMillis,
@@ -115,7 +120,7 @@
         }
     }
 
-    /** A volume's history from a time to another, oldest first, as fine as it is stored. */
+    /** Returns the history of a volume over a period, oldest first, at the stored resolution. */
     public List<Point> history(long volume, double from, double to) {
         List<Point> points = new ArrayList<>();
         Timeline<AccountWindow> timeline = volumes.get(volume);
@@ -137,7 +142,7 @@
         return points;
     }
 
-    /** A volume's account from a time to another, as fine as it is still stored. */
+    /** Returns the account of a volume over a period, at the stored resolution. */
     public LatencyReport report(long volume, double from, double to) {
         AccountWindow sum = new AccountWindow();
         Timeline<AccountWindow> timeline = volumes.get(volume);
--- a/src/main/java/sagepulley/accounts/LatencyComponent.java
+++ b/src/main/java/sagepulley/accounts/LatencyComponent.java
@@ -5,50 +5,56 @@
 import sagepulley.model.Reason;
 
 /**
- * Where an operation's time went. The components of an operation have no gaps and do not overlap.
- * Stored accounts refer to a component by its ordinal, so new ones go to the end.
+ * A component of the latency of an operation. The components of an operation have no gaps and do
+ * not overlap. Stored accounts refer to a component by its ordinal, so new components are added at
+ * the end.
  */
 public enum LatencyComponent implements ExternalName {
-    /** Held here: the node's concurrency limit is reached, inside the tenant's reservation. */
+    /**
+     * Waits at this gateway: the node's concurrency limit is reached, inside the tenant's
+     * reservation.
+     */
     @JsonProperty("RESERVE_FULL")
     RESERVATION_FULL("reserve_full"),
-    /** Held here: the node's concurrency limit is reached, inside the tenant's share. */
+    /**
+     * Waits at this gateway: the node's concurrency limit is reached, inside the tenant's share.
+     */
     SHARE_FULL("share_full"),
-    /** Held here: the node's concurrency limit is reached, in excess of the tenant's share. */
+    /** Waits at this gateway: the node's concurrency limit is reached, in excess of the share. */
     @JsonProperty("BEYOND_SHARE")
     EXCESS_FULL("beyond_share"),
-    /** Held here: the node's queue estimate is too high. */
+    /** Waits at this gateway: the node's queue estimate is too high. */
     @JsonProperty("HELD_BACK")
     QUEUE_AT_NODE("held_back"),
-    /** Held here: the node is in slow start. */
+    /** Waits at this gateway: the node is in slow start. */
     @JsonProperty("COLD")
     WARMING_UP("cold"),
-    /** Held here: the node gives no answers. */
+    /** Waits at this gateway: the node is unresponsive. */
     @JsonProperty("SILENT")
     UNRESPONSIVE("silent"),
-    /** Held here: no node is ready. */
+    /** Waits at this gateway: no node is ready. */
     NOT_READY("not_ready"),
-    /** Held here: the tenant's rate limit. */
+    /** Waits at this gateway: the tenant's rate limit is reached. */
     LIMIT("limit"),
-    /** Held here: the retry budget is spent. */
+    /** Waits at this gateway: the retry budget is exhausted. */
     @JsonProperty("BUDGET")
     RETRY_BUDGET("budget"),
-    /** Held here: an earlier operation of the same key has not ended. */
+    /** Waits at this gateway: an earlier operation of the same key has not ended. */
     @JsonProperty("ORDER")
     KEY_ORDER("order"),
-    /** Held here: operations of higher priority go first. */
+    /** Waits at this gateway: operations of higher priority are dispatched first. */
     @JsonProperty("RANKS_LATER")
     LOWER_PRIORITY("ranks_later"),
-    /** Waiting for the directory, or for the claim of an extent. */
+    /** Waits for the directory, or for the claim of an extent. */
     DIRECTORY("directory"),
-    /** On the network between gateway and node, both ways. */
+    /** Is on the network between gateway and node, in either direction. */
     @JsonProperty("ON_THE_WAY")
     NETWORK("on_the_way"),
-    /** In the node's queue. */
+    /** Waits in the node's queue. */
     NODE_QUEUE("node_queue"),
-    /** Executed by the node. */
+    /** Is executed by the node. */
     NODE_WORK("node_work"),
-    /** In attempts that brought no answer. */
+    /** Is spent in an attempt without a result. */
     @JsonProperty("FUTILE")
     FAILED_ATTEMPT("futile");
 
@@ -63,7 +69,7 @@
         return externalName;
     }
 
-    /** The component that a reason to wait stands for. */
+    /** Returns the component for a reason to wait. */
     public static LatencyComponent of(Reason reason) {
         return switch (reason) {
             case RESERVATION_FULL -> RESERVATION_FULL;
--- a/src/main/java/sagepulley/accounts/LatencyReport.java
+++ b/src/main/java/sagepulley/accounts/LatencyReport.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * What a volume got over a time. Times are milliseconds, points in time wall-clock milliseconds.
- * The property names are those of /accounts and {@code report --json}.
+ * The latency account of a volume over a period. Durations are milliseconds, points in time
+ * wall-clock milliseconds. The property names are those of /accounts and {@code report --json}.
  *
  * @param met operations served within their latency objective
- * @param missed all others; of them some were rejected, abandoned or cancelled
- * @param lostWeight priority weight of those missed
- * @param components milliseconds by component
- * @param causes of waiting, the largest first
+ * @param missed all other operations, including those rejected, abandoned and cancelled
+ * @param lostWeight the priority weight of the missed operations that was lost
+ * @param components milliseconds by latency component
+ * @param causes the causes of waiting, largest first
  */
 public record LatencyReport(
         long volume,
@@ -29,18 +29,21 @@
         @JsonProperty("parts") Map<LatencyComponent, Double> components,
         @JsonProperty("plan") List<TierReport> tiers,
         List<CauseReport> causes) {
-    /** How far a cause can be relied on. */
+    /** The confidence in a cause. */
     public enum Confidence {
-        /** Observed here, and most of the waiting. */
+        /** The cause is mostly observed and the dominant part of the waiting. */
         HIGH,
-        /** Estimated, or one of several. */
+        /** The cause is estimated, or one of several large ones. */
         @JsonProperty("MIDDLE")
         MEDIUM,
-        /** A small part, or of few operations. */
+        /** The cause is a small part of the waiting, or is based on few operations. */
         LOW
     }
 
-    /** What was served, or held, by one plan tier; milliseconds to the final answer. */
+    /**
+     * The operations that were served or held in one plan tier. Percentiles and maximum are
+     * milliseconds from arrival to the final answer.
+     */
     public record TierReport(
             @JsonProperty("part") PlanTier tier,
             long met,
@@ -54,14 +57,14 @@
     /**
      * A cause of waiting.
      *
-     * @param node where most of it happened; 0 for none
-     * @param nodeShare the part of it that happened there
-     * @param waited milliseconds charged to it, with the bounds of what it can have been
-     * @param share of all waiting
-     * @param lostWeight priority weight lost to it
-     * @param observedShare the part of it that was observed and not estimated
-     * @param worstFrom start of the window with most of it, wall-clock milliseconds
-     * @param worstTo end of that window
+     * @param node the node at which most of the waiting occurred; 0 for none
+     * @param nodeShare the fraction of the waiting that occurred at that node
+     * @param waited milliseconds charged to the cause, with a lower and an upper bound
+     * @param share the fraction of all waiting
+     * @param lostWeight the priority weight lost to the cause
+     * @param observedShare the fraction of the waiting that was observed and not estimated
+     * @param worstFrom the start of the window with the highest charge, in wall-clock milliseconds
+     * @param worstTo the end of that window
      */
     public record CauseReport(
             Cause.Kind kind,
@@ -78,7 +81,9 @@
             double worstTo,
             Confidence confidence) {}
 
-    /** The largest cause of waiting that is not the volume's own work; null if there is none. */
+    /**
+     * Returns the largest cause of waiting other than the volume's own work; null if there is none.
+     */
     public CauseReport mainCause() {
         for (CauseReport cause : causes) {
             if (cause.kind() != Cause.Kind.OWN_WORK) {
--- a/src/main/java/sagepulley/accounts/Mergeable.java
+++ b/src/main/java/sagepulley/accounts/Mergeable.java
@@ -1,6 +1,6 @@
 package sagepulley.accounts;
 
-/** Sums over one window of time that can be added to those of a longer one. */
+/** Sums over one window of time that can be added to those of a longer window. */
 interface Mergeable<T> {
     void add(T other);
 
--- a/src/main/java/sagepulley/accounts/NodeActivities.java
+++ b/src/main/java/sagepulley/accounts/NodeActivities.java
@@ -5,12 +5,12 @@
 import java.util.function.BiConsumer;
 
 /**
- * The nodes' activities, up to a bound, with what concerns all of them together: units in flight
- * anywhere, units that wait for a claim, and how a node's service time compares with the others'.
- * Times are milliseconds.
+ * Tracks the activity of a bounded number of nodes, and what concerns all of them: units in flight
+ * at any node, units that wait for a claim, and how a node's service time compares with the
+ * others'. Times are milliseconds.
  */
 final class NodeActivities {
-    /** A node whose service time is so many times the others' mean is slow. */
+    /** A node is slow if its service time exceeds the mean of the other nodes by this factor. */
     private static final double SLOW_FACTOR = 1.5;
 
     private static final double COMPARISON_INTERVAL_MILLIS = 50;
@@ -23,7 +23,7 @@
 
     private double claimingUnits;
 
-    /** Service times of all nodes that have one, summed at the latest comparison. */
+    /** Service times of all nodes, summed at the latest comparison. */
     private final ServiceTimes reads = new ServiceTimes(false);
 
     private final ServiceTimes writes = new ServiceTimes(true);
@@ -33,12 +33,15 @@
         this.maxNodes = maxNodes;
     }
 
-    /** A node's activity; null if it has none. */
+    /** Returns the activity of a node; null if it is not tracked. */
     NodeActivity get(int id) {
         return nodes.get(id);
     }
 
-    /** A node's activity, created if need be; null for id 0 or beyond the bound. */
+    /**
+     * Returns the activity of a node and creates it if it is absent; null for node 0 or beyond the
+     * bound.
+     */
     NodeActivity getOrCreate(int id) {
         if (id == 0) {
             return null;
@@ -73,14 +76,14 @@
         }
     }
 
-    /** Units that hold a slot at a node (null: at any) while they wait for a claim. */
+    /** Returns the units that hold a slot at a node (null: at any node) and wait for a claim. */
     double claimingUnits(NodeActivity activity) {
         return activity == null ? claimingUnits : activity.claimingUnits;
     }
 
     // ---- slow nodes ----
 
-    /** Sums all nodes' service times, once in an interval. */
+    /** Sums the service times of all nodes, at most once per interval. */
     void compareServiceTimes(double now) {
         if (now < comparedAt + COMPARISON_INTERVAL_MILLIS) {
             return;
@@ -90,7 +93,10 @@
         writes.sum(nodes);
     }
 
-    /** The fraction of a node's time that a node as fast as the others would not have taken. */
+    /**
+     * Returns the fraction of a node's service time that exceeds the mean of the other nodes; 0 if
+     * the node is not slow.
+     */
     double slowFraction(NodeActivity activity, boolean isWrite) {
         return (isWrite ? writes : reads).slowFraction(activity);
     }
--- a/src/main/java/sagepulley/accounts/NodeActivity.java
+++ b/src/main/java/sagepulley/accounts/NodeActivity.java
@@ -1,35 +1,42 @@
 package sagepulley.accounts;
 
 /**
- * What this gateway observed of a node: its service time, queue and pauses, and whose units are in
- * flight there. Times are milliseconds on the monotonic clock; service times are per unit.
+ * What this gateway observes of a node: its service time, its queue, its pauses, and the units in
+ * flight there by volume. Times are milliseconds on the monotonic clock; service times are per
+ * unit.
  */
 final class NodeActivity {
-    /** Of an exponentially weighted average. */
+    /** Weight of the newest sample in an exponentially weighted average. */
     private static final double SMOOTHING = 0.1;
 
     /**
-     * One answer counts at most so many times the average, so that a single pause does not make a
-     * slow node.
+     * A sample is capped at this multiple of the average plus an allowance, so that a single pause
+     * does not make a node slow.
      */
     private static final double MAX_OUTLIER_FACTOR = 4;
 
     private static final double OUTLIER_ALLOWANCE_MILLIS = 1;
 
-    /** The wait for a unit ahead is followed towards its lower quartile, in steps of this part. */
+    /**
+     * Weight of a sample in the wait per unit ahead. Decreases have three times this weight, so
+     * that the value stays near the shorter waits.
+     */
     private static final double WAIT_SMOOTHING = 0.05;
 
     private static final double TYPICAL_WAIT_FACTOR = 2;
     private static final double TYPICAL_WAIT_ALLOWANCE_MILLIS = 1;
 
-    /** A node is quiet when it is silent for so many average attempts and an allowance. */
+    /** A node is silent after this many average attempts plus an allowance without an answer. */
     private static final double SILENCE_ATTEMPT_FACTOR = 4;
 
     private static final double SILENCE_ALLOWANCE_MILLIS = 20;
 
     private static final double PAUSE_SMOOTHING = 0.4;
 
-    /** A quiet time was a pause if the node accounts for this part of it. */
+    /**
+     * A silence was a pause if the node reports more than this fraction of it as queueing and
+     * execution.
+     */
     private static final double PAUSE_FRACTION = 0.6;
 
     private static final double MIN_UNITS = 1e-9;
@@ -40,15 +47,18 @@
     final OutstandingWork outstanding = new OutstandingWork();
     final Timeline<NodeFlow> flows = new Timeline<>(NodeFlow::new);
 
-    /** Units written lately, by volume: deferred writes make others wait. */
+    /** Recently written units by volume, because deferred writes delay other operations. */
     final DecayingUsage recentWrites = new DecayingUsage();
 
-    /** Units of operations that hold a slot here while they wait for a claim. */
+    /** Units of operations that hold a slot at this node and wait for a claim. */
     double claimingUnits;
 
     double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
-    /** Of an attempt's time, the parts that went to other gateways' work and to its own pauses. */
+    /**
+     * Average fractions of an attempt's time lost to the load of other gateways and to pauses of
+     * the node.
+     */
     double otherGatewaysFraction;
 
     double pausedFraction;
@@ -58,24 +68,27 @@
     /** When the number of attempts in flight last rose from zero. */
     private double busySince;
 
-    /** Reads and writes; NaN before the first answer. */
+    /** Service times of reads and of writes; NaN before the first answer. */
     private final double[] serviceTime = {Double.NaN, Double.NaN};
 
-    /** The same as it was at the latest comparison with other nodes. */
+    /** Service times at the latest comparison with other nodes. */
     private final double[] comparedServiceTime = {Double.NaN, Double.NaN};
 
     private double averageAttemptMillis = Double.NaN;
 
-    /** Of waits in the queue while no other gateway's work was there; NaN before the first. */
+    /**
+     * Typical queue wait per unit ahead without load of other gateways; NaN before the first
+     * sample.
+     */
     private double waitPerUnitAhead = Double.NaN;
 
-    /** Attempts of all gateways in its queue, as its latest answer reported. */
+    /** Attempts of all gateways in the node's queue, as reported with the latest answer. */
     private double reportedAttempts;
 
-    /** This gateway's attempts in flight then. */
+    /** Attempts of this gateway in flight when that answer arrived. */
     private double ownAttemptsAtReport;
 
-    /** Of the latest quiet times, the part that proved to be pauses. */
+    /** Average fraction of recent silences that proved to be pauses. */
     private double silencePauseFraction;
 
     NodeActivity(int id) {
@@ -95,11 +108,11 @@
     }
 
     /**
-     * An attempt was answered.
+     * Records the answer to an attempt.
      *
-     * @param waited in the node's queue, as the node reported
-     * @param worked by the node, as it reported
-     * @param duration from sending to answer
+     * @param waited time in the node's queue, as reported by the node
+     * @param worked time of execution, as reported by the node
+     * @param duration time from sending to the answer
      * @param queue attempts in the node's queue; NaN if not reported
      */
     void answerReceived(
@@ -132,12 +145,12 @@
         return average + SMOOTHING * (bounded - average);
     }
 
-    /** An attempt that had been given up was answered: the node had paused, or was long at it. */
+    /** Records the answer to a cancelled attempt, which shows that a silence was a pause. */
     void lateAnswerReceived() {
         silencePauseFraction += PAUSE_SMOOTHING * (1 - silencePauseFraction);
     }
 
-    /** How an attempt's time was composed. */
+    /** Records the fractions of an attempt's time lost to other gateways and to pauses. */
     void recordAttemptBreakdown(double otherGateways, double paused) {
         otherGatewaysFraction += SMOOTHING * (otherGateways - otherGatewaysFraction);
         pausedFraction += SMOOTHING * (paused - pausedFraction);
@@ -145,17 +158,17 @@
 
     // ---- its queue ----
 
-    /** At least so many attempts in its queue are other gateways'. */
+    /** Returns the minimum number of attempts of other gateways in the node's queue. */
     double minOtherAttempts() {
         return Math.max(0, reportedAttempts - ownAttemptsAtReport);
     }
 
-    /** At most so many attempts in its queue are other gateways'. */
+    /** Returns the maximum number of attempts of other gateways in the node's queue. */
     double maxOtherAttempts() {
         return reportedAttempts;
     }
 
-    /** What a wait in the queue was with so many units ahead, none of them other gateways'. */
+    /** Records a queue wait behind the given units, without load of other gateways. */
     void recordQueueWait(double waited, double units) {
         double latest = waited / units;
         if (Double.isNaN(waitPerUnitAhead)) {
@@ -168,7 +181,10 @@
         }
     }
 
-    /** Upper bound of the usual wait with so many units ahead; NaN if none was observed. */
+    /**
+     * Returns the upper bound of a typical queue wait behind the given units; NaN before the first
+     * sample.
+     */
     double maxTypicalWait(double units) {
         return Double.isNaN(waitPerUnitAhead)
                 ? Double.NaN
@@ -185,7 +201,7 @@
         return serviceTime[direction(isWrite)];
     }
 
-    /** Remembers the service time for a comparison over all nodes; false if there is none. */
+    /** Captures the service time for a comparison of all nodes. Returns false if there is none. */
     boolean captureServiceTime(boolean isWrite) {
         comparedServiceTime[direction(isWrite)] = serviceTime[direction(isWrite)];
         return hasComparedServiceTime(isWrite);
@@ -202,8 +218,8 @@
     // ---- its pauses ----
 
     /**
-     * What an attempt that was sent at a time may usually take; 0 if the node has answered nothing
-     * since.
+     * Returns the maximum typical duration of an attempt sent at the given time; 0 if the node has
+     * not answered since.
      */
     double maxTypicalAttempt(double sentAt) {
         return lastAnsweredAt <= sentAt || Double.isNaN(averageAttemptMillis)
@@ -211,7 +227,9 @@
                 : SILENCE_ATTEMPT_FACTOR * averageAttemptMillis + SILENCE_ALLOWANCE_MILLIS;
     }
 
-    /** Of a wait for this node, the milliseconds in which it was quiet. */
+    /**
+     * Returns the milliseconds of a period in which the node was silent with attempts in flight.
+     */
     double silentMillis(double from, double to) {
         if (attemptsInFlight == 0) {
             return 0;
--- a/src/main/java/sagepulley/accounts/NodeFlow.java
+++ b/src/main/java/sagepulley/accounts/NodeFlow.java
@@ -1,12 +1,12 @@
 package sagepulley.accounts;
 
-/** Units that one node worked on for this gateway in one window of time, by volume. */
+/** Units that one node executed for this gateway in one window of time, by volume. */
 final class NodeFlow implements Mergeable<NodeFlow> {
     static final int MAX_VOLUMES = 24;
 
     /**
-     * Keyed like causes of kind neighbour, with units in place of milliseconds; those of writes
-     * have the mark of an estimate.
+     * Units in place of milliseconds, under keys of the cause kind NEIGHBOUR. The estimate flag of
+     * the key marks writes.
      */
     final CauseCharges units = new CauseCharges(MAX_VOLUMES);
 
--- a/src/main/java/sagepulley/accounts/OperationSteps.java
+++ b/src/main/java/sagepulley/accounts/OperationSteps.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Begins and ends the steps of operations: adds up their time, and notes behind which units in
- * flight each step waits.
+ * Starts and ends the steps of operations, adds up their time, and captures the units in flight
+ * that each step waits behind.
  */
 final class OperationSteps {
     private static final int MAX_POOLED_TABLES = 4096;
@@ -12,7 +12,7 @@
     private final NodeActivities nodes;
     private final WaitAttribution attribution;
 
-    /** Tables of ended operations, to be used again. */
+    /** Tables of ended operations, kept for reuse. */
     private final ArrayDeque<OutstandingWork> tablePool = new ArrayDeque<>();
 
     OperationSteps(NodeActivities nodes, WaitAttribution attribution) {
@@ -20,7 +20,7 @@
         this.attribution = attribution;
     }
 
-    /** Ends what the operation spends its time in. */
+    /** Ends the current step of an operation and charges its time. */
     void end(OperationTimer timer, double now) {
         double length = Math.max(0, now - timer.stepStartedAt);
         if (length > 0 && !timer.hasEnded) {
@@ -30,7 +30,7 @@
         timer.stepStartedAt = now;
     }
 
-    /** From now on its time goes to a component, at a node or for one (0: none). */
+    /** Starts a step in a component, at or for a node (0: none). */
     void start(OperationTimer timer, LatencyComponent component, int node) {
         timer.component = component;
         if (timer.node != node || timer.activity == null) {
@@ -56,7 +56,7 @@
                 || timer.component == LatencyComponent.EXCESS_FULL;
     }
 
-    /** It waits behind no others any more. */
+    /** Returns the table of units ahead of an operation to the pool. */
     void releaseTable(OperationTimer timer) {
         if (timer.workAhead != null && tablePool.size() < MAX_POOLED_TABLES) {
             tablePool.push(timer.workAhead);
@@ -64,7 +64,7 @@
         timer.workAhead = null;
     }
 
-    /** Its attempt is no longer in flight. */
+    /** Removes the attempt in flight of an operation from the outstanding units. */
     void endAttempt(OperationTimer timer) {
         NodeActivity activity = timer.attemptActivity;
         if (activity != null) {
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -5,15 +5,15 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * One operation's time as it is spent, from its arrival to its final answer: its steps, and their
- * causes. Times are milliseconds on the monotonic clock. Changed by {@link Accounts} only, on the
- * thread that owns them.
+ * Tracks the time of one operation from its arrival to its final answer: its steps and their
+ * causes. Times are milliseconds on the monotonic clock. Only {@link Accounts} and its helpers
+ * change it, on the thread that owns the accounts.
  */
 public final class OperationTimer {
     private static final int MAX_STEPS = 24;
     private static final int INITIAL_STEPS = 6;
 
-    /** All kinds, observed and estimated, must fit. */
+    /** Has room for every kind of cause, observed and estimated. */
     private static final int MAX_CAUSES = 32;
 
     private static final LatencyComponent[] COMPONENTS = LatencyComponent.values();
@@ -25,33 +25,39 @@
     final double arrivedAt;
     final CauseCharges charges = new CauseCharges(MAX_CAUSES);
 
-    /** Where its time goes now, and since when. */
+    /** The component of the current step, and when the step started. */
     LatencyComponent component = LatencyComponent.LOWER_PRIORITY;
 
     double stepStartedAt;
 
-    /** The node it is at or waits for (0: none), and what is known of that; null for none. */
+    /** The node of the current step (0: none), and its activity; null if it is not tracked. */
     int node;
 
     NodeActivity activity;
 
-    /** By which quota tier it is held or was sent, and the units that it waits behind. */
+    /** The quota tier in which the operation is held or was sent, and the units ahead of it. */
     QuotaTier quotaTier = QuotaTier.SHARE;
 
     OutstandingWork workAhead;
 
-    /** Attempts of other gateways ahead of its attempt, by what the node had reported. */
+    /**
+     * Bounds of the attempts of other gateways ahead of this operation's attempt, as reported by
+     * the node.
+     */
     double minOtherAttempts;
 
     double maxOtherAttempts;
 
-    /** Where its attempt is in flight, and the keys it is counted under; null for none. */
+    /**
+     * The node at which the attempt is in flight, and the keys under which its units are
+     * outstanding; null if there is none.
+     */
     NodeActivity attemptActivity;
 
     long attemptKey;
     long totalAttemptKey;
 
-    /** The node where it holds a slot while it waits for a claim; 0 for none. */
+    /** The node at which the operation holds a slot while it waits for a claim; 0 for none. */
     int claimNode;
 
     boolean wasRateLimited;
@@ -78,7 +84,10 @@
 
     // ---- steps ----
 
-    /** Adds a step; one like the last is merged with it, and past the bound with any like it. */
+    /**
+     * Adds a step. A step like the last one is merged with it. When the table is full, the step is
+     * merged with the first of the same component, or else with the last.
+     */
     void addStep(LatencyComponent ofComponent, int atNode, double length) {
         int index = indexToMerge(ofComponent);
         boolean isFull = count == MAX_STEPS;
@@ -89,7 +98,7 @@
             return;
         }
         if (isFull) {
-            // None like it among the steps: it is merged with the last, of whatever component.
+            // No step of this component: the time is added to the last step.
             lengths[count - 1] += length;
             return;
         }
@@ -114,27 +123,27 @@
         return index;
     }
 
-    /** How many steps it took so far, in order of time. */
+    /** Returns the number of steps so far, which are in order of time. */
     public int stepCount() {
         return count;
     }
 
-    /** Where a step's time went. */
+    /** Returns the latency component of a step. */
     public LatencyComponent step(int index) {
         return COMPONENTS[components[index]];
     }
 
-    /** A step's node; 0 for none. */
+    /** Returns the node of a step; 0 for none. */
     public int stepNode(int index) {
         return nodes[index];
     }
 
-    /** A step's milliseconds. */
+    /** Returns the milliseconds of a step. */
     public double stepMillis(int index) {
         return lengths[index];
     }
 
-    /** Milliseconds spent in a component so far. */
+    /** Returns the milliseconds spent in a component so far. */
     public double millisIn(LatencyComponent ofComponent) {
         double sum = 0;
         for (int i = 0; i < count; i++) {
@@ -143,7 +152,7 @@
         return sum;
     }
 
-    /** Milliseconds that were no node's work. */
+    /** Returns the milliseconds spent outside of execution by nodes. */
     double waitedMillis() {
         double waited = 0;
         for (int i = 0; i < count; i++) {
@@ -152,14 +161,16 @@
         return waited;
     }
 
-    /** Where its time goes now. */
+    /** Returns the component of the current step. */
     public LatencyComponent currentComponent() {
         return component;
     }
 
     // ---- causes ----
 
-    /** Charges a wait to what happened at a node (0: none); an estimate may be none of it. */
+    /**
+     * Charges a wait to a kind of cause at a node (0: none). The lower bound of an estimate is 0.
+     */
     void charge(Cause.Kind kind, int atNode, double length, boolean isEstimated) {
         if (length > 0) {
             long key = Cause.key(kind, 0, atNode, isEstimated);
@@ -167,14 +178,14 @@
         }
     }
 
-    /** Charges a wait to the operation's own volume. */
+    /** Charges an observed wait to the operation's own volume. */
     void chargeOwn(Cause.Kind kind, double length) {
         if (length > 0) {
             charges.add(Cause.key(kind, volume, node, false), length);
         }
     }
 
-    /** The cause that most of its time so far was charged to; null if none. */
+    /** Returns the cause with the largest charge so far; null if there is none. */
     public Cause mainCause() {
         int main = -1;
         for (int i = 0; i < charges.size(); i++) {
--- a/src/main/java/sagepulley/accounts/OutstandingWork.java
+++ b/src/main/java/sagepulley/accounts/OutstandingWork.java
@@ -3,8 +3,8 @@
 import sagepulley.model.QuotaTier;
 
 /**
- * The units of attempts in flight at a node, by volume and quota tier: what others wait behind. In
- * a table of bounded size.
+ * Units of attempts in flight at a node, by volume and quota tier, in a table of bounded size.
+ * Other operations wait behind them.
  */
 final class OutstandingWork {
     static final int MAX_KEYS = 48;
@@ -13,7 +13,7 @@
     private static final int TIER_BITS = 2;
     private static final int TIER_MASK = (1 << TIER_BITS) - 1;
 
-    /** Fewer units than this are the rounding error of a sum that is back at zero. */
+    /** Smaller values are rounding errors of a sum that returned to zero. */
     private static final double MIN_UNITS = 1e-6;
 
     private final long[] keys = new long[MAX_KEYS];
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Adds units, or removes them if negative; keys with many move to the front. What does not fit
-     * counts as volume 0.
+     * Adds units, or removes them if the amount is negative. Keys with more units move to the
+     * front; volumes that do not fit into the table count as volume 0.
      *
-     * @return the key it was counted under, by which it is to be removed again
+     * @return the key under which the units were counted and must be removed
      */
     long add(long key, double amount) {
         int index = 0;
--- a/src/main/java/sagepulley/accounts/PlanTier.java
+++ b/src/main/java/sagepulley/accounts/PlanTier.java
@@ -5,8 +5,8 @@
 import sagepulley.model.QuotaTier;
 
 /**
- * By which tier of its tenant's plan an operation was served, or held; the rate limit takes
- * precedence. Stored accounts refer to a tier by its ordinal, so new ones go to the end.
+ * The tier of the tenant's plan in which an operation was served or held. The rate limit takes
+ * precedence. Stored accounts refer to a tier by its ordinal, so new tiers are added at the end.
  */
 public enum PlanTier implements ExternalName {
     @JsonProperty("RESERVE")
@@ -14,7 +14,7 @@
     SHARE("share"),
     EXCESS("excess"),
     LIMIT("limit"),
-    /** Never sent anywhere. */
+    /** The operation was not sent to any node. */
     NONE("none");
 
     private final String externalName;
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -7,21 +7,23 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * An account's figures as plain values, to be stored and read again. The names of the record
- * components are those of the stored file.
+ * The figures of an account as plain values for storage. The names of the record components are
+ * those of the stored file.
  */
 public record StoredAccounts(List<StoredVolume> volumes, List<StoredNode> nodes) {
-    /** A volume's windows. */
+    /** The windows of a volume. */
     public record StoredVolume(long volume, List<StoredWindow> windows) {}
 
     /**
      * A window.
      *
-     * @param level of the timeline, and the window's number in it
+     * @param level the level of the timeline
+     * @param number the number of the window in its level
      * @param parts milliseconds by latency component
-     * @param keys causes, and four sums to each
+     * @param keys keys of causes
+     * @param sums four sums for each key
      * @param ends operations rejected, abandoned and cancelled
-     * @param met by plan tier, as are the following
+     * @param met operations by plan tier, as are the following components
      * @param times pairs of a duration in ticks and a count
      */
     public record StoredWindow(
@@ -37,18 +39,18 @@
             double[] lost,
             long[][] times) {}
 
-    /** A node's windows of units worked on. */
+    /** The windows of a node, with the units that it executed. */
     public record StoredNode(int node, int zone, List<StoredFlow> flows) {}
 
-    /** One of them; keys and sums as those of causes. */
+    /** A window of a node. Keys and sums have the form of those of causes. */
     public record StoredFlow(int level, long number, long[] keys, double[] sums) {}
 
     private static final int MAX_DURATIONS = 10_000;
     private static final double MAX_FIGURE = 1e18;
 
-    // ---- to be stored ----
+    // ---- encoding ----
 
-    /** An account's plain values. */
+    /** Returns the plain values of an account. */
     public static StoredAccounts of(LatencyAccount account) {
         List<StoredVolume> volumes = new ArrayList<>();
         account.volumes.forEach(
@@ -128,10 +130,10 @@
         return sums;
     }
 
-    // ---- read again ----
+    // ---- decoding ----
 
     /**
-     * The account again.
+     * Returns the account of these plain values.
      *
      * @throws IllegalArgumentException if a figure is missing or out of range
      */
@@ -146,7 +148,7 @@
             }
             if (volume.volume < 0 || account.volumes.put(volume.volume, timeline) != null) {
                 throw new IllegalArgumentException(
-                        "volume " + volume.volume + " is no volume, or there twice");
+                        "volume " + volume.volume + " is negative or occurs twice");
             }
         }
         for (StoredNode node : requireComplete(nodes)) {
@@ -164,21 +166,24 @@
 
     private static <T> List<T> requireComplete(List<T> list) {
         if (list == null || list.contains(null)) {
-            throw new IllegalArgumentException("a list is missing or has gaps");
+            throw new IllegalArgumentException(
+                    "a list of volumes, nodes or windows is missing or contains null");
         }
         return list;
     }
 
     private static int requireValidLevel(int level) {
         if (level < 0 || level >= Timeline.LEVELS) {
-            throw new IllegalArgumentException("level " + level + " is none");
+            throw new IllegalArgumentException(
+                    "unknown timeline level " + level + ", expected 0 to " + (Timeline.LEVELS - 1));
         }
         return level;
     }
 
     private static double requireValidFigure(double value) {
         if (!(value >= 0 && value < MAX_FIGURE)) {
-            throw new IllegalArgumentException("a figure of " + value + " can be none");
+            throw new IllegalArgumentException(
+                    "figure " + value + " is out of range, expected 0 to less than " + MAX_FIGURE);
         }
         return value;
     }
@@ -196,7 +201,10 @@
         copy(from.units, to.units);
         copy(from.lost, to.lostWeight);
         if (from.times == null || from.times.length != AccountWindow.TIERS) {
-            throw new IllegalArgumentException("times by part of the plan are missing");
+            throw new IllegalArgumentException(
+                    "durations by plan tier are missing or do not have "
+                            + AccountWindow.TIERS
+                            + " tiers");
         }
         for (int tier = 0; tier < AccountWindow.TIERS; tier++) {
             readDurations(from.times[tier], to, tier);
@@ -205,7 +213,11 @@
 
     private static void readDurations(long[] pairs, AccountWindow to, int tier) {
         if (pairs == null || pairs.length % 2 != 0 || pairs.length > 2 * MAX_DURATIONS) {
-            throw new IllegalArgumentException("times are no pairs of value and count");
+            throw new IllegalArgumentException(
+                    "durations of plan tier "
+                            + tier
+                            + " are missing, not pairs of ticks and count, or more than "
+                            + MAX_DURATIONS);
         }
         for (int i = 0; i < pairs.length; i += 2) {
             long ticks = pairs[i];
@@ -214,7 +226,8 @@
                     || ticks > AccountWindow.MAX_TICKS * 2
                     || count < 0
                     || count > Integer.MAX_VALUE) {
-                throw new IllegalArgumentException("a time of " + ticks + " can be none");
+                throw new IllegalArgumentException(
+                        "duration of " + ticks + " ticks with count " + count + " is out of range");
             }
             to.durations(tier).recordValueWithCount(ticks, count);
         }
@@ -222,7 +235,8 @@
 
     private static void copy(double[] from, double[] to) {
         if (from == null || from.length != to.length) {
-            throw new IllegalArgumentException("so many figures are none of ours");
+            throw new IllegalArgumentException(
+                    "figures are missing or not " + to.length + " in number");
         }
         for (int i = 0; i < to.length; i++) {
             to[i] = requireValidFigure(from[i]);
@@ -231,11 +245,13 @@
 
     private static void copy(long[] from, long[] to) {
         if (from == null || from.length != to.length) {
-            throw new IllegalArgumentException("so many counts are none of ours");
+            throw new IllegalArgumentException(
+                    "counts are missing or not " + to.length + " in number");
         }
         for (int i = 0; i < to.length; i++) {
             if (from[i] < 0) {
-                throw new IllegalArgumentException("a count of " + from[i] + " can be none");
+                throw new IllegalArgumentException(
+                        "count " + from[i] + " is negative, expected 0 or more");
             }
             to[i] = from[i];
         }
@@ -246,11 +262,16 @@
                 || sums == null
                 || keys.length > maxSize
                 || sums.length != CauseCharges.SUMS * keys.length) {
-            throw new IllegalArgumentException("causes and their sums do not go together");
+            throw new IllegalArgumentException(
+                    "causes are missing, more than "
+                            + maxSize
+                            + ", or do not have "
+                            + CauseCharges.SUMS
+                            + " sums each");
         }
         for (int i = 0; i < keys.length; i++) {
             if (!Cause.isValidKey(keys[i])) {
-                throw new IllegalArgumentException("cause " + keys[i] + " is none");
+                throw new IllegalArgumentException("unknown cause key " + keys[i]);
             }
             to.add(
                     keys[i],
--- a/src/main/java/sagepulley/accounts/Timeline.java
+++ b/src/main/java/sagepulley/accounts/Timeline.java
@@ -5,23 +5,25 @@
 import java.util.function.Supplier;
 
 /**
- * Sums over windows of time, coarser with age: ten seconds for ten minutes, five minutes for six
- * hours, an hour for three days. Only windows in which something happened take room. Times are
- * wall-clock milliseconds; a window's number counts its lengths since the epoch.
+ * Sums over windows of time whose length grows with age: ten seconds for ten minutes, five minutes
+ * for six hours, one hour for three days. Only windows with events are stored. Times are wall-clock
+ * milliseconds; the number of a window is its start since the epoch divided by its length.
  */
 final class Timeline<T extends Mergeable<T>> {
-    /** A window's length, by level. */
+    /** Length of a window by level. */
     static final double[] WINDOW_MILLIS = {10_000, 300_000, 3_600_000};
 
     static final int LEVELS = WINDOW_MILLIS.length;
 
-    /** Numbers that a level spans, from its newest window back. */
+    /** Number of windows that a level spans, up to its newest. */
     private static final int[] MAX_AGE_WINDOWS = {60, 72, 72};
 
     private final Supplier<T> newWindow;
     private final TreeMap<Long, T>[] levels;
 
-    /** The finest window that was asked for last: nearly always the one that is asked for next. */
+    /**
+     * The finest window that was requested last, cached because the next request is usually for it.
+     */
     private T latestWindow;
 
     private long latestWindowNumber;
@@ -40,7 +42,10 @@
         return (long) Math.floor(wallMillis / WINDOW_MILLIS[level]);
     }
 
-    /** The finest window of a time, created if need be; those too old for their level move up. */
+    /**
+     * Returns the finest window at a time and creates it if it is absent. Windows beyond the span
+     * of their level are merged into coarser ones.
+     */
     T windowAt(double wallMillis) {
         long number = windowNumber(0, wallMillis);
         if (latestWindow == null || latestWindowNumber != number) {
@@ -63,7 +68,7 @@
         return window;
     }
 
-    /** A window of any age, created if need be; nothing moves up. */
+    /** Returns a window of any age and creates it if it is absent, without merging others. */
     T getOrCreate(int level, long number) {
         T window = levels[level].get(number);
         if (window == null) {
@@ -82,7 +87,10 @@
         }
     }
 
-    /** Adds the oldest window of a level to the next level that spans it, if there is one. */
+    /**
+     * Merges the oldest window of a level into the next coarser level that spans it; drops it if
+     * there is none.
+     */
     private void coarsenOldest(int level) {
         Map.Entry<Long, T> oldest = levels[level].pollFirstEntry();
         size--;
@@ -102,8 +110,8 @@
     }
 
     /**
-     * Gives up detail for room: all windows of the finest level move up. Returns whether that made
-     * fewer of them.
+     * Reduces the number of windows: merges those of the finest level into coarser ones, level by
+     * level until there are fewer. Returns whether there are fewer.
      */
     boolean coarsen() {
         for (int level = 0; level + 1 < LEVELS; level++) {
@@ -124,12 +132,12 @@
         return size;
     }
 
-    /** The windows of a level, by number, oldest first; not to be changed. */
+    /** Returns the windows of a level by number, oldest first. Callers must not modify the map. */
     Map<Long, T> level(int level) {
         return levels[level];
     }
 
-    /** Adds the windows that overlap a time to a sum. */
+    /** Adds the windows that overlap a period to a sum. */
     void sum(T into, double from, double to) {
         for (int i = 0; i < LEVELS; i++) {
             for (Map.Entry<Long, T> entry :
@@ -141,7 +149,7 @@
         }
     }
 
-    /** Adds another's windows, each moved by so many milliseconds. */
+    /** Adds the windows of another timeline, each shifted by an offset in milliseconds. */
     void merge(Timeline<T> other, double offset) {
         for (int i = 0; i < LEVELS; i++) {
             for (Map.Entry<Long, T> entry : other.levels[i].entrySet()) {
@@ -151,7 +159,7 @@
         }
     }
 
-    /** Moves every window back by whole hours, if the newest lies after a time. */
+    /** Shifts all windows back by whole hours if the newest starts after the given time. */
     void shiftBefore(double wallMillis) {
         double newest = Double.NEGATIVE_INFINITY;
         for (int i = 0; i < LEVELS; i++) {
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * Sums since the start, which only grow: by volume for those given (the rest together as number 0),
- * and over all volumes by latency component, cause and plan tier.
+ * Totals since the start, which only grow: by volume for the given volumes (the others together as
+ * number 0), and over all volumes by latency component, cause and plan tier.
  */
 public final class Totals {
     /**
-     * Of one volume: operations within their latency objective and not, and of the latter those
-     * rejected, abandoned and cancelled; units; milliseconds waited; priority weight lost.
+     * The totals of one volume. Operations within their latency objective count as met, all others
+     * as missed; of the latter some were rejected, abandoned or cancelled.
      */
     public static final class VolumeTotals {
         public long met;
@@ -58,44 +58,44 @@
     private final double[] causeLostWeight = new double[Cause.Kind.values().length];
     private final double[] tierUnits = new double[PlanTier.values().length];
 
-    /** With sums of their own for these volumes; all others share number 0. */
+    /** Creates totals with separate sums for the given volumes. All others share number 0. */
     public Totals(Set<Long> summedVolumes) {
         summedVolumes.forEach(volume -> volumes.put(volume, new VolumeTotals()));
         volumes.put(0L, new VolumeTotals());
     }
 
-    /** A volume's sums, or those of all that have none of their own. */
+    /** Returns the totals of a volume, or the shared ones if it has none. */
     public VolumeTotals of(long volume) {
         VolumeTotals totals = volumes.get(volume);
         return totals == null ? volumes.get(0L) : totals;
     }
 
-    /** The volumes that have sums of their own, and 0. */
+    /** Returns the volumes with separate totals, and 0. */
     public Set<Long> volumes() {
         return volumes.keySet();
     }
 
-    /** Milliseconds spent in a component. */
+    /** Returns the milliseconds spent in a component. */
     public double millisIn(LatencyComponent component) {
         return componentMillis[component.ordinal()];
     }
 
-    /** Milliseconds of waiting charged to a kind of cause. */
+    /** Returns the milliseconds charged to a kind of cause. */
     public double waitedMillis(Cause.Kind kind) {
         return causeMillis[kind.ordinal()];
     }
 
-    /** Priority weight lost to a kind of cause. */
+    /** Returns the priority weight lost to a kind of cause. */
     public double lostWeight(Cause.Kind kind) {
         return causeLostWeight[kind.ordinal()];
     }
 
-    /** Units of operations that ended, by plan tier. */
+    /** Returns the units of ended operations in a plan tier. */
     public double units(PlanTier tier) {
         return tierUnits[tier.ordinal()];
     }
 
-    /** Books an operation. */
+    /** Adds an operation that ended. */
     void add(EndedOperation operation) {
         OperationTimer timer = operation.timer();
         for (int i = 0; i < timer.stepCount(); i++) {
--- a/src/main/java/sagepulley/accounts/VolumeWindows.java
+++ b/src/main/java/sagepulley/accounts/VolumeWindows.java
@@ -6,8 +6,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * The windows of every volume, bounded in volumes and in windows: beyond the first bound volumes
- * share number 0; beyond the second the volume that was idle longest gives up detail.
+ * The windows of all volumes, bounded in the number of volumes and of windows. Volumes beyond the
+ * first bound share number 0. Beyond the second bound, windows of the least recently used volume
+ * are coarsened or merged into number 0.
  */
 final class VolumeWindows {
     private static final long SHARED_VOLUME = 0;
@@ -15,11 +16,11 @@
     private final int maxVolumes;
     private final int maxWindows;
 
-    /** In the order of access: the volume that was idle longest comes first. */
+    /** In order of access, least recently used first. */
     private final LinkedHashMap<Long, Timeline<AccountWindow>> volumes =
             new LinkedHashMap<>(16, 0.75f, true);
 
-    /** Windows of all volumes. */
+    /** The number of windows of all volumes. */
     private int size;
 
     VolumeWindows(int maxVolumes, int maxWindows) {
@@ -27,7 +28,7 @@
         this.maxWindows = maxWindows;
     }
 
-    /** A volume's window at a wall-clock time, created if need be. */
+    /** Returns the window of a volume at a wall-clock time and creates it if it is absent. */
     AccountWindow windowAt(long volume, double wallMillis) {
         Timeline<AccountWindow> timeline = timeline(volume);
         int before = timeline.size();
@@ -73,11 +74,14 @@
     private void enforceBound(Timeline<AccountWindow> exempt) {
         while (size > maxWindows
                 && (coarsenLeastRecentlyUsed(exempt) || mergeLeastRecentlyUsed(exempt))) {
-            // once for each window too many
+            // each pass coarsens or merges one volume
         }
     }
 
-    /** The volume that was idle longest, of those that can, gives up detail. */
+    /**
+     * Coarsens the windows of the least recently used volume that can be coarsened. Returns whether
+     * there was one.
+     */
     private boolean coarsenLeastRecentlyUsed(Timeline<AccountWindow> exempt) {
         for (Timeline<AccountWindow> timeline : volumes.values()) {
             int before = timeline.size();
@@ -89,7 +93,9 @@
         return false;
     }
 
-    /** The volume that was idle longest goes into the shared account. */
+    /**
+     * Merges the least recently used volume into the shared account. Returns whether there was one.
+     */
     private boolean mergeLeastRecentlyUsed(Timeline<AccountWindow> exempt) {
         for (Map.Entry<Long, Timeline<AccountWindow>> entry : volumes.entrySet()) {
             if (entry.getKey() != SHARED_VOLUME && entry.getValue() != exempt) {
--- a/src/main/java/sagepulley/accounts/WaitAttribution.java
+++ b/src/main/java/sagepulley/accounts/WaitAttribution.java
@@ -1,21 +1,24 @@
 package sagepulley.accounts;
 
 /**
- * Charges what an operation waited to causes: the units ahead of it by volume, and what a node's
- * slowness, slow start, pauses, faults and other gateways' work add (docs/accounts.md). Charges of
- * a wait sum to its length. Times are milliseconds.
+ * Charges the waits of operations to causes: to the volumes whose units are ahead, and to slowness,
+ * slow start, pauses and faults of nodes and the load of other gateways (docs/accounts.md). The
+ * charges of a wait sum to its length. Times are milliseconds.
  */
 final class WaitAttribution {
-    /** A wait that is shorter tells nothing of how fast a queue moves. */
+    /** Shorter waits are not used to estimate how fast a queue moves. */
     private static final double MIN_QUEUE_SAMPLE_MILLIS = 0.5;
 
-    /** A slow node that answered within this time is not unresponsive. */
+    /** A node that answered within this time may be slow, and is not entirely unresponsive. */
     private static final double RECENT_ANSWER_MILLIS = 1_000;
 
-    /** Of a wait that is estimated, the part that is charged at least to those ahead. */
+    /** Lower bound of an estimated wait behind the units ahead, as a fraction of it. */
     private static final double ESTIMATE_LOWER_FRACTION = 0.5;
 
-    /** With less than this lost to other gateways and pauses, who is ahead is known exactly. */
+    /**
+     * Charges to the units ahead count as observed if other gateways and pauses take less than this
+     * fraction of the time.
+     */
     private static final double MAX_EXACT_FRACTION = 0.05;
 
     private static final double MIN_UNITS = 1e-9;
@@ -27,7 +30,7 @@
         this.nodes = nodes;
     }
 
-    /** Charges time that was spent in a component. */
+    /** Charges the time of a step in a component. */
     void charge(OperationTimer timer, LatencyComponent component, double length, double now) {
         switch (component) {
             case RESERVATION_FULL, SHARE_FULL, EXCESS_FULL, LOWER_PRIORITY, QUEUE_AT_NODE ->
@@ -48,9 +51,9 @@
     }
 
     /**
-     * Charges an attempt without an answer. From a node that answered others meanwhile, what its
-     * attempts usually take is due to its queue or its slowness; only what goes beyond that is the
-     * node's fault, as all of it is of a quiet node.
+     * Charges an attempt without an answer. If the node answered other attempts meanwhile, the
+     * typical duration of its attempts is charged like a wait for its queue, and only the excess to
+     * its silence. Otherwise all of it is charged to its silence.
      */
     void chargeUnanswered(OperationTimer timer, NodeActivity activity, double length, double now) {
         double queued =
@@ -61,7 +64,10 @@
         chargeSilence(timer, length - queued, now, false);
     }
 
-    /** Charges time at work: beyond what other nodes take for it, to the node's slowness. */
+    /**
+     * Charges time of execution. The excess over the service time of other nodes is charged to the
+     * node's slowness.
+     */
     void chargeWork(OperationTimer timer, NodeActivity activity, double length) {
         double slowMillis =
                 activity == null ? 0 : length * nodes.slowFraction(activity, timer.isWrite);
@@ -72,7 +78,7 @@
     }
 
     /**
-     * Charges a wait in the node's queue, as the node reported it.
+     * Charges a wait in the node's queue, as reported by the node.
      *
      * @param attemptTime milliseconds of the whole attempt
      */
@@ -130,9 +136,10 @@
     }
 
     /**
-     * Held here for a slot at a node, or by the queue estimate of it: its slots turn over as fast
-     * as its attempts end. What the node's silence, its slow start, pauses or other gateways' work
-     * add is not due to those who have the slots; the rest is charged to them.
+     * Charges a wait at this gateway for a slot at a node or because of its queue estimate. Slots
+     * become free as attempts end, so the time that silence, slow start, pauses or the load of
+     * other gateways add is charged to those causes, and only the remainder to the volumes that
+     * hold the slots.
      */
     private void chargeHeld(
             OperationTimer timer, LatencyComponent component, double length, double now) {
@@ -140,7 +147,7 @@
             timer.charge(Cause.Kind.LOCAL_THROTTLING, timer.node, length, false);
             return;
         }
-        // Operations that wait for a claim hold slots, too.
+        // Operations that wait for a claim also hold slots.
         double claiming = nodes.claimingUnits(timer.activity);
         double claimWait =
                 claiming > 0 ? length * claiming / (claiming + timer.workAhead.sum()) : 0;
@@ -152,7 +159,10 @@
         }
     }
 
-    /** A new object, for which no node has a slot: behind all that is in flight anywhere. */
+    /**
+     * Charges the wait of a new object for which no node has a slot: it waits behind all units in
+     * flight.
+     */
     private void chargeHeldForAnyNode(OperationTimer timer, double length) {
         if (timer.workAhead.sum() > 0) {
             chargeWorkAhead(timer, null, new Estimate(length, length, length), true);
@@ -185,7 +195,8 @@
         double otherGateways = length * activity.otherGatewaysFraction;
         timer.charge(Cause.Kind.OTHER_GATEWAYS, activity.id, otherGateways, true);
         double remaining = length - (paused + otherGateways);
-        // A queue estimate comes from answers only: who is in that queue is not observed.
+        // A queue estimate is derived from answers only, so the volumes in that queue are not
+        // observed.
         boolean isObserved = component != LatencyComponent.QUEUE_AT_NODE;
         if (timer.workAhead.sum() <= 0) {
             Cause.Kind kind = isObserved ? Cause.Kind.LOCAL_THROTTLING : Cause.Kind.OTHER_GATEWAYS;
@@ -204,13 +215,13 @@
                 isExact);
     }
 
-    /** A wait in milliseconds, and what it can have been. */
+    /** A wait in milliseconds with its lower and upper bound. */
     private record Estimate(double length, double lowerBound, double upperBound) {}
 
     /**
-     * Behind the units ahead, by volume; but what a slow node adds is the node's own. Who is in a
-     * higher quota tier is entitled to be ahead: then it is one's own load, beyond that tier, that
-     * waits.
+     * Charges a wait to the volumes of the units ahead, except for the part that a slow node adds.
+     * Units in a higher quota tier are entitled to precede the operation, so that the wait behind
+     * them is charged to the volume's own load.
      */
     private void chargeWorkAhead(
             OperationTimer timer, NodeActivity activity, Estimate wait, boolean isExact) {
@@ -237,7 +248,10 @@
         }
     }
 
-    /** Held for an unresponsive node; but one that is slow and answered lately is just that. */
+    /**
+     * Charges a wait for an unresponsive node. If the node answered recently, its slowness is
+     * charged first.
+     */
     private void chargeUnresponsive(OperationTimer timer, double length, double now) {
         NodeActivity activity = timer.activity;
         double slowMillis =
@@ -251,7 +265,10 @@
         chargeSilence(timer, length - slowMillis, now, false);
     }
 
-    /** A quiet node: a fault, or a pause as far as its latest quiet times proved to be pauses. */
+    /**
+     * Charges time in which a node was silent: to pauses in the proportion in which its recent
+     * silences were pauses, the remainder to a fault.
+     */
     private void chargeSilence(
             OperationTimer timer, double length, double now, boolean isEstimated) {
         NodeActivity activity = timer.activity;
@@ -263,8 +280,8 @@
     }
 
     /**
-     * What neither the units ahead nor a queue explain: the node paused, perhaps for deferred
-     * writes.
+     * Charges time that neither the units ahead nor other gateways explain to a pause of the node,
+     * divided among volumes by their recent writes.
      */
     private static void chargePause(
             OperationTimer timer, NodeActivity activity, double length, double now) {
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -18,7 +18,7 @@
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
 
-/** Where the time of operations went, and what it was charged to. */
+/** Checks that the time of operations is fully accounted for and charged to the right cause. */
 class AccountsTest {
     private static final TrafficClass TRAFFIC_CLASS =
             new TrafficClass(
@@ -38,7 +38,7 @@
 
     private final Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 0);
 
-    /** One attempt to a node and back. */
+    /** Runs one operation with a single answered attempt. */
     private OperationTimer attempt(
             Accounts target,
             long volume,
@@ -55,7 +55,7 @@
         return timer;
     }
 
-    /** Waits at the gateway for a node, and is given up. */
+    /** Runs one operation that waits at the gateway for a node and is rejected. */
     private void heldUntilRejected(
             Accounts target,
             long volume,
@@ -69,8 +69,7 @@
     }
 
     /**
-     * Whatever happens to an operation, in any order, its steps sum to its duration, and so do its
-     * causes.
+     * The steps of an operation, and its causes, sum to its duration for any sequence of events.
      */
     @Property(tries = 300, seed = "31")
     void stepsSumToTheDuration(
@@ -94,7 +93,7 @@
                 tracked.waitStarted(timer, LatencyComponent.values()[step], step % 3, now);
             } else if (step < 28) {
                 tracked.attemptSent(timer, step % 4, QuotaTier.values()[step % 3], now);
-                // A node may tell more than the attempt took.
+                // A node may report more time than the attempt took.
                 tracked.attemptAnswered(
                         timer,
                         length * (step - 16) / 6,
@@ -114,7 +113,7 @@
                 timer,
                 LatencyComponent.FAILED_ATTEMPT,
                 1,
-                now + 500); // after its end nothing is added
+                now + 500); // nothing is added after the end
         for (OperationTimer other : others) {
             tracked.attemptFailed(other, Outcome.TIMED_OUT, now + 1);
         }
@@ -184,7 +183,7 @@
         assertTrue(
                 accounts.report(2, 0, 100).causes().stream()
                         .noneMatch(cause -> cause.kind() == Cause.Kind.NEIGHBOUR),
-                "no other volume is named");
+                "no other volume is charged");
         LatencyReport reserved = accounts.report(4, 0, 100);
         assertEquals(Cause.Kind.NEIGHBOUR, reserved.mainCause().kind());
         assertEquals(3, reserved.mainCause().volume());
@@ -197,7 +196,7 @@
             double at = 100 * i;
             OperationTimer local = accounts.begin(5, TRAFFIC_CLASS, false, 1, at);
             accounts.attemptSent(local, 1, QuotaTier.SHARE, at);
-            // The node tells of a queue that is not this gateway's.
+            // The node reports a queue that is not this gateway's.
             attempt(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
             accounts.attemptAnswered(local, 60, 5, 30, at + 66);
             accounts.end(local, Accounts.End.SERVED, Reason.NONE, 1, at + 66);
@@ -220,14 +219,14 @@
             accounts.end(writer, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 5);
             OperationTimer earlier = accounts.begin(3, TRAFFIC_CLASS, false, 1, 20 * i + 6);
             accounts.attemptSent(earlier, 1, QuotaTier.SHARE, 20 * i + 6);
-            // Usually a unit ahead is waited for 5 ms; once in a while for 300.
+            // The typical wait behind one unit is 5 ms; every twentieth takes 300 ms.
             attempt(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
             accounts.attemptAnswered(earlier, 0, 5, 0, 20 * i + 11);
             accounts.end(earlier, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 11);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.PAUSE, report.mainCause().kind(), report.causes().toString());
-        assertEquals(8, report.mainCause().volume(), "its writes came before the pauses");
+        assertEquals(8, report.mainCause().volume(), "its writes preceded the pauses");
         assertNotEquals(LatencyReport.Confidence.HIGH, report.mainCause().confidence());
     }
 
@@ -271,7 +270,7 @@
         assertEquals(
                 Cause.Kind.FAULT,
                 accounts.report(3, 0, 9000).mainCause().kind(),
-                "it answered others, not this one");
+                "the node answered other attempts but not this one");
     }
 
     @Test
@@ -292,7 +291,7 @@
                 bounded.volumes().stream()
                         .mapToLong(volume -> bounded.report(volume, 0, 10_000_000).operations())
                         .sum();
-        assertEquals(100_000, operations, "what is given up is detail, not sums");
+        assertEquals(100_000, operations, "merging keeps the sums");
     }
 
     @Test
@@ -338,7 +337,7 @@
 
     @Test
     void mergingChargesOtherGatewaysLoadToItsVolumes() {
-        // The second gateway's clock is an hour ahead; both note the list's versions 4 and 5.
+        // The second gateway's clock is one hour ahead; both were notified of versions 4 and 5.
         Accounts floodingGateway = new Accounts(Accounts.Bounds.DEFAULT, 1e12 + 3_600_000);
         for (int i = 0; i < 200; i++) {
             attempt(floodingGateway, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
@@ -368,6 +367,6 @@
         assertNotEquals(
                 LatencyReport.Confidence.HIGH,
                 report.mainCause().confidence(),
-                "it is estimated, not observed");
+                "the cause is estimated, not observed");
     }
 }
