--- a/src/main/java/sagepulley/accounts/EndedOperation.java
+++ b/src/main/java/sagepulley/accounts/EndedOperation.java
@@ -1,17 +1,17 @@
 package sagepulley.accounts;
 
 /**
- * How an operation ended, for the sums that it is booked into.
+ * An operation that ended, with the figures that are added to the sums.
  *
- * @param tier by which it was served, or held
- * @param met whether it was served within its latency objective
- * @param lostWeight priority weight that was lost because it was not
- * @param duration milliseconds from arrival to final answer
+ * @param tier the plan tier in which it was served or held
+ * @param metObjective whether it was served within its latency objective
+ * @param lostWeight the priority weight lost because it was not
+ * @param duration milliseconds from arrival to the final answer
  */
 record EndedOperation(
         OperationTimer timer,
         Accounts.End end,
         PlanTier tier,
-        boolean met,
+        boolean metObjective,
         double lostWeight,
         double duration) {}
--- a/src/main/java/sagepulley/accounts/OperationSteps.java
+++ b/src/main/java/sagepulley/accounts/OperationSteps.java
@@ -3,34 +3,34 @@
 import java.util.ArrayDeque;
 
 /**
- * Begins and ends the steps of operations: adds up their time, and notes behind which units in
- * flight each step waits.
+ * Starts and ends the steps of operations, adds up their time, and captures the units in flight
+ * that each step waits behind.
  */
 final class OperationSteps {
-    private static final int MAX_SPARE_TABLES = 4096;
+    private static final int MAX_POOLED_TABLES = 4096;
 
     private final NodeActivities nodes;
     private final WaitAttribution attribution;
 
-    /** Tables of ended operations, to be used again. */
-    private final ArrayDeque<OutstandingWork> spareTables = new ArrayDeque<>();
+    /** Tables of ended operations, kept for reuse. */
+    private final ArrayDeque<OutstandingWork> tablePool = new ArrayDeque<>();
 
     OperationSteps(NodeActivities nodes, WaitAttribution attribution) {
         this.nodes = nodes;
         this.attribution = attribution;
     }
 
-    /** Ends what the operation spends its time in. */
+    /** Ends the current step of an operation and charges its time. */
     void end(OperationTimer timer, double now) {
-        double length = Math.max(0, now - timer.since);
-        if (length > 0 && !timer.ended) {
+        double length = Math.max(0, now - timer.stepStartedAt);
+        if (length > 0 && !timer.hasEnded) {
             timer.addStep(timer.component, timer.node, length);
             attribution.charge(timer, timer.component, length, now);
         }
-        timer.since = now;
+        timer.stepStartedAt = now;
     }
 
-    /** From now on its time goes to a component, at a node or for one (0: none). */
+    /** Starts a step in a component, at or for a node (0: none). */
     void start(OperationTimer timer, LatencyComponent component, int node) {
         timer.component = component;
         if (timer.node != node || timer.activity == null) {
@@ -42,7 +42,7 @@
             return;
         }
         if (timer.workAhead == null) {
-            timer.workAhead = spareTables.isEmpty() ? new OutstandingWork() : spareTables.pop();
+            timer.workAhead = tablePool.isEmpty() ? new OutstandingWork() : tablePool.pop();
         }
         timer.workAhead.copyFrom(node == 0 ? nodes.outstanding : timer.activity.outstanding);
     }
@@ -56,15 +56,15 @@
                 || timer.component == LatencyComponent.EXCESS_FULL;
     }
 
-    /** It waits behind no others any more. */
+    /** Returns the table of units ahead of an operation to the pool. */
     void releaseTable(OperationTimer timer) {
-        if (timer.workAhead != null && spareTables.size() < MAX_SPARE_TABLES) {
-            spareTables.push(timer.workAhead);
+        if (timer.workAhead != null && tablePool.size() < MAX_POOLED_TABLES) {
+            tablePool.push(timer.workAhead);
         }
         timer.workAhead = null;
     }
 
-    /** Its attempt is no longer in flight. */
+    /** Removes the attempt in flight of an operation from the outstanding units. */
     void endAttempt(OperationTimer timer) {
         NodeActivity activity = timer.attemptActivity;
         if (activity != null) {
@@ -73,7 +73,7 @@
             activity.attemptEnded();
         }
         timer.attemptActivity = null;
-        if (timer.ended) {
+        if (timer.hasEnded) {
             releaseTable(timer);
         }
     }
--- a/src/main/java/sagepulley/accounts/WaitAttribution.java
+++ b/src/main/java/sagepulley/accounts/WaitAttribution.java
@@ -1,21 +1,24 @@
 package sagepulley.accounts;
 
 /**
- * Charges what an operation waited to causes: the units ahead of it by volume, and what a node's
- * slowness, slow start, pauses, faults and other gateways' work add (docs/accounts.md). Charges of
- * a wait sum to its length. Times are milliseconds.
+ * Charges the waits of operations to causes: to the volumes whose units are ahead, and to slowness,
+ * slow start, pauses and faults of nodes and the load of other gateways (docs/accounts.md). The
+ * charges of a wait sum to its length. Times are milliseconds.
  */
 final class WaitAttribution {
-    /** A wait that is shorter tells nothing of how fast a queue moves. */
+    /** Shorter waits are not used to estimate how fast a queue moves. */
     private static final double MIN_QUEUE_SAMPLE_MILLIS = 0.5;
 
-    /** A slow node that answered within this time is not unresponsive. */
+    /** A node that answered within this time may be slow, and is not entirely unresponsive. */
     private static final double RECENT_ANSWER_MILLIS = 1_000;
 
-    /** Of a wait that is estimated, the part that is charged at least to those ahead. */
+    /** Lower bound of an estimated wait behind the units ahead, as a fraction of it. */
     private static final double ESTIMATE_LOWER_FRACTION = 0.5;
 
-    /** With less than this lost to other gateways and pauses, who is ahead is known exactly. */
+    /**
+     * Charges to the units ahead count as observed if other gateways and pauses take less than this
+     * fraction of the time.
+     */
     private static final double MAX_EXACT_FRACTION = 0.05;
 
     private static final double MIN_UNITS = 1e-9;
@@ -27,7 +30,7 @@
         this.nodes = nodes;
     }
 
-    /** Charges time that was spent in a component. */
+    /** Charges the time of a step in a component. */
     void charge(OperationTimer timer, LatencyComponent component, double length, double now) {
         switch (component) {
             case RESERVATION_FULL, SHARE_FULL, EXCESS_FULL, LOWER_PRIORITY, QUEUE_AT_NODE ->
@@ -48,30 +51,34 @@
     }
 
     /**
-     * Charges an attempt without an answer. From a node that answered others meanwhile, what its
-     * attempts usually take is due to its queue or its slowness; only what goes beyond that is the
-     * node's fault, as all of it is of a quiet node.
+     * Charges an attempt without an answer. If the node answered other attempts meanwhile, the
+     * typical duration of its attempts is charged like a wait for its queue, and only the excess to
+     * its silence. Otherwise all of it is charged to its silence.
      */
     void chargeUnanswered(OperationTimer timer, NodeActivity activity, double length, double now) {
         double queued =
-                activity == null ? 0 : Math.min(length, activity.usualAttemptSince(now - length));
+                activity == null ? 0 : Math.min(length, activity.maxTypicalAttempt(now - length));
         if (queued > 0) {
             chargeHeld(timer, LatencyComponent.QUEUE_AT_NODE, queued, now - length + queued);
         }
-        chargeQuiet(timer, length - queued, now, false);
+        chargeSilence(timer, length - queued, now, false);
     }
 
-    /** Charges time at work: beyond what other nodes take for it, to the node's slowness. */
+    /**
+     * Charges time of execution. The excess over the service time of other nodes is charged to the
+     * node's slowness.
+     */
     void chargeWork(OperationTimer timer, NodeActivity activity, double length) {
-        double slow = activity == null ? 0 : length * nodes.slowFraction(activity, timer.writes);
-        if (slow > 0) {
-            timer.charge(Cause.Kind.SLOW_NODE, activity.id, slow, false);
+        double slowMillis =
+                activity == null ? 0 : length * nodes.slowFraction(activity, timer.isWrite);
+        if (slowMillis > 0) {
+            timer.charge(Cause.Kind.SLOW_NODE, activity.id, slowMillis, false);
         }
-        timer.chargeOwn(Cause.Kind.OWN_WORK, length - slow);
+        timer.chargeOwn(Cause.Kind.OWN_WORK, length - slowMillis);
     }
 
     /**
-     * Charges a wait in the node's queue, as the node reported it.
+     * Charges a wait in the node's queue, as reported by the node.
      *
      * @param attemptTime milliseconds of the whole attempt
      */
@@ -85,32 +92,36 @@
             timer.charge(Cause.Kind.LOCAL_THROTTLING, timer.node, length, true);
             return;
         }
-        double own = timer.workAhead == null ? 0 : timer.workAhead.sum();
+        double ownUnits = timer.workAhead == null ? 0 : timer.workAhead.sum();
         double unitsPerAttempt = Math.max(MIN_UNITS, timer.units);
-        double minOthers = timer.minOtherAttempts * unitsPerAttempt;
-        double maxOthers = timer.maxOtherAttempts * unitsPerAttempt;
-        if (own > 0 && minOthers == 0 && length > MIN_QUEUE_SAMPLE_MILLIS) {
-            activity.waitedBehindOwn(length, own);
+        double minOtherUnits = timer.minOtherAttempts * unitsPerAttempt;
+        double maxOtherUnits = timer.maxOtherAttempts * unitsPerAttempt;
+        if (ownUnits > 0 && minOtherUnits == 0 && length > MIN_QUEUE_SAMPLE_MILLIS) {
+            activity.recordQueueWait(length, ownUnits);
         }
-        double usual = activity.usualWait(own);
-        double behindOwn = minOthers + own > 0 ? length * own / (own + minOthers) : 0;
-        if (!Double.isNaN(usual)) {
-            behindOwn = Math.min(behindOwn, usual);
+        double maxTypical = activity.maxTypicalWait(ownUnits);
+        double behindOwn =
+                minOtherUnits + ownUnits > 0 ? length * ownUnits / (ownUnits + minOtherUnits) : 0;
+        if (!Double.isNaN(maxTypical)) {
+            behindOwn = Math.min(behindOwn, maxTypical);
         }
-        double rest = length - behindOwn;
-        double otherGateways = minOthers > 0 ? rest : 0;
-        double paused = rest - otherGateways;
+        double remaining = length - behindOwn;
+        double otherGateways = minOtherUnits > 0 ? remaining : 0;
+        double paused = remaining - otherGateways;
         if (otherGateways > 0) {
-            double lowerBound = length * minOthers / (own + minOthers);
+            double lowerBound = length * minOtherUnits / (ownUnits + minOtherUnits);
             chargeOtherGateways(timer, activity, new Estimate(otherGateways, lowerBound, length));
         }
         chargePause(timer, activity, paused, now);
         if (behindOwn > 0) {
-            double lowerBound = Double.isNaN(usual) ? 0 : behindOwn * own / (own + maxOthers);
+            double lowerBound =
+                    Double.isNaN(maxTypical)
+                            ? 0
+                            : behindOwn * ownUnits / (ownUnits + maxOtherUnits);
             chargeWorkAhead(timer, activity, new Estimate(behindOwn, lowerBound, length), false);
         }
         if (attemptTime > 0) {
-            activity.attemptComposed(otherGateways / attemptTime, paused / attemptTime);
+            activity.recordAttemptBreakdown(otherGateways / attemptTime, paused / attemptTime);
         }
     }
 
@@ -125,9 +136,10 @@
     }
 
     /**
-     * Held here for a slot at a node, or by the queue estimate of it: its slots turn over as fast
-     * as its attempts end. What the node's silence, its slow start, pauses or other gateways' work
-     * add is not due to those who have the slots; the rest is charged to them.
+     * Charges a wait at this gateway for a slot at a node or because of its queue estimate. Slots
+     * become free as attempts end, so the time that silence, slow start, pauses or the load of
+     * other gateways add is charged to those causes, and only the remainder to the volumes that
+     * hold the slots.
      */
     private void chargeHeld(
             OperationTimer timer, LatencyComponent component, double length, double now) {
@@ -135,19 +147,23 @@
             timer.charge(Cause.Kind.LOCAL_THROTTLING, timer.node, length, false);
             return;
         }
-        // Operations that wait for a claim hold slots, too.
+        // Operations that wait for a claim also hold slots.
         double claiming = nodes.claimingUnits(timer.activity);
-        double claims = claiming > 0 ? length * claiming / (claiming + timer.workAhead.sum()) : 0;
-        timer.charge(Cause.Kind.DIRECTORY, 0, claims, false);
+        double claimWait =
+                claiming > 0 ? length * claiming / (claiming + timer.workAhead.sum()) : 0;
+        timer.charge(Cause.Kind.DIRECTORY, 0, claimWait, false);
         if (timer.activity == null) {
-            chargeHeldByAllNodes(timer, length - claims);
+            chargeHeldForAnyNode(timer, length - claimWait);
         } else {
-            chargeHeldByNode(timer, component, length - claims, now);
+            chargeHeldForNode(timer, component, length - claimWait, now);
         }
     }
 
-    /** A new object, for which no node has a slot: behind all that is in flight anywhere. */
-    private void chargeHeldByAllNodes(OperationTimer timer, double length) {
+    /**
+     * Charges the wait of a new object for which no node has a slot: it waits behind all units in
+     * flight.
+     */
+    private void chargeHeldForAnyNode(OperationTimer timer, double length) {
         if (timer.workAhead.sum() > 0) {
             chargeWorkAhead(timer, null, new Estimate(length, length, length), true);
         } else {
@@ -155,73 +171,74 @@
         }
     }
 
-    private void chargeHeldByNode(
+    private void chargeHeldForNode(
             OperationTimer timer, LatencyComponent component, double length, double now) {
         NodeActivity activity = timer.activity;
-        double quiet = Math.min(length, activity.quietTime(now - length, now));
-        chargeQuiet(timer, quiet, now, true);
-        double rest = length - quiet;
-        if (rest <= 0) {
+        double silent = Math.min(length, activity.silentMillis(now - length, now));
+        chargeSilence(timer, silent, now, true);
+        double remaining = length - silent;
+        if (remaining <= 0) {
             return;
         }
         if (now < activity.warmingUpUntil) {
-            timer.charge(Cause.Kind.WARMING_UP_NODE, activity.id, rest, true);
+            timer.charge(Cause.Kind.WARMING_UP_NODE, activity.id, remaining, true);
             return;
         }
-        chargeHeldBySlots(timer, component, rest, now);
+        chargeHeldForSlot(timer, component, remaining, now);
     }
 
-    private void chargeHeldBySlots(
+    private void chargeHeldForSlot(
             OperationTimer timer, LatencyComponent component, double length, double now) {
         NodeActivity activity = timer.activity;
         double paused = length * activity.pausedFraction;
         chargePause(timer, activity, paused, now);
         double otherGateways = length * activity.otherGatewaysFraction;
         timer.charge(Cause.Kind.OTHER_GATEWAYS, activity.id, otherGateways, true);
-        double rest = length - (paused + otherGateways);
-        // A queue estimate comes from answers only: who is in that queue is not observed.
-        boolean observed = component != LatencyComponent.QUEUE_AT_NODE;
+        double remaining = length - (paused + otherGateways);
+        // A queue estimate is derived from answers only, so the volumes in that queue are not
+        // observed.
+        boolean isObserved = component != LatencyComponent.QUEUE_AT_NODE;
         if (timer.workAhead.sum() <= 0) {
-            Cause.Kind kind = observed ? Cause.Kind.LOCAL_THROTTLING : Cause.Kind.OTHER_GATEWAYS;
-            timer.charge(kind, activity.id, rest, !observed);
+            Cause.Kind kind = isObserved ? Cause.Kind.LOCAL_THROTTLING : Cause.Kind.OTHER_GATEWAYS;
+            timer.charge(kind, activity.id, remaining, !isObserved);
             return;
         }
-        double lowerFraction = observed ? 1 : ESTIMATE_LOWER_FRACTION;
-        boolean exact =
-                observed
+        double lowerFraction = isObserved ? 1 : ESTIMATE_LOWER_FRACTION;
+        boolean isExact =
+                isObserved
                         && activity.otherGatewaysFraction + activity.pausedFraction
                                 < MAX_EXACT_FRACTION;
         chargeWorkAhead(
                 timer,
                 activity,
-                new Estimate(rest, lowerFraction * rest, rest + otherGateways),
-                exact);
+                new Estimate(remaining, lowerFraction * remaining, remaining + otherGateways),
+                isExact);
     }
 
-    /** A wait in milliseconds, and what it can have been. */
+    /** A wait in milliseconds with its lower and upper bound. */
     private record Estimate(double length, double lowerBound, double upperBound) {}
 
     /**
-     * Behind the units ahead, by volume; but what a slow node adds is the node's own. Who is in a
-     * higher quota tier is entitled to be ahead: then it is one's own load, beyond that tier, that
-     * waits.
+     * Charges a wait to the volumes of the units ahead, except for the part that a slow node adds.
+     * Units in a higher quota tier are entitled to precede the operation, so that the wait behind
+     * them is charged to the volume's own load.
      */
     private void chargeWorkAhead(
-            OperationTimer timer, NodeActivity activity, Estimate wait, boolean exact) {
-        double slow = activity == null ? 0 : nodes.slowFraction(activity, timer.writes);
+            OperationTimer timer, NodeActivity activity, Estimate wait, boolean isExact) {
+        double slowFraction = activity == null ? 0 : nodes.slowFraction(activity, timer.isWrite);
         int node = activity == null ? 0 : activity.id;
-        timer.charge(Cause.Kind.SLOW_NODE, node, wait.length * slow, true);
+        timer.charge(Cause.Kind.SLOW_NODE, node, wait.length * slowFraction, true);
         OutstandingWork ahead = timer.workAhead;
         double sum = ahead.sum();
         for (int i = 0; i < ahead.size(); i++) {
-            double fraction = (1 - slow) * ahead.units(i) / sum;
-            boolean own =
+            double fraction = (1 - slowFraction) * ahead.units(i) / sum;
+            boolean isOwnLoad =
                     ahead.volume(i) == timer.volume
                             || ahead.quotaTier(i).compareTo(timer.quotaTier) < 0;
             long key =
-                    own
-                            ? Cause.key(Cause.Kind.OWN_LOAD, timer.volume, node, !exact)
-                            : Cause.key(Cause.Kind.NEIGHBOUR, ahead.volume(i), node, !exact);
+                    isOwnLoad
+                            ? Cause.key(Cause.Kind.OWN_LOAD, timer.volume, node, !isExact)
+                            : Cause.key(Cause.Kind.NEIGHBOUR, ahead.volume(i), node, !isExact);
             timer.charges.add(
                     key,
                     wait.length * fraction,
@@ -231,50 +248,57 @@
         }
     }
 
-    /** Held for an unresponsive node; but one that is slow and answered lately is just that. */
+    /**
+     * Charges a wait for an unresponsive node. If the node answered recently, its slowness is
+     * charged first.
+     */
     private void chargeUnresponsive(OperationTimer timer, double length, double now) {
         NodeActivity activity = timer.activity;
-        double slow =
-                activity == null || now - activity.answeredAt > RECENT_ANSWER_MILLIS
+        double slowMillis =
+                activity == null || now - activity.lastAnsweredAt > RECENT_ANSWER_MILLIS
                         ? 0
                         : length
                                 * Math.max(
                                         nodes.slowFraction(activity, false),
                                         nodes.slowFraction(activity, true));
-        timer.charge(Cause.Kind.SLOW_NODE, timer.node, slow, true);
-        chargeQuiet(timer, length - slow, now, false);
+        timer.charge(Cause.Kind.SLOW_NODE, timer.node, slowMillis, true);
+        chargeSilence(timer, length - slowMillis, now, false);
     }
 
-    /** A quiet node: a fault, or a pause as far as its latest quiet times proved to be pauses. */
-    private void chargeQuiet(OperationTimer timer, double length, double now, boolean estimate) {
+    /**
+     * Charges time in which a node was silent: to pauses in the proportion in which its recent
+     * silences were pauses, the remainder to a fault.
+     */
+    private void chargeSilence(
+            OperationTimer timer, double length, double now, boolean isEstimated) {
         NodeActivity activity = timer.activity;
-        double paused = activity == null ? 0 : length * activity.pauseFraction();
+        double paused = activity == null ? 0 : length * activity.silencePauseFraction();
         if (paused > 0) {
             chargePause(timer, activity, paused, now);
         }
-        timer.charge(Cause.Kind.FAULT, timer.node, length - paused, estimate);
+        timer.charge(Cause.Kind.FAULT, timer.node, length - paused, isEstimated);
     }
 
     /**
-     * What neither the units ahead nor a queue explain: the node paused, perhaps for deferred
-     * writes.
+     * Charges time that neither the units ahead nor other gateways explain to a pause of the node,
+     * divided among volumes by their recent writes.
      */
     private static void chargePause(
             OperationTimer timer, NodeActivity activity, double length, double now) {
         if (length <= 0) {
             return;
         }
-        DecayingUsage writes = activity.recentWrites;
-        writes.decay(now);
-        double sum = writes.sum();
+        DecayingUsage recentWrites = activity.recentWrites;
+        recentWrites.decay(now);
+        double sum = recentWrites.sum();
         if (sum < MIN_WRITTEN_UNITS) {
             timer.charge(Cause.Kind.PAUSE, activity.id, length, true);
             return;
         }
-        for (int i = 0; i < writes.size(); i++) {
+        for (int i = 0; i < recentWrites.size(); i++) {
             timer.charges.add(
-                    Cause.key(Cause.Kind.PAUSE, writes.volume(i), activity.id, true),
-                    length * writes.units(i) / sum,
+                    Cause.key(Cause.Kind.PAUSE, recentWrites.volume(i), activity.id, true),
+                    length * recentWrites.units(i) / sum,
                     0,
                     length,
                     0);
