--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -60,36 +60,36 @@
         ScenarioRunner runner = new ScenarioRunner(scenario);
         ScenarioRunner.Result result = runner.run();
         boolean rulesSatisfied = result.verdicts().stream().allMatch(RuleVerdict::satisfied);
-        Map<Long, String> names = new HashMap<>();
+        Map<Long, String> volumeNames = new HashMap<>();
         List<FleetMerger.GatewayAccount> members = new ArrayList<>();
-        for (GatewayAccounts book : runner.accounts()) {
-            names.putAll(book.volumeNames());
+        for (GatewayAccounts gatewayAccounts : runner.accounts()) {
+            volumeNames.putAll(gatewayAccounts.volumeNames());
             members.add(
                     new FleetMerger.GatewayAccount(
-                            book.gateway(), book.accounts().toAccount(), book.versionNotifiedAt()));
+                            gatewayAccounts.gateway(), gatewayAccounts.accounts().toAccount(), gatewayAccounts.versionNotifiedAt()));
         }
         LatencyAccount merged = FleetMerger.merge(members).account();
         List<Row> rows = new ArrayList<>();
-        for (Scenario.KnownCause known : scenario.causes()) {
-            long volume = volumeNumber(known.volume(), names);
+        for (Scenario.KnownCause knownCause : scenario.causes()) {
+            long volume = volumeId(knownCause.volume(), volumeNames);
             LatencyReport report = report(merged, volume);
-            LatencyReport.CauseReport main = report.mainCause();
-            boolean falseBlame = namesWrongCause(known, main, names);
+            LatencyReport.CauseReport mainCause = report.mainCause();
+            boolean falseBlame = namesWrongCause(knownCause, mainCause, volumeNames);
             for (FleetMerger.GatewayAccount member : members) {
                 falseBlame |=
-                        namesWrongCause(known, report(member.account(), volume).mainCause(), names);
+                        namesWrongCause(knownCause, report(member.account(), volume).mainCause(), volumeNames);
             }
             rows.add(
                     new Row(
                             kind,
                             seed,
-                            known.volume(),
-                            known.causes(),
-                            name(main, names),
-                            main == null ? 0 : main.share(),
-                            main == null ? null : main.confidence(),
-                            secondCause(report, names),
-                            main != null && isExpected(known, main, names),
+                            knownCause.volume(),
+                            knownCause.causes(),
+                            causeName(mainCause, volumeNames),
+                            mainCause == null ? 0 : mainCause.share(),
+                            mainCause == null ? null : mainCause.confidence(),
+                            secondCause(report, volumeNames),
+                            mainCause != null && isExpected(knownCause, mainCause, volumeNames),
                             falseBlame,
                             rulesSatisfied));
         }
@@ -100,48 +100,48 @@
         return account.report(volume, 0, Double.MAX_VALUE / 2);
     }
 
-    private static long volumeNumber(String name, Map<Long, String> names)
+    private static long volumeId(String name, Map<Long, String> volumeNames)
             throws SiteConfigException {
-        return names.entrySet().stream()
+        return volumeNames.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(name))
                 .findFirst()
                 .orElseThrow(() -> new SiteConfigException("no volume is called " + name))
                 .getKey();
     }
 
-    private static String secondCause(LatencyReport report, Map<Long, String> names) {
+    private static String secondCause(LatencyReport report, Map<Long, String> volumeNames) {
         return report.causes().stream()
-                .filter(charged -> charged.kind() != Cause.Kind.OWN_WORK)
+                .filter(cause -> cause.kind() != Cause.Kind.OWN_WORK)
                 .skip(1)
                 .findFirst()
-                .map(charged -> name(charged, names))
+                .map(cause -> causeName(cause, volumeNames))
                 .orElse("");
     }
 
     private static boolean namesWrongCause(
-            Scenario.KnownCause known, LatencyReport.CauseReport main, Map<Long, String> names) {
-        return main != null
-                && main.confidence() == LatencyReport.Confidence.HIGH
-                && !isExpected(known, main, names);
+            Scenario.KnownCause knownCause, LatencyReport.CauseReport mainCause, Map<Long, String> volumeNames) {
+        return mainCause != null
+                && mainCause.confidence() == LatencyReport.Confidence.HIGH
+                && !isExpected(knownCause, mainCause, volumeNames);
     }
 
     private static boolean isExpected(
-            Scenario.KnownCause known, LatencyReport.CauseReport main, Map<Long, String> names) {
-        String name = name(main, names);
-        return known.causes().stream()
-                .anyMatch(right -> name.equals(right) || name.startsWith(right + ":"));
+            Scenario.KnownCause knownCause, LatencyReport.CauseReport mainCause, Map<Long, String> volumeNames) {
+        String mainName = causeName(mainCause, volumeNames);
+        return knownCause.causes().stream()
+                .anyMatch(expectedCause -> mainName.equals(expectedCause) || mainName.startsWith(expectedCause + ":"));
     }
 
     /** As scripts write causes: the kind, and a volume's name or a node where it has one. */
-    private static String name(LatencyReport.CauseReport charged, Map<Long, String> names) {
-        if (charged == null) {
+    private static String causeName(LatencyReport.CauseReport cause, Map<Long, String> volumeNames) {
+        if (cause == null) {
             return "nothing";
         }
-        String kind = charged.kind().externalName();
-        return switch (charged.kind()) {
+        String kind = cause.kind().externalName();
+        return switch (cause.kind()) {
             case NEIGHBOUR, PAUSE ->
-                    kind + ":" + names.getOrDefault(charged.volume(), "" + charged.volume());
-            case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> kind + ":" + charged.node();
+                    kind + ":" + volumeNames.getOrDefault(cause.volume(), "" + cause.volume());
+            case SLOW_NODE, WARMING_UP_NODE, FAULT, NETWORK -> kind + ":" + cause.node();
             default -> kind;
         };
     }
--- a/src/main/java/sagepulley/scenario/BlockHistory.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -29,8 +29,8 @@
         }
 
         /** The write ended, with its gateway's final answer or with the connection. */
-        public void complete(long nanos, boolean good) {
-            acknowledged = good;
+        public void complete(long nanos, boolean succeeded) {
+            acknowledged = succeeded;
             end = nanos;
         }
     }
@@ -46,7 +46,7 @@
     public synchronized Write begin(int volume, long offset, int length, long nanos) {
         Write write = new Write(++lastStamp, nanos);
         for (long block = offset / BLOCK_BYTES; block < (offset + length) / BLOCK_BYTES; block++) {
-            writes.computeIfAbsent(new BlockAddress(volume, block), any -> new ArrayList<>())
+            writes.computeIfAbsent(new BlockAddress(volume, block), address -> new ArrayList<>())
                     .add(write);
         }
         return write;
@@ -63,30 +63,30 @@
 
     /** Checks the data of a read that was sent at one time and answered at another. */
     public synchronized void check(int volume, long offset, ByteBuf data, long begin, long end) {
-        for (int at = 0; at + BLOCK_BYTES <= data.readableBytes(); at += BLOCK_BYTES) {
-            long stamp = data.getLong(data.readerIndex() + at);
-            long block = (offset + at) / BLOCK_BYTES;
+        for (int position = 0; position + BLOCK_BYTES <= data.readableBytes(); position += BLOCK_BYTES) {
+            long stamp = data.getLong(data.readerIndex() + position);
+            long block = (offset + position) / BLOCK_BYTES;
             for (int i = 8; i < BLOCK_BYTES; i += 8) {
-                if (data.getLong(data.readerIndex() + at + i) != stamp) {
-                    breach("block " + block + " of volume " + volume + " is torn");
+                if (data.getLong(data.readerIndex() + position + i) != stamp) {
+                    addBreach("block " + block + " of volume " + volume + " is torn");
                     break;
                 }
             }
             checkedBlocks++;
-            judge(volume, block, stamp, begin);
+            checkStamp(volume, block, stamp, begin);
         }
     }
 
-    private void judge(int volume, long block, long stamp, long begin) {
-        List<Write> all = writes.getOrDefault(new BlockAddress(volume, block), List.of());
-        Write seen = null;
-        for (Write write : all) {
+    private void checkStamp(int volume, long block, long stamp, long begin) {
+        List<Write> blockWrites = writes.getOrDefault(new BlockAddress(volume, block), List.of());
+        Write shown = null;
+        for (Write write : blockWrites) {
             if (write.stamp == stamp) {
-                seen = write;
+                shown = write;
             }
         }
-        if (seen == null && stamp != 0) {
-            breach(
+        if (shown == null && stamp != 0) {
+            addBreach(
                     "block "
                             + block
                             + " of volume "
@@ -94,29 +94,29 @@
                             + " holds what was never written there");
             return;
         }
-        long seenEnd = seen == null ? Long.MIN_VALUE : seen.end;
-        for (Write later : all) {
-            if (later.acknowledged && later.begin > seenEnd && later.end < begin) {
-                breach(
+        long shownEnd = shown == null ? Long.MIN_VALUE : shown.end;
+        for (Write newer : blockWrites) {
+            if (newer.acknowledged && newer.begin > shownEnd && newer.end < begin) {
+                addBreach(
                         "block "
                                 + block
                                 + " of volume "
                                 + volume
                                 + " shows "
-                                + (seen == null ? "nothing" : "write " + stamp)
+                                + (shown == null ? "nothing" : "write " + stamp)
                                 + " though write "
-                                + later.stamp
+                                + newer.stamp
                                 + " was acknowledged after it, "
-                                + (begin - later.end) / 1_000_000
+                                + (begin - newer.end) / 1_000_000
                                 + " ms before the read");
                 return;
             }
         }
     }
 
-    private void breach(String what) {
+    private void addBreach(String description) {
         if (breaches.size() < MAX_DESCRIBED_BREACHES) {
-            breaches.add(what);
+            breaches.add(description);
         }
     }
 
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -86,7 +86,7 @@
 
         @Override
         public HandshakeVerdict handshakeCompleted(
-                int node, int who, int cell, boolean draining, long startedAt, double now) {
+                int node, int answeringNode, int cell, boolean draining, long startedAt, double now) {
             return HandshakeVerdict.ACCEPTED;
         }
 
@@ -98,15 +98,15 @@
 
     /** Counts what reaches which node. */
     private static final class AttemptCounter implements TrafficRecorder {
-        final Set<Integer> watched = new HashSet<>();
-        final AtomicLong wrong = new AtomicLong();
+        final Set<Integer> unavailableNodes = new HashSet<>();
+        final AtomicLong misdirected = new AtomicLong();
         final AtomicInteger collapsed = new AtomicInteger();
 
         @Override
         public void attemptReceived(int node, long gateway, StoreMessages.Send send, long nanos) {
-            synchronized (watched) {
-                if (watched.contains(node)) {
-                    wrong.incrementAndGet();
+            synchronized (unavailableNodes) {
+                if (unavailableNodes.contains(node)) {
+                    misdirected.incrementAndGet();
                 }
             }
         }
@@ -136,24 +136,24 @@
                             .withSlowStart(0.25, 3_000, 2, 500, 24));
         }
         try (LocalCluster cluster = LocalCluster.start(profiles, counter, 3)) {
-            List<String> sites = new ArrayList<>();
-            Path mine = Files.createDirectories(folder.resolve("start-" + System.nanoTime()));
+            List<String> siteTexts = new ArrayList<>();
+            Path runFolder = Files.createDirectories(folder.resolve("start-" + System.nanoTime()));
             for (int i = 0; i < GATEWAYS; i++) {
-                sites.add(site(cluster, i, mine.resolve("gw" + i)));
+                siteTexts.add(buildSiteText(cluster, i, runFolder.resolve("gw" + i)));
             }
-            fillVolume(cluster, sites, seed);
+            fillVolume(cluster, siteTexts, seed);
             for (int i = 0; i < GATEWAYS; i++) {
-                ageStoredList(mine.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
+                ageStoredList(runFolder.resolve("gw" + i).resolve("nodes"), ageHours * 3_600_000);
             }
             LocalCluster.await(cluster.directory().stop());
             changeNodes(cluster, counter, nodeChange, changed);
-            return serve(cluster, listPolicy, ageHours, nodeChange, changed, sites, counter, seed);
+            return measureService(cluster, listPolicy, ageHours, nodeChange, changed, siteTexts, counter, seed);
         }
     }
 
-    private static String site(LocalCluster cluster, int number, Path files) {
+    private static String buildSiteText(LocalCluster cluster, int gatewayIndex, Path gatewayFolder) {
         return LocalCluster.demoSite(
-                                "gw-" + number, number, GATEWAYS, 0, cluster.directory().address())
+                                "gw-" + gatewayIndex, gatewayIndex, GATEWAYS, 0, cluster.directory().address())
                         .replace("extent = 1 MiB", "extent = 256 KiB\nask-within = 2 s")
                         .replace("unit = 128 KiB", "unit = 16 KiB")
                         .replace("cold-time = 10 s", "cold-time = 3 s")
@@ -162,22 +162,22 @@
                 + "gateways = "
                 + GATEWAYS
                 + "\n\n[membership]\nlist = "
-                + files.resolve("nodes")
+                + gatewayFolder.resolve("nodes")
                 + "\nholders = "
-                + files.resolve("holders")
+                + gatewayFolder.resolve("holders")
                 + "\n";
     }
 
-    private static void fillVolume(LocalCluster cluster, List<String> sites, long seed)
+    private static void fillVolume(LocalCluster cluster, List<String> siteTexts, long seed)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
-        for (String site : sites) {
+        for (String site : siteTexts) {
             NbdGateway gateway =
                     LocalCluster.await(
                             new NbdGateway(SiteConfig.read("site", site), ++seed * 100).start());
             gateways.add(gateway);
             if (gateways.size() == 1) {
-                NbdClient client = open(cluster.loops(), gateway);
+                NbdClient client = connect(cluster.loops(), gateway);
                 for (int i = 0; i < EXTENTS; i++) {
                     LocalCluster.await(client.write(i * (long) EXTENT_BYTES, new byte[4096]))
                             .release();
@@ -190,13 +190,13 @@
         }
     }
 
-    private static NbdClient open(EventLoopGroup loops, NbdGateway gateway) {
+    private static NbdClient connect(EventLoopGroup loops, NbdGateway gateway) {
         return LocalCluster.await(
                 NbdClient.open(
                         loops, EventLoops.socket(), gateway.address(), "demo", NbdClient.Style.GO));
     }
 
-    private static void ageStoredList(Path path, double by) throws IOException {
+    private static void ageStoredList(Path path, double ageMillis) throws IOException {
         EndpointListFile file = new EndpointListFile(path, "sagepulley");
         StoredEndpointList list = file.inspect().list();
         file.write(
@@ -204,7 +204,7 @@
                         list.site(),
                         list.history(),
                         list.version(),
-                        list.confirmedAt() - (long) by,
+                        list.confirmedAt() - (long) ageMillis,
                         list.endpoints()),
                 System.currentTimeMillis());
     }
@@ -218,49 +218,49 @@
                 case REPLACED -> {
                     var address = node.address();
                     LocalCluster.await(node.stop());
-                    NodeProfile other =
+                    NodeProfile replacement =
                             NodeProfile.quick(node.profile().id() + 100, EXTENT_BYTES)
                                     .withCost(1, 1);
                     LocalCluster.await(
-                            new StandInNode(other, cluster.loops(), counter, other.id())
+                            new StandInNode(replacement, cluster.loops(), counter, replacement.id())
                                     .start(address));
                 }
                 case COLD -> LocalCluster.await(node.restartCold());
             }
             if (nodeChange == NodeChange.DRAINED || nodeChange == NodeChange.REPLACED) {
-                synchronized (counter.watched) {
-                    counter.watched.add(node.profile().id() + (nodeChange == NodeChange.REPLACED ? 100 : 0));
+                synchronized (counter.unavailableNodes) {
+                    counter.unavailableNodes.add(node.profile().id() + (nodeChange == NodeChange.REPLACED ? 100 : 0));
                 }
             }
         }
     }
 
-    private static Row serve(
+    private static Row measureService(
             LocalCluster cluster,
             ListPolicy listPolicy,
             double ageHours,
             NodeChange nodeChange,
             int changed,
-            List<String> sites,
+            List<String> siteTexts,
             AttemptCounter counter,
             long seed)
             throws SiteConfigException {
         long start = System.nanoTime();
         List<NbdClient> clients = new ArrayList<>();
-        List<NbdGateway> gateways = startGateways(cluster, listPolicy, sites, seed, clients);
+        List<NbdGateway> gateways = startGateways(cluster, listPolicy, siteTexts, seed, clients);
         ColdStartReadLoad load =
                 new ColdStartReadLoad(
                         REQUESTS_PER_SECOND * GATEWAYS,
                         EXTENTS,
                         EXTENT_BYTES,
-                        latencyObjectiveNanos(sites.get(0)),
+                        latencyObjectiveNanos(siteTexts.get(0)),
                         ColdStartExperiment::sleepUntil,
                         seed);
         load.send(clients, MEASURED_MILLIS);
         load.awaitReplies();
         clients.forEach(client -> client.channel().close().syncUninterruptibly());
         gateways.forEach(gateway -> LocalCluster.await(gateway.kill()));
-        double reachable =
+        double reachableShare =
                 nodeChange == NodeChange.DRAINED || nodeChange == NodeChange.REPLACED
                         ? 1 - (double) changed / NODES
                         : 1;
@@ -270,24 +270,24 @@
                 ageHours,
                 nodeChange,
                 changed,
-                counter.wrong.get(),
+                counter.misdirected.get(),
                 counter.collapsed.get(),
                 firstServedAt == 0 ? Double.NaN : (firstServedAt - start) / NANOS_PER_MILLI,
-                Math.min(1, load.service() / reachable),
+                Math.min(1, load.service() / reachableShare),
                 load.service());
     }
 
     /** Starts all gateways; adds a client for each that is ready without discovery. */
     private static List<NbdGateway> startGateways(
-            LocalCluster cluster, ListPolicy listPolicy, List<String> sites, long seed, List<NbdClient> clients)
+            LocalCluster cluster, ListPolicy listPolicy, List<String> siteTexts, long seed, List<NbdClient> clients)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            NbdGateway gateway = gateway(listPolicy, sites.get(i), seed * 1000 + i);
+            NbdGateway gateway = gateway(listPolicy, siteTexts.get(i), seed * 1000 + i);
             CompletableFuture<NbdGateway> ready = gateway.start();
             if (listPolicy != ListPolicy.WAITING) {
                 LocalCluster.await(ready);
-                clients.add(open(cluster.loops(), gateway));
+                clients.add(connect(cluster.loops(), gateway));
             }
             gateways.add(gateway);
         }
@@ -314,11 +314,11 @@
         return site.deployment().trafficClasses().get(0).latencyObjective() * NANOS_PER_MILLI;
     }
 
-    private static void sleepUntil(long until) {
+    private static void sleepUntil(long deadlineNanos) {
         try {
-            long left = until - System.nanoTime();
-            if (left > 0) {
-                TimeUnit.NANOSECONDS.sleep(left);
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            if (remainingNanos > 0) {
+                TimeUnit.NANOSECONDS.sleep(remainingNanos);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
+++ b/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
@@ -50,8 +50,8 @@
     /** Sends for a duration; without clients the requests only count as not served. */
     void send(List<NbdClient> clients, long durationMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMillis);
-        for (long next = System.nanoTime(); next < end; next += nextGapNanos()) {
-            sleepUntil.accept(next);
+        for (long nextAtNanos = System.nanoTime(); nextAtNanos < end; nextAtNanos += nextGapNanos()) {
+            sleepUntil.accept(nextAtNanos);
             long extent = random.nextInt(extents);
             requests++;
             if (!clients.isEmpty()) {
@@ -73,10 +73,10 @@
                 extent * extentBytes,
                 READ_BYTES,
                 Unpooled.EMPTY_BUFFER,
-                (reply, failure) -> replied(reply, failure, sentAt));
+                (reply, failure) -> recordReply(reply, failure, sentAt));
     }
 
-    private void replied(NbdReply reply, Throwable failure, long sentAt) {
+    private void recordReply(NbdReply reply, Throwable failure, long sentAt) {
         long now = System.nanoTime();
         if (failure == null && reply.error == 0) {
             firstServedAt.compareAndSet(0, now);
@@ -90,8 +90,8 @@
 
     /** Waits until every request has its reply, or for the time in which it must have come. */
     void awaitReplies() {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(REPLY_TIMEOUT_SECONDS);
-        while (inFlight.get() > 0 && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(REPLY_TIMEOUT_SECONDS);
+        while (inFlight.get() > 0 && System.nanoTime() < deadlineNanos) {
             sleepUntil.accept(System.nanoTime() + REPLY_POLL_NANOS);
         }
     }
--- a/src/main/java/sagepulley/scenario/DirectClient.java
+++ b/src/main/java/sagepulley/scenario/DirectClient.java
@@ -31,19 +31,19 @@
 
     /** Sends one read or write; its end is reported as success or failure. */
     void send(
-            boolean reads,
+            boolean isRead,
             int extent,
             int offset,
             int bytes,
             ByteBuf data,
-            Consumer<Boolean> ended) {
+            Consumer<Boolean> onEnd) {
         NodeLink link = links.get(extent % links.size());
         long attempt = ++attempts;
-        link.waiting.put(attempt, ended);
+        link.callbacks.put(attempt, onEnd);
         link.connection.send(
                 attempt,
                 new StoreMessages.Send(
-                        reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE,
+                        isRead ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE,
                         0,
                         false,
                         0,
@@ -55,12 +55,12 @@
                         bytes,
                         1,
                         0),
-                reads ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate());
+                isRead ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate());
     }
 
     private static final class NodeLink implements NodeConnection.Listener {
         final NodeConnection connection;
-        final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
+        final Map<Long, Consumer<Boolean>> callbacks = new HashMap<>();
 
         NodeLink(StandInNode node, int extentBytes, EventLoop loop) {
             connection =
@@ -77,16 +77,16 @@
         @Override
         public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             payload.release();
-            waiting.remove(attempt).accept(answer.code() == StoreMessages.Code.SERVED);
+            callbacks.remove(attempt).accept(answer.code() == StoreMessages.Code.SERVED);
         }
 
         @Override
-        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
-            waiting.remove(attempt).accept(false);
+        public void failed(long attempt, NodeConnection.ConnectionFailure failure) {
+            callbacks.remove(attempt).accept(false);
         }
 
         @Override
-        public void healthReported(long id, float[] report) {
+        public void healthReported(long id, float[] loadReport) {
             // no health check is sent
         }
 
--- a/src/main/java/sagepulley/scenario/DrainingRule.java
+++ b/src/main/java/sagepulley/scenario/DrainingRule.java
@@ -40,32 +40,32 @@
     private record TimedEvent(long at, Runnable action) {}
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
-        Judge judge = new Judge(evidence);
+    public RuleVerdict evaluate(Evidence evidence) {
+        Evaluator evaluator = new Evaluator(evidence);
         List<TimedEvent> events = new ArrayList<>();
         evidence.log.listsSent.forEach(
-                list -> events.add(new TimedEvent(list.at(), () -> judge.listSent(list))));
+                list -> events.add(new TimedEvent(list.at(), () -> evaluator.listSent(list))));
         evidence.log.received.forEach(
-                attempt -> events.add(new TimedEvent(attempt.at(), () -> judge.received(attempt))));
+                attempt -> events.add(new TimedEvent(attempt.at(), () -> evaluator.received(attempt))));
         events.sort(Comparator.comparingLong(TimedEvent::at));
         events.forEach(event -> event.action().run());
-        return judge.verdict();
+        return evaluator.verdict();
     }
 
-    private static final class Judge {
+    private static final class Evaluator {
         private final Findings findings = new Findings();
         private final Map<Long, NotifiedList> lists = new HashMap<>();
         private final double graceMillis;
-        private final double allowanceMillis;
-        private double latestMillis = Double.NEGATIVE_INFINITY;
+        private final double toleranceMillis;
+        private double maxDelayMillis = Double.NEGATIVE_INFINITY;
 
-        Judge(Evidence evidence) {
+        Evaluator(Evidence evidence) {
             this.graceMillis = evidence.policy().drainGrace();
-            this.allowanceMillis = evidence.allowanceMillis;
+            this.toleranceMillis = evidence.toleranceMillis;
         }
 
         void listSent(SocketEventLog.EndpointListSent list) {
-            lists.computeIfAbsent(list.gateway(), any -> new NotifiedList()).update(list);
+            lists.computeIfAbsent(list.gateway(), gateway -> new NotifiedList()).update(list);
         }
 
         void received(SocketEventLog.AttemptReceived attempt) {
@@ -74,14 +74,14 @@
             if (since == null) {
                 return;
             }
-            double afterMillis = (attempt.at() - since) / Evidence.NANOS_PER_MILLI;
-            latestMillis = Math.max(latestMillis, afterMillis);
-            if (afterMillis > graceMillis + allowanceMillis) {
-                findings.breach(
+            double delayMillis = (attempt.at() - since) / Evidence.NANOS_PER_MILLI;
+            maxDelayMillis = Math.max(maxDelayMillis, delayMillis);
+            if (delayMillis > graceMillis + toleranceMillis) {
+                findings.addBreach(
                         "node "
                                 + attempt.node()
                                 + " was sent to "
-                                + Findings.round(afterMillis)
+                                + Findings.format(delayMillis)
                                 + " ms after its drain was told");
             }
         }
@@ -89,10 +89,10 @@
         RuleVerdict verdict() {
             return findings.verdict(
                     "3 drains kept",
-                    latestMillis == Double.NEGATIVE_INFINITY
+                    maxDelayMillis == Double.NEGATIVE_INFINITY
                             ? "nothing sent after"
-                            : "last " + Findings.round(latestMillis) + " ms after",
-                    Findings.round(graceMillis) + " ms");
+                            : "last " + Findings.format(maxDelayMillis) + " ms after",
+                    Findings.format(graceMillis) + " ms");
         }
     }
 }
--- a/src/main/java/sagepulley/scenario/Evidence.java
+++ b/src/main/java/sagepulley/scenario/Evidence.java
@@ -18,7 +18,7 @@
     static final double NANOS_PER_MILLI = 1e6;
 
     /** How long something may be on its way between two sockets. */
-    private static final double NETWORK_ALLOWANCE_MILLIS = 60;
+    private static final double NETWORK_TOLERANCE_MILLIS = 60;
 
     final SocketEventLog log;
     final SiteConfig site;
@@ -26,7 +26,7 @@
     /**
      * What is allowed for where a time is judged that was taken at another socket, in milliseconds.
      */
-    final double allowanceMillis;
+    final double toleranceMillis;
 
     private final List<NodeProfile> profiles;
     private final Map<OperationKey, List<SocketEventLog.AttemptReceived>> attempts =
@@ -44,31 +44,31 @@
         this.log = log;
         this.site = site;
         this.profiles = profiles;
-        this.allowanceMillis = NETWORK_ALLOWANCE_MILLIS + stallMillis;
+        this.toleranceMillis = NETWORK_TOLERANCE_MILLIS + stallMillis;
         for (SocketEventLog.AttemptReceived attempt : log.received) {
-            attempts.computeIfAbsent(operation(attempt), any -> new ArrayList<>()).add(attempt);
+            attempts.computeIfAbsent(operationKey(attempt), key -> new ArrayList<>()).add(attempt);
         }
         for (SocketEventLog.AttemptAnswered answer : log.answered) {
             answers.computeIfAbsent(
-                            new OperationKey(answer.gateway(), answer.mark()),
-                            any -> new ArrayList<>())
+                            new OperationKey(answer.gateway(), answer.operationId()),
+                            key -> new ArrayList<>())
                     .add(answer);
         }
         for (SocketEventLog.AttemptCancelled cancelled : log.cancelled) {
             cancellations
                     .computeIfAbsent(
-                            new OperationKey(cancelled.gateway(), cancelled.mark()),
-                            any -> new ArrayList<>())
+                            new OperationKey(cancelled.gateway(), cancelled.operationId()),
+                            key -> new ArrayList<>())
                     .add(cancelled);
         }
     }
 
-    static OperationKey operation(SocketEventLog.AttemptReceived attempt) {
+    static OperationKey operationKey(SocketEventLog.AttemptReceived attempt) {
         return new OperationKey(attempt.gateway(), attempt.send().operationId());
     }
 
-    double allowanceNanos() {
-        return allowanceMillis * NANOS_PER_MILLI;
+    double toleranceNanos() {
+        return toleranceMillis * NANOS_PER_MILLI;
     }
 
     ServicePolicy policy() {
@@ -87,7 +87,7 @@
     /** The answer to one attempt of an operation; null where none was recorded. */
     SocketEventLog.AttemptAnswered answerTo(OperationKey operation, int attempt) {
         for (SocketEventLog.AttemptAnswered answer : answers.getOrDefault(operation, List.of())) {
-            if (answer.number() == attempt) {
+            if (answer.attemptNumber() == attempt) {
                 return answer;
             }
         }
--- a/src/main/java/sagepulley/scenario/FinalAnswerRule.java
+++ b/src/main/java/sagepulley/scenario/FinalAnswerRule.java
@@ -13,52 +13,52 @@
     private record GatewayExtent(long gateway, int volume, long extent) {}
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
-        double minLeftMillis = Double.POSITIVE_INFINITY;
-        int due = 0;
+        double minRemainingMillis = Double.POSITIVE_INFINITY;
+        int expectedAnswers = 0;
         for (SocketEventLog.ClientRequest request : evidence.log.requests) {
             if (request.connectionLost) {
                 continue;
             }
-            due++;
+            expectedAnswers++;
             if (request.replies != 1) {
-                findings.breach(
+                findings.addBreach(
                         request.replies
                                 + " final answers to a "
                                 + request.kind
                                 + " at "
                                 + request.offset);
             } else {
-                minLeftMillis = Math.min(minLeftMillis, checkTime(request, evidence, findings));
+                minRemainingMillis = Math.min(minRemainingMillis, checkDeadline(request, evidence, findings));
             }
         }
         checkAttempts(evidence, findings);
         return findings.verdict(
                 "1 one final answer, in time",
-                due + " owed, at least " + Findings.round(minLeftMillis) + " ms of patience left",
+                expectedAnswers + " owed, at least " + Findings.format(minRemainingMillis) + " ms of patience left",
                 "0 ms");
     }
 
     /** Checks when a request was answered; the milliseconds that were left to its deadline. */
-    private static double checkTime(
+    private static double checkDeadline(
             SocketEventLog.ClientRequest request, Evidence evidence, Findings findings) {
         double deadline =
                 evidence.site.deployment().trafficClasses().get(request.trafficClass).deadline();
-        double took = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
-        if (took > deadline + evidence.policy().answerGrace() + evidence.allowanceMillis) {
-            findings.breach(
+        double elapsedMillis = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
+        if (elapsedMillis > deadline + evidence.policy().answerGrace() + evidence.toleranceMillis) {
+            findings.addBreach(
                     "answered after "
-                            + Findings.round(took)
+                            + Findings.format(elapsedMillis)
                             + " ms of "
-                            + Findings.round(deadline));
+                            + Findings.format(deadline));
         }
-        return deadline - took;
+        return deadline - elapsedMillis;
     }
 
     /** Every attempt must be for a request that is still open. */
     private static void checkAttempts(Evidence evidence, Findings findings) {
-        Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests = byExtent(evidence);
+        Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests = requestsByExtent(evidence);
         for (SocketEventLog.AttemptReceived attempt : evidence.log.received) {
             StoreMessages.Send send = attempt.send();
             if (send.kind() == StoreMessages.Kind.FLUSH) {
@@ -66,11 +66,11 @@
             }
             GatewayExtent extent =
                     new GatewayExtent(attempt.gateway(), send.volume(), send.extent());
-            boolean open =
+            boolean isOpen =
                     requests.getOrDefault(extent, List.of()).stream()
-                            .anyMatch(request -> mayCause(request, attempt, evidence));
-            if (!open) {
-                findings.breach(
+                            .anyMatch(request -> mayBelongTo(request, attempt, evidence));
+            if (!isOpen) {
+                findings.addBreach(
                         "hop "
                                 + send.attemptNumber()
                                 + " of operation "
@@ -82,7 +82,7 @@
         }
     }
 
-    private static Map<GatewayExtent, List<SocketEventLog.ClientRequest>> byExtent(
+    private static Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requestsByExtent(
             Evidence evidence) {
         int extentBytes = evidence.site.extentBytes();
         Map<GatewayExtent, List<SocketEventLog.ClientRequest>> byExtent = new HashMap<>();
@@ -91,14 +91,14 @@
             for (long extent = request.offset / extentBytes; extent <= last; extent++) {
                 byExtent.computeIfAbsent(
                                 new GatewayExtent(request.gateway, request.volume, extent),
-                                any -> new ArrayList<>())
+                                key -> new ArrayList<>())
                         .add(request);
             }
         }
         return byExtent;
     }
 
-    private static boolean mayCause(
+    private static boolean mayBelongTo(
             SocketEventLog.ClientRequest request,
             SocketEventLog.AttemptReceived attempt,
             Evidence evidence) {
@@ -109,6 +109,6 @@
                 && offset < request.offset + request.length
                 && request.sentAt <= attempt.at()
                 && (request.replies == 0
-                        || attempt.at() <= request.endedAt + evidence.allowanceNanos());
+                        || attempt.at() <= request.endedAt + evidence.toleranceNanos());
     }
 }
--- a/src/main/java/sagepulley/scenario/Findings.java
+++ b/src/main/java/sagepulley/scenario/Findings.java
@@ -10,7 +10,7 @@
     private final List<String> breaches = new ArrayList<>();
     private int count;
 
-    void breach(String description) {
+    void addBreach(String description) {
         count++;
         if (breaches.size() < MAX_DESCRIBED) {
             breaches.add(description);
@@ -22,7 +22,7 @@
     }
 
     /** A figure with one decimal; "all" where nothing came near its bound. */
-    static String round(double value) {
+    static String format(double value) {
         return value == Double.POSITIVE_INFINITY
                 ? "all"
                 : String.valueOf(Math.round(value * 10) / 10.0);
--- a/src/main/java/sagepulley/scenario/KeyOrderRule.java
+++ b/src/main/java/sagepulley/scenario/KeyOrderRule.java
@@ -9,24 +9,24 @@
 
 /** Rule 5: ordered operations of one extent go one at a time, in their order. */
 final class KeyOrderRule implements Rule {
-    private record Key(long gateway, int volume, long extent) {}
+    private record OrderingKey(long gateway, int volume, long extent) {}
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
-        Map<Key, List<OperationKey>> byKey = new HashMap<>();
+        Map<OrderingKey, List<OperationKey>> byKey = new HashMap<>();
         int ordered = 0;
         for (Map.Entry<OperationKey, List<SocketEventLog.AttemptReceived>> entry :
                 evidence.attempts().entrySet()) {
             StoreMessages.Send send = entry.getValue().get(0).send();
             if (evidence.trafficClass(send).ordered()) {
                 ordered++;
-                Key key = new Key(entry.getKey().gateway(), send.volume(), send.extent());
-                byKey.computeIfAbsent(key, any -> new ArrayList<>()).add(entry.getKey());
+                OrderingKey key = new OrderingKey(entry.getKey().gateway(), send.volume(), send.extent());
+                byKey.computeIfAbsent(key, unused -> new ArrayList<>()).add(entry.getKey());
             }
         }
         for (List<OperationKey> operations : byKey.values()) {
-            operations.sort(Comparator.comparingLong(OperationKey::mark));
+            operations.sort(Comparator.comparingLong(OperationKey::operationId));
             for (int i = 1; i < operations.size(); i++) {
                 check(evidence, findings, operations.get(i - 1), operations.get(i));
             }
@@ -41,27 +41,27 @@
             Evidence evidence, Findings findings, OperationKey earlier, OperationKey later) {
         SocketEventLog.AttemptReceived first = evidence.attempts().get(later).get(0);
         for (SocketEventLog.AttemptReceived attempt : evidence.attempts().get(earlier)) {
-            if (attempt.at() > first.at() || !isOver(evidence, earlier, attempt, first.at())) {
-                findings.breach(
+            if (attempt.at() > first.at() || !hasEnded(evidence, earlier, attempt, first.at())) {
+                findings.addBreach(
                         "operation "
-                                + later.mark()
+                                + later.operationId()
                                 + " was sent before operation "
-                                + earlier.mark()
+                                + earlier.operationId()
                                 + " of the same key was over");
             }
         }
     }
 
-    private static boolean isOver(
+    private static boolean hasEnded(
             Evidence evidence,
             OperationKey operation,
             SocketEventLog.AttemptReceived attempt,
-            long by) {
+            long untilNanos) {
         SocketEventLog.AttemptAnswered answer =
                 evidence.answerTo(operation, attempt.send().attemptNumber());
-        return (answer != null && answer.at() <= by)
+        return (answer != null && answer.at() <= untilNanos)
                 || evidence.cancellations(operation).stream()
-                        .anyMatch(cancelled -> cancelled.at() <= by)
-                || evidence.connectionEnded(attempt, by);
+                        .anyMatch(cancelled -> cancelled.at() <= untilNanos)
+                || evidence.connectionEnded(attempt, untilNanos);
     }
 }
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -35,8 +35,8 @@
         NbdClient client;
         long gateway;
 
-        ClientConnection(GatewayTarget door) {
-            this.target = door;
+        ClientConnection(GatewayTarget target) {
+            this.target = target;
         }
     }
 
@@ -85,8 +85,8 @@
         return load;
     }
 
-    void setRateFactor(double times) {
-        rateFactor = times;
+    void setRateFactor(double factor) {
+        rateFactor = factor;
     }
 
     /** Requests without an end. */
@@ -94,12 +94,12 @@
         return openRequests.get();
     }
 
-    void start(long dayStart) {
+    void start(long scenarioStartNanos) {
         loop.execute(
                 () -> {
                     connections.forEach(this::connect);
-                    nextRequestAtNanos = dayStart + (long) (load.fromMillis() * 1e6);
-                    scheduleNext(dayStart + (long) (load.toMillis() * 1e6));
+                    nextRequestAtNanos = scenarioStartNanos + (long) (load.fromMillis() * 1e6);
+                    scheduleNext(scenarioStartNanos + (long) (load.toMillis() * 1e6));
                 });
     }
 
@@ -155,40 +155,40 @@
                                         }));
     }
 
-    private void scheduleNext(long end) {
-        if (stopped || nextRequestAtNanos >= end) {
+    private void scheduleNext(long endNanos) {
+        if (stopped || nextRequestAtNanos >= endNanos) {
             return;
         }
-        long wait = Math.max(0, nextRequestAtNanos - System.nanoTime());
+        long delayNanos = Math.max(0, nextRequestAtNanos - System.nanoTime());
         loop.schedule(
                 () -> {
                     while (!stopped
                             && nextRequestAtNanos <= System.nanoTime()
-                            && nextRequestAtNanos < end) {
+                            && nextRequestAtNanos < endNanos) {
                         if (rateFactor > 0) {
                             sendRequest();
                         }
-                        double gap =
+                        double gapSeconds =
                                 -Math.log(1 - random.nextDouble())
                                         / (load.requestsPerSecond() * Math.max(rateFactor, 0.01));
-                        nextRequestAtNanos += (long) (gap * 1e9);
+                        nextRequestAtNanos += (long) (gapSeconds * 1e9);
                     }
-                    scheduleNext(end);
+                    scheduleNext(endNanos);
                 },
-                wait,
+                delayNanos,
                 TimeUnit.NANOSECONDS);
     }
 
     private void sendRequest() {
-        List<ClientConnection> up =
+        List<ClientConnection> connected =
                 connections.stream().filter(connection -> connection.client != null).toList();
-        if (up.isEmpty()) {
+        if (connected.isEmpty()) {
             return;
         }
-        ClientConnection connection = up.get(random.nextInt(up.size()));
+        ClientConnection connection = connected.get(random.nextInt(connected.size()));
         long extents = Math.min(load.extents(), volume.sizeBytes() / site.extentBytes());
-        long places = Math.max(1, extents * site.extentBytes() / load.bytes());
-        long offset = random.nextLong(places) * load.bytes();
+        long positions = Math.max(1, extents * site.extentBytes() / load.bytes());
+        long offset = random.nextLong(positions) * load.bytes();
         if (random.nextDouble() < load.readShare()) {
             sendRead(connection, offset);
         } else {
--- a/src/main/java/sagepulley/scenario/LocalCluster.java
+++ b/src/main/java/sagepulley/scenario/LocalCluster.java
@@ -42,8 +42,8 @@
         StandInDirectory directory = new StandInDirectory(loops, recorder);
         await(directory.start(loopback(0)));
         LocalCluster cluster = new LocalCluster(loops, directory);
-        for (NodeProfile one : profiles) {
-            StandInNode node = new StandInNode(one, loops, recorder, one.id());
+        for (NodeProfile profile : profiles) {
+            StandInNode node = new StandInNode(profile, loops, recorder, profile.id());
             await(node.start(loopback(0)));
             cluster.nodes.add(node);
             cluster.list(node, DirectoryMessages.Phase.READY);
@@ -55,12 +55,12 @@
     public static String demoSite(
             String name, int number, int gateways, int nbdPort, InetSocketAddress directory) {
         String text;
-        try (InputStream from = LocalCluster.class.getResourceAsStream("/demo-site.ini")) {
-            text = new String(from.readAllBytes(), StandardCharsets.UTF_8);
+        try (InputStream in = LocalCluster.class.getResourceAsStream("/demo-site.ini")) {
+            text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException("the demo's site file is not in the program", e);
         }
-        Map<String, String> blanks =
+        Map<String, String> placeholders =
                 Map.of(
                         "name",
                         name,
@@ -72,8 +72,8 @@
                         "127.0.0.1:" + nbdPort,
                         "directory",
                         "127.0.0.1:" + directory.getPort());
-        for (Map.Entry<String, String> blank : blanks.entrySet()) {
-            text = text.replace("${" + blank.getKey() + "}", blank.getValue());
+        for (Map.Entry<String, String> placeholder : placeholders.entrySet()) {
+            text = text.replace("${" + placeholder.getKey() + "}", placeholder.getValue());
         }
         return text;
     }
--- a/src/main/java/sagepulley/scenario/RateLimitRule.java
+++ b/src/main/java/sagepulley/scenario/RateLimitRule.java
@@ -9,7 +9,7 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
         double minLevel = Double.POSITIVE_INFINITY;
         for (VolumeSettings volume : evidence.site.volumes()) {
@@ -22,7 +22,7 @@
                 "7 limits kept",
                 minLevel == Double.POSITIVE_INFINITY
                         ? "no volume has one"
-                        : "never under " + Findings.round(minLevel) + " units",
+                        : "never under " + Findings.format(minLevel) + " units",
                 "-slack");
     }
 
@@ -31,7 +31,7 @@
             Evidence evidence, Findings findings, VolumeSettings volume, TenantPlan plan) {
         // Two attempts that left apart may arrive together.
         double minAllowed =
-                -plan.limitSlack() - plan.limit() * evidence.allowanceMillis / MILLIS_PER_SECOND;
+                -plan.limitSlack() - plan.limit() * evidence.toleranceMillis / MILLIS_PER_SECOND;
         double minLevel = Double.POSITIVE_INFINITY;
         double level = plan.limitBurst();
         long last = Long.MIN_VALUE;
@@ -53,11 +53,11 @@
             level -= attempt.send().units();
             minLevel = Math.min(minLevel, level);
             if (level < minAllowed) {
-                findings.breach(
+                findings.addBreach(
                         "volume "
                                 + volume.name()
                                 + " is "
-                                + Findings.round(-level)
+                                + Findings.format(-level)
                                 + " units past its limit");
             }
         }
@@ -66,7 +66,7 @@
 
     private static boolean notExecuted(Evidence evidence, SocketEventLog.AttemptReceived attempt) {
         SocketEventLog.AttemptAnswered answer =
-                evidence.answerTo(Evidence.operation(attempt), attempt.send().attemptNumber());
+                evidence.answerTo(Evidence.operationKey(attempt), attempt.send().attemptNumber());
         return answer != null
                 && (answer.code() == StoreMessages.Code.NOT_EXECUTED
                         || answer.code() == StoreMessages.Code.STALE_WRITE_TOKEN);
--- a/src/main/java/sagepulley/scenario/ReconnectStorm.java
+++ b/src/main/java/sagepulley/scenario/ReconnectStorm.java
@@ -45,35 +45,35 @@
             int queue,
             long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Queue<Call> due = new PriorityQueue<>(Comparator.comparingDouble(Call::atMillis));
+        Queue<Call> pendingCalls = new PriorityQueue<>(Comparator.comparingDouble(Call::atMillis));
         ReconnectBackoff[] backoffs = new ReconnectBackoff[gateways];
         for (int i = 0; i < gateways; i++) {
             backoffs[i] =
                     new ReconnectBackoff(MIN_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, random.split());
-            due.add(new Call(random.nextDouble(), i));
+            pendingCalls.add(new Call(random.nextDouble(), i));
         }
         Map<Long, Integer> callsByTenth = new HashMap<>();
         double busyUntil = downMillis;
-        double last = 0;
+        double lastServedAt = 0;
         long calls = 0;
-        while (!due.isEmpty()) {
-            Call call = due.poll();
-            double now = call.atMillis();
+        while (!pendingCalls.isEmpty()) {
+            Call call = pendingCalls.poll();
+            double nowMillis = call.atMillis();
             calls++;
-            if (now >= FIRST_COUNTED_MILLIS) {
-                callsByTenth.merge((long) (now / TENTH_MILLIS), 1, Integer::sum);
+            if (nowMillis >= FIRST_COUNTED_MILLIS) {
+                callsByTenth.merge((long) (nowMillis / TENTH_MILLIS), 1, Integer::sum);
             }
-            double pause = usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
-            if (now < downMillis) {
-                due.add(new Call(now + pause, call.gateway()));
-            } else if (busyUntil - now > queue * MILLIS_PER_SECOND / callsPerSecond) {
-                due.add(new Call(now + CALL_TIMEOUT_MILLIS + pause, call.gateway()));
+            double pauseMillis = usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
+            if (nowMillis < downMillis) {
+                pendingCalls.add(new Call(nowMillis + pauseMillis, call.gateway()));
+            } else if (busyUntil - nowMillis > queue * MILLIS_PER_SECOND / callsPerSecond) {
+                pendingCalls.add(new Call(nowMillis + CALL_TIMEOUT_MILLIS + pauseMillis, call.gateway()));
             } else {
-                busyUntil = Math.max(busyUntil, now) + MILLIS_PER_SECOND / callsPerSecond;
-                last = Math.max(last, busyUntil);
+                busyUntil = Math.max(busyUntil, nowMillis) + MILLIS_PER_SECOND / callsPerSecond;
+                lastServedAt = Math.max(lastServedAt, busyUntil);
             }
         }
         int maxCalls = callsByTenth.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        return new ReconnectStorm(gateways, usesBackoff, maxCalls, calls, last - downMillis);
+        return new ReconnectStorm(gateways, usesBackoff, maxCalls, calls, lastServedAt - downMillis);
     }
 }
--- a/src/main/java/sagepulley/scenario/RetryBudgetRule.java
+++ b/src/main/java/sagepulley/scenario/RetryBudgetRule.java
@@ -9,7 +9,7 @@
     private static final double MIN_BUDGET = 1e-9;
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
         double maxShare = 0;
         if (evidence.policy().hasRetryBudget()) {
@@ -20,7 +20,7 @@
         return findings.verdict(
                 "6 budget kept",
                 evidence.policy().hasRetryBudget()
-                        ? "at most " + Findings.round(100 * maxShare) + " % of it"
+                        ? "at most " + Findings.format(100 * maxShare) + " % of it"
                         : "none is stated",
                 "100 %");
     }
@@ -33,7 +33,7 @@
         List<Long> retries = retryTimes(evidence, gateway.gateway);
         double retryWindow = policy.retryBudgetWindow() * Evidence.NANOS_PER_MILLI;
         double operationWindow =
-                (policy.retryBudgetWindow() + evidence.allowanceMillis) * Evidence.NANOS_PER_MILLI;
+                (policy.retryBudgetWindow() + evidence.toleranceMillis) * Evidence.NANOS_PER_MILLI;
         double maxShare = 0;
         for (long at : retries) {
             long used = countWithin(retries, at, retryWindow);
@@ -41,13 +41,13 @@
             double allowed = policy.retryBudgetFloor() + policy.retryBudgetRatio() * accepted;
             maxShare = Math.max(maxShare, used / Math.max(MIN_BUDGET, allowed));
             if (used > allowed) {
-                findings.breach(
+                findings.addBreach(
                         "gateway "
                                 + gateway.index
                                 + " sent "
                                 + used
                                 + " further hops, allowed "
-                                + Findings.round(allowed));
+                                + Findings.format(allowed));
             }
         }
         return maxShare;
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -41,7 +41,7 @@
 
     /** The verdicts of all seven rules, in order. */
     public List<RuleVerdict> verdicts() {
-        return RULES.stream().map(rule -> rule.judge(evidence)).toList();
+        return RULES.stream().map(rule -> rule.evaluate(evidence)).toList();
     }
 
     /**
@@ -51,30 +51,30 @@
     public Map<String, Double> service() {
         Map<String, Double> shares = new TreeMap<>();
         for (VolumeSettings volume : evidence.site.volumes()) {
-            double due = 0;
-            double earned = 0;
+            double totalWeight = 0;
+            double servedWeight = 0;
             for (SocketEventLog.ClientRequest request : evidence.log.requests) {
                 if (request.volume == volume.id()) {
                     TrafficClass trafficClass =
                             evidence.site.deployment().trafficClasses().get(request.trafficClass);
-                    due += trafficClass.priorityWeight();
-                    earned += earnedWeight(request, trafficClass);
+                    totalWeight += trafficClass.priorityWeight();
+                    servedWeight += servedPriorityWeight(request, trafficClass);
                 }
             }
-            if (due > 0) {
-                shares.put(volume.name(), earned / due);
+            if (totalWeight > 0) {
+                shares.put(volume.name(), servedWeight / totalWeight);
             }
         }
         return shares;
     }
 
-    private static double earnedWeight(
+    private static double servedPriorityWeight(
             SocketEventLog.ClientRequest request, TrafficClass trafficClass) {
         if (request.replies != 1 || request.error != 0) {
             return 0;
         }
-        double took = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
-        return took <= trafficClass.latencyObjective()
+        double elapsedMillis = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
+        return elapsedMillis <= trafficClass.latencyObjective()
                 ? trafficClass.priorityWeight()
                 : trafficClass.priorityWeight() * trafficClass.lateWeightFraction();
     }
--- a/src/main/java/sagepulley/scenario/ScenarioGateways.java
+++ b/src/main/java/sagepulley/scenario/ScenarioGateways.java
@@ -20,26 +20,26 @@
     private static final int SEEDS_PER_SCENARIO = 1000;
 
     private final Scenario scenario;
-    private final ScenarioRunner.Opener opener;
+    private final ScenarioRunner.GatewayLauncher launcher;
     private final SocketEventLog eventLog;
     private final InetSocketAddress directory;
-    private final AtomicLong seeds;
+    private final AtomicLong lastSeed;
     private final List<LoadGenerator.GatewayTarget> targets = new ArrayList<>();
-    private final List<ScenarioRunner.Opener.Opened> opened = new CopyOnWriteArrayList<>();
+    private final List<ScenarioRunner.GatewayLauncher.RunningGateway> running = new CopyOnWriteArrayList<>();
     private final List<SocketEventLog.GatewayIncarnation> incarnations =
             new CopyOnWriteArrayList<>();
 
     /** Gateways of a scenario that find their nodes through a directory; none is open yet. */
     ScenarioGateways(
             Scenario scenario,
-            ScenarioRunner.Opener opener,
+            ScenarioRunner.GatewayLauncher launcher,
             SocketEventLog eventLog,
             InetSocketAddress directory) {
         this.scenario = scenario;
-        this.opener = opener;
+        this.launcher = launcher;
         this.eventLog = eventLog;
         this.directory = directory;
-        this.seeds = new AtomicLong(scenario.seed() * SEEDS_PER_SCENARIO);
+        this.lastSeed = new AtomicLong(scenario.seed() * SEEDS_PER_SCENARIO);
     }
 
     /** The configuration of one of a scenario's gateways. */
@@ -65,7 +65,7 @@
     void openAll() throws SiteConfigException {
         for (int i = 0; i < scenario.gateways(); i++) {
             targets.add(new LoadGenerator.GatewayTarget());
-            opened.add(null);
+            running.add(null);
             incarnations.add(null);
             open(i);
         }
@@ -74,8 +74,8 @@
     /** Ends one as by a kill, unless it has ended already. */
     void kill(int index) {
         targets.get(index).address = null;
-        incarnations.get(index).until = System.nanoTime();
-        ScenarioRunner.Opener.Opened gateway = opened.set(index, null);
+        incarnations.get(index).endedAt = System.nanoTime();
+        ScenarioRunner.GatewayLauncher.RunningGateway gateway = running.set(index, null);
         if (gateway != null) {
             gateway.kill().run();
         }
@@ -93,7 +93,7 @@
     /** Ends those that are open; gives their accounts as they would go to disk. */
     List<GatewayAccounts> closeAll() {
         List<GatewayAccounts> accounts = new ArrayList<>();
-        for (ScenarioRunner.Opener.Opened gateway : opened) {
+        for (ScenarioRunner.GatewayLauncher.RunningGateway gateway : running) {
             if (gateway != null) {
                 accounts.add(gateway.accounts().get());
                 gateway.kill().run();
@@ -103,11 +103,11 @@
     }
 
     private void open(int index) throws SiteConfigException {
-        long seed = seeds.incrementAndGet();
+        long seed = lastSeed.incrementAndGet();
         SocketEventLog.GatewayIncarnation incarnation =
                 eventLog.gatewayStarted(index, seed, System.nanoTime());
-        ScenarioRunner.Opener.Opened gateway = opener.open(site(scenario, index, directory), seed);
-        opened.set(index, gateway);
+        ScenarioRunner.GatewayLauncher.RunningGateway gateway = launcher.launch(site(scenario, index, directory), seed);
+        running.set(index, gateway);
         incarnations.set(index, incarnation);
         targets.get(index).gateway = seed;
         targets.get(index).address = gateway.address();
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -39,7 +39,7 @@
 
     /** Reads a script; errors name it so. */
     public static Scenario read(String name, String text) throws ScenarioException {
-        List<String> mistakes = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         BaseErrorListener listener =
                 new BaseErrorListener() {
                     @Override
@@ -50,7 +50,7 @@
                             int column,
                             String message,
                             RecognitionException cause) {
-                        mistakes.add(name + ":" + line + ":" + (column + 1) + ": " + message);
+                        errors.add(name + ":" + line + ":" + (column + 1) + ": " + message);
                     }
                 };
         Lexer lexer = new ScenarioLexer(CharStreams.fromString(text, name));
@@ -60,54 +60,54 @@
         parser.removeErrorListeners();
         parser.addErrorListener(listener);
         ScenarioParser.DayContext tree = parser.day();
-        if (mistakes.isEmpty()) {
-            Builder builder = new Builder(name, mistakes);
+        if (errors.isEmpty()) {
+            Builder builder = new Builder(name, errors);
             builder.visit(tree);
-            Scenario day = builder.day();
-            if (mistakes.isEmpty()) {
-                return day;
+            Scenario scenario = builder.build();
+            if (errors.isEmpty()) {
+                return scenario;
             }
         }
-        throw new ScenarioException(String.join("\n", mistakes));
+        throw new ScenarioException(String.join("\n", errors));
     }
 
     private static final class Builder extends ScenarioBaseVisitor<Void> {
         private final String file;
-        private final List<String> mistakes;
+        private final List<String> errors;
         private String name = "a day";
         private long seed = 1;
         private int gateways = 1;
         private int nodes = 6;
         private int slots = 4;
         private int queue = 64;
-        private double readCost = 2;
-        private double writeCost = 3;
+        private double readCostMillis = 2;
+        private double writeCostMillis = 3;
         private int zones = 2;
         private double deferredShare;
-        private double deferEvery = 1000;
+        private double deferIntervalMillis = 1000;
         private String site = "";
-        private double end = 10_000;
+        private double endMillis = 10_000;
         private final List<Scenario.Load> loads = new ArrayList<>();
         private final List<Scenario.Event> events = new ArrayList<>();
         private final List<Scenario.Expectation> expectations = new ArrayList<>();
         private final List<Scenario.KnownCause> causes = new ArrayList<>();
-        private double from;
-        private double to;
-        private double reads;
+        private double fromMillis;
+        private double toMillis;
+        private double readShare;
         private int bytes;
         private int extents;
         private int connections;
-        private int through;
+        private int gateway;
 
-        Builder(String file, List<String> mistakes) {
+        Builder(String file, List<String> errors) {
             this.file = file;
-            this.mistakes = mistakes;
+            this.errors = errors;
         }
 
-        Scenario day() {
-            List<Scenario.Load> ending = new ArrayList<>();
+        Scenario build() {
+            List<Scenario.Load> boundedLoads = new ArrayList<>();
             for (Scenario.Load load : loads) {
-                ending.add(
+                boundedLoads.add(
                         Double.isNaN(load.toMillis())
                                 ? new Scenario.Load(
                                         load.name(),
@@ -116,7 +116,7 @@
                                         load.readShare(),
                                         load.bytes(),
                                         load.fromMillis(),
-                                        end,
+                                        endMillis,
                                         load.extents(),
                                         load.connections(),
                                         load.gateway())
@@ -130,30 +130,30 @@
                             nodes,
                             slots,
                             queue,
-                            readCost,
-                            writeCost,
+                            readCostMillis,
+                            writeCostMillis,
                             zones,
                             deferredShare,
-                            deferEvery),
+                            deferIntervalMillis),
                     site.replace("${gateways}", "" + gateways),
-                    ending,
+                    boundedLoads,
                     events,
-                    end,
+                    endMillis,
                     expectations,
                     causes);
         }
 
-        private double number(Token token, double min, double max, String what) {
+        private double number(Token token, double min, double max, String quantity) {
             double value = Double.parseDouble(token.getText());
             if (value < min || value > max) {
-                mistakes.add(
+                errors.add(
                         file
                                 + ":"
                                 + token.getLine()
                                 + ":"
                                 + (token.getCharPositionInLine() + 1)
                                 + ": "
-                                + what
+                                + quantity
                                 + " is "
                                 + token.getText()
                                 + ", allowed is "
@@ -173,35 +173,35 @@
                     number(duration.NUMBER().getSymbol(), 0, MAX_TIME_MILLIS, "a time") * factor);
         }
 
-        private void mistake(ParserRuleContext where, String what) {
-            mistakes.add(
+        private void addError(ParserRuleContext context, String message) {
+            errors.add(
                     file
                             + ":"
-                            + where.start.getLine()
+                            + context.start.getLine()
                             + ":"
-                            + (where.start.getCharPositionInLine() + 1)
+                            + (context.start.getCharPositionInLine() + 1)
                             + ": "
-                            + what);
+                            + message);
         }
 
         @Override
-        public Void visitNamed(ScenarioParser.NamedContext it) {
-            name = it.TEXT().getText().replace("\"", "");
+        public Void visitNamed(ScenarioParser.NamedContext context) {
+            name = context.TEXT().getText().replace("\"", "");
             return null;
         }
 
         @Override
-        public Void visitSeed(ScenarioParser.SeedContext it) {
-            seed = (long) number(it.NUMBER().getSymbol(), 0, 1e15, "the seed");
+        public Void visitSeed(ScenarioParser.SeedContext context) {
+            seed = (long) number(context.NUMBER().getSymbol(), 0, 1e15, "the seed");
             return null;
         }
 
         @Override
-        public Void visitGateways(ScenarioParser.GatewaysContext it) {
+        public Void visitGateways(ScenarioParser.GatewaysContext context) {
             gateways =
                     (int)
                             number(
-                                    it.NUMBER().getSymbol(),
+                                    context.NUMBER().getSymbol(),
                                     1,
                                     MAX_GATEWAYS,
                                     "the number of gateways");
@@ -209,107 +209,107 @@
         }
 
         @Override
-        public Void visitNodes(ScenarioParser.NodesContext it) {
-            nodes = (int) number(it.NUMBER().getSymbol(), 1, MAX_NODES, "the number of nodes");
-            return visitChildren(it);
+        public Void visitNodes(ScenarioParser.NodesContext context) {
+            nodes = (int) number(context.NUMBER().getSymbol(), 1, MAX_NODES, "the number of nodes");
+            return visitChildren(context);
         }
 
         @Override
-        public Void visitSlots(ScenarioParser.SlotsContext it) {
-            slots = (int) number(it.NUMBER().getSymbol(), 1, 1024, "slots");
+        public Void visitSlots(ScenarioParser.SlotsContext context) {
+            slots = (int) number(context.NUMBER().getSymbol(), 1, 1024, "slots");
             return null;
         }
 
         @Override
-        public Void visitQueue(ScenarioParser.QueueContext it) {
-            queue = (int) number(it.NUMBER().getSymbol(), 1, 100_000, "the queue");
+        public Void visitQueue(ScenarioParser.QueueContext context) {
+            queue = (int) number(context.NUMBER().getSymbol(), 1, 100_000, "the queue");
             return null;
         }
 
         @Override
-        public Void visitReadCost(ScenarioParser.ReadCostContext it) {
-            readCost = millis(it.duration());
+        public Void visitReadCost(ScenarioParser.ReadCostContext context) {
+            readCostMillis = millis(context.duration());
             return null;
         }
 
         @Override
-        public Void visitWriteCost(ScenarioParser.WriteCostContext it) {
-            writeCost = millis(it.duration());
+        public Void visitWriteCost(ScenarioParser.WriteCostContext context) {
+            writeCostMillis = millis(context.duration());
             return null;
         }
 
         @Override
-        public Void visitHalls(ScenarioParser.HallsContext it) {
-            zones = (int) number(it.NUMBER().getSymbol(), 1, 16, "the number of halls");
+        public Void visitHalls(ScenarioParser.HallsContext context) {
+            zones = (int) number(context.NUMBER().getSymbol(), 1, 16, "the number of halls");
             return null;
         }
 
         @Override
-        public Void visitDefer(ScenarioParser.DeferContext it) {
-            deferredShare = number(it.NUMBER().getSymbol(), 0, 100, "the share") / 100;
-            deferEvery = Math.max(1, millis(it.duration()));
+        public Void visitDefer(ScenarioParser.DeferContext context) {
+            deferredShare = number(context.NUMBER().getSymbol(), 0, 100, "the share") / 100;
+            deferIntervalMillis = Math.max(1, millis(context.duration()));
             return null;
         }
 
         @Override
-        public Void visitSite(ScenarioParser.SiteContext it) {
-            String text = it.BLOCK().getText();
+        public Void visitSite(ScenarioParser.SiteContext context) {
+            String text = context.BLOCK().getText();
             site = text.substring(2, text.length() - 2);
             return null;
         }
 
         @Override
-        public Void visitSiteNamed(ScenarioParser.SiteNamedContext it) {
+        public Void visitSiteNamed(ScenarioParser.SiteNamedContext context) {
             try {
-                site = ScenarioRunner.readResource(it.TEXT().getText().replace("\"", "") + ".site");
+                site = ScenarioRunner.readResource(context.TEXT().getText().replace("\"", "") + ".site");
             } catch (ScenarioException e) {
-                mistake(it, e.getMessage());
+                addError(context, e.getMessage());
             }
             return null;
         }
 
         @Override
-        public Void visitLoad(ScenarioParser.LoadContext it) {
-            from = 0;
-            to = Double.NaN;
-            reads = 0.7;
+        public Void visitLoad(ScenarioParser.LoadContext context) {
+            fromMillis = 0;
+            toMillis = Double.NaN;
+            readShare = 0.7;
             bytes = 16 << 10;
             extents = Integer.MAX_VALUE;
             connections = 1;
-            through = 0;
-            visitChildren(it);
+            gateway = 0;
+            visitChildren(context);
             loads.add(
                     new Scenario.Load(
-                            it.WORD(0).getText(),
-                            it.WORD(1).getText(),
+                            context.WORD(0).getText(),
+                            context.WORD(1).getText(),
                             number(
-                                    it.NUMBER().getSymbol(),
+                                    context.NUMBER().getSymbol(),
                                     0.01,
                                     MAX_REQUESTS_PER_SECOND,
                                     "the rate"),
-                            reads,
+                            readShare,
                             bytes,
-                            from,
-                            to,
+                            fromMillis,
+                            toMillis,
                             extents,
                             connections,
-                            through));
+                            gateway));
             return null;
         }
 
         @Override
-        public Void visitReads(ScenarioParser.ReadsContext it) {
-            reads = number(it.NUMBER().getSymbol(), 0, 100, "the share of reads") / 100;
+        public Void visitReads(ScenarioParser.ReadsContext context) {
+            readShare = number(context.NUMBER().getSymbol(), 0, 100, "the share of reads") / 100;
             return null;
         }
 
         @Override
-        public Void visitSize(ScenarioParser.SizeContext it) {
-            double factor = it.UNIT().getText().equals("KiB") ? 1 << 10 : 1 << 20;
-            bytes = (int) (number(it.NUMBER().getSymbol(), 0, 32 << 10, "the size") * factor);
+        public Void visitSize(ScenarioParser.SizeContext context) {
+            double factor = context.UNIT().getText().equals("KiB") ? 1 << 10 : 1 << 20;
+            bytes = (int) (number(context.NUMBER().getSymbol(), 0, 32 << 10, "the size") * factor);
             if (bytes < 4096 || bytes > 32 << 20 || bytes % 4096 != 0) {
-                mistake(
-                        it,
+                addError(
+                        context,
                         "the size is "
                                 + bytes
                                 + " bytes, allowed are multiples of 4 KiB up to 32 MiB");
@@ -319,85 +319,85 @@
         }
 
         @Override
-        public Void visitFrom(ScenarioParser.FromContext it) {
-            from = millis(it.duration());
+        public Void visitFrom(ScenarioParser.FromContext context) {
+            fromMillis = millis(context.duration());
             return null;
         }
 
         @Override
-        public Void visitTo(ScenarioParser.ToContext it) {
-            to = millis(it.duration());
+        public Void visitTo(ScenarioParser.ToContext context) {
+            toMillis = millis(context.duration());
             return null;
         }
 
         @Override
-        public Void visitExtents(ScenarioParser.ExtentsContext it) {
-            extents = (int) number(it.NUMBER().getSymbol(), 1, 1e9, "the number of extents");
+        public Void visitExtents(ScenarioParser.ExtentsContext context) {
+            extents = (int) number(context.NUMBER().getSymbol(), 1, 1e9, "the number of extents");
             return null;
         }
 
         @Override
-        public Void visitConnections(ScenarioParser.ConnectionsContext it) {
+        public Void visitConnections(ScenarioParser.ConnectionsContext context) {
             connections =
-                    (int) number(it.NUMBER().getSymbol(), 1, 256, "the number of connections");
+                    (int) number(context.NUMBER().getSymbol(), 1, 256, "the number of connections");
             return null;
         }
 
         @Override
-        public Void visitThrough(ScenarioParser.ThroughContext it) {
-            through = (int) number(it.NUMBER().getSymbol(), 1, gateways, "the gateway");
+        public Void visitThrough(ScenarioParser.ThroughContext context) {
+            gateway = (int) number(context.NUMBER().getSymbol(), 1, gateways, "the gateway");
             return null;
         }
 
         @Override
-        public Void visitCause(ScenarioParser.CauseContext it) {
+        public Void visitCause(ScenarioParser.CauseContext context) {
             causes.add(
                     new Scenario.KnownCause(
-                            it.WORD().getText(),
-                            List.of(it.TEXT().getText().replace("\"", "").split("\\s+or\\s+"))));
+                            context.WORD().getText(),
+                            List.of(context.TEXT().getText().replace("\"", "").split("\\s+or\\s+"))));
             return null;
         }
 
         @Override
-        public Void visitAt(ScenarioParser.AtContext it) {
-            double at = millis(it.duration(0));
-            double until = it.duration().size() > 1 ? at + millis(it.duration(1)) : Double.NaN;
-            ScenarioParser.EventContext what = it.event();
-            if (what instanceof ScenarioParser.NodeEventContext node) {
-                events.add(nodeEvent(node, at, until));
-            } else if (what instanceof ScenarioParser.DirectoryEventContext directory) {
+        public Void visitAt(ScenarioParser.AtContext context) {
+            double atMillis = millis(context.duration(0));
+            double untilMillis = context.duration().size() > 1 ? atMillis + millis(context.duration(1)) : Double.NaN;
+            ScenarioParser.EventContext event = context.event();
+            if (event instanceof ScenarioParser.NodeEventContext node) {
+                events.add(nodeEvent(node, atMillis, untilMillis));
+            } else if (event instanceof ScenarioParser.DirectoryEventContext directory) {
                 ScenarioParser.DirectoryFaultContext fault = directory.directoryFault();
                 Scenario.Fault kind =
                         Scenario.Fault.valueOf(
                                 "DIRECTORY_"
                                         + fault.getChild(0).getText().toUpperCase(Locale.ROOT));
                 double magnitude = fault.duration() == null ? 0 : millis(fault.duration());
-                events.add(new Scenario.Event(at, kind, List.of(), magnitude, "", until));
-            } else if (what instanceof ScenarioParser.GatewayKilledContext killed) {
-                int which = (int) number(killed.NUMBER().getSymbol(), 1, gateways, "the gateway");
+                events.add(new Scenario.Event(atMillis, kind, List.of(), magnitude, "", untilMillis));
+            } else if (event instanceof ScenarioParser.GatewayKilledContext killed) {
+                int index = (int) number(killed.NUMBER().getSymbol(), 1, gateways, "the gateway");
                 events.add(
                         new Scenario.Event(
-                                at, Scenario.Fault.GATEWAY_KILLED, List.of(which), 0, "", until));
-            } else if (what instanceof ScenarioParser.SurgeContext surge) {
-                String load = surge.WORD().getText();
-                if (loads.stream().noneMatch(known -> known.name().equals(load))) {
-                    mistake(surge, "no load is called " + load);
+                                atMillis, Scenario.Fault.GATEWAY_KILLED, List.of(index), 0, "", untilMillis));
+            } else if (event instanceof ScenarioParser.SurgeContext surge) {
+                String loadName = surge.WORD().getText();
+                if (loads.stream().noneMatch(load -> load.name().equals(loadName))) {
+                    addError(surge, "no load is called " + loadName);
                 }
                 events.add(
                         new Scenario.Event(
-                                at,
+                                atMillis,
                                 Scenario.Fault.SURGE,
                                 List.of(),
                                 number(surge.NUMBER().getSymbol(), 0, 1000, "the factor"),
-                                load,
-                                until));
+                                loadName,
+                                untilMillis));
             }
             return null;
         }
 
         private Scenario.Event nodeEvent(
-                ScenarioParser.NodeEventContext it, double at, double until) {
-            String word = it.fault().getChild(0).getText();
+                ScenarioParser.NodeEventContext context, double atMillis, double untilMillis) {
+            String word = context.fault().getChild(0).getText();
             Scenario.Fault fault =
                     switch (word) {
                         case "restarts" -> Scenario.Fault.RESTARTS_COLD;
@@ -405,25 +405,25 @@
                         default -> Scenario.Fault.valueOf(word.toUpperCase(Locale.ROOT));
                     };
             double magnitude =
-                    it.fault().NUMBER() == null
+                    context.fault().NUMBER() == null
                             ? 0
-                            : number(it.fault().NUMBER().getSymbol(), 0, 10_000, "how much");
+                            : number(context.fault().NUMBER().getSymbol(), 0, 10_000, "how much");
             if (fault == Scenario.Fault.LOSING || fault == Scenario.Fault.ERRING) {
                 magnitude = Math.min(100, magnitude) / 100;
             }
-            return new Scenario.Event(at, fault, targets(it.target()), magnitude, "", until);
+            return new Scenario.Event(atMillis, fault, targets(context.target()), magnitude, "", untilMillis);
         }
 
         private List<Integer> targets(ScenarioParser.TargetContext target) {
             if (target instanceof ScenarioParser.NodeNumbersContext numbers) {
                 return numbers.NUMBER().stream()
-                        .map(one -> (int) number(one.getSymbol(), 1, nodes, "the node"))
+                        .map(token -> (int) number(token.getSymbol(), 1, nodes, "the node"))
                         .toList();
             }
             if (target instanceof ScenarioParser.HallContext hall) {
-                int which = (int) number(hall.NUMBER().getSymbol(), 1, zones, "the hall");
+                int index = (int) number(hall.NUMBER().getSymbol(), 1, zones, "the hall");
                 return IntStream.rangeClosed(1, nodes)
-                        .filter(node -> (node - 1) % zones == which - 1)
+                        .filter(node -> (node - 1) % zones == index - 1)
                         .boxed()
                         .toList();
             }
@@ -431,17 +431,17 @@
         }
 
         @Override
-        public Void visitEnd(ScenarioParser.EndContext it) {
-            end = Math.max(100, millis(it.duration()));
+        public Void visitEnd(ScenarioParser.EndContext context) {
+            endMillis = Math.max(100, millis(context.duration()));
             return null;
         }
 
         @Override
-        public Void visitExpect(ScenarioParser.ExpectContext it) {
+        public Void visitExpect(ScenarioParser.ExpectContext context) {
             expectations.add(
                     new Scenario.Expectation(
-                            it.WORD().getText(),
-                            number(it.NUMBER().getSymbol(), 0, 100, "the service") / 100));
+                            context.WORD().getText(),
+                            number(context.NUMBER().getSymbol(), 0, 100, "the service") / 100));
             return null;
         }
     }
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -27,8 +27,8 @@
  */
 public final class ScenarioRunner {
     private static final int CLUSTER_LOOPS = 3;
-    private static final long MAX_END_WAIT_MILLIS = 30_000;
-    private static final long END_POLL_MILLIS = 10;
+    private static final long MAX_OPEN_REQUEST_WAIT_MILLIS = 30_000;
+    private static final long OPEN_REQUEST_POLL_MILLIS = 10;
 
     /**
      * The result of a scenario.
@@ -52,22 +52,22 @@
     }
 
     /** Opens a gateway; tests put a broken one in its place. */
-    public interface Opener {
+    public interface GatewayLauncher {
         /** A running gateway: where clients connect, its end as by a kill, and its accounts. */
-        record Opened(
+        record RunningGateway(
                 InetSocketAddress address, Runnable kill, Supplier<GatewayAccounts> accounts) {}
 
         /** Opens a gateway; the seed is also the number of its incarnation. */
-        Opened open(SiteConfig site, long seed);
+        RunningGateway launch(SiteConfig site, long seed);
     }
 
     private final Scenario scenario;
-    private final Opener opener;
+    private final GatewayLauncher launcher;
     private final SocketEventLog eventLog = new SocketEventLog();
     private final BlockHistory history = new BlockHistory();
     private final List<LoadGenerator> loads = new ArrayList<>();
     private final List<GatewayAccounts> accounts = new ArrayList<>();
-    private final ScheduledExecutorService script =
+    private final ScheduledExecutorService scriptExecutor =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
                         Thread thread = new Thread(task, "script");
@@ -77,18 +77,18 @@
 
     /** A run of a scenario through this program's own gateways. */
     public ScenarioRunner(Scenario scenario) {
-        this(scenario, ScenarioRunner::openGateway);
+        this(scenario, ScenarioRunner::launchGateway);
     }
 
     /** A run of a scenario through gateways of another kind. */
-    public ScenarioRunner(Scenario scenario, Opener opener) {
+    public ScenarioRunner(Scenario scenario, GatewayLauncher launcher) {
         this.scenario = scenario;
-        this.opener = opener;
+        this.launcher = launcher;
     }
 
-    private static Opener.Opened openGateway(SiteConfig site, long seed) {
+    private static GatewayLauncher.RunningGateway launchGateway(SiteConfig site, long seed) {
         NbdGateway gateway = LocalCluster.await(new NbdGateway(site, seed).start());
-        return new Opener.Opened(
+        return new GatewayLauncher.RunningGateway(
                 gateway.address(),
                 () -> LocalCluster.await(gateway.kill()),
                 () -> LocalCluster.await(gateway.accountSnapshot()));
@@ -102,28 +102,28 @@
                 LocalCluster cluster = LocalCluster.start(profiles, eventLog, CLUSTER_LOOPS)) {
             stalls.watch(cluster.loops());
             ScenarioGateways gateways =
-                    new ScenarioGateways(scenario, opener, eventLog, cluster.directory().address());
+                    new ScenarioGateways(scenario, launcher, eventLog, cluster.directory().address());
             gateways.openAll();
             for (Scenario.Load load : scenario.loads()) {
                 loads.add(
                         new LoadGenerator(
                                 load,
                                 site,
-                                volume(site, load),
+                                findVolume(site, load),
                                 gateways.targets(),
                                 eventLog,
                                 history,
                                 cluster.loops(),
                                 scenario.seed() * 31 + loads.size()));
             }
-            play(new FaultInjector(cluster, gateways, loads));
+            runScript(new FaultInjector(cluster, gateways, loads));
             accounts.addAll(gateways.closeAll());
             synchronized (eventLog) {
                 double stallMillis = stalls.worstStallMillis();
                 return result(new RuleChecker(eventLog, site, profiles, stallMillis), stallMillis);
             }
         } finally {
-            script.shutdownNow();
+            scriptExecutor.shutdownNow();
         }
     }
 
@@ -160,7 +160,7 @@
         return profiles;
     }
 
-    private static VolumeSettings volume(SiteConfig site, Scenario.Load load)
+    private static VolumeSettings findVolume(SiteConfig site, Scenario.Load load)
             throws SiteConfigException {
         return site.volumes().stream()
                 .filter(volume -> volume.name().equals(load.volume()))
@@ -174,32 +174,32 @@
                                                 + load.volume()));
     }
 
-    private void play(FaultInjector faults) {
+    private void runScript(FaultInjector faults) {
         long start = System.nanoTime();
         for (Scenario.Event event : scenario.events()) {
-            script.schedule(
+            scriptExecutor.schedule(
                     () -> faults.begin(event), (long) event.atMillis(), TimeUnit.MILLISECONDS);
             if (!Double.isNaN(event.untilMillis())) {
-                script.schedule(
+                scriptExecutor.schedule(
                         () -> faults.end(event), (long) event.untilMillis(), TimeUnit.MILLISECONDS);
             }
         }
         loads.forEach(load -> load.start(start));
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        script.schedule(
-                () -> over.complete(null), (long) scenario.endMillis(), TimeUnit.MILLISECONDS);
-        over.join();
+        CompletableFuture<Void> ended = new CompletableFuture<>();
+        scriptExecutor.schedule(
+                () -> ended.complete(null), (long) scenario.endMillis(), TimeUnit.MILLISECONDS);
+        ended.join();
         loads.forEach(LoadGenerator::stop);
         awaitOpenRequests();
         loads.forEach(LoadGenerator::close);
     }
 
     private void awaitOpenRequests() {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_END_WAIT_MILLIS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_OPEN_REQUEST_WAIT_MILLIS);
         while (loads.stream().anyMatch(load -> load.openRequests() > 0)
-                && System.nanoTime() < until) {
+                && System.nanoTime() < deadlineNanos) {
             try {
-                Thread.sleep(END_POLL_MILLIS);
+                Thread.sleep(OPEN_REQUEST_POLL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -221,13 +221,13 @@
                 scenario.name(),
                 verdicts,
                 service,
-                unmet(service),
+                unmetExpectations(service),
                 eventLog.requests.size(),
                 eventLog.received.size(),
                 stallMillis);
     }
 
-    private List<String> unmet(Map<String, Double> service) {
+    private List<String> unmetExpectations(Map<String, Double> service) {
         List<String> unmet = new ArrayList<>();
         for (Scenario.Expectation expected : scenario.expectations()) {
             double share = service.getOrDefault(expected.volume(), 0.0);
--- a/src/main/java/sagepulley/scenario/SingleEffectRule.java
+++ b/src/main/java/sagepulley/scenario/SingleEffectRule.java
@@ -9,7 +9,7 @@
 /** Rule 2: no operation has its effect twice, unless its traffic class is idempotent. */
 final class SingleEffectRule implements Rule {
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
         checkExecutions(evidence, findings);
         int retries = 0;
@@ -34,9 +34,9 @@
             int count = executions.merge(operation, 1, Integer::sum);
             TrafficClass trafficClass = evidence.trafficClass(executed.send());
             if (count > 1 && trafficClass.idempotency() != TrafficClass.Idempotency.IDEMPOTENT) {
-                findings.breach(
+                findings.addBreach(
                         "operation "
-                                + operation.mark()
+                                + operation.operationId()
                                 + " of band "
                                 + trafficClass.name()
                                 + " ran "
@@ -50,28 +50,28 @@
             Evidence evidence,
             Findings findings,
             OperationKey operation,
-            SocketEventLog.AttemptReceived before,
+            SocketEventLog.AttemptReceived previous,
             SocketEventLog.AttemptReceived retry) {
         TrafficClass trafficClass = evidence.trafficClass(retry.send());
         SocketEventLog.AttemptAnswered answer =
-                evidence.answerTo(operation, before.send().attemptNumber());
+                evidence.answerTo(operation, previous.send().attemptNumber());
         if (neverExecuted(answer, retry)) {
             return;
         }
         if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
-            findings.breach(
+            findings.addBreach(
                     "unrepeatable operation "
-                            + operation.mark()
+                            + operation.operationId()
                             + " was sent again though it may have run");
         } else if (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
                 && trafficClass.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
-                && before.node() != retry.node()) {
-            findings.breach(
-                    "deduplicated operation " + operation.mark() + " was sent to another cell");
+                && previous.node() != retry.node()) {
+            findings.addBreach(
+                    "deduplicated operation " + operation.operationId() + " was sent to another cell");
         }
-        if (!isOver(evidence, operation, before, answer, retry)
+        if (!hasEnded(evidence, operation, previous, answer, retry)
                 && !evidence.policy().hedgingAllowed()) {
-            findings.breach("two hops of operation " + operation.mark() + " were out at once");
+            findings.addBreach("two hops of operation " + operation.operationId() + " were out at once");
         }
     }
 
@@ -87,21 +87,21 @@
     }
 
     /** Whether the attempt before was answered, cancelled or cut off when the retry came. */
-    private static boolean isOver(
+    private static boolean hasEnded(
             Evidence evidence,
             OperationKey operation,
-            SocketEventLog.AttemptReceived before,
+            SocketEventLog.AttemptReceived previous,
             SocketEventLog.AttemptAnswered answer,
             SocketEventLog.AttemptReceived retry) {
-        double latest = retry.at() + evidence.allowanceNanos();
-        if (answer != null && answer.at() <= latest) {
+        double latestNanos = retry.at() + evidence.toleranceNanos();
+        if (answer != null && answer.at() <= latestNanos) {
             return true;
         }
         return evidence.cancellations(operation).stream()
                         .anyMatch(
                                 cancelled ->
-                                        cancelled.number() == before.send().attemptNumber()
-                                                && cancelled.at() <= latest)
-                || evidence.connectionEnded(before, retry.at());
+                                        cancelled.attemptNumber() == previous.send().attemptNumber()
+                                                && cancelled.at() <= latestNanos)
+                || evidence.connectionEnded(previous, retry.at());
     }
 }
--- a/src/main/java/sagepulley/scenario/SlowStartRule.java
+++ b/src/main/java/sagepulley/scenario/SlowStartRule.java
@@ -10,7 +10,7 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         double maxShare = 0;
         for (SocketEventLog.NodeStarted start : evidence.log.nodeStarts) {
             if (Double.isFinite(start.unitsPerSecond())) {
@@ -19,11 +19,11 @@
         }
         Findings findings = new Findings();
         for (SocketEventLog.NodeCollapsed collapse : evidence.log.collapses) {
-            findings.breach("node " + collapse.node() + " was pushed over");
+            findings.addBreach("node " + collapse.node() + " was pushed over");
         }
         return findings.verdict(
                 "4 no cold node pushed over",
-                "at most " + Findings.round(100 * maxShare) + " % of what it bears",
+                "at most " + Findings.format(100 * maxShare) + " % of what it bears",
                 "100 %");
     }
 
@@ -46,14 +46,14 @@
             while (millisBetween(window.peek().at(), attempt.at()) > policy.overloadWindow()) {
                 units -= window.poll().send().units();
             }
-            double bearable = bearableUnits(policy, node, start.unitsPerSecond(), ageMillis);
-            max = Math.max(max, units / bearable);
+            double thresholdUnits = collapseThresholdUnits(policy, node, start.unitsPerSecond(), ageMillis);
+            max = Math.max(max, units / thresholdUnits);
         }
         return max;
     }
 
     /** Units within the overload window that a node bears at an age. */
-    private static double bearableUnits(
+    private static double collapseThresholdUnits(
             ServicePolicy policy, NodeProfile node, double unitsPerSecond, double ageMillis) {
         double capacityShare =
                 Math.min(
--- a/src/main/java/sagepulley/scenario/SocketEventLog.java
+++ b/src/main/java/sagepulley/scenario/SocketEventLog.java
@@ -21,14 +21,14 @@
     public record AttemptAnswered(
             int node,
             long gateway,
-            long mark,
-            int number,
+            long operationId,
+            int attemptNumber,
             StoreMessages.Code code,
             boolean lost,
             long at) {}
 
     /** An attempt that its gateway cancelled. */
-    public record AttemptCancelled(int node, long gateway, long mark, int number, long at) {}
+    public record AttemptCancelled(int node, long gateway, long operationId, int attemptNumber, long at) {}
 
     /** A node's start; its capacity in units a second is NaN where it started warm. */
     public record NodeStarted(int node, double unitsPerSecond, long at) {}
@@ -44,13 +44,13 @@
     public static final class GatewayIncarnation {
         public final int index;
         public final long gateway;
-        public final long from;
-        public volatile long until = Long.MAX_VALUE;
+        public final long startedAt;
+        public volatile long endedAt = Long.MAX_VALUE;
 
-        GatewayIncarnation(int index, long gateway, long from) {
+        GatewayIncarnation(int index, long gateway, long startedAt) {
             this.index = index;
             this.gateway = gateway;
-            this.from = from;
+            this.startedAt = startedAt;
         }
     }
 
@@ -77,14 +77,14 @@
                 int trafficClass,
                 long offset,
                 int length,
-                long sent) {
+                long sentAt) {
             this.gateway = gateway;
             this.volume = volume;
             this.kind = kind;
             this.trafficClass = trafficClass;
             this.offset = offset;
             this.length = length;
-            this.sentAt = sent;
+            this.sentAt = sentAt;
         }
     }
 
@@ -114,18 +114,18 @@
     public synchronized void attemptAnswered(
             int node,
             long gateway,
-            long mark,
-            int number,
+            long operationId,
+            int attemptNumber,
             StoreMessages.Code code,
             boolean lost,
             long nanos) {
-        answered.add(new AttemptAnswered(node, gateway, mark, number, code, lost, nanos));
+        answered.add(new AttemptAnswered(node, gateway, operationId, attemptNumber, code, lost, nanos));
     }
 
     @Override
     public synchronized void attemptCancelled(
-            int node, long gateway, long mark, int number, long nanos) {
-        cancelled.add(new AttemptCancelled(node, gateway, mark, number, nanos));
+            int node, long gateway, long operationId, int attemptNumber, long nanos) {
+        cancelled.add(new AttemptCancelled(node, gateway, operationId, attemptNumber, nanos));
     }
 
     @Override
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -31,10 +31,10 @@
 
         synchronized void tick() {
             long now = System.nanoTime();
-            double late =
+            double lateMillis =
                     (now - lastTickNanos) / NANOS_PER_MILLI - TICK_MILLIS - EXPECTED_DELAY_MILLIS;
-            if (late > 0) {
-                stalls.add(new Stall(now / NANOS_PER_MILLI, late));
+            if (lateMillis > 0) {
+                stalls.add(new Stall(now / NANOS_PER_MILLI, lateMillis));
             }
             lastTickNanos = now;
         }
@@ -43,10 +43,10 @@
             tick();
             double worst = 0;
             double sum = 0;
-            for (int first = 0, i = 0; i < stalls.size(); i++) {
+            for (int windowStart = 0, i = 0; i < stalls.size(); i++) {
                 sum += stalls.get(i).lateMillis();
-                while (stalls.get(i).atMillis() - stalls.get(first).atMillis() > WINDOW_MILLIS) {
-                    sum -= stalls.get(first++).lateMillis();
+                while (stalls.get(i).atMillis() - stalls.get(windowStart).atMillis() > WINDOW_MILLIS) {
+                    sum -= stalls.get(windowStart++).lateMillis();
                 }
                 worst = Math.max(worst, sum);
             }
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -62,7 +62,7 @@
 
     /** Asks one request; told whether it went well. */
     private interface RequestSender {
-        void send(int number, Consumer<Boolean> ended);
+        void send(int requestNumber, Consumer<Boolean> onEnd);
     }
 
     /** Runs all kinds, sizes and depths. */
@@ -86,25 +86,25 @@
                         .release();
             }
             DirectClient direct = new DirectClient(cluster.nodes(), EXTENT_BYTES, clients.next());
-            for (boolean reads : new boolean[] {true, false}) {
+            for (boolean isRead : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
                     for (int depth : depths) {
                         ByteBuf data = Unpooled.directBuffer(bytes).writeZero(bytes);
-                        RequestSender straight =
-                                (number, ended) ->
+                        RequestSender directSender =
+                                (requestNumber, onEnd) ->
                                         direct.send(
-                                                reads,
-                                                number % EXTENTS,
-                                                number / EXTENTS % (EXTENT_BYTES / bytes) * bytes,
+                                                isRead,
+                                                requestNumber % EXTENTS,
+                                                requestNumber / EXTENTS % (EXTENT_BYTES / bytes) * bytes,
                                                 bytes,
                                                 data,
-                                                ended);
+                                                onEnd);
                         rows.add(
-                                row(
+                                measureRow(
                                         clients.next(),
-                                        straight,
-                                        through(client, reads, bytes, data),
-                                        reads,
+                                        directSender,
+                                        gatewaySender(client, isRead, bytes, data),
+                                        isRead,
                                         bytes,
                                         depth));
                         data.release();
@@ -119,24 +119,24 @@
     }
 
     /** The way through a gateway. */
-    private static RequestSender through(NbdClient client, boolean reads, int bytes, ByteBuf data) {
-        int places = EXTENT_BYTES / bytes;
-        return (number, ended) -> {
+    private static RequestSender gatewaySender(NbdClient client, boolean isRead, int bytes, ByteBuf data) {
+        int positions = EXTENT_BYTES / bytes;
+        return (requestNumber, onEnd) -> {
             long offset =
-                    (number % EXTENTS) * (long) EXTENT_BYTES
-                            + number / EXTENTS % places * (long) bytes;
+                    (requestNumber % EXTENTS) * (long) EXTENT_BYTES
+                            + requestNumber / EXTENTS % positions * (long) bytes;
             client.request(
-                    reads ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
+                    isRead ? NbdConstants.CMD_READ : NbdConstants.CMD_WRITE,
                     0,
                     offset,
                     bytes,
-                    reads ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate(),
+                    isRead ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate(),
                     (reply, failure) -> {
-                        boolean good = failure == null && reply.error == 0;
+                        boolean succeeded = failure == null && reply.error == 0;
                         if (reply != null) {
                             reply.release();
                         }
-                        ended.accept(good);
+                        onEnd.accept(succeeded);
                     });
         };
     }
@@ -153,9 +153,9 @@
         List<Row> rows = new ArrayList<>();
         try (LocalCluster cluster = LocalCluster.start(profiles(nodes), TrafficRecorder.NO_OP, 2)) {
             String site = LocalCluster.demoSite("gw", 0, 2, 0, cluster.directory().address());
-            NbdClient[] sides = new NbdClient[2];
+            NbdClient[] sideClients = new NbdClient[2];
             for (int i = 0; i < 2; i++) {
-                String extra =
+                String sections =
                         i == 0 || records == RecordKeeping.NEITHER
                                 ? "\n[accounts]\nkeep = no\n"
                                 : "\n[accounts]\nfile = "
@@ -165,8 +165,8 @@
                                                 : "")
                                         + "\n";
                 NbdGateway gateway =
-                        cluster.open(site.replace("name = gw", "name = gw" + i) + extra, i + 1);
-                sides[i] =
+                        cluster.open(site.replace("name = gw", "name = gw" + i) + sections, i + 1);
+                sideClients[i] =
                         LocalCluster.await(
                                 NbdClient.open(
                                         clients,
@@ -176,28 +176,28 @@
                                         NbdClient.Style.GO));
             }
             for (int i = 0; i < EXTENTS; i++) {
-                LocalCluster.await(sides[0].write(i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
+                LocalCluster.await(sideClients[0].write(i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
                         .release();
-                LocalCluster.await(sides[1].read(i * (long) EXTENT_BYTES, 4096)).release();
+                LocalCluster.await(sideClients[1].read(i * (long) EXTENT_BYTES, 4096)).release();
             }
-            for (boolean reads : new boolean[] {true, false}) {
+            for (boolean isRead : new boolean[] {true, false}) {
                 for (int bytes : sizes) {
                     for (int depth : depths) {
                         ByteBuf data = Unpooled.directBuffer(bytes).writeZero(bytes);
                         rows.add(
-                                row(
+                                measureRow(
                                         clients.next(),
-                                        through(sides[0], reads, bytes, data),
-                                        through(sides[1], reads, bytes, data),
-                                        reads,
+                                        gatewaySender(sideClients[0], isRead, bytes, data),
+                                        gatewaySender(sideClients[1], isRead, bytes, data),
+                                        isRead,
                                         bytes,
                                         depth));
                         data.release();
                     }
                 }
             }
-            for (NbdClient side : sides) {
-                side.channel().close().syncUninterruptibly();
+            for (NbdClient client : sideClients) {
+                client.channel().close().syncUninterruptibly();
             }
         } finally {
             clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -208,7 +208,7 @@
     private static List<NodeProfile> profiles(int nodes) {
         List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            NodeProfile quick = NodeProfile.quick(i, EXTENT_BYTES);
+            NodeProfile defaults = NodeProfile.quick(i, EXTENT_BYTES);
             profiles.add(
                     new NodeProfile(
                             i,
@@ -220,11 +220,11 @@
                             0,
                             4096,
                             EXTENT_BYTES,
-                            quick.slowStartShare(),
-                            quick.slowStartMillis(),
-                            quick.overloadMultiple(),
-                            quick.overloadWindowMillis(),
-                            quick.slowStartUnits(),
+                            defaults.slowStartShare(),
+                            defaults.slowStartMillis(),
+                            defaults.overloadMultiple(),
+                            defaults.overloadWindowMillis(),
+                            defaults.slowStartUnits(),
                             0,
                             1000,
                             null));
@@ -232,100 +232,100 @@
         return profiles;
     }
 
-    private Row row(
+    private Row measureRow(
             EventLoop loop,
-            RequestSender straight,
-            RequestSender through,
-            boolean reads,
+            RequestSender directSender,
+            RequestSender viaGateway,
+            boolean isRead,
             int bytes,
             int depth) {
-        Totals a = new Totals();
-        Totals b = new Totals();
-        phase(loop, straight, depth, seconds / 2, new Totals());
-        phase(loop, through, depth, seconds / 2, new Totals());
+        Totals directTotals = new Totals();
+        Totals gatewayTotals = new Totals();
+        runPhase(loop, directSender, depth, seconds / 2, new Totals());
+        runPhase(loop, viaGateway, depth, seconds / 2, new Totals());
         for (int i = 0; i < rounds; i++) {
-            for (boolean first : new boolean[] {i % 2 == 0, i % 2 != 0}) {
-                Totals totals = first ? a : b;
-                long[] before = gatewayThreads();
-                phase(loop, first ? straight : through, depth, seconds / rounds, totals);
-                long[] after = gatewayThreads();
-                totals.heap += after[0] - before[0];
-                totals.cpu += after[1] - before[1];
+            for (boolean isDirect : new boolean[] {i % 2 == 0, i % 2 != 0}) {
+                Totals totals = isDirect ? directTotals : gatewayTotals;
+                long[] before = gatewayThreadUsage();
+                runPhase(loop, isDirect ? directSender : viaGateway, depth, seconds / rounds, totals);
+                long[] after = gatewayThreadUsage();
+                totals.allocatedBytes += after[0] - before[0];
+                totals.cpuNanos += after[1] - before[1];
             }
         }
         return new Row(
-                reads ? "read" : "write",
+                isRead ? "read" : "write",
                 bytes,
                 depth,
-                a.way(),
-                b.way(),
-                (double) b.heap / b.ended,
-                b.cpu / 1e3 / b.ended,
-                (double) a.heap / a.ended,
-                a.cpu / 1e3 / a.ended);
+                directTotals.metrics(),
+                gatewayTotals.metrics(),
+                (double) gatewayTotals.allocatedBytes / gatewayTotals.completed,
+                gatewayTotals.cpuNanos / 1e3 / gatewayTotals.completed,
+                (double) directTotals.allocatedBytes / directTotals.completed,
+                directTotals.cpuNanos / 1e3 / directTotals.completed);
     }
 
     private static final class Totals {
-        final Histogram times = new Histogram(60_000_000_000L, 3);
-        long ended;
+        final Histogram latencies = new Histogram(60_000_000_000L, 3);
+        long completed;
         long failed;
-        double took;
-        long heap;
-        long cpu;
+        double elapsedSeconds;
+        long allocatedBytes;
+        long cpuNanos;
 
-        PathMetrics way() {
+        PathMetrics metrics() {
             return new PathMetrics(
-                    ended / took,
-                    times.getValueAtPercentile(50) / 1e3,
-                    times.getValueAtPercentile(99) / 1e3,
+                    completed / elapsedSeconds,
+                    latencies.getValueAtPercentile(50) / 1e3,
+                    latencies.getValueAtPercentile(99) / 1e3,
                     failed);
         }
     }
 
     /** Keeps so many requests in flight for a while. */
-    private void phase(
-            EventLoop loop, RequestSender asker, int depth, double length, Totals totals) {
-        CompletableFuture<Void> over = new CompletableFuture<>();
+    private void runPhase(
+            EventLoop loop, RequestSender sender, int depth, double durationSeconds, Totals totals) {
+        CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(
                 new Runnable() {
                     private final long start = System.nanoTime();
-                    private final long end = start + (long) (length * 1e9);
-                    private int number;
-                    private int open;
+                    private final long end = start + (long) (durationSeconds * 1e9);
+                    private int requestNumber;
+                    private int inFlight;
 
                     @Override
                     public void run() {
                         for (int i = 0; i < depth; i++) {
-                            next();
+                            sendNext();
                         }
                     }
 
-                    private void next() {
-                        long begin = System.nanoTime();
-                        if (begin >= end) {
-                            if (open == 0) {
-                                totals.took += (begin - start) / 1e9;
-                                over.complete(null);
+                    private void sendNext() {
+                        long sentAtNanos = System.nanoTime();
+                        if (sentAtNanos >= end) {
+                            if (inFlight == 0) {
+                                totals.elapsedSeconds += (sentAtNanos - start) / 1e9;
+                                done.complete(null);
                             }
                             return;
                         }
-                        open++;
-                        asker.send(
-                                number++,
-                                good -> {
-                                    totals.times.recordValue(System.nanoTime() - begin);
-                                    totals.ended++;
-                                    totals.failed += good ? 0 : 1;
-                                    open--;
-                                    next();
+                        inFlight++;
+                        sender.send(
+                                requestNumber++,
+                                succeeded -> {
+                                    totals.latencies.recordValue(System.nanoTime() - sentAtNanos);
+                                    totals.completed++;
+                                    totals.failed += succeeded ? 0 : 1;
+                                    inFlight--;
+                                    sendNext();
                                 });
                     }
                 });
-        LocalCluster.await(over);
+        LocalCluster.await(done);
     }
 
     /** Heap bytes allocated, and nanoseconds of processor used, by the gateway's threads so far. */
-    private static long[] gatewayThreads() {
+    private static long[] gatewayThreadUsage() {
         com.sun.management.ThreadMXBean threads =
                 (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long[] sums = new long[2];
--- a/src/test/java/sagepulley/scenario/JsonNamesTest.java
+++ b/src/test/java/sagepulley/scenario/JsonNamesTest.java
@@ -13,7 +13,7 @@
     private final JsonMapper mapper = new JsonMapper();
 
     @Test
-    void theResultOfAScenario() throws Exception {
+    void scenarioResultKeepsJsonNamesAndOrder() throws Exception {
         RuleVerdict verdict = new RuleVerdict("a rule", true, "3", "4", List.of());
         ScenarioRunner.Result result =
                 new ScenarioRunner.Result(
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRowOfTheAttributionExperiment() throws Exception {
+    void attributionRowKeepsJsonNamesAndOrder() throws Exception {
         AttributionExperiment.Row row =
                 new AttributionExperiment.Row(
                         "flood",
--- a/src/test/java/sagepulley/scenario/MisbehavingClient.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingGateway.java
@@ -37,27 +37,27 @@
 /**
  * A gateway that heeds no rule: it sends everything on at once. The judge must see what it does.
  */
-final class MisbehavingClient implements ScenarioRunner.Opener {
+final class MisbehavingGateway implements ScenarioRunner.GatewayLauncher {
     /** What it does besides. */
-    enum Way {
-        PLAIN,
-        LATE,
-        AFTERWARDS,
-        AT_ONCE_TWICE,
-        THRICE,
-        UNWRITTEN
+    enum Misbehavior {
+        NONE,
+        LATE_ANSWER,
+        ATTEMPT_AFTER_ANSWER,
+        CONCURRENT_ATTEMPTS,
+        EXTRA_RETRIES,
+        DROPPED_WRITES
     }
 
-    private final Way way;
+    private final Misbehavior misbehavior;
 
-    MisbehavingClient(Way way) {
-        this.way = way;
+    MisbehavingGateway(Misbehavior misbehavior) {
+        this.misbehavior = misbehavior;
     }
 
     @Override
-    public Opened open(SiteConfig site, long seed) {
+    public RunningGateway launch(SiteConfig site, long seed) {
         Running running = new Running(site, seed);
-        return new Opened(
+        return new RunningGateway(
                 running.address,
                 running::kill,
                 () ->
@@ -73,12 +73,12 @@
         final SiteConfig site;
         final EventLoopGroup group = EventLoops.group(1, "rogue");
         final long seed;
-        final Map<Integer, Peer> peers = new TreeMap<>();
+        final Map<Integer, NodeClient> nodes = new TreeMap<>();
         final CompletableFuture<Void> listed = new CompletableFuture<>();
         final DirectoryClient directory;
         final Channel listener;
         final InetSocketAddress address;
-        long ids;
+        long lastOperationId;
 
         Running(SiteConfig site, long seed) {
             this.site = site;
@@ -120,12 +120,12 @@
         }
 
         @Override
-        public void endpointListReceived(DirectoryMessages.EndpointList listing) {
-            for (DirectoryMessages.EndpointLine line : listing.lines()) {
-                peers.computeIfAbsent(
+        public void endpointListReceived(DirectoryMessages.EndpointList endpointList) {
+            for (DirectoryMessages.EndpointLine line : endpointList.lines()) {
+                nodes.computeIfAbsent(
                         line.node(),
                         node ->
-                                new Peer(
+                                new NodeClient(
                                         this,
                                         node,
                                         new InetSocketAddress(line.host(), line.port())));
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void endpointListFailed(String why) {}
+        public void endpointListFailed(String reason) {}
 
         @Override
         public List<Export> all() {
@@ -168,40 +168,40 @@
         @Override
         public void release(long bytes) {}
 
-        void later(double milliseconds, Runnable task) {
+        void schedule(double milliseconds, Runnable task) {
             group.next().schedule(task, (long) milliseconds, TimeUnit.MILLISECONDS);
         }
     }
 
     /** A node's link; ends are told to whoever sent. */
-    private static final class Peer implements NodeConnection.Listener {
-        final NodeConnection link;
-        final Map<Long, java.util.function.Consumer<ByteBuf>> waiting = new HashMap<>();
+    private static final class NodeClient implements NodeConnection.Listener {
+        final NodeConnection connection;
+        final Map<Long, java.util.function.Consumer<ByteBuf>> callbacks = new HashMap<>();
 
-        Peer(Running of, int node, InetSocketAddress address) {
-            link =
+        NodeClient(Running gateway, int node, InetSocketAddress address) {
+            connection =
                     new NodeConnection(
-                            of.group.next(),
+                            gateway.group.next(),
                             EventLoops.socket(),
                             1 << 20,
                             node,
                             address,
-                            new StoreMessages.Hello(of.seed, "rogue"),
+                            new StoreMessages.Hello(gateway.seed, "rogue"),
                             this);
         }
 
         @Override
         public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
-            boolean good = answer.code() == StoreMessages.Code.SERVED;
-            if (!good) {
+            boolean served = answer.code() == StoreMessages.Code.SERVED;
+            if (!served) {
                 payload.release();
             }
-            waiting.remove(attempt).accept(good ? payload : null);
+            callbacks.remove(attempt).accept(served ? payload : null);
         }
 
         @Override
-        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
-            waiting.remove(attempt).accept(null);
+        public void failed(long attempt, NodeConnection.ConnectionFailure failure) {
+            callbacks.remove(attempt).accept(null);
         }
 
         @Override
@@ -214,18 +214,18 @@
     }
 
     private final class Client extends ChannelInboundHandlerAdapter {
-        private final Running of;
+        private final Running gateway;
         private VolumeSettings volume;
 
-        Client(Running of) {
-            this.of = of;
+        Client(Running gateway) {
+            this.gateway = gateway;
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof sagepulley.codec.nbd.AttachedExport attached) {
                 volume =
-                        of.site.volumes().stream()
+                        gateway.site.volumes().stream()
                                 .filter(line -> line.name().equals(attached.export().name()))
                                 .findFirst()
                                 .orElseThrow();
@@ -234,148 +234,148 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            NbdRequest asked = (NbdRequest) message;
-            boolean reads = asked.command() == NbdConstants.CMD_READ;
-            int extentBytes = of.site.extentBytes();
-            long extent = asked.offset() / extentBytes;
-            List<Peer> all = List.copyOf(of.peers.values());
-            Peer peer = all.get((int) (extent % all.size()));
-            long mark = ++of.ids;
-            StoreMessages.Kind kind = reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
-            int band = reads ? volume.readTrafficClass() : volume.writeTrafficClass();
-            int repeat = of.site.deployment().trafficClasses().get(band).idempotency().ordinal();
-            ByteBuf payload = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(asked.payload()));
-            asked.payload().release();
+            NbdRequest request = (NbdRequest) message;
+            boolean isRead = request.command() == NbdConstants.CMD_READ;
+            int extentBytes = gateway.site.extentBytes();
+            long extent = request.offset() / extentBytes;
+            List<NodeClient> nodeClients = List.copyOf(gateway.nodes.values());
+            NodeClient nodeClient = nodeClients.get((int) (extent % nodeClients.size()));
+            long operationId = ++gateway.lastOperationId;
+            StoreMessages.Kind kind = isRead ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
+            int trafficClass = isRead ? volume.readTrafficClass() : volume.writeTrafficClass();
+            int idempotency = gateway.site.deployment().trafficClasses().get(trafficClass).idempotency().ordinal();
+            ByteBuf payload = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(request.payload()));
+            request.payload().release();
             java.util.function.IntConsumer send =
-                    number -> {
-                        long attempt = mark * 10 + number;
-                        peer.waiting.put(
+                    attemptNumber -> {
+                        long attempt = operationId * 10 + attemptNumber;
+                        nodeClient.callbacks.put(
                                 attempt,
                                 data -> {
-                                    boolean last = way != Way.THRICE || number == 2;
+                                    boolean last = misbehavior != Misbehavior.EXTRA_RETRIES || attemptNumber == 2;
                                     if (!last) {
-                                        again(
+                                        retry(
                                                 attempt + 1,
-                                                number + 1,
-                                                peer,
-                                                mark,
+                                                attemptNumber + 1,
+                                                nodeClient,
+                                                operationId,
                                                 kind,
-                                                band,
-                                                repeat,
+                                                trafficClass,
+                                                idempotency,
                                                 extent,
-                                                asked,
+                                                request,
                                                 payload,
                                                 ctx,
                                                 data);
-                                    } else if (number == (way == Way.THRICE ? 2 : 0)) {
-                                        of.later(
-                                                way == Way.LATE ? 900 : 0,
-                                                () -> reply(ctx, asked, data));
+                                    } else if (attemptNumber == (misbehavior == Misbehavior.EXTRA_RETRIES ? 2 : 0)) {
+                                        gateway.schedule(
+                                                misbehavior == Misbehavior.LATE_ANSWER ? 900 : 0,
+                                                () -> reply(ctx, request, data));
                                     } else if (data != null) {
                                         data.release();
                                     }
                                 });
-                        if (way == Way.UNWRITTEN && !reads) {
-                            peer.waiting.remove(attempt).accept(Unpooled.EMPTY_BUFFER);
+                        if (misbehavior == Misbehavior.DROPPED_WRITES && !isRead) {
+                            nodeClient.callbacks.remove(attempt).accept(Unpooled.EMPTY_BUFFER);
                         } else {
-                            peer.link.send(
+                            nodeClient.connection.send(
                                     attempt,
-                                    make(
+                                    createMessage(
                                             kind,
-                                            band,
-                                            repeat,
-                                            mark,
-                                            number,
+                                            trafficClass,
+                                            idempotency,
+                                            operationId,
+                                            attemptNumber,
                                             extent,
-                                            asked,
+                                            request,
                                             extentBytes),
                                     payload.retainedDuplicate());
                         }
                     };
             send.accept(0);
-            if (way == Way.AT_ONCE_TWICE) {
+            if (misbehavior == Misbehavior.CONCURRENT_ATTEMPTS) {
                 send.accept(1);
-            } else if (way == Way.AFTERWARDS) {
-                of.later(700, () -> send.accept(1));
+            } else if (misbehavior == Misbehavior.ATTEMPT_AFTER_ANSWER) {
+                gateway.schedule(700, () -> send.accept(1));
             }
         }
 
-        private StoreMessages.Send make(
+        private StoreMessages.Send createMessage(
                 StoreMessages.Kind kind,
-                int band,
-                int repeat,
-                long mark,
-                int number,
+                int trafficClass,
+                int idempotency,
+                long operationId,
+                int attemptNumber,
                 long extent,
-                NbdRequest asked,
+                NbdRequest request,
                 int extentBytes) {
             return new StoreMessages.Send(
                     kind,
-                    band,
+                    trafficClass,
                     false,
-                    repeat,
-                    mark,
-                    number,
+                    idempotency,
+                    operationId,
+                    attemptNumber,
                     volume.id(),
                     extent,
-                    (int) (asked.offset() % extentBytes),
-                    asked.length(),
+                    (int) (request.offset() % extentBytes),
+                    request.length(),
                     1,
                     0);
         }
 
-        private void again(
+        private void retry(
                 long attempt,
-                int number,
-                Peer peer,
-                long mark,
+                int attemptNumber,
+                NodeClient nodeClient,
+                long operationId,
                 StoreMessages.Kind kind,
-                int band,
-                int repeat,
+                int trafficClass,
+                int idempotency,
                 long extent,
-                NbdRequest asked,
+                NbdRequest request,
                 ByteBuf payload,
                 ChannelHandlerContext ctx,
-                ByteBuf old) {
-            if (old != null) {
-                old.release();
+                ByteBuf previousData) {
+            if (previousData != null) {
+                previousData.release();
             }
-            peer.waiting.put(
+            nodeClient.callbacks.put(
                     attempt,
                     data -> {
-                        if (number < 2) {
-                            again(
+                        if (attemptNumber < 2) {
+                            retry(
                                     attempt + 1,
-                                    number + 1,
-                                    peer,
-                                    mark,
+                                    attemptNumber + 1,
+                                    nodeClient,
+                                    operationId,
                                     kind,
-                                    band,
-                                    repeat,
+                                    trafficClass,
+                                    idempotency,
                                     extent,
-                                    asked,
+                                    request,
                                     payload,
                                     ctx,
                                     data);
                         } else {
-                            reply(ctx, asked, data);
+                            reply(ctx, request, data);
                         }
                     });
-            peer.link.send(
+            nodeClient.connection.send(
                     attempt,
-                    make(kind, band, repeat, mark, number, extent, asked, of.site.extentBytes()),
+                    createMessage(kind, trafficClass, idempotency, operationId, attemptNumber, extent, request, gateway.site.extentBytes()),
                     payload.retainedDuplicate());
         }
 
-        private void reply(ChannelHandlerContext ctx, NbdRequest asked, ByteBuf data) {
+        private void reply(ChannelHandlerContext ctx, NbdRequest request, ByteBuf data) {
             if (data == null) {
                 NbdReplies.error(
-                        ctx.channel(), asked.cookie(), NbdConstants.EIO, "failed", -1, true);
-            } else if (asked.command() == NbdConstants.CMD_READ) {
-                NbdReplies.data(ctx.channel(), asked.cookie(), asked.offset(), data, true);
+                        ctx.channel(), request.cookie(), NbdConstants.EIO, "failed", -1, true);
+            } else if (request.command() == NbdConstants.CMD_READ) {
+                NbdReplies.data(ctx.channel(), request.cookie(), request.offset(), data, true);
             } else {
                 data.release();
-                NbdReplies.done(ctx.channel(), asked.cookie());
+                NbdReplies.done(ctx.channel(), request.cookie());
             }
             ctx.flush();
         }
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -16,7 +16,7 @@
         "it allows for how late this machine runs, which other tests would make so late that no breach shows")
 class RuleCheckerTest {
     /** A small day of 1.5 s with one load and whatever else is said. */
-    private static String day(String band, String plan, String rest) {
+    private static String script(String trafficClassLines, String planLimits, String extraLines) {
         return """
                 day "small"
                 nodes 3 slots 2 queue 64 read 2 ms write 2 ms
@@ -54,64 +54,64 @@
                 end at 1500 ms
                 """
                 .formatted(
-                        band.equals("budget")
+                        trafficClassLines.equals("budget")
                                 ? "budget-window = 1 s\nbudget-free = 2\nbudget-share = 0.1"
                                 : "",
-                        band.equals("budget") ? "" : band,
-                        plan,
-                        rest);
+                        trafficClassLines.equals("budget") ? "" : trafficClassLines,
+                        planLimits,
+                        extraLines);
     }
 
     @ParameterizedTest
     @CsvSource({
-        "0, LATE,          '',                        '',           ''",
-        "0, AFTERWARDS,    '',                        '',           ''",
-        "1, AT_ONCE_TWICE, 'repeats = unrepeatable',  '',           ''",
-        "2, PLAIN,         '',                        '',           'at 300 ms node 1 drains'",
-        "3, PLAIN, '', '', 'nodes 3 read 8 ms write 8 ms  at 300 ms all nodes restarts cold  load more on vol 800 a second'",
-        "4, PLAIN,         'in-order = yes',          '',           ''",
-        "5, THRICE,        'budget',                  '',           ''",
-        "6, PLAIN, '', 'limit = 20|limit-burst = 10|limit-slack = 4', ''",
-        "7, UNWRITTEN,     '',                        '',           ''",
+        "0, LATE_ANSWER,          '',                        '',           ''",
+        "0, ATTEMPT_AFTER_ANSWER,    '',                        '',           ''",
+        "1, CONCURRENT_ATTEMPTS, 'repeats = unrepeatable',  '',           ''",
+        "2, NONE,         '',                        '',           'at 300 ms node 1 drains'",
+        "3, NONE, '', '', 'nodes 3 read 8 ms write 8 ms  at 300 ms all nodes restarts cold  load more on vol 800 a second'",
+        "4, NONE,         'in-order = yes',          '',           ''",
+        "5, EXTRA_RETRIES,        'budget',                  '',           ''",
+        "6, NONE, '', 'limit = 20|limit-burst = 10|limit-slack = 4', ''",
+        "7, DROPPED_WRITES,     '',                        '',           ''",
     })
-    void aGatewayThatBreaksARuleIsCaught(
-            int rule, MisbehavingClient.Way way, String band, String plan, String rest)
+    void detectsRuleBrokenByMisbehavingGateway(
+            int rule, MisbehavingGateway.Misbehavior misbehavior, String trafficClassLines, String planLimits, String extraLines)
             throws Exception {
-        Scenario day = ScenarioReader.read("small", day(band, plan.replace('|', '\n'), rest));
-        ScenarioRunner.Result result = new ScenarioRunner(day, new MisbehavingClient(way)).run();
+        Scenario scenario = ScenarioReader.read("small", script(trafficClassLines, planLimits.replace('|', '\n'), extraLines));
+        ScenarioRunner.Result result = new ScenarioRunner(scenario, new MisbehavingGateway(misbehavior)).run();
         assertFalse(
                 result.verdicts().get(rule).satisfied(), result.verdicts().get(rule).toString());
         assertFalse(result.passed());
         // The real one keeps the same rule on the same day.
-        ScenarioRunner.Result real = new ScenarioRunner(day).run();
-        real.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
-        assertTrue(real.requests() > 50);
+        ScenarioRunner.Result realResult = new ScenarioRunner(scenario).run();
+        realResult.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
+        assertTrue(realResult.requests() > 50);
     }
 
     @Test
-    void theShortBadEveningKeepsAllRules() throws Exception {
-        Scenario day = ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
-        ScenarioRunner.Result result = new ScenarioRunner(day).run();
+    void badEveningScenarioSatisfiesAllRules() throws Exception {
+        Scenario scenario = ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
+        ScenarioRunner.Result result = new ScenarioRunner(scenario).run();
         result.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
         assertEquals(java.util.List.of(), result.unmet());
     }
 
     @Test
-    void theHistoryKnowsWhatAReadMayShow() {
+    void blockHistoryReportsStaleAndTornReads() {
         BlockHistory history = new BlockHistory();
         BlockHistory.Write first = history.begin(1, 0, 4096, 10);
         BlockHistory.Write second = history.begin(1, 0, 4096, 30);
-        ByteBuf old = BlockHistory.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
+        ByteBuf firstData = BlockHistory.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
         first.complete(20, false);
-        history.check(1, 0, old, 35, 36); // the second is not acknowledged yet
+        history.check(1, 0, firstData, 35, 36); // the second is not acknowledged yet
         second.complete(40, true);
-        history.check(1, 0, old, 38, 45); // asked before it was
+        history.check(1, 0, firstData, 38, 45); // asked before it was
         assertEquals(0, history.breaches().size());
-        history.check(1, 0, old, 50, 55); // undone by a late attempt
+        history.check(1, 0, firstData, 50, 55); // undone by a late attempt
         assertEquals(1, history.breaches().size());
-        history.check(1, 0, old.setLong(512, 99), 20, 25);
+        history.check(1, 0, firstData.setLong(512, 99), 20, 25);
         assertTrue(history.breaches().get(1).contains("torn"));
-        old.release();
+        firstData.release();
     }
 
     @ParameterizedTest
@@ -125,10 +125,10 @@
                 "gateways 1000|x:1:10: the number of gateways is 1000",
                 "day 'single'|x:1:5: ",
             })
-    void aMistakeInAScriptIsReportedWithLineAndColumn(String text, String told) {
-        ScenarioException error =
+    void scriptErrorsNameLineAndColumn(String text, String expectedPrefix) {
+        ScenarioException exception =
                 org.junit.jupiter.api.Assertions.assertThrows(
                         ScenarioException.class, () -> ScenarioReader.read("x", text));
-        assertTrue(error.getMessage().startsWith(told), error.getMessage());
+        assertTrue(exception.getMessage().startsWith(expectedPrefix), exception.getMessage());
     }
 }
