--- a/src/main/antlr4/sagepulley/scenario/grammar/Scenario.g4
+++ b/src/main/antlr4/sagepulley/scenario/grammar/Scenario.g4
@@ -1,4 +1,4 @@
-/* A scripted day: what runs, what load comes, what goes wrong and when (docs/operate/drill.md). */
+/* Scenario scripts: nodes, gateways, loads, and faults with their times (docs/operate/drill.md). */
 grammar Scenario;
 
 day        : statement* EOF ;
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -12,9 +12,9 @@
 import sagepulley.config.SiteConfigException;
 import sagepulley.persistence.GatewayAccounts;
 
-/** Plays scenarios whose faults are known, and compares what the accounts name as main causes. */
+/** Runs scenarios with known faults and checks the main causes that the accounts report. */
 public final class AttributionExperiment {
-    /** The scenarios that come with the program, one for each kind of cause. */
+    /** The built-in scenarios, one for each kind of cause. */
     public static final List<String> KINDS =
             List.of(
                     "flood",
@@ -30,9 +30,16 @@
                     "flood-elsewhere");
 
     /**
-     * One volume of one scenario: the causes that are right, the one named first and the second,
-     * whether that is a hit, and whether a wrong one was named with high confidence, by all
-     * gateways' accounts or by any one's alone.
+     * The result for one volume of one scenario. The components are the fields of the JSON output.
+     *
+     * @param expected the accepted main causes
+     * @param named the main cause that the accounts report
+     * @param share the reported share of the main cause
+     * @param second the next cause; empty if there is none
+     * @param hit whether the main cause is an accepted one
+     * @param falseBlame whether another cause was reported with high confidence, in the merged
+     *     accounts or in those of any single gateway
+     * @param rulesSatisfied whether the gateways followed all rules
      */
     public record Row(
             String day,
@@ -49,7 +56,7 @@
 
     private AttributionExperiment() {}
 
-    /** Plays one scenario with a seed of its own. */
+    /** Runs one scenario with a seed and returns a row for each volume with a known cause. */
     public static List<Row> play(String kind, long seed)
             throws ScenarioException, SiteConfigException {
         Scenario scenario =
@@ -105,7 +112,7 @@
         return volumeNames.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new SiteConfigException("no volume is called " + name))
+                .orElseThrow(() -> new SiteConfigException("no volume in the accounts is named " + name))
                 .getKey();
     }
 
@@ -132,7 +139,7 @@
                 .anyMatch(expectedCause -> mainName.equals(expectedCause) || mainName.startsWith(expectedCause + ":"));
     }
 
-    /** As scripts write causes: the kind, and a volume's name or a node where it has one. */
+    /** Returns a cause as scripts write it: the kind, with a volume or node if it has one. */
     private static String causeName(LatencyReport.CauseReport cause, Map<Long, String> volumeNames) {
         if (cause == null) {
             return "nothing";
--- a/src/main/java/sagepulley/scenario/BlockHistory.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /**
- * Checks reads against the writes of a run. Every write fills its blocks with a stamp of its own; a
- * read may show a write only if no later one was acknowledged between that write's end and the
- * read's begin. Thread-safe.
+ * Checks the data of reads against the writes of a run. Thread-safe.
+ *
+ * <p>Every write fills its blocks with a unique stamp. A read may return a write only if no other
+ * write began after that write ended and was acknowledged before the read began.
  */
 public final class BlockHistory {
     private static final int MAX_DESCRIBED_BREACHES = 100;
     static final int BLOCK_BYTES = 4096;
 
-    /** One write: when it was sent and ended, and whether it was acknowledged. */
+    /** A write: its stamp, when it began and ended, and whether it was acknowledged. */
     public static final class Write {
         final long stamp;
         final long begin;
@@ -28,7 +29,7 @@
             this.begin = begin;
         }
 
-        /** The write ended, with its gateway's final answer or with the connection. */
+        /** Records that the write was answered or that its connection ended. */
         public void complete(long nanos, boolean succeeded) {
             acknowledged = succeeded;
             end = nanos;
@@ -42,7 +43,7 @@
     private long lastStamp;
     private long checkedBlocks;
 
-    /** A write of complete blocks is about to be sent. */
+    /** Records a write of whole blocks that is about to be sent. */
     public synchronized Write begin(int volume, long offset, int length, long nanos) {
         Write write = new Write(++lastStamp, nanos);
         for (long block = offset / BLOCK_BYTES; block < (offset + length) / BLOCK_BYTES; block++) {
@@ -52,7 +53,7 @@
         return write;
     }
 
-    /** The data of a write. */
+    /** Returns the data of a write: its stamp, repeated. */
     public static ByteBuf payload(ByteBufAllocator alloc, Write write, int length) {
         ByteBuf data = alloc.ioBuffer(length);
         for (int i = 0; i < length; i += 8) {
@@ -61,14 +62,14 @@
         return data;
     }
 
-    /** Checks the data of a read that was sent at one time and answered at another. */
+    /** Checks the data of a read that was sent at begin and answered at end. */
     public synchronized void check(int volume, long offset, ByteBuf data, long begin, long end) {
         for (int position = 0; position + BLOCK_BYTES <= data.readableBytes(); position += BLOCK_BYTES) {
             long stamp = data.getLong(data.readerIndex() + position);
             long block = (offset + position) / BLOCK_BYTES;
             for (int i = 8; i < BLOCK_BYTES; i += 8) {
                 if (data.getLong(data.readerIndex() + position + i) != stamp) {
-                    addBreach("block " + block + " of volume " + volume + " is torn");
+                    addBreach("block " + block + " of volume " + volume + " is torn: it mixes writes");
                     break;
                 }
             }
@@ -91,7 +92,9 @@
                             + block
                             + " of volume "
                             + volume
-                            + " holds what was never written there");
+                            + " holds stamp "
+                            + stamp
+                            + ", which was never written to it");
             return;
         }
         long shownEnd = shown == null ? Long.MIN_VALUE : shown.end;
@@ -103,8 +106,8 @@
                                 + " of volume "
                                 + volume
                                 + " shows "
-                                + (shown == null ? "nothing" : "write " + stamp)
-                                + " though write "
+                                + (shown == null ? "no write" : "write " + stamp)
+                                + " although write "
                                 + newer.stamp
                                 + " was acknowledged after it, "
                                 + (begin - newer.end) / 1_000_000
@@ -120,12 +123,12 @@
         }
     }
 
-    /** How many blocks were checked. */
+    /** Returns the number of blocks checked. */
     public synchronized long checkedBlocks() {
         return checkedBlocks;
     }
 
-    /** Sentences for the first reads that showed what they may not. */
+    /** Returns descriptions of the first invalid reads, at most 100. */
     public synchronized List<String> breaches() {
         return List.copyOf(breaches);
     }
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -28,8 +28,10 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Starts gateways with discovery down and lists of several ages, of which some nodes have changed
- * since, and tells what went to those, and how soon and how well the gateways serve.
+ * Starts gateways while discovery is down, from stored endpoint lists of a given age.
+ *
+ * <p>Some nodes have changed since the list was stored. The experiment counts the attempts that
+ * reached those nodes and measures how soon and how well the gateways serve reads.
  */
 public final class ColdStartExperiment {
     private static final int EXTENT_BYTES = 256 << 10;
@@ -40,7 +42,7 @@
     private static final long MEASURED_MILLIS = 3_000;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** What became of some nodes while the list lay. */
+    /** The change to some nodes since the list was stored. */
     public enum NodeChange {
         NOTHING,
         DRAINED,
@@ -49,8 +51,8 @@
     }
 
     /**
-     * How the gateway believes its list: by its age, blindly, or not at all (it waits for
-     * discovery).
+     * The gateway's use of its stored list: trusted by age, trusted at any age, or not used. Without
+     * the list the gateway waits for discovery.
      */
     public enum ListPolicy {
         BY_AGE,
@@ -59,9 +61,15 @@
     }
 
     /**
-     * One start: attempts that reached nodes that drain or have been replaced, and cold nodes
-     * pushed over; milliseconds to the first operation satisfied (NaN: none); the share of reads in
-     * their target time in the first seconds, among those of extents whose nodes still hold them.
+     * The result of one start.
+     *
+     * @param changed the number of changed nodes
+     * @param misdirectedAttempts attempts that reached draining or replacement nodes
+     * @param collapsedNodes the number of overload collapses of nodes in slow start
+     * @param firstServedMillis the time to the first read served; NaN if none was
+     * @param service the share of reads served within the latency objective, relative to the reads
+     *     that unchanged or restarted nodes can serve
+     * @param serviceOfAllReads the share of all reads served within the latency objective
      */
     public record Row(
             ListPolicy listPolicy,
@@ -74,6 +82,7 @@
             double service,
             double serviceOfAllReads) {}
 
+    /** A membership that treats its list as fresh and accepts every node that answers. */
     private static final class UncheckedMembership extends Membership {
         UncheckedMembership(String site, Policy policy) {
             super(site, policy, new SplittableRandom(1));
@@ -92,11 +101,11 @@
 
         @Override
         public void drainAnnounced(int node) {
-            // believes its list only
+            // Ignored: only the list counts.
         }
     }
 
-    /** Counts what reaches which node. */
+    /** Counts the attempts that reach unavailable nodes, and overload collapses. */
     private static final class AttemptCounter implements TrafficRecorder {
         final Set<Integer> unavailableNodes = new HashSet<>();
         final AtomicLong misdirected = new AtomicLong();
@@ -119,12 +128,12 @@
 
     private final Path folder;
 
-    /** An experiment whose gateways keep their files in a folder. */
+    /** Creates an experiment whose gateways keep their files in the given folder. */
     public ColdStartExperiment(Path folder) {
         this.folder = folder;
     }
 
-    /** One start, with so many of the nodes changed. */
+    /** Runs one start with the given number of changed nodes. */
     public Row run(ListPolicy listPolicy, double ageHours, NodeChange nodeChange, int changed, long seed)
             throws SiteConfigException, IOException {
         AttemptCounter counter = new AttemptCounter();
@@ -277,7 +286,7 @@
                 load.service());
     }
 
-    /** Starts all gateways; adds a client for each that is ready without discovery. */
+    /** Starts all gateways and adds a client for each, unless they wait for discovery. */
     private static List<NbdGateway> startGateways(
             LocalCluster cluster, ListPolicy listPolicy, List<String> siteTexts, long seed, List<NbdClient> clients)
             throws SiteConfigException {
--- a/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
+++ b/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
@@ -11,8 +11,8 @@
 import sagepulley.codec.nbd.NbdReply;
 
 /**
- * Reads of random extents through all gateways of a cold start, at Poisson arrivals, and what came
- * of them. One thread sends; replies are counted on the event loops of the clients. Times are
+ * Sends reads of random extents to all gateways of a cold start, at Poisson arrivals, and counts
+ * the replies. One thread sends; replies arrive on the event loops of the clients. Times are
  * System.nanoTime.
  */
 final class ColdStartReadLoad {
@@ -47,7 +47,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Sends for a duration; without clients the requests only count as not served. */
+    /** Sends reads for a duration. Without clients, each read counts as not served. */
     void send(List<NbdClient> clients, long durationMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMillis);
         for (long nextAtNanos = System.nanoTime(); nextAtNanos < end; nextAtNanos += nextGapNanos()) {
@@ -88,7 +88,7 @@
         inFlight.decrementAndGet();
     }
 
-    /** Waits until every request has its reply, or for the time in which it must have come. */
+    /** Waits until every request has a reply, at most 10 s. */
     void awaitReplies() {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(REPLY_TIMEOUT_SECONDS);
         while (inFlight.get() > 0 && System.nanoTime() < deadlineNanos) {
@@ -96,12 +96,12 @@
         }
     }
 
-    /** When the first read was served; 0 if none was. */
+    /** Returns when the first read was served, or 0 if none was. */
     long firstServedAt() {
         return firstServedAt.get();
     }
 
-    /** The share of all requests that were served within the latency objective. */
+    /** Returns the share of all requests that were served within the latency objective. */
     double service() {
         return (double) withinObjective.get() / Math.max(1, requests);
     }
--- a/src/main/java/sagepulley/scenario/DirectClient.java
+++ b/src/main/java/sagepulley/scenario/DirectClient.java
@@ -13,11 +13,11 @@
 import sagepulley.upstream.frame.NodeConnection;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** A client with connections of its own to the nodes, past any gateway. Used on one loop. */
+/** Sends reads and writes to the nodes directly, without a gateway. Confined to one event loop. */
 final class DirectClient {
     private static final long CLIENT_ID = 99;
 
-    /** A volume of its own, so that its write tokens are not the gateway's. */
+    /** Differs from the gateway's volume, so that the write tokens do not conflict. */
     private static final int VOLUME = 2;
 
     private final List<NodeLink> links = new ArrayList<>();
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Sends one read or write; its end is reported as success or failure. */
+    /** Sends one read or write. The callback receives whether it was served. */
     void send(
             boolean isRead,
             int extent,
@@ -87,12 +87,12 @@
 
         @Override
         public void healthReported(long id, float[] loadReport) {
-            // no health check is sent
+            // This client sends no health checks.
         }
 
         @Override
         public boolean handshakeCompleted(StoreMessages.HandshakeReply reply) {
-            // whoever answers at the node's address is used
+            // Accepts any node that answers at the address.
             return true;
         }
     }
--- a/src/main/java/sagepulley/scenario/DrainingRule.java
+++ b/src/main/java/sagepulley/scenario/DrainingRule.java
@@ -9,11 +9,14 @@
 import java.util.Set;
 import sagepulley.discovery.directory.DirectoryMessages;
 
-/** Rule 3: nothing goes to a node later than the grace after its drain was notified. */
+/**
+ * Rule 3: a gateway sends no attempt to a node once the drain grace has passed since the directory
+ * notified the gateway that the node drains or is gone.
+ */
 final class DrainingRule implements Rule {
-    /** What one gateway was notified of. */
+    /** The endpoint list as the directory sent it to one gateway. */
     private static final class NotifiedList {
-        /** Since when nodes are draining or gone, by what the gateway was notified of. */
+        /** For each node listed as draining or gone, when the gateway was notified of it. */
         final Map<Integer, Long> unavailableSince = new HashMap<>();
 
         private final Set<Integer> known = new HashSet<>();
@@ -80,9 +83,9 @@
                 findings.addBreach(
                         "node "
                                 + attempt.node()
-                                + " was sent to "
+                                + " received an attempt "
                                 + Findings.format(delayMillis)
-                                + " ms after its drain was told");
+                                + " ms after the gateway was notified that it drains");
             }
         }
 
@@ -90,8 +93,8 @@
             return findings.verdict(
                     "3 drains kept",
                     maxDelayMillis == Double.NEGATIVE_INFINITY
-                            ? "nothing sent after"
-                            : "last " + Findings.format(maxDelayMillis) + " ms after",
+                            ? "no attempts after a drain"
+                            : "last attempt " + Findings.format(maxDelayMillis) + " ms after",
                     Findings.format(graceMillis) + " ms");
         }
     }
--- a/src/main/java/sagepulley/scenario/Evidence.java
+++ b/src/main/java/sagepulley/scenario/Evidence.java
@@ -11,21 +11,19 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * What was recorded at the sockets in one run, by operation, with what the rules need to judge it.
- * Immutable once made.
+ * Indexes the traffic recorded in one run by operation and holds the configuration that the rules
+ * check it against. Immutable after construction.
  */
 final class Evidence {
     static final double NANOS_PER_MILLI = 1e6;
 
-    /** How long something may be on its way between two sockets. */
+    /** The delay allowed between a write on one socket and the read on the other. */
     private static final double NETWORK_TOLERANCE_MILLIS = 60;
 
     final SocketEventLog log;
     final SiteConfig site;
 
-    /**
-     * What is allowed for where a time is judged that was taken at another socket, in milliseconds.
-     */
+    /** The tolerance for comparisons of times taken at different sockets, in milliseconds. */
     final double toleranceMillis;
 
     private final List<NodeProfile> profiles;
@@ -36,9 +34,9 @@
             new HashMap<>();
 
     /**
-     * The evidence of a run.
+     * Indexes the recorded traffic of a run.
      *
-     * @param stallMillis how long the machine stalled
+     * @param stallMillis the longest stall of the test process during the run
      */
     Evidence(SocketEventLog log, SiteConfig site, List<NodeProfile> profiles, double stallMillis) {
         this.log = log;
@@ -75,7 +73,7 @@
         return site.deployment().policy();
     }
 
-    /** All attempts by operation, in the order in which they came. */
+    /** Returns all attempts by operation, in order of arrival. */
     Map<OperationKey, List<SocketEventLog.AttemptReceived>> attempts() {
         return attempts;
     }
@@ -84,7 +82,7 @@
         return cancellations.getOrDefault(operation, List.of());
     }
 
-    /** The answer to one attempt of an operation; null where none was recorded. */
+    /** Returns the answer to an attempt of an operation, or null if none was recorded. */
     SocketEventLog.AttemptAnswered answerTo(OperationKey operation, int attempt) {
         for (SocketEventLog.AttemptAnswered answer : answers.getOrDefault(operation, List.of())) {
             if (answer.attemptNumber() == attempt) {
@@ -103,15 +101,16 @@
     }
 
     /**
-     * Whether the node of an attempt, before a time, started anew; a connection that ended shows as
-     * an attempt never answered.
+     * Returns whether the connection of an attempt may have ended by the given time.
+     *
+     * <p>True if the gateway sent nothing to the node after that time, or if the node restarted
+     * between the attempt and the gateway's next attempt at the node after that time.
      */
     boolean connectionEnded(SocketEventLog.AttemptReceived attempt, long until) {
         for (SocketEventLog.AttemptReceived later : log.received) {
             if (later.node() == attempt.node()
                     && later.gateway() == attempt.gateway()
                     && later.at() > until) {
-                // This gateway still sent to the node afterwards, and never cancelled the attempt.
                 return log.nodeStarts.stream()
                         .anyMatch(
                                 start ->
--- a/src/main/java/sagepulley/scenario/FaultInjector.java
+++ b/src/main/java/sagepulley/scenario/FaultInjector.java
@@ -7,7 +7,7 @@
 import sagepulley.discovery.directory.DirectoryMessages;
 import sagepulley.standin.StandInNode;
 
-/** Begins and ends the faults of a scenario. Called on the script's thread. */
+/** Injects and ends the faults of a scenario. Called on the script thread. */
 final class FaultInjector {
     private static final Logger LOG = LoggerFactory.getLogger(FaultInjector.class);
 
@@ -21,9 +21,9 @@
         this.loads = loads;
     }
 
-    /** Begins a fault; a failure to do so is logged. */
+    /** Injects a fault. A failure is logged. */
     void begin(Scenario.Event event) {
-        log(event, "fault begins");
+        log(event, "fault injected");
         try {
             switch (event.fault()) {
                 case DIRECTORY_SILENT -> cluster.directory().setUnresponsive(true);
@@ -36,13 +36,13 @@
                 default -> nodes(event).forEach(node -> begin(event, node));
             }
         } catch (RuntimeException e) {
-            LOG.atError().setCause(e).log("fault failed");
+            LOG.atError().setCause(e).log("fault injection failed");
         }
     }
 
-    /** Ends a fault; a failure to do so is logged. */
+    /** Ends a fault. A failure is logged. */
     void end(Scenario.Event event) {
-        log(event, "fault ends");
+        log(event, "fault ended");
         try {
             switch (event.fault()) {
                 case DIRECTORY_SILENT -> cluster.directory().setUnresponsive(false);
@@ -50,14 +50,14 @@
                 case DIRECTORY_LAGGING -> cluster.directory().delayNotifications(0);
                 case DIRECTORY_SLOW -> cluster.directory().delayAnswers(0);
                 case DIRECTORY_DOWN -> LocalCluster.await(cluster.directory().restart());
-                // It may take until a directory is back: the script goes on meanwhile.
+                // A restart may wait for the directory and must not block the script.
                 case GATEWAY_KILLED ->
                         CompletableFuture.runAsync(() -> gateways.reopen(gatewayIndex(event)));
                 case SURGE -> setRateFactor(event, 1);
                 default -> nodes(event).forEach(node -> end(event, node));
             }
         } catch (RuntimeException e) {
-            LOG.atError().setCause(e).log("end of fault failed");
+            LOG.atError().setCause(e).log("failed to end fault");
         }
     }
 
@@ -106,7 +106,7 @@
                 LocalCluster.await(node.stop());
                 cluster.list(node, DirectoryMessages.Phase.GONE);
             }
-            default -> throw new IllegalStateException("not a node's fault: " + event.fault());
+            default -> throw new IllegalStateException("fault cannot be injected at a node: " + event.fault());
         }
     }
 
@@ -120,7 +120,7 @@
             case LOSING -> node.faults().lostAnswerShare = 0;
             case ERRING -> node.faults().errorShare = 0;
             case GONE -> cluster.restartCold(node);
-            default -> {} // over at once, or for good
+            default -> {} // momentary or permanent faults
         }
     }
 }
--- a/src/main/java/sagepulley/scenario/FinalAnswerRule.java
+++ b/src/main/java/sagepulley/scenario/FinalAnswerRule.java
@@ -7,7 +7,8 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Rule 1: each request gets one final answer before its deadline, and no attempt comes after it.
+ * Rule 1: each request gets exactly one final answer before its deadline, and no attempt arrives at
+ * a node after that answer.
  */
 final class FinalAnswerRule implements Rule {
     private record GatewayExtent(long gateway, int volume, long extent) {}
@@ -27,7 +28,7 @@
                         request.replies
                                 + " final answers to a "
                                 + request.kind
-                                + " at "
+                                + " request at offset "
                                 + request.offset);
             } else {
                 minRemainingMillis = Math.min(minRemainingMillis, checkDeadline(request, evidence, findings));
@@ -36,11 +37,14 @@
         checkAttempts(evidence, findings);
         return findings.verdict(
                 "1 one final answer, in time",
-                expectedAnswers + " owed, at least " + Findings.format(minRemainingMillis) + " ms of patience left",
+                expectedAnswers
+                        + " answers due, at least "
+                        + Findings.format(minRemainingMillis)
+                        + " ms before the deadline",
                 "0 ms");
     }
 
-    /** Checks when a request was answered; the milliseconds that were left to its deadline. */
+    /** Checks the time of an answer. Returns the milliseconds left until the deadline. */
     private static double checkDeadline(
             SocketEventLog.ClientRequest request, Evidence evidence, Findings findings) {
         double deadline =
@@ -50,13 +54,14 @@
             findings.addBreach(
                     "answered after "
                             + Findings.format(elapsedMillis)
-                            + " ms of "
-                            + Findings.format(deadline));
+                            + " ms, deadline "
+                            + Findings.format(deadline)
+                            + " ms");
         }
         return deadline - elapsedMillis;
     }
 
-    /** Every attempt must be for a request that is still open. */
+    /** Checks that every attempt belongs to a request that was still open. */
     private static void checkAttempts(Evidence evidence, Findings findings) {
         Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests = requestsByExtent(evidence);
         for (SocketEventLog.AttemptReceived attempt : evidence.log.received) {
@@ -71,13 +76,13 @@
                             .anyMatch(request -> mayBelongTo(request, attempt, evidence));
             if (!isOpen) {
                 findings.addBreach(
-                        "hop "
+                        "attempt "
                                 + send.attemptNumber()
                                 + " of operation "
                                 + send.operationId()
-                                + " came to node "
+                                + " reached node "
                                 + attempt.node()
-                                + " with nobody waiting for it");
+                                + " without an open client request");
             }
         }
     }
--- a/src/main/java/sagepulley/scenario/Findings.java
+++ b/src/main/java/sagepulley/scenario/Findings.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Breaches of one rule: all are counted, the first few described. */
+/** Collects the breaches of one rule. Counts all of them and describes the first few. */
 final class Findings {
     private static final int MAX_DESCRIBED = 5;
 
@@ -21,7 +21,7 @@
         return new RuleVerdict(rule, count == 0, figure, bound, breaches);
     }
 
-    /** A figure with one decimal; "all" where nothing came near its bound. */
+    /** Formats a figure with one decimal. Infinity, which means no measurement, becomes "all". */
     static String format(double value) {
         return value == Double.POSITIVE_INFINITY
                 ? "all"
--- a/src/main/java/sagepulley/scenario/KeyOrderRule.java
+++ b/src/main/java/sagepulley/scenario/KeyOrderRule.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Rule 5: ordered operations of one extent go one at a time, in their order. */
+/**
+ * Rule 5: ordered operations on one extent are sent in order, each after the previous one ended.
+ */
 final class KeyOrderRule implements Rule {
     private record OrderingKey(long gateway, int volume, long extent) {}
 
@@ -33,7 +35,7 @@
         }
         return findings.verdict(
                 "5 order kept",
-                ordered == 0 ? "no band asks for it" : ordered + " in order",
+                ordered == 0 ? "no ordered operations" : ordered + " ordered operations",
                 "one at a time");
     }
 
@@ -47,7 +49,7 @@
                                 + later.operationId()
                                 + " was sent before operation "
                                 + earlier.operationId()
-                                + " of the same key was over");
+                                + " on the same extent had ended");
             }
         }
     }
--- a/src/main/java/sagepulley/scenario/LoadGenerator.java
+++ b/src/main/java/sagepulley/scenario/LoadGenerator.java
@@ -19,12 +19,13 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * One load of a day: requests at times of their own, over connections that come back after a cut.
+ * Sends the requests of one load of a scenario at Poisson arrivals, independent of the answers.
+ * Connections that end are reopened. Sends on one event loop.
  */
 final class LoadGenerator {
     private static final long RECONNECT_DELAY_MILLIS = 50;
 
-    /** A gateway that may be reached, or not just now. */
+    /** A gateway as clients see it. The address is null while the gateway is down. */
     static final class GatewayTarget {
         volatile InetSocketAddress address;
         volatile long gateway;
@@ -89,7 +90,7 @@
         rateFactor = factor;
     }
 
-    /** Requests without an end. */
+    /** Returns the number of requests that were neither answered nor failed yet. */
     long openRequests() {
         return openRequests.get();
     }
@@ -253,7 +254,7 @@
                 System.nanoTime());
     }
 
-    /** Records how a request ended; the reply is null where its connection was lost. */
+    /** Records the outcome of a request. The reply is null if the connection was lost. */
     private static void recordAnswer(
             SocketEventLog.ClientRequest request, NbdReply reply, Throwable failure) {
         request.endedAt = System.nanoTime();
--- a/src/main/java/sagepulley/scenario/LocalCluster.java
+++ b/src/main/java/sagepulley/scenario/LocalCluster.java
@@ -21,7 +21,7 @@
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.TrafficRecorder;
 
-/** A directory, some nodes and some gateways in one program, on loopback. */
+/** A directory, nodes and gateways that run in one process on loopback. */
 public final class LocalCluster implements AutoCloseable {
     private static final long WAIT_SECONDS = 20;
 
@@ -35,7 +35,7 @@
         this.directory = directory;
     }
 
-    /** Starts directory and nodes; gateways are opened one by one. */
+    /** Starts the directory and the nodes. Gateways are started with {@link #open}. */
     public static LocalCluster start(
             List<NodeProfile> profiles, TrafficRecorder recorder, int loopCount) {
         EventLoopGroup loops = EventLoops.group(loopCount, "stand-in");
@@ -51,14 +51,14 @@
         return cluster;
     }
 
-    /** The site file of the demo with its blanks filled in. */
+    /** Returns the demo's site file with its placeholders filled in. */
     public static String demoSite(
             String name, int number, int gateways, int nbdPort, InetSocketAddress directory) {
         String text;
         try (InputStream in = LocalCluster.class.getResourceAsStream("/demo-site.ini")) {
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new IllegalStateException("the demo's site file is not in the program", e);
+            throw new IllegalStateException("failed to read the resource /demo-site.ini", e);
         }
         Map<String, String> placeholders =
                 Map.of(
@@ -78,7 +78,7 @@
         return text;
     }
 
-    /** Opens a gateway by the text of a site file. */
+    /** Starts a gateway from the text of a site file. */
     public NbdGateway open(String siteText, long seed) throws SiteConfigException {
         NbdGateway gateway = new NbdGateway(SiteConfig.read("site", siteText), seed);
         await(gateway.start());
@@ -86,7 +86,7 @@
         return gateway;
     }
 
-    /** Lists a node in the directory in a phase. */
+    /** Lists a node in the directory with the given phase. */
     public void list(StandInNode node, DirectoryMessages.Phase phase) {
         directory.put(
                 new DirectoryMessages.EndpointLine(
@@ -101,34 +101,34 @@
                         node.address().getPort()));
     }
 
-    /** A node crashes and comes back in slow start, and the directory lists it anew. */
+    /** Restarts a node in slow start and lists it in the directory as ready. */
     public void restartCold(StandInNode node) {
         await(node.restartCold());
         list(node, DirectoryMessages.Phase.READY);
     }
 
-    /** A node takes nothing new, and the directory lists it as draining. */
+    /** Starts to drain a node and lists it in the directory as draining. */
     public void drain(StandInNode node) {
         node.drain();
         list(node, DirectoryMessages.Phase.DRAINING);
     }
 
-    /** Its directory. */
+    /** Returns the directory. */
     public StandInDirectory directory() {
         return directory;
     }
 
-    /** Its nodes, in the order of their numbers. */
+    /** Returns the nodes, in the order of the profiles they were started from. */
     public List<StandInNode> nodes() {
         return nodes;
     }
 
-    /** The gateways that were opened. */
+    /** Returns the gateways that were started. */
     public List<NbdGateway> gateways() {
         return gateways;
     }
 
-    /** The event loops of directory and nodes, for clients too. */
+    /** Returns the event loops that the directory and nodes share with clients. */
     public EventLoopGroup loops() {
         return loops;
     }
@@ -150,7 +150,9 @@
     }
 
     /**
-     * Waits for a future for up to 20 s; fails with IllegalStateException if it does not end well.
+     * Waits up to 20 s for a future and returns its result.
+     *
+     * @throws IllegalStateException if it fails or does not complete in time
      */
     public static <T> T await(CompletableFuture<T> future) {
         try {
--- a/src/main/java/sagepulley/scenario/OperationKey.java
+++ b/src/main/java/sagepulley/scenario/OperationKey.java
@@ -1,4 +1,4 @@
 package sagepulley.scenario;
 
-/** An operation of one gateway's incarnation, as the nodes see it. */
+/** Identifies an operation by its gateway incarnation and the operation ID on the wire. */
 record OperationKey(long gateway, long operationId) {}
--- a/src/main/java/sagepulley/scenario/RateLimitRule.java
+++ b/src/main/java/sagepulley/scenario/RateLimitRule.java
@@ -4,7 +4,7 @@
 import sagepulley.model.TenantPlan;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Rule 7: no volume passes the rate limit of its plan. */
+/** Rule 7: no volume exceeds the rate limit of its tenant plan. */
 final class RateLimitRule implements Rule {
     private static final double MILLIS_PER_SECOND = 1000;
 
@@ -21,15 +21,15 @@
         return findings.verdict(
                 "7 limits kept",
                 minLevel == Double.POSITIVE_INFINITY
-                        ? "no volume has one"
-                        : "never under " + Findings.format(minLevel) + " units",
+                        ? "no rate limits apply"
+                        : "bucket level at least " + Findings.format(minLevel) + " units",
                 "-slack");
     }
 
-    /** Checks one volume; the lowest level of its token bucket, infinity where it took nothing. */
+    /** Checks one volume. Returns the lowest level of its token bucket; infinity if unused. */
     private static double check(
             Evidence evidence, Findings findings, VolumeSettings volume, TenantPlan plan) {
-        // Two attempts that left apart may arrive together.
+        // Attempts sent at different times may arrive together after a delay.
         double minAllowed =
                 -plan.limitSlack() - plan.limit() * evidence.toleranceMillis / MILLIS_PER_SECOND;
         double minLevel = Double.POSITIVE_INFINITY;
@@ -58,7 +58,7 @@
                                 + volume.name()
                                 + " is "
                                 + Findings.format(-level)
-                                + " units past its limit");
+                                + " units over its rate limit");
             }
         }
         return minLevel;
--- a/src/main/java/sagepulley/scenario/ReconnectStorm.java
+++ b/src/main/java/sagepulley/scenario/ReconnectStorm.java
@@ -9,11 +9,14 @@
 import sagepulley.membership.ReconnectBackoff;
 
 /**
- * Gateways that lost one directory together and poll it until it answers.
+ * The result of a simulated reconnect storm: many gateways lose one directory at the same time and
+ * call it until each has its endpoint list.
  *
- * @param usesBackoff whether they back off as the gateway does, or poll every 250 ms
- * @param maxCallsInTenthSecond the most calls in a tenth of a second, the first second left out
- * @param allListedMillis how long after the directory's return all of them had a list
+ * @param usesBackoff whether the gateways use {@link ReconnectBackoff}; otherwise they call every
+ *     250 ms
+ * @param maxCallsInTenthSecond the most calls in a tenth of a second, after the first second
+ * @param calls the total number of calls
+ * @param allListedMillis the time from the directory's recovery until every gateway has a list
  */
 public record ReconnectStorm(
         int gateways,
@@ -28,14 +31,17 @@
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double TENTH_MILLIS = 100;
 
-    /** All lose the directory in the first second, so that calls then are the same either way. */
+    /** The peak excludes the first second, in which all gateways call at once in either case. */
     private static final double FIRST_COUNTED_MILLIS = 1_000;
 
     private record Call(double atMillis, int gateway) {}
 
     /**
-     * Simulates a storm in one thread: the directory is down for so long, and then serves so many
-     * calls a second, one after another, with a queue of so many; the rest time out.
+     * Simulates a storm.
+     *
+     * @param downMillis how long the directory is down
+     * @param callsPerSecond the rate at which the directory then serves calls, one after another
+     * @param queue the number of calls that may wait at the directory; further calls time out
      */
     public static ReconnectStorm simulate(
             int gateways,
--- a/src/main/java/sagepulley/scenario/RetryBudgetRule.java
+++ b/src/main/java/sagepulley/scenario/RetryBudgetRule.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import sagepulley.model.ServicePolicy;
 
-/** Rule 6: each gateway's retries stay within the retry budget, where one is stated. */
+/** Rule 6: the retries of each gateway stay within the retry budget, if one is configured. */
 final class RetryBudgetRule implements Rule {
     private static final double MIN_BUDGET = 1e-9;
 
@@ -20,12 +20,12 @@
         return findings.verdict(
                 "6 budget kept",
                 evidence.policy().hasRetryBudget()
-                        ? "at most " + Findings.format(100 * maxShare) + " % of it"
-                        : "none is stated",
+                        ? "at most " + Findings.format(100 * maxShare) + " % of the budget"
+                        : "no budget configured",
                 "100 %");
     }
 
-    /** Checks one gateway; the largest share of its budget that it used at any time. */
+    /** Checks one gateway. Returns the largest share of its retry budget in use at any time. */
     private static double check(
             Evidence evidence, Findings findings, SocketEventLog.GatewayIncarnation gateway) {
         ServicePolicy policy = evidence.policy();
@@ -46,14 +46,15 @@
                                 + gateway.index
                                 + " sent "
                                 + used
-                                + " further hops, allowed "
-                                + Findings.format(allowed));
+                                + " retries within the budget window, at most "
+                                + Findings.format(allowed)
+                                + " are allowed");
             }
         }
         return maxShare;
     }
 
-    /** When clients sent requests, once for each extent that a request touches. */
+    /** Returns the send time of each client request, once for each extent that it touches. */
     private static List<Long> operationTimes(Evidence evidence, long gateway) {
         int extentBytes = evidence.site.extentBytes();
         List<Long> times = new ArrayList<>();
--- a/src/main/java/sagepulley/scenario/Rule.java
+++ b/src/main/java/sagepulley/scenario/Rule.java
@@ -1,7 +1,7 @@
 package sagepulley.scenario;
 
-/** One of the rules that a gateway must keep (WIRE 9), judged from what passed on the sockets. */
+/** A rule that gateways must follow, checked against the traffic recorded at the sockets. */
 interface Rule {
-    /** How the rule was kept in one run. */
+    /** Checks the rule against the traffic of one run. */
     RuleVerdict evaluate(Evidence evidence);
 }
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -9,9 +9,9 @@
 import sagepulley.standin.NodeProfile;
 
 /**
- * Judges how a run kept the seven rules (WIRE 9) from what was recorded at the sockets alone. Where
- * a time is judged that was taken at another socket, the way between and the stalls of the machine
- * are allowed for.
+ * Checks from the traffic recorded at the sockets whether the gateways followed the seven rules in
+ * a finished run. Comparisons of times taken at different sockets include a tolerance for network
+ * delay and stalls of the test process.
  */
 public final class RuleChecker {
     private static final List<Rule> RULES =
@@ -27,9 +27,9 @@
     private final Evidence evidence;
 
     /**
-     * A checker for a run that is over.
+     * Creates a checker for a finished run.
      *
-     * @param stallMillis how long the machine stalled
+     * @param stallMillis the longest stall of the test process during the run
      */
     public RuleChecker(
             SocketEventLog eventLog,
@@ -39,14 +39,15 @@
         this.evidence = new Evidence(eventLog, site, profiles, stallMillis);
     }
 
-    /** The verdicts of all seven rules, in order. */
+    /** Returns the verdicts on all seven rules, in order. */
     public List<RuleVerdict> verdicts() {
         return RULES.stream().map(rule -> rule.evaluate(evidence)).toList();
     }
 
     /**
-     * For each volume, the share of its requests, 0 to 1, that were served within their latency
-     * objective; weighted by priority, with part of the weight for those served later.
+     * Returns for each volume the share of its requests that were served within their latency
+     * objective, 0 to 1. Requests are weighted by priority, and a request served later counts with
+     * a fraction of its weight.
      */
     public Map<String, Double> service() {
         Map<String, Double> shares = new TreeMap<>();
--- a/src/main/java/sagepulley/scenario/RuleVerdict.java
+++ b/src/main/java/sagepulley/scenario/RuleVerdict.java
@@ -4,8 +4,11 @@
 import java.util.List;
 
 /**
- * How one rule or promise was kept: the figure that came nearest to the bound, and the first
- * breaches.
+ * The verdict on one rule. The components are the fields of the JSON output.
+ *
+ * @param figure the measured value that came closest to the bound
+ * @param bound the limit that the figure is compared with
+ * @param breaches descriptions of the first breaches
  */
 public record RuleVerdict(
         String rule,
--- a/src/main/java/sagepulley/scenario/Scenario.java
+++ b/src/main/java/sagepulley/scenario/Scenario.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A scripted scenario. Times are milliseconds from its start, shares 0 to 1. */
+/** A parsed scenario script. Times are milliseconds from the start; shares range from 0 to 1. */
 public record Scenario(
         String name,
         long seed,
@@ -15,7 +15,7 @@
         List<Expectation> expectations,
         List<KnownCause> causes) {
 
-    /** The nodes, numbered from 1 and spread over the zones in turn. */
+    /** The nodes, numbered from 1 and assigned to the zones in turn. */
     public record Nodes(
             int count,
             int slots,
@@ -27,8 +27,11 @@
             double deferIntervalMillis) {}
 
     /**
-     * Requests that come at random times at a rate, whether or not answers keep up; through one
-     * gateway, numbered from 1, or (0) through all of the volume's.
+     * Requests to one volume at random times, independent of the answers.
+     *
+     * @param extents the number of extents from the start of the volume that requests touch
+     * @param connections the number of connections to each gateway
+     * @param gateway the number of the gateway, from 1; 0 for all gateways of the volume
      */
     public record Load(
             String name,
@@ -42,7 +45,7 @@
             int connections,
             int gateway) {}
 
-    /** What can go wrong. */
+    /** The faults that a script can inject. */
     public enum Fault {
         SILENT,
         PAUSED,
@@ -67,8 +70,12 @@
     }
 
     /**
-     * One fault: its targets (node numbers, or the gateway's), its magnitude, and until when; NaN
-     * for good.
+     * One fault in the script.
+     *
+     * @param targets the numbers of the nodes, or of the gateway
+     * @param magnitude a factor, a share or milliseconds, depending on the fault
+     * @param load the name of the load; empty except for a surge
+     * @param untilMillis the end of the fault; NaN if the script does not end it
      */
     public record Event(
             double atMillis,
@@ -79,11 +86,11 @@
             double untilMillis) {}
 
     /**
-     * What makes a volume wait is one of these: a cause's kind, with a volume's name or a node
-     * after a colon.
+     * The accepted main causes of a volume's latency. Each is the kind of a cause, optionally with
+     * the name of a volume or the number of a node after a colon.
      */
     public record KnownCause(String volume, List<String> causes) {}
 
-    /** A volume's service must be over a share. */
+    /** Requires that the service of a volume exceeds a share. */
     public record Expectation(String volume, double minService) {}
 }
--- a/src/main/java/sagepulley/scenario/ScenarioException.java
+++ b/src/main/java/sagepulley/scenario/ScenarioException.java
@@ -1,10 +1,10 @@
 package sagepulley.scenario;
 
-/** A script that cannot be used: names file, line and column, and what is wrong there. */
+/** Indicates an invalid or unreadable script. The message names file, line and column. */
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** A mistake, or several, one a line. */
+    /** Creates an exception whose message lists the errors, one per line. */
     public ScenarioException(String message) {
         super(message);
     }
--- a/src/main/java/sagepulley/scenario/ScenarioGateways.java
+++ b/src/main/java/sagepulley/scenario/ScenarioGateways.java
@@ -12,8 +12,8 @@
 import sagepulley.persistence.GatewayAccounts;
 
 /**
- * The gateways of a scenario, which are killed and opened again. Changed on the script's thread and
- * on that of a reopening; clients read the targets on their loops.
+ * Starts, kills and restarts the gateways of a scenario. Modified on the script thread and on the
+ * thread of a restart; clients read the targets on their event loops.
  */
 final class ScenarioGateways {
     private static final Logger LOG = LoggerFactory.getLogger(ScenarioGateways.class);
@@ -29,7 +29,7 @@
     private final List<SocketEventLog.GatewayIncarnation> incarnations =
             new CopyOnWriteArrayList<>();
 
-    /** Gateways of a scenario that find their nodes through a directory; none is open yet. */
+    /** Creates the gateways of a scenario without starting them. */
     ScenarioGateways(
             Scenario scenario,
             ScenarioRunner.GatewayLauncher launcher,
@@ -42,13 +42,13 @@
         this.lastSeed = new AtomicLong(scenario.seed() * SEEDS_PER_SCENARIO);
     }
 
-    /** The configuration of one of a scenario's gateways. */
+    /** Returns the configuration of one gateway of a scenario. */
     static SiteConfig site(Scenario scenario, int index, InetSocketAddress directory)
             throws SiteConfigException {
         String text =
                 LocalCluster.demoSite("gw-" + index, index, scenario.gateways(), 0, directory);
         if (!scenario.site().isBlank()) {
-            // The script's own sections replace the demo's; who the gateway is stays.
+            // The script replaces all sections of the demo except the gateway's own.
             text =
                     text.substring(0, text.indexOf("[site]")).replace("zone = hall-a\n", "")
                             + scenario.site();
@@ -56,12 +56,12 @@
         return SiteConfig.read(scenario.name(), text);
     }
 
-    /** Where clients connect, by gateway. */
+    /** Returns the target that clients connect to, for each gateway. */
     List<LoadGenerator.GatewayTarget> targets() {
         return targets;
     }
 
-    /** Opens all of them for the first time. */
+    /** Starts all gateways for the first time. */
     void openAll() throws SiteConfigException {
         for (int i = 0; i < scenario.gateways(); i++) {
             targets.add(new LoadGenerator.GatewayTarget());
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Ends one as by a kill, unless it has ended already. */
+    /** Kills a gateway without a graceful shutdown, if it is running. */
     void kill(int index) {
         targets.get(index).address = null;
         incarnations.get(index).endedAt = System.nanoTime();
@@ -81,16 +81,16 @@
         }
     }
 
-    /** Opens one that was killed; a failure is logged. */
+    /** Restarts a gateway that was killed. A failure is logged. */
     void reopen(int index) {
         try {
             open(index);
         } catch (SiteConfigException | RuntimeException e) {
-            LOG.atError().setCause(e).log("gateway did not come back");
+            LOG.atError().setCause(e).log("gateway restart failed");
         }
     }
 
-    /** Ends those that are open; gives their accounts as they would go to disk. */
+    /** Kills the running gateways and returns their accounts in their stored form. */
     List<GatewayAccounts> closeAll() {
         List<GatewayAccounts> accounts = new ArrayList<>();
         for (ScenarioRunner.GatewayLauncher.RunningGateway gateway : running) {
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -19,7 +19,7 @@
 import sagepulley.scenario.grammar.ScenarioLexer;
 import sagepulley.scenario.grammar.ScenarioParser;
 
-/** Reads scripts of scenarios; every mistake is reported with its line and column. */
+/** Parses scenario scripts. Every error is reported with its line and column. */
 public final class ScenarioReader {
     private static final double MAX_TIME_MILLIS = 3_600_000;
     private static final int MAX_NODES = 64;
@@ -28,16 +28,20 @@
 
     private ScenarioReader() {}
 
-    /** Reads a script from a file. */
+    /** Parses the script in a file. */
     public static Scenario read(Path file) throws ScenarioException {
         try {
             return read(file.toString(), Files.readString(file));
         } catch (IOException e) {
-            throw new ScenarioException(file + ": cannot be read: " + e);
+            throw new ScenarioException(file + ": failed to read the script: " + e);
         }
     }
 
-    /** Reads a script; errors name it so. */
+    /**
+     * Parses a script.
+     *
+     * @param name the name of the script in error messages
+     */
     public static Scenario read(String name, String text) throws ScenarioException {
         List<String> errors = new ArrayList<>();
         BaseErrorListener listener =
@@ -170,7 +174,7 @@
             double factor = unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000;
             return Math.min(
                     MAX_TIME_MILLIS,
-                    number(duration.NUMBER().getSymbol(), 0, MAX_TIME_MILLIS, "a time") * factor);
+                    number(duration.NUMBER().getSymbol(), 0, MAX_TIME_MILLIS, "the duration") * factor);
         }
 
         private void addError(ParserRuleContext context, String message) {
@@ -216,13 +220,13 @@
 
         @Override
         public Void visitSlots(ScenarioParser.SlotsContext context) {
-            slots = (int) number(context.NUMBER().getSymbol(), 1, 1024, "slots");
+            slots = (int) number(context.NUMBER().getSymbol(), 1, 1024, "the number of slots");
             return null;
         }
 
         @Override
         public Void visitQueue(ScenarioParser.QueueContext context) {
-            queue = (int) number(context.NUMBER().getSymbol(), 1, 100_000, "the queue");
+            queue = (int) number(context.NUMBER().getSymbol(), 1, 100_000, "the queue limit");
             return null;
         }
 
@@ -246,7 +250,7 @@
 
         @Override
         public Void visitDefer(ScenarioParser.DeferContext context) {
-            deferredShare = number(context.NUMBER().getSymbol(), 0, 100, "the share") / 100;
+            deferredShare = number(context.NUMBER().getSymbol(), 0, 100, "the deferred share") / 100;
             deferIntervalMillis = Math.max(1, millis(context.duration()));
             return null;
         }
@@ -381,14 +385,14 @@
             } else if (event instanceof ScenarioParser.SurgeContext surge) {
                 String loadName = surge.WORD().getText();
                 if (loads.stream().noneMatch(load -> load.name().equals(loadName))) {
-                    addError(surge, "no load is called " + loadName);
+                    addError(surge, "no load is named " + loadName);
                 }
                 events.add(
                         new Scenario.Event(
                                 atMillis,
                                 Scenario.Fault.SURGE,
                                 List.of(),
-                                number(surge.NUMBER().getSymbol(), 0, 1000, "the factor"),
+                                number(surge.NUMBER().getSymbol(), 0, 1000, "the rate factor"),
                                 loadName,
                                 untilMillis));
             }
@@ -407,7 +411,7 @@
             double magnitude =
                     context.fault().NUMBER() == null
                             ? 0
-                            : number(context.fault().NUMBER().getSymbol(), 0, 10_000, "how much");
+                            : number(context.fault().NUMBER().getSymbol(), 0, 10_000, "the magnitude of the fault");
             if (fault == Scenario.Fault.LOSING || fault == Scenario.Fault.ERRING) {
                 magnitude = Math.min(100, magnitude) / 100;
             }
@@ -441,7 +445,7 @@
             expectations.add(
                     new Scenario.Expectation(
                             context.WORD().getText(),
-                            number(context.NUMBER().getSymbol(), 0, 100, "the service") / 100));
+                            number(context.NUMBER().getSymbol(), 0, 100, "the expected service") / 100));
             return null;
         }
     }
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -22,8 +22,8 @@
 import sagepulley.standin.NodeProfile;
 
 /**
- * Plays a scripted scenario through real gateways on loopback and judges it by what passed on the
- * sockets. Scripted events happen on one thread of its own.
+ * Runs a scripted scenario through real gateways on loopback and checks the traffic that was
+ * recorded at the sockets. Scripted events run on a dedicated thread.
  */
 public final class ScenarioRunner {
     private static final int CLUSTER_LOOPS = 3;
@@ -31,11 +31,16 @@
     private static final long OPEN_REQUEST_POLL_MILLIS = 10;
 
     /**
-     * The result of a scenario.
+     * The result of a scenario run. The components are the fields of the JSON output.
      *
-     * @param service for each volume, the share of its requests served within their objective
-     * @param unmet sentences for the expectations that were not met
-     * @param stallMillis how long the machine stalled at the worst
+     * @param day the name of the scenario
+     * @param verdicts the verdict on each rule and on the data that reads returned
+     * @param service for each volume, the weighted share of its requests served within their
+     *     latency objective, 0 to 1
+     * @param unmet descriptions of the expectations that were not met
+     * @param requests the number of requests that clients sent
+     * @param attempts the number of attempts that reached a node
+     * @param stallMillis the longest stall of the test process, in milliseconds
      */
     public record Result(
             String day,
@@ -45,19 +50,25 @@
             long requests,
             long attempts,
             @JsonProperty("stoodStill") double stallMillis) {
-        /** Whether every rule and promise was kept, and every expectation met. */
+        /** Returns whether every rule was satisfied and every expectation met. */
         public boolean passed() {
             return unmet.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
         }
     }
 
-    /** Opens a gateway; tests put a broken one in its place. */
+    /** Starts the gateways of a scenario. Tests substitute gateways that break the rules. */
     public interface GatewayLauncher {
-        /** A running gateway: where clients connect, its end as by a kill, and its accounts. */
+        /**
+         * A running gateway.
+         *
+         * @param address the address that clients connect to
+         * @param kill ends the gateway without a graceful shutdown
+         * @param accounts takes a snapshot of the gateway's latency accounts
+         */
         record RunningGateway(
                 InetSocketAddress address, Runnable kill, Supplier<GatewayAccounts> accounts) {}
 
-        /** Opens a gateway; the seed is also the number of its incarnation. */
+        /** Starts a gateway. The seed also identifies its incarnation. */
         RunningGateway launch(SiteConfig site, long seed);
     }
 
@@ -75,12 +86,12 @@
                         return thread;
                     });
 
-    /** A run of a scenario through this program's own gateways. */
+    /** Creates a run of a scenario through the gateways of this program. */
     public ScenarioRunner(Scenario scenario) {
         this(scenario, ScenarioRunner::launchGateway);
     }
 
-    /** A run of a scenario through gateways of another kind. */
+    /** Creates a run of a scenario through the gateways that a launcher starts. */
     public ScenarioRunner(Scenario scenario, GatewayLauncher launcher) {
         this.scenario = scenario;
         this.launcher = launcher;
@@ -94,7 +105,7 @@
                 () -> LocalCluster.await(gateway.accountSnapshot()));
     }
 
-    /** Plays the scenario to its end. */
+    /** Runs the scenario to its end and returns the result. */
     public Result run() throws SiteConfigException {
         SiteConfig site = ScenarioGateways.site(scenario, 0, new InetSocketAddress("127.0.0.1", 1));
         List<NodeProfile> profiles = profiles(site);
@@ -127,7 +138,7 @@
         }
     }
 
-    /** The accounts of the gateways that stood at the end, as they would go to disk. */
+    /** Returns the accounts of the gateways that ran at the end, in their stored form. */
     public List<GatewayAccounts> accounts() {
         return accounts;
     }
@@ -170,7 +181,7 @@
                                 new SiteConfigException(
                                         "load "
                                                 + load.name()
-                                                + ": no volume is called "
+                                                + ": no volume is named "
                                                 + load.volume()));
     }
 
@@ -213,8 +224,8 @@
                 new RuleVerdict(
                         "reads show the last acknowledged write",
                         history.breaches().isEmpty(),
-                        history.checkedBlocks() + " blocks read",
-                        "all of them",
+                        history.checkedBlocks() + " blocks checked",
+                        "every block",
                         history.breaches()));
         Map<String, Double> service = checker.service();
         return new Result(
@@ -245,20 +256,20 @@
         return unmet;
     }
 
-    /** The script of a scenario that comes with the program. */
+    /** Returns the script of a built-in scenario. */
     public static String builtIn(String name) throws ScenarioException {
         return readResource(name + ".day");
     }
 
-    /** A file from the program's scenarios. */
+    /** Returns the text of a file in the resource directory of the built-in scenarios. */
     static String readResource(String name) throws ScenarioException {
         try (InputStream from = ScenarioRunner.class.getResourceAsStream("/days/" + name)) {
             if (from == null) {
-                throw new ScenarioException(name + ": no such file comes with the program");
+                throw new ScenarioException(name + ": not found among the built-in scenarios");
             }
             return new String(from.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new ScenarioException(name + ": cannot be read: " + e.getMessage());
+            throw new ScenarioException(name + ": failed to read the built-in file: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sagepulley/scenario/SingleEffectRule.java
+++ b/src/main/java/sagepulley/scenario/SingleEffectRule.java
@@ -6,7 +6,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Rule 2: no operation has its effect twice, unless its traffic class is idempotent. */
+/** Rule 2: no operation takes effect twice, unless its traffic class is idempotent. */
 final class SingleEffectRule implements Rule {
     @Override
     public RuleVerdict evaluate(Evidence evidence) {
@@ -23,7 +23,7 @@
             }
         }
         return findings.verdict(
-                "2 no effect twice", retries + " further hops", "each allowed by its band");
+                "2 no effect twice", retries + " retries", "each allowed by its traffic class");
     }
 
     private static void checkExecutions(Evidence evidence, Findings findings) {
@@ -37,9 +37,9 @@
                 findings.addBreach(
                         "operation "
                                 + operation.operationId()
-                                + " of band "
+                                + " of traffic class "
                                 + trafficClass.name()
-                                + " ran "
+                                + " executed "
                                 + count
                                 + " times");
             }
@@ -60,9 +60,9 @@
         }
         if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
             findings.addBreach(
-                    "unrepeatable operation "
+                    "non-idempotent operation "
                             + operation.operationId()
-                            + " was sent again though it may have run");
+                            + " was retried although it may have executed");
         } else if (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
                 && trafficClass.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
                 && previous.node() != retry.node()) {
@@ -71,11 +71,15 @@
         }
         if (!hasEnded(evidence, operation, previous, answer, retry)
                 && !evidence.policy().hedgingAllowed()) {
-            findings.addBreach("two hops of operation " + operation.operationId() + " were out at once");
+            findings.addBreach(
+                    "two attempts of operation " + operation.operationId() + " were in flight at once");
         }
     }
 
-    /** Whether the node had answered, before the retry came, that it did not execute it. */
+    /**
+     * Returns whether the node had answered, before the retry arrived, that it did not execute the
+     * operation.
+     */
     private static boolean neverExecuted(
             SocketEventLog.AttemptAnswered answer, SocketEventLog.AttemptReceived retry) {
         return answer != null
@@ -86,7 +90,10 @@
                 && answer.code() != StoreMessages.Code.CANCELLED;
     }
 
-    /** Whether the attempt before was answered, cancelled or cut off when the retry came. */
+    /**
+     * Returns whether the previous attempt had ended when the retry arrived: by an answer, by its
+     * cancellation or with its connection.
+     */
     private static boolean hasEnded(
             Evidence evidence,
             OperationKey operation,
--- a/src/main/java/sagepulley/scenario/SlowStartRule.java
+++ b/src/main/java/sagepulley/scenario/SlowStartRule.java
@@ -19,15 +19,18 @@
         }
         Findings findings = new Findings();
         for (SocketEventLog.NodeCollapsed collapse : evidence.log.collapses) {
-            findings.addBreach("node " + collapse.node() + " was pushed over");
+            findings.addBreach("node " + collapse.node() + " collapsed under overload during its slow start");
         }
         return findings.verdict(
                 "4 no cold node pushed over",
-                "at most " + Findings.format(100 * maxShare) + " % of what it bears",
+                "at most " + Findings.format(100 * maxShare) + " % of the collapse threshold",
                 "100 %");
     }
 
-    /** The highest load of a node after a start, as a share of what it bears at that time. */
+    /**
+     * Returns the highest load of a node during a slow start, as a share of the load at which it
+     * collapses at that time.
+     */
     private static double maxLoadShare(Evidence evidence, SocketEventLog.NodeStarted start) {
         ServicePolicy policy = evidence.policy();
         NodeProfile node = evidence.profile(start.node());
@@ -52,7 +55,7 @@
         return max;
     }
 
-    /** Units within the overload window that a node bears at an age. */
+    /** Returns the units within the overload window above which a node of that age collapses. */
     private static double collapseThresholdUnits(
             ServicePolicy policy, NodeProfile node, double unitsPerSecond, double ageMillis) {
         double capacityShare =
--- a/src/main/java/sagepulley/scenario/SocketEventLog.java
+++ b/src/main/java/sagepulley/scenario/SocketEventLog.java
@@ -7,17 +7,19 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * What was recorded at the sockets of nodes, directory and clients; nothing that gateways say of
- * themselves. Thread-safe; lists are read under its lock or once a run is over.
+ * Records the traffic of one run at the sockets of nodes, directory and clients. Nothing is taken
+ * from the gateways themselves. Times are System.nanoTime.
+ *
+ * <p>Recording is thread-safe. The lists are read under the lock of this object or after the run.
  */
 public final class SocketEventLog implements TrafficRecorder {
-    /** An attempt at a node. */
+    /** An attempt that reached a node. */
     public record AttemptReceived(int node, long gateway, StoreMessages.Send send, long at) {}
 
-    /** An operation's work began. */
+    /** An operation that a node executed. */
     public record OperationExecuted(int node, long gateway, StoreMessages.Send send, long at) {}
 
-    /** An attempt's answer, which may have been lost by a fault. */
+    /** An answer to an attempt; lost is true if a fault withheld it from the gateway. */
     public record AttemptAnswered(
             int node,
             long gateway,
@@ -27,20 +29,20 @@
             boolean lost,
             long at) {}
 
-    /** An attempt that its gateway cancelled. */
+    /** A cancellation of an attempt by its gateway. */
     public record AttemptCancelled(int node, long gateway, long operationId, int attemptNumber, long at) {}
 
-    /** A node's start; its capacity in units a second is NaN where it started warm. */
+    /** A start of a node. Its warm capacity in units per second is NaN if it started warm. */
     public record NodeStarted(int node, double unitsPerSecond, long at) {}
 
-    /** A node collapsed under overload. */
+    /** An overload collapse of a node. */
     public record NodeCollapsed(int node, long at) {}
 
-    /** What a gateway was sent of the endpoint list. */
+    /** An endpoint list that a gateway was sent, complete or only the changed lines. */
     public record EndpointListSent(
             long gateway, boolean complete, List<DirectoryMessages.EndpointLine> lines, long at) {}
 
-    /** A gateway's incarnation, from its opening to its kill. */
+    /** An incarnation of a gateway, from its start until it is killed. */
     public static final class GatewayIncarnation {
         public final int index;
         public final long gateway;
@@ -54,7 +56,7 @@
         }
     }
 
-    /** A client's request, and what came of it; replies count its final answers. */
+    /** A client request and its outcome. The replies field counts the final answers. */
     public static final class ClientRequest {
         public final long gateway;
         public final int volume;
@@ -67,7 +69,7 @@
         public volatile int error;
         public volatile int replies;
 
-        /** Its connection ended: no answer is due. */
+        /** Set if the connection ended before the answer; no answer is due then. */
         public volatile boolean connectionLost;
 
         ClientRequest(
@@ -147,14 +149,14 @@
         listsSent.add(new EndpointListSent(gateway, complete, List.copyOf(lines), nanos));
     }
 
-    /** A gateway was opened. */
+    /** Records the start of a gateway and returns its incarnation. */
     public synchronized GatewayIncarnation gatewayStarted(int index, long gateway, long nanos) {
         GatewayIncarnation incarnation = new GatewayIncarnation(index, gateway, nanos);
         incarnations.add(incarnation);
         return incarnation;
     }
 
-    /** A client sends a request; its answer is recorded in what this returns. */
+    /** Records a client request. The caller records the answer in the returned object. */
     public synchronized ClientRequest requestSent(
             long gateway,
             int volume,
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -9,22 +9,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures how long this machine, or an event loop of the stand-ins and clients, stalled: ticks
- * that are due every few milliseconds are recorded where they come late. What is judged by the
- * clock allows for that much, or a loaded machine would be judged instead of a gateway.
+ * Measures stalls of this process and of the event loops of stand-ins and clients from periodic
+ * ticks that run late. Checks on times add the stalls to their tolerance, so that a loaded machine
+ * is not reported as a breach by a gateway.
  */
 public final class StallDetector implements AutoCloseable {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double TICK_MILLIS = 5;
     private static final double EXPECTED_DELAY_MILLIS = 2;
 
-    /** What is judged takes no longer than this; stalls further apart do not add up. */
+    /** Stalls further apart than this do not add up: no checked interval is longer. */
     private static final double WINDOW_MILLIS = 3_000;
 
-    /** A tick that came late, in milliseconds of System.nanoTime. */
+    /** A late tick; its time is System.nanoTime in milliseconds. */
     private record Stall(double atMillis, double lateMillis) {}
 
-    /** The ticks of one thread. */
+    /** Records the late ticks of one thread. */
     private static final class TickSource {
         private final List<Stall> stalls = new ArrayList<>();
         private long lastTickNanos = System.nanoTime();
@@ -57,7 +57,7 @@
     private final List<TickSource> sources = new CopyOnWriteArrayList<>();
     private volatile boolean closed;
 
-    /** Starts to watch with a thread of its own. */
+    /** Starts a thread that detects stalls of the whole process. */
     public StallDetector() {
         TickSource source = new TickSource();
         sources.add(source);
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Watches the loops of a group as well. */
+    /** Also measures the event loops of a group. */
     public StallDetector watch(EventLoopGroup loops) {
         for (EventExecutor loop : loops) {
             TickSource source = new TickSource();
@@ -100,7 +100,8 @@
     }
 
     /**
-     * The longest stall within any three seconds, in milliseconds, summed over all that is watched.
+     * Returns the longest total stall within three seconds, in milliseconds, summed over the
+     * process thread and all event loops measured.
      */
     public double worstStallMillis() {
         return sources.stream().mapToDouble(TickSource::worstStallMillis).sum();
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -22,17 +22,32 @@
 import sagepulley.standin.TrafficRecorder;
 
 /**
- * Measures the way through the gateway against the way from client to node directly, by turns in
- * one run, at a fixed number of requests in flight. What counts is the ratio.
+ * Compares requests through the gateway with requests sent from client to node directly, at a fixed
+ * number of requests in flight. Both paths alternate in one run, so that their ratio is meaningful.
  */
 public final class ThroughputComparison {
     private static final int EXTENT_BYTES = 1 << 20;
     private static final int EXTENTS = 48;
 
-    /** One way's figures: requests a second, and times in microseconds. */
+    /**
+     * The measurements of one path.
+     *
+     * @param perSecond completed requests per second
+     * @param p50 the median latency in microseconds
+     * @param p99 the 99th percentile of the latency in microseconds
+     * @param failed the number of failed requests
+     */
     public record PathMetrics(double perSecond, double p50, double p99, long failed) {}
 
-    /** Both ways for one kind of request. */
+    /**
+     * The measurements of both paths for one kind, size and depth. With {@link
+     * #compareRecordKeeping} the direct path is the gateway that keeps no records.
+     *
+     * @param heapBytes heap bytes allocated by gateway threads per request through the gateway
+     * @param loopBusyMicros CPU microseconds of gateway threads per request through the gateway
+     * @param directHeapBytes the same as heapBytes for the direct path
+     * @param directBusyMicros the same as loopBusyMicros for the direct path
+     */
     public record Row(
             String kind,
             int bytes,
@@ -44,7 +59,7 @@
             double directHeapBytes,
             double directBusyMicros) {}
 
-    /** What the second of two gateways keeps that the first does not. */
+    /** The records that the second of two compared gateways keeps and the first does not. */
     public enum RecordKeeping {
         NEITHER,
         ACCOUNTS,
@@ -54,18 +69,23 @@
     private final double seconds;
     private final int rounds;
 
-    /** Each way runs for so many seconds in all, in so many turns. */
+    /**
+     * Creates a comparison.
+     *
+     * @param seconds the total duration of each path in a row
+     * @param rounds the number of turns that the duration is split into
+     */
     public ThroughputComparison(double seconds, int rounds) {
         this.seconds = seconds;
         this.rounds = rounds;
     }
 
-    /** Asks one request; told whether it went well. */
+    /** Sends one request. The callback receives whether it was served. */
     private interface RequestSender {
         void send(int requestNumber, Consumer<Boolean> onEnd);
     }
 
-    /** Runs all kinds, sizes and depths. */
+    /** Compares the gateway with the direct path for all kinds, sizes and depths. */
     public List<Row> run(int nodes, int[] sizes, int[] depths) throws SiteConfigException {
         EventLoopGroup clients = EventLoops.group(1, "client-side");
         List<Row> rows = new ArrayList<>();
@@ -118,7 +138,7 @@
         return rows;
     }
 
-    /** The way through a gateway. */
+    /** Returns a sender that sends requests through a gateway. */
     private static RequestSender gatewaySender(NbdClient client, boolean isRead, int bytes, ByteBuf data) {
         int positions = EXTENT_BYTES / bytes;
         return (requestNumber, onEnd) -> {
@@ -142,9 +162,11 @@
     }
 
     /**
-     * A gateway that keeps accounts, or traces too, against one that keeps neither, by turns, in
-     * place of the direct way; files go to a folder. With neither on both sides it tells what
-     * differs by itself.
+     * Compares a gateway that keeps accounts, or accounts and traces, with one that keeps neither,
+     * which takes the place of the direct path. With {@link RecordKeeping#NEITHER} the result shows
+     * the difference between two equal gateways.
+     *
+     * @param folder the folder of the accounts and traces
      */
     public List<Row> compareRecordKeeping(
             int nodes, int[] sizes, int[] depths, RecordKeeping records, Path folder)
@@ -282,7 +304,7 @@
         }
     }
 
-    /** Keeps so many requests in flight for a while. */
+    /** Keeps a fixed number of requests in flight for a duration and adds up the results. */
     private void runPhase(
             EventLoop loop, RequestSender sender, int depth, double durationSeconds, Totals totals) {
         CompletableFuture<Void> done = new CompletableFuture<>();
@@ -324,7 +346,7 @@
         LocalCluster.await(done);
     }
 
-    /** Heap bytes allocated, and nanoseconds of processor used, by the gateway's threads so far. */
+    /** Returns the heap bytes allocated and the CPU nanoseconds used by the gateway's threads. */
     private static long[] gatewayThreadUsage() {
         com.sun.management.ThreadMXBean threads =
                 (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
--- a/src/main/java/sagepulley/scenario/package-info.java
+++ b/src/main/java/sagepulley/scenario/package-info.java
@@ -1,12 +1,11 @@
 /**
- * Scripted scenarios, played through real gateways against stand-ins on loopback, and the rules
- * that judge what passed on the sockets; experiments that compare and measure gateways in the same
- * way.
+ * Runs scripted scenarios through real gateways against stand-in nodes on loopback and checks the
+ * recorded traffic against the rules for gateways. Also contains the experiments that measure and
+ * compare gateways in the same setup.
  *
  * <p>{@link sagepulley.scenario.ScenarioRunner} owns a run: the cluster, the load generators and
- * the thread on which scripted events happen. Stand-ins and clients run on the cluster's event
- * loops and record into one {@link sagepulley.scenario.SocketEventLog} and one {@link
- * sagepulley.scenario.BlockHistory}, which are thread-safe. The rules read these once the run is
- * over.
+ * the thread that executes scripted events. Stand-ins and clients run on the cluster's event loops
+ * and record into one {@link sagepulley.scenario.SocketEventLog} and one {@link
+ * sagepulley.scenario.BlockHistory}, which are thread-safe. The rules read both after the run.
  */
 package sagepulley.scenario;
--- a/src/test/java/sagepulley/scenario/JsonNamesTest.java
+++ b/src/test/java/sagepulley/scenario/JsonNamesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.accounts.LatencyReport;
 
-/** What the commands print with --json keeps its names and their order. */
+/** Guards the field names and their order in the output of the commands with --json. */
 class JsonNamesTest {
     private final JsonMapper mapper = new JsonMapper();
 
--- a/src/test/java/sagepulley/scenario/MisbehavingGateway.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingGateway.java
@@ -35,10 +35,11 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * A gateway that heeds no rule: it sends everything on at once. The judge must see what it does.
+ * A gateway that follows none of the rules: it forwards every request at once. Tests use it to show
+ * that the rule checker detects each breach.
  */
 final class MisbehavingGateway implements ScenarioRunner.GatewayLauncher {
-    /** What it does besides. */
+    /** An additional breach of the rules. */
     enum Misbehavior {
         NONE,
         LATE_ANSWER,
@@ -173,7 +174,7 @@
         }
     }
 
-    /** A node's link; ends are told to whoever sent. */
+    /** A connection to a node. Each attempt has a callback, with null data if it failed. */
     private static final class NodeClient implements NodeConnection.Listener {
         final NodeConnection connection;
         final Map<Long, java.util.function.Consumer<ByteBuf>> callbacks = new HashMap<>();
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The judge sees each rule broken, by a gateway made for it, and the real gateway keep them. */
+/** Checks that each broken rule is detected, and that the real gateway satisfies all rules. */
 @Isolated(
-        "it allows for how late this machine runs, which other tests would make so late that no breach shows")
+        "the tolerance grows with stalls of this process; other tests could stall it until breaches are hidden")
 class RuleCheckerTest {
-    /** A small day of 1.5 s with one load and whatever else is said. */
+    /** Returns the script of a scenario of 1.5 s with one load, and additional lines. */
     private static String script(String trafficClassLines, String planLimits, String extraLines) {
         return """
                 day "small"
@@ -64,15 +64,15 @@
 
     @ParameterizedTest
     @CsvSource({
-        "0, LATE_ANSWER,          '',                        '',           ''",
-        "0, ATTEMPT_AFTER_ANSWER,    '',                        '',           ''",
-        "1, CONCURRENT_ATTEMPTS, 'repeats = unrepeatable',  '',           ''",
-        "2, NONE,         '',                        '',           'at 300 ms node 1 drains'",
+        "0, LATE_ANSWER, '', '', ''",
+        "0, ATTEMPT_AFTER_ANSWER, '', '', ''",
+        "1, CONCURRENT_ATTEMPTS, 'repeats = unrepeatable', '', ''",
+        "2, NONE, '', '', 'at 300 ms node 1 drains'",
         "3, NONE, '', '', 'nodes 3 read 8 ms write 8 ms  at 300 ms all nodes restarts cold  load more on vol 800 a second'",
-        "4, NONE,         'in-order = yes',          '',           ''",
-        "5, EXTRA_RETRIES,        'budget',                  '',           ''",
+        "4, NONE, 'in-order = yes', '', ''",
+        "5, EXTRA_RETRIES, 'budget', '', ''",
         "6, NONE, '', 'limit = 20|limit-burst = 10|limit-slack = 4', ''",
-        "7, DROPPED_WRITES,     '',                        '',           ''",
+        "7, DROPPED_WRITES, '', '', ''",
     })
     void detectsRuleBrokenByMisbehavingGateway(
             int rule, MisbehavingGateway.Misbehavior misbehavior, String trafficClassLines, String planLimits, String extraLines)
@@ -82,7 +82,7 @@
         assertFalse(
                 result.verdicts().get(rule).satisfied(), result.verdicts().get(rule).toString());
         assertFalse(result.passed());
-        // The real one keeps the same rule on the same day.
+        // The real gateway satisfies all rules in the same scenario.
         ScenarioRunner.Result realResult = new ScenarioRunner(scenario).run();
         realResult.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
         assertTrue(realResult.requests() > 50);
@@ -103,11 +103,11 @@
         BlockHistory.Write second = history.begin(1, 0, 4096, 30);
         ByteBuf firstData = BlockHistory.payload(UnpooledByteBufAllocator.DEFAULT, first, 4096);
         first.complete(20, false);
-        history.check(1, 0, firstData, 35, 36); // the second is not acknowledged yet
+        history.check(1, 0, firstData, 35, 36); // the second write is not acknowledged yet
         second.complete(40, true);
-        history.check(1, 0, firstData, 38, 45); // asked before it was
+        history.check(1, 0, firstData, 38, 45); // the read began before the acknowledgement
         assertEquals(0, history.breaches().size());
-        history.check(1, 0, firstData, 50, 55); // undone by a late attempt
+        history.check(1, 0, firstData, 50, 55); // stale: the second write was acknowledged before the read
         assertEquals(1, history.breaches().size());
         history.check(1, 0, firstData.setLong(512, 99), 20, 25);
         assertTrue(history.breaches().get(1).contains("torn"));
@@ -121,7 +121,7 @@
                 "nodes 3 slots|x:1:14: ",
                 "at 2 s node 9 silent|x:1:13: the node is 9, allowed is 1.0 to 6.0",
                 "load l on v 5 a second size 5 KiB|x:1:24: the size is 5120 bytes",
-                "at 1 s load nobody times 3|x:1:8: no load is called nobody",
+                "at 1 s load nobody times 3|x:1:8: no load is named nobody",
                 "gateways 1000|x:1:10: the number of gateways is 1000",
                 "day 'single'|x:1:5: ",
             })
