--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The gateway's use of its stored list: trusted by age, trusted at any age, or not used. Without
-     * the list the gateway waits for discovery.
+     * The gateway's use of its stored list: trusted by age, trusted at any age, or not used.
+     * Without the list the gateway waits for discovery.
      */
     public enum ListPolicy {
         BY_AGE,
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -41,7 +41,7 @@
 
     /**
      * The measurements of both paths for one kind, size and depth. With {@link
-     * #compareRecordKeeping} the direct path is the gateway that keeps no records.
+     * ThroughputComparison#compareRecordKeeping} the direct path is the gateway without records.
      *
      * @param heapBytes heap bytes allocated by gateway threads per request through the gateway
      * @param loopBusyMicros CPU microseconds of gateway threads per request through the gateway
--- a/src/test/java/sagepulley/scenario/MisbehavingGateway.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingGateway.java
@@ -39,7 +39,10 @@
  * that the rule checker detects each breach.
  */
 final class MisbehavingGateway implements ScenarioRunner.GatewayLauncher {
-    /** An additional breach of the rules. */
+    /**
+     * An additional breach: replies after the deadline, a second attempt after the answer or at the
+     * same time, retries beyond the budget, or writes that are acknowledged but never sent.
+     */
     enum Misbehavior {
         NONE,
         LATE_ANSWER,
