--- a/src/main/java/sagepulley/scenario/BlockHistory.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /**
- * Checks reads against the writes of a run. Every write fills its blocks with a stamp of its own; a
- * read may show a write only if no later one was acknowledged between that write's end and the
- * read's begin. Thread-safe.
+ * Checks the data of reads against the writes of a run. Thread-safe.
+ *
+ * <p>Every write fills its blocks with a unique stamp. A read may return a write only if no other
+ * write began after that write ended and was acknowledged before the read began.
  */
 public final class BlockHistory {
     private static final int MAX_DESCRIBED_BREACHES = 100;
     static final int BLOCK_BYTES = 4096;
 
-    /** One write: when it was sent and ended, and whether it was acknowledged. */
+    /** A write: its stamp, when it began and ended, and whether it was acknowledged. */
     public static final class Write {
         final long stamp;
         final long begin;
@@ -28,9 +29,9 @@
             this.begin = begin;
         }
 
-        /** The write ended, with its gateway's final answer or with the connection. */
-        public void complete(long nanos, boolean good) {
-            acknowledged = good;
+        /** Records that the write was answered or that its connection ended. */
+        public void complete(long nanos, boolean succeeded) {
+            acknowledged = succeeded;
             end = nanos;
         }
     }
@@ -42,17 +43,17 @@
     private long lastStamp;
     private long checkedBlocks;
 
-    /** A write of complete blocks is about to be sent. */
+    /** Records a write of whole blocks that is about to be sent. */
     public synchronized Write begin(int volume, long offset, int length, long nanos) {
         Write write = new Write(++lastStamp, nanos);
         for (long block = offset / BLOCK_BYTES; block < (offset + length) / BLOCK_BYTES; block++) {
-            writes.computeIfAbsent(new BlockAddress(volume, block), any -> new ArrayList<>())
+            writes.computeIfAbsent(new BlockAddress(volume, block), address -> new ArrayList<>())
                     .add(write);
         }
         return write;
     }
 
-    /** The data of a write. */
+    /** Returns the data of a write: its stamp, repeated. */
     public static ByteBuf payload(ByteBufAllocator alloc, Write write, int length) {
         ByteBuf data = alloc.ioBuffer(length);
         for (int i = 0; i < length; i += 8) {
@@ -61,71 +62,73 @@
         return data;
     }
 
-    /** Checks the data of a read that was sent at one time and answered at another. */
+    /** Checks the data of a read that was sent at begin and answered at end. */
     public synchronized void check(int volume, long offset, ByteBuf data, long begin, long end) {
-        for (int at = 0; at + BLOCK_BYTES <= data.readableBytes(); at += BLOCK_BYTES) {
-            long stamp = data.getLong(data.readerIndex() + at);
-            long block = (offset + at) / BLOCK_BYTES;
+        for (int position = 0; position + BLOCK_BYTES <= data.readableBytes(); position += BLOCK_BYTES) {
+            long stamp = data.getLong(data.readerIndex() + position);
+            long block = (offset + position) / BLOCK_BYTES;
             for (int i = 8; i < BLOCK_BYTES; i += 8) {
-                if (data.getLong(data.readerIndex() + at + i) != stamp) {
-                    breach("block " + block + " of volume " + volume + " is torn");
+                if (data.getLong(data.readerIndex() + position + i) != stamp) {
+                    addBreach("block " + block + " of volume " + volume + " is torn: it mixes writes");
                     break;
                 }
             }
             checkedBlocks++;
-            judge(volume, block, stamp, begin);
+            checkStamp(volume, block, stamp, begin);
         }
     }
 
-    private void judge(int volume, long block, long stamp, long begin) {
-        List<Write> all = writes.getOrDefault(new BlockAddress(volume, block), List.of());
-        Write seen = null;
-        for (Write write : all) {
+    private void checkStamp(int volume, long block, long stamp, long begin) {
+        List<Write> blockWrites = writes.getOrDefault(new BlockAddress(volume, block), List.of());
+        Write shown = null;
+        for (Write write : blockWrites) {
             if (write.stamp == stamp) {
-                seen = write;
+                shown = write;
             }
         }
-        if (seen == null && stamp != 0) {
-            breach(
+        if (shown == null && stamp != 0) {
+            addBreach(
                     "block "
                             + block
                             + " of volume "
                             + volume
-                            + " holds what was never written there");
+                            + " holds stamp "
+                            + stamp
+                            + ", which was never written to it");
             return;
         }
-        long seenEnd = seen == null ? Long.MIN_VALUE : seen.end;
-        for (Write later : all) {
-            if (later.acknowledged && later.begin > seenEnd && later.end < begin) {
-                breach(
+        long shownEnd = shown == null ? Long.MIN_VALUE : shown.end;
+        for (Write newer : blockWrites) {
+            if (newer.acknowledged && newer.begin > shownEnd && newer.end < begin) {
+                addBreach(
                         "block "
                                 + block
                                 + " of volume "
                                 + volume
                                 + " shows "
-                                + (seen == null ? "nothing" : "write " + stamp)
-                                + " though write "
-                                + later.stamp
+                                + (shown == null ? "no write" : "write " + stamp)
+                                + " although write "
+                                + newer.stamp
                                 + " was acknowledged after it, "
-                                + (begin - later.end) / 1_000_000
+                                + (begin - newer.end) / 1_000_000
                                 + " ms before the read");
                 return;
             }
         }
     }
 
-    private void breach(String what) {
+    private void addBreach(String description) {
         if (breaches.size() < MAX_DESCRIBED_BREACHES) {
-            breaches.add(what);
+            breaches.add(description);
         }
     }
 
-    /** How many blocks were checked. */
+    /** Returns the number of blocks checked. */
     public synchronized long checkedBlocks() {
         return checkedBlocks;
     }
 
-    /** Sentences for the first reads that showed what they may not. */
+    /** Returns descriptions of the first invalid reads, at most 100. */
     public synchronized List<String> breaches() {
         return List.copyOf(breaches);
     }
--- a/src/main/java/sagepulley/scenario/Evidence.java
+++ b/src/main/java/sagepulley/scenario/Evidence.java
@@ -11,22 +11,20 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * What was recorded at the sockets in one run, by operation, with what the rules need to judge it.
- * Immutable once made.
+ * Indexes the traffic recorded in one run by operation and holds the configuration that the rules
+ * check it against. Immutable after construction.
  */
 final class Evidence {
     static final double NANOS_PER_MILLI = 1e6;
 
-    /** How long something may be on its way between two sockets. */
-    private static final double NETWORK_ALLOWANCE_MILLIS = 60;
+    /** The delay allowed between a write on one socket and the read on the other. */
+    private static final double NETWORK_TOLERANCE_MILLIS = 60;
 
     final SocketEventLog log;
     final SiteConfig site;
 
-    /**
-     * What is allowed for where a time is judged that was taken at another socket, in milliseconds.
-     */
-    final double allowanceMillis;
+    /** The tolerance for comparisons of times taken at different sockets, in milliseconds. */
+    final double toleranceMillis;
 
     private final List<NodeProfile> profiles;
     private final Map<OperationKey, List<SocketEventLog.AttemptReceived>> attempts =
@@ -36,46 +34,46 @@
             new HashMap<>();
 
     /**
-     * The evidence of a run.
+     * Indexes the recorded traffic of a run.
      *
-     * @param stallMillis how long the machine stalled
+     * @param stallMillis the longest stall of the test process during the run
      */
     Evidence(SocketEventLog log, SiteConfig site, List<NodeProfile> profiles, double stallMillis) {
         this.log = log;
         this.site = site;
         this.profiles = profiles;
-        this.allowanceMillis = NETWORK_ALLOWANCE_MILLIS + stallMillis;
+        this.toleranceMillis = NETWORK_TOLERANCE_MILLIS + stallMillis;
         for (SocketEventLog.AttemptReceived attempt : log.received) {
-            attempts.computeIfAbsent(operation(attempt), any -> new ArrayList<>()).add(attempt);
+            attempts.computeIfAbsent(operationKey(attempt), key -> new ArrayList<>()).add(attempt);
         }
         for (SocketEventLog.AttemptAnswered answer : log.answered) {
             answers.computeIfAbsent(
-                            new OperationKey(answer.gateway(), answer.mark()),
-                            any -> new ArrayList<>())
+                            new OperationKey(answer.gateway(), answer.operationId()),
+                            key -> new ArrayList<>())
                     .add(answer);
         }
         for (SocketEventLog.AttemptCancelled cancelled : log.cancelled) {
             cancellations
                     .computeIfAbsent(
-                            new OperationKey(cancelled.gateway(), cancelled.mark()),
-                            any -> new ArrayList<>())
+                            new OperationKey(cancelled.gateway(), cancelled.operationId()),
+                            key -> new ArrayList<>())
                     .add(cancelled);
         }
     }
 
-    static OperationKey operation(SocketEventLog.AttemptReceived attempt) {
+    static OperationKey operationKey(SocketEventLog.AttemptReceived attempt) {
         return new OperationKey(attempt.gateway(), attempt.send().operationId());
     }
 
-    double allowanceNanos() {
-        return allowanceMillis * NANOS_PER_MILLI;
+    double toleranceNanos() {
+        return toleranceMillis * NANOS_PER_MILLI;
     }
 
     ServicePolicy policy() {
         return site.deployment().policy();
     }
 
-    /** All attempts by operation, in the order in which they came. */
+    /** Returns all attempts by operation, in order of arrival. */
     Map<OperationKey, List<SocketEventLog.AttemptReceived>> attempts() {
         return attempts;
     }
@@ -84,10 +82,10 @@
         return cancellations.getOrDefault(operation, List.of());
     }
 
-    /** The answer to one attempt of an operation; null where none was recorded. */
+    /** Returns the answer to an attempt of an operation, or null if none was recorded. */
     SocketEventLog.AttemptAnswered answerTo(OperationKey operation, int attempt) {
         for (SocketEventLog.AttemptAnswered answer : answers.getOrDefault(operation, List.of())) {
-            if (answer.number() == attempt) {
+            if (answer.attemptNumber() == attempt) {
                 return answer;
             }
         }
@@ -103,15 +101,16 @@
     }
 
     /**
-     * Whether the node of an attempt, before a time, started anew; a connection that ended shows as
-     * an attempt never answered.
+     * Returns whether the connection of an attempt may have ended by the given time.
+     *
+     * <p>True if the gateway sent nothing to the node after that time, or if the node restarted
+     * between the attempt and the gateway's next attempt at the node after that time.
      */
     boolean connectionEnded(SocketEventLog.AttemptReceived attempt, long until) {
         for (SocketEventLog.AttemptReceived later : log.received) {
             if (later.node() == attempt.node()
                     && later.gateway() == attempt.gateway()
                     && later.at() > until) {
-                // This gateway still sent to the node afterwards, and never cancelled the attempt.
                 return log.nodeStarts.stream()
                         .anyMatch(
                                 start ->
--- a/src/main/java/sagepulley/scenario/RateLimitRule.java
+++ b/src/main/java/sagepulley/scenario/RateLimitRule.java
@@ -4,12 +4,12 @@
 import sagepulley.model.TenantPlan;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Rule 7: no volume passes the rate limit of its plan. */
+/** Rule 7: no volume exceeds the rate limit of its tenant plan. */
 final class RateLimitRule implements Rule {
     private static final double MILLIS_PER_SECOND = 1000;
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
         double minLevel = Double.POSITIVE_INFINITY;
         for (VolumeSettings volume : evidence.site.volumes()) {
@@ -21,17 +21,17 @@
         return findings.verdict(
                 "7 limits kept",
                 minLevel == Double.POSITIVE_INFINITY
-                        ? "no volume has one"
-                        : "never under " + Findings.round(minLevel) + " units",
+                        ? "no rate limits apply"
+                        : "bucket level at least " + Findings.format(minLevel) + " units",
                 "-slack");
     }
 
-    /** Checks one volume; the lowest level of its token bucket, infinity where it took nothing. */
+    /** Checks one volume. Returns the lowest level of its token bucket; infinity if unused. */
     private static double check(
             Evidence evidence, Findings findings, VolumeSettings volume, TenantPlan plan) {
-        // Two attempts that left apart may arrive together.
+        // Attempts sent at different times may arrive together after a delay.
         double minAllowed =
-                -plan.limitSlack() - plan.limit() * evidence.allowanceMillis / MILLIS_PER_SECOND;
+                -plan.limitSlack() - plan.limit() * evidence.toleranceMillis / MILLIS_PER_SECOND;
         double minLevel = Double.POSITIVE_INFINITY;
         double level = plan.limitBurst();
         long last = Long.MIN_VALUE;
@@ -53,12 +53,12 @@
             level -= attempt.send().units();
             minLevel = Math.min(minLevel, level);
             if (level < minAllowed) {
-                findings.breach(
+                findings.addBreach(
                         "volume "
                                 + volume.name()
                                 + " is "
-                                + Findings.round(-level)
-                                + " units past its limit");
+                                + Findings.format(-level)
+                                + " units over its rate limit");
             }
         }
         return minLevel;
@@ -66,7 +66,7 @@
 
     private static boolean notExecuted(Evidence evidence, SocketEventLog.AttemptReceived attempt) {
         SocketEventLog.AttemptAnswered answer =
-                evidence.answerTo(Evidence.operation(attempt), attempt.send().attemptNumber());
+                evidence.answerTo(Evidence.operationKey(attempt), attempt.send().attemptNumber());
         return answer != null
                 && (answer.code() == StoreMessages.Code.NOT_EXECUTED
                         || answer.code() == StoreMessages.Code.STALE_WRITE_TOKEN);
--- a/src/main/java/sagepulley/scenario/SingleEffectRule.java
+++ b/src/main/java/sagepulley/scenario/SingleEffectRule.java
@@ -6,10 +6,10 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** Rule 2: no operation has its effect twice, unless its traffic class is idempotent. */
+/** Rule 2: no operation takes effect twice, unless its traffic class is idempotent. */
 final class SingleEffectRule implements Rule {
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
         checkExecutions(evidence, findings);
         int retries = 0;
@@ -23,7 +23,7 @@
             }
         }
         return findings.verdict(
-                "2 no effect twice", retries + " further hops", "each allowed by its band");
+                "2 no effect twice", retries + " retries", "each allowed by its traffic class");
     }
 
     private static void checkExecutions(Evidence evidence, Findings findings) {
@@ -34,12 +34,12 @@
             int count = executions.merge(operation, 1, Integer::sum);
             TrafficClass trafficClass = evidence.trafficClass(executed.send());
             if (count > 1 && trafficClass.idempotency() != TrafficClass.Idempotency.IDEMPOTENT) {
-                findings.breach(
+                findings.addBreach(
                         "operation "
-                                + operation.mark()
-                                + " of band "
+                                + operation.operationId()
+                                + " of traffic class "
                                 + trafficClass.name()
-                                + " ran "
+                                + " executed "
                                 + count
                                 + " times");
             }
@@ -50,32 +50,36 @@
             Evidence evidence,
             Findings findings,
             OperationKey operation,
-            SocketEventLog.AttemptReceived before,
+            SocketEventLog.AttemptReceived previous,
             SocketEventLog.AttemptReceived retry) {
         TrafficClass trafficClass = evidence.trafficClass(retry.send());
         SocketEventLog.AttemptAnswered answer =
-                evidence.answerTo(operation, before.send().attemptNumber());
+                evidence.answerTo(operation, previous.send().attemptNumber());
         if (neverExecuted(answer, retry)) {
             return;
         }
         if (trafficClass.idempotency() == TrafficClass.Idempotency.NON_IDEMPOTENT) {
-            findings.breach(
-                    "unrepeatable operation "
-                            + operation.mark()
-                            + " was sent again though it may have run");
+            findings.addBreach(
+                    "non-idempotent operation "
+                            + operation.operationId()
+                            + " was retried although it may have executed");
         } else if (trafficClass.idempotency() == TrafficClass.Idempotency.DEDUPLICATED
                 && trafficClass.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
-                && before.node() != retry.node()) {
-            findings.breach(
-                    "deduplicated operation " + operation.mark() + " was sent to another cell");
+                && previous.node() != retry.node()) {
+            findings.addBreach(
+                    "deduplicated operation " + operation.operationId() + " was sent to another cell");
         }
-        if (!isOver(evidence, operation, before, answer, retry)
+        if (!hasEnded(evidence, operation, previous, answer, retry)
                 && !evidence.policy().hedgingAllowed()) {
-            findings.breach("two hops of operation " + operation.mark() + " were out at once");
+            findings.addBreach(
+                    "two attempts of operation " + operation.operationId() + " were in flight at once");
         }
     }
 
-    /** Whether the node had answered, before the retry came, that it did not execute it. */
+    /**
+     * Returns whether the node had answered, before the retry arrived, that it did not execute the
+     * operation.
+     */
     private static boolean neverExecuted(
             SocketEventLog.AttemptAnswered answer, SocketEventLog.AttemptReceived retry) {
         return answer != null
@@ -86,22 +90,25 @@
                 && answer.code() != StoreMessages.Code.CANCELLED;
     }
 
-    /** Whether the attempt before was answered, cancelled or cut off when the retry came. */
-    private static boolean isOver(
+    /**
+     * Returns whether the previous attempt had ended when the retry arrived: by an answer, by its
+     * cancellation or with its connection.
+     */
+    private static boolean hasEnded(
             Evidence evidence,
             OperationKey operation,
-            SocketEventLog.AttemptReceived before,
+            SocketEventLog.AttemptReceived previous,
             SocketEventLog.AttemptAnswered answer,
             SocketEventLog.AttemptReceived retry) {
-        double latest = retry.at() + evidence.allowanceNanos();
-        if (answer != null && answer.at() <= latest) {
+        double latestNanos = retry.at() + evidence.toleranceNanos();
+        if (answer != null && answer.at() <= latestNanos) {
             return true;
         }
         return evidence.cancellations(operation).stream()
                         .anyMatch(
                                 cancelled ->
-                                        cancelled.number() == before.send().attemptNumber()
-                                                && cancelled.at() <= latest)
-                || evidence.connectionEnded(before, retry.at());
+                                        cancelled.attemptNumber() == previous.send().attemptNumber()
+                                                && cancelled.at() <= latestNanos)
+                || evidence.connectionEnded(previous, retry.at());
     }
 }
