--- a/src/main/java/sagepulley/codec/frame/Crc32c.java
+++ b/src/main/java/sagepulley/codec/frame/Crc32c.java
@@ -6,28 +6,28 @@
 
 /** CRC32C (RFC 3720, appendix B.4) over buffers, without copying them. */
 final class Crc32c {
-    private final CRC32C sum = new CRC32C();
+    private final CRC32C checksum = new CRC32C();
 
     Crc32c start() {
-        sum.reset();
+        checksum.reset();
         return this;
     }
 
-    Crc32c add(ByteBuf bytes, int at, int length) {
+    Crc32c add(ByteBuf bytes, int offset, int length) {
         if (length == 0) {
             return this;
         }
         if (bytes.nioBufferCount() == 1) {
-            sum.update(bytes.internalNioBuffer(at, length));
+            checksum.update(bytes.internalNioBuffer(offset, length));
         } else {
-            for (ByteBuffer part : bytes.nioBuffers(at, length)) {
-                sum.update(part);
+            for (ByteBuffer buffer : bytes.nioBuffers(offset, length)) {
+                checksum.update(buffer);
             }
         }
         return this;
     }
 
     int value() {
-        return (int) sum.getValue();
+        return (int) checksum.getValue();
     }
 }
--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -16,7 +16,7 @@
     private final DoubleSupplier clock;
     private final Runnable task;
     private ScheduledFuture<?> scheduled;
-    private double scheduledAt;
+    private double dueTime;
 
     /** A timer by a clock in milliseconds. */
     public EventLoopTimer(EventLoop loop, DoubleSupplier clock, Runnable task) {
@@ -27,14 +27,14 @@
 
     /** Runs the task at this time at the latest; an infinite time changes nothing. */
     public void scheduleBy(double time) {
-        if ((scheduled != null && time >= scheduledAt) || time == Double.POSITIVE_INFINITY) {
+        if ((scheduled != null && time >= dueTime) || time == Double.POSITIVE_INFINITY) {
             return;
         }
         if (scheduled != null) {
             scheduled.cancel(false);
         }
-        scheduledAt = time;
-        long wait =
+        dueTime = time;
+        long delayNanos =
                 Math.max(
                         MIN_DELAY_NANOS,
                         (long) Math.ceil((time - clock.getAsDouble()) * NANOS_PER_MILLI));
@@ -44,7 +44,7 @@
                             scheduled = null;
                             task.run();
                         },
-                        wait,
+                        delayNanos,
                         TimeUnit.NANOSECONDS);
     }
 
--- a/src/main/java/sagepulley/codec/frame/Frame.java
+++ b/src/main/java/sagepulley/codec/frame/Frame.java
@@ -17,10 +17,10 @@
     static final int VERSION = 1;
 
     /** Bytes before the head: magic, version, type, both lengths, number, checksum of these. */
-    static final int PREFIX = 24;
+    static final int PREFIX_BYTES = 24;
 
     /** Bytes after the payload: the checksum of head and payload. */
-    static final int SUFFIX = 4;
+    static final int SUFFIX_BYTES = 4;
 
     /** The longest head that is accepted. */
     public static final int MAX_HEAD_BYTES = 1 << 20;
--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -16,7 +16,7 @@
     /** Takes payloads of up to so many bytes. */
     public FrameDecoder(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
-        expect(Frame.PREFIX);
+        expect(Frame.PREFIX_BYTES);
     }
 
     @Override
@@ -24,7 +24,7 @@
             throws MalformedMessageException {
         if (inBody) {
             inBody = false;
-            expect(Frame.PREFIX);
+            expect(Frame.PREFIX_BYTES);
             readBody(ctx, segment);
         } else {
             try {
@@ -48,7 +48,7 @@
                             + ", known is "
                             + Frame.VERSION);
         }
-        if (crc.start().add(segment, segment.readerIndex(), Frame.PREFIX - 4).value()
+        if (crc.start().add(segment, segment.readerIndex(), Frame.PREFIX_BYTES - 4).value()
                 != segment.getInt(20)) {
             throw new MalformedMessageException("frame prefix fails its checksum");
         }
@@ -71,7 +71,7 @@
                             + maxPayloadBytes);
         }
         inBody = true;
-        expect(headLength + payloadLength + Frame.SUFFIX);
+        expect(headLength + payloadLength + Frame.SUFFIX_BYTES);
     }
 
     private void readBody(ChannelHandlerContext ctx, ByteBuf segment)
--- a/src/main/java/sagepulley/codec/frame/FrameEncoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameEncoder.java
@@ -15,27 +15,31 @@
         int headLength = frame.head().readableBytes();
         int payloadLength = frame.payload().readableBytes();
         boolean hasPayload = payloadLength > 0;
-        ByteBuf start =
-                ctx.alloc().ioBuffer(Frame.PREFIX + headLength + (hasPayload ? 0 : Frame.SUFFIX));
-        start.writeShort(Frame.MAGIC)
+        ByteBuf prefixAndHead =
+                ctx.alloc()
+                        .ioBuffer(
+                                Frame.PREFIX_BYTES
+                                        + headLength
+                                        + (hasPayload ? 0 : Frame.SUFFIX_BYTES));
+        prefixAndHead.writeShort(Frame.MAGIC)
                 .writeByte(Frame.VERSION)
                 .writeByte(frame.type())
                 .writeInt(headLength)
                 .writeInt(payloadLength)
                 .writeLong(frame.id());
-        start.writeInt(crc.start().add(start, 0, Frame.PREFIX - 4).value());
+        prefixAndHead.writeInt(crc.start().add(prefixAndHead, 0, Frame.PREFIX_BYTES - 4).value());
         crc.start()
                 .add(frame.head(), frame.head().readerIndex(), headLength)
                 .add(frame.payload(), frame.payload().readerIndex(), payloadLength);
-        start.writeBytes(frame.head());
+        prefixAndHead.writeBytes(frame.head());
         frame.head().release();
         if (!hasPayload) {
             frame.payload().release();
-            ctx.write(start.writeInt(crc.value()), promise);
+            ctx.write(prefixAndHead.writeInt(crc.value()), promise);
             return;
         }
-        ctx.write(start);
+        ctx.write(prefixAndHead);
         ctx.write(frame.payload());
-        ctx.write(ctx.alloc().ioBuffer(Frame.SUFFIX).writeInt(crc.value()), promise);
+        ctx.write(ctx.alloc().ioBuffer(Frame.SUFFIX_BYTES).writeInt(crc.value()), promise);
     }
 }
--- a/src/main/java/sagepulley/codec/frame/FrameFields.java
+++ b/src/main/java/sagepulley/codec/frame/FrameFields.java
@@ -24,18 +24,18 @@
     }
 
     /** Writes a name of up to 255 bytes of UTF-8, its length before it; a longer one is cut. */
-    public static ByteBuf string(ByteBuf to, String text) {
+    public static ByteBuf string(ByteBuf target, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, MAX_NAME_BYTES);
-        return to.writeByte(length).writeBytes(bytes, 0, length);
+        return target.writeByte(length).writeBytes(bytes, 0, length);
     }
 
     /** Reads such a name; throws if it is cut off. */
-    public static String string(ByteBuf from) throws MalformedMessageException {
-        int length = from.isReadable() ? from.readUnsignedByte() : -1;
-        if (length < 0 || from.readableBytes() < length) {
+    public static String string(ByteBuf source) throws MalformedMessageException {
+        int length = source.isReadable() ? source.readUnsignedByte() : -1;
+        if (length < 0 || source.readableBytes() < length) {
             throw new MalformedMessageException("a name is cut off");
         }
-        return from.readCharSequence(length, StandardCharsets.UTF_8).toString();
+        return source.readCharSequence(length, StandardCharsets.UTF_8).toString();
     }
 }
--- a/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -103,20 +103,20 @@
                 if (first == null) {
                     break;
                 }
-                int part = (int) Math.min(remainingBytes, first.readableBytes());
+                int partLength = (int) Math.min(remainingBytes, first.readableBytes());
                 if (skipping) {
-                    first.skipBytes(part);
+                    first.skipBytes(partLength);
                 } else {
-                    append(ctx, first.readRetainedSlice(part));
+                    append(ctx, first.readRetainedSlice(partLength));
                 }
-                remainingBytes -= part;
+                remainingBytes -= partLength;
                 if (!first.isReadable()) {
                     pendingBuffers.poll().release();
                 }
             }
-        } catch (MalformedMessageException bad) {
+        } catch (MalformedMessageException malformed) {
             end();
-            ctx.fireExceptionCaught(bad);
+            ctx.fireExceptionCaught(malformed);
         } finally {
             decoding = false;
         }
@@ -132,17 +132,17 @@
         }
     }
 
-    private void append(ChannelHandlerContext ctx, ByteBuf part) {
+    private void append(ChannelHandlerContext ctx, ByteBuf bytes) {
         if (segment == null) {
-            segment = part;
+            segment = bytes;
         } else if (segment instanceof CompositeByteBuf composite) {
-            composite.addComponent(true, part);
+            composite.addComponent(true, bytes);
         } else {
             segment =
                     ctx.alloc()
                             .compositeBuffer(Integer.MAX_VALUE)
                             .addComponent(true, segment)
-                            .addComponent(true, part);
+                            .addComponent(true, bytes);
         }
     }
 
--- a/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
+++ b/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
@@ -5,9 +5,9 @@
     /**
      * Counts bytes (payload to come, or data asked for) if they are admitted.
      *
-     * @param later runs once it is worth asking again after a refusal, on any thread
+     * @param retry runs once it is worth asking again after a refusal, on any thread
      */
-    boolean admit(long bytes, Runnable later);
+    boolean admit(long bytes, Runnable retry);
 
     /** Returns admitted bytes. */
     void release(long bytes);
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -21,7 +21,7 @@
     /** A client may send so many options before it must choose an export. */
     private static final int MAX_OPTIONS = 256;
 
-    private static final int ZERO_BYTES = 124;
+    private static final int EXPORT_NAME_PADDING_BYTES = 124;
 
     private final Exports exports;
     private final NbdServerDecoder decoder;
@@ -66,7 +66,7 @@
         } else {
             NbdOption option = (NbdOption) message;
             try {
-                answer(ctx, option);
+                handleOption(ctx, option);
             } finally {
                 if (option.data() != null) {
                     option.data().release();
@@ -75,7 +75,7 @@
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, NbdOption option) {
+    private void handleOption(ChannelHandlerContext ctx, NbdOption option) {
         int code = option.code();
         if (++optionCount > MAX_OPTIONS) {
             ctx.fireExceptionCaught(
@@ -87,14 +87,14 @@
             return;
         }
         switch (code) {
-            case NbdConstants.OPT_EXPORT_NAME -> exportName(ctx, option.data());
+            case NbdConstants.OPT_EXPORT_NAME -> handleExportName(ctx, option.data());
             case NbdConstants.OPT_ABORT -> {
                 finished = true;
                 reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER)
                         .addListener(ChannelFutureListener.CLOSE);
             }
-            case NbdConstants.OPT_LIST -> list(ctx, option.data());
-            case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> info(ctx, code, option.data());
+            case NbdConstants.OPT_LIST -> handleList(ctx, option.data());
+            case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> handleInfo(ctx, code, option.data());
             case NbdConstants.OPT_STRUCTURED_REPLY -> {
                 if (option.data().isReadable()) {
                     replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "this option has no data");
@@ -104,7 +104,7 @@
                 }
             }
             case NbdConstants.OPT_LIST_META_CONTEXT, NbdConstants.OPT_SET_META_CONTEXT ->
-                    metaContext(ctx, code, option.data());
+                    handleMetaContext(ctx, code, option.data());
             default ->
                     replyError(
                             ctx,
@@ -115,7 +115,7 @@
     }
 
     /** 'NBD_OPT_EXPORT_NAME': there is no way to answer an error but to end the session. */
-    private void exportName(ChannelHandlerContext ctx, ByteBuf data) {
+    private void handleExportName(ChannelHandlerContext ctx, ByteBuf data) {
         Export export = exports.findByName(data.toString(StandardCharsets.UTF_8));
         if (export == null) {
             ctx.fireExceptionCaught(new MalformedMessageException("no such export"));
@@ -123,17 +123,17 @@
         }
         ByteBuf reply =
                 ctx.alloc()
-                        .ioBuffer(10 + ZERO_BYTES)
+                        .ioBuffer(10 + EXPORT_NAME_PADDING_BYTES)
                         .writeLong(export.size())
                         .writeShort(export.flags(structured));
         if ((clientFlags & NbdConstants.FLAG_NO_ZEROES) == 0) {
-            reply.writeZero(ZERO_BYTES);
+            reply.writeZero(EXPORT_NAME_PADDING_BYTES);
         }
         ctx.writeAndFlush(reply);
         attach(ctx, export);
     }
 
-    private void list(ChannelHandlerContext ctx, ByteBuf data) {
+    private void handleList(ChannelHandlerContext ctx, ByteBuf data) {
         if (data.isReadable()) {
             replyError(
                     ctx,
@@ -155,8 +155,8 @@
     }
 
     /** 'NBD_OPT_INFO' and 'NBD_OPT_GO'. */
-    private void info(ChannelHandlerContext ctx, int code, ByteBuf data) {
-        String name = string(data);
+    private void handleInfo(ChannelHandlerContext ctx, int code, ByteBuf data) {
+        String name = readString(data);
         if (name == null || data.readableBytes() < 2) {
             replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
             return;
@@ -175,14 +175,14 @@
             replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
             return;
         }
-        replyInfo(ctx, code, export, data);
+        replyExportInfo(ctx, code, export, data);
         reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
         if (code == NbdConstants.OPT_GO) {
             attach(ctx, export);
         }
     }
 
-    private void replyInfo(
+    private void replyExportInfo(
             ChannelHandlerContext ctx, int code, Export export, ByteBuf requestedTypes) {
         boolean wantsName = false;
         boolean wantsDescription = false;
@@ -208,29 +208,30 @@
                         .writeInt(export.maxBlockSize());
         reply(ctx, code, NbdConstants.REP_INFO, blockSizes);
         if (wantsName) {
-            ByteBuf name = text(ctx, NbdConstants.INFO_NAME, export.name());
+            ByteBuf name = infoWithText(ctx, NbdConstants.INFO_NAME, export.name());
             reply(ctx, code, NbdConstants.REP_INFO, name);
         }
         if (wantsDescription) {
-            ByteBuf description = text(ctx, NbdConstants.INFO_DESCRIPTION, export.description());
+            ByteBuf description =
+                    infoWithText(ctx, NbdConstants.INFO_DESCRIPTION, export.description());
             reply(ctx, code, NbdConstants.REP_INFO, description);
         }
     }
 
-    private static ByteBuf text(ChannelHandlerContext ctx, int kind, String text) {
+    private static ByteBuf infoWithText(ChannelHandlerContext ctx, int kind, String text) {
         ByteBuf reply = ctx.alloc().ioBuffer().writeShort(kind);
         ByteBufUtil.writeUtf8(reply, text);
         return reply;
     }
 
     /** 'NBD_OPT_LIST_META_CONTEXT' and 'NBD_OPT_SET_META_CONTEXT'. */
-    private void metaContext(ChannelHandlerContext ctx, int code, ByteBuf data) {
-        boolean set = code == NbdConstants.OPT_SET_META_CONTEXT;
-        if (set) {
+    private void handleMetaContext(ChannelHandlerContext ctx, int code, ByteBuf data) {
+        boolean isSet = code == NbdConstants.OPT_SET_META_CONTEXT;
+        if (isSet) {
             baseAllocationExport = null; // whatever the answer, an earlier choice is gone
         }
-        String name = string(data);
-        List<String> queries = name == null ? null : queries(data);
+        String name = readString(data);
+        List<String> queries = name == null ? null : readQueries(data);
         if (queries == null) {
             replyError(
                     ctx,
@@ -254,10 +255,10 @@
         }
         boolean matches =
                 queries.contains(NbdConstants.BASE_ALLOCATION)
-                        || (!set && (queries.isEmpty() || queries.contains("base:")));
+                        || (!isSet && (queries.isEmpty() || queries.contains("base:")));
         if (matches) {
-            replyBaseAllocation(ctx, code, set ? NbdConstants.BASE_ALLOCATION_ID : 0);
-            if (set) {
+            replyBaseAllocation(ctx, code, isSet ? NbdConstants.BASE_ALLOCATION_ID : 0);
+            if (isSet) {
                 baseAllocationExport = export.name();
             }
         }
@@ -271,14 +272,14 @@
     }
 
     /** The queries that fill the rest of the data; null if they don't fit it. */
-    private static List<String> queries(ByteBuf data) {
+    private static List<String> readQueries(ByteBuf data) {
         if (data.readableBytes() < 4) {
             return null;
         }
         long count = data.readUnsignedInt();
         List<String> queries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            String query = string(data);
+            String query = readString(data);
             if (query == null) {
                 return null;
             }
@@ -297,7 +298,7 @@
     /**
      * A string with its length before it; null where it is cut off or longer than the text allows.
      */
-    private static String string(ByteBuf data) {
+    private static String readString(ByteBuf data) {
         if (data.readableBytes() < 4) {
             return null;
         }
@@ -308,8 +309,9 @@
         return data.readCharSequence((int) length, StandardCharsets.UTF_8).toString();
     }
 
-    private static void replyError(ChannelHandlerContext ctx, int option, int error, String why) {
-        reply(ctx, option, error, ByteBufUtil.writeUtf8(ctx.alloc(), why));
+    private static void replyError(
+            ChannelHandlerContext ctx, int option, int error, String message) {
+        reply(ctx, option, error, ByteBufUtil.writeUtf8(ctx.alloc(), message));
     }
 
     private static ChannelFuture reply(
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -60,14 +60,14 @@
     /** Opens an export; fails with what the server answered, or with the connection. */
     public static CompletableFuture<NbdClient> open(
             EventLoopGroup loops,
-            Class<? extends Channel> kind,
+            Class<? extends Channel> channelType,
             SocketAddress server,
             String export,
             Style style) {
         CompletableFuture<NbdClient> opened = new CompletableFuture<>();
         new Bootstrap()
                 .group(loops)
-                .channel(kind)
+                .channel(channelType)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(
@@ -187,7 +187,7 @@
         channel.eventLoop()
                 .execute(
                         () -> {
-                            channel.writeAndFlush(request(NbdConstants.CMD_DISC, 0, 0, 0, 0))
+                            channel.writeAndFlush(requestHead(NbdConstants.CMD_DISC, 0, 0, 0, 0))
                                     .addListener(done -> channel.close());
                         });
         return closed;
@@ -210,11 +210,12 @@
                 cookie,
                 new PendingRequest(
                         command == NbdConstants.CMD_READ ? length : 0, new NbdReply(), handler));
-        channel.write(request(command, commandFlags, cookie, offset, length));
+        channel.write(requestHead(command, commandFlags, cookie, offset, length));
         channel.writeAndFlush(payload);
     }
 
-    private ByteBuf request(int command, int commandFlags, long cookie, long offset, int length) {
+    private ByteBuf requestHead(
+            int command, int commandFlags, long cookie, long offset, int length) {
         return channel.alloc()
                 .ioBuffer(28)
                 .writeInt(NbdConstants.REQUEST_MAGIC)
@@ -256,7 +257,7 @@
                 simpleReplyReceived(simple);
             } else if (message instanceof NbdClientDecoder.OptionReply reply) {
                 try {
-                    optionReply(ctx, reply);
+                    optionReplyReceived(ctx, reply);
                 } finally {
                     reply.data().release();
                 }
@@ -292,7 +293,8 @@
             request.handler().accept(request.reply(), null);
         }
 
-        private void optionReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
+        private void optionReplyReceived(
+                ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
                 throws MalformedMessageException {
             boolean failed = reply.type() < 0;
             switch (reply.option()) {
@@ -315,37 +317,37 @@
                         OptionWriter.go(ctx, export);
                     }
                 }
-                case NbdConstants.OPT_GO -> goReply(ctx, reply);
+                case NbdConstants.OPT_GO -> goReplyReceived(ctx, reply);
                 default -> throw new MalformedMessageException("reply to option " + reply.option());
             }
         }
 
-        private void goReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
+        private void goReplyReceived(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
                 throws MalformedMessageException {
             if (reply.type() < 0) {
-                String why = reply.data().toString(StandardCharsets.UTF_8);
-                opened.completeExceptionally(new IOException("the server refuses: " + why));
+                String reason = reply.data().toString(StandardCharsets.UTF_8);
+                opened.completeExceptionally(new IOException("the server refuses: " + reason));
                 ctx.close();
             } else if (reply.type() == NbdConstants.REP_INFO) {
-                info(reply.data());
+                exportInfoReceived(reply.data());
             } else {
                 decoder.startTransmission();
                 opened.complete(NbdClient.this);
             }
         }
 
-        private void info(ByteBuf data) throws MalformedMessageException {
-            int kind = data.readableBytes() < 2 ? -1 : data.readUnsignedShort();
-            if (kind == NbdConstants.INFO_EXPORT && data.readableBytes() == 10) {
+        private void exportInfoReceived(ByteBuf data) throws MalformedMessageException {
+            int infoType = data.readableBytes() < 2 ? -1 : data.readUnsignedShort();
+            if (infoType == NbdConstants.INFO_EXPORT && data.readableBytes() == 10) {
                 size = data.readLong();
                 flags = data.readUnsignedShort();
-            } else if (kind == NbdConstants.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
+            } else if (infoType == NbdConstants.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
                 minBlockSize = data.readInt();
                 data.readInt();
                 maxBlockSize = data.readInt();
-            } else if (kind == -1
-                    || kind == NbdConstants.INFO_EXPORT
-                    || kind == NbdConstants.INFO_BLOCK_SIZE) {
+            } else if (infoType == -1
+                    || infoType == NbdConstants.INFO_EXPORT
+                    || infoType == NbdConstants.INFO_BLOCK_SIZE) {
                 throw new MalformedMessageException("malformed information");
             }
         }
@@ -372,9 +374,9 @@
 
         private void fail(Throwable cause) {
             opened.completeExceptionally(cause);
-            List<PendingRequest> lost = new ArrayList<>(pending.values());
+            List<PendingRequest> unanswered = new ArrayList<>(pending.values());
             pending.clear();
-            for (PendingRequest request : lost) {
+            for (PendingRequest request : unanswered) {
                 request.reply().release();
                 request.handler().accept(null, cause);
             }
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -71,16 +71,16 @@
      * both sides have set NBD_FLAG_NO_ZEROES.
      */
     void expectExport(boolean zeroes) {
-        next(Phase.EXPORT, zeroes ? EXPORT_BYTES + EXPORT_ZERO_BYTES : EXPORT_BYTES);
+        expectNext(Phase.EXPORT, zeroes ? EXPORT_BYTES + EXPORT_ZERO_BYTES : EXPORT_BYTES);
     }
 
     /** Replies come next. */
     void startTransmission() {
-        next(Phase.MAGIC, MAGIC_BYTES);
+        expectNext(Phase.MAGIC, MAGIC_BYTES);
     }
 
-    private void next(Phase what, int bytes) {
-        phase = what;
+    private void expectNext(Phase nextPhase, int bytes) {
+        phase = nextPhase;
         expect(bytes);
     }
 
@@ -88,10 +88,10 @@
     protected void segmentReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         switch (phase) {
-            case GREETING -> greeting(ctx, segment);
+            case GREETING -> greetingReceived(ctx, segment);
             case OPTION -> optionHead(segment);
             case OPTION_DATA -> {
-                next(Phase.OPTION, OPTION_HEAD_BYTES);
+                expectNext(Phase.OPTION, OPTION_HEAD_BYTES);
                 ctx.fireChannelRead(new OptionReply(option.option(), option.type(), segment));
             }
             case EXPORT -> {
@@ -114,38 +114,38 @@
         }
     }
 
-    private void greeting(ChannelHandlerContext ctx, ByteBuf segment)
+    private void greetingReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
-        boolean known =
+        boolean hasValidMagic =
                 segment.readLong() == NbdConstants.NBDMAGIC
                         && segment.readLong() == NbdConstants.IHAVEOPT;
         int flags = segment.readUnsignedShort();
         segment.release();
-        if (!known || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
+        if (!hasValidMagic || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
             throw new MalformedMessageException("not a server of fixed newstyle");
         }
-        next(Phase.OPTION, OPTION_HEAD_BYTES);
+        expectNext(Phase.OPTION, OPTION_HEAD_BYTES);
         ctx.fireChannelRead(flags);
     }
 
     private void optionHead(ByteBuf segment) throws MalformedMessageException {
-        boolean known = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
+        boolean hasValidMagic = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
         option = new OptionReply(segment.readInt(), segment.readInt(), null);
         int length = segment.readInt();
         segment.release();
-        if (!known || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
+        if (!hasValidMagic || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
             throw new MalformedMessageException("malformed option reply");
         }
-        next(Phase.OPTION_DATA, length);
+        expectNext(Phase.OPTION_DATA, length);
     }
 
     private void replyMagic(ByteBuf segment) throws MalformedMessageException {
         int magic = segment.readInt();
         segment.release();
         if (magic == NbdConstants.SIMPLE_REPLY_MAGIC) {
-            next(Phase.SIMPLE, SIMPLE_REPLY_BYTES);
+            expectNext(Phase.SIMPLE, SIMPLE_REPLY_BYTES);
         } else if (magic == NbdConstants.STRUCTURED_REPLY_MAGIC) {
-            next(Phase.CHUNK, CHUNK_HEAD_BYTES);
+            expectNext(Phase.CHUNK, CHUNK_HEAD_BYTES);
         } else {
             throw new MalformedMessageException(
                     "reply starts with 0x" + Integer.toHexString(magic));
@@ -161,7 +161,7 @@
             throw new MalformedMessageException("reply to unknown cookie " + cookie);
         }
         simple = new SimpleReply(cookie, error, null);
-        next(Phase.SIMPLE_DATA, error == 0 ? length : 0);
+        expectNext(Phase.SIMPLE_DATA, error == 0 ? length : 0);
     }
 
     private void chunkHead(ByteBuf segment) throws MalformedMessageException {
@@ -176,17 +176,17 @@
         }
         boolean done = (flags & NbdConstants.CHUNK_DONE) != 0;
         chunk = new Chunk(done, type, cookie, -1, 0, "", null);
-        next(Phase.CHUNK_DATA, length);
+        expectNext(Phase.CHUNK_DATA, length);
     }
 
     /** 'Structured reply types': the data of a chunk, whose head came before. */
     private Chunk parseChunk(ByteBuf data) throws MalformedMessageException {
         int type = chunk.type();
         if (!hasValidLength(type, data)) {
-            int size = data.readableBytes();
+            int length = data.readableBytes();
             data.release();
             throw new MalformedMessageException(
-                    "chunk of type " + type + " with " + size + " bytes");
+                    "chunk of type " + type + " with " + length + " bytes");
         }
         if (isError(type)) {
             return parseError(data);
@@ -207,18 +207,18 @@
     }
 
     private static boolean hasValidLength(int type, ByteBuf data) {
-        int size = data.readableBytes();
+        int length = data.readableBytes();
         int minBytes = minBytes(type);
-        if (minBytes < 0 || size < minBytes) {
+        if (minBytes < 0 || length < minBytes) {
             return false;
         }
         if (isError(type)) {
             int messageBytes = data.getUnsignedShort(data.readerIndex() + 4);
-            return size == minBytes + messageBytes;
+            return length == minBytes + messageBytes;
         }
-        boolean variable =
+        boolean isVariableLength =
                 type == NbdConstants.CHUNK_OFFSET_DATA || type == NbdConstants.CHUNK_BLOCK_STATUS;
-        return variable || size == minBytes;
+        return isVariableLength || length == minBytes;
     }
 
     /** The least bytes of a chunk's data; -1 for an unknown type. */
--- a/src/main/java/sagepulley/codec/nbd/NbdReplies.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReplies.java
@@ -20,34 +20,34 @@
                         .writeInt(NbdConstants.SIMPLE_REPLY_MAGIC)
                         .writeInt(error)
                         .writeLong(cookie);
-        return withData(channel, head, data);
+        return writeWithData(channel, head, data);
     }
 
     /** The last chunk of a request that went well. */
     public static ChannelFuture done(Channel channel, long cookie) {
         return channel.write(
-                chunk(channel, NbdConstants.CHUNK_DONE, NbdConstants.CHUNK_NONE, cookie, 0));
+                chunkHead(channel, NbdConstants.CHUNK_DONE, NbdConstants.CHUNK_NONE, cookie, 0));
     }
 
     /** Data at an offset of the export. */
     public static ChannelFuture data(
             Channel channel, long cookie, long offset, ByteBuf data, boolean last) {
         ByteBuf head =
-                chunk(
+                chunkHead(
                                 channel,
                                 last ? NbdConstants.CHUNK_DONE : 0,
                                 NbdConstants.CHUNK_OFFSET_DATA,
                                 cookie,
                                 8 + data.readableBytes())
                         .writeLong(offset);
-        return withData(channel, head, data);
+        return writeWithData(channel, head, data);
     }
 
     /** So many bytes at an offset of the export that read as zeroes. */
     public static ChannelFuture hole(
             Channel channel, long cookie, long offset, int length, boolean last) {
         return channel.write(
-                chunk(
+                chunkHead(
                                 channel,
                                 last ? NbdConstants.CHUNK_DONE : 0,
                                 NbdConstants.CHUNK_OFFSET_HOLE,
@@ -61,7 +61,7 @@
     public static ChannelFuture blockStatus(
             Channel channel, long cookie, int[] lengthsAndFlags, int count) {
         ByteBuf head =
-                chunk(
+                chunkHead(
                                 channel,
                                 NbdConstants.CHUNK_DONE,
                                 NbdConstants.CHUNK_BLOCK_STATUS,
@@ -76,24 +76,27 @@
 
     /** An error with its reason; with the offset where it occurred unless that is negative. */
     public static ChannelFuture error(
-            Channel channel, long cookie, int error, String why, long offset, boolean last) {
-        byte[] text = why.getBytes(StandardCharsets.UTF_8);
+            Channel channel, long cookie, int error, String message, long offset, boolean last) {
+        byte[] text = message.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(text.length, NbdConstants.MAX_STRING_BYTES);
-        boolean placed = offset >= 0;
+        boolean hasOffset = offset >= 0;
         ByteBuf head =
-                chunk(
+                chunkHead(
                                 channel,
                                 last ? NbdConstants.CHUNK_DONE : 0,
-                                placed ? NbdConstants.CHUNK_ERROR_OFFSET : NbdConstants.CHUNK_ERROR,
+                                hasOffset
+                                        ? NbdConstants.CHUNK_ERROR_OFFSET
+                                        : NbdConstants.CHUNK_ERROR,
                                 cookie,
-                                6 + length + (placed ? 8 : 0))
+                                6 + length + (hasOffset ? 8 : 0))
                         .writeInt(error)
                         .writeShort(length)
                         .writeBytes(text, 0, length);
-        return channel.write(placed ? head.writeLong(offset) : head);
+        return channel.write(hasOffset ? head.writeLong(offset) : head);
     }
 
-    private static ByteBuf chunk(Channel channel, int flags, int type, long cookie, int length) {
+    private static ByteBuf chunkHead(
+            Channel channel, int flags, int type, long cookie, int length) {
         return channel.alloc()
                 .ioBuffer(32)
                 .writeInt(NbdConstants.STRUCTURED_REPLY_MAGIC)
@@ -103,7 +106,7 @@
                 .writeInt(length);
     }
 
-    private static ChannelFuture withData(Channel channel, ByteBuf head, ByteBuf data) {
+    private static ChannelFuture writeWithData(Channel channel, ByteBuf head, ByteBuf data) {
         if (!data.isReadable()) {
             data.release();
             return channel.write(head);
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -67,7 +67,7 @@
                 expectOption();
                 ctx.fireChannelRead(flags);
             }
-            case OPTION -> optionCode(segment);
+            case OPTION -> readOptionHead(segment);
             case OPTION_DATA -> {
                 expectOption();
                 ctx.fireChannelRead(new NbdOption(optionCode, segment));
@@ -76,7 +76,7 @@
                 expectOption();
                 ctx.fireChannelRead(new NbdOption(optionCode, null));
             }
-            case REQUEST -> request(ctx, segment);
+            case REQUEST -> readRequestHead(ctx, segment);
             case PAYLOAD -> {
                 expectRequest();
                 NbdRequest complete =
@@ -108,7 +108,7 @@
         expect(REQUEST_HEAD_BYTES);
     }
 
-    private void optionCode(ByteBuf segment) throws MalformedMessageException {
+    private void readOptionHead(ByteBuf segment) throws MalformedMessageException {
         long magic = segment.readLong();
         optionCode = segment.readInt();
         long length = segment.readUnsignedInt();
@@ -129,7 +129,7 @@
         }
     }
 
-    private void request(ChannelHandlerContext ctx, ByteBuf segment)
+    private void readRequestHead(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         int magic = segment.readInt();
         int flags = segment.readUnsignedShort();
@@ -155,15 +155,15 @@
             skip(bytes);
             return;
         }
-        boolean movesData =
+        boolean carriesData =
                 command == NbdConstants.CMD_WRITE
                         || (command == NbdConstants.CMD_READ && bytes <= maxBlockSize);
         phase = Phase.PAYLOAD;
         expect(command == NbdConstants.CMD_WRITE ? length : 0);
-        admit(ctx, (movesData ? bytes : 0) + REQUEST_OVERHEAD_BYTES);
+        admitRequest(ctx, (carriesData ? bytes : 0) + REQUEST_OVERHEAD_BYTES);
     }
 
-    private void admit(ChannelHandlerContext ctx, long bytes) {
+    private void admitRequest(ChannelHandlerContext ctx, long bytes) {
         Runnable retry =
                 () ->
                         ctx.channel()
@@ -173,7 +173,7 @@
                                             if (ctx.isRemoved() || !ctx.channel().isActive()) {
                                                 return;
                                             }
-                                            admit(ctx, bytes);
+                                            admitRequest(ctx, bytes);
                                         });
         if (gate.admit(bytes, retry)) {
             admittedBytes = bytes;
--- a/src/main/java/sagepulley/config/IniReader.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -21,7 +21,7 @@
     private final String file;
     private final Map<String, Map<String, String>> sections = new LinkedHashMap<>();
     private final Set<String> keysRead = new HashSet<>();
-    private final List<String> mistakes = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
     /** Reads a file; fails if that cannot be read or is no INI file. */
     IniReader(Path path) throws SiteConfigException {
@@ -60,7 +60,7 @@
                 continue;
             }
             for (String key : values.keySet()) {
-                mistakes.add(file + ": " + key + ": stands before the first section");
+                errors.add(file + ": " + key + ": stands before the first section");
             }
         }
     }
@@ -70,15 +70,18 @@
         section.getKeys()
                 .forEachRemaining(
                         key -> {
-                            List<Object> all = section.getList(key);
-                            String plainKey = key.replace("..", "."); // as the library escapes dots
-                            if (all.size() > 1) {
-                                mistake(
+                            List<Object> keyValues = section.getList(key);
+                            // as the library escapes dots
+                            String unescapedKey = key.replace("..", ".");
+                            if (keyValues.size() > 1) {
+                                addError(
                                         name,
-                                        plainKey,
-                                        "stands there " + all.size() + " times, once is allowed");
+                                        unescapedKey,
+                                        "stands there "
+                                                + keyValues.size()
+                                                + " times, once is allowed");
                             }
-                            values.put(plainKey, String.valueOf(all.get(0)).trim());
+                            values.put(unescapedKey, String.valueOf(keyValues.get(0)).trim());
                         });
         return values;
     }
@@ -89,11 +92,11 @@
     }
 
     /** What follows the word in the names of sections that start with it, in the file's order. */
-    List<String> namesOf(String word) {
+    List<String> sectionNames(String prefix) {
         List<String> names = new ArrayList<>();
         for (String section : sections.keySet()) {
-            if (section.startsWith(word + " ")) {
-                names.add(section.substring(word.length() + 1).trim());
+            if (section.startsWith(prefix + " ")) {
+                names.add(section.substring(prefix.length() + 1).trim());
             }
         }
         return names;
@@ -108,37 +111,40 @@
         keysRead.add(section + "\n" + key);
     }
 
-    void mistake(String section, String key, String what) {
-        mistakes.add(file + ": [" + section + "] " + key + ": " + what);
+    void addError(String section, String key, String problem) {
+        errors.add(file + ": [" + section + "] " + key + ": " + problem);
     }
 
     /**
      * Ends the reading.
      *
-     * @param words with which section names may start
+     * @param allowedPrefixes with which section names may start
      * @throws SiteConfigException if there are mistakes, or sections or keys that nothing read
      */
-    void finish(Set<String> words) throws SiteConfigException {
+    void finish(Set<String> allowedPrefixes) throws SiteConfigException {
         sections.forEach(
                 (section, values) -> {
-                    if (!words.contains(section.split(" ")[0])) {
-                        mistakes.add(
+                    if (!allowedPrefixes.contains(section.split(" ")[0])) {
+                        errors.add(
                                 "%s: [%s]: is not known, allowed are %s"
                                         .formatted(
                                                 file,
                                                 section,
                                                 String.join(
-                                                        ", ", words.stream().sorted().toList())));
+                                                        ", ",
+                                                        allowedPrefixes.stream()
+                                                                .sorted()
+                                                                .toList())));
                         return;
                     }
                     for (String key : values.keySet()) {
                         if (!keysRead.contains(section + "\n" + key)) {
-                            mistake(section, key, "is not known");
+                            addError(section, key, "is not known");
                         }
                     }
                 });
-        if (!mistakes.isEmpty()) {
-            throw new SiteConfigException(String.join("\n", mistakes));
+        if (!errors.isEmpty()) {
+            throw new SiteConfigException(String.join("\n", errors));
         }
     }
 }
--- a/src/main/java/sagepulley/config/IniSection.java
+++ b/src/main/java/sagepulley/config/IniSection.java
@@ -47,7 +47,7 @@
             return text;
         }
         if (defaultText == null) {
-            mistake(key, "is missing");
+            addError(key, "is missing");
             return "";
         }
         return defaultText;
@@ -65,10 +65,10 @@
             // noted below, as what is out of bounds
         }
         if (!text.isEmpty() || has(key)) {
-            mistake(
+            addError(
                     key,
                     "is '%s', allowed is a number from %s to %s"
-                            .formatted(text, plain(min), plain(max)));
+                            .formatted(text, format(min), format(max)));
         }
         return min;
     }
@@ -78,7 +78,7 @@
         Double defaultNumber = defaultValue == null ? null : (double) defaultValue;
         double value = number(key, defaultNumber, min, max);
         if (value != Math.rint(value)) {
-            mistake(key, "is '" + plain(value) + "', allowed is a whole number");
+            addError(key, "is '" + format(value) + "', allowed is a whole number");
         }
         return (int) value;
     }
@@ -105,14 +105,14 @@
         if (value >= min && value <= max) {
             return value;
         }
-        mistake(
+        addError(
                 key,
                 "is '%s', allowed is a number with one of %s, from %s to %s %s"
                         .formatted(
                                 text,
                                 String.join(", ", units.keySet()),
-                                plain(min),
-                                plain(max),
+                                format(min),
+                                format(max),
                                 baseUnit));
         return min;
     }
@@ -140,26 +140,26 @@
     boolean flag(String key, boolean defaultValue) {
         String text = text(key, defaultValue ? "yes" : "no");
         if (!text.equals("yes") && !text.equals("no")) {
-            mistake(key, "is '" + text + "', allowed is yes or no");
+            addError(key, "is '" + text + "', allowed is yes or no");
         }
         return text.equals("yes");
     }
 
     /** One of several words, by its index. */
-    int choice(String key, String defaultText, List<String> words) {
+    int choice(String key, String defaultText, List<String> allowed) {
         String text = text(key, defaultText);
-        int index = words.indexOf(text);
+        int index = allowed.indexOf(text);
         if (index < 0 && !(text.isEmpty() && defaultText == null)) {
-            mistake(key, "is '" + text + "', allowed is one of " + String.join(", ", words));
+            addError(key, "is '" + text + "', allowed is one of " + String.join(", ", allowed));
         }
         return Math.max(0, index);
     }
 
-    void mistake(String key, String what) {
-        ini.mistake(name, key, what);
+    void addError(String key, String problem) {
+        ini.addError(name, key, problem);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER
                 ? Long.toString((long) value)
                 : Double.toString(value);
--- a/src/main/java/sagepulley/config/SiteConfigReader.java
+++ b/src/main/java/sagepulley/config/SiteConfigReader.java
@@ -52,18 +52,19 @@
         int extentBytes = (int) site.bytes("extent", "1 MiB", PAGE_BYTES, 16 << 20);
         int unitBytes = (int) site.bytes("unit", "128 KiB", SECTOR_BYTES, 16 << 20);
         if (extentBytes % PAGE_BYTES != 0) {
-            site.mistake("extent", "is " + extentBytes + " bytes, allowed is a multiple of 4 KiB");
+            site.addError("extent", "is " + extentBytes + " bytes, allowed is a multiple of 4 KiB");
         }
         readClassesAndPlans();
         List<VolumeSettings> volumes = volumes();
         long maxClientBytes = gateway.bytes("client-bytes", "64 MiB", 1 << 20, 1L << 40);
         int maxRequestBytes = (int) gateway.bytes("most-request", "32 MiB", PAGE_BYTES, 32 << 20);
         if (maxRequestBytes + PAGE_BYTES > maxClientBytes) {
-            gateway.mistake("client-bytes", "must hold one request of most-request and 4 KiB more");
+            gateway.addError(
+                    "client-bytes", "must hold one request of most-request and 4 KiB more");
         }
         long maxTotalBytes = gateway.bytes("all-bytes", "512 MiB", 1 << 20, 1L << 40);
         if (maxTotalBytes < maxClientBytes) {
-            gateway.mistake("all-bytes", "is less than client-bytes");
+            gateway.addError("all-bytes", "is less than client-bytes");
         }
         SiteConfig config =
                 new SiteConfig(
@@ -93,17 +94,17 @@
     // ---- traffic classes, plans, volumes ----
 
     private void readClassesAndPlans() {
-        for (String name : ini.namesOf("band")) {
+        for (String name : ini.sectionNames("band")) {
             trafficClasses.add(trafficClass(name));
         }
-        for (String name : ini.namesOf("plan")) {
+        for (String name : ini.sectionNames("plan")) {
             plans.add(plan(name));
         }
         if (trafficClasses.isEmpty()) {
-            ini.mistake("band NAME", "", "at least one such section is needed");
+            ini.addError("band NAME", "", "at least one such section is needed");
         }
         if (plans.isEmpty()) {
-            ini.mistake("plan NAME", "", "at least one such section is needed");
+            ini.addError("plan NAME", "", "at least one such section is needed");
         }
     }
 
@@ -121,7 +122,7 @@
         double latencyObjective = section.millis("target", null, 1, DAY_MILLIS);
         double deadline = section.millis("patience", null, 1, DAY_MILLIS);
         if (deadline < latencyObjective) {
-            section.mistake("patience", "is shorter than the target time");
+            section.addError("patience", "is shorter than the target time");
         }
         return new TrafficClass(
                 trafficClasses.size(),
@@ -156,12 +157,12 @@
     private List<VolumeSettings> volumes() {
         List<VolumeSettings> volumes = new ArrayList<>();
         Set<Integer> ids = new HashSet<>();
-        for (String name : ini.namesOf("volume")) {
+        for (String name : ini.sectionNames("volume")) {
             VolumeSettings volume = volume(name);
             volumes.add(volume);
             if (!ids.add(volume.id())) {
                 ini.section("volume " + name)
-                        .mistake("id", "is " + volume.id() + ", which another volume has");
+                        .addError("id", "is " + volume.id() + ", which another volume has");
             }
         }
         return volumes;
@@ -173,14 +174,14 @@
         List<String> planNames = plans.stream().map(TenantPlan::name).toList();
         long sizeBytes = section.bytes("size", null, SECTOR_BYTES, 1L << 50);
         if (sizeBytes % SECTOR_BYTES != 0) {
-            section.mistake("size", "is " + sizeBytes + " bytes, allowed is a multiple of 512");
+            section.addError("size", "is " + sizeBytes + " bytes, allowed is a multiple of 512");
         }
         int readClass = section.choice("read-band", null, classNames);
         int writeClass = section.choice("write-band", null, classNames);
         if (writeClass < trafficClasses.size()
                 && !trafficClasses.get(writeClass).writes()
                 && section.has("write-band")) {
-            section.mistake("write-band", "is a band without 'writes = yes'");
+            section.addError("write-band", "is a band without 'writes = yes'");
         }
         String bulkDefault = section.text("read-band", "");
         return new VolumeSettings(
@@ -232,7 +233,7 @@
 
     private ServicePolicy servicePolicy() {
         IniSection section = ini.section("rules");
-        boolean budget = section.has("budget-window");
+        boolean hasRetryBudget = section.has("budget-window");
         return new ServicePolicy(
                 section.millis("answer-grace", "10 ms", 0, DAY_MILLIS),
                 section.millis("drain-grace", "1 s", 0, DAY_MILLIS),
@@ -242,9 +243,9 @@
                 section.millis("fall-time", "2 s", 1, DAY_MILLIS),
                 section.number("cold-units", 8.0, 0, MAX_NUMBER),
                 section.millis("key-rest", "0 ms", 0, DAY_MILLIS),
-                budget ? section.number("budget-free", null, 0, MAX_NUMBER) : Double.NaN,
-                budget ? section.number("budget-share", null, 0, 100) : Double.NaN,
-                budget ? section.millis("budget-window", null, 1, DAY_MILLIS) : Double.NaN,
+                hasRetryBudget ? section.number("budget-free", null, 0, MAX_NUMBER) : Double.NaN,
+                hasRetryBudget ? section.number("budget-share", null, 0, 100) : Double.NaN,
+                hasRetryBudget ? section.millis("budget-window", null, 1, DAY_MILLIS) : Double.NaN,
                 section.integer("most-hops", 3, 1, 16),
                 false);
     }
@@ -263,7 +264,7 @@
         IniSection section = ini.section("traces");
         String otlp = section.text("otlp", "");
         if (!otlp.isEmpty() && !otlp.matches("https?://[^\\s]+")) {
-            section.mistake("otlp", "is '" + otlp + "', allowed is http://host:port/v1/traces");
+            section.addError("otlp", "is '" + otlp + "', allowed is http://host:port/v1/traces");
         }
         return new TracingSettings(
                 path(section, "file"),
@@ -279,14 +280,14 @@
         double freshMillis = section.millis("fresh", "5 min", 0, DAY_MILLIS);
         double agedMillis = section.millis("aged", "24 h", 0, 365 * DAY_MILLIS);
         if (agedMillis < freshMillis) {
-            section.mistake("aged", "is shorter than fresh");
+            section.addError("aged", "is shorter than fresh");
         }
         List<MembershipSettings.ConfiguredNode> nodes = new ArrayList<>();
-        for (String name : ini.namesOf("node")) {
+        for (String name : ini.sectionNames("node")) {
             if (name.matches("[1-9][0-9]{0,8}")) {
                 nodes.add(configuredNode(name, zones));
             } else {
-                ini.mistake(
+                ini.addError(
                         "node " + name,
                         "",
                         "allowed is a section [node N] with the node's number, from 1");
@@ -315,7 +316,7 @@
         try {
             return text.isEmpty() ? null : Path.of(text);
         } catch (InvalidPathException e) {
-            section.mistake(key, "is '" + text + "', which can be no path");
+            section.addError(key, "is '" + text + "', which can be no path");
             return null;
         }
     }
@@ -324,7 +325,7 @@
         String text = section.text(key, defaultText);
         HostPort address = HostPort.read(text);
         if (address == null && !text.isEmpty()) {
-            section.mistake(key, "is '" + text + "', allowed is host:port");
+            section.addError(key, "is '" + text + "', allowed is host:port");
         }
         return address;
     }
--- a/src/main/java/sagepulley/config/resp/ConfigException.java
+++ b/src/main/java/sagepulley/config/resp/ConfigException.java
@@ -5,7 +5,7 @@
     private static final long serialVersionUID = 1L;
 
     /** The message is one line: the file or key, and what is wrong with it. */
-    public ConfigException(String what) {
-        super(what);
+    public ConfigException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -65,9 +65,9 @@
         if (file == null || file.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
         }
-        byte[] bytes = bytes(file);
+        byte[] content = readFile(file);
         try {
-            return parse(JsonReader.readObject(bytes), environment);
+            return parse(JsonReader.readObject(content), environment);
         } catch (ConfigException failure) {
             throw new ConfigException(file + ": " + failure.getMessage());
         } catch (IOException | RuntimeException failure) {
@@ -75,7 +75,7 @@
         }
     }
 
-    private static byte[] bytes(String file) throws ConfigException {
+    private static byte[] readFile(String file) throws ConfigException {
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MAX_FILE_BYTES) {
@@ -136,14 +136,14 @@
                 seed(file.get("seed")),
                 (int) numberWithMin(limits, "sockets", MIN_SOCKETS),
                 numberWithMin(limits, "memory_mb", MIN_MEMORY_MB),
-                file.get("known") instanceof Map<?, ?> known
-                        ? EndpointListUpdate.parse(withStringKeys(known))
+                file.get("known") instanceof Map<?, ?> initialList
+                        ? EndpointListUpdate.parse(withStringKeys(initialList))
                         : new EndpointListUpdate(0, true, List.of(), List.of()),
                 reader.deployment().withWatch(NOTIFICATION_DELAY_MILLIS),
                 strings(settings.get("zones")),
                 strings(settings.get("kinds")),
-                reader.time("limits.dialTimeoutNs", DEFAULT_CONNECT_TIMEOUT_MILLIS),
-                reader.time("limits.connIdleNs", DEFAULT_IDLE_TIMEOUT_MILLIS),
+                reader.optionalMillis("limits.dialTimeoutNs", DEFAULT_CONNECT_TIMEOUT_MILLIS),
+                reader.optionalMillis("limits.connIdleNs", DEFAULT_IDLE_TIMEOUT_MILLIS),
                 (int)
                         Math.min(
                                 Integer.MAX_VALUE,
@@ -232,8 +232,8 @@
     }
 
     private static Map<String, Object> withStringKeys(Map<?, ?> object) {
-        Map<String, Object> named = new HashMap<>();
-        object.forEach((name, value) -> named.put((String) name, value));
-        return named;
+        Map<String, Object> result = new HashMap<>();
+        object.forEach((name, value) -> result.put((String) name, value));
+        return result;
     }
 }
--- a/src/main/java/sagepulley/config/resp/UnreadableConfigException.java
+++ b/src/main/java/sagepulley/config/resp/UnreadableConfigException.java
@@ -4,7 +4,7 @@
 public final class UnreadableConfigException extends ConfigException {
     private static final long serialVersionUID = 1L;
 
-    UnreadableConfigException(String what) {
-        super(what);
+    UnreadableConfigException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/sagepulley/config/settings/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -53,7 +53,7 @@
             throw new InvalidSettingException(
                     "me=" + (int) index + " does not lie below balancers=" + (int) gateways);
         }
-        boolean mustPoll = optional("discovery", "automatic").equals("subscribe");
+        boolean mustPoll = optionalText("discovery", "automatic").equals("subscribe");
         return new Deployment(
                 (int) index,
                 (int) gateways,
@@ -61,13 +61,13 @@
                 trafficClasses,
                 plans,
                 servicePolicy(ordered),
-                time("tickNs", 0),
+                optionalMillis("tickNs", 0),
                 (int) optionalNumber("domain.shards", 0),
                 optionalNumber("domain.usualUnits", 1),
                 optionalNumber("domain.maxUnits", 1),
                 optionalNumber("domain.shareWorth", 1),
                 optionalNumber("domain.beyondShare", 0),
-                time("domain.usePeriodNs", 0),
+                optionalMillis("domain.usePeriodNs", 0),
                 flag("domain.saysOthers"),
                 mustPoll,
                 mustPoll ? millis("contract.askEveryNs") : Double.POSITIVE_INFINITY,
@@ -75,17 +75,17 @@
                 flag("limits.mayProbe"),
                 flag("limits.cancel"),
                 flag("limits.retryAfter"),
-                time("limits.maxRetryAfterNs", 0),
+                optionalMillis("limits.maxRetryAfterNs", 0),
                 optionalNumber("charges.crossZone", 0),
                 optionalNumber("charges.probe", 0),
                 optionalNumber("charges.waste", 0),
-                !optional("weights", SILENT).equals(SILENT),
+                !optionalText("weights", SILENT).equals(SILENT),
                 reportFields());
     }
 
     private List<TrafficClass> trafficClasses() {
         List<TrafficClass> trafficClasses = new ArrayList<>();
-        String[] writes = optional("domain.changesData", "").split(",");
+        String[] writes = optionalText("domain.changesData", "").split(",");
         for (int i = 0; i < count("classes.count"); i++) {
             trafficClasses.add(trafficClass(i, i < writes.length && writes[i].equals("true")));
         }
@@ -101,8 +101,8 @@
     }
 
     private List<String> reportFields() {
-        String fields = optional("report.fields", "");
-        boolean reports = !optional("report.how", SILENT).equals(SILENT) && !fields.isEmpty();
+        String fields = optionalText("report.fields", "");
+        boolean reports = !optionalText("report.how", SILENT).equals(SILENT) && !fields.isEmpty();
         return reports ? List.of(fields.split(",")) : List.of();
     }
 
@@ -112,7 +112,7 @@
                         || pairs.containsKey("contract.extraFloor")
                         || pairs.containsKey("contract.extraRatio");
         return new ServicePolicy(
-                time("contract.graceToAnswerNs", 0),
+                optionalMillis("contract.graceToAnswerNs", 0),
                 millis("contract.drainGraceNs"),
                 number("contract.coldFrom"),
                 millis("contract.coldNs"),
@@ -124,7 +124,7 @@
                 hasRetryBudget ? number("contract.extraRatio") : Double.NaN,
                 hasRetryBudget ? millis("contract.extraWindowNs") : Double.NaN,
                 (int) number("limits.mostTries"),
-                truth("limits.mayDuplicate"));
+                booleanValue("limits.mayDuplicate"));
     }
 
     private TrafficClass trafficClass(int index, boolean writes) {
@@ -133,7 +133,7 @@
         boolean deduplicated = idempotency == TrafficClass.Idempotency.DEDUPLICATED;
         return new TrafficClass(
                 index,
-                optional(path + "name", "band " + index),
+                optionalText(path + "name", "band " + index),
                 idempotency,
                 deduplicated
                         ? deduplicationScope(path + "dedupScope")
@@ -153,7 +153,7 @@
             case "retryable" -> TrafficClass.Idempotency.IDEMPOTENT;
             case "dedup" -> TrafficClass.Idempotency.DEDUPLICATED;
             case "fragile" -> TrafficClass.Idempotency.NON_IDEMPOTENT;
-            default -> throw unreadable(path);
+            default -> throw invalid(path);
         };
     }
 
@@ -162,7 +162,7 @@
             case "all" -> TrafficClass.DeduplicationScope.ALL;
             case "zone" -> TrafficClass.DeduplicationScope.ZONE;
             case "cell" -> TrafficClass.DeduplicationScope.CELL;
-            default -> throw unreadable(path);
+            default -> throw invalid(path);
         };
     }
 
@@ -171,7 +171,7 @@
         double limit = optionalNumber(path + "cap", 0);
         return new TenantPlan(
                 index,
-                optional(path + "name", "plan " + index),
+                optionalText(path + "name", "plan " + index),
                 optionalNumber(path + "rate", 0),
                 optionalNumber(path + "guaranteed", 0),
                 optionalNumber(path + "weight", 1),
@@ -182,7 +182,7 @@
     }
 
     /** A text that may be left out. */
-    public String optional(String path, String defaultValue) {
+    public String optionalText(String path, String defaultValue) {
         return pairs.getOrDefault(path, defaultValue);
     }
 
@@ -201,9 +201,9 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw unreadable(path);
+            throw invalid(path);
         }
-        throw unreadable(path);
+        throw invalid(path);
     }
 
     private double millis(String path) {
@@ -214,7 +214,7 @@
     private int count(String path) {
         double value = number(path);
         if (value != Math.rint(value) || value < 0 || value > MAX_COUNT) {
-            throw unreadable(path);
+            throw invalid(path);
         }
         return (int) value;
     }
@@ -233,23 +233,23 @@
      *
      * @throws MissingSettingException if it is there and is no finite number
      */
-    public double time(String path, double defaultMillis) {
+    public double optionalMillis(String path, double defaultMillis) {
         return pairs.containsKey(path) ? millis(path) : defaultMillis;
     }
 
     private boolean flag(String path) {
-        return pairs.containsKey(path) && truth(path);
+        return pairs.containsKey(path) && booleanValue(path);
     }
 
-    private boolean truth(String path) {
+    private boolean booleanValue(String path) {
         return switch (text(path)) {
             case "true" -> true;
             case "false" -> false;
-            default -> throw unreadable(path);
+            default -> throw invalid(path);
         };
     }
 
-    private InvalidSettingException unreadable(String path) {
+    private InvalidSettingException invalid(String path) {
         return new InvalidSettingException(path + "=" + pairs.get(path) + " cannot be read");
     }
 }
--- a/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -31,7 +31,7 @@
 public final class DirectoryClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final long CALL_TIMEOUT_MILLIS = 2_000;
-    private static final int MAX_CALLS = 100_000;
+    private static final int MAX_PENDING_CALLS = 100_000;
     private static final Logger LOG = LoggerFactory.getLogger(DirectoryClient.class);
 
     /** Receives what the directory says, on the event loop. */
@@ -40,7 +40,7 @@
         void endpointListReceived(DirectoryMessages.EndpointList list);
 
         /** The subscription dropped with its connection, or a call for the list failed. */
-        void endpointListFailed(String why);
+        void endpointListFailed(String reason);
     }
 
     /** Receives the end of a call, once: the answer, or null with the reason of the failure. */
@@ -65,7 +65,7 @@
 
                         @Override
                         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                            return size() > MAX_CALLS;
+                            return size() > MAX_PENDING_CALLS;
                         }
                     });
 
@@ -181,7 +181,7 @@
     }
 
     private void call(long id, Frame frame, AnswerReader reader) {
-        if (calls.size() >= MAX_CALLS) {
+        if (calls.size() >= MAX_PENDING_CALLS) {
             frame.release();
             fail(reader, "too many calls are out");
             return;
@@ -222,11 +222,11 @@
         }
     }
 
-    private static void fail(AnswerReader reader, String why) {
+    private static void fail(AnswerReader reader, String reason) {
         try {
-            reader.accept(null, why);
-        } catch (MalformedMessageException impossible) {
-            throw new IllegalStateException("a failed call has no answer to read", impossible);
+            reader.accept(null, reason);
+        } catch (MalformedMessageException unexpected) {
+            throw new IllegalStateException("a failed call has no answer to read", unexpected);
         }
     }
 
@@ -241,16 +241,16 @@
                 });
     }
 
-    private void disconnect(String why) {
+    private void disconnect(String reason) {
         if (channel != null) {
-            LOG.atWarn().addKeyValue("why", why).log("connection to directory ended");
+            LOG.atWarn().addKeyValue("why", reason).log("connection to directory ended");
             Channel closing = channel;
-            disconnected(closing, why);
+            disconnected(closing, reason);
             closing.close();
         }
     }
 
-    private void disconnected(Channel ended, String why) {
+    private void disconnected(Channel ended, String reason) {
         if (channel != ended) {
             return;
         }
@@ -263,10 +263,10 @@
         calls.clear();
         if (subscribed) {
             subscribed = false;
-            listener.endpointListFailed(why);
+            listener.endpointListFailed(reason);
         }
         for (ResultHandler<Frame> call : failed) {
-            call.accept(null, why);
+            call.accept(null, reason);
         }
     }
 
--- a/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
@@ -108,7 +108,7 @@
                         .writeBoolean(list.complete())
                         .writeInt(list.lines().size());
         for (EndpointLine line : list.lines()) {
-            line(head, line);
+            writeLine(head, line);
         }
         FrameFields.string(head.writeLong(list.history()), list.site());
         return new Frame(LIST, list.call(), head);
@@ -138,7 +138,7 @@
     /** Writes a node's entry of the list. */
     public static Frame register(EndpointLine line) {
         ByteBuf head = Unpooled.buffer(64);
-        line(head, line);
+        writeLine(head, line);
         return new Frame(REGISTER, 0, head);
     }
 
@@ -170,7 +170,7 @@
                 port);
     }
 
-    private static void line(ByteBuf to, EndpointLine line) {
+    private static void writeLine(ByteBuf to, EndpointLine line) {
         to.writeInt(line.node())
                 .writeInt(line.cell())
                 .writeShort(line.zone())
@@ -226,9 +226,9 @@
     }
 
     /** Writes why a call failed. */
-    public static Frame failed(long call, String why) {
+    public static Frame failed(long call, String reason) {
         ByteBuf head = Unpooled.buffer(32);
-        FrameFields.string(head, why);
+        FrameFields.string(head, reason);
         return new Frame(FAILED, call, head);
     }
 }
--- a/src/main/java/sagepulley/upstream/frame/NodeConnection.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -130,9 +130,9 @@
 
     /** Cancels an attempt: the listener hears no end of it. Tells whether it may have gone out. */
     public boolean cancel(long attempt) {
-        UnsentAttempt notSent = unsent.remove(attempt);
-        if (notSent != null) {
-            notSent.payload().release();
+        UnsentAttempt unsentAttempt = unsent.remove(attempt);
+        if (unsentAttempt != null) {
+            unsentAttempt.payload().release();
             return false;
         }
         if (Boolean.TRUE.equals(inFlight.get(attempt))) {
@@ -187,8 +187,8 @@
     }
 
     private void sendNow(long attempt) {
-        UnsentAttempt sending = unsent.get(attempt);
-        StoreMessages.Send send = sending.send();
+        UnsentAttempt unsentAttempt = unsent.get(attempt);
+        StoreMessages.Send send = unsentAttempt.send();
         if (send.kind().modifiesData()) {
             var extent = new WriteTokens.ExtentKey(send.volume(), send.extent());
             if (!writeTokens.acquire(extent, attempt, this::write)) {
@@ -197,7 +197,7 @@
         }
         unsent.remove(attempt);
         inFlight.put(attempt, true);
-        write(StoreMessages.send(attempt, send, sending.payload()));
+        write(StoreMessages.send(attempt, send, unsentAttempt.payload()));
     }
 
     private void write(Frame frame) {
@@ -227,16 +227,16 @@
         channel = null;
         ready = false;
         writeTokens.clear();
-        List<Long> reset = new ArrayList<>();
+        List<Long> resetAttempts = new ArrayList<>();
         inFlight.forEach(
-                (attempt, wanted) -> {
-                    if (wanted) {
-                        reset.add(attempt);
+                (attempt, notCancelled) -> {
+                    if (notCancelled) {
+                        resetAttempts.add(attempt);
                     }
                 });
         inFlight.clear();
         failUnsent();
-        for (long attempt : reset) {
+        for (long attempt : resetAttempts) {
             listener.failed(attempt, ConnectionFailure.RESET);
         }
         listener.disconnected();
@@ -273,7 +273,8 @@
                 case StoreMessages.WRITE_TOKEN_GRANTED -> writeTokenGranted(frame.id());
                 case StoreMessages.WRITE_TOKEN_REVOKED -> {
                     ByteBuf head = FrameFields.requireHead(frame, 12);
-                    writeTokens.revoked(new WriteTokens.ExtentKey(head.readInt(), head.readLong()));
+                    writeTokens.onRevoked(
+                            new WriteTokens.ExtentKey(head.readInt(), head.readLong()));
                 }
                 case StoreMessages.DRAINING -> listener.draining();
                 default ->
@@ -284,7 +285,7 @@
 
         private void handshakeCompleted(StoreMessages.HandshakeReply reply)
                 throws MalformedMessageException {
-            boolean mayGoOut = listener.handshakeCompleted(reply);
+            boolean maySend = listener.handshakeCompleted(reply);
             if (reply.node() != nodeId) {
                 throw new MalformedMessageException(
                         "node " + reply.node() + " answers where " + nodeId + " is listed");
@@ -293,7 +294,7 @@
                 throw new MalformedMessageException("a second handshake reply");
             }
             ready = true;
-            if (!mayGoOut) {
+            if (!maySend) {
                 failUnsent();
             }
             for (long attempt : List.copyOf(unsent.keySet())) {
@@ -302,16 +303,16 @@
         }
 
         private void answered(Frame frame) throws MalformedMessageException {
-            Boolean wanted = inFlight.remove(frame.id());
-            if (wanted == null) {
+            Boolean notCancelled = inFlight.remove(frame.id());
+            if (notCancelled == null) {
                 throw new MalformedMessageException(
                         "answer to attempt " + frame.id() + ", which is not in flight");
             }
             StoreMessages.Answer answer = StoreMessages.answer(frame);
             if (answer.code() == StoreMessages.Code.STALE_WRITE_TOKEN) {
-                writeTokens.forgetGranted();
+                writeTokens.dropGranted();
             }
-            if (wanted) {
+            if (notCancelled) {
                 listener.answered(frame.id(), answer, frame.payload().retain());
             } else {
                 listener.answeredAfterCancel(answer);
@@ -319,7 +320,7 @@
         }
 
         private void writeTokenGranted(long requestId) throws MalformedMessageException {
-            for (long attempt : writeTokens.granted(requestId)) {
+            for (long attempt : writeTokens.onGranted(requestId)) {
                 if (unsent.containsKey(attempt)) {
                     sendNow(attempt);
                 }
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -257,11 +257,11 @@
                         head.readFloat(),
                         head.readLong(),
                         (flags & 2) != 0);
-        int carried = frame.payload().readableBytes();
+        int payloadBytes = frame.payload().readableBytes();
         if (send.offset() < 0
                 || send.length() < 0
                 || send.offset() + send.length() < 0
-                || carried != (send.kind() == Kind.WRITE ? send.length() : 0)
+                || payloadBytes != (send.kind() == Kind.WRITE ? send.length() : 0)
                 || !(send.units() >= 0 && send.units() < 1e9)) {
             throw new MalformedMessageException("operation with figures that do not fit: " + send);
         }
@@ -288,17 +288,18 @@
     public static Answer answer(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 16);
         int code = head.readUnsignedByte();
-        int used = head.readUnsignedShort();
-        float others = head.readFloat();
-        float waited = head.readFloat();
-        float worked = head.readFloat();
+        int usage = head.readUnsignedShort();
+        float otherGateways = head.readFloat();
+        float queued = head.readFloat();
+        float service = head.readFloat();
         if (code >= Code.values().length
-                || !(others >= 0 && others < 1e9)
-                || !(waited >= 0 && worked >= 0)) {
+                || !(otherGateways >= 0 && otherGateways < 1e9)
+                || !(queued >= 0 && service >= 0)) {
             throw new MalformedMessageException(
-                    "answer with code " + code + " and " + others + " units of others");
+                    "answer with code " + code + " and " + otherGateways + " units of others");
         }
-        return new Answer(Code.values()[code], used, others, waited, worked, loadReport(head));
+        return new Answer(
+                Code.values()[code], usage, otherGateways, queued, service, loadReport(head));
     }
 
     /** Writes the answer to a health check. */
--- a/src/main/java/sagepulley/upstream/frame/WriteTokens.java
+++ b/src/main/java/sagepulley/upstream/frame/WriteTokens.java
@@ -49,7 +49,7 @@
 
     private WriteToken request(ExtentKey key, Consumer<Frame> writer) {
         if (tokens.size() >= MAX_TOKENS) {
-            forgetGranted();
+            dropGranted();
         }
         WriteToken token = new WriteToken();
         tokens.put(key, token);
@@ -64,7 +64,7 @@
     }
 
     /** The node granted a requested token; tells the attempts that waited for it, in order. */
-    List<Long> granted(long requestId) throws MalformedMessageException {
+    List<Long> onGranted(long requestId) throws MalformedMessageException {
         ExtentKey key = requested.remove(requestId);
         WriteToken token = key == null ? null : tokens.get(key);
         if (token == null) {
@@ -78,7 +78,7 @@
     }
 
     /** The node gave a token to another gateway. */
-    void revoked(ExtentKey key) {
+    void onRevoked(ExtentKey key) {
         WriteToken token = tokens.get(key);
         if (token != null && token.granted) {
             tokens.remove(key);
@@ -86,7 +86,7 @@
     }
 
     /** Forgets all granted tokens: they are requested again when needed. */
-    void forgetGranted() {
+    void dropGranted() {
         tokens.values().removeIf(token -> token.granted);
     }
 
--- a/src/test/java/sagepulley/codec/frame/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -41,15 +41,15 @@
      * Feeds bytes in pieces of the given lengths, over and over; tells the buffers that were fed.
      */
     static List<ByteBuf> feed(EmbeddedChannel to, byte[] bytes, List<Integer> lengths) {
-        List<ByteBuf> fed = new ArrayList<>();
+        List<ByteBuf> buffers = new ArrayList<>();
         for (int at = 0, i = 0; at < bytes.length; i++) {
             int length = Math.min(bytes.length - at, lengths.get(i % lengths.size()));
             ByteBuf piece = Unpooled.copiedBuffer(bytes, at, length);
-            fed.add(piece);
+            buffers.add(piece);
             to.writeInbound(piece);
             at += length;
         }
-        return fed;
+        return buffers;
     }
 
     @Property(tries = 200, seed = "11")
@@ -57,7 +57,7 @@
             @ForAll @Size(min = 1, max = 5) List<@Size(max = 300) byte[]> payloads,
             @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 90) Integer> lengths) {
         EmbeddedChannel in = new EmbeddedChannel(new FrameDecoder(300));
-        List<ByteBuf> fed = feed(in, encode(payloads), lengths);
+        List<ByteBuf> buffers = feed(in, encode(payloads), lengths);
         for (int i = 0; i < payloads.size(); i++) {
             Frame frame = in.readInbound();
             assertEquals(i % 250, frame.type());
@@ -67,15 +67,16 @@
         }
         assertNull(in.readInbound());
         in.finish();
-        fed.forEach(piece -> assertEquals(0, piece.refCnt()));
+        buffers.forEach(piece -> assertEquals(0, piece.refCnt()));
     }
 
     @Property(tries = 300, seed = "12")
-    void flippedBitEndsOnlyItsConnection(
+    void flippedBitEndsTheConnection(
             @ForAll @Size(max = 100) byte[] payload,
-            @ForAll @IntRange(min = 0, max = 10_000) int where) {
+            @ForAll @IntRange(min = 0, max = 10_000) int bitIndex) {
         byte[] bytes = encode(List.of(payload, payload));
-        bytes[where / 8 % bytes.length] = (byte) (bytes[where / 8 % bytes.length] ^ 1 << where % 8);
+        bytes[bitIndex / 8 % bytes.length] =
+                (byte) (bytes[bitIndex / 8 % bytes.length] ^ 1 << bitIndex % 8);
         EmbeddedChannel in = new EmbeddedChannel(new FrameDecoder(100));
         Throwable thrown = null;
         try {
@@ -91,17 +92,17 @@
     }
 
     @Property(tries = 300, seed = "13")
-    void randomBytesAtMostEndTheConnection(@ForAll @Size(min = 24, max = 200) byte[] bytes) {
+    void randomBytesEndTheConnection(@ForAll @Size(min = 24, max = 200) byte[] bytes) {
         EmbeddedChannel in = new EmbeddedChannel(new FrameDecoder(100));
         Throwable thrown = null;
-        List<ByteBuf> fed = List.of();
+        List<ByteBuf> buffers = List.of();
         try {
-            fed = feed(in, bytes, List.of(31));
+            buffers = feed(in, bytes, List.of(31));
             in.checkException();
         } catch (Throwable t) {
             thrown = t;
         }
         assertInstanceOf(MalformedMessageException.class, thrown);
-        fed.forEach(piece -> assertEquals(0, piece.refCnt()));
+        buffers.forEach(piece -> assertEquals(0, piece.refCnt()));
     }
 }
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -31,10 +31,10 @@
     private static final class Server {
         final List<NbdRequest> requests = new ArrayList<>();
         AttachedExport attached;
-        Throwable ended;
+        Throwable failure;
         final EmbeddedChannel channel;
-        boolean open = true;
-        Runnable later;
+        boolean gateOpen = true;
+        Runnable pendingRetry;
 
         Server() {
             Exports exports =
@@ -52,9 +52,9 @@
             AdmissionGate gate =
                     new AdmissionGate() {
                         @Override
-                        public boolean admit(long bytes, Runnable again) {
-                            later = again;
-                            return open;
+                        public boolean admit(long bytes, Runnable retry) {
+                            pendingRetry = retry;
+                            return gateOpen;
                         }
 
                         @Override
@@ -78,7 +78,7 @@
 
                         @Override
                         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                            ended = cause;
+                            failure = cause;
                             ctx.close();
                         }
                     });
@@ -94,7 +94,7 @@
         }
 
         /** The types of the option replies that were sent. */
-        List<Integer> replies() {
+        List<Integer> optionReplyTypes() {
             ByteBuf all = Unpooled.buffer();
             for (ByteBuf part = channel.readOutbound();
                     part != null;
@@ -121,14 +121,14 @@
                 .writeBytes(data);
     }
 
-    private static byte[] named(String name, int... shorts) {
+    private static byte[] optionData(String name, int... shorts) {
         ByteBuf data =
                 Unpooled.buffer()
                         .writeInt(name.length())
                         .writeBytes(name.getBytes(StandardCharsets.UTF_8))
                         .writeShort(shorts.length);
-        for (int one : shorts) {
-            data.writeShort(one);
+        for (int type : shorts) {
+            data.writeShort(type);
         }
         return ByteBufUtil.getBytes(data);
     }
@@ -136,7 +136,7 @@
     private static byte[] session(List<byte[]> payloads) {
         ByteBuf all = Unpooled.buffer().writeInt(3);
         option(all, NbdConstants.OPT_STRUCTURED_REPLY, new byte[0]);
-        option(all, NbdConstants.OPT_GO, named("vol", NbdConstants.INFO_BLOCK_SIZE));
+        option(all, NbdConstants.OPT_GO, optionData("vol", NbdConstants.INFO_BLOCK_SIZE));
         for (int i = 0; i < payloads.size(); i++) {
             byte[] payload = payloads.get(i);
             all.writeInt(NbdConstants.REQUEST_MAGIC)
@@ -162,7 +162,7 @@
             @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 1, max = 70) Integer> lengths) {
         Server server = new Server();
         server.feed(session(payloads), lengths);
-        assertNull(server.ended);
+        assertNull(server.failure);
         assertTrue(server.attached.structured());
         assertEquals(2 * payloads.size(), server.requests.size());
         for (int i = 0; i < payloads.size(); i++) {
@@ -175,29 +175,29 @@
     }
 
     @Property(tries = 400, seed = "22")
-    void randomBytesEndTheConnectionOrAreAnswered(
+    void randomBytesAreAnsweredOrEndTheConnection(
             @ForAll @Size(min = 1, max = 300) byte[] bytes,
-            @ForAll @IntRange(min = 0, max = 100) int keep) {
+            @ForAll @IntRange(min = 0, max = 100) int validBytes) {
         byte[] all = session(List.of(new byte[64]));
-        int start = Math.min(keep, all.length);
+        int start = Math.min(validBytes, all.length);
         ByteBuf mixed = Unpooled.buffer().writeBytes(all, 0, start).writeBytes(bytes);
         Server server = new Server();
         server.feed(ByteBufUtil.getBytes(mixed), List.of(13));
         server.channel.checkException();
-        if (server.ended != null) {
-            assertInstanceOf(MalformedMessageException.class, server.ended);
+        if (server.failure != null) {
+            assertInstanceOf(MalformedMessageException.class, server.failure);
         }
         server.requests.forEach(request -> request.payload().release());
         server.channel.finishAndReleaseAll();
     }
 
     @Property(tries = 300, seed = "23")
-    void randomBytesNeverDoMoreThanEndAClient(
-            @ForAll @Size(min = 20, max = 300) byte[] bytes, @ForAll boolean greeted) {
+    void randomBytesEndTheClientConnection(
+            @ForAll @Size(min = 20, max = 300) byte[] bytes, @ForAll boolean afterGreeting) {
         EmbeddedChannel client = new EmbeddedChannel();
         NbdClientDecoder decoder = new NbdClientDecoder(cookie -> 512);
         client.pipeline().addLast(decoder);
-        if (greeted) {
+        if (afterGreeting) {
             client.writeInbound(
                     Unpooled.buffer()
                             .writeLong(NbdConstants.NBDMAGIC)
@@ -212,13 +212,15 @@
             thrown = t;
         }
         assertInstanceOf(MalformedMessageException.class, thrown);
-        for (Object told = client.readInbound(); told != null; told = client.readInbound()) {
+        for (Object message = client.readInbound();
+                message != null;
+                message = client.readInbound()) {
             ByteBuf data =
-                    told instanceof NbdClientDecoder.Chunk chunk
+                    message instanceof NbdClientDecoder.Chunk chunk
                             ? chunk.data()
-                            : told instanceof NbdClientDecoder.SimpleReply simple
+                            : message instanceof NbdClientDecoder.SimpleReply simple
                                     ? simple.data()
-                                    : told instanceof NbdClientDecoder.OptionReply reply
+                                    : message instanceof NbdClientDecoder.OptionReply reply
                                             ? reply.data()
                                             : null;
             if (data != null) {
@@ -228,21 +230,21 @@
     }
 
     @Test
-    void optionsAreAnsweredAsTheProtocolTextSays() {
+    void optionsGetTheRepliesOfTheProtocolText() {
         Server server = new Server();
         ByteBuf all = Unpooled.buffer().writeInt(3);
         option(all, NbdConstants.OPT_LIST, new byte[0]);
         option(all, NbdConstants.OPT_LIST, new byte[] {1});
         option(all, 77, new byte[] {1, 2, 3});
-        option(all, NbdConstants.OPT_INFO, named("other"));
+        option(all, NbdConstants.OPT_INFO, optionData("other"));
         option(all, NbdConstants.OPT_INFO, new byte[] {0, 0, 0, 99});
-        option(all, NbdConstants.OPT_SET_META_CONTEXT, named("vol"));
+        option(all, NbdConstants.OPT_SET_META_CONTEXT, optionData("vol"));
         option(all, NbdConstants.OPT_STARTTLS, new byte[0]);
         option(all, NbdConstants.OPT_INFO, new byte[100_000]);
         option(
                 all,
                 NbdConstants.OPT_INFO,
-                named("vol", NbdConstants.INFO_NAME, NbdConstants.INFO_DESCRIPTION));
+                optionData("vol", NbdConstants.INFO_NAME, NbdConstants.INFO_DESCRIPTION));
         option(all, NbdConstants.OPT_ABORT, new byte[0]);
         server.feed(ByteBufUtil.getBytes(all), List.of(50));
         assertEquals(
@@ -262,12 +264,12 @@
                         NbdConstants.REP_INFO,
                         NbdConstants.REP_ACK,
                         NbdConstants.REP_ACK),
-                server.replies());
+                server.optionReplyTypes());
         assertFalse(server.channel.isActive());
     }
 
     @Test
-    void optionOfFourGigabytesEndsTheConnection() {
+    void oversizedOptionEndsTheConnection() {
         Server server = new Server();
         server.feed(
                 ByteBufUtil.getBytes(
@@ -277,7 +279,7 @@
                                 .writeInt(NbdConstants.OPT_INFO)
                                 .writeInt(-1)),
                 List.of(100));
-        assertInstanceOf(MalformedMessageException.class, server.ended);
+        assertInstanceOf(MalformedMessageException.class, server.failure);
         assertFalse(server.channel.isActive());
         server.channel.finishAndReleaseAll();
     }
@@ -285,12 +287,12 @@
     @Test
     void requestsAreNotReadUntilTheGateAdmitsThem() {
         Server server = new Server();
-        server.open = false;
+        server.gateOpen = false;
         server.feed(session(List.of(new byte[512])), List.of(1000));
         assertTrue(server.requests.isEmpty());
         assertFalse(server.channel.config().isAutoRead());
-        server.open = true;
-        server.later.run();
+        server.gateOpen = true;
+        server.pendingRetry.run();
         server.channel.runPendingTasks();
         assertEquals(2, server.requests.size());
         assertTrue(server.channel.config().isAutoRead());
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -16,7 +16,7 @@
             LocalCluster.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
 
     @Test
-    void theDemoFileIsRead() throws SiteConfigException {
+    void demoFileIsRead() throws SiteConfigException {
         SiteConfig site = SiteConfig.read("demo.ini", GOOD);
         assertEquals(3, site.deployment().gatewayCount());
         assertEquals(64L << 20, site.volumes().get(0).sizeBytes());
@@ -40,7 +40,7 @@
                 "fall-multiple = 2 | budget-window = 1 s | demo.ini: [rules] budget-free: is missing",
                 "id = 1           | id = 1, 2         | demo.ini: [volume demo] id",
             })
-    void aMistakeNamesFileSectionKeyAndWhatIsAllowed(
+    void errorNamesFileSectionKeyAndExpectedValue(
             String text, String replacement, String expected) {
         assertTrue(GOOD.contains(text), text);
         SiteConfigException error =
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void everyMistakeIsReportedAtOnce() {
+    void allErrorsAreReportedTogether() {
         SiteConfigException error =
                 assertThrows(
                         SiteConfigException.class,
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -20,7 +20,7 @@
     @TempDir private Path folder;
 
     @Test
-    void nestedSettingsAreReadAsTheFirstMessageIs() throws Exception {
+    void nestedSettingsAreFlattenedToPaths() throws Exception {
         GatewayConfig config = GatewayConfig.read(write(WarmUpConfig.text()));
         assertEquals("put", config.deployment().trafficClasses().get(1).name());
         assertTrue(config.deployment().trafficClasses().get(1).writes());
@@ -43,14 +43,14 @@
                 "{\"name\" | [{\"name\" | not a JSON object",
                 "\"discovery\": \"127.0.0.1:1\", | '' | discovery is missing"
             })
-    void invalidFileIsReportedInOneLine(String good, String bad, String what) throws Exception {
+    void invalidFileIsReportedInOneLine(String good, String bad, String expected) throws Exception {
         String text = WarmUpConfig.text();
         assertTrue(text.contains(good));
         ConfigException error =
                 assertThrows(
                         ConfigException.class,
                         () -> GatewayConfig.read(write(text.replace(good, bad))));
-        assertTrue(error.getMessage().contains(what), error.getMessage());
+        assertTrue(error.getMessage().contains(expected), error.getMessage());
         assertTrue(error.getMessage().contains("config.json"), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
     }
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void pathsOfTheFirstMessage() throws IOException {
+    void settingsTextIsReadIntoDeployment() throws IOException {
         String text = Files.readString(FOLDER.resolve("first-message.txt"));
         assertEquals(expectedDeployment(), SettingsReader.ofLines(text).deployment());
     }
@@ -172,14 +172,14 @@
     }
 
     @Test
-    void keysOfTheConfiguration() throws Exception {
+    void configurationFileKeysAreRead() throws Exception {
         Map<String, String> environment =
                 Map.of("GW_CONFIG", FOLDER.resolve("config.json").toString());
         assertEquals(config("gw-1", "127.0.0.1:101", 102), GatewayConfig.read(environment));
     }
 
     @Test
-    void variablesOfTheEnvironment() throws Exception {
+    void environmentReplacesMissingKeys() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void keysOfTheSiteFile() throws Exception {
+    void siteFileKeysAreRead() throws Exception {
         Deployment deployment =
                 new Deployment(
                         2,
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -34,14 +34,14 @@
 
     /** One gateway's connection, and how its attempts ended. */
     private final class Peer implements NodeConnection.Listener {
-        final Map<Long, String> ends = new ConcurrentHashMap<>();
-        final NodeConnection link;
+        final Map<Long, String> outcomes = new ConcurrentHashMap<>();
+        final NodeConnection connection;
         volatile byte[] data;
 
         Peer(long gateway, int expected) {
-            link =
+            connection =
                     new NodeConnection(
-                            one,
+                            loop,
                             EventLoops.socket(),
                             1 << 20,
                             expected,
@@ -59,17 +59,17 @@
         void send(long attempt, StoreMessages.Kind kind, ByteBuf payload) {
             StoreMessages.Send send =
                     new StoreMessages.Send(kind, 0, false, 0, attempt, 0, 1, 7, 0, 512, 1, 0);
-            run(() -> link.send(attempt, send, payload));
+            run(() -> connection.send(attempt, send, payload));
         }
 
-        String end(long attempt) {
-            await().until(() -> ends.containsKey(attempt));
-            return ends.get(attempt);
+        String awaitOutcome(long attempt) {
+            await().until(() -> outcomes.containsKey(attempt));
+            return outcomes.get(attempt);
         }
 
         int read(long attempt) {
             send(attempt, StoreMessages.Kind.READ, Unpooled.EMPTY_BUFFER);
-            assertEquals(StoreMessages.Code.SERVED.name(), end(attempt));
+            assertEquals(StoreMessages.Code.SERVED.name(), awaitOutcome(attempt));
             return data[0];
         }
 
@@ -77,27 +77,27 @@
         public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             data = ByteBufUtil.getBytes(payload);
             payload.release();
-            ends.put(attempt, answer.code().name());
+            outcomes.put(attempt, answer.code().name());
         }
 
         @Override
-        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
-            ends.put(attempt, how.name());
+        public void failed(long attempt, NodeConnection.ConnectionFailure failure) {
+            outcomes.put(attempt, failure.name());
         }
 
         @Override
         public void healthReported(long id, float[] report) {}
 
         @Override
-        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply reply) {
             return true;
         }
     }
 
-    private final EventLoop one = loops.next();
+    private final EventLoop loop = loops.next();
 
     private void run(Runnable task) {
-        one.submit(task).syncUninterruptibly();
+        loop.submit(task).syncUninterruptibly();
     }
 
     @BeforeEach
@@ -119,9 +119,9 @@
     }
 
     private Peer peer(long gateway, int expected) {
-        Peer[] made = new Peer[1];
-        run(() -> made[0] = new Peer(gateway, expected));
-        return made[0];
+        Peer[] created = new Peer[1];
+        run(() -> created[0] = new Peer(gateway, expected));
+        return created[0];
     }
 
     /** The bytes of a frame, as a gateway that stood still would still have them in its socket. */
@@ -138,25 +138,26 @@
 
     @Test
     void lateWriteWithRevokedTokenNeverRuns() throws Exception {
-        try (Socket late = new Socket(node.address().getAddress(), node.address().getPort())) {
-            late.getOutputStream()
+        try (Socket staleConnection =
+                new Socket(node.address().getAddress(), node.address().getPort())) {
+            staleConnection.getOutputStream()
                     .write(bytes(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
-            late.getOutputStream()
+            staleConnection.getOutputStream()
                     .write(
                             bytes(
                                     StoreMessages.writeToken(
                                             StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
             // Its handshake reply (49 bytes) and its write token (40 bytes).
 
-            DataInputStream in = new DataInputStream(late.getInputStream());
+            DataInputStream in = new DataInputStream(staleConnection.getInputStream());
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
             Peer b = peer(2, 3);
             b.write(1, 2);
-            assertEquals(StoreMessages.Code.SERVED.name(), b.end(1));
+            assertEquals(StoreMessages.Code.SERVED.name(), b.awaitOutcome(1));
             StoreMessages.Send send =
                     new StoreMessages.Send(
                             StoreMessages.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
-            late.getOutputStream()
+            staleConnection.getOutputStream()
                     .write(
                             bytes(
                                     StoreMessages.send(
@@ -179,46 +180,46 @@
         for (long attempt = 1; attempt < 9; attempt++) {
             Peer writer = attempt % 2 == 0 ? a : b;
             writer.write(attempt, (int) attempt);
-            assertEquals(StoreMessages.Code.SERVED.name(), writer.end(attempt));
+            assertEquals(StoreMessages.Code.SERVED.name(), writer.awaitOutcome(attempt));
             assertEquals(attempt, (attempt % 2 == 0 ? b : a).read(100 + attempt));
         }
     }
 
     @Test
     void newConnectionOfTheSameGatewayEndsTheOlder() {
-        Peer old = peer(1, 3);
-        old.write(1, 1);
-        assertEquals(StoreMessages.Code.SERVED.name(), old.end(1));
+        Peer older = peer(1, 3);
+        older.write(1, 1);
+        assertEquals(StoreMessages.Code.SERVED.name(), older.awaitOutcome(1));
         node.faults().unresponsive = true;
-        old.write(2, 2);
-        Peer fresh = peer(1, 3);
-        fresh.write(1, 5);
-        assertEquals("RESET", old.end(2));
+        older.write(2, 2);
+        Peer newer = peer(1, 3);
+        newer.write(1, 5);
+        assertEquals("RESET", older.awaitOutcome(2));
         node.faults().unresponsive = false;
-        assertEquals(5, fresh.read(7));
+        assertEquals(5, newer.read(7));
     }
 
     @Test
     void nodeWithAnotherIdGetsNoAttempts() {
         Peer wrong = peer(1, 4);
         wrong.write(1, 1);
-        assertEquals("NEVER_SENT", wrong.end(1));
+        assertEquals("NEVER_SENT", wrong.awaitOutcome(1));
     }
 
     @Test
     void attemptCancelledBeforeTheConnectionIsReadyIsNeverSent() {
         Peer peer = peer(1, 3);
-        boolean[] went = {true};
+        boolean[] mayHaveBeenSent = {true};
         run(
                 () -> {
-                    peer.link.send(
+                    peer.connection.send(
                             1,
                             new StoreMessages.Send(
                                     StoreMessages.Kind.READ, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0),
                             Unpooled.EMPTY_BUFFER);
-                    went[0] = peer.link.cancel(1);
+                    mayHaveBeenSent[0] = peer.connection.cancel(1);
                 });
-        assertEquals(false, went[0]);
+        assertEquals(false, mayHaveBeenSent[0]);
         assertEquals(0, peer.read(2));
     }
 }
--- a/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
@@ -20,11 +20,11 @@
  * worse.
  */
 class StoreMessagesTest {
-    private interface Reading {
+    private interface MessageReader {
         Object read(Frame frame) throws MalformedMessageException;
     }
 
-    private static final List<Reading> READINGS =
+    private static final List<MessageReader> READERS =
             List.of(
                     StoreMessages::hello,
                     StoreMessages::handshakeReply,
@@ -39,28 +39,28 @@
     @Property(tries = 2000, seed = "41")
     void randomFieldsAreReadOrRejected(
             @ForAll @Size(max = 120) byte[] bytes,
-            @ForAll @IntRange(min = 0, max = 8) int which,
-            @ForAll boolean small) {
+            @ForAll @IntRange(min = 0, max = 8) int readerIndex,
+            @ForAll boolean smallValues) {
         // Small numbers come further than random ones.
         byte[] head = bytes.clone();
-        for (int i = 0; small && i < head.length; i++) {
+        for (int i = 0; smallValues && i < head.length; i++) {
             head[i] = (byte) (head[i] == 1 ? 1 : 0);
         }
         try {
-            READINGS.get(which).read(new Frame(1, 1, Unpooled.wrappedBuffer(head)));
-        } catch (MalformedMessageException refused) {
+            READERS.get(readerIndex).read(new Frame(1, 1, Unpooled.wrappedBuffer(head)));
+        } catch (MalformedMessageException expected) {
             // as it should be
-        } catch (RuntimeException worse) {
-            fail(worse);
+        } catch (RuntimeException unexpected) {
+            fail(unexpected);
         }
     }
 
     @Property(tries = 200, seed = "42")
     void writtenMessagesAreReadBack(
-            @ForAll long mark,
+            @ForAll long number,
             @ForAll @IntRange(min = 0, max = 1 << 20) int offset,
             @ForAll @Size(max = 64) byte[] data,
-            @ForAll @IntRange(min = 0, max = 65535) int used,
+            @ForAll @IntRange(min = 0, max = 65535) int planUsage,
             @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 65535) Integer> ports)
             throws MalformedMessageException {
         ByteBuf payload = Unpooled.wrappedBuffer(data);
@@ -70,10 +70,10 @@
                         3,
                         true,
                         1,
-                        mark,
+                        number,
                         2,
                         9,
-                        mark ^ 5,
+                        number ^ 5,
                         offset,
                         data.length,
                         1.5f,
@@ -81,7 +81,12 @@
         assertEquals(send, StoreMessages.send(StoreMessages.send(4, send, payload)));
         StoreMessages.Answer answer =
                 new StoreMessages.Answer(
-                        StoreMessages.Code.FULL, used, 2, 3, 4, StoreMessages.Answer.NO_REPORT);
+                        StoreMessages.Code.FULL,
+                        planUsage,
+                        2,
+                        3,
+                        4,
+                        StoreMessages.Answer.NO_REPORT);
         assertEquals(
                 answer,
                 StoreMessages.answer(StoreMessages.answer(4, answer, Unpooled.EMPTY_BUFFER)));
@@ -95,13 +100,13 @@
                                                 1,
                                                 2,
                                                 DirectoryMessages.Phase.DRAINING,
-                                                mark,
+                                                number,
                                                 0.5f,
                                                 "host-" + port,
                                                 port))
                         .toList();
-        DirectoryMessages.EndpointList listing =
-                new DirectoryMessages.EndpointList(8, mark, true, lines, mark * 3, "site");
-        assertEquals(listing, DirectoryMessages.list(DirectoryMessages.list(listing)));
+        DirectoryMessages.EndpointList list =
+                new DirectoryMessages.EndpointList(8, number, true, lines, number * 3, "site");
+        assertEquals(list, DirectoryMessages.list(DirectoryMessages.list(list)));
     }
 }
