--- a/src/main/java/sagepulley/codec/frame/Crc32c.java
+++ b/src/main/java/sagepulley/codec/frame/Crc32c.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** CRC32C (RFC 3720, appendix B.4) over buffers, without copying them. */
+/** Computes the CRC32C checksum (RFC 3720, appendix B.4) of buffers without copying them. */
 final class Crc32c {
     private final CRC32C checksum = new CRC32C();
 
--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -5,9 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
-/**
- * Runs one task at the earliest of the times that were requested, once. Confined to its event loop.
- */
+/** Runs a task once at the earliest of the requested times. Confined to its event loop. */
 public final class EventLoopTimer {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long MIN_DELAY_NANOS = 1000;
@@ -18,14 +16,17 @@
     private ScheduledFuture<?> scheduled;
     private double dueTime;
 
-    /** A timer by a clock in milliseconds. */
+    /** Creates a timer whose clock returns milliseconds. */
     public EventLoopTimer(EventLoop loop, DoubleSupplier clock, Runnable task) {
         this.loop = loop;
         this.clock = clock;
         this.task = task;
     }
 
-    /** Runs the task at this time at the latest; an infinite time changes nothing. */
+    /**
+     * Schedules the task to run at the given time at the latest. Has no effect if the time is
+     * infinite or the task is already scheduled for that time or earlier.
+     */
     public void scheduleBy(double time) {
         if ((scheduled != null && time >= dueTime) || time == Double.POSITIVE_INFINITY) {
             return;
@@ -48,7 +49,7 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    /** Forgets the time that was requested. */
+    /** Cancels the scheduled run, if any. */
     public void cancel() {
         if (scheduled != null) {
             scheduled.cancel(false);
--- a/src/main/java/sagepulley/codec/frame/EventLoops.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoops.java
@@ -13,13 +13,15 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
 
-/** Event loops and channels of one kind: epoll where the machine has it, else NIO. */
+/**
+ * Creates event loops and selects the matching channel types: epoll where available, NIO otherwise.
+ */
 public final class EventLoops {
     private static final boolean EPOLL = Epoll.isAvailable();
 
     private EventLoops() {}
 
-    /** Event loops on daemon threads of that name. */
+    /** Creates event loops that run on daemon threads with the given name prefix. */
     public static EventLoopGroup group(int loops, String name) {
         return new MultiThreadIoEventLoopGroup(
                 loops,
@@ -27,12 +29,12 @@
                 EPOLL ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
     }
 
-    /** The class of client sockets. */
+    /** Returns the class of client sockets. */
     public static Class<? extends Channel> socket() {
         return EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
-    /** The class of listening sockets. */
+    /** Returns the class of listening sockets. */
     public static Class<? extends ServerChannel> server() {
         return EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
--- a/src/main/java/sagepulley/codec/frame/Frame.java
+++ b/src/main/java/sagepulley/codec/frame/Frame.java
@@ -4,33 +4,36 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * One message between the program's own processes (docs/protocols.md, Frames). Its holder owns both
+ * A message between processes of this program (docs/protocols.md, Frames). Its receiver owns both
  * buffers.
  *
- * @param type what it says, by the protocol of the connection
- * @param id a number that the answer repeats
- * @param head the fields
- * @param payload data that nobody on the way looks into
+ * @param type the message type in the connection's protocol
+ * @param id the number that an answer repeats
+ * @param head the encoded fields
+ * @param payload opaque data
  */
 public record Frame(int type, long id, ByteBuf head, ByteBuf payload) {
     static final int MAGIC = 0x5350;
     static final int VERSION = 1;
 
-    /** Bytes before the head: magic, version, type, both lengths, number, checksum of these. */
+    /**
+     * The length of the prefix: magic, version, type, head and payload length, id, and their
+     * checksum.
+     */
     static final int PREFIX_BYTES = 24;
 
-    /** Bytes after the payload: the checksum of head and payload. */
+    /** The length of the suffix, which is the checksum of head and payload. */
     static final int SUFFIX_BYTES = 4;
 
-    /** The longest head that is accepted. */
+    /** The maximum length of a head. */
     public static final int MAX_HEAD_BYTES = 1 << 20;
 
-    /** A frame without payload. */
+    /** Creates a frame without a payload. */
     public Frame(int type, long id, ByteBuf head) {
         this(type, id, head, Unpooled.EMPTY_BUFFER);
     }
 
-    /** A frame with neither fields nor payload. */
+    /** Creates a frame without fields and payload. */
     public Frame(int type, long id) {
         this(type, id, Unpooled.EMPTY_BUFFER, Unpooled.EMPTY_BUFFER);
     }
--- a/src/main/java/sagepulley/codec/frame/FrameClientHandler.java
+++ b/src/main/java/sagepulley/codec/frame/FrameClientHandler.java
@@ -5,14 +5,14 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * The client's end of a connection that carries frames. It owns each frame it receives, and drops
- * those of a connection that its client has given up already.
+ * Receives the frames of a client's connection and releases them. Frames of a connection that the
+ * client no longer uses are dropped.
  */
 public abstract class FrameClientHandler extends ChannelInboundHandlerAdapter {
-    /** Whether the client still uses this connection. */
+    /** Returns whether the client still uses this connection. */
     protected abstract boolean isCurrent(Channel channel);
 
-    /** A frame of the current connection; it is released afterwards. */
+    /** Handles a frame of the current connection; the frame is released afterwards. */
     protected abstract void received(Frame frame) throws MalformedMessageException;
 
     @Override
--- a/src/main/java/sagepulley/codec/frame/FrameConnector.java
+++ b/src/main/java/sagepulley/codec/frame/FrameConnector.java
@@ -10,13 +10,13 @@
 import java.net.SocketAddress;
 
 /**
- * Opens connections that carry frames, each to one address on one event loop.
+ * Opens frame connections to one address on one event loop.
  *
- * @param loop owns the connections
- * @param channelType the socket channel's class
- * @param address where to connect to
- * @param connectTimeoutMillis when an attempt to connect fails
- * @param maxPayloadBytes the longest payload that is accepted
+ * @param loop the event loop of the connections
+ * @param channelType the class of the socket channel
+ * @param address the remote address
+ * @param connectTimeoutMillis the time after which a connection attempt fails
+ * @param maxPayloadBytes the maximum payload length that is accepted
  */
 public record FrameConnector(
         EventLoop loop,
@@ -24,7 +24,9 @@
         SocketAddress address,
         int connectTimeoutMillis,
         int maxPayloadBytes) {
-    /** Begins to connect; the handler receives the connection's frames and its end. */
+    /**
+     * Starts to connect. The handler receives the frames and the channel events of the connection.
+     */
     public ChannelFuture connect(ChannelHandler handler) {
         return new Bootstrap()
                 .group(loop)
--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
-/** Reads frames; a frame that is malformed, too long or fails its checksum ends the connection. */
+/** Decodes frames. A frame that is malformed, too long or fails a checksum ends the connection. */
 public final class FrameDecoder extends SegmentDecoder {
     private final int maxPayloadBytes;
     private final Crc32c crc = new Crc32c();
@@ -13,7 +13,7 @@
     private int headLength;
     private int payloadLength;
 
-    /** Takes payloads of up to so many bytes. */
+    /** Creates a decoder that accepts payloads of up to {@code maxPayloadBytes}. */
     public FrameDecoder(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
         expect(Frame.PREFIX_BYTES);
--- a/src/main/java/sagepulley/codec/frame/FrameEncoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameEncoder.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelOutboundHandlerAdapter;
 import io.netty.channel.ChannelPromise;
 
-/** Writes frames, which it owns; the payload goes out uncopied. */
+/** Encodes frames, taking ownership of their buffers. Payloads are written without copying. */
 public final class FrameEncoder extends ChannelOutboundHandlerAdapter {
     private final Crc32c crc = new Crc32c();
 
--- a/src/main/java/sagepulley/codec/frame/MalformedMessageException.java
+++ b/src/main/java/sagepulley/codec/frame/MalformedMessageException.java
@@ -1,13 +1,13 @@
 package sagepulley.codec.frame;
 
 /**
- * Bytes from a socket that its protocol does not allow: that connection ends. Carries no stack
- * trace, for what a peer sends may raise it at any rate.
+ * Thrown for bytes that violate a connection's protocol; the connection ends. Has no stack trace,
+ * because a peer can cause any number of these.
  */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Says which message was wrong, and how. */
+    /** Creates an exception whose message names the malformed message and the violation. */
     public MalformedMessageException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -8,10 +8,10 @@
 import java.util.ArrayDeque;
 
 /**
- * Cuts a stream of bytes into segments whose lengths the subclass asks for, one after the other,
- * without copying: a segment is a slice of what the socket delivered, or several in a row. Nothing
- * is kept that was not asked for, but for what one read of the socket delivered beyond it. Owns the
- * buffers until the subclass receives them; confined to the channel's event loop.
+ * Splits a byte stream into segments of the lengths that the subclass sets, without copying: a
+ * segment is a slice of a received buffer or a composite of several slices. Buffers only the
+ * current segment and data already read from the socket. Owns the buffers until the subclass
+ * receives them; confined to the channel's event loop.
  */
 public abstract class SegmentDecoder extends ChannelInboundHandlerAdapter {
     private final ArrayDeque<ByteBuf> pendingBuffers = new ArrayDeque<>(2);
@@ -24,31 +24,31 @@
     private ChannelHandlerContext context;
 
     /**
-     * The segment that was expected; empty after a skip. The subclass owns it and must say what
-     * comes next.
+     * Handles the expected segment, which is empty after a skip. The subclass owns the segment and
+     * must call {@link #expect}, {@link #skip} or {@link #end}.
      */
     protected abstract void segmentReceived(ChannelHandlerContext ctx, ByteBuf complete)
             throws MalformedMessageException;
 
-    /** The next segment has so many bytes, which are kept until all have come. */
+    /** Sets the length of the next segment, which is delivered when it is complete. */
     protected final void expect(int bytes) {
         remainingBytes = bytes;
         skipping = false;
     }
 
-    /** Drops the next so many bytes. */
+    /** Discards the given number of bytes, then delivers an empty segment. */
     protected final void skip(long bytes) {
         remainingBytes = bytes;
         skipping = true;
     }
 
-    /** Reads nothing more from the socket until {@link #resume}. */
+    /** Stops decoding and reading from the socket until {@link #resume}. */
     protected final void halt() {
         halted = true;
         context.channel().config().setAutoRead(false);
     }
 
-    /** Goes on after a halt. */
+    /** Resumes decoding and reading after {@link #halt}. */
     protected final void resume() {
         if (!halted) {
             return;
@@ -61,13 +61,13 @@
         decode(context);
     }
 
-    /** Drops whatever still comes. */
+    /** Releases all buffers and discards all further bytes. */
     protected final void end() {
         ended = true;
         releaseBuffers();
     }
 
-    /** Whether a segment has come in part. */
+    /** Returns whether part of a segment has been received. */
     protected final boolean isInsideSegment() {
         return segment != null;
     }
--- a/src/main/java/sagepulley/codec/frame/package-info.java
+++ b/src/main/java/sagepulley/codec/frame/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Frames between the program's own processes (docs/protocols.md, Frames), the event loops and what
- * connections over them share. Bytes to messages and back; never what a message is for.
+ * The frame codec for messages between processes of this program (docs/protocols.md, Frames), and
+ * the event loops, timers and connections that use it. Converts bytes to frames and back without
+ * interpreting message types.
  *
- * <p>Decoders live on their connection's event loop and own the buffers until a frame is passed on;
- * then its receiver owns both of its buffers. {@link sagepulley.codec.frame.EventLoops} makes loops
- * whose owner is the caller.
+ * <p>Decoders run on their connection's event loop and own the buffers until a frame is passed on;
+ * then its receiver owns both buffers. The caller owns event loops created by {@link
+ * sagepulley.codec.frame.EventLoops}.
  */
 package sagepulley.codec.frame;
--- a/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
+++ b/src/main/java/sagepulley/codec/nbd/AdmissionGate.java
@@ -1,14 +1,15 @@
 package sagepulley.codec.nbd;
 
-/** Decides whether a connection may take in another request. Used from the connections' loops. */
+/** Limits the bytes of requests in flight. Called on the event loops of the connections. */
 public interface AdmissionGate {
     /**
-     * Counts bytes (payload to come, or data asked for) if they are admitted.
+     * Counts a request's bytes (payload to receive, or data to return) if they are admitted, and
+     * returns whether they are.
      *
-     * @param retry runs once it is worth asking again after a refusal, on any thread
+     * @param retry runs on any thread when a rejected request should be tried again
      */
     boolean admit(long bytes, Runnable retry);
 
-    /** Returns admitted bytes. */
+    /** Returns admitted bytes to the gate. */
     void release(long bytes);
 }
--- a/src/main/java/sagepulley/codec/nbd/AttachedExport.java
+++ b/src/main/java/sagepulley/codec/nbd/AttachedExport.java
@@ -1,4 +1,4 @@
 package sagepulley.codec.nbd;
 
-/** The handshake ended well: from here on the client reads and writes this export. */
+/** Event that is fired when the handshake has completed and requests for this export follow. */
 public record AttachedExport(Export export, boolean structured, boolean baseAllocation) {}
--- a/src/main/java/sagepulley/codec/nbd/Export.java
+++ b/src/main/java/sagepulley/codec/nbd/Export.java
@@ -1,9 +1,9 @@
 package sagepulley.codec.nbd;
 
 /**
- * What the handshake tells of one export. Sizes are bytes; block sizes are those of 'Block size
- * constraints': requests are multiples of the least, at best of the preferred, and carry or ask for
- * no more than the most.
+ * An export as announced in the handshake. Sizes are bytes. The block sizes are those of 'Block
+ * size constraints': requests must be multiples of the minimum, should be multiples of the
+ * preferred size, and must not transfer more than the maximum.
  */
 public record Export(
         String name,
@@ -15,7 +15,7 @@
         int preferredBlockSize,
         int maxBlockSize) {
 
-    /** The transmission flags, 'Transmission flags'. */
+    /** Returns the transmission flags ('Transmission flags'). */
     public int flags(boolean structured) {
         int flags = NbdConstants.HAS_FLAGS | NbdConstants.SEND_FLUSH | NbdConstants.SEND_FUA;
         flags |=
--- a/src/main/java/sagepulley/codec/nbd/Exports.java
+++ b/src/main/java/sagepulley/codec/nbd/Exports.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** What a server offers. Asked from any connection's loop. */
+/** The exports of a server. Called on the event loop of any connection. */
 public interface Exports {
     List<Export> all();
 
-    /** The export of that name (the empty name is the default export), or null. */
+    /** Returns the export with this name, or null; the empty name selects the default export. */
     Export findByName(String name);
 }
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -13,12 +13,12 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The server's side of fixed newstyle negotiation ('Fixed newstyle negotiation' of the protocol
- * text): answers options until the client has chosen an export, then passes requests on. Owns the
- * data of each option; confined to the client's event loop.
+ * The server side of fixed newstyle negotiation ('Fixed newstyle negotiation'). Replies to options
+ * until the client has chosen an export, then passes requests on. Owns the data of each option;
+ * confined to the connection's event loop.
  */
 final class Handshake extends ChannelInboundHandlerAdapter {
-    /** A client may send so many options before it must choose an export. */
+    /** The maximum number of options that a client may send before it chooses an export. */
     private static final int MAX_OPTIONS = 256;
 
     private static final int EXPORT_NAME_PADDING_BYTES = 124;
@@ -29,7 +29,7 @@
     private int optionCount;
     private boolean structured;
 
-    /** The export for which base:allocation was chosen; null for none. */
+    /** The export for which base:allocation is selected, or null. */
     private String baseAllocationExport;
 
     private boolean finished;
@@ -57,7 +57,7 @@
             ctx.fireChannelRead(message);
         } else if (message instanceof Integer flags) {
             clientFlags = flags;
-            // 'Client flags': an unknown flag ends the session.
+            // 'Client flags': unknown flags end the session.
             if ((flags & ~(NbdConstants.FLAG_FIXED_NEWSTYLE | NbdConstants.FLAG_NO_ZEROES)) != 0) {
                 ctx.fireExceptionCaught(
                         new MalformedMessageException(
@@ -114,7 +114,10 @@
         }
     }
 
-    /** 'NBD_OPT_EXPORT_NAME': there is no way to answer an error but to end the session. */
+    /**
+     * Handles NBD_OPT_EXPORT_NAME. Its reply cannot carry an error, so an unknown export ends the
+     * session.
+     */
     private void handleExportName(ChannelHandlerContext ctx, ByteBuf data) {
         Export export = exports.findByName(data.toString(StandardCharsets.UTF_8));
         if (export == null) {
@@ -154,7 +157,7 @@
         reply(ctx, NbdConstants.OPT_LIST, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
-    /** 'NBD_OPT_INFO' and 'NBD_OPT_GO'. */
+    /** Handles NBD_OPT_INFO and NBD_OPT_GO. */
     private void handleInfo(ChannelHandlerContext ctx, int code, ByteBuf data) {
         String name = readString(data);
         if (name == null || data.readableBytes() < 2) {
@@ -198,7 +201,8 @@
                         .writeLong(export.size())
                         .writeShort(export.flags(structured));
         reply(ctx, code, NbdConstants.REP_INFO, size);
-        // A server with limits should tell them even when not asked; it then serves any client.
+        // Block size constraints are sent even if not requested, so that any client can respect
+        // them.
         ByteBuf blockSizes =
                 ctx.alloc()
                         .ioBuffer()
@@ -224,11 +228,11 @@
         return reply;
     }
 
-    /** 'NBD_OPT_LIST_META_CONTEXT' and 'NBD_OPT_SET_META_CONTEXT'. */
+    /** Handles NBD_OPT_LIST_META_CONTEXT and NBD_OPT_SET_META_CONTEXT. */
     private void handleMetaContext(ChannelHandlerContext ctx, int code, ByteBuf data) {
         boolean isSet = code == NbdConstants.OPT_SET_META_CONTEXT;
         if (isSet) {
-            baseAllocationExport = null; // whatever the answer, an earlier choice is gone
+            baseAllocationExport = null; // voids any earlier selection
         }
         String name = readString(data);
         List<String> queries = name == null ? null : readQueries(data);
@@ -271,7 +275,9 @@
         reply(ctx, code, NbdConstants.REP_META_CONTEXT, reply);
     }
 
-    /** The queries that fill the rest of the data; null if they don't fit it. */
+    /**
+     * Reads the queries up to the end of the data; returns null if they do not match its length.
+     */
     private static List<String> readQueries(ByteBuf data) {
         if (data.readableBytes() < 4) {
             return null;
@@ -296,7 +302,8 @@
     }
 
     /**
-     * A string with its length before it; null where it is cut off or longer than the text allows.
+     * Reads a length-prefixed string; returns null if it is truncated or longer than the protocol
+     * allows.
      */
     private static String readString(ByteBuf data) {
         if (data.readableBytes() < 4) {
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -21,14 +21,14 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * A client's connection to one export: fixed newstyle, structured replies and base:allocation where
- * the server has them. Requests may be sent from any thread; each ends exactly once, on the
- * connection's event loop.
+ * A client connection to one export. Uses fixed newstyle negotiation, and structured replies and
+ * base:allocation if the server supports them. Requests may be sent from any thread; each ends
+ * exactly once, on the connection's event loop.
  */
 public final class NbdClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 5_000;
 
-    /** How an export is opened. */
+    /** The negotiation used to open an export. */
     public enum Style {
         /** NBD_OPT_GO, with structured replies and base:allocation if the server has them. */
         GO,
@@ -38,7 +38,7 @@
         EXPORT_NAME
     }
 
-    /** Receives the reply, which it owns, or null with the reason why there is none. */
+    /** Receives the reply, which it owns, or null and the cause of the failure. */
     public interface ReplyHandler extends BiConsumer<NbdReply, Throwable> {}
 
     private record PendingRequest(int dataLength, NbdReply reply, ReplyHandler handler) {}
@@ -57,7 +57,10 @@
         this.channel = channel;
     }
 
-    /** Opens an export; fails with what the server answered, or with the connection. */
+    /**
+     * Connects and opens an export. The future fails with the server's error reply or the
+     * connection error.
+     */
     public static CompletableFuture<NbdClient> open(
             EventLoopGroup loops,
             Class<? extends Channel> channelType,
@@ -92,42 +95,42 @@
         return opened;
     }
 
-    /** The size of the export in bytes. */
+    /** Returns the size of the export in bytes. */
     public long size() {
         return size;
     }
 
-    /** The transmission flags. */
+    /** Returns the transmission flags. */
     public int flags() {
         return flags;
     }
 
-    /** Minimum block size in bytes ('Block size constraints'). */
+    /** Returns the minimum block size in bytes ('Block size constraints'). */
     public int minBlockSize() {
         return minBlockSize;
     }
 
-    /** Maximum block size in bytes ('Block size constraints'). */
+    /** Returns the maximum block size in bytes ('Block size constraints'). */
     public int maxBlockSize() {
         return maxBlockSize;
     }
 
-    /** Whether the metadata context base:allocation was chosen. */
+    /** Returns whether the metadata context base:allocation was selected. */
     public boolean hasBaseAllocation() {
         return baseAllocation;
     }
 
-    /** The connection. */
+    /** Returns the channel of the connection. */
     public Channel channel() {
         return channel;
     }
 
-    /** Done once the connection has ended, for whatever reason. */
+    /** Returns a future that completes when the connection has ended for any reason. */
     public CompletableFuture<Void> closed() {
         return closed;
     }
 
-    /** Sends a request; the payload (for writes) changes hands. */
+    /** Sends a request and takes ownership of its payload, which is empty except for writes. */
     public void request(
             int command,
             int commandFlags,
@@ -151,7 +154,7 @@
         }
     }
 
-    /** Sends a request; the future completes with the reply, which its receiver owns. */
+    /** Sends a request; the future completes with the reply, which the receiver owns. */
     public CompletableFuture<NbdReply> request(
             int command, int commandFlags, long offset, int length, ByteBuf payload) {
         CompletableFuture<NbdReply> future = new CompletableFuture<>();
@@ -171,18 +174,18 @@
         return future;
     }
 
-    /** Reads bytes. */
+    /** Sends a read request. */
     public CompletableFuture<NbdReply> read(long offset, int length) {
         return request(NbdConstants.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
     }
 
-    /** Writes bytes. */
+    /** Sends a write request. */
     public CompletableFuture<NbdReply> write(long offset, byte[] data) {
         return request(
                 NbdConstants.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
     }
 
-    /** Says goodbye (NBD_CMD_DISC) and closes; what is still out gets no reply. */
+    /** Sends NBD_CMD_DISC and closes the connection; pending requests fail. */
     public CompletableFuture<Void> disconnect() {
         channel.eventLoop()
                 .execute(
@@ -231,7 +234,7 @@
         return request == null ? -1 : request.dataLength();
     }
 
-    /** Negotiates, then matches replies to the pending requests. */
+    /** Negotiates the export, then matches replies to pending requests. */
     private final class Handler extends ChannelInboundHandlerAdapter {
         private final NbdClientDecoder decoder;
         private final String export;
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -7,8 +7,8 @@
 import sagepulley.codec.frame.SegmentDecoder;
 
 /**
- * Decodes what a server sends. Each message passes on the pipeline with the ownership of its data;
- * bytes that are not the protocol end the connection.
+ * Decodes the messages of a server. The receiver of a message owns its data. Malformed bytes end
+ * the connection.
  */
 final class NbdClientDecoder extends SegmentDecoder {
     private static final int GREETING_BYTES = 18;
@@ -21,13 +21,13 @@
     private static final int MAX_OPTION_REPLY_BYTES = 64 << 10;
     private static final int MAX_CHUNK_BYTES = (64 << 20) + 64;
 
-    /** An answer to an option. */
+    /** A reply to an option. */
     record OptionReply(int option, int type, ByteBuf data) {}
 
     /** A simple reply. */
     record SimpleReply(long cookie, int error, ByteBuf data) {}
 
-    /** A chunk of a structured reply, checked for its shape. */
+    /** A chunk of a structured reply with a validated length. */
     record Chunk(
             boolean done,
             int type,
@@ -37,9 +37,12 @@
             String message,
             ByteBuf data) {}
 
-    /** Knows how much data follows a simple reply without error, or -1 for an unknown cookie. */
+    /** Provides the length of the data that follows a simple reply. */
     interface DataLengths {
-        /** Bytes. */
+        /**
+         * Returns the data length in bytes of a simple reply without an error, or -1 for an unknown
+         * cookie.
+         */
         int dataLength(long cookie);
     }
 
@@ -67,14 +70,14 @@
     }
 
     /**
-     * After NBD_OPT_EXPORT_NAME the server sends size and flags without a head, then zeroes unless
-     * both sides have set NBD_FLAG_NO_ZEROES.
+     * Expects the reply to NBD_OPT_EXPORT_NAME: size and flags without a head, followed by zero
+     * padding unless both sides have set NBD_FLAG_NO_ZEROES.
      */
     void expectExport(boolean zeroes) {
         expectNext(Phase.EXPORT, zeroes ? EXPORT_BYTES + EXPORT_ZERO_BYTES : EXPORT_BYTES);
     }
 
-    /** Replies come next. */
+    /** Expects replies of the transmission phase from now on. */
     void startTransmission() {
         expectNext(Phase.MAGIC, MAGIC_BYTES);
     }
@@ -179,7 +182,7 @@
         expectNext(Phase.CHUNK_DATA, length);
     }
 
-    /** 'Structured reply types': the data of a chunk, whose head came before. */
+    /** Parses the data of the chunk whose head was read last ('Structured reply types'). */
     private Chunk parseChunk(ByteBuf data) throws MalformedMessageException {
         int type = chunk.type();
         if (!hasValidLength(type, data)) {
@@ -221,7 +224,7 @@
         return isVariableLength || length == minBytes;
     }
 
-    /** The least bytes of a chunk's data; -1 for an unknown type. */
+    /** Returns the minimum length of a chunk's data, or -1 for an unknown type. */
     private static int minBytes(int type) {
         return switch (type) {
             case NbdConstants.CHUNK_NONE -> 0;
--- a/src/main/java/sagepulley/codec/nbd/NbdConstants.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdConstants.java
@@ -1,6 +1,6 @@
 package sagepulley.codec.nbd;
 
-/** Numbers of the NBD protocol text, by its names ('Values'). */
+/** Constants of the NBD protocol text, with its names ('Values'). */
 public final class NbdConstants {
     public static final long NBDMAGIC = 0x4e42444d41474943L;
     public static final long IHAVEOPT = 0x49484156454f5054L;
@@ -79,14 +79,14 @@
     public static final int ENOTSUP = 95;
     public static final int ESHUTDOWN = 108;
 
-    /** The one metadata context known here, and its number on the wire. */
+    /** The only supported metadata context, followed by its id on the wire. */
     public static final String BASE_ALLOCATION = "base:allocation";
 
     public static final int BASE_ALLOCATION_ID = 1;
     public static final int STATE_HOLE = 1;
     public static final int STATE_ZERO = 2;
 
-    /** The longest name or message that the text allows in bytes. */
+    /** The maximum length in bytes of a string in the protocol. */
     public static final int MAX_STRING_BYTES = 4096;
 
     private NbdConstants() {}
--- a/src/main/java/sagepulley/codec/nbd/NbdOption.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdOption.java
@@ -2,5 +2,5 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** An option of the handshake; its data is null where it was too long to be kept. */
+/** A negotiation option of a client; the data is null if it was too long and was skipped. */
 record NbdOption(int code, ByteBuf data) {}
--- a/src/main/java/sagepulley/codec/nbd/NbdReplies.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReplies.java
@@ -7,12 +7,12 @@
 
 /**
  * Writes replies of the transmission phase ('Simple reply message', 'Structured reply chunk
- * message') to a channel. Nothing is flushed here. Payloads change hands.
+ * message') to a channel without flushing. Takes ownership of payloads.
  */
 public final class NbdReplies {
     private NbdReplies() {}
 
-    /** A simple reply; the data is empty but for a read that went well. */
+    /** Writes a simple reply; the data is empty except for a successful read. */
     public static ChannelFuture simple(Channel channel, long cookie, int error, ByteBuf data) {
         ByteBuf head =
                 channel.alloc()
@@ -23,13 +23,13 @@
         return writeWithData(channel, head, data);
     }
 
-    /** The last chunk of a request that went well. */
+    /** Writes the final chunk of a successful request. */
     public static ChannelFuture done(Channel channel, long cookie) {
         return channel.write(
                 chunkHead(channel, NbdConstants.CHUNK_DONE, NbdConstants.CHUNK_NONE, cookie, 0));
     }
 
-    /** Data at an offset of the export. */
+    /** Writes a chunk of data at an offset of the export. */
     public static ChannelFuture data(
             Channel channel, long cookie, long offset, ByteBuf data, boolean last) {
         ByteBuf head =
@@ -43,7 +43,7 @@
         return writeWithData(channel, head, data);
     }
 
-    /** So many bytes at an offset of the export that read as zeroes. */
+    /** Writes a chunk for a range of zeroes at an offset of the export. */
     public static ChannelFuture hole(
             Channel channel, long cookie, long offset, int length, boolean last) {
         return channel.write(
@@ -57,7 +57,11 @@
                         .writeInt(length));
     }
 
-    /** States of base:allocation; lengths and flags by turns. */
+    /**
+     * Writes the block status of base:allocation as alternating lengths and flags.
+     *
+     * @param count the number of elements of {@code lengthsAndFlags} to write
+     */
     public static ChannelFuture blockStatus(
             Channel channel, long cookie, int[] lengthsAndFlags, int count) {
         ByteBuf head =
@@ -74,7 +78,9 @@
         return channel.write(head);
     }
 
-    /** An error with its reason; with the offset where it occurred unless that is negative. */
+    /**
+     * Writes an error chunk with a message, and with the offset of the error unless it is negative.
+     */
     public static ChannelFuture error(
             Channel channel, long cookie, int error, String message, long offset, boolean last) {
         byte[] text = message.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/sagepulley/codec/nbd/NbdReply.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReply.java
@@ -8,32 +8,35 @@
 import java.util.List;
 
 /**
- * All that a server answered to one request. Its holder owns the data. Built and read on the
- * connection's event loop.
+ * The complete reply to one request. Its receiver owns the data. Confined to the connection's event
+ * loop.
  */
 public final class NbdReply {
-    /** A chunk of a read: data, or a hole of so many bytes where the data is null. */
+    /** A range of a read: data, or {@code length} zeroes if the data is null. */
     public record Chunk(long offset, int length, ByteBuf data) {}
 
-    /** The first error, by its number in the protocol text; 0 for none. */
+    /** The error number of the first error; 0 for success. */
     public int error;
 
     /** The message of the first error. */
     public String message = "";
 
-    /** Where in the export the first error occurred; negative if unknown. */
+    /** The offset in the export of the first error; negative if unknown. */
     public long errorOffset = -1;
 
-    /** Where in the export each error of a structured reply occurred; negative if unknown. */
+    /** The offsets in the export of all errors of a structured reply; negative if unknown. */
     public final List<Long> errorOffsets = new ArrayList<>(0);
 
-    /** The chunks of a read, in the order in which they came. */
+    /** The chunks of a read, in the order of arrival. */
     public final List<Chunk> chunks = new ArrayList<>(1);
 
-    /** Lengths and flags of base:allocation by turns. */
+    /** Alternating lengths and flags of base:allocation. */
     public int[] blocks = {};
 
-    /** The read's data in order, holes as zeroes; the caller owns it, the chunks are used up. */
+    /**
+     * Returns the data of a read in the order of offsets, with holes as zeroes, and clears the
+     * chunks. The caller owns the returned buffer.
+     */
     public ByteBuf data() {
         chunks.sort(Comparator.comparingLong(Chunk::offset));
         if (chunks.size() == 1 && chunks.get(0).data() != null) {
@@ -51,7 +54,7 @@
         return joined;
     }
 
-    /** Adds a chunk of a structured reply, and takes over its data. */
+    /** Adds a chunk of a structured reply and takes ownership of its data. */
     void add(NbdClientDecoder.Chunk chunk) {
         switch (chunk.type()) {
             case NbdConstants.CHUNK_OFFSET_DATA ->
@@ -71,7 +74,7 @@
     }
 
     private static int[] blockDescriptors(ByteBuf data) {
-        data.readInt(); // the metadata context: there is only one
+        data.readInt(); // metadata context id: only one context is supported
         List<Integer> descriptors = new ArrayList<>();
         while (data.readableBytes() >= 4) {
             descriptors.add(data.readInt());
--- a/src/main/java/sagepulley/codec/nbd/NbdRequest.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdRequest.java
@@ -3,10 +3,11 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A request of the transmission phase ('Request message'), as it came: nothing is checked but the
- * magic and the payload's length. Offset and length are unsigned. The payload belongs to whoever
- * holds the request; it is empty for all but writes. Admitted is what the gate counted for it, in
- * bytes.
+ * A request of the transmission phase ('Request message'). Only the magic and the length of a write
+ * are validated. Offset and length are unsigned. The payload is owned by the receiver of the
+ * request and is empty except for writes.
+ *
+ * @param admitted the bytes that the admission gate counted for the request
  */
 public record NbdRequest(
         int flags,
--- a/src/main/java/sagepulley/codec/nbd/NbdServer.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServer.java
@@ -3,14 +3,14 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelPipeline;
 
-/** The server's side of the protocol on a connection. */
+/** Sets up the server side of the protocol on a connection. */
 public final class NbdServer {
     private NbdServer() {}
 
     /**
-     * Adds decoder, handshake and the session behind them. The session receives an {@link
-     * AttachedExport} as an event, then each {@link NbdRequest}, which it owns; malformed bytes
-     * come to it as an exception.
+     * Adds the decoder, the handshake and the session to the pipeline. The session receives an
+     * {@link AttachedExport} as a user event, then each {@link NbdRequest}, which it owns.
+     * Malformed bytes reach it as an exception.
      */
     public static void addTo(
             ChannelPipeline pipeline, Exports exports, AdmissionGate gate, ChannelHandler session) {
@@ -19,7 +19,8 @@
     }
 
     /**
-     * Whether a client has begun the handshake or a message and not finished it. On its event loop.
+     * Returns whether the handshake is incomplete or a message has been received only in part. Must
+     * be called on the connection's event loop.
      */
     public static boolean isInsideMessage(ChannelPipeline pipeline) {
         return pipeline.get(NbdServerDecoder.class).isInsideMessage();
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -7,20 +7,24 @@
 import sagepulley.codec.frame.SegmentDecoder;
 
 /**
- * Decodes what a client sends: its flags, options, then requests. Reads no payload before the gate
- * admits it, and stops reading from the socket until then. Data passes on with its ownership.
+ * Decodes the messages of a client: flags, options, then requests. Halts reading from the socket
+ * until the gate admits a request, before its payload is decoded. The receiver of a message owns
+ * its data.
  */
 final class NbdServerDecoder extends SegmentDecoder {
-    /** Counted for a request besides its data, so that the budget bounds their number too. */
+    /**
+     * Counted for each request in addition to its data, so that the budget also limits the number
+     * of requests.
+     */
     static final int REQUEST_OVERHEAD_BYTES = 1024;
 
     private static final int OPTION_HEAD_BYTES = 16;
     private static final int REQUEST_HEAD_BYTES = 28;
 
-    /** Longer options are skipped and refused. */
+    /** The maximum length of option data that is decoded; longer data is skipped and rejected. */
     private static final int MAX_OPTION_BYTES = 64 << 10;
 
-    /** Longer options end the connection. */
+    /** The maximum length of skipped option data; longer data ends the connection. */
     private static final int MAX_SKIPPED_OPTION_BYTES = 1 << 20;
 
     private enum Phase {
@@ -45,14 +49,14 @@
         expect(4);
     }
 
-    /** The handshake has ended: requests come next, with writes of up to so many bytes. */
+    /** Starts the transmission phase, with writes of up to {@code maxBlockSize} bytes. */
     void startTransmission(int maxBlockSize) {
         this.maxBlockSize = maxBlockSize;
         phase = Phase.REQUEST;
         expect(REQUEST_HEAD_BYTES);
     }
 
-    /** Whether a message has begun that has not fully come. */
+    /** Returns whether the handshake is incomplete or a message has been received only in part. */
     boolean isInsideMessage() {
         return phase != Phase.REQUEST || isInsideSegment();
     }
@@ -145,8 +149,8 @@
         long bytes = Integer.toUnsignedLong(length);
         request = new NbdRequest(flags, command, cookie, offset, length, Unpooled.EMPTY_BUFFER, 0);
         if (command == NbdConstants.CMD_WRITE && bytes > maxBlockSize) {
-            // The text lets the server end the connection, or read it all and answer EINVAL: the
-            // second, while it is not out of all proportion.
+            // The protocol allows to end the connection, or to read the payload and reply EINVAL.
+            // The payload is read if it is at most four times the limit.
             if (bytes > 4L * maxBlockSize) {
                 throw new MalformedMessageException(
                         "write of " + bytes + " bytes, at most " + maxBlockSize);
--- a/src/main/java/sagepulley/codec/nbd/OptionWriter.java
+++ b/src/main/java/sagepulley/codec/nbd/OptionWriter.java
@@ -6,23 +6,23 @@
 import io.netty.channel.ChannelHandlerContext;
 import java.nio.charset.StandardCharsets;
 
-/** Writes and flushes a client's options ('Option types'). */
+/** Writes and flushes the options of a client ('Option types'). */
 final class OptionWriter {
     private static final int OPTION_HEAD_BYTES = 16;
 
     private OptionWriter() {}
 
-    /** NBD_OPT_EXPORT_NAME: chooses an export, and ends the negotiation. */
+    /** Writes NBD_OPT_EXPORT_NAME, which selects an export and ends the negotiation. */
     static void exportName(ChannelHandlerContext ctx, String export) {
         write(ctx, NbdConstants.OPT_EXPORT_NAME, ByteBufUtil.writeUtf8(ctx.alloc(), export));
     }
 
-    /** NBD_OPT_STRUCTURED_REPLY. */
+    /** Writes NBD_OPT_STRUCTURED_REPLY. */
     static void structuredReply(ChannelHandlerContext ctx) {
         write(ctx, NbdConstants.OPT_STRUCTURED_REPLY, Unpooled.EMPTY_BUFFER);
     }
 
-    /** NBD_OPT_SET_META_CONTEXT: chooses base:allocation. */
+    /** Writes NBD_OPT_SET_META_CONTEXT, which selects base:allocation. */
     static void setMetaContext(ChannelHandlerContext ctx, String export) {
         ByteBuf data = ctx.alloc().ioBuffer();
         writeString(data, export);
@@ -30,7 +30,7 @@
         write(ctx, NbdConstants.OPT_SET_META_CONTEXT, data);
     }
 
-    /** NBD_OPT_GO: chooses an export, and asks for its block sizes. */
+    /** Writes NBD_OPT_GO, which selects an export and requests its block sizes. */
     static void go(ChannelHandlerContext ctx, String export) {
         ByteBuf data = ctx.alloc().ioBuffer();
         writeString(data, export);
--- a/src/main/java/sagepulley/codec/nbd/package-info.java
+++ b/src/main/java/sagepulley/codec/nbd/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The NBD protocol (fixed newstyle negotiation, simple and structured replies): bytes to messages
- * and back, for a server and for a client. Names are those of the protocol text; a comment in
- * quotes names its section. Nothing here knows what a request is for.
+ * The codec of the NBD protocol (fixed newstyle negotiation, simple and structured replies) for
+ * servers and clients. Names are those of the protocol text; a quoted name in a comment is the
+ * title of a section of it. Requests are not interpreted here.
  *
- * <p>Each connection's decoder and handshake live on that connection's event loop and own the
- * buffers until a message is passed on; then its receiver owns them.
+ * <p>Decoder and handshake of a connection run on its event loop and own the buffers until a
+ * message is passed on; then its receiver owns them.
  */
 package sagepulley.codec.nbd;
--- a/src/main/java/sagepulley/config/HostPort.java
+++ b/src/main/java/sagepulley/config/HostPort.java
@@ -2,11 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** An address as operators write it: host:port, an IPv6 host in brackets. */
+/** A host and port, written as host:port with an IPv6 host in brackets. */
 public record HostPort(String host, int port) {
     private static final int MAX_PORT = 65_535;
 
-    /** Reads an address; null where the text is none. Port 0 asks for any free one. */
+    /** Parses an address; returns null if the text is not one. Port 0 selects any free port. */
     public static HostPort read(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** The address with its host resolved. */
+    /** Returns the socket address with its host resolved. */
     public InetSocketAddress socket() {
         return new InetSocketAddress(host, port);
     }
--- a/src/main/java/sagepulley/config/IniReader.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -14,7 +14,7 @@
 import org.apache.commons.configuration2.SubnodeConfiguration;
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
-/** An INI file's sections; every mistake in it is noted, and all are reported together. */
+/** Reads the sections of an INI file. Collects all errors and reports them together. */
 final class IniReader {
     private static final int MAX_FILE_BYTES = 1 << 20;
 
@@ -23,7 +23,7 @@
     private final Set<String> keysRead = new HashSet<>();
     private final List<String> errors = new ArrayList<>();
 
-    /** Reads a file; fails if that cannot be read or is no INI file. */
+    /** Reads a file; throws if it cannot be read or is not an INI file. */
     IniReader(Path path) throws SiteConfigException {
         file = path.toString();
         try {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Reads text; the name stands in errors. */
+    /** Reads from a reader; error messages contain the given name. */
     IniReader(String name, Reader reader) throws SiteConfigException {
         file = name;
         load(reader);
@@ -71,7 +71,7 @@
                 .forEachRemaining(
                         key -> {
                             List<Object> keyValues = section.getList(key);
-                            // as the library escapes dots
+                            // the library escapes dots in keys
                             String unescapedKey = key.replace("..", ".");
                             if (keyValues.size() > 1) {
                                 addError(
@@ -86,12 +86,12 @@
         return values;
     }
 
-    /** A section by its full name, whether it is in the file or not. */
+    /** Returns a section by its full name, whether or not the file contains it. */
     IniSection section(String name) {
         return new IniSection(this, name);
     }
 
-    /** What follows the word in the names of sections that start with it, in the file's order. */
+    /** Returns the rest of the names of all sections that start with the prefix, in file order. */
     List<String> sectionNames(String prefix) {
         List<String> names = new ArrayList<>();
         for (String section : sections.keySet()) {
@@ -102,7 +102,7 @@
         return names;
     }
 
-    /** A value's text; null if it is not in the file. */
+    /** Returns the value of a key, or null if the file does not contain it. */
     String value(String section, String key) {
         return sections.containsKey(section) ? sections.get(section).get(key) : null;
     }
@@ -118,8 +118,8 @@
     /**
      * Ends the reading.
      *
-     * @param allowedPrefixes with which section names may start
-     * @throws SiteConfigException if there are mistakes, or sections or keys that nothing read
+     * @param allowedPrefixes the first words that section names may have
+     * @throws SiteConfigException if there are errors, or sections or keys that were not read
      */
     void finish(Set<String> allowedPrefixes) throws SiteConfigException {
         sections.forEach(
--- a/src/main/java/sagepulley/config/IniSection.java
+++ b/src/main/java/sagepulley/config/IniSection.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * One section of an INI file, its values read by their kind. A value that is missing or not allowed
- * is noted as a mistake, and reading goes on with one that is allowed.
+ * Reads typed values from a section of an INI file. A missing or invalid value is recorded as an
+ * error and replaced by a valid one, so that reading can continue.
  */
 final class IniSection {
     private static final Map<String, Double> TIME_UNITS = new LinkedHashMap<>();
     private static final Map<String, Double> BYTE_UNITS = new LinkedHashMap<>();
 
-    /** Whole numbers below this are written without a fraction in mistakes. */
+    /** Whole numbers below this limit are formatted without a fraction. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
 
     static {
@@ -39,7 +39,7 @@
         return ini.value(name, key) != null;
     }
 
-    /** The text of a key; a missing one is a mistake unless there is a default. */
+    /** Returns the text of a key; a missing key without a default is an error. */
     String text(String key, String defaultText) {
         ini.markRead(name, key);
         String text = ini.value(name, key);
@@ -53,7 +53,7 @@
         return defaultText;
     }
 
-    /** A number within bounds. */
+    /** Returns a number within bounds. */
     double number(String key, Double defaultValue, double min, double max) {
         String text = text(key, defaultValue == null ? null : String.valueOf(defaultValue));
         try {
@@ -62,7 +62,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // noted below, as what is out of bounds
+            // reported below, like a number out of bounds
         }
         if (!text.isEmpty() || has(key)) {
             addError(
@@ -73,7 +73,7 @@
         return min;
     }
 
-    /** A number within bounds that has no fraction. */
+    /** Returns an integer within bounds. */
     int integer(String key, Integer defaultValue, int min, int max) {
         Double defaultNumber = defaultValue == null ? null : (double) defaultValue;
         double value = number(key, defaultNumber, min, max);
@@ -83,17 +83,20 @@
         return (int) value;
     }
 
-    /** A time in milliseconds, written as '250 ms', '2 s' or '5 min'. */
+    /** Returns a time in milliseconds, written as '250 ms', '2 s' or '5 min'. */
     double millis(String key, String defaultText, double min, double max) {
         return quantity(key, defaultText, min, max, TIME_UNITS);
     }
 
-    /** Bytes, written as '512', '64 KiB', '32 MiB' or '4 GiB'. */
+    /** Returns a size in bytes, written as '512', '64 KiB', '32 MiB' or '4 GiB'. */
     long bytes(String key, String defaultText, long min, long max) {
         return (long) quantity(key, defaultText, (double) min, (double) max, BYTE_UNITS);
     }
 
-    /** A number with a unit; the first of the units is that of the result and of the bounds. */
+    /**
+     * Returns a number with a unit, converted to the first of the units, in which the bounds are
+     * given.
+     */
     private double quantity(
             String key, String defaultText, double min, double max, Map<String, Double> units) {
         String text = text(key, defaultText);
@@ -117,7 +120,7 @@
         return min;
     }
 
-    /** NaN if the text is no number with a unit. */
+    /** Parses a number with a unit; returns NaN if the text is not one. */
     private static double parseQuantity(String text, String baseUnit, Map<String, Double> units) {
         int split = text.length();
         while (split > 0 && Character.isLetter(text.charAt(split - 1))) {
@@ -136,7 +139,7 @@
         return Double.NaN;
     }
 
-    /** Yes or no. */
+    /** Returns true for yes and false for no. */
     boolean flag(String key, boolean defaultValue) {
         String text = text(key, defaultValue ? "yes" : "no");
         if (!text.equals("yes") && !text.equals("no")) {
@@ -145,7 +148,7 @@
         return text.equals("yes");
     }
 
-    /** One of several words, by its index. */
+    /** Returns the index of the value in the list of allowed values. */
     int choice(String key, String defaultText, List<String> allowed) {
         String text = text(key, defaultText);
         int index = allowed.indexOf(text);
--- a/src/main/java/sagepulley/config/MembershipSettings.java
+++ b/src/main/java/sagepulley/config/MembershipSettings.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Where the endpoint list and the extent holders are stored, and how far the list is trusted.
+ * Where the endpoint list and the extent holders are stored, and how long the list is trusted.
  *
- * @param listFile null for none
- * @param holderFile null for none
- * @param freshMillis age up to which a list is fresh
- * @param agedMillis age up to which it is aged and not yet old
- * @param maxConcurrentProbes nodes probed at the same time
- * @param configuredNodes those that the site file itself names
+ * @param listFile the file of the endpoint list; null for none
+ * @param holderFile the file of the extent holders; null for none
+ * @param freshMillis the maximum age of a fresh list
+ * @param agedMillis the maximum age of an aged list; an older one is old
+ * @param maxConcurrentProbes the maximum number of nodes that are probed concurrently
+ * @param configuredNodes the nodes that the site file lists
  */
 public record MembershipSettings(
         Path listFile,
@@ -20,6 +20,6 @@
         double agedMillis,
         int maxConcurrentProbes,
         List<ConfiguredNode> configuredNodes) {
-    /** A node that the site file names. */
+    /** A node that the site file lists. */
     public record ConfiguredNode(int node, int cell, int zone, HostPort address) {}
 }
--- a/src/main/java/sagepulley/config/SiteConfig.java
+++ b/src/main/java/sagepulley/config/SiteConfig.java
@@ -6,16 +6,17 @@
 import sagepulley.model.Deployment;
 
 /**
- * A gateway's site file, checked (docs/operate/site-file.md has it key by key). Sizes are bytes,
- * times are milliseconds.
+ * The validated site file of a gateway (docs/operate/site-file.md describes each key). Sizes are
+ * bytes, times are milliseconds.
  *
- * @param name of this gateway
- * @param zones of the site, by index
- * @param nbd address to listen on
- * @param maxClientBytes of requests in flight, of one client; {@code maxTotalBytes} of all
- * @param extentBytes size of an extent; requests are split at extent edges
- * @param unitBytes size of one unit of work
- * @param monitoring address to listen on; null for none
+ * @param name the name of this gateway
+ * @param zones the zones of the site, by index
+ * @param nbd the address on which the gateway serves NBD
+ * @param maxClientBytes the maximum bytes of requests in flight of one client; {@code
+ *     maxTotalBytes} limits those of all clients
+ * @param extentBytes the size of an extent; requests are split at extent boundaries
+ * @param unitBytes the size of one unit of work
+ * @param monitoring the address on which monitoring is served; null for none
  */
 public record SiteConfig(
         String name,
@@ -38,15 +39,19 @@
         MembershipSettings membership,
         String siteName) {
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
-     * @throws SiteConfigException with every mistake, a line each
+     * @throws SiteConfigException with all errors, one per line
      */
     public static SiteConfig read(Path path) throws SiteConfigException {
         return new SiteConfigReader(new IniReader(path)).read();
     }
 
-    /** The same from text, whose name stands in errors. */
+    /**
+     * Reads and validates text; error messages contain the given name.
+     *
+     * @throws SiteConfigException with all errors, one per line
+     */
     public static SiteConfig read(String name, String text) throws SiteConfigException {
         return new SiteConfigReader(new IniReader(name, new StringReader(text))).read();
     }
--- a/src/main/java/sagepulley/config/SiteConfigException.java
+++ b/src/main/java/sagepulley/config/SiteConfigException.java
@@ -1,10 +1,10 @@
 package sagepulley.config;
 
-/** A site file that cannot be used: names file, section, key and what is allowed. */
+/** Thrown for an invalid site file; the message names file, section, key and expected value. */
 public final class SiteConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** The message has a line for each mistake. */
+    /** Creates an exception whose message has one line per error. */
     public SiteConfigException(String message) {
         super(message);
     }
--- a/src/main/java/sagepulley/config/SiteConfigReader.java
+++ b/src/main/java/sagepulley/config/SiteConfigReader.java
@@ -12,8 +12,8 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Reads a site file's sections. The only place that knows the file's words: 'band' for a traffic
- * class, 'target' for its latency objective, 'patience' for its deadline, and so on.
+ * Reads the sections of a site file and maps its keys to the terms of the code, such as 'band' to a
+ * traffic class, 'target' to its latency objective and 'patience' to its deadline.
  */
 final class SiteConfigReader {
     private static final double DAY_MILLIS = 86_400_000;
@@ -91,8 +91,6 @@
         return config;
     }
 
-    // ---- traffic classes, plans, volumes ----
-
     private void readClassesAndPlans() {
         for (String name : ini.sectionNames("band")) {
             trafficClasses.add(trafficClass(name));
@@ -198,8 +196,6 @@
                 section.bytes("bulk-from", "256 KiB", 1, 1L << 40));
     }
 
-    // ---- deployment ----
-
     private Deployment deployment(List<String> zones, double maxUnits) {
         int gateways = gateway.integer("gateways", 1, 1, MAX_GATEWAYS);
         return new Deployment(
@@ -250,8 +246,6 @@
                 false);
     }
 
-    // ---- accounts, tracing, membership ----
-
     private AccountsSettings accounts() {
         IniSection section = ini.section("accounts");
         return new AccountsSettings(
--- a/src/main/java/sagepulley/config/TracingSettings.java
+++ b/src/main/java/sagepulley/config/TracingSettings.java
@@ -3,13 +3,13 @@
 import java.nio.file.Path;
 
 /**
- * Where traces go, and how many.
+ * Where traces are written and how many are sampled.
  *
- * @param file null for none
- * @param fileBytes size at which a file is rotated
- * @param files how many there are, the rotated ones included
- * @param otlp URL of an OTLP receiver; empty for none
- * @param sampleProbability of an ordinary operation's trace, 0 to 1
+ * @param file the trace file; null for none
+ * @param fileBytes the size at which a file is rotated
+ * @param files the number of files, including rotated ones
+ * @param otlp the URL of an OTLP receiver; empty for none
+ * @param sampleProbability the probability that an ordinary operation is traced, 0 to 1
  */
 public record TracingSettings(
         Path file,
@@ -18,7 +18,7 @@
         String otlp,
         double maxTracesPerSecond,
         double sampleProbability) {
-    /** Whether any trace goes anywhere. */
+    /** Returns whether traces are recorded and written anywhere. */
     public boolean isEnabled() {
         return maxTracesPerSecond > 0 && (file != null || !otlp.isEmpty());
     }
--- a/src/main/java/sagepulley/config/VolumeSettings.java
+++ b/src/main/java/sagepulley/config/VolumeSettings.java
@@ -1,11 +1,11 @@
 package sagepulley.config;
 
 /**
- * A volume's section of the site file. Traffic classes and plan are indexes of the deployment's
- * lists.
+ * A volume's section of the site file. Traffic classes and plan are indexes into the lists of the
+ * deployment.
  *
- * @param gateways how many serve the volume
- * @param bulkThresholdBytes reads of so many bytes and more are of the bulk traffic class
+ * @param gateways the number of gateways that serve the volume
+ * @param bulkThresholdBytes the minimum size of a read that belongs to the bulk traffic class
  */
 public record VolumeSettings(
         int id,
--- a/src/main/java/sagepulley/config/package-info.java
+++ b/src/main/java/sagepulley/config/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The site file of the NBD gateway, read into checked records.
+ * The site file of the NBD gateway, read into validated records.
  *
- * <p>{@link sagepulley.config.SiteConfig} is read once at the start and never changes; any thread
- * may use it. The file's keys are mapped to the code's terms in {@code SiteConfigReader} and
- * nowhere else; every mistake in a file is reported at once. Settings of the RESP gateway are in
- * {@link sagepulley.config.settings}.
+ * <p>{@link sagepulley.config.SiteConfig} is read once at startup and is immutable. {@code
+ * SiteConfigReader} is the only place that maps the file's keys to the terms of the code; all
+ * errors of a file are reported together. Settings of the RESP gateway are in {@link
+ * sagepulley.config.settings}.
  */
 package sagepulley.config;
--- a/src/main/java/sagepulley/config/resp/ConfigException.java
+++ b/src/main/java/sagepulley/config/resp/ConfigException.java
@@ -1,10 +1,10 @@
 package sagepulley.config.resp;
 
-/** The configuration cannot be used; the message names what is wrong, in one line. */
+/** Thrown if the configuration is missing or invalid; the message is one line. */
 public class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The message is one line: the file or key, and what is wrong with it. */
+    /** Creates an exception whose one-line message names the file or key and the error. */
     public ConfigException(String message) {
         super(message);
     }
--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -18,16 +18,16 @@
 import sagepulley.model.Deployment;
 
 /**
- * The configuration of a RESP gateway: the JSON file that GW_CONFIG names, with GW_NAME, GW_LISTEN
- * and GW_DISCOVERY in place of what the file lacks. Read at the start and again at SIGHUP.
+ * The configuration of a RESP gateway: the JSON file named by GW_CONFIG. GW_NAME, GW_LISTEN and
+ * GW_DISCOVERY replace keys that the file lacks. Read at startup and again on SIGHUP.
  *
- * @param listen where clients connect
- * @param maxSockets file descriptors that may be used in all
- * @param memoryMb memory of the process, in MB
- * @param initialEndpoints the endpoint list until discovery sends one
- * @param zones names of the zones, by their index
- * @param kinds names of the kinds of endpoints, by their index
- * @param maxInFlight operations in flight at most
+ * @param listen the address on which clients connect
+ * @param maxSockets the maximum number of open file descriptors
+ * @param memoryMb the memory of the process in MB
+ * @param initialEndpoints the endpoint list that is used until discovery sends one
+ * @param zones the names of the zones, by index
+ * @param kinds the names of the endpoint kinds, by index
+ * @param maxInFlight the maximum number of operations in flight
  */
 public record GatewayConfig(
         String name,
@@ -45,7 +45,7 @@
         int maxInFlight) {
     private static final long MAX_FILE_BYTES = 16 << 20;
 
-    /** A change of the endpoint list counts as notified this long after discovery had it. */
+    /** A change of the endpoint list counts as notified this long after discovery received it. */
     private static final double NOTIFICATION_DELAY_MILLIS = 6_000;
 
     private static final double DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
@@ -57,8 +57,8 @@
     /**
      * Reads the file that the environment names.
      *
-     * @throws ConfigException naming the file and what is wrong with it, in one line
-     * @throws UnreadableConfigException if the system did not let the file be read
+     * @throws ConfigException with a one-line message that names the file and the error
+     * @throws UnreadableConfigException if an I/O error prevented reading the file
      */
     public static GatewayConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
@@ -99,7 +99,10 @@
         return failure.getMessage().lines().findFirst().orElse("cannot be read");
     }
 
-    /** This configuration at other addresses, with all initial endpoints at one. */
+    /**
+     * Returns this configuration with other addresses, and with all initial endpoints at one
+     * address.
+     */
     public GatewayConfig withAddresses(
             SocketAddress newListen, SocketAddress newDiscovery, SocketAddress endpoint) {
         return new GatewayConfig(
@@ -118,7 +121,7 @@
                 maxInFlight);
     }
 
-    /** Reads the JSON object of a file. */
+    /** Parses the JSON object of a configuration file. */
     public static GatewayConfig parse(Map<String, Object> file, Map<String, String> environment)
             throws ConfigException, IOException {
         String name = text(file, "name", environment.get("GW_NAME"));
@@ -150,7 +153,7 @@
                                 reader.optionalNumber("limits.maxOpen", DEFAULT_MAX_IN_FLIGHT)));
     }
 
-    /** Paths and values, in the form that {@link SettingsReader} takes. */
+    /** Flattens nested settings to the paths and values that {@link SettingsReader} reads. */
     private static void flatten(String path, Object value, Map<String, String> settingsByPath) {
         if (value instanceof Map<?, ?> object) {
             object.forEach(
--- a/src/main/java/sagepulley/config/resp/UnreadableConfigException.java
+++ b/src/main/java/sagepulley/config/resp/UnreadableConfigException.java
@@ -1,6 +1,8 @@
 package sagepulley.config.resp;
 
-/** The system did not let the configuration file be read, so that its content is unknown. */
+/**
+ * Thrown if an I/O error prevented reading the configuration file, so that its content is unknown.
+ */
 public final class UnreadableConfigException extends ConfigException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sagepulley/config/resp/package-info.java
+++ b/src/main/java/sagepulley/config/resp/package-info.java
@@ -1,5 +1,2 @@
-/**
- * The JSON configuration of the RESP gateway, read into an immutable record. Nothing here is bound
- * to a thread.
- */
+/** The JSON configuration of the RESP gateway, read into an immutable record. */
 package sagepulley.config.resp;
--- a/src/main/java/sagepulley/config/settings/InvalidSettingException.java
+++ b/src/main/java/sagepulley/config/settings/InvalidSettingException.java
@@ -1,10 +1,10 @@
 package sagepulley.config.settings;
 
-/** A setting that the decisions depend on is missing or unreadable; the message names its path. */
+/** Thrown if a required setting is missing or a setting is invalid; the message names its path. */
 public final class InvalidSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Without a stack trace, as it reports a fault of the input. */
+    /** Creates an exception without a stack trace, as it reports invalid input. */
     public InvalidSettingException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/sagepulley/config/settings/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -10,8 +10,8 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Reads the settings that a gateway is told at its start, as path=value pairs, into a deployment.
- * Unknown paths are skipped. Times stand in the pairs as nanoseconds and are read as milliseconds.
+ * Reads the startup settings of a gateway, given as path=value pairs, into a deployment. Unknown
+ * paths are ignored. Times are nanoseconds in the pairs and are converted to milliseconds.
  */
 public final class SettingsReader {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -20,12 +20,12 @@
 
     private final Map<String, String> pairs;
 
-    /** A reader of these pairs, by path. */
+    /** Creates a reader of the given values by path. */
     public SettingsReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
-    /** Reads pairs that stand one to a line. */
+    /** Creates a reader of text with one path=value pair per line. */
     public static SettingsReader ofLines(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -39,9 +39,9 @@
     }
 
     /**
-     * The deployment that the settings describe.
+     * Returns the deployment that the settings describe.
      *
-     * @throws MissingSettingException if a setting is missing that has no default, or is unreadable
+     * @throws InvalidSettingException if a required setting is missing or a setting is invalid
      */
     public Deployment deployment() {
         List<TrafficClass> trafficClasses = trafficClasses();
@@ -181,7 +181,7 @@
                 limit > 0 ? number(path + "slack") : 0);
     }
 
-    /** A text that may be left out. */
+    /** Returns an optional text. */
     public String optionalText(String path, String defaultValue) {
         return pairs.getOrDefault(path, defaultValue);
     }
@@ -210,7 +210,7 @@
         return number(path) / NANOS_PER_MILLI;
     }
 
-    /** A whole number from 0 to a million. */
+    /** Returns an integer from 0 to {@link #MAX_COUNT}. */
     private int count(String path) {
         double value = number(path);
         if (value != Math.rint(value) || value < 0 || value > MAX_COUNT) {
@@ -220,18 +220,18 @@
     }
 
     /**
-     * A number that may be left out.
+     * Returns an optional number.
      *
-     * @throws MissingSettingException if it is there and is no finite number
+     * @throws InvalidSettingException if the value is not a finite number
      */
     public double optionalNumber(String path, double defaultValue) {
         return pairs.containsKey(path) ? number(path) : defaultValue;
     }
 
     /**
-     * A time in milliseconds that may be left out; the pair has nanoseconds.
+     * Returns an optional time in milliseconds, given in nanoseconds.
      *
-     * @throws MissingSettingException if it is there and is no finite number
+     * @throws InvalidSettingException if the value is not a finite number
      */
     public double optionalMillis(String path, double defaultMillis) {
         return pairs.containsKey(path) ? millis(path) : defaultMillis;
--- a/src/main/java/sagepulley/config/settings/package-info.java
+++ b/src/main/java/sagepulley/config/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reads the settings that a gateway is told at its start, as path=value pairs, into a {@link
- * sagepulley.model.Deployment}. The pairs' paths are mapped to the program's terms here and nowhere
- * else. It has no state beyond the reading of one set of pairs.
+ * Reads the startup settings of a gateway, given as path=value pairs, into a {@link
+ * sagepulley.model.Deployment}. This is the only place that maps the paths to the terms of the
+ * code.
  */
 package sagepulley.config.settings;
--- a/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -23,10 +23,10 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * A gateway's client of the directory, over a connection that is opened when a call needs it. Each
- * call ends exactly once: with its answer, or failed when the connection ends or cannot be opened,
- * or no answer comes in time. Nothing is retried here. The text of a failure may go on to an NBD
- * client in the reply to a block status. Confined to its event loop.
+ * A gateway's client of the directory. The connection is opened when a call needs it. Each call
+ * ends exactly once: with its answer, or with a failure when the connection ends, cannot be opened,
+ * or the call times out. Calls are not retried. The text of a failure may be sent to an NBD client
+ * in the reply to a block status request. Confined to its event loop.
  */
 public final class DirectoryClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
@@ -34,18 +34,21 @@
     private static final int MAX_PENDING_CALLS = 100_000;
     private static final Logger LOG = LoggerFactory.getLogger(DirectoryClient.class);
 
-    /** Receives what the directory says, on the event loop. */
+    /** Receives endpoint lists and failures, on the event loop. */
     public interface Listener {
-        /** An endpoint list came, pushed or asked for. */
+        /** Called when an endpoint list has arrived, pushed or requested. */
         void endpointListReceived(DirectoryMessages.EndpointList list);
 
-        /** The subscription dropped with its connection, or a call for the list failed. */
+        /**
+         * Called when the subscription has ended with its connection or a request for the list has
+         * failed.
+         */
         void endpointListFailed(String reason);
     }
 
-    /** Receives the end of a call, once: the answer, or null with the reason of the failure. */
+    /** Receives the result of a call, once. */
     public interface ResultHandler<T> {
-        /** Exactly one of the two is null. */
+        /** Called with either the answer or the reason of the failure; the other one is null. */
         void accept(T answer, String failure);
     }
 
@@ -57,7 +60,7 @@
     private final Map<Long, ResultHandler<Frame>> calls = new HashMap<>();
     private final List<Frame> unsent = new ArrayList<>();
 
-    /** The latest calls that timed out, whose answers may still come. */
+    /** The most recent calls that timed out, whose answers may still arrive. */
     private final Set<Long> timedOut =
             Collections.newSetFromMap(
                     new LinkedHashMap<>() {
@@ -69,7 +72,7 @@
                         }
                     });
 
-    /** The connection, from the attempt to connect on; null for none. */
+    /** The current channel, set as soon as connecting starts; null if there is none. */
     private Channel channel;
 
     private boolean open;
@@ -77,10 +80,10 @@
     private long lastCallId;
 
     /**
-     * A client whose connection is not opened yet.
+     * Creates an unconnected client.
      *
      * @param gateway the number of this incarnation of the gateway
-     * @param name the gateway's name, for operators of the directory
+     * @param name the gateway's name, shown to operators of the directory
      */
     public DirectoryClient(
             EventLoop loop,
@@ -96,17 +99,19 @@
         this.listener = listener;
     }
 
-    /** Asks for the endpoint list and for every change of it from then on. */
+    /** Requests the endpoint list and all later changes of it. */
     public void subscribe() {
         requestList(DirectoryMessages.SUBSCRIBE);
     }
 
-    /** Asks for the endpoint list once. */
+    /** Requests the endpoint list once. */
     public void fetch() {
         requestList(DirectoryMessages.FETCH);
     }
 
-    /** Looks up which cells hold consecutive extents; -1 for none. */
+    /**
+     * Looks up the cells that hold consecutive extents; -1 stands for an extent without a holder.
+     */
     public void lookup(int volume, long first, int count, ResultHandler<int[]> result) {
         long id = ++lastCallId;
         call(
@@ -126,7 +131,10 @@
                 });
     }
 
-    /** Claims an extent for a cell; the answer is the cell that holds it, whoever claimed first. */
+    /**
+     * Claims an extent for a cell. The result is the cell that holds the extent, which is another
+     * one if it was claimed earlier.
+     */
     public void claim(int volume, long extent, int cell, ResultHandler<Integer> result) {
         long id = ++lastCallId;
         call(
@@ -140,17 +148,17 @@
                                 failure));
     }
 
-    /** Whether a subscription stands, so that every change is pushed. */
+    /** Returns whether changes of the endpoint list are being pushed. */
     public boolean isSubscribed() {
         return subscribed && open;
     }
 
-    /** Whether the connection is open. */
+    /** Returns whether the connection is open. */
     public boolean isOpen() {
         return open;
     }
 
-    /** Ends the connection; pending calls fail. */
+    /** Closes the connection; pending calls fail. */
     public void close() {
         if (channel != null) {
             Channel closing = channel;
@@ -160,7 +168,7 @@
         }
     }
 
-    /** Reads an answer, which may turn out malformed. */
+    /** Decodes an answer or handles a failure; throws if the answer is malformed. */
     private interface AnswerReader {
         void accept(Frame frame, String failure) throws MalformedMessageException;
     }
@@ -186,7 +194,7 @@
             fail(reader, "too many calls are out");
             return;
         }
-        // A directory that takes a call and says nothing must not hold its caller for good.
+        // Bounds the wait for a directory that accepts calls and does not answer.
         Future<?> timeout =
                 loop.schedule(() -> timeOut(id), CALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         calls.put(
--- a/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
@@ -9,48 +9,48 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The messages to and from the directory, as frames (docs/protocols.md, Directory protocol). What
- * reads a frame leaves it to its owner, and throws on one that is malformed.
+ * Encodes and decodes the messages to and from the directory (docs/protocols.md, Directory
+ * protocol). Decoding methods do not release the frame and throw if it is malformed.
  */
 public final class DirectoryMessages {
-    /** From a gateway or node: who calls, and the protocol's version. */
+    /** From a gateway or node: its identity and the protocol version. */
     public static final int HELLO = 1;
 
-    /** From a gateway: the list, and every change of it. */
+    /** From a gateway: requests the endpoint list and all later changes. */
     public static final int SUBSCRIBE = 2;
 
-    /** From a gateway: the list, once. */
+    /** From a gateway: requests the endpoint list once. */
     public static final int FETCH = 3;
 
-    /** From a gateway: which cells hold consecutive extents. */
+    /** From a gateway: requests the cells that hold consecutive extents. */
     public static final int LOOKUP = 4;
 
-    /** From a gateway: an extent is to be held by a cell, unless one holds it. */
+    /** From a gateway: claims an extent for a cell unless another cell holds it. */
     public static final int CLAIM = 5;
 
-    /** From a node: its entry of the list. */
+    /** From a node: its entry of the endpoint list. */
     public static final int REGISTER = 6;
 
-    /** From the directory: the list, or what changed in it. */
+    /** From the directory: the endpoint list, or its changes. */
     public static final int LIST = 17;
 
-    /** From the directory: answers a lookup. */
+    /** From the directory: the answer to a lookup. */
     public static final int HOLDERS = 18;
 
-    /** From the directory: answers a claim. */
+    /** From the directory: the answer to a claim. */
     public static final int HOLDER = 19;
 
     /** From the directory: a call failed, with the reason. */
     public static final int FAILED = 20;
 
-    /** The most extents of one lookup. */
+    /** The maximum number of extents in one lookup. */
     public static final int MAX_LOOKUP_EXTENTS = 1 << 16;
 
     private static final int VERSION = 1;
 
     private static final int MAX_ENDPOINTS = 1 << 14;
 
-    /** What the list says of a node. The order is that of the numbers on the wire. */
+    /** The phases of a node in the endpoint list, in the order of their numbers on the wire. */
     public enum Phase {
         GONE,
         READY,
@@ -58,10 +58,10 @@
     }
 
     /**
-     * An entry of the list.
+     * An entry of the endpoint list.
      *
-     * @param kind the node's hardware kind
-     * @param startedAt when its incarnation started, in wall-clock milliseconds; 0 for long ago
+     * @param kind the hardware kind of the node
+     * @param startedAt the start time of its incarnation in wall-clock milliseconds; 0 for long ago
      */
     public record EndpointLine(
             int node,
@@ -75,13 +75,13 @@
             int port) {}
 
     /**
-     * The endpoint list, complete or what changed in it.
+     * The endpoint list, or its changes.
      *
-     * @param call the call that it answers; 0 if it is pushed
-     * @param version grows with every change within one history
-     * @param complete whether nodes that are not named are gone
-     * @param history the directory's incarnation in which the versions count
-     * @param site the site of the directory; empty if it does not say
+     * @param call the call that it answers; 0 if it was pushed
+     * @param version increases with every change within one history
+     * @param complete whether nodes without an entry are gone
+     * @param history the incarnation of the directory that counts the versions
+     * @param site the site of the directory; empty if unknown
      */
     public record EndpointList(
             long call,
@@ -93,14 +93,14 @@
 
     private DirectoryMessages() {}
 
-    /** Says who calls: the number differs at every start of a gateway. */
+    /** Encodes a gateway's identity; its number differs at every start. */
     public static Frame hello(long gateway, String name) {
         ByteBuf head = Unpooled.buffer(64).writeShort(VERSION).writeLong(gateway);
         FrameFields.string(head, name);
         return new Frame(HELLO, 0, head);
     }
 
-    /** Writes a list. */
+    /** Encodes an endpoint list. */
     public static Frame list(EndpointList list) {
         ByteBuf head =
                 Unpooled.buffer(64)
@@ -114,7 +114,7 @@
         return new Frame(LIST, list.call(), head);
     }
 
-    /** Reads a list. */
+    /** Decodes an endpoint list. */
     public static EndpointList list(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 13);
         long version = head.readLong();
@@ -135,14 +135,14 @@
                 frame.id(), version, complete, lines, head.readLong(), FrameFields.string(head));
     }
 
-    /** Writes a node's entry of the list. */
+    /** Encodes a node's entry of the endpoint list. */
     public static Frame register(EndpointLine line) {
         ByteBuf head = Unpooled.buffer(64);
         writeLine(head, line);
         return new Frame(REGISTER, 0, head);
     }
 
-    /** Reads one entry of the list. */
+    /** Decodes one entry of the endpoint list. */
     public static EndpointLine line(ByteBuf from) throws MalformedMessageException {
         if (from.readableBytes() < 27) {
             throw new MalformedMessageException("a line is cut off");
@@ -182,7 +182,7 @@
         FrameFields.string(to, line.host());
     }
 
-    /** Asks for the cells that hold so many extents from the first on. */
+    /** Encodes a request for the cells that hold {@code count} extents, starting with the first. */
     public static Frame lookup(long call, int volume, long first, int count) {
         return new Frame(
                 LOOKUP,
@@ -190,7 +190,9 @@
                 Unpooled.buffer(16).writeInt(volume).writeLong(first).writeInt(count));
     }
 
-    /** Writes the cells that hold consecutive extents; -1 for none. */
+    /**
+     * Encodes the cells that hold consecutive extents; -1 stands for an extent without a holder.
+     */
     public static Frame holders(long call, int[] cells) {
         ByteBuf head = Unpooled.buffer(4 + 4 * cells.length).writeInt(cells.length);
         for (int cell : cells) {
@@ -199,7 +201,9 @@
         return new Frame(HOLDERS, call, head);
     }
 
-    /** Reads the cells that hold consecutive extents; -1 for none. */
+    /**
+     * Decodes the cells that hold consecutive extents; -1 stands for an extent without a holder.
+     */
     public static int[] holders(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 4);
         int count = head.readInt();
@@ -214,18 +218,18 @@
         return cells;
     }
 
-    /** Claims an extent for a cell. */
+    /** Encodes a claim of an extent for a cell. */
     public static Frame claim(long call, int volume, long extent, int cell) {
         return new Frame(
                 CLAIM, call, Unpooled.buffer(16).writeInt(volume).writeLong(extent).writeInt(cell));
     }
 
-    /** Writes the cell that holds a claimed extent. */
+    /** Encodes the cell that holds a claimed extent. */
     public static Frame holder(long call, int cell) {
         return new Frame(HOLDER, call, Unpooled.buffer(4).writeInt(cell));
     }
 
-    /** Writes why a call failed. */
+    /** Encodes the reason why a call failed. */
     public static Frame failed(long call, String reason) {
         ByteBuf head = Unpooled.buffer(32);
         FrameFields.string(head, reason);
--- a/src/main/java/sagepulley/discovery/directory/package-info.java
+++ b/src/main/java/sagepulley/discovery/directory/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The client of the directory: endpoint lists for the membership, lookups and claims of extents. It
- * owns its connection and pending calls, and decides nothing; all of it is confined to the event
- * loop it is given.
+ * The client of the directory: endpoint lists for the membership, and lookups and claims of
+ * extents. It owns its connection and pending calls, and is confined to its event loop. Decisions
+ * are left to the callers.
  */
 package sagepulley.discovery.directory;
--- a/src/main/java/sagepulley/upstream/frame/NodeConnection.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -20,49 +20,60 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The connection of a gateway to one node, opened when an attempt needs it. It decides nothing: it
- * never sends an attempt twice, nor reconnects but when asked. Each attempt that is not cancelled
- * ends exactly once, with an answer or a failure. Confined to its event loop.
+ * A gateway's connection to one node, opened when it is first needed. Never sends an attempt twice
+ * and does not reconnect on its own. Each attempt that is not cancelled ends exactly once, with an
+ * answer or a failure. Confined to its event loop.
  *
- * <p>Before a write goes out, the connection acquires the extent's write token at the node
- * (docs/protocols.md): a late write of another connection is then refused there.
+ * <p>Before it sends a write, the connection acquires the write token of the extent at the node
+ * (docs/protocols.md), so that the node rejects delayed writes of other connections.
  */
 public final class NodeConnection {
-    /** With more cancelled attempts unanswered, the connection is taken for dead. */
+    /**
+     * The maximum number of attempts in flight, including cancelled ones; with more, a cancellation
+     * closes the connection as unresponsive.
+     */
     static final int MAX_UNANSWERED_ATTEMPTS = 10_000;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
     private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
 
-    /** How an attempt ended that got no answer. */
+    /** The reason why an attempt ended without an answer. */
     public enum ConnectionFailure {
-        /** It was never written to a connection: it did not run. */
+        /** The attempt was not written to a connection, so it was not executed. */
         NEVER_SENT,
-        /** The connection ended after it was written: it may have run. */
+        /** The connection ended after the attempt was written; it may have been executed. */
         RESET
     }
 
-    /** Receives the ends of attempts, each once, and what the node says; on the event loop. */
+    /**
+     * Receives the end of each attempt, once, and the events of the connection, on the event loop.
+     */
     public interface Listener {
-        /** The node answered; the listener owns the payload. */
+        /** Called when the node has answered an attempt; the listener owns the payload. */
         void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload);
 
-        /** The attempt ended without an answer. */
+        /** Called when an attempt ended without an answer. */
         void failed(long attempt, ConnectionFailure failure);
 
-        /** A cancelled attempt was answered after all: only the times it tells are of use. */
+        /**
+         * Called when a cancelled attempt is answered; only the queue and service times are
+         * meaningful.
+         */
         default void answeredAfterCancel(StoreMessages.Answer answer) {}
 
-        /** The node answered a health check. */
+        /** Called when the node has answered a health check. */
         void healthReported(long id, float[] loadReport);
 
-        /** The node said who it is; false if the attempts that wait must not go out to it. */
+        /**
+         * Called with the identity of the node; returns false if waiting attempts must not be sent
+         * to it.
+         */
         boolean handshakeCompleted(StoreMessages.HandshakeReply reply);
 
-        /** The node announced its graceful shutdown. */
+        /** Called when the node has announced its graceful shutdown. */
         default void draining() {}
 
-        /** The connection ended, or could not be opened. */
+        /** Called when the connection has ended or could not be opened. */
         default void disconnected() {}
     }
 
@@ -75,23 +86,25 @@
     private final Listener listener;
     private final WriteTokens writeTokens = new WriteTokens();
 
-    /** Attempts not yet written, in order: they wait for the connection or a write token. */
+    /** Attempts that wait for the connection or a write token, in order of arrival. */
     private final Map<Long, UnsentAttempt> unsent = new LinkedHashMap<>();
 
-    /** Attempts written and not answered; false once cancelled. */
+    /**
+     * Attempts that were written and not answered; the value is false if the attempt was cancelled.
+     */
     private final Map<Long, Boolean> inFlight = new HashMap<>();
 
-    /** The connection, from the attempt to connect on; null for none. */
+    /** The current channel, set as soon as connecting starts; null if there is none. */
     private Channel channel;
 
     private boolean ready;
     private boolean flushScheduled;
 
     /**
-     * A connection that is not opened yet.
+     * Creates an unconnected instance.
      *
-     * @param maxPayloadBytes the longest payload that the node may send
-     * @param nodeId the node that must answer at the address
+     * @param maxPayloadBytes the maximum payload length that is accepted from the node
+     * @param nodeId the expected id of the node at the address
      */
     public NodeConnection(
             EventLoop loop,
@@ -110,14 +123,14 @@
         this.listener = listener;
     }
 
-    /** The node's address. */
+    /** Returns the address of the node. */
     public SocketAddress address() {
         return connector.address();
     }
 
     /**
-     * Sends an attempt once the connection is ready; its number must be new. The payload changes
-     * hands.
+     * Sends an attempt as soon as the connection is ready, connecting if necessary. The attempt id
+     * must be unique. Takes ownership of the payload.
      */
     public void send(long attempt, StoreMessages.Send send, ByteBuf payload) {
         unsent.put(attempt, new UnsentAttempt(attempt, send, payload));
@@ -128,7 +141,10 @@
         }
     }
 
-    /** Cancels an attempt: the listener hears no end of it. Tells whether it may have gone out. */
+    /**
+     * Cancels an attempt, whose end is then not reported to the listener. Returns whether it may
+     * have been sent.
+     */
     public boolean cancel(long attempt) {
         UnsentAttempt unsentAttempt = unsent.remove(attempt);
         if (unsentAttempt != null) {
@@ -148,14 +164,14 @@
         return true;
     }
 
-    /** Asks the node for a load report, if the connection is ready. */
+    /** Requests a load report from the node if the connection is ready. */
     public void checkHealth(long id) {
         if (ready) {
             write(new Frame(StoreMessages.HEALTH_CHECK, id));
         }
     }
 
-    /** Ends the connection; the attempts that are not answered fail. */
+    /** Closes the connection; all unanswered attempts fail. */
     public void close() {
         if (channel != null) {
             Channel closing = channel;
@@ -164,7 +180,7 @@
         }
     }
 
-    /** Opens a connection if there is none, so that the node says who it is. */
+    /** Connects if there is no connection, to obtain the identity of the node. */
     public void ensureConnected() {
         if (channel == null) {
             connect();
@@ -206,7 +222,7 @@
             return;
         }
         channel.write(frame);
-        // All that one turn of the loop sends goes to the socket together.
+        // Flushes once per turn of the event loop.
         if (!flushScheduled) {
             flushScheduled = true;
             loop.execute(
@@ -219,7 +235,10 @@
         }
     }
 
-    /** The connection ended, or there was none: what was written may have run, the rest did not. */
+    /**
+     * Fails all attempts after the connection has ended: written ones as reset, others as never
+     * sent.
+     */
     private void disconnected(Channel ended) {
         if (channel != ended) {
             return;
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -7,62 +7,62 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The messages between a gateway and a node, as frames (docs/protocols.md, Store protocol). What
- * reads a frame leaves it to its owner, and throws on one that is malformed.
+ * Encodes and decodes the messages between a gateway and a node (docs/protocols.md, Store
+ * protocol). Decoding methods do not release the frame and throw if it is malformed.
  */
 public final class StoreMessages {
-    /** From the gateway: who calls (HELLO). */
+    /** From the gateway: its identity (HELLO). */
     public static final int HELLO = 1;
 
     /** From the gateway: an attempt, with the data of a write (SEND). */
     public static final int SEND = 2;
 
-    /** From the gateway: the answer to an attempt is not wanted any more (CALL_OFF). */
+    /** From the gateway: cancels an attempt (CALL_OFF). */
     public static final int CANCEL = 3;
 
-    /** From the gateway: asks for a load report (PROBE). */
+    /** From the gateway: requests a load report (PROBE). */
     public static final int HEALTH_CHECK = 4;
 
-    /** From the gateway: asks for an extent's write token (TAKE_PEN). */
+    /** From the gateway: requests the write token of an extent (TAKE_PEN). */
     public static final int ACQUIRE_WRITE_TOKEN = 5;
 
-    /** From the node: who answers (WELCOME). */
+    /** From the node: its identity (WELCOME). */
     public static final int HANDSHAKE_REPLY = 17;
 
     /** From the node: the end of an attempt, with the data of a read (ANSWER). */
     public static final int ANSWER = 18;
 
-    /** From the node: answers a health check (PROBED). */
+    /** From the node: the load report for a health check (PROBED). */
     public static final int HEALTH_REPORT = 19;
 
-    /** From the node: the gateway holds the write token (PEN). */
+    /** From the node: the requested write token is granted (PEN). */
     public static final int WRITE_TOKEN_GRANTED = 20;
 
-    /** From the node: another gateway took the write token (PEN_LOST). */
+    /** From the node: a write token was given to another gateway (PEN_LOST). */
     public static final int WRITE_TOKEN_REVOKED = 21;
 
-    /** From the node: it shuts down gracefully, and takes nothing new (DRAINS). */
+    /** From the node: it shuts down gracefully and accepts no new attempts (DRAINS). */
     public static final int DRAINING = 22;
 
-    /** The version of the protocol. */
+    /** The supported version of the protocol. */
     public static final int VERSION = 1;
 
     private static final int SEND_HEAD_BYTES = 55;
     private static final int MAX_REPORT_VALUES = 4;
 
-    /** Who calls: the number differs at every start of a gateway. */
+    /** The identity of a gateway; its number differs at every start. */
     public record Hello(long gateway, String name) {}
 
     /**
-     * Who answers.
+     * The identity of a node.
      *
-     * @param kind the node's hardware kind
-     * @param startedAt when its incarnation started, in wall-clock milliseconds; 0 for long ago
+     * @param kind the hardware kind of the node
+     * @param startedAt the start time of its incarnation in wall-clock milliseconds; 0 for long ago
      */
     public record HandshakeReply(
             int node, int cell, int zone, int kind, boolean draining, long startedAt) {}
 
-    /** What an operation does at its extent. The order is that of the numbers on the wire. */
+    /** The kinds of operations on an extent, in the order of their numbers on the wire. */
     public enum Kind {
         READ,
         WRITE,
@@ -70,24 +70,26 @@
         TRIM,
         FLUSH;
 
-        /** Whether it needs the write token of its extent. */
+        /** Returns whether the operation requires the write token of its extent. */
         public boolean modifiesData() {
             return this == WRITE || this == ZERO || this == TRIM;
         }
     }
 
     /**
-     * One attempt.
+     * An attempt of an operation.
      *
-     * @param trafficClass index of the traffic class (band on the wire)
-     * @param durable whether it is answered only once its effect is durable
-     * @param idempotency how far the operation may be repeated (repeats on the wire)
-     * @param operationId unique with the gateway's number (mark on the wire)
-     * @param attemptNumber counts the operation's attempts (hop on the wire)
-     * @param offset bytes in the extent
-     * @param length bytes
-     * @param units what the operation costs, in units of the tenant's plan
-     * @param expectedNodeStart for a flush, the start that the node must still have; else 0
+     * @param trafficClass the index of the traffic class (band on the wire)
+     * @param durable whether it is answered only when its effect is durable
+     * @param idempotency the idempotency of the operation (repeats on the wire)
+     * @param operationId the operation's id, unique together with the gateway's number (mark on the
+     *     wire)
+     * @param attemptNumber the number of the attempt within the operation (hop on the wire)
+     * @param offset the offset in the extent in bytes
+     * @param length the length in bytes
+     * @param units the cost of the operation in units of the tenant's plan
+     * @param expectedNodeStart for a flush, the start time that the node must still have; 0
+     *     otherwise
      * @param extentMustExist whether a node without the extent answers {@link Code#NOT_EXECUTED}
      */
     public record Send(
@@ -104,7 +106,7 @@
             float units,
             long expectedNodeStart,
             boolean extentMustExist) {
-        /** An attempt that a node without the extent may run. */
+        /** Creates an attempt that a node without the extent may execute. */
         public Send(
                 Kind kind,
                 int trafficClass,
@@ -135,7 +137,7 @@
         }
     }
 
-    /** How a node answers. The order is that of the numbers on the wire. */
+    /** The result codes of an answer, in the order of their numbers on the wire. */
     public enum Code {
         SERVED,
         FAILED,
@@ -147,12 +149,12 @@
     }
 
     /**
-     * The end of an attempt at its node.
+     * The answer of a node to an attempt.
      *
-     * @param planUsage percent of the tenant's plan in use, plus 1; 0 for no figure
-     * @param otherGatewaysUnits units that the tenant spent there through other gateways
-     * @param queuedMillis how long the attempt waited in the node's queue
-     * @param serviceMillis how long the node worked on it
+     * @param planUsage the percentage of the tenant's plan in use, plus 1; 0 if unknown
+     * @param otherGatewaysUnits the units that the tenant used at the node through other gateways
+     * @param queuedMillis the time that the attempt waited in the node's queue
+     * @param serviceMillis the time that the node worked on the attempt
      * @param loadReport up to four values
      */
     public record Answer(
@@ -162,19 +164,19 @@
             float queuedMillis,
             float serviceMillis,
             float[] loadReport) {
-        /** A load report without values. */
+        /** An empty load report. */
         public static final float[] NO_REPORT = {};
     }
 
     private StoreMessages() {}
 
-    /** Writes who calls. */
+    /** Encodes a gateway's identity. */
     public static Frame hello(Hello hello) {
         ByteBuf head = Unpooled.buffer(64).writeShort(VERSION).writeLong(hello.gateway());
         return new Frame(HELLO, 0, FrameFields.string(head, hello.name()));
     }
 
-    /** Reads who calls; throws on another version of the protocol. */
+    /** Decodes a gateway's identity; throws if its protocol version is not supported. */
     public static Hello hello(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 11);
         int version = head.readUnsignedShort();
@@ -185,7 +187,7 @@
         return new Hello(head.readLong(), FrameFields.string(head));
     }
 
-    /** Writes who answers. */
+    /** Encodes a node's identity. */
     public static Frame handshakeReply(HandshakeReply reply) {
         return new Frame(
                 HANDSHAKE_REPLY,
@@ -199,7 +201,7 @@
                         .writeLong(reply.startedAt()));
     }
 
-    /** Reads who answers. */
+    /** Decodes a node's identity. */
     public static HandshakeReply handshakeReply(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 21);
         return new HandshakeReply(
@@ -211,7 +213,7 @@
                 head.readLong());
     }
 
-    /** Writes an attempt; the payload changes hands. */
+    /** Encodes an attempt and takes ownership of the payload. */
     public static Frame send(long attempt, Send send, ByteBuf payload) {
         ByteBuf head =
                 Unpooled.buffer(SEND_HEAD_BYTES)
@@ -230,7 +232,7 @@
         return new Frame(SEND, attempt, head, payload);
     }
 
-    /** Reads an attempt; its payload stays in the frame. */
+    /** Decodes an attempt; its payload remains in the frame. */
     public static Send send(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 45);
         int kind = head.readUnsignedByte();
@@ -268,7 +270,7 @@
         return send;
     }
 
-    /** Writes the end of an attempt; the payload changes hands. */
+    /** Encodes the answer to an attempt and takes ownership of the payload. */
     public static Frame answer(long attempt, Answer answer, ByteBuf payload) {
         ByteBuf head =
                 Unpooled.buffer(32)
@@ -284,7 +286,7 @@
         return new Frame(ANSWER, attempt, head, payload);
     }
 
-    /** Reads the end of an attempt; its payload stays in the frame. */
+    /** Decodes the answer to an attempt; its payload remains in the frame. */
     public static Answer answer(Frame frame) throws MalformedMessageException {
         ByteBuf head = FrameFields.requireHead(frame, 16);
         int code = head.readUnsignedByte();
@@ -302,7 +304,7 @@
                 Code.values()[code], usage, otherGateways, queued, service, loadReport(head));
     }
 
-    /** Writes the answer to a health check. */
+    /** Encodes the answer to a health check. */
     public static Frame healthReport(long id, float[] report) {
         ByteBuf head = Unpooled.buffer(20).writeByte(report.length);
         for (float value : report) {
@@ -311,12 +313,12 @@
         return new Frame(HEALTH_REPORT, id, head);
     }
 
-    /** Writes a message about an extent's write token: of one of the three types above. */
+    /** Encodes a message of one of the three types that concern a write token. */
     public static Frame writeToken(int type, long id, int volume, long extent) {
         return new Frame(type, id, Unpooled.buffer(12).writeInt(volume).writeLong(extent));
     }
 
-    /** Reads a load report of up to four values, as answers and health reports carry it. */
+    /** Decodes the load report of an answer or a health report. */
     public static float[] loadReport(ByteBuf head) throws MalformedMessageException {
         int count = head.isReadable() ? head.readUnsignedByte() : -1;
         if (count < 0 || count > MAX_REPORT_VALUES || head.readableBytes() < 4 * count) {
--- a/src/main/java/sagepulley/upstream/frame/WriteTokens.java
+++ b/src/main/java/sagepulley/upstream/frame/WriteTokens.java
@@ -10,14 +10,14 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The write tokens of one connection to a node: fencing tokens, each the exclusive right to write
- * one extent there (docs/protocols.md). Attempts wait here for the token of their extent. Confined
- * to the connection's event loop.
+ * Tracks the write tokens of one connection to a node. A write token is a fencing token: the
+ * exclusive right to write one extent at the node (docs/protocols.md). Attempts wait here for the
+ * token of their extent. Confined to the connection's event loop.
  */
 final class WriteTokens {
     private static final int MAX_TOKENS = 1 << 16;
 
-    /** An extent of a volume. */
+    /** Identifies an extent of a volume. */
     record ExtentKey(int volume, long extent) {}
 
     private static final class WriteToken {
@@ -27,14 +27,14 @@
 
     private final Map<ExtentKey, WriteToken> tokens = new HashMap<>();
 
-    /** Extents whose token was requested and not granted yet, by the request's number. */
+    /** Extents whose token was requested and is not granted yet, by request id. */
     private final Map<Long, ExtentKey> requested = new HashMap<>();
 
     private long lastRequestId;
 
     /**
-     * Whether an attempt may write the extent now; otherwise it waits, and a token not yet
-     * requested is requested through the writer.
+     * Returns whether an attempt may write the extent now. Otherwise the attempt waits, and the
+     * token is requested through the writer unless a request is pending.
      */
     boolean acquire(ExtentKey key, long attempt, Consumer<Frame> writer) {
         WriteToken token = tokens.get(key);
@@ -63,7 +63,10 @@
         return token;
     }
 
-    /** The node granted a requested token; tells the attempts that waited for it, in order. */
+    /**
+     * Records that the node granted a requested token, and returns the attempts that waited for it,
+     * in order.
+     */
     List<Long> onGranted(long requestId) throws MalformedMessageException {
         ExtentKey key = requested.remove(requestId);
         WriteToken token = key == null ? null : tokens.get(key);
@@ -77,7 +80,7 @@
         return attempts;
     }
 
-    /** The node gave a token to another gateway. */
+    /** Removes a granted token that the node has given to another gateway. */
     void onRevoked(ExtentKey key) {
         WriteToken token = tokens.get(key);
         if (token != null && token.granted) {
@@ -85,12 +88,12 @@
         }
     }
 
-    /** Forgets all granted tokens: they are requested again when needed. */
+    /** Removes all granted tokens, so that they are requested again when needed. */
     void dropGranted() {
         tokens.values().removeIf(token -> token.granted);
     }
 
-    /** The connection has ended, and all tokens with it. */
+    /** Removes all tokens and pending requests; called when the connection has ended. */
     void clear() {
         tokens.clear();
         requested.clear();
--- a/src/main/java/sagepulley/upstream/frame/package-info.java
+++ b/src/main/java/sagepulley/upstream/frame/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The gateway's side of the store protocol: one connection to each node, and exactly one outcome
- * for each attempt. {@link sagepulley.upstream.frame.NodeConnection} owns the connection, the
- * attempts on it and their payloads until they are written, and {@code WriteTokens} the rights to
- * write extents; both are confined to the event loop they are given. Nothing here decides where an
- * attempt goes or whether it is retried.
+ * The gateway side of the store protocol: one connection to each node, and exactly one outcome for
+ * each attempt. {@link sagepulley.upstream.frame.NodeConnection} owns the connection, its attempts,
+ * and their payloads until they are written; {@code WriteTokens} tracks the rights to write
+ * extents. Both are confined to the event loop of the connection. Routing and retries are decided
+ * by the callers.
  */
 package sagepulley.upstream.frame;
--- a/src/test/java/sagepulley/codec/frame/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -15,9 +15,9 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Frames, however their bytes are split. */
+/** Decoding of frames that are fragmented, corrupted or random. */
 class FrameTest {
-    /** The bytes of a frame for each payload. */
+    /** Encodes a frame for each payload. */
     private static byte[] encode(List<byte[]> payloads) {
         EmbeddedChannel out = new EmbeddedChannel(new FrameEncoder());
         for (int i = 0; i < payloads.size(); i++) {
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Feeds bytes in pieces of the given lengths, over and over; tells the buffers that were fed.
+     * Feeds the bytes in pieces of the given lengths, which are repeated, and returns the buffers.
      */
     static List<ByteBuf> feed(EmbeddedChannel to, byte[] bytes, List<Integer> lengths) {
         List<ByteBuf> buffers = new ArrayList<>();
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.codec.frame.MalformedMessageException;
 
-/** The NBD handshake and commands, however their bytes are split. */
+/** NBD handshake and requests that are fragmented, malformed or random. */
 class NbdCodecTest {
     private static final Export EXPORT =
             new Export("vol", "a volume", 1 << 20, false, true, 512, 4096, 65536);
 
-    /** A server's side without a socket: what reached the session, and what ended it. */
+    /** A server pipeline without a socket; records what the session receives. */
     private static final class Server {
         final List<NbdRequest> requests = new ArrayList<>();
         AttachedExport attached;
@@ -93,7 +93,7 @@
             }
         }
 
-        /** The types of the option replies that were sent. */
+        /** Returns the types of the option replies that were sent. */
         List<Integer> optionReplyTypes() {
             ByteBuf all = Unpooled.buffer();
             for (ByteBuf part = channel.readOutbound();
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.scenario.LocalCluster;
 
-/** Site files: what is read, and the mistakes that are reported. */
+/** Reading of site files and reporting of their errors. */
 class SiteConfigTest {
     private static final String GOOD =
             LocalCluster.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.lifecycle.WarmUpConfig;
 
-/** The configuration file of a gateway, and what is reported of an invalid one. */
+/** Reading of the configuration file and reporting of its errors. */
 class GatewayConfigTest {
     @TempDir private Path folder;
 
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -26,14 +26,14 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Keys of settings: each key of the committed files has a value that is not its default, and what
- * is read from them is compared as a whole.
+ * Keys of settings are part of the file formats: each committed file sets every key to a value
+ * other than its default, and the result is compared as a whole.
  */
 class SettingNamesTest {
     private static final Path FOLDER = Path.of("src/test/resources/external");
     @TempDir private Path folder;
 
-    /** What first-message.txt and config.json both contain. */
+    /** The deployment that first-message.txt and config.json both describe. */
     private static Deployment expectedDeployment() {
         return new Deployment(
                 2,
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -27,12 +27,12 @@
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.TrafficRecorder;
 
-/** Late attempts of older writes: the node refuses them, whichever way they come late. */
+/** Delayed writes are rejected by the node, and each attempt ends with the right outcome. */
 class NodeConnectionTest {
     private final EventLoopGroup loops = EventLoops.group(2, "test");
     private StandInNode node;
 
-    /** One gateway's connection, and how its attempts ended. */
+    /** The connection of one gateway, and the outcomes of its attempts. */
     private final class Peer implements NodeConnection.Listener {
         final Map<Long, String> outcomes = new ConcurrentHashMap<>();
         final NodeConnection connection;
@@ -124,7 +124,7 @@
         return created[0];
     }
 
-    /** The bytes of a frame, as a gateway that stood still would still have them in its socket. */
+    /** Encodes a frame, like one that a paused gateway has left in its socket. */
     private static byte[] bytes(Frame frame) {
         EmbeddedChannel out = new EmbeddedChannel(new FrameEncoder());
         out.writeOutbound(frame);
@@ -147,7 +147,7 @@
                             bytes(
                                     StoreMessages.writeToken(
                                             StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
-            // Its handshake reply (49 bytes) and its write token (40 bytes).
+            // handshake reply (49 bytes) and granted write token (40 bytes)
 
             DataInputStream in = new DataInputStream(staleConnection.getInputStream());
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
@@ -163,7 +163,7 @@
                                     StoreMessages.send(
                                             8, send, Unpooled.wrappedBuffer(new byte[512]))));
             in.readFully(new byte[24 + 12 + 4]);
-            // the write token was revoked
+            // revoked write token
 
             byte[] answer = new byte[25];
             in.readFully(answer);
--- a/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
@@ -16,8 +16,8 @@
 import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
- * Messages to nodes and directory: what is written is read, and random fields are refused, never
- * worse.
+ * Encoding and decoding of store and directory messages; random fields are read or rejected as
+ * malformed, without any other exception.
  */
 class StoreMessagesTest {
     private interface MessageReader {
@@ -41,7 +41,7 @@
             @ForAll @Size(max = 120) byte[] bytes,
             @ForAll @IntRange(min = 0, max = 8) int readerIndex,
             @ForAll boolean smallValues) {
-        // Small numbers come further than random ones.
+        // Small values pass more of the checks than random ones.
         byte[] head = bytes.clone();
         for (int i = 0; smallValues && i < head.length; i++) {
             head[i] = (byte) (head[i] == 1 ? 1 : 0);
@@ -49,7 +49,7 @@
         try {
             READERS.get(readerIndex).read(new Frame(1, 1, Unpooled.wrappedBuffer(head)));
         } catch (MalformedMessageException expected) {
-            // as it should be
+            // rejected as malformed
         } catch (RuntimeException unexpected) {
             fail(unexpected);
         }
