--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -39,18 +39,18 @@
         int magic = segment.getUnsignedShort(0);
         if (magic != Frame.MAGIC) {
             throw new MalformedMessageException(
-                    "frame starts with 0x" + Integer.toHexString(magic));
+                    "unknown frame magic 0x" + Integer.toHexString(magic));
         }
         if (segment.getByte(2) != Frame.VERSION) {
             throw new MalformedMessageException(
-                    "frame of version "
+                    "unsupported frame version "
                             + segment.getUnsignedByte(2)
-                            + ", known is "
+                            + ", expected "
                             + Frame.VERSION);
         }
         if (crc.start().add(segment, segment.readerIndex(), Frame.PREFIX_BYTES - 4).value()
                 != segment.getInt(20)) {
-            throw new MalformedMessageException("frame prefix fails its checksum");
+            throw new MalformedMessageException("frame prefix checksum mismatch");
         }
         type = segment.getUnsignedByte(3);
         headLength = segment.getInt(4);
@@ -60,14 +60,14 @@
             throw new MalformedMessageException(
                     "frame head of "
                             + Integer.toUnsignedString(headLength)
-                            + " bytes, at most "
+                            + " bytes, expected at most "
                             + Frame.MAX_HEAD_BYTES);
         }
         if (payloadLength < 0 || payloadLength > maxPayloadBytes) {
             throw new MalformedMessageException(
                     "frame payload of "
                             + Integer.toUnsignedString(payloadLength)
-                            + " bytes, at most "
+                            + " bytes, expected at most "
                             + maxPayloadBytes);
         }
         inBody = true;
@@ -80,7 +80,7 @@
         int start = segment.readerIndex();
         if (crc.start().add(segment, start, length).value() != segment.getInt(start + length)) {
             segment.release();
-            throw new MalformedMessageException("frame fails its checksum");
+            throw new MalformedMessageException("frame checksum mismatch");
         }
         ByteBuf head = segment.readRetainedSlice(headLength);
         ByteBuf payload = segment.readRetainedSlice(payloadLength);
--- a/src/main/java/sagepulley/codec/frame/FrameFields.java
+++ b/src/main/java/sagepulley/codec/frame/FrameFields.java
@@ -13,11 +13,11 @@
     public static ByteBuf requireHead(Frame frame, int bytes) throws MalformedMessageException {
         if (frame.head().readableBytes() < bytes) {
             throw new MalformedMessageException(
-                    "message "
+                    "message type "
                             + frame.type()
                             + " has "
                             + frame.head().readableBytes()
-                            + " bytes of fields, needs "
+                            + " bytes of fields, expected at least "
                             + bytes);
         }
         return frame.head();
@@ -34,7 +34,7 @@
     public static String string(ByteBuf source) throws MalformedMessageException {
         int length = source.isReadable() ? source.readUnsignedByte() : -1;
         if (length < 0 || source.readableBytes() < length) {
-            throw new MalformedMessageException("a name is cut off");
+            throw new MalformedMessageException("truncated name");
         }
         return source.readCharSequence(length, StandardCharsets.UTF_8).toString();
     }
--- a/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/SegmentDecoder.java
@@ -128,7 +128,7 @@
         remainingBytes = -1;
         segmentReceived(ctx, complete);
         if (remainingBytes < 0 && !ended) {
-            throw new IllegalStateException("nothing is expected next");
+            throw new IllegalStateException("segmentReceived did not set the next segment");
         }
     }
 
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -61,7 +61,7 @@
             if ((flags & ~(NbdConstants.FLAG_FIXED_NEWSTYLE | NbdConstants.FLAG_NO_ZEROES)) != 0) {
                 ctx.fireExceptionCaught(
                         new MalformedMessageException(
-                                "client flags 0x" + Integer.toHexString(flags)));
+                                "unknown client flags 0x" + Integer.toHexString(flags)));
             }
         } else {
             NbdOption option = (NbdOption) message;
@@ -79,11 +79,12 @@
         int code = option.code();
         if (++optionCount > MAX_OPTIONS) {
             ctx.fireExceptionCaught(
-                    new MalformedMessageException("more than " + MAX_OPTIONS + " options"));
+                    new MalformedMessageException(
+                            "more than " + MAX_OPTIONS + " handshake options"));
             return;
         }
         if (option.data() == null) {
-            replyError(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "the option's data is too long");
+            replyError(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "option data is too long");
             return;
         }
         switch (code) {
@@ -97,7 +98,8 @@
             case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> handleInfo(ctx, code, option.data());
             case NbdConstants.OPT_STRUCTURED_REPLY -> {
                 if (option.data().isReadable()) {
-                    replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "this option has no data");
+                    replyError(
+                            ctx, code, NbdConstants.REP_ERR_INVALID, "this option takes no data");
                 } else {
                     structured = true;
                     reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
@@ -110,7 +112,7 @@
                             ctx,
                             code,
                             NbdConstants.REP_ERR_UNSUP,
-                            "option " + Integer.toUnsignedString(code) + " is not known here");
+                            "option " + Integer.toUnsignedString(code) + " is not supported");
         }
     }
 
@@ -121,7 +123,7 @@
     private void handleExportName(ChannelHandlerContext ctx, ByteBuf data) {
         Export export = exports.findByName(data.toString(StandardCharsets.UTF_8));
         if (export == null) {
-            ctx.fireExceptionCaught(new MalformedMessageException("no such export"));
+            ctx.fireExceptionCaught(new MalformedMessageException("unknown export"));
             return;
         }
         ByteBuf reply =
@@ -142,7 +144,7 @@
                     ctx,
                     NbdConstants.OPT_LIST,
                     NbdConstants.REP_ERR_INVALID,
-                    "this option has no data");
+                    "this option takes no data");
             return;
         }
         for (Export export : exports.all()) {
@@ -161,7 +163,7 @@
     private void handleInfo(ChannelHandlerContext ctx, int code, ByteBuf data) {
         String name = readString(data);
         if (name == null || data.readableBytes() < 2) {
-            replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
+            replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "option data is truncated");
             return;
         }
         int count = data.readUnsignedShort();
@@ -170,12 +172,12 @@
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
-                    "the number of information requests is wrong");
+                    "number of information requests does not match the data length");
             return;
         }
         Export export = exports.findByName(name);
         if (export == null) {
-            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
+            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "unknown export");
             return;
         }
         replyExportInfo(ctx, code, export, data);
@@ -238,10 +240,7 @@
         List<String> queries = name == null ? null : readQueries(data);
         if (queries == null) {
             replyError(
-                    ctx,
-                    code,
-                    NbdConstants.REP_ERR_INVALID,
-                    "the option's data is cut off or too long");
+                    ctx, code, NbdConstants.REP_ERR_INVALID, "option data has an invalid length");
             return;
         }
         if (!structured) {
@@ -249,12 +248,12 @@
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
-                    "structured replies must be chosen first");
+                    "structured replies must be negotiated first");
             return;
         }
         Export export = exports.findByName(name);
         if (export == null) {
-            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
+            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "unknown export");
             return;
         }
         boolean matches =
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -205,7 +205,7 @@
             ReplyHandler handler) {
         if (!channel.isActive()) {
             payload.release();
-            handler.accept(null, new IOException("the connection has ended"));
+            handler.accept(null, new IOException("connection closed"));
             return;
         }
         long cookie = ++lastCookie;
@@ -321,7 +321,9 @@
                     }
                 }
                 case NbdConstants.OPT_GO -> goReplyReceived(ctx, reply);
-                default -> throw new MalformedMessageException("reply to option " + reply.option());
+                default ->
+                        throw new MalformedMessageException(
+                                "unexpected reply to option " + reply.option());
             }
         }
 
@@ -329,7 +331,8 @@
                 throws MalformedMessageException {
             if (reply.type() < 0) {
                 String reason = reply.data().toString(StandardCharsets.UTF_8);
-                opened.completeExceptionally(new IOException("the server refuses: " + reason));
+                opened.completeExceptionally(
+                        new IOException("server rejected the export: " + reason));
                 ctx.close();
             } else if (reply.type() == NbdConstants.REP_INFO) {
                 exportInfoReceived(reply.data());
@@ -351,7 +354,8 @@
             } else if (infoType == -1
                     || infoType == NbdConstants.INFO_EXPORT
                     || infoType == NbdConstants.INFO_BLOCK_SIZE) {
-                throw new MalformedMessageException("malformed information");
+                throw new MalformedMessageException(
+                        "malformed export information of type " + infoType);
             }
         }
 
@@ -366,7 +370,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail(new IOException("the connection has ended"));
+            fail(new IOException("connection closed"));
         }
 
         @Override
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -125,7 +125,8 @@
         int flags = segment.readUnsignedShort();
         segment.release();
         if (!hasValidMagic || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
-            throw new MalformedMessageException("not a server of fixed newstyle");
+            throw new MalformedMessageException(
+                    "server does not support fixed newstyle negotiation");
         }
         expectNext(Phase.OPTION, OPTION_HEAD_BYTES);
         ctx.fireChannelRead(flags);
@@ -137,7 +138,12 @@
         int length = segment.readInt();
         segment.release();
         if (!hasValidMagic || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
-            throw new MalformedMessageException("malformed option reply");
+            throw new MalformedMessageException(
+                    "malformed reply to option "
+                            + option.option()
+                            + " with "
+                            + Integer.toUnsignedString(length)
+                            + " bytes");
         }
         expectNext(Phase.OPTION_DATA, length);
     }
@@ -151,7 +157,7 @@
             expectNext(Phase.CHUNK, CHUNK_HEAD_BYTES);
         } else {
             throw new MalformedMessageException(
-                    "reply starts with 0x" + Integer.toHexString(magic));
+                    "unknown reply magic 0x" + Integer.toHexString(magic));
         }
     }
 
@@ -175,7 +181,10 @@
         segment.release();
         if (length < 0 || length > MAX_CHUNK_BYTES || dataLengths.dataLength(cookie) < 0) {
             throw new MalformedMessageException(
-                    "chunk of " + Integer.toUnsignedString(length) + " bytes for cookie " + cookie);
+                    "invalid chunk of "
+                            + Integer.toUnsignedString(length)
+                            + " bytes for cookie "
+                            + cookie);
         }
         boolean done = (flags & NbdConstants.CHUNK_DONE) != 0;
         chunk = new Chunk(done, type, cookie, -1, 0, "", null);
@@ -189,7 +198,7 @@
             int length = data.readableBytes();
             data.release();
             throw new MalformedMessageException(
-                    "chunk of type " + type + " with " + length + " bytes");
+                    "invalid chunk of type " + type + " with " + length + " bytes");
         }
         if (isError(type)) {
             return parseError(data);
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -118,11 +118,12 @@
         long length = segment.readUnsignedInt();
         segment.release();
         if (magic != NbdConstants.IHAVEOPT) {
-            throw new MalformedMessageException("option starts with 0x" + Long.toHexString(magic));
+            throw new MalformedMessageException(
+                    "unknown option magic 0x" + Long.toHexString(magic));
         }
         if (length > MAX_SKIPPED_OPTION_BYTES) {
             throw new MalformedMessageException(
-                    "option of " + length + " bytes, at most " + MAX_SKIPPED_OPTION_BYTES);
+                    "option of " + length + " bytes, expected at most " + MAX_SKIPPED_OPTION_BYTES);
         }
         if (length > MAX_OPTION_BYTES) {
             phase = Phase.SKIPPED_OPTION_DATA;
@@ -144,7 +145,7 @@
         segment.release();
         if (magic != NbdConstants.REQUEST_MAGIC) {
             throw new MalformedMessageException(
-                    "request starts with 0x" + Integer.toHexString(magic));
+                    "unknown request magic 0x" + Integer.toHexString(magic));
         }
         long bytes = Integer.toUnsignedLong(length);
         request = new NbdRequest(flags, command, cookie, offset, length, Unpooled.EMPTY_BUFFER, 0);
@@ -153,7 +154,7 @@
             // The payload is read if it is at most four times the limit.
             if (bytes > 4L * maxBlockSize) {
                 throw new MalformedMessageException(
-                        "write of " + bytes + " bytes, at most " + maxBlockSize);
+                        "write of " + bytes + " bytes, expected at most " + maxBlockSize);
             }
             phase = Phase.SKIPPED_PAYLOAD;
             skip(bytes);
--- a/src/main/java/sagepulley/config/IniReader.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -28,7 +28,7 @@
         file = path.toString();
         try {
             if (Files.size(path) > MAX_FILE_BYTES) {
-                throw new SiteConfigException(file + ": is longer than 1 MiB");
+                throw new SiteConfigException(file + ": file is larger than 1 MiB");
             }
         } catch (IOException e) {
             throw new SiteConfigException(file + ": cannot be read: " + e);
@@ -51,7 +51,7 @@
         try {
             ini.read(reader);
         } catch (ConfigurationException | IOException | RuntimeException e) {
-            throw new SiteConfigException(file + ": is no INI file: " + e.getMessage());
+            throw new SiteConfigException(file + ": not a valid INI file: " + e.getMessage());
         }
         for (String name : ini.getSections()) {
             Map<String, String> values = values(name, ini.getSection(name));
@@ -60,7 +60,7 @@
                 continue;
             }
             for (String key : values.keySet()) {
-                errors.add(file + ": " + key + ": stands before the first section");
+                errors.add(file + ": " + key + ": key before the first section");
             }
         }
     }
@@ -77,9 +77,7 @@
                                 addError(
                                         name,
                                         unescapedKey,
-                                        "stands there "
-                                                + keyValues.size()
-                                                + " times, once is allowed");
+                                        "occurs " + keyValues.size() + " times, expected once");
                             }
                             values.put(unescapedKey, String.valueOf(keyValues.get(0)).trim());
                         });
@@ -126,7 +124,7 @@
                 (section, values) -> {
                     if (!allowedPrefixes.contains(section.split(" ")[0])) {
                         errors.add(
-                                "%s: [%s]: is not known, allowed are %s"
+                                "%s: [%s]: unknown section, expected one of %s"
                                         .formatted(
                                                 file,
                                                 section,
@@ -139,7 +137,7 @@
                     }
                     for (String key : values.keySet()) {
                         if (!keysRead.contains(section + "\n" + key)) {
-                            addError(section, key, "is not known");
+                            addError(section, key, "unknown key");
                         }
                     }
                 });
--- a/src/main/java/sagepulley/config/IniSection.java
+++ b/src/main/java/sagepulley/config/IniSection.java
@@ -67,7 +67,7 @@
         if (!text.isEmpty() || has(key)) {
             addError(
                     key,
-                    "is '%s', allowed is a number from %s to %s"
+                    "is '%s', expected a number from %s to %s"
                             .formatted(text, format(min), format(max)));
         }
         return min;
@@ -78,7 +78,7 @@
         Double defaultNumber = defaultValue == null ? null : (double) defaultValue;
         double value = number(key, defaultNumber, min, max);
         if (value != Math.rint(value)) {
-            addError(key, "is '" + format(value) + "', allowed is a whole number");
+            addError(key, "is '" + format(value) + "', expected an integer");
         }
         return (int) value;
     }
@@ -110,7 +110,7 @@
         }
         addError(
                 key,
-                "is '%s', allowed is a number with one of %s, from %s to %s %s"
+                "is '%s', expected a number with one of the units %s, from %s to %s %s"
                         .formatted(
                                 text,
                                 String.join(", ", units.keySet()),
@@ -143,7 +143,7 @@
     boolean flag(String key, boolean defaultValue) {
         String text = text(key, defaultValue ? "yes" : "no");
         if (!text.equals("yes") && !text.equals("no")) {
-            addError(key, "is '" + text + "', allowed is yes or no");
+            addError(key, "is '" + text + "', expected yes or no");
         }
         return text.equals("yes");
     }
@@ -153,7 +153,7 @@
         String text = text(key, defaultText);
         int index = allowed.indexOf(text);
         if (index < 0 && !(text.isEmpty() && defaultText == null)) {
-            addError(key, "is '" + text + "', allowed is one of " + String.join(", ", allowed));
+            addError(key, "is '" + text + "', expected one of " + String.join(", ", allowed));
         }
         return Math.max(0, index);
     }
--- a/src/main/java/sagepulley/config/SiteConfigReader.java
+++ b/src/main/java/sagepulley/config/SiteConfigReader.java
@@ -52,19 +52,18 @@
         int extentBytes = (int) site.bytes("extent", "1 MiB", PAGE_BYTES, 16 << 20);
         int unitBytes = (int) site.bytes("unit", "128 KiB", SECTOR_BYTES, 16 << 20);
         if (extentBytes % PAGE_BYTES != 0) {
-            site.addError("extent", "is " + extentBytes + " bytes, allowed is a multiple of 4 KiB");
+            site.addError("extent", "is " + extentBytes + " bytes, expected a multiple of 4 KiB");
         }
         readClassesAndPlans();
         List<VolumeSettings> volumes = volumes();
         long maxClientBytes = gateway.bytes("client-bytes", "64 MiB", 1 << 20, 1L << 40);
         int maxRequestBytes = (int) gateway.bytes("most-request", "32 MiB", PAGE_BYTES, 32 << 20);
         if (maxRequestBytes + PAGE_BYTES > maxClientBytes) {
-            gateway.addError(
-                    "client-bytes", "must hold one request of most-request and 4 KiB more");
+            gateway.addError("client-bytes", "must be at least most-request plus 4 KiB");
         }
         long maxTotalBytes = gateway.bytes("all-bytes", "512 MiB", 1 << 20, 1L << 40);
         if (maxTotalBytes < maxClientBytes) {
-            gateway.addError("all-bytes", "is less than client-bytes");
+            gateway.addError("all-bytes", "must be at least client-bytes");
         }
         SiteConfig config =
                 new SiteConfig(
@@ -99,10 +98,10 @@
             plans.add(plan(name));
         }
         if (trafficClasses.isEmpty()) {
-            ini.addError("band NAME", "", "at least one such section is needed");
+            ini.addError("band NAME", "", "at least one such section is required");
         }
         if (plans.isEmpty()) {
-            ini.addError("plan NAME", "", "at least one such section is needed");
+            ini.addError("plan NAME", "", "at least one such section is required");
         }
     }
 
@@ -160,7 +159,8 @@
             volumes.add(volume);
             if (!ids.add(volume.id())) {
                 ini.section("volume " + name)
-                        .addError("id", "is " + volume.id() + ", which another volume has");
+                        .addError(
+                                "id", "is " + volume.id() + ", which another volume already uses");
             }
         }
         return volumes;
@@ -172,14 +172,14 @@
         List<String> planNames = plans.stream().map(TenantPlan::name).toList();
         long sizeBytes = section.bytes("size", null, SECTOR_BYTES, 1L << 50);
         if (sizeBytes % SECTOR_BYTES != 0) {
-            section.addError("size", "is " + sizeBytes + " bytes, allowed is a multiple of 512");
+            section.addError("size", "is " + sizeBytes + " bytes, expected a multiple of 512");
         }
         int readClass = section.choice("read-band", null, classNames);
         int writeClass = section.choice("write-band", null, classNames);
         if (writeClass < trafficClasses.size()
                 && !trafficClasses.get(writeClass).writes()
                 && section.has("write-band")) {
-            section.addError("write-band", "is a band without 'writes = yes'");
+            section.addError("write-band", "names a band without 'writes = yes'");
         }
         String bulkDefault = section.text("read-band", "");
         return new VolumeSettings(
@@ -258,7 +258,7 @@
         IniSection section = ini.section("traces");
         String otlp = section.text("otlp", "");
         if (!otlp.isEmpty() && !otlp.matches("https?://[^\\s]+")) {
-            section.addError("otlp", "is '" + otlp + "', allowed is http://host:port/v1/traces");
+            section.addError("otlp", "is '" + otlp + "', expected http://host:port/v1/traces");
         }
         return new TracingSettings(
                 path(section, "file"),
@@ -284,7 +284,7 @@
                 ini.addError(
                         "node " + name,
                         "",
-                        "allowed is a section [node N] with the node's number, from 1");
+                        "expected a section [node N] with the node's number, from 1");
             }
         }
         return new MembershipSettings(
@@ -310,7 +310,7 @@
         try {
             return text.isEmpty() ? null : Path.of(text);
         } catch (InvalidPathException e) {
-            section.addError(key, "is '" + text + "', which can be no path");
+            section.addError(key, "is '" + text + "', which is not a valid path");
             return null;
         }
     }
@@ -319,7 +319,7 @@
         String text = section.text(key, defaultText);
         HostPort address = HostPort.read(text);
         if (address == null && !text.isEmpty()) {
-            section.addError(key, "is '" + text + "', allowed is host:port");
+            section.addError(key, "is '" + text + "', expected host:port");
         }
         return address;
     }
--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -79,7 +79,8 @@
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MAX_FILE_BYTES) {
-                throw new ConfigException(file + ": over " + MAX_FILE_BYTES + " bytes");
+                throw new ConfigException(
+                        file + ": file is larger than " + MAX_FILE_BYTES + " bytes");
             }
             return Files.readAllBytes(path);
         } catch (NoSuchFileException | InvalidPathException failure) {
@@ -191,7 +192,7 @@
         String text = text(file, key, defaultValue);
         InetSocketAddress address = AddressParser.parse(text);
         if (address == null) {
-            throw new ConfigException(key + "=" + text + " is no numeric HOST:PORT");
+            throw new ConfigException(key + "=" + text + " is not a numeric HOST:PORT");
         }
         return address;
     }
@@ -207,13 +208,7 @@
             throws ConfigException {
         if (!(limits.get(key) instanceof Number number) || !(number.doubleValue() >= min)) {
             throw new ConfigException(
-                    "limits."
-                            + key
-                            + "="
-                            + limits.get(key)
-                            + ", at least "
-                            + (int) min
-                            + " are needed");
+                    "limits." + key + "=" + limits.get(key) + ", expected at least " + (int) min);
         }
         return number.doubleValue();
     }
@@ -225,7 +220,8 @@
         if (value instanceof Number number) {
             return number.longValue();
         }
-        throw new ConfigException("seed=" + value + " is no hex number of up to 16 digits");
+        throw new ConfigException(
+                "seed=" + value + ", expected a hexadecimal number of up to 16 digits");
     }
 
     private static List<String> strings(Object value) {
--- a/src/main/java/sagepulley/config/settings/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -51,7 +51,7 @@
         double index = count("me");
         if (index < 0 || index >= gateways) {
             throw new InvalidSettingException(
-                    "me=" + (int) index + " does not lie below balancers=" + (int) gateways);
+                    "me=" + (int) index + ", expected a value below balancers=" + (int) gateways);
         }
         boolean mustPoll = optionalText("discovery", "automatic").equals("subscribe");
         return new Deployment(
@@ -250,6 +250,6 @@
     }
 
     private InvalidSettingException invalid(String path) {
-        return new InvalidSettingException(path + "=" + pairs.get(path) + " cannot be read");
+        return new InvalidSettingException(path + "=" + pairs.get(path) + " is not a valid value");
     }
 }
--- a/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -125,7 +125,7 @@
                     int[] cells = DirectoryMessages.holders(frame);
                     if (cells.length != count) {
                         throw new MalformedMessageException(
-                                "holders of " + cells.length + " extents, asked " + count);
+                                "holders of " + cells.length + " extents, expected " + count);
                     }
                     result.accept(cells, null);
                 });
@@ -191,7 +191,7 @@
     private void call(long id, Frame frame, AnswerReader reader) {
         if (calls.size() >= MAX_PENDING_CALLS) {
             frame.release();
-            fail(reader, "too many calls are out");
+            fail(reader, "too many pending calls");
             return;
         }
         // Bounds the wait for a directory that accepts calls and does not answer.
@@ -217,7 +217,7 @@
         ResultHandler<Frame> call = calls.remove(id);
         if (call != null) {
             timedOut.add(id);
-            call.accept(null, "no answer in " + CALL_TIMEOUT_MILLIS + " ms");
+            call.accept(null, "no answer within " + CALL_TIMEOUT_MILLIS + " ms");
         }
     }
 
@@ -234,7 +234,7 @@
         try {
             reader.accept(null, reason);
         } catch (MalformedMessageException unexpected) {
-            throw new IllegalStateException("a failed call has no answer to read", unexpected);
+            throw new IllegalStateException("reader failed without an answer", unexpected);
         }
     }
 
@@ -305,7 +305,7 @@
             }
             if (call == null) {
                 throw new MalformedMessageException(
-                        "an answer to call " + frame.id() + ", which is not out");
+                        "answer to call " + frame.id() + ", which is not pending");
             }
             switch (frame.type()) {
                 case DirectoryMessages.FAILED ->
@@ -314,7 +314,7 @@
                         call.accept(frame, null);
                 default ->
                         throw new MalformedMessageException(
-                                "message " + frame.type() + " from the directory");
+                                "unexpected message type " + frame.type() + " from the directory");
             }
         }
 
--- a/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryMessages.java
@@ -122,14 +122,17 @@
         int count = head.readInt();
         if (count < 0 || count > MAX_ENDPOINTS) {
             throw new MalformedMessageException(
-                    "a list of " + Integer.toUnsignedString(count) + " lines");
+                    "endpoint list of "
+                            + Integer.toUnsignedString(count)
+                            + " lines, expected at most "
+                            + MAX_ENDPOINTS);
         }
         List<EndpointLine> lines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             lines.add(line(head));
         }
         if (head.readableBytes() < 8) {
-            throw new MalformedMessageException("a list is cut off");
+            throw new MalformedMessageException("truncated endpoint list");
         }
         return new EndpointList(
                 frame.id(), version, complete, lines, head.readLong(), FrameFields.string(head));
@@ -145,7 +148,7 @@
     /** Decodes one entry of the endpoint list. */
     public static EndpointLine line(ByteBuf from) throws MalformedMessageException {
         if (from.readableBytes() < 27) {
-            throw new MalformedMessageException("a line is cut off");
+            throw new MalformedMessageException("truncated endpoint line");
         }
         int node = from.readInt();
         int cell = from.readInt();
@@ -156,7 +159,8 @@
         float weight = from.readFloat();
         int port = from.readUnsignedShort();
         if (phase >= Phase.values().length || cell < 0) {
-            throw new MalformedMessageException("a line that cannot be read");
+            throw new MalformedMessageException(
+                    "invalid endpoint line with phase " + phase + " and cell " + cell);
         }
         return new EndpointLine(
                 node,
@@ -209,7 +213,7 @@
         int count = head.readInt();
         if (count < 0 || count > MAX_LOOKUP_EXTENTS || head.readableBytes() < 4L * count) {
             throw new MalformedMessageException(
-                    "holders of " + Integer.toUnsignedString(count) + " extents");
+                    "invalid list of holders of " + Integer.toUnsignedString(count) + " extents");
         }
         int[] cells = new int[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sagepulley/upstream/frame/NodeConnection.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -157,7 +157,7 @@
             if (inFlight.size() > MAX_UNANSWERED_ATTEMPTS) {
                 LOG.atWarn()
                         .addKeyValue("node", nodeId)
-                        .log("too many attempts without an answer, connection closed");
+                        .log("too many unanswered attempts, connection closed");
                 close();
             }
         }
@@ -196,7 +196,7 @@
                         LOG.atInfo()
                                 .addKeyValue("node", nodeId)
                                 .addKeyValue("why", done.cause().getMessage())
-                                .log("no connection to node");
+                                .log("connection to node failed");
                         disconnected(connecting.channel());
                     }
                 });
@@ -298,7 +298,7 @@
                 case StoreMessages.DRAINING -> listener.draining();
                 default ->
                         throw new MalformedMessageException(
-                                "message of type " + frame.type() + " from a node");
+                                "unexpected message type " + frame.type() + " from node");
             }
         }
 
@@ -307,10 +307,10 @@
             boolean maySend = listener.handshakeCompleted(reply);
             if (reply.node() != nodeId) {
                 throw new MalformedMessageException(
-                        "node " + reply.node() + " answers where " + nodeId + " is listed");
+                        "handshake reply from node " + reply.node() + ", expected node " + nodeId);
             }
             if (ready) {
-                throw new MalformedMessageException("a second handshake reply");
+                throw new MalformedMessageException("duplicate handshake reply");
             }
             ready = true;
             if (!maySend) {
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -182,7 +182,7 @@
         int version = head.readUnsignedShort();
         if (version != VERSION) {
             throw new MalformedMessageException(
-                    "store protocol of version " + version + ", known is " + VERSION);
+                    "unsupported store protocol version " + version + ", expected " + VERSION);
         }
         return new Hello(head.readLong(), FrameFields.string(head));
     }
@@ -237,12 +237,12 @@
         ByteBuf head = FrameFields.requireHead(frame, 45);
         int kind = head.readUnsignedByte();
         if (kind >= Kind.values().length) {
-            throw new MalformedMessageException("operation of kind " + kind);
+            throw new MalformedMessageException("unknown operation kind " + kind);
         }
         int trafficClass = head.readUnsignedByte();
         int flags = head.readUnsignedByte();
         if (flags > 3) {
-            throw new MalformedMessageException("operation with unknown flags " + flags);
+            throw new MalformedMessageException("unknown operation flags " + flags);
         }
         Send send =
                 new Send(
@@ -265,7 +265,7 @@
                 || send.offset() + send.length() < 0
                 || payloadBytes != (send.kind() == Kind.WRITE ? send.length() : 0)
                 || !(send.units() >= 0 && send.units() < 1e9)) {
-            throw new MalformedMessageException("operation with figures that do not fit: " + send);
+            throw new MalformedMessageException("invalid operation: " + send);
         }
         return send;
     }
@@ -298,7 +298,11 @@
                 || !(otherGateways >= 0 && otherGateways < 1e9)
                 || !(queued >= 0 && service >= 0)) {
             throw new MalformedMessageException(
-                    "answer with code " + code + " and " + otherGateways + " units of others");
+                    "invalid answer with code "
+                            + code
+                            + " and "
+                            + otherGateways
+                            + " units of other gateways");
         }
         return new Answer(
                 Code.values()[code], usage, otherGateways, queued, service, loadReport(head));
@@ -322,7 +326,7 @@
     public static float[] loadReport(ByteBuf head) throws MalformedMessageException {
         int count = head.isReadable() ? head.readUnsignedByte() : -1;
         if (count < 0 || count > MAX_REPORT_VALUES || head.readableBytes() < 4 * count) {
-            throw new MalformedMessageException("a load report of " + count + " values");
+            throw new MalformedMessageException("invalid load report of " + count + " values");
         }
         float[] report = count == 0 ? Answer.NO_REPORT : new float[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sagepulley/upstream/frame/WriteTokens.java
+++ b/src/main/java/sagepulley/upstream/frame/WriteTokens.java
@@ -72,7 +72,7 @@
         WriteToken token = key == null ? null : tokens.get(key);
         if (token == null) {
             throw new MalformedMessageException(
-                    "write token for request " + requestId + ", which is not pending");
+                    "write token granted for request " + requestId + ", which is not pending");
         }
         token.granted = true;
         List<Long> attempts = new ArrayList<>(token.waitingAttempts);
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -28,13 +28,13 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "size = 64 MiB    | size = 64 parsecs | demo.ini: [volume demo] size: is '64 parsecs', allowed is a number",
-                "number = 1       | number = 3        | demo.ini: [gateway] number: is '3', allowed is a number from 0 to 2",
-                "zone = hall-a    | zone = hall-z     | demo.ini: [gateway] zone: is 'hall-z', allowed is one of hall-a",
-                "plan = reserved  | plan = gold       | demo.ini: [volume demo] plan: is 'gold', allowed is one of plain",
+                "size = 64 MiB    | size = 64 parsecs | demo.ini: [volume demo] size: is '64 parsecs', expected a number",
+                "number = 1       | number = 3        | demo.ini: [gateway] number: is '3', expected a number from 0 to 2",
+                "zone = hall-a    | zone = hall-z     | demo.ini: [gateway] zone: is 'hall-z', expected one of hall-a",
+                "plan = reserved  | plan = gold       | demo.ini: [volume demo] plan: is 'gold', expected one of plain",
                 "target = 800 ms  | target = 9 s      | demo.ini: [band write] patience: is shorter than the target",
-                "writes = yes     | wirtes = yes      | demo.ini: [band write] wirtes: is not known",
-                "[rules]          | [rule]            | demo.ini: [rule]: is not known, allowed are accounts",
+                "writes = yes     | wirtes = yes      | demo.ini: [band write] wirtes: unknown key",
+                "[rules]          | [rule]            | demo.ini: [rule]: unknown section, expected one of accounts",
                 "rate = 2000      | rate = nan        | demo.ini: [plan plain] rate: is 'nan'",
                 "id = 1           | ; none            | demo.ini: [volume demo] id: is missing",
                 "fall-multiple = 2 | budget-window = 1 s | demo.ini: [rules] budget-free: is missing",
@@ -64,7 +64,7 @@
                 2,
                 error.getMessage()
                         .lines()
-                        .filter(line -> line.contains("allowed is a number"))
+                        .filter(line -> line.contains("expected a number"))
                         .count());
     }
 }
