--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -147,9 +147,8 @@
                             bytes(
                                     StoreMessages.writeToken(
                                             StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
-            // handshake reply (49 bytes) and granted write token (40 bytes)
-
             DataInputStream in = new DataInputStream(staleConnection.getInputStream());
+            // handshake reply (49 bytes) and granted write token (40 bytes)
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
             Peer b = peer(2, 3);
             b.write(1, 2);
@@ -162,9 +161,8 @@
                             bytes(
                                     StoreMessages.send(
                                             8, send, Unpooled.wrappedBuffer(new byte[512]))));
-            in.readFully(new byte[24 + 12 + 4]);
             // revoked write token
-
+            in.readFully(new byte[24 + 12 + 4]);
             byte[] answer = new byte[25];
             in.readFully(answer);
             assertEquals(StoreMessages.ANSWER, answer[3]);
