--- a/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
+++ b/src/main/java/sagepulley/codec/frame/EventLoopTimer.java
@@ -5,9 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
-/**
- * Runs one task at the earliest of the times that were requested, once. Confined to its event loop.
- */
+/** Runs a task once at the earliest of the requested times. Confined to its event loop. */
 public final class EventLoopTimer {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long MIN_DELAY_NANOS = 1000;
@@ -16,25 +14,28 @@
     private final DoubleSupplier clock;
     private final Runnable task;
     private ScheduledFuture<?> scheduled;
-    private double scheduledAt;
+    private double dueTime;
 
-    /** A timer by a clock in milliseconds. */
+    /** Creates a timer whose clock returns milliseconds. */
     public EventLoopTimer(EventLoop loop, DoubleSupplier clock, Runnable task) {
         this.loop = loop;
         this.clock = clock;
         this.task = task;
     }
 
-    /** Runs the task at this time at the latest; an infinite time changes nothing. */
+    /**
+     * Schedules the task to run at the given time at the latest. Has no effect if the time is
+     * infinite or the task is already scheduled for that time or earlier.
+     */
     public void scheduleBy(double time) {
-        if ((scheduled != null && time >= scheduledAt) || time == Double.POSITIVE_INFINITY) {
+        if ((scheduled != null && time >= dueTime) || time == Double.POSITIVE_INFINITY) {
             return;
         }
         if (scheduled != null) {
             scheduled.cancel(false);
         }
-        scheduledAt = time;
-        long wait =
+        dueTime = time;
+        long delayNanos =
                 Math.max(
                         MIN_DELAY_NANOS,
                         (long) Math.ceil((time - clock.getAsDouble()) * NANOS_PER_MILLI));
@@ -44,11 +45,11 @@
                             scheduled = null;
                             task.run();
                         },
-                        wait,
+                        delayNanos,
                         TimeUnit.NANOSECONDS);
     }
 
-    /** Forgets the time that was requested. */
+    /** Cancels the scheduled run, if any. */
     public void cancel() {
         if (scheduled != null) {
             scheduled.cancel(false);
--- a/src/main/java/sagepulley/codec/frame/FrameDecoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameDecoder.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
-/** Reads frames; a frame that is malformed, too long or fails its checksum ends the connection. */
+/** Decodes frames. A frame that is malformed, too long or fails a checksum ends the connection. */
 public final class FrameDecoder extends SegmentDecoder {
     private final int maxPayloadBytes;
     private final Crc32c crc = new Crc32c();
@@ -13,10 +13,10 @@
     private int headLength;
     private int payloadLength;
 
-    /** Takes payloads of up to so many bytes. */
+    /** Creates a decoder that accepts payloads of up to {@code maxPayloadBytes}. */
     public FrameDecoder(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
-        expect(Frame.PREFIX);
+        expect(Frame.PREFIX_BYTES);
     }
 
     @Override
@@ -24,7 +24,7 @@
             throws MalformedMessageException {
         if (inBody) {
             inBody = false;
-            expect(Frame.PREFIX);
+            expect(Frame.PREFIX_BYTES);
             readBody(ctx, segment);
         } else {
             try {
@@ -39,18 +39,18 @@
         int magic = segment.getUnsignedShort(0);
         if (magic != Frame.MAGIC) {
             throw new MalformedMessageException(
-                    "frame starts with 0x" + Integer.toHexString(magic));
+                    "unknown frame magic 0x" + Integer.toHexString(magic));
         }
         if (segment.getByte(2) != Frame.VERSION) {
             throw new MalformedMessageException(
-                    "frame of version "
+                    "unsupported frame version "
                             + segment.getUnsignedByte(2)
-                            + ", known is "
+                            + ", expected "
                             + Frame.VERSION);
         }
-        if (crc.start().add(segment, segment.readerIndex(), Frame.PREFIX - 4).value()
+        if (crc.start().add(segment, segment.readerIndex(), Frame.PREFIX_BYTES - 4).value()
                 != segment.getInt(20)) {
-            throw new MalformedMessageException("frame prefix fails its checksum");
+            throw new MalformedMessageException("frame prefix checksum mismatch");
         }
         type = segment.getUnsignedByte(3);
         headLength = segment.getInt(4);
@@ -60,18 +60,18 @@
             throw new MalformedMessageException(
                     "frame head of "
                             + Integer.toUnsignedString(headLength)
-                            + " bytes, at most "
+                            + " bytes, expected at most "
                             + Frame.MAX_HEAD_BYTES);
         }
         if (payloadLength < 0 || payloadLength > maxPayloadBytes) {
             throw new MalformedMessageException(
                     "frame payload of "
                             + Integer.toUnsignedString(payloadLength)
-                            + " bytes, at most "
+                            + " bytes, expected at most "
                             + maxPayloadBytes);
         }
         inBody = true;
-        expect(headLength + payloadLength + Frame.SUFFIX);
+        expect(headLength + payloadLength + Frame.SUFFIX_BYTES);
     }
 
     private void readBody(ChannelHandlerContext ctx, ByteBuf segment)
@@ -80,7 +80,7 @@
         int start = segment.readerIndex();
         if (crc.start().add(segment, start, length).value() != segment.getInt(start + length)) {
             segment.release();
-            throw new MalformedMessageException("frame fails its checksum");
+            throw new MalformedMessageException("frame checksum mismatch");
         }
         ByteBuf head = segment.readRetainedSlice(headLength);
         ByteBuf payload = segment.readRetainedSlice(payloadLength);
--- a/src/main/java/sagepulley/codec/nbd/NbdClient.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClient.java
@@ -21,14 +21,14 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * A client's connection to one export: fixed newstyle, structured replies and base:allocation where
- * the server has them. Requests may be sent from any thread; each ends exactly once, on the
- * connection's event loop.
+ * A client connection to one export. Uses fixed newstyle negotiation, and structured replies and
+ * base:allocation if the server supports them. Requests may be sent from any thread; each ends
+ * exactly once, on the connection's event loop.
  */
 public final class NbdClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 5_000;
 
-    /** How an export is opened. */
+    /** The negotiation used to open an export. */
     public enum Style {
         /** NBD_OPT_GO, with structured replies and base:allocation if the server has them. */
         GO,
@@ -38,7 +38,7 @@
         EXPORT_NAME
     }
 
-    /** Receives the reply, which it owns, or null with the reason why there is none. */
+    /** Receives the reply, which it owns, or null and the cause of the failure. */
     public interface ReplyHandler extends BiConsumer<NbdReply, Throwable> {}
 
     private record PendingRequest(int dataLength, NbdReply reply, ReplyHandler handler) {}
@@ -57,17 +57,20 @@
         this.channel = channel;
     }
 
-    /** Opens an export; fails with what the server answered, or with the connection. */
+    /**
+     * Connects and opens an export. The future fails with the server's error reply or the
+     * connection error.
+     */
     public static CompletableFuture<NbdClient> open(
             EventLoopGroup loops,
-            Class<? extends Channel> kind,
+            Class<? extends Channel> channelType,
             SocketAddress server,
             String export,
             Style style) {
         CompletableFuture<NbdClient> opened = new CompletableFuture<>();
         new Bootstrap()
                 .group(loops)
-                .channel(kind)
+                .channel(channelType)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(
@@ -92,42 +95,42 @@
         return opened;
     }
 
-    /** The size of the export in bytes. */
+    /** Returns the size of the export in bytes. */
     public long size() {
         return size;
     }
 
-    /** The transmission flags. */
+    /** Returns the transmission flags. */
     public int flags() {
         return flags;
     }
 
-    /** Minimum block size in bytes ('Block size constraints'). */
+    /** Returns the minimum block size in bytes ('Block size constraints'). */
     public int minBlockSize() {
         return minBlockSize;
     }
 
-    /** Maximum block size in bytes ('Block size constraints'). */
+    /** Returns the maximum block size in bytes ('Block size constraints'). */
     public int maxBlockSize() {
         return maxBlockSize;
     }
 
-    /** Whether the metadata context base:allocation was chosen. */
+    /** Returns whether the metadata context base:allocation was selected. */
     public boolean hasBaseAllocation() {
         return baseAllocation;
     }
 
-    /** The connection. */
+    /** Returns the channel of the connection. */
     public Channel channel() {
         return channel;
     }
 
-    /** Done once the connection has ended, for whatever reason. */
+    /** Returns a future that completes when the connection has ended for any reason. */
     public CompletableFuture<Void> closed() {
         return closed;
     }
 
-    /** Sends a request; the payload (for writes) changes hands. */
+    /** Sends a request and takes ownership of its payload, which is empty except for writes. */
     public void request(
             int command,
             int commandFlags,
@@ -151,7 +154,7 @@
         }
     }
 
-    /** Sends a request; the future completes with the reply, which its receiver owns. */
+    /** Sends a request; the future completes with the reply, which the receiver owns. */
     public CompletableFuture<NbdReply> request(
             int command, int commandFlags, long offset, int length, ByteBuf payload) {
         CompletableFuture<NbdReply> future = new CompletableFuture<>();
@@ -171,23 +174,23 @@
         return future;
     }
 
-    /** Reads bytes. */
+    /** Sends a read request. */
     public CompletableFuture<NbdReply> read(long offset, int length) {
         return request(NbdConstants.CMD_READ, 0, offset, length, Unpooled.EMPTY_BUFFER);
     }
 
-    /** Writes bytes. */
+    /** Sends a write request. */
     public CompletableFuture<NbdReply> write(long offset, byte[] data) {
         return request(
                 NbdConstants.CMD_WRITE, 0, offset, data.length, Unpooled.wrappedBuffer(data));
     }
 
-    /** Says goodbye (NBD_CMD_DISC) and closes; what is still out gets no reply. */
+    /** Sends NBD_CMD_DISC and closes the connection; pending requests fail. */
     public CompletableFuture<Void> disconnect() {
         channel.eventLoop()
                 .execute(
                         () -> {
-                            channel.writeAndFlush(request(NbdConstants.CMD_DISC, 0, 0, 0, 0))
+                            channel.writeAndFlush(requestHead(NbdConstants.CMD_DISC, 0, 0, 0, 0))
                                     .addListener(done -> channel.close());
                         });
         return closed;
@@ -202,7 +205,7 @@
             ReplyHandler handler) {
         if (!channel.isActive()) {
             payload.release();
-            handler.accept(null, new IOException("the connection has ended"));
+            handler.accept(null, new IOException("connection closed"));
             return;
         }
         long cookie = ++lastCookie;
@@ -210,11 +213,12 @@
                 cookie,
                 new PendingRequest(
                         command == NbdConstants.CMD_READ ? length : 0, new NbdReply(), handler));
-        channel.write(request(command, commandFlags, cookie, offset, length));
+        channel.write(requestHead(command, commandFlags, cookie, offset, length));
         channel.writeAndFlush(payload);
     }
 
-    private ByteBuf request(int command, int commandFlags, long cookie, long offset, int length) {
+    private ByteBuf requestHead(
+            int command, int commandFlags, long cookie, long offset, int length) {
         return channel.alloc()
                 .ioBuffer(28)
                 .writeInt(NbdConstants.REQUEST_MAGIC)
@@ -230,7 +234,7 @@
         return request == null ? -1 : request.dataLength();
     }
 
-    /** Negotiates, then matches replies to the pending requests. */
+    /** Negotiates the export, then matches replies to pending requests. */
     private final class Handler extends ChannelInboundHandlerAdapter {
         private final NbdClientDecoder decoder;
         private final String export;
@@ -256,7 +260,7 @@
                 simpleReplyReceived(simple);
             } else if (message instanceof NbdClientDecoder.OptionReply reply) {
                 try {
-                    optionReply(ctx, reply);
+                    optionReplyReceived(ctx, reply);
                 } finally {
                     reply.data().release();
                 }
@@ -292,7 +296,8 @@
             request.handler().accept(request.reply(), null);
         }
 
-        private void optionReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
+        private void optionReplyReceived(
+                ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
                 throws MalformedMessageException {
             boolean failed = reply.type() < 0;
             switch (reply.option()) {
@@ -315,38 +320,42 @@
                         OptionWriter.go(ctx, export);
                     }
                 }
-                case NbdConstants.OPT_GO -> goReply(ctx, reply);
-                default -> throw new MalformedMessageException("reply to option " + reply.option());
+                case NbdConstants.OPT_GO -> goReplyReceived(ctx, reply);
+                default ->
+                        throw new MalformedMessageException(
+                                "unexpected reply to option " + reply.option());
             }
         }
 
-        private void goReply(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
+        private void goReplyReceived(ChannelHandlerContext ctx, NbdClientDecoder.OptionReply reply)
                 throws MalformedMessageException {
             if (reply.type() < 0) {
-                String why = reply.data().toString(StandardCharsets.UTF_8);
-                opened.completeExceptionally(new IOException("the server refuses: " + why));
+                String reason = reply.data().toString(StandardCharsets.UTF_8);
+                opened.completeExceptionally(
+                        new IOException("server rejected the export: " + reason));
                 ctx.close();
             } else if (reply.type() == NbdConstants.REP_INFO) {
-                info(reply.data());
+                exportInfoReceived(reply.data());
             } else {
                 decoder.startTransmission();
                 opened.complete(NbdClient.this);
             }
         }
 
-        private void info(ByteBuf data) throws MalformedMessageException {
-            int kind = data.readableBytes() < 2 ? -1 : data.readUnsignedShort();
-            if (kind == NbdConstants.INFO_EXPORT && data.readableBytes() == 10) {
+        private void exportInfoReceived(ByteBuf data) throws MalformedMessageException {
+            int infoType = data.readableBytes() < 2 ? -1 : data.readUnsignedShort();
+            if (infoType == NbdConstants.INFO_EXPORT && data.readableBytes() == 10) {
                 size = data.readLong();
                 flags = data.readUnsignedShort();
-            } else if (kind == NbdConstants.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
+            } else if (infoType == NbdConstants.INFO_BLOCK_SIZE && data.readableBytes() == 12) {
                 minBlockSize = data.readInt();
                 data.readInt();
                 maxBlockSize = data.readInt();
-            } else if (kind == -1
-                    || kind == NbdConstants.INFO_EXPORT
-                    || kind == NbdConstants.INFO_BLOCK_SIZE) {
-                throw new MalformedMessageException("malformed information");
+            } else if (infoType == -1
+                    || infoType == NbdConstants.INFO_EXPORT
+                    || infoType == NbdConstants.INFO_BLOCK_SIZE) {
+                throw new MalformedMessageException(
+                        "malformed export information of type " + infoType);
             }
         }
 
@@ -361,7 +370,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail(new IOException("the connection has ended"));
+            fail(new IOException("connection closed"));
         }
 
         @Override
@@ -372,9 +381,9 @@
 
         private void fail(Throwable cause) {
             opened.completeExceptionally(cause);
-            List<PendingRequest> lost = new ArrayList<>(pending.values());
+            List<PendingRequest> unanswered = new ArrayList<>(pending.values());
             pending.clear();
-            for (PendingRequest request : lost) {
+            for (PendingRequest request : unanswered) {
                 request.reply().release();
                 request.handler().accept(null, cause);
             }
--- a/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdClientDecoder.java
@@ -7,8 +7,8 @@
 import sagepulley.codec.frame.SegmentDecoder;
 
 /**
- * Decodes what a server sends. Each message passes on the pipeline with the ownership of its data;
- * bytes that are not the protocol end the connection.
+ * Decodes the messages of a server. The receiver of a message owns its data. Malformed bytes end
+ * the connection.
  */
 final class NbdClientDecoder extends SegmentDecoder {
     private static final int GREETING_BYTES = 18;
@@ -21,13 +21,13 @@
     private static final int MAX_OPTION_REPLY_BYTES = 64 << 10;
     private static final int MAX_CHUNK_BYTES = (64 << 20) + 64;
 
-    /** An answer to an option. */
+    /** A reply to an option. */
     record OptionReply(int option, int type, ByteBuf data) {}
 
     /** A simple reply. */
     record SimpleReply(long cookie, int error, ByteBuf data) {}
 
-    /** A chunk of a structured reply, checked for its shape. */
+    /** A chunk of a structured reply with a validated length. */
     record Chunk(
             boolean done,
             int type,
@@ -37,9 +37,12 @@
             String message,
             ByteBuf data) {}
 
-    /** Knows how much data follows a simple reply without error, or -1 for an unknown cookie. */
+    /** Provides the length of the data that follows a simple reply. */
     interface DataLengths {
-        /** Bytes. */
+        /**
+         * Returns the data length in bytes of a simple reply without an error, or -1 for an unknown
+         * cookie.
+         */
         int dataLength(long cookie);
     }
 
@@ -67,20 +70,20 @@
     }
 
     /**
-     * After NBD_OPT_EXPORT_NAME the server sends size and flags without a head, then zeroes unless
-     * both sides have set NBD_FLAG_NO_ZEROES.
+     * Expects the reply to NBD_OPT_EXPORT_NAME: size and flags without a head, followed by zero
+     * padding unless both sides have set NBD_FLAG_NO_ZEROES.
      */
     void expectExport(boolean zeroes) {
-        next(Phase.EXPORT, zeroes ? EXPORT_BYTES + EXPORT_ZERO_BYTES : EXPORT_BYTES);
+        expectNext(Phase.EXPORT, zeroes ? EXPORT_BYTES + EXPORT_ZERO_BYTES : EXPORT_BYTES);
     }
 
-    /** Replies come next. */
+    /** Expects replies of the transmission phase from now on. */
     void startTransmission() {
-        next(Phase.MAGIC, MAGIC_BYTES);
+        expectNext(Phase.MAGIC, MAGIC_BYTES);
     }
 
-    private void next(Phase what, int bytes) {
-        phase = what;
+    private void expectNext(Phase nextPhase, int bytes) {
+        phase = nextPhase;
         expect(bytes);
     }
 
@@ -88,10 +91,10 @@
     protected void segmentReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         switch (phase) {
-            case GREETING -> greeting(ctx, segment);
+            case GREETING -> greetingReceived(ctx, segment);
             case OPTION -> optionHead(segment);
             case OPTION_DATA -> {
-                next(Phase.OPTION, OPTION_HEAD_BYTES);
+                expectNext(Phase.OPTION, OPTION_HEAD_BYTES);
                 ctx.fireChannelRead(new OptionReply(option.option(), option.type(), segment));
             }
             case EXPORT -> {
@@ -114,41 +117,47 @@
         }
     }
 
-    private void greeting(ChannelHandlerContext ctx, ByteBuf segment)
+    private void greetingReceived(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
-        boolean known =
+        boolean hasValidMagic =
                 segment.readLong() == NbdConstants.NBDMAGIC
                         && segment.readLong() == NbdConstants.IHAVEOPT;
         int flags = segment.readUnsignedShort();
         segment.release();
-        if (!known || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
-            throw new MalformedMessageException("not a server of fixed newstyle");
+        if (!hasValidMagic || (flags & NbdConstants.FLAG_FIXED_NEWSTYLE) == 0) {
+            throw new MalformedMessageException(
+                    "server does not support fixed newstyle negotiation");
         }
-        next(Phase.OPTION, OPTION_HEAD_BYTES);
+        expectNext(Phase.OPTION, OPTION_HEAD_BYTES);
         ctx.fireChannelRead(flags);
     }
 
     private void optionHead(ByteBuf segment) throws MalformedMessageException {
-        boolean known = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
+        boolean hasValidMagic = segment.readLong() == NbdConstants.OPTION_REPLY_MAGIC;
         option = new OptionReply(segment.readInt(), segment.readInt(), null);
         int length = segment.readInt();
         segment.release();
-        if (!known || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
-            throw new MalformedMessageException("malformed option reply");
+        if (!hasValidMagic || length < 0 || length > MAX_OPTION_REPLY_BYTES) {
+            throw new MalformedMessageException(
+                    "malformed reply to option "
+                            + option.option()
+                            + " with "
+                            + Integer.toUnsignedString(length)
+                            + " bytes");
         }
-        next(Phase.OPTION_DATA, length);
+        expectNext(Phase.OPTION_DATA, length);
     }
 
     private void replyMagic(ByteBuf segment) throws MalformedMessageException {
         int magic = segment.readInt();
         segment.release();
         if (magic == NbdConstants.SIMPLE_REPLY_MAGIC) {
-            next(Phase.SIMPLE, SIMPLE_REPLY_BYTES);
+            expectNext(Phase.SIMPLE, SIMPLE_REPLY_BYTES);
         } else if (magic == NbdConstants.STRUCTURED_REPLY_MAGIC) {
-            next(Phase.CHUNK, CHUNK_HEAD_BYTES);
+            expectNext(Phase.CHUNK, CHUNK_HEAD_BYTES);
         } else {
             throw new MalformedMessageException(
-                    "reply starts with 0x" + Integer.toHexString(magic));
+                    "unknown reply magic 0x" + Integer.toHexString(magic));
         }
     }
 
@@ -161,7 +170,7 @@
             throw new MalformedMessageException("reply to unknown cookie " + cookie);
         }
         simple = new SimpleReply(cookie, error, null);
-        next(Phase.SIMPLE_DATA, error == 0 ? length : 0);
+        expectNext(Phase.SIMPLE_DATA, error == 0 ? length : 0);
     }
 
     private void chunkHead(ByteBuf segment) throws MalformedMessageException {
@@ -172,21 +181,24 @@
         segment.release();
         if (length < 0 || length > MAX_CHUNK_BYTES || dataLengths.dataLength(cookie) < 0) {
             throw new MalformedMessageException(
-                    "chunk of " + Integer.toUnsignedString(length) + " bytes for cookie " + cookie);
+                    "invalid chunk of "
+                            + Integer.toUnsignedString(length)
+                            + " bytes for cookie "
+                            + cookie);
         }
         boolean done = (flags & NbdConstants.CHUNK_DONE) != 0;
         chunk = new Chunk(done, type, cookie, -1, 0, "", null);
-        next(Phase.CHUNK_DATA, length);
+        expectNext(Phase.CHUNK_DATA, length);
     }
 
-    /** 'Structured reply types': the data of a chunk, whose head came before. */
+    /** Parses the data of the chunk whose head was read last ('Structured reply types'). */
     private Chunk parseChunk(ByteBuf data) throws MalformedMessageException {
         int type = chunk.type();
         if (!hasValidLength(type, data)) {
-            int size = data.readableBytes();
+            int length = data.readableBytes();
             data.release();
             throw new MalformedMessageException(
-                    "chunk of type " + type + " with " + size + " bytes");
+                    "invalid chunk of type " + type + " with " + length + " bytes");
         }
         if (isError(type)) {
             return parseError(data);
@@ -207,21 +219,21 @@
     }
 
     private static boolean hasValidLength(int type, ByteBuf data) {
-        int size = data.readableBytes();
+        int length = data.readableBytes();
         int minBytes = minBytes(type);
-        if (minBytes < 0 || size < minBytes) {
+        if (minBytes < 0 || length < minBytes) {
             return false;
         }
         if (isError(type)) {
             int messageBytes = data.getUnsignedShort(data.readerIndex() + 4);
-            return size == minBytes + messageBytes;
+            return length == minBytes + messageBytes;
         }
-        boolean variable =
+        boolean isVariableLength =
                 type == NbdConstants.CHUNK_OFFSET_DATA || type == NbdConstants.CHUNK_BLOCK_STATUS;
-        return variable || size == minBytes;
+        return isVariableLength || length == minBytes;
     }
 
-    /** The least bytes of a chunk's data; -1 for an unknown type. */
+    /** Returns the minimum length of a chunk's data, or -1 for an unknown type. */
     private static int minBytes(int type) {
         return switch (type) {
             case NbdConstants.CHUNK_NONE -> 0;
--- a/src/main/java/sagepulley/codec/nbd/NbdReplies.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdReplies.java
@@ -7,12 +7,12 @@
 
 /**
  * Writes replies of the transmission phase ('Simple reply message', 'Structured reply chunk
- * message') to a channel. Nothing is flushed here. Payloads change hands.
+ * message') to a channel without flushing. Takes ownership of payloads.
  */
 public final class NbdReplies {
     private NbdReplies() {}
 
-    /** A simple reply; the data is empty but for a read that went well. */
+    /** Writes a simple reply; the data is empty except for a successful read. */
     public static ChannelFuture simple(Channel channel, long cookie, int error, ByteBuf data) {
         ByteBuf head =
                 channel.alloc()
@@ -20,34 +20,34 @@
                         .writeInt(NbdConstants.SIMPLE_REPLY_MAGIC)
                         .writeInt(error)
                         .writeLong(cookie);
-        return withData(channel, head, data);
+        return writeWithData(channel, head, data);
     }
 
-    /** The last chunk of a request that went well. */
+    /** Writes the final chunk of a successful request. */
     public static ChannelFuture done(Channel channel, long cookie) {
         return channel.write(
-                chunk(channel, NbdConstants.CHUNK_DONE, NbdConstants.CHUNK_NONE, cookie, 0));
+                chunkHead(channel, NbdConstants.CHUNK_DONE, NbdConstants.CHUNK_NONE, cookie, 0));
     }
 
-    /** Data at an offset of the export. */
+    /** Writes a chunk of data at an offset of the export. */
     public static ChannelFuture data(
             Channel channel, long cookie, long offset, ByteBuf data, boolean last) {
         ByteBuf head =
-                chunk(
+                chunkHead(
                                 channel,
                                 last ? NbdConstants.CHUNK_DONE : 0,
                                 NbdConstants.CHUNK_OFFSET_DATA,
                                 cookie,
                                 8 + data.readableBytes())
                         .writeLong(offset);
-        return withData(channel, head, data);
+        return writeWithData(channel, head, data);
     }
 
-    /** So many bytes at an offset of the export that read as zeroes. */
+    /** Writes a chunk for a range of zeroes at an offset of the export. */
     public static ChannelFuture hole(
             Channel channel, long cookie, long offset, int length, boolean last) {
         return channel.write(
-                chunk(
+                chunkHead(
                                 channel,
                                 last ? NbdConstants.CHUNK_DONE : 0,
                                 NbdConstants.CHUNK_OFFSET_HOLE,
@@ -57,11 +57,15 @@
                         .writeInt(length));
     }
 
-    /** States of base:allocation; lengths and flags by turns. */
+    /**
+     * Writes the block status of base:allocation as alternating lengths and flags.
+     *
+     * @param count the number of elements of {@code lengthsAndFlags} to write
+     */
     public static ChannelFuture blockStatus(
             Channel channel, long cookie, int[] lengthsAndFlags, int count) {
         ByteBuf head =
-                chunk(
+                chunkHead(
                                 channel,
                                 NbdConstants.CHUNK_DONE,
                                 NbdConstants.CHUNK_BLOCK_STATUS,
@@ -74,26 +78,31 @@
         return channel.write(head);
     }
 
-    /** An error with its reason; with the offset where it occurred unless that is negative. */
+    /**
+     * Writes an error chunk with a message, and with the offset of the error unless it is negative.
+     */
     public static ChannelFuture error(
-            Channel channel, long cookie, int error, String why, long offset, boolean last) {
-        byte[] text = why.getBytes(StandardCharsets.UTF_8);
+            Channel channel, long cookie, int error, String message, long offset, boolean last) {
+        byte[] text = message.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(text.length, NbdConstants.MAX_STRING_BYTES);
-        boolean placed = offset >= 0;
+        boolean hasOffset = offset >= 0;
         ByteBuf head =
-                chunk(
+                chunkHead(
                                 channel,
                                 last ? NbdConstants.CHUNK_DONE : 0,
-                                placed ? NbdConstants.CHUNK_ERROR_OFFSET : NbdConstants.CHUNK_ERROR,
+                                hasOffset
+                                        ? NbdConstants.CHUNK_ERROR_OFFSET
+                                        : NbdConstants.CHUNK_ERROR,
                                 cookie,
-                                6 + length + (placed ? 8 : 0))
+                                6 + length + (hasOffset ? 8 : 0))
                         .writeInt(error)
                         .writeShort(length)
                         .writeBytes(text, 0, length);
-        return channel.write(placed ? head.writeLong(offset) : head);
+        return channel.write(hasOffset ? head.writeLong(offset) : head);
     }
 
-    private static ByteBuf chunk(Channel channel, int flags, int type, long cookie, int length) {
+    private static ByteBuf chunkHead(
+            Channel channel, int flags, int type, long cookie, int length) {
         return channel.alloc()
                 .ioBuffer(32)
                 .writeInt(NbdConstants.STRUCTURED_REPLY_MAGIC)
@@ -103,7 +112,7 @@
                 .writeInt(length);
     }
 
-    private static ChannelFuture withData(Channel channel, ByteBuf head, ByteBuf data) {
+    private static ChannelFuture writeWithData(Channel channel, ByteBuf head, ByteBuf data) {
         if (!data.isReadable()) {
             data.release();
             return channel.write(head);
--- a/src/main/java/sagepulley/config/IniSection.java
+++ b/src/main/java/sagepulley/config/IniSection.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * One section of an INI file, its values read by their kind. A value that is missing or not allowed
- * is noted as a mistake, and reading goes on with one that is allowed.
+ * Reads typed values from a section of an INI file. A missing or invalid value is recorded as an
+ * error and replaced by a valid one, so that reading can continue.
  */
 final class IniSection {
     private static final Map<String, Double> TIME_UNITS = new LinkedHashMap<>();
     private static final Map<String, Double> BYTE_UNITS = new LinkedHashMap<>();
 
-    /** Whole numbers below this are written without a fraction in mistakes. */
+    /** Whole numbers below this limit are formatted without a fraction. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
 
     static {
@@ -39,7 +39,7 @@
         return ini.value(name, key) != null;
     }
 
-    /** The text of a key; a missing one is a mistake unless there is a default. */
+    /** Returns the text of a key; a missing key without a default is an error. */
     String text(String key, String defaultText) {
         ini.markRead(name, key);
         String text = ini.value(name, key);
@@ -47,13 +47,13 @@
             return text;
         }
         if (defaultText == null) {
-            mistake(key, "is missing");
+            addError(key, "is missing");
             return "";
         }
         return defaultText;
     }
 
-    /** A number within bounds. */
+    /** Returns a number within bounds. */
     double number(String key, Double defaultValue, double min, double max) {
         String text = text(key, defaultValue == null ? null : String.valueOf(defaultValue));
         try {
@@ -62,38 +62,41 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // noted below, as what is out of bounds
+            // reported below, like a number out of bounds
         }
         if (!text.isEmpty() || has(key)) {
-            mistake(
+            addError(
                     key,
-                    "is '%s', allowed is a number from %s to %s"
-                            .formatted(text, plain(min), plain(max)));
+                    "is '%s', expected a number from %s to %s"
+                            .formatted(text, format(min), format(max)));
         }
         return min;
     }
 
-    /** A number within bounds that has no fraction. */
+    /** Returns an integer within bounds. */
     int integer(String key, Integer defaultValue, int min, int max) {
         Double defaultNumber = defaultValue == null ? null : (double) defaultValue;
         double value = number(key, defaultNumber, min, max);
         if (value != Math.rint(value)) {
-            mistake(key, "is '" + plain(value) + "', allowed is a whole number");
+            addError(key, "is '" + format(value) + "', expected an integer");
         }
         return (int) value;
     }
 
-    /** A time in milliseconds, written as '250 ms', '2 s' or '5 min'. */
+    /** Returns a time in milliseconds, written as '250 ms', '2 s' or '5 min'. */
     double millis(String key, String defaultText, double min, double max) {
         return quantity(key, defaultText, min, max, TIME_UNITS);
     }
 
-    /** Bytes, written as '512', '64 KiB', '32 MiB' or '4 GiB'. */
+    /** Returns a size in bytes, written as '512', '64 KiB', '32 MiB' or '4 GiB'. */
     long bytes(String key, String defaultText, long min, long max) {
         return (long) quantity(key, defaultText, (double) min, (double) max, BYTE_UNITS);
     }
 
-    /** A number with a unit; the first of the units is that of the result and of the bounds. */
+    /**
+     * Returns a number with a unit, converted to the first of the units, in which the bounds are
+     * given.
+     */
     private double quantity(
             String key, String defaultText, double min, double max, Map<String, Double> units) {
         String text = text(key, defaultText);
@@ -105,19 +108,19 @@
         if (value >= min && value <= max) {
             return value;
         }
-        mistake(
+        addError(
                 key,
-                "is '%s', allowed is a number with one of %s, from %s to %s %s"
+                "is '%s', expected a number with one of the units %s, from %s to %s %s"
                         .formatted(
                                 text,
                                 String.join(", ", units.keySet()),
-                                plain(min),
-                                plain(max),
+                                format(min),
+                                format(max),
                                 baseUnit));
         return min;
     }
 
-    /** NaN if the text is no number with a unit. */
+    /** Parses a number with a unit; returns NaN if the text is not one. */
     private static double parseQuantity(String text, String baseUnit, Map<String, Double> units) {
         int split = text.length();
         while (split > 0 && Character.isLetter(text.charAt(split - 1))) {
@@ -136,30 +139,30 @@
         return Double.NaN;
     }
 
-    /** Yes or no. */
+    /** Returns true for yes and false for no. */
     boolean flag(String key, boolean defaultValue) {
         String text = text(key, defaultValue ? "yes" : "no");
         if (!text.equals("yes") && !text.equals("no")) {
-            mistake(key, "is '" + text + "', allowed is yes or no");
+            addError(key, "is '" + text + "', expected yes or no");
         }
         return text.equals("yes");
     }
 
-    /** One of several words, by its index. */
-    int choice(String key, String defaultText, List<String> words) {
+    /** Returns the index of the value in the list of allowed values. */
+    int choice(String key, String defaultText, List<String> allowed) {
         String text = text(key, defaultText);
-        int index = words.indexOf(text);
+        int index = allowed.indexOf(text);
         if (index < 0 && !(text.isEmpty() && defaultText == null)) {
-            mistake(key, "is '" + text + "', allowed is one of " + String.join(", ", words));
+            addError(key, "is '" + text + "', expected one of " + String.join(", ", allowed));
         }
         return Math.max(0, index);
     }
 
-    void mistake(String key, String what) {
-        ini.mistake(name, key, what);
+    void addError(String key, String problem) {
+        ini.addError(name, key, problem);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER
                 ? Long.toString((long) value)
                 : Double.toString(value);
--- a/src/main/java/sagepulley/config/resp/GatewayConfig.java
+++ b/src/main/java/sagepulley/config/resp/GatewayConfig.java
@@ -18,16 +18,16 @@
 import sagepulley.model.Deployment;
 
 /**
- * The configuration of a RESP gateway: the JSON file that GW_CONFIG names, with GW_NAME, GW_LISTEN
- * and GW_DISCOVERY in place of what the file lacks. Read at the start and again at SIGHUP.
+ * The configuration of a RESP gateway: the JSON file named by GW_CONFIG. GW_NAME, GW_LISTEN and
+ * GW_DISCOVERY replace keys that the file lacks. Read at startup and again on SIGHUP.
  *
- * @param listen where clients connect
- * @param maxSockets file descriptors that may be used in all
- * @param memoryMb memory of the process, in MB
- * @param initialEndpoints the endpoint list until discovery sends one
- * @param zones names of the zones, by their index
- * @param kinds names of the kinds of endpoints, by their index
- * @param maxInFlight operations in flight at most
+ * @param listen the address on which clients connect
+ * @param maxSockets the maximum number of open file descriptors
+ * @param memoryMb the memory of the process in MB
+ * @param initialEndpoints the endpoint list that is used until discovery sends one
+ * @param zones the names of the zones, by index
+ * @param kinds the names of the endpoint kinds, by index
+ * @param maxInFlight the maximum number of operations in flight
  */
 public record GatewayConfig(
         String name,
@@ -45,7 +45,7 @@
         int maxInFlight) {
     private static final long MAX_FILE_BYTES = 16 << 20;
 
-    /** A change of the endpoint list counts as notified this long after discovery had it. */
+    /** A change of the endpoint list counts as notified this long after discovery received it. */
     private static final double NOTIFICATION_DELAY_MILLIS = 6_000;
 
     private static final double DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
@@ -57,17 +57,17 @@
     /**
      * Reads the file that the environment names.
      *
-     * @throws ConfigException naming the file and what is wrong with it, in one line
-     * @throws UnreadableConfigException if the system did not let the file be read
+     * @throws ConfigException with a one-line message that names the file and the error
+     * @throws UnreadableConfigException if an I/O error prevented reading the file
      */
     public static GatewayConfig read(Map<String, String> environment) throws ConfigException {
         String file = environment.get("GW_CONFIG");
         if (file == null || file.isEmpty()) {
             throw new ConfigException("GW_CONFIG is not set");
         }
-        byte[] bytes = bytes(file);
+        byte[] content = readFile(file);
         try {
-            return parse(JsonReader.readObject(bytes), environment);
+            return parse(JsonReader.readObject(content), environment);
         } catch (ConfigException failure) {
             throw new ConfigException(file + ": " + failure.getMessage());
         } catch (IOException | RuntimeException failure) {
@@ -75,11 +75,12 @@
         }
     }
 
-    private static byte[] bytes(String file) throws ConfigException {
+    private static byte[] readFile(String file) throws ConfigException {
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MAX_FILE_BYTES) {
-                throw new ConfigException(file + ": over " + MAX_FILE_BYTES + " bytes");
+                throw new ConfigException(
+                        file + ": file is larger than " + MAX_FILE_BYTES + " bytes");
             }
             return Files.readAllBytes(path);
         } catch (NoSuchFileException | InvalidPathException failure) {
@@ -99,7 +100,10 @@
         return failure.getMessage().lines().findFirst().orElse("cannot be read");
     }
 
-    /** This configuration at other addresses, with all initial endpoints at one. */
+    /**
+     * Returns this configuration with other addresses, and with all initial endpoints at one
+     * address.
+     */
     public GatewayConfig withAddresses(
             SocketAddress newListen, SocketAddress newDiscovery, SocketAddress endpoint) {
         return new GatewayConfig(
@@ -118,7 +122,7 @@
                 maxInFlight);
     }
 
-    /** Reads the JSON object of a file. */
+    /** Parses the JSON object of a configuration file. */
     public static GatewayConfig parse(Map<String, Object> file, Map<String, String> environment)
             throws ConfigException, IOException {
         String name = text(file, "name", environment.get("GW_NAME"));
@@ -136,21 +140,21 @@
                 seed(file.get("seed")),
                 (int) numberWithMin(limits, "sockets", MIN_SOCKETS),
                 numberWithMin(limits, "memory_mb", MIN_MEMORY_MB),
-                file.get("known") instanceof Map<?, ?> known
-                        ? EndpointListUpdate.parse(withStringKeys(known))
+                file.get("known") instanceof Map<?, ?> initialList
+                        ? EndpointListUpdate.parse(withStringKeys(initialList))
                         : new EndpointListUpdate(0, true, List.of(), List.of()),
                 reader.deployment().withWatch(NOTIFICATION_DELAY_MILLIS),
                 strings(settings.get("zones")),
                 strings(settings.get("kinds")),
-                reader.time("limits.dialTimeoutNs", DEFAULT_CONNECT_TIMEOUT_MILLIS),
-                reader.time("limits.connIdleNs", DEFAULT_IDLE_TIMEOUT_MILLIS),
+                reader.optionalMillis("limits.dialTimeoutNs", DEFAULT_CONNECT_TIMEOUT_MILLIS),
+                reader.optionalMillis("limits.connIdleNs", DEFAULT_IDLE_TIMEOUT_MILLIS),
                 (int)
                         Math.min(
                                 Integer.MAX_VALUE,
                                 reader.optionalNumber("limits.maxOpen", DEFAULT_MAX_IN_FLIGHT)));
     }
 
-    /** Paths and values, in the form that {@link SettingsReader} takes. */
+    /** Flattens nested settings to the paths and values that {@link SettingsReader} reads. */
     private static void flatten(String path, Object value, Map<String, String> settingsByPath) {
         if (value instanceof Map<?, ?> object) {
             object.forEach(
@@ -188,7 +192,7 @@
         String text = text(file, key, defaultValue);
         InetSocketAddress address = AddressParser.parse(text);
         if (address == null) {
-            throw new ConfigException(key + "=" + text + " is no numeric HOST:PORT");
+            throw new ConfigException(key + "=" + text + " is not a numeric HOST:PORT");
         }
         return address;
     }
@@ -204,13 +208,7 @@
             throws ConfigException {
         if (!(limits.get(key) instanceof Number number) || !(number.doubleValue() >= min)) {
             throw new ConfigException(
-                    "limits."
-                            + key
-                            + "="
-                            + limits.get(key)
-                            + ", at least "
-                            + (int) min
-                            + " are needed");
+                    "limits." + key + "=" + limits.get(key) + ", expected at least " + (int) min);
         }
         return number.doubleValue();
     }
@@ -222,7 +220,8 @@
         if (value instanceof Number number) {
             return number.longValue();
         }
-        throw new ConfigException("seed=" + value + " is no hex number of up to 16 digits");
+        throw new ConfigException(
+                "seed=" + value + ", expected a hexadecimal number of up to 16 digits");
     }
 
     private static List<String> strings(Object value) {
@@ -232,8 +231,8 @@
     }
 
     private static Map<String, Object> withStringKeys(Map<?, ?> object) {
-        Map<String, Object> named = new HashMap<>();
-        object.forEach((name, value) -> named.put((String) name, value));
-        return named;
+        Map<String, Object> result = new HashMap<>();
+        object.forEach((name, value) -> result.put((String) name, value));
+        return result;
     }
 }
--- a/src/main/java/sagepulley/config/settings/SettingsReader.java
+++ b/src/main/java/sagepulley/config/settings/SettingsReader.java
@@ -10,8 +10,8 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Reads the settings that a gateway is told at its start, as path=value pairs, into a deployment.
- * Unknown paths are skipped. Times stand in the pairs as nanoseconds and are read as milliseconds.
+ * Reads the startup settings of a gateway, given as path=value pairs, into a deployment. Unknown
+ * paths are ignored. Times are nanoseconds in the pairs and are converted to milliseconds.
  */
 public final class SettingsReader {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -20,12 +20,12 @@
 
     private final Map<String, String> pairs;
 
-    /** A reader of these pairs, by path. */
+    /** Creates a reader of the given values by path. */
     public SettingsReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
-    /** Reads pairs that stand one to a line. */
+    /** Creates a reader of text with one path=value pair per line. */
     public static SettingsReader ofLines(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -39,9 +39,9 @@
     }
 
     /**
-     * The deployment that the settings describe.
+     * Returns the deployment that the settings describe.
      *
-     * @throws MissingSettingException if a setting is missing that has no default, or is unreadable
+     * @throws InvalidSettingException if a required setting is missing or a setting is invalid
      */
     public Deployment deployment() {
         List<TrafficClass> trafficClasses = trafficClasses();
@@ -51,9 +51,9 @@
         double index = count("me");
         if (index < 0 || index >= gateways) {
             throw new InvalidSettingException(
-                    "me=" + (int) index + " does not lie below balancers=" + (int) gateways);
+                    "me=" + (int) index + ", expected a value below balancers=" + (int) gateways);
         }
-        boolean mustPoll = optional("discovery", "automatic").equals("subscribe");
+        boolean mustPoll = optionalText("discovery", "automatic").equals("subscribe");
         return new Deployment(
                 (int) index,
                 (int) gateways,
@@ -61,13 +61,13 @@
                 trafficClasses,
                 plans,
                 servicePolicy(ordered),
-                time("tickNs", 0),
+                optionalMillis("tickNs", 0),
                 (int) optionalNumber("domain.shards", 0),
                 optionalNumber("domain.usualUnits", 1),
                 optionalNumber("domain.maxUnits", 1),
                 optionalNumber("domain.shareWorth", 1),
                 optionalNumber("domain.beyondShare", 0),
-                time("domain.usePeriodNs", 0),
+                optionalMillis("domain.usePeriodNs", 0),
                 flag("domain.saysOthers"),
                 mustPoll,
                 mustPoll ? millis("contract.askEveryNs") : Double.POSITIVE_INFINITY,
@@ -75,17 +75,17 @@
                 flag("limits.mayProbe"),
                 flag("limits.cancel"),
                 flag("limits.retryAfter"),
-                time("limits.maxRetryAfterNs", 0),
+                optionalMillis("limits.maxRetryAfterNs", 0),
                 optionalNumber("charges.crossZone", 0),
                 optionalNumber("charges.probe", 0),
                 optionalNumber("charges.waste", 0),
-                !optional("weights", SILENT).equals(SILENT),
+                !optionalText("weights", SILENT).equals(SILENT),
                 reportFields());
     }
 
     private List<TrafficClass> trafficClasses() {
         List<TrafficClass> trafficClasses = new ArrayList<>();
-        String[] writes = optional("domain.changesData", "").split(",");
+        String[] writes = optionalText("domain.changesData", "").split(",");
         for (int i = 0; i < count("classes.count"); i++) {
             trafficClasses.add(trafficClass(i, i < writes.length && writes[i].equals("true")));
         }
@@ -101,8 +101,8 @@
     }
 
     private List<String> reportFields() {
-        String fields = optional("report.fields", "");
-        boolean reports = !optional("report.how", SILENT).equals(SILENT) && !fields.isEmpty();
+        String fields = optionalText("report.fields", "");
+        boolean reports = !optionalText("report.how", SILENT).equals(SILENT) && !fields.isEmpty();
         return reports ? List.of(fields.split(",")) : List.of();
     }
 
@@ -112,7 +112,7 @@
                         || pairs.containsKey("contract.extraFloor")
                         || pairs.containsKey("contract.extraRatio");
         return new ServicePolicy(
-                time("contract.graceToAnswerNs", 0),
+                optionalMillis("contract.graceToAnswerNs", 0),
                 millis("contract.drainGraceNs"),
                 number("contract.coldFrom"),
                 millis("contract.coldNs"),
@@ -124,7 +124,7 @@
                 hasRetryBudget ? number("contract.extraRatio") : Double.NaN,
                 hasRetryBudget ? millis("contract.extraWindowNs") : Double.NaN,
                 (int) number("limits.mostTries"),
-                truth("limits.mayDuplicate"));
+                booleanValue("limits.mayDuplicate"));
     }
 
     private TrafficClass trafficClass(int index, boolean writes) {
@@ -133,7 +133,7 @@
         boolean deduplicated = idempotency == TrafficClass.Idempotency.DEDUPLICATED;
         return new TrafficClass(
                 index,
-                optional(path + "name", "band " + index),
+                optionalText(path + "name", "band " + index),
                 idempotency,
                 deduplicated
                         ? deduplicationScope(path + "dedupScope")
@@ -153,7 +153,7 @@
             case "retryable" -> TrafficClass.Idempotency.IDEMPOTENT;
             case "dedup" -> TrafficClass.Idempotency.DEDUPLICATED;
             case "fragile" -> TrafficClass.Idempotency.NON_IDEMPOTENT;
-            default -> throw unreadable(path);
+            default -> throw invalid(path);
         };
     }
 
@@ -162,7 +162,7 @@
             case "all" -> TrafficClass.DeduplicationScope.ALL;
             case "zone" -> TrafficClass.DeduplicationScope.ZONE;
             case "cell" -> TrafficClass.DeduplicationScope.CELL;
-            default -> throw unreadable(path);
+            default -> throw invalid(path);
         };
     }
 
@@ -171,7 +171,7 @@
         double limit = optionalNumber(path + "cap", 0);
         return new TenantPlan(
                 index,
-                optional(path + "name", "plan " + index),
+                optionalText(path + "name", "plan " + index),
                 optionalNumber(path + "rate", 0),
                 optionalNumber(path + "guaranteed", 0),
                 optionalNumber(path + "weight", 1),
@@ -181,8 +181,8 @@
                 limit > 0 ? number(path + "slack") : 0);
     }
 
-    /** A text that may be left out. */
-    public String optional(String path, String defaultValue) {
+    /** Returns an optional text. */
+    public String optionalText(String path, String defaultValue) {
         return pairs.getOrDefault(path, defaultValue);
     }
 
@@ -201,55 +201,55 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            throw unreadable(path);
+            throw invalid(path);
         }
-        throw unreadable(path);
+        throw invalid(path);
     }
 
     private double millis(String path) {
         return number(path) / NANOS_PER_MILLI;
     }
 
-    /** A whole number from 0 to a million. */
+    /** Returns an integer from 0 to {@link #MAX_COUNT}. */
     private int count(String path) {
         double value = number(path);
         if (value != Math.rint(value) || value < 0 || value > MAX_COUNT) {
-            throw unreadable(path);
+            throw invalid(path);
         }
         return (int) value;
     }
 
     /**
-     * A number that may be left out.
+     * Returns an optional number.
      *
-     * @throws MissingSettingException if it is there and is no finite number
+     * @throws InvalidSettingException if the value is not a finite number
      */
     public double optionalNumber(String path, double defaultValue) {
         return pairs.containsKey(path) ? number(path) : defaultValue;
     }
 
     /**
-     * A time in milliseconds that may be left out; the pair has nanoseconds.
+     * Returns an optional time in milliseconds, given in nanoseconds.
      *
-     * @throws MissingSettingException if it is there and is no finite number
+     * @throws InvalidSettingException if the value is not a finite number
      */
-    public double time(String path, double defaultMillis) {
+    public double optionalMillis(String path, double defaultMillis) {
         return pairs.containsKey(path) ? millis(path) : defaultMillis;
     }
 
     private boolean flag(String path) {
-        return pairs.containsKey(path) && truth(path);
+        return pairs.containsKey(path) && booleanValue(path);
     }
 
-    private boolean truth(String path) {
+    private boolean booleanValue(String path) {
         return switch (text(path)) {
             case "true" -> true;
             case "false" -> false;
-            default -> throw unreadable(path);
+            default -> throw invalid(path);
         };
     }
 
-    private InvalidSettingException unreadable(String path) {
-        return new InvalidSettingException(path + "=" + pairs.get(path) + " cannot be read");
+    private InvalidSettingException invalid(String path) {
+        return new InvalidSettingException(path + "=" + pairs.get(path) + " is not a valid value");
     }
 }
