--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -45,7 +45,7 @@
     public Integer call() throws Exception {
         List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            profiles.add(NodeProfile.quick(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
+            profiles.add(NodeProfile.zeroCost(i, 1 << 20).withCost(cost, cost).withZone(i % 2));
         }
         LocalCluster cluster = LocalCluster.start(profiles, TrafficRecorder.NO_OP, 2);
         NbdGateway gateway =
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -140,7 +140,7 @@
         List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= NODES; i++) {
             profiles.add(
-                    NodeProfile.quick(i, EXTENT_BYTES)
+                    NodeProfile.zeroCost(i, EXTENT_BYTES)
                             .withCost(1, 1)
                             .withSlowStart(0.25, 3_000, 2, 500, 24));
         }
@@ -228,7 +228,7 @@
                     var address = node.address();
                     LocalCluster.await(node.stop());
                     NodeProfile replacement =
-                            NodeProfile.quick(node.profile().id() + 100, EXTENT_BYTES)
+                            NodeProfile.zeroCost(node.profile().id() + 100, EXTENT_BYTES)
                                     .withCost(1, 1);
                     LocalCluster.await(
                             new StandInNode(replacement, cluster.loops(), counter, replacement.id())
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -230,7 +230,7 @@
     private static List<NodeProfile> profiles(int nodes) {
         List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            NodeProfile defaults = NodeProfile.quick(i, EXTENT_BYTES);
+            NodeProfile defaults = NodeProfile.zeroCost(i, EXTENT_BYTES);
             profiles.add(
                     new NodeProfile(
                             i,
--- a/src/main/java/sagepulley/standin/NodeProfile.java
+++ b/src/main/java/sagepulley/standin/NodeProfile.java
@@ -43,7 +43,7 @@
         Path dataFolder) {
 
     /** A quick node in memory: no cost, four slots, a queue of 256. */
-    public static NodeProfile quick(int id, int extentBytes) {
+    public static NodeProfile zeroCost(int id, int extentBytes) {
         return new NodeProfile(
                 id, id, 0, 0, 4, 0, 0, 256, extentBytes, 0.25, 10_000, 2, 2_000, 8, 0, 1_000, null);
     }
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -31,7 +31,7 @@
             throws Exception {
         List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= nodes; i++) {
-            profiles.add(NodeProfile.quick(i, MIB));
+            profiles.add(NodeProfile.zeroCost(i, MIB));
         }
         cluster = LocalCluster.start(profiles, recorder, 2);
         gateway = cluster.open(site(0, 1).replace(target, replacement), 1);
--- a/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -47,7 +47,7 @@
     void open() {
         List<NodeProfile> traits = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            traits.add(NodeProfile.quick(i, MIB).withCost(2, 2));
+            traits.add(NodeProfile.zeroCost(i, MIB).withCost(2, 2));
         }
         cluster = LocalCluster.start(traits, TrafficRecorder.NO_OP, 2);
     }
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -230,7 +230,7 @@
     void metricsAndViewsOfARunningGateway() throws Exception {
         try (LocalCluster cluster =
                 LocalCluster.start(
-                        List.of(NodeProfile.quick(1, 1 << 20)), TrafficRecorder.NO_OP, 1)) {
+                        List.of(NodeProfile.zeroCost(1, 1 << 20)), TrafficRecorder.NO_OP, 1)) {
             String text = LocalCluster.demoSite("gw", 0, 1, 0, cluster.directory().address());
             SiteConfig site = SiteConfig.read("site", text);
             NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -105,7 +105,7 @@
         node =
                 LocalCluster.await(
                         new StandInNode(
-                                        NodeProfile.quick(3, 1 << 20),
+                                        NodeProfile.zeroCost(3, 1 << 20),
                                         loops,
                                         TrafficRecorder.NO_OP,
                                         1)
