--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -18,14 +18,14 @@
     /** Runs the command that the first argument names; exits with its status. */
     public static void main(String[] arguments) {
         switch (arguments.length == 1 ? arguments[0] : "") {
-            case "simhost" -> simhost();
-            case "serve" -> serve(() -> GatewayServer.run(System.getenv()));
-            case "rehearse" -> serve(WarmUpRun::onLoopback);
+            case "simhost" -> runSimulatorHost();
+            case "serve" -> runServer(() -> GatewayServer.run(System.getenv()));
+            case "rehearse" -> runServer(WarmUpRun::onLoopback);
             default -> System.exit(Commands.run(arguments));
         }
     }
 
-    private interface Service {
+    private interface ServerCommand {
         void run() throws ConfigException, IOException;
     }
 
@@ -33,9 +33,9 @@
      * Exits with status 1 and one line if the configuration is invalid; with 0 after a signal, once
      * the gateway has stopped.
      */
-    private static void serve(Service service) {
+    private static void runServer(ServerCommand command) {
         try {
-            service.run();
+            command.run();
             System.exit(0);
         } catch (ConfigException | IOException e) {
             System.err.println("sagepulley: " + e.getMessage());
@@ -43,7 +43,7 @@
         }
     }
 
-    private static void simhost() {
+    private static void runSimulatorHost() {
         try {
             new SimulatorAdapter(
                             new FileInputStream(FileDescriptor.in),
--- a/src/main/java/sagepulley/cli/AccountFormatter.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -11,13 +11,13 @@
     private AccountFormatter() {}
 
     /** An enum constant by its external name, with spaces. */
-    static String of(Enum<?> constant) {
+    static String label(Enum<?> constant) {
         return ExternalName.of(constant).replace('_', ' ');
     }
 
     /** Where an operation spent time. */
-    static String part(LatencyComponent part) {
-        return switch (part) {
+    static String component(LatencyComponent component) {
+        return switch (component) {
             case RESERVATION_FULL -> "held here: node's bound full, in its reserve";
             case SHARE_FULL -> "held here: node's bound full, in its share";
             case EXCESS_FULL -> "held here: beyond its share";
@@ -44,33 +44,33 @@
 
     /** What caused a wait. */
     static String cause(Cause.Kind kind, long volume, int node, Map<Long, String> names) {
-        String at = node == 0 ? "" : " at node " + node;
+        String atNode = node == 0 ? "" : " at node " + node;
         return switch (kind) {
-            case OWN_LOAD -> "its own load" + at;
+            case OWN_LOAD -> "its own load" + atNode;
             case OWN_LIMIT -> "its plan's limit";
             case OWN_WORK -> "its own work";
-            case NEIGHBOUR -> "load of " + volume(volume, names) + at;
-            case OTHER_GATEWAYS -> "work through other gateways" + at;
+            case NEIGHBOUR -> "load of " + volume(volume, names) + atNode;
+            case OTHER_GATEWAYS -> "work through other gateways" + atNode;
             case SLOW_NODE -> "node " + node + " works slower than the rest";
             case PAUSE ->
                     "pauses"
-                            + at
+                            + atNode
                             + (volume == 0 ? "" : " after writes of " + volume(volume, names));
             case WARMING_UP_NODE -> "node " + node + " started lately";
             case FAULT -> node == 0 ? "no node was ready" : "node " + node + " did not do its work";
-            case LOCAL_THROTTLING -> "the gateway's caution" + at;
+            case LOCAL_THROTTLING -> "the gateway's caution" + atNode;
             case DIRECTORY -> "the directory";
             case NETWORK -> "the way to node " + node;
         };
     }
 
-    static String cause(LatencyReport.CauseReport charged, Map<Long, String> names) {
-        return cause(charged.kind(), charged.volume(), charged.node(), names);
+    static String cause(LatencyReport.CauseReport report, Map<Long, String> names) {
+        return cause(report.kind(), report.volume(), report.node(), names);
     }
 
     /** What an operator can do about a cause. */
-    static String advice(LatencyReport.CauseReport charged, Map<Long, String> names) {
-        return switch (charged.kind()) {
+    static String advice(LatencyReport.CauseReport report, Map<Long, String> names) {
+        return switch (report.kind()) {
             case OWN_LOAD ->
                     "It asks for more than its plan owes it: a larger share or reserve, or less at once.";
             case OWN_LIMIT ->
@@ -78,38 +78,38 @@
             case OWN_WORK -> "Nothing held it up.";
             case NEIGHBOUR ->
                     "Give "
-                            + volume(charged.volume(), names)
+                            + volume(report.volume(), names)
                             + " a limit, or this one a reserve; "
                             + "moving extents off node "
-                            + charged.node()
+                            + report.node()
                             + " parts them.";
             case OTHER_GATEWAYS ->
                     "Read the other gateways' files together with this one: they tell whose work it was.";
             case SLOW_NODE ->
                     "Look at node "
-                            + charged.node()
+                            + report.node()
                             + ": its disks, its other tenants. Draining it moves "
                             + "new objects away.";
             case PAUSE ->
                     "Node "
-                            + charged.node()
+                            + report.node()
                             + " pauses of its own, as nodes do that put writes off: look at "
                             + "its flushing, and at who writes there.";
             case WARMING_UP_NODE ->
                     "Node "
-                            + charged.node()
+                            + report.node()
                             + " was restarted; this passes. If it restarts often, see why.";
             case FAULT ->
-                    charged.node() == 0
+                    report.node() == 0
                             ? "See the list of nodes: drained, gone, or not told."
                             : "See node "
-                                    + charged.node()
+                                    + report.node()
                                     + " and the way to it: it gave no answer, or an error.";
             case LOCAL_THROTTLING ->
                     "The gateway held it by its own rules (budget of further hops, rank): see the day's "
                             + "declines and the node's state.";
             case DIRECTORY -> "See the directory: its answers come late or not at all.";
-            case NETWORK -> "See the way to node " + charged.node() + ".";
+            case NETWORK -> "See the way to node " + report.node() + ".";
         };
     }
 }
--- a/src/main/java/sagepulley/cli/CheckSiteCommand.java
+++ b/src/main/java/sagepulley/cli/CheckSiteCommand.java
@@ -26,12 +26,12 @@
 
     @Override
     public Integer call() throws Exception {
-        List<String> mistakes = List.of();
+        List<String> errors = List.of();
         SiteConfig site = null;
         try {
             site = SiteConfig.read(file);
-        } catch (SiteConfigException error) {
-            mistakes = List.of(error.getMessage().split("\n"));
+        } catch (SiteConfigException exception) {
+            errors = List.of(exception.getMessage().split("\n"));
         }
         if (json) {
             System.out.println(
@@ -43,7 +43,7 @@
                                             "usable",
                                             site != null,
                                             "mistakes",
-                                            mistakes)));
+                                            errors)));
         } else if (site != null) {
             System.out.println(
                     file
@@ -55,8 +55,8 @@
                             + site.deployment().plans().size()
                             + " plans");
         } else {
-            mistakes.forEach(System.err::println);
+            errors.forEach(System.err::println);
         }
-        return site != null ? Commands.OK : Commands.UNUSABLE_FILE;
+        return site != null ? Commands.OK : Commands.INVALID_FILE;
     }
 }
--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -48,7 +48,7 @@
     public static final int USAGE_ERROR = 2;
 
     /** Exit code: a site file or script cannot be used. */
-    public static final int UNUSABLE_FILE = 3;
+    public static final int INVALID_FILE = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -58,12 +58,12 @@
             defaultValue = "text",
             paramLabel = "text|json",
             description = "form of the log on standard error")
-    void log(String form) {
-        if (!form.equals("text") && !form.equals("json")) {
+    void logFormat(String format) {
+        if (!format.equals("text") && !format.equals("json")) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--log is text or json, not " + form);
+                    spec.commandLine(), "--log is text or json, not " + format);
         }
-        System.setProperty("sagepulley.log.form", form);
+        System.setProperty("sagepulley.log.form", format);
     }
 
     @Option(
@@ -72,7 +72,7 @@
             defaultValue = "INFO",
             paramLabel = "LEVEL",
             description = "ERROR, WARN, INFO or DEBUG")
-    void level(String level) {
+    void logLevel(String level) {
         if (!level.matches("ERROR|WARN|INFO|DEBUG")) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(), "--log-level is ERROR, WARN, INFO or DEBUG, not " + level);
@@ -89,11 +89,11 @@
     public static int run(String... arguments) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler(
-                        (failure, line, parsed) -> {
-                            line.getErr().println("sagepulley: " + failure.getMessage());
+                        (failure, commandLine, parsed) -> {
+                            commandLine.getErr().println("sagepulley: " + failure.getMessage());
                             return failure instanceof SiteConfigException
                                             || failure instanceof ScenarioException
-                                    ? UNUSABLE_FILE
+                                    ? INVALID_FILE
                                     : FAILED;
                         })
                 .execute(arguments);
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -27,7 +27,7 @@
             description =
                     "a script, or the name of a day that comes with the program: "
                             + "bad-evening, cold-halls, lost-answers, long-surge, causes/flood and others")
-    private String file;
+    private String scenarioName;
 
     @Option(names = "--json", description = "prints the result as JSON")
     private boolean json;
@@ -37,19 +37,20 @@
             paramLabel = "FOLDER",
             description =
                     "writes the gateways' latency accounts there at the day's end, for 'report'")
-    private Path accounts;
+    private Path accountsFolder;
 
     @Override
     public Integer call() throws Exception {
-        Scenario day =
-                Files.exists(Path.of(file))
-                        ? ScenarioReader.read(Path.of(file))
-                        : ScenarioReader.read(file, ScenarioRunner.builtIn(file));
-        ScenarioRunner drill = new ScenarioRunner(day);
-        ScenarioRunner.Result result = drill.run();
-        if (accounts != null) {
-            for (GatewayAccounts book : drill.accounts()) {
-                new AccountFile(accounts.resolve(book.gateway()), book.gateway()).write(book);
+        Scenario scenario =
+                Files.exists(Path.of(scenarioName))
+                        ? ScenarioReader.read(Path.of(scenarioName))
+                        : ScenarioReader.read(scenarioName, ScenarioRunner.builtIn(scenarioName));
+        ScenarioRunner runner = new ScenarioRunner(scenario);
+        ScenarioRunner.Result result = runner.run();
+        if (accountsFolder != null) {
+            for (GatewayAccounts snapshot : runner.accounts()) {
+                new AccountFile(accountsFolder.resolve(snapshot.gateway()), snapshot.gateway())
+                        .write(snapshot);
             }
         }
         if (json) {
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -25,7 +25,7 @@
                 "Tells an operation's story in time order, from the traces that a gateway keeps ([traces] file); "
                         + "without a number, that of the operation that took longest.")
 final class ExplainCommand implements Callable<Integer> {
-    private static final DateTimeFormatter CLOCK =
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
 
     @Parameters(
@@ -44,7 +44,7 @@
             names = "--list",
             paramLabel = "N",
             description = "lists the N that took longest, instead")
-    private int list;
+    private int listCount;
 
     @Option(names = "--json", description = "prints the spans as JSON")
     private boolean json;
@@ -69,8 +69,8 @@
                             + (volume == null ? "" : " of volume " + volume)
                             + "; only some are kept, see docs/operate/accounts.md");
         }
-        if (list > 0) {
-            operations.stream().limit(list).forEach(ExplainCommand::printLine);
+        if (listCount > 0) {
+            operations.stream().limit(listCount).forEach(ExplainCommand::printSummary);
             return Commands.OK;
         }
         Span longest = operations.get(0);
@@ -91,21 +91,21 @@
         System.out.println(new JsonMapper().writeValueAsString(nodes));
     }
 
-    private static void printLine(Span root) {
+    private static void printSummary(Span root) {
         System.out.printf(
                 Locale.ROOT,
                 "%10d  %9.1f ms  %-9s  %-16s  %s  %s%n",
                 root.operation(),
-                root.lengthMillis(),
+                root.durationMillis(),
                 root.text("result"),
                 root.volume(),
-                clock(root),
+                formatTime(root),
                 root.text("main_cause"));
     }
 
-    private static String clock(Span span) {
-        return CLOCK.format(
-                Instant.ofEpochMilli(span.start() / 1_000_000).atZone(ZoneId.systemDefault()));
+    private static String formatTime(Span span) {
+        return TIME_FORMAT.format(
+                Instant.ofEpochMilli(span.startNanos() / 1_000_000).atZone(ZoneId.systemDefault()));
     }
 
     private static void printOperation(Span root) {
@@ -114,7 +114,7 @@
                 "operation %d at gateway %s, %s%n",
                 root.operation(),
                 root.text("gateway"),
-                clock(root));
+                formatTime(root));
         System.out.printf(
                 Locale.ROOT,
                 "  a %s of %.2f units in extent %d of volume %s, band %s, NBD cookie %d%n",
@@ -129,7 +129,7 @@
                 Locale.ROOT,
                 "  %s after %.3f ms%s; most of it by %s%n",
                 root.text("result"),
-                root.lengthMillis(),
+                root.durationMillis(),
                 reason.equals("none") ? "" : " (" + reason.replace('_', ' ') + ")",
                 root.text("main_cause"));
         System.out.printf(
@@ -149,13 +149,13 @@
                     child.node(),
                     child.text("owed"),
                     child.text("result").replace('_', ' '),
-                    child.lengthMillis());
+                    child.durationMillis());
         } else {
             System.out.printf(
                     Locale.ROOT,
                     "  +%10.3f ms    %.3f ms %s%s%n",
                     child.millisAfter(root),
-                    child.lengthMillis(),
+                    child.durationMillis(),
                     component(child.text("spent")),
                     child.node() == 0 ? "" : " (node " + child.node() + ")");
         }
@@ -164,7 +164,7 @@
     private static String component(String name) {
         for (LatencyComponent component : LatencyComponent.values()) {
             if (component.externalName().equalsIgnoreCase(name)) {
-                return AccountFormatter.part(component);
+                return AccountFormatter.component(component);
             }
         }
         return name;
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -44,19 +44,19 @@
     }
 
     private static StoredEndpointList newestValid(Path file) throws IOException {
-        EndpointListFile.ReadResult look = new EndpointListFile(file, "").inspect();
-        if (look.list() == null) {
+        EndpointListFile.ReadResult result = new EndpointListFile(file, "").inspect();
+        if (result.list() == null) {
             throw new IOException(
-                    look.rejected().isEmpty()
+                    result.rejected().isEmpty()
                             ? file + ": is not there"
-                            : look.rejected().get(0).file()
+                            : result.rejected().get(0).file()
                                     + ": "
-                                    + look.rejected().get(0).reason());
+                                    + result.rejected().get(0).reason());
         }
-        return look.list();
+        return result.list();
     }
 
-    private static String when(long wallMillis) {
+    private static String formatTime(long wallMillis) {
         return wallMillis == 0
                 ? "never"
                 : Instant.ofEpochMilli(wallMillis)
@@ -86,19 +86,19 @@
             }
             System.out.printf(
                     "site %s, version %d of history %d, last confirmed %s%n",
-                    list.site(), list.version(), list.history(), when(list.confirmedAt()));
+                    list.site(), list.version(), list.history(), formatTime(list.confirmedAt()));
             for (StoredEndpointList.StoredEndpoint stored : list.endpoints()) {
-                EndpointRecord line = stored.endpoint();
+                EndpointRecord entry = stored.endpoint();
                 System.out.printf(
                         "node %d cell %d zone %d %s %s:%d started %s, from %s%s%n",
-                        line.node(),
-                        line.cell(),
-                        line.zone(),
-                        AccountFormatter.of(line.phase()),
-                        line.host(),
-                        line.port(),
-                        when(line.startedAt()),
-                        AccountFormatter.of(stored.source()),
+                        entry.node(),
+                        entry.cell(),
+                        entry.zone(),
+                        AccountFormatter.label(entry.phase()),
+                        entry.host(),
+                        entry.port(),
+                        formatTime(entry.startedAt()),
+                        AccountFormatter.label(stored.source()),
                         stored.selfDraining() ? ", says that it drains" : "");
             }
             return Commands.OK;
@@ -124,21 +124,21 @@
 
         @Override
         public Integer call() {
-            EndpointListFile.ReadResult look = new EndpointListFile(file, site).inspect();
-            for (SnapshotFile.Rejected refused : look.rejected()) {
-                System.out.println(refused.file() + ": " + refused.reason());
+            EndpointListFile.ReadResult result = new EndpointListFile(file, site).inspect();
+            for (SnapshotFile.Rejected rejected : result.rejected()) {
+                System.out.println(rejected.file() + ": " + rejected.reason());
             }
-            if (look.list() == null) {
+            if (result.list() == null) {
                 System.out.println(file + ": no list that can be believed");
-                return Commands.UNUSABLE_FILE;
+                return Commands.INVALID_FILE;
             }
             System.out.println(
-                    look.file()
+                    result.file()
                             + ": good, "
-                            + look.list().endpoints().size()
+                            + result.list().endpoints().size()
                             + " nodes, written "
-                            + when(look.writtenAt()));
-            return look.rejected().isEmpty() ? Commands.OK : Commands.UNUSABLE_FILE;
+                            + formatTime(result.writtenAt()));
+            return result.rejected().isEmpty() ? Commands.OK : Commands.INVALID_FILE;
         }
     }
 
@@ -155,17 +155,17 @@
         public Integer call() throws Exception {
             System.out.println("node,cell,zone,kind,standing,host,port");
             for (StoredEndpointList.StoredEndpoint stored : newestValid(file).endpoints()) {
-                EndpointRecord line = stored.endpoint();
+                EndpointRecord entry = stored.endpoint();
                 System.out.println(
                         String.join(
                                 ",",
-                                "" + line.node(),
-                                "" + line.cell(),
-                                "" + line.zone(),
-                                "" + line.kind(),
-                                line.phase().externalName(),
-                                line.host(),
-                                "" + line.port()));
+                                "" + entry.node(),
+                                "" + entry.cell(),
+                                "" + entry.zone(),
+                                "" + entry.kind(),
+                                entry.phase().externalName(),
+                                entry.host(),
+                                "" + entry.port()));
             }
             return Commands.OK;
         }
@@ -200,35 +200,35 @@
 
         @Override
         public Integer call() throws Exception {
-            List<StoredEndpointList.StoredEndpoint> lines = new ArrayList<>();
-            Set<Integer> seen = new HashSet<>();
-            List<String> text = Files.readAllLines(csv);
-            for (int i = 0; i < text.size(); i++) {
-                if (!text.get(i).isBlank() && !text.get(i).startsWith("node,")) {
-                    EndpointRecord line = line(i + 1, text.get(i));
-                    if (!seen.add(line.node())) {
+            List<StoredEndpointList.StoredEndpoint> endpoints = new ArrayList<>();
+            Set<Integer> nodes = new HashSet<>();
+            List<String> csvLines = Files.readAllLines(csv);
+            for (int i = 0; i < csvLines.size(); i++) {
+                if (!csvLines.get(i).isBlank() && !csvLines.get(i).startsWith("node,")) {
+                    EndpointRecord entry = parseEntry(i + 1, csvLines.get(i));
+                    if (!nodes.add(entry.node())) {
                         throw new IOException(
                                 csv
                                         + ":"
                                         + (i + 1)
                                         + ": node "
-                                        + line.node()
+                                        + entry.node()
                                         + " stands there twice");
                     }
-                    lines.add(
+                    endpoints.add(
                             new StoredEndpointList.StoredEndpoint(
-                                    line, RecordSource.IMPORT, false));
+                                    entry, RecordSource.IMPORT, false));
                 }
             }
             new EndpointListFile(file, site)
                     .write(
-                            new StoredEndpointList(site, 0, 0, 0, lines).checked(),
+                            new StoredEndpointList(site, 0, 0, 0, endpoints).checked(),
                             System.currentTimeMillis());
-            System.out.println(file + ": " + lines.size() + " nodes");
+            System.out.println(file + ": " + endpoints.size() + " nodes");
             return Commands.OK;
         }
 
-        private EndpointRecord line(int number, String text) throws IOException {
+        private EndpointRecord parseEntry(int lineNumber, String text) throws IOException {
             String[] fields = text.split(",", -1);
             try {
                 if (fields.length != 7
@@ -248,7 +248,7 @@
                         Integer.parseInt(fields[6].trim()));
             } catch (IllegalArgumentException e) {
                 throw new IOException(
-                        csv + ":" + number + ": '" + text + "': " + e.getMessage(), e);
+                        csv + ":" + lineNumber + ": '" + text + "': " + e.getMessage(), e);
             }
         }
     }
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -47,35 +47,36 @@
             paramLabel = "FOLDER",
             description =
                     "measures a gateway that keeps accounts and traces (there) against one that keeps neither")
-    private Path accounts;
+    private Path accountsFolder;
 
     @Option(
             names = "--kept",
             defaultValue = "BOTH",
             paramLabel = "NEITHER|ACCOUNTS|BOTH",
             description = "with --accounts: what is kept (default: ${DEFAULT-VALUE})")
-    private ThroughputComparison.RecordKeeping records;
+    private ThroughputComparison.RecordKeeping recordKeeping;
 
     @Override
     public Integer call() throws Exception {
         List<ThroughputComparison.Row> rows =
-                accounts == null
+                accountsFolder == null
                         ? new ThroughputComparison(seconds, 4).run(6, sizes, depths)
                         : new ThroughputComparison(seconds, 8)
-                                .compareRecordKeeping(6, sizes, depths, records, accounts);
+                                .compareRecordKeeping(
+                                        6, sizes, depths, recordKeeping, accountsFolder);
         if (json) {
             System.out.println(new JsonMapper().writeValueAsString(rows));
             return Commands.OK;
         }
-        if (accounts != null) {
-            printAgainstNoRecords(rows);
+        if (accountsFolder != null) {
+            printRecordKeepingComparison(rows);
             return Commands.OK;
         }
-        printAgainstDirect(rows);
+        printDirectComparison(rows);
         return Commands.OK;
     }
 
-    private static void printAgainstDirect(List<ThroughputComparison.Row> rows) {
+    private static void printDirectComparison(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | direct/s | through/s | ratio | p50 direct | p50 through | ratio "
                         + "| p99 ratio | failed | heap bytes/op | gateway CPU us/op |");
@@ -101,7 +102,7 @@
         }
     }
 
-    private static void printAgainstNoRecords(List<ThroughputComparison.Row> rows) {
+    private static void printRecordKeepingComparison(List<ThroughputComparison.Row> rows) {
         System.out.println(
                 "| request | depth | without/s | with/s | ratio | p99 without | p99 with | ratio "
                         + "| heap bytes/op without | with | CPU us/op without | with |");
--- a/src/main/java/sagepulley/cli/WatchClient.java
+++ b/src/main/java/sagepulley/cli/MonitoringClient.java
@@ -9,8 +9,8 @@
 import sagepulley.config.HostPort;
 
 /** HTTP client of a running gateway's monitoring server ([watch] listen). */
-final class WatchClient {
-    private static final int MAX_ANSWER_CHARS = 64 << 20;
+final class MonitoringClient {
+    private static final int MAX_RESPONSE_CHARS = 64 << 20;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
 
@@ -18,21 +18,21 @@
             HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
     private final HostPort address;
 
-    WatchClient(HostPort address) {
+    MonitoringClient(HostPort address) {
         this.address = address;
     }
 
     /** The body of the answer for a path; any status but 200 is an error. */
     String get(String path) throws IOException, InterruptedException {
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 client.send(
                         HttpRequest.newBuilder(URI.create("http://" + address + path))
                                 .timeout(REQUEST_TIMEOUT)
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
-        if (answer.statusCode() != 200 || answer.body().length() > MAX_ANSWER_CHARS) {
-            throw new IOException(address + " answers with status " + answer.statusCode());
+        if (response.statusCode() != 200 || response.body().length() > MAX_RESPONSE_CHARS) {
+            throw new IOException(address + " answers with status " + response.statusCode());
         }
-        return answer.body();
+        return response.body();
     }
 }
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -103,7 +103,7 @@
     }
 
     private NodeProfile profile() {
-        NodeProfile quick = NodeProfile.quick(id, extentBytes);
+        NodeProfile defaults = NodeProfile.quick(id, extentBytes);
         return new NodeProfile(
                 id,
                 cell == null ? id : cell,
@@ -114,13 +114,13 @@
                 writeCost,
                 queue,
                 extentBytes,
-                quick.slowStartShare(),
-                quick.slowStartMillis(),
-                quick.overloadMultiple(),
-                quick.overloadWindowMillis(),
+                defaults.slowStartShare(),
+                defaults.slowStartMillis(),
+                defaults.overloadMultiple(),
+                defaults.overloadWindowMillis(),
                 SLOW_START_UNITS,
                 0,
-                quick.deferIntervalMillis(),
+                defaults.deferIntervalMillis(),
                 data);
     }
 
--- a/src/main/java/sagepulley/cli/NodesCommand.java
+++ b/src/main/java/sagepulley/cli/NodesCommand.java
@@ -29,20 +29,20 @@
 
     @Override
     public Integer call() throws Exception {
-        String answer = new WatchClient(address).get("/nodes");
+        String response = new MonitoringClient(address).get("/nodes");
         if (json) {
-            System.out.println(answer);
+            System.out.println(response);
             return Commands.OK;
         }
-        JsonNode view = new JsonMapper().readTree(answer);
-        double age = view.path("age").asDouble();
+        JsonNode view = new JsonMapper().readTree(response);
+        double ageMillis = view.path("age").asDouble();
         System.out.printf(
                 Locale.ROOT,
                 "gateway %s: list %s, %s; directory %s; extents known from disk only: %d%n%n",
                 view.path("gateway").asText(),
                 view.path("trust").asText().toLowerCase(Locale.ROOT),
-                Double.isFinite(age)
-                        ? String.format(Locale.ROOT, "confirmed %.0f s ago", age / 1000)
+                Double.isFinite(ageMillis)
+                        ? String.format(Locale.ROOT, "confirmed %.0f s ago", ageMillis / 1000)
                         : "never confirmed",
                 view.path("directory").asBoolean() ? "reached" : "not reached",
                 view.path("unverifiedExtents").asInt());
@@ -50,22 +50,22 @@
                 "%6s %6s %5s  %-9s %-9s %-7s %-10s %s%n",
                 "node", "cell", "zone", "use", "new", "proven", "from", "why");
         for (JsonNode node : view.path("nodes")) {
-            JsonNode line = node.path("line");
+            JsonNode entry = node.path("line");
             System.out.printf(
                     "%6d %6d %5d  %-9s %-9s %-7s %-10s %s%n",
-                    line.path("node").asInt(),
-                    line.path("cell").asInt(),
-                    line.path("zone").asInt(),
-                    word(node, "use"),
+                    entry.path("node").asInt(),
+                    entry.path("cell").asInt(),
+                    entry.path("zone").asInt(),
+                    lowerCaseText(node, "use"),
                     node.path("takesNew").asBoolean() ? "takes" : "no",
                     node.path("proven").asBoolean() ? "yes" : "no",
-                    word(node, "source"),
+                    lowerCaseText(node, "source"),
                     node.path("reason").asText());
         }
         return Commands.OK;
     }
 
-    private static String word(JsonNode node, String field) {
+    private static String lowerCaseText(JsonNode node, String field) {
         return node.path(field).asText().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/sagepulley/cli/Plots.java
+++ b/src/main/java/sagepulley/cli/Plots.java
@@ -19,7 +19,7 @@
 
     /** A volume's waiting and work over time, as seconds in each second. */
     @SuppressWarnings("JavaUtilDate") // the type that XChart takes on a time axis
-    static String course(List<LatencyAccount.Point> points) throws IOException {
+    static String latencyOverTime(List<LatencyAccount.Point> points) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart =
                 new XYChartBuilder().width(760).height(260).yAxisTitle("seconds a second").build();
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -45,7 +45,7 @@
     private List<Path> files;
 
     @Option(names = "--volume", paramLabel = "NAME", description = "only this volume")
-    private String only;
+    private String volumeName;
 
     @Option(
             names = "--since",
@@ -67,15 +67,15 @@
     @Option(names = "--html", paramLabel = "OUT", description = "writes the report as one page")
     private Path html;
 
-    private final Map<Long, String> names = new LinkedHashMap<>();
+    private final Map<Long, String> volumeNames = new LinkedHashMap<>();
 
     @Override
     public Integer call() throws IOException {
-        FleetMerger.Merged merged = FleetMerger.merge(readMembers());
+        FleetMerger.Merged merged = FleetMerger.merge(readAccounts());
         LatencyAccount account = merged.account();
-        double newest = account.newestWindowEnd();
-        double to = until == null ? newest : time(until, newest);
-        double from = time(since, to);
+        double newestMillis = account.newestWindowEnd();
+        double to = until == null ? newestMillis : parseTime(until, newestMillis);
+        double from = parseTime(since, to);
         List<LatencyReport> reports = reports(account, from, to);
         if (json) {
             System.out.println(
@@ -85,30 +85,30 @@
                                             "clocks",
                                             merged.clocks(),
                                             "names",
-                                            names,
+                                            volumeNames,
                                             "volumes",
                                             reports)));
             return Commands.OK;
         }
         Map<String, Object> page =
-                new ReportPage(merged, names, html != null).values(reports, from, to);
-        System.out.print(TemplateRenderer.fill("report.txt.ftl", page));
+                new ReportPage(merged, volumeNames, html != null).values(reports, from, to);
+        System.out.print(TemplateRenderer.render("report.txt.ftl", page));
         if (html != null) {
-            Files.writeString(html, TemplateRenderer.fill("report.ftlh", page));
+            Files.writeString(html, TemplateRenderer.render("report.ftlh", page));
         }
         return Commands.OK;
     }
 
-    private List<FleetMerger.GatewayAccount> readMembers() throws IOException {
+    private List<FleetMerger.GatewayAccount> readAccounts() throws IOException {
         List<FleetMerger.GatewayAccount> members = new ArrayList<>();
         for (Path file : files) {
-            AccountFile.Loaded read = AccountFile.report(file);
+            AccountFile.Loaded loaded = AccountFile.inspect(file);
             members.add(
                     new FleetMerger.GatewayAccount(
-                            read.stored().gateway(),
-                            read.account(),
-                            read.stored().versionNotifiedAt()));
-            names.putAll(read.stored().volumeNames());
+                            loaded.stored().gateway(),
+                            loaded.account(),
+                            loaded.stored().versionNotifiedAt()));
+            volumeNames.putAll(loaded.stored().volumeNames());
         }
         return members;
     }
@@ -117,23 +117,26 @@
             throws IOException {
         List<LatencyReport> reports = new ArrayList<>();
         for (long volume : account.volumes()) {
-            if (only == null || only.equals(names.get(volume))) {
+            if (volumeName == null || volumeName.equals(volumeNames.get(volume))) {
                 reports.add(account.report(volume, from, to));
             }
         }
         if (reports.isEmpty()) {
             throw new IOException(
-                    files.get(0) + ": has no volume" + (only == null ? "" : " called " + only));
+                    files.get(0)
+                            + ": has no volume"
+                            + (volumeName == null ? "" : " called " + volumeName));
         }
         return reports;
     }
 
     /** A time on the wall's clock in milliseconds, or so long before another. */
-    private double time(String text, double before) {
-        String length = text.toLowerCase(Locale.ROOT);
+    private double parseTime(String text, double referenceMillis) {
+        String lower = text.toLowerCase(Locale.ROOT);
         try {
-            if (length.matches("[0-9.]+[smh]")) {
-                return before - Duration.parse("PT" + length.toUpperCase(Locale.ROOT)).toMillis();
+            if (lower.matches("[0-9.]+[smh]")) {
+                return referenceMillis
+                        - Duration.parse("PT" + lower.toUpperCase(Locale.ROOT)).toMillis();
             }
             return LocalDateTime.parse(text)
                     .atZone(ZoneId.systemDefault())
--- a/src/main/java/sagepulley/cli/ReportPage.java
+++ b/src/main/java/sagepulley/cli/ReportPage.java
@@ -18,31 +18,31 @@
 final class ReportPage {
     private static final int MAX_CAUSES = 8;
     private static final double MILLIS_PER_SECOND = 1000;
-    private static final DateTimeFormatter CLOCK =
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss");
 
     private final FleetMerger.Merged merged;
     private final Map<Long, String> names;
-    private final boolean plots;
+    private final boolean includePlots;
 
     /**
      * A report of merged accounts.
      *
      * @param names the volumes' names by number
-     * @param plots whether each volume gets a plot over time
+     * @param includePlots whether each volume gets a plot over time
      */
-    ReportPage(FleetMerger.Merged merged, Map<Long, String> names, boolean plots) {
+    ReportPage(FleetMerger.Merged merged, Map<Long, String> names, boolean includePlots) {
         this.merged = merged;
         this.names = names;
-        this.plots = plots;
+        this.includePlots = includePlots;
     }
 
     /** The values for reports of a span of time, wall-clock milliseconds. */
     Map<String, Object> values(List<LatencyReport> reports, double from, double to)
             throws IOException {
         Map<String, Object> page = new HashMap<>();
-        page.put("from", clock(from));
-        page.put("to", clock(to));
+        page.put("from", formatTime(from));
+        page.put("to", formatTime(to));
         page.put("clocks", merged.clocks().stream().map(ReportPage::clockValues).toList());
         List<Map<String, Object>> volumes = new ArrayList<>();
         for (LatencyReport report : reports) {
@@ -52,8 +52,9 @@
         return page;
     }
 
-    private static String clock(double wallMillis) {
-        return CLOCK.format(Instant.ofEpochMilli((long) wallMillis).atZone(ZoneId.systemDefault()));
+    private static String formatTime(double wallMillis) {
+        return TIME_FORMAT.format(
+                Instant.ofEpochMilli((long) wallMillis).atZone(ZoneId.systemDefault()));
     }
 
     private static Map<String, Object> clockValues(FleetMerger.ClockOffset clock) {
@@ -76,14 +77,22 @@
         volume.put(
                 "plan",
                 report.tiers().stream()
-                        .map(line -> Map.of("name", AccountFormatter.of(line.tier()), "line", line))
+                        .map(
+                                tier ->
+                                        Map.of(
+                                                "name",
+                                                AccountFormatter.label(tier.tier()),
+                                                "line",
+                                                tier))
                         .toList());
         volume.put("causes", report.causes().stream().limit(MAX_CAUSES).map(this::cause).toList());
         if (report.mainCause() != null) {
             volume.putAll(mainCause(report));
         }
-        if (plots) {
-            volume.put("plot", Plots.course(merged.account().history(report.volume(), from, to)));
+        if (includePlots) {
+            volume.put(
+                    "plot",
+                    Plots.latencyOverTime(merged.account().history(report.volume(), from, to)));
         }
         return volume;
     }
@@ -102,11 +111,11 @@
         List<Map<String, Object>> parts = new ArrayList<>();
         report.components()
                 .forEach(
-                        (part, millis) ->
+                        (component, millis) ->
                                 parts.add(
                                         Map.of(
                                                 "text",
-                                                AccountFormatter.part(part),
+                                                AccountFormatter.component(component),
                                                 "seconds",
                                                 millis / MILLIS_PER_SECOND,
                                                 "share",
@@ -118,17 +127,17 @@
         return parts;
     }
 
-    private Map<String, Object> cause(LatencyReport.CauseReport charged) {
-        boolean ownWork = charged.kind() == Cause.Kind.OWN_WORK;
+    private Map<String, Object> cause(LatencyReport.CauseReport cause) {
+        boolean ownWork = cause.kind() == Cause.Kind.OWN_WORK;
         return Map.of(
                 "text",
-                AccountFormatter.cause(charged, names),
+                AccountFormatter.cause(cause, names),
                 "charged",
-                charged,
+                cause,
                 "seconds",
-                charged.waited() / MILLIS_PER_SECOND,
+                cause.waited() / MILLIS_PER_SECOND,
                 "share",
-                ownWork ? 0 : charged.share(),
+                ownWork ? 0 : cause.share(),
                 "work",
                 ownWork);
     }
@@ -137,30 +146,31 @@
         LatencyReport.CauseReport main = report.mainCause();
         Map<String, Object> values = new HashMap<>();
         values.put("main", AccountFormatter.cause(main, names));
-        values.put("confidence", AccountFormatter.of(main.confidence()));
+        values.put("confidence", AccountFormatter.label(main.confidence()));
         values.put("share", main.share());
         values.put("least", main.lowerBound() / MILLIS_PER_SECOND);
         values.put("most", main.upperBound() / MILLIS_PER_SECOND);
-        values.put("when", clock(main.worstFrom()) + " to " + clock(main.worstTo()));
+        values.put("when", formatTime(main.worstFrom()) + " to " + formatTime(main.worstTo()));
         values.put("advice", AccountFormatter.advice(main, names));
-        List<Integer> zone = zone(merged.account(), report, main);
-        if (!zone.isEmpty()) {
-            values.put("zone", zone);
+        List<Integer> faultyNodes = faultyNodesOfZone(merged.account(), report, main);
+        if (!faultyNodes.isEmpty()) {
+            values.put("zone", faultyNodes);
         }
         return values;
     }
 
     /** The nodes of the main fault's zone, where most of them share the fault. */
-    private static List<Integer> zone(
-            LatencyAccount book, LatencyReport report, LatencyReport.CauseReport main) {
+    private static List<Integer> faultyNodesOfZone(
+            LatencyAccount account, LatencyReport report, LatencyReport.CauseReport main) {
         if (main.kind() != Cause.Kind.FAULT) {
             return List.of();
         }
         List<Integer> faulty =
                 report.causes().stream()
-                        .filter(charged -> charged.kind() == Cause.Kind.FAULT)
+                        .filter(cause -> cause.kind() == Cause.Kind.FAULT)
                         .map(LatencyReport.CauseReport::node)
                         .toList();
-        return FleetMerger.faultyNodesOfZone(book, book.zones().getOrDefault(main.node(), -1), faulty);
+        return FleetMerger.faultyNodesOfZone(
+                account, account.zones().getOrDefault(main.node(), -1), faulty);
     }
 }
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -31,7 +31,7 @@
             paramLabel = "SEED",
             defaultValue = "1",
             description = "the first seed (${DEFAULT-VALUE})")
-    private long first;
+    private long firstSeed;
 
     @Option(
             names = "--seeds",
@@ -52,7 +52,7 @@
             paramLabel = "N",
             defaultValue = "4",
             description = "runs side by side, of two to four processes each (${DEFAULT-VALUE})")
-    private int atOnce;
+    private int parallelRuns;
 
     @Option(
             names = "--logs",
@@ -68,12 +68,12 @@
 
     @Override
     public Integer call() throws InterruptedException, ExecutionException {
-        ExecutorService runners = Executors.newFixedThreadPool(atOnce);
+        ExecutorService executor = Executors.newFixedThreadPool(parallelRuns);
         try {
             List<Future<Outcome>> runs = new ArrayList<>();
-            for (long seed = first; seed < first + seeds; seed++) {
-                long each = seed;
-                runs.add(runners.submit(() -> run(each)));
+            for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
+                long runSeed = seed;
+                runs.add(executor.submit(() -> run(runSeed)));
             }
             int failed = 0;
             for (Future<Outcome> run : runs) {
@@ -82,7 +82,7 @@
             spec.commandLine().getOut().println(seeds - failed + " passed, " + failed + " failed");
             return failed == 0 ? Commands.OK : Commands.FAILED;
         } finally {
-            runners.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
@@ -112,7 +112,7 @@
                         + " violations");
         outcome.violations().stream()
                 .limit(MAX_PRINTED_VIOLATIONS)
-                .forEach(each -> out.println("  " + each));
+                .forEach(violation -> out.println("  " + violation));
         out.println(outcome.journal());
         return 1;
     }
--- a/src/main/java/sagepulley/cli/Span.java
+++ b/src/main/java/sagepulley/cli/Span.java
@@ -33,21 +33,21 @@
     }
 
     /** Nanoseconds of wall-clock time since the epoch. */
-    long start() {
+    long startNanos() {
         return json.path("start").asLong();
     }
 
-    long lengthNanos() {
-        return json.path("end").asLong() - start();
+    long durationNanos() {
+        return json.path("end").asLong() - startNanos();
     }
 
-    double lengthMillis() {
-        return lengthNanos() / NANOS_PER_MILLI;
+    double durationMillis() {
+        return durationNanos() / NANOS_PER_MILLI;
     }
 
     /** Milliseconds from the start of another span to the start of this one. */
     double millisAfter(Span other) {
-        return (start() - other.start()) / NANOS_PER_MILLI;
+        return (startNanos() - other.startNanos()) / NANOS_PER_MILLI;
     }
 
     /** A field as text; empty where the span has none. */
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -21,12 +21,12 @@
                         + "many gateways to one directory.")
 final class StartsCommand implements Callable<Integer> {
     private static final double WEEK_HOURS = 7 * 24;
-    private static final double[] AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
-    private static final int HALF_OF_THE_NODES = 4;
+    private static final double[] LIST_AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
+    private static final int HALF_OF_NODES = 4;
     private static final int[] STORM_GATEWAYS = {16, 64, 1000};
     private static final double STORM_OUTAGE_MILLIS = 20_000;
     private static final double STORM_CALLS_PER_SECOND = 50;
-    private static final int STORM_QUEUE = 20;
+    private static final int STORM_QUEUE_LIMIT = 20;
 
     @Option(
             names = "--folder",
@@ -40,29 +40,46 @@
 
     @Override
     public Integer call() throws SiteConfigException, IOException {
-        measureStarts();
+        measureColdStarts();
         System.out.println();
-        simulateStorms();
+        simulateReconnectStorms();
         return Commands.OK;
     }
 
-    private void measureStarts() throws SiteConfigException, IOException {
+    private void measureColdStarts() throws SiteConfigException, IOException {
         ColdStartExperiment experiment = new ColdStartExperiment(folder);
         System.out.println(
                 "| way | age | changed since | hops to drained or replaced | pushed over | first satisfied "
                         + "| service of what is left | of all |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (ColdStartExperiment.NodeChange nodeChange : ColdStartExperiment.NodeChange.values()) {
-            int changed = nodeChange == ColdStartExperiment.NodeChange.NOTHING ? 0 : HALF_OF_THE_NODES;
-            for (double age : AGES_HOURS) {
-                print(experiment.run(ColdStartExperiment.ListPolicy.BY_AGE, age, nodeChange, changed, seed));
+            int changed =
+                    nodeChange == ColdStartExperiment.NodeChange.NOTHING ? 0 : HALF_OF_NODES;
+            for (double age : LIST_AGES_HOURS) {
+                print(
+                        experiment.run(
+                                ColdStartExperiment.ListPolicy.BY_AGE,
+                                age,
+                                nodeChange,
+                                changed,
+                                seed));
             }
             if (nodeChange != ColdStartExperiment.NodeChange.NOTHING) {
-                print(experiment.run(ColdStartExperiment.ListPolicy.BY_AGE, WEEK_HOURS, nodeChange, 2, seed));
+                print(
+                        experiment.run(
+                                ColdStartExperiment.ListPolicy.BY_AGE,
+                                WEEK_HOURS,
+                                nodeChange,
+                                2,
+                                seed));
             }
             print(
                     experiment.run(
-                            ColdStartExperiment.ListPolicy.BLINDLY, WEEK_HOURS, nodeChange, changed, seed));
+                            ColdStartExperiment.ListPolicy.BLINDLY,
+                            WEEK_HOURS,
+                            nodeChange,
+                            changed,
+                            seed));
         }
         print(
                 experiment.run(
@@ -73,7 +90,7 @@
                         seed));
     }
 
-    private void simulateStorms() {
+    private void simulateReconnectStorms() {
         System.out.println(
                 "| gateways | pauses | most calls in 100 ms | calls | all hold a list after |");
         System.out.println("| --- | --- | --- | --- | --- |");
@@ -85,7 +102,7 @@
                                 usesBackoff,
                                 STORM_OUTAGE_MILLIS,
                                 STORM_CALLS_PER_SECOND,
-                                STORM_QUEUE,
+                                STORM_QUEUE_LIMIT,
                                 seed);
                 System.out.printf(
                         "| %d | %s | %d | %d | %.0f ms |%n",
@@ -101,11 +118,11 @@
     private static void print(ColdStartExperiment.Row row) {
         System.out.printf(
                 "| %s | %s | %s | %d | %d | %s | %.0f %% | %.0f %% |%n",
-                AccountFormatter.of(row.listPolicy()),
-                ageText(row.ageHours()),
+                AccountFormatter.label(row.listPolicy()),
+                formatAge(row.ageHours()),
                 row.nodeChange() == ColdStartExperiment.NodeChange.NOTHING
                         ? "nothing"
-                        : row.changed() + " of 8 " + AccountFormatter.of(row.nodeChange()),
+                        : row.changed() + " of 8 " + AccountFormatter.label(row.nodeChange()),
                 row.misdirectedAttempts(),
                 row.collapsedNodes(),
                 Double.isNaN(row.firstServedMillis())
@@ -115,7 +132,7 @@
                 100 * row.serviceOfAllReads());
     }
 
-    private static String ageText(double hours) {
+    private static String formatAge(double hours) {
         if (hours < 1) {
             return Math.round(hours * 60) + " min";
         }
--- a/src/main/java/sagepulley/cli/TemplateRenderer.java
+++ b/src/main/java/sagepulley/cli/TemplateRenderer.java
@@ -12,19 +12,19 @@
     private TemplateRenderer() {}
 
     /** The template of a name with its values filled in. */
-    static String fill(String template, Map<String, Object> values) throws IOException {
-        Configuration templates = new Configuration(Configuration.VERSION_2_3_34);
-        templates.setClassLoaderForTemplateLoading(
+    static String render(String template, Map<String, Object> values) throws IOException {
+        Configuration configuration = new Configuration(Configuration.VERSION_2_3_34);
+        configuration.setClassLoaderForTemplateLoading(
                 TemplateRenderer.class.getClassLoader(), "templates");
-        templates.setDefaultEncoding("UTF-8");
-        templates.setLocale(Locale.ROOT);
-        StringWriter page = new StringWriter();
+        configuration.setDefaultEncoding("UTF-8");
+        configuration.setLocale(Locale.ROOT);
+        StringWriter output = new StringWriter();
         try {
-            templates.getTemplate(template).process(values, page);
+            configuration.getTemplate(template).process(values, output);
         } catch (TemplateException e) {
             throw new IOException(
                     "the template " + template + " failed: " + e.getMessageWithoutStackTop(), e);
         }
-        return page.toString();
+        return output.toString();
     }
 }
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -32,7 +32,7 @@
             defaultValue = "2",
             paramLabel = "SECONDS",
             description = "(default: ${DEFAULT-VALUE})")
-    private double every;
+    private double intervalSeconds;
 
     @Option(
             names = "--rows",
@@ -48,23 +48,23 @@
 
     @Override
     public Integer call() throws Exception {
-        WatchClient watch = new WatchClient(address);
+        MonitoringClient client = new MonitoringClient(address);
         while (true) {
-            String answer = watch.get("/accounts");
+            String response = client.get("/accounts");
             if (json) {
-                System.out.println(answer);
+                System.out.println(response);
                 return Commands.OK;
             }
             MonitoringServer.View view =
                     JsonMapper.builder()
                             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                             .build()
-                            .readValue(answer, MonitoringServer.View.class);
-            System.out.print((once ? "" : CLEAR_SCREEN) + new TopText(view, rows).text());
+                            .readValue(response, MonitoringServer.View.class);
+            System.out.print((once ? "" : CLEAR_SCREEN) + new TopScreen(view, rows).render());
             if (once) {
                 return Commands.OK;
             }
-            Thread.sleep((long) (every * MILLIS_PER_SECOND));
+            Thread.sleep((long) (intervalSeconds * MILLIS_PER_SECOND));
         }
     }
 }
--- a/src/main/java/sagepulley/cli/TopText.java
+++ b/src/main/java/sagepulley/cli/TopScreen.java
@@ -9,18 +9,18 @@
 import sagepulley.monitoring.MonitoringServer;
 
 /** One screen of the top command: volumes that lost most utility first, then nodes. */
-final class TopText {
+final class TopScreen {
     private final MonitoringServer.View view;
-    private final int rows;
+    private final int maxRows;
     private final StringBuilder text = new StringBuilder();
 
     /** A screen of a gateway's accounts with so many rows of each table at the most. */
-    TopText(MonitoringServer.View view, int rows) {
+    TopScreen(MonitoringServer.View view, int maxRows) {
         this.view = view;
-        this.rows = rows;
+        this.maxRows = maxRows;
     }
 
-    String text() {
+    String render() {
         append(
                 "gateway %s, the last ten minutes%n%n%-20s %9s %9s %9s %9s %9s %9s  %s%n",
                 view.gateway(),
@@ -37,10 +37,10 @@
                 Comparator.comparingDouble(LatencyReport::lostWeight)
                         .thenComparingDouble(LatencyReport::units)
                         .reversed());
-        volumes.stream().limit(rows).forEach(this::appendVolume);
+        volumes.stream().limit(maxRows).forEach(this::appendVolume);
         append("%n%-20s %9s %9s  %s%n", "node", "units", "writes", "most of it from");
         view.nodes().entrySet().stream()
-                .limit(rows)
+                .limit(maxRows)
                 .forEach(entry -> appendNode(entry.getKey(), entry.getValue()));
         return text.toString();
     }
@@ -69,13 +69,13 @@
                 + ", "
                 + Math.round(100 * main.share())
                 + " %, confidence "
-                + AccountFormatter.of(main.confidence());
+                + AccountFormatter.label(main.confidence());
     }
 
     /** A node's row; each volume has its units, and the units of its writes. */
     private void appendNode(int node, Map<Long, double[]> volumes) {
-        double units = volumes.values().stream().mapToDouble(both -> both[0]).sum();
-        double writes = volumes.values().stream().mapToDouble(both -> both[1]).sum();
+        double units = volumes.values().stream().mapToDouble(sums -> sums[0]).sum();
+        double writes = volumes.values().stream().mapToDouble(sums -> sums[1]).sum();
         Map.Entry<Long, double[]> largest =
                 volumes.entrySet().stream()
                         .max(Comparator.comparingDouble(volume -> volume.getValue()[0]))
--- a/src/main/java/sagepulley/cli/TraceFile.java
+++ b/src/main/java/sagepulley/cli/TraceFile.java
@@ -19,7 +19,7 @@
     private static final int MAX_ROTATED_FILES = 100;
     private static final int MAX_LINE_CHARS = 1 << 16;
 
-    private final JsonMapper mapper = new JsonMapper();
+    private final JsonMapper json = new JsonMapper();
     private final List<Span> spans = new ArrayList<>();
     private long unreadableLines;
 
@@ -31,10 +31,10 @@
         for (int age = MAX_ROTATED_FILES; age > 0; age--) {
             Path rotated = file.resolveSibling(file.getFileName() + "." + age);
             if (Files.exists(rotated)) {
-                traces.readOne(rotated);
+                traces.readFile(rotated);
             }
         }
-        traces.readOne(file);
+        traces.readFile(file);
         return traces;
     }
 
@@ -53,7 +53,7 @@
                 .filter(Span::isRoot)
                 .filter(span -> operation == null || span.operation() == operation)
                 .filter(span -> volume == null || span.volume().equals(volume))
-                .sorted(Comparator.comparingLong(Span::lengthNanos).reversed())
+                .sorted(Comparator.comparingLong(Span::durationNanos).reversed())
                 .toList();
     }
 
@@ -63,28 +63,28 @@
         return spans.stream()
                 .filter(span -> span.trace().equals(root.trace()) && span != root)
                 .sorted(
-                        Comparator.comparingLong(Span::start)
+                        Comparator.comparingLong(Span::startNanos)
                                 .thenComparing(span -> span.text("name")))
                 .toList();
     }
 
-    private void readOne(Path file) throws IOException {
-        try (BufferedReader lines =
+    private void readFile(Path file) throws IOException {
+        try (BufferedReader reader =
                 new BufferedReader(
                         new InputStreamReader(
                                 Files.newInputStream(file),
                                 StandardCharsets.UTF_8
                                         .newDecoder()
                                         .onMalformedInput(CodingErrorAction.REPLACE)))) {
-            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                add(line);
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                addLine(line);
             }
         }
     }
 
-    private void add(String line) {
+    private void addLine(String line) {
         try {
-            JsonNode span = line.length() > MAX_LINE_CHARS ? null : mapper.readTree(line);
+            JsonNode span = line.length() > MAX_LINE_CHARS ? null : json.readTree(line);
             if (span != null && span.has("trace") && span.has("start")) {
                 spans.add(new Span(span));
             } else {
--- a/src/main/java/sagepulley/cli/TruthCommand.java
+++ b/src/main/java/sagepulley/cli/TruthCommand.java
@@ -79,7 +79,7 @@
                 String.join(" or ", row.expected()),
                 row.named(),
                 100 * row.share(),
-                row.confidence() == null ? "-" : AccountFormatter.of(row.confidence()),
+                row.confidence() == null ? "-" : AccountFormatter.label(row.confidence()),
                 row.second(),
                 row.hit() ? "yes" : "NO",
                 row.falseBlame() ? "YES" : "no",
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -44,17 +44,17 @@
 public final class MonitoringServer implements AutoCloseable {
     private static final int THREADS = 2;
     private static final int MAX_QUEUED_REQUESTS = 32;
-    private static final String TEXT = "text/plain; version=0.0.4";
-    private static final String JSON = "application/json";
-    private static final int OK = 200;
-    private static final int METHOD_NOT_ALLOWED = 405;
-    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final String PROMETHEUS_TEXT_TYPE = "text/plain; version=0.0.4";
+    private static final String JSON_TYPE = "application/json";
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_METHOD_NOT_ALLOWED = 405;
+    private static final int STATUS_SERVICE_UNAVAILABLE = 503;
     private static final int NO_BODY = -1;
     private static final double MILLIS_PER_SECOND = 1000;
     private static final long ENGINE_TIMEOUT_SECONDS = 5;
 
     /** /accounts reports on so much time. */
-    private static final double REPORT_MILLIS = 600_000;
+    private static final double REPORT_PERIOD_MILLIS = 600_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(MonitoringServer.class);
 
@@ -86,7 +86,7 @@
     public MonitoringServer(SiteConfig site, NbdGateway gateway, InetSocketAddress address)
             throws IOException {
         this.gateway = gateway;
-        register(site);
+        registerMetrics(site);
         // Whoever is slow to ask or to read is ended.
 
         System.setProperty("sun.net.httpserver.maxReqTime", "5");
@@ -94,9 +94,9 @@
         server = HttpServer.create(address, MAX_QUEUED_REQUESTS);
         threads = newThreads();
         server.setExecutor(threads);
-        serve("/metrics", TEXT, this::metrics);
-        serve("/accounts", JSON, this::accounts);
-        serve("/nodes", JSON, this::nodes);
+        serve("/metrics", PROMETHEUS_TEXT_TYPE, this::metrics);
+        serve("/accounts", JSON_TYPE, this::accounts);
+        serve("/nodes", JSON_TYPE, this::nodes);
         server.start();
         LOG.atInfo().addKeyValue("watch", server.getAddress()).log("figures over HTTP");
     }
@@ -122,33 +122,33 @@
 
     // ---- answers ----
 
-    private interface Content {
+    private interface ContentSource {
         String get() throws IOException, InterruptedException, ExecutionException, TimeoutException;
     }
 
-    private void serve(String path, String type, Content content) {
-        server.createContext(path, exchange -> answer(exchange, type, content));
+    private void serve(String path, String type, ContentSource content) {
+        server.createContext(path, exchange -> respond(exchange, type, content));
     }
 
-    private static void answer(HttpExchange exchange, String type, Content content)
+    private static void respond(HttpExchange exchange, String type, ContentSource content)
             throws IOException {
         try (exchange) {
             if (!exchange.getRequestMethod().equals("GET")) {
-                exchange.sendResponseHeaders(METHOD_NOT_ALLOWED, NO_BODY);
+                exchange.sendResponseHeaders(STATUS_METHOD_NOT_ALLOWED, NO_BODY);
                 return;
             }
             byte[] bytes;
             try {
                 bytes = content.get().getBytes(StandardCharsets.UTF_8);
             } catch (ExecutionException | TimeoutException e) {
-                exchange.sendResponseHeaders(SERVICE_UNAVAILABLE, NO_BODY);
+                exchange.sendResponseHeaders(STATUS_SERVICE_UNAVAILABLE, NO_BODY);
                 return;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
             exchange.getResponseHeaders().set("Content-Type", type);
-            exchange.sendResponseHeaders(OK, bytes.length);
+            exchange.sendResponseHeaders(STATUS_OK, bytes.length);
             exchange.getResponseBody().write(bytes);
         }
     }
@@ -160,22 +160,22 @@
 
     private String accounts()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        GatewayAccounts written =
+        GatewayAccounts snapshot =
                 gateway.accountSnapshot().get(ENGINE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        LatencyAccount book = written.accounts().toAccount();
-        double now = written.writtenAt();
+        LatencyAccount account = snapshot.accounts().toAccount();
+        double now = snapshot.writtenAt();
         List<LatencyReport> reports =
-                book.volumes().stream()
-                        .map(volume -> book.report(volume, now - REPORT_MILLIS, now))
+                account.volumes().stream()
+                        .map(volume -> account.report(volume, now - REPORT_PERIOD_MILLIS, now))
                         .toList();
         return new JsonMapper()
                 .writeValueAsString(
                         new View(
-                                written.gateway(),
-                                written.writtenAt(),
-                                written.volumeNames(),
+                                snapshot.gateway(),
+                                snapshot.writtenAt(),
+                                snapshot.volumeNames(),
                                 reports,
-                                book.flows(now - REPORT_MILLIS, now)));
+                                account.flows(now - REPORT_PERIOD_MILLIS, now)));
     }
 
     private String nodes()
@@ -186,45 +186,48 @@
 
     // ---- metrics ----
 
-    private void register(SiteConfig site) {
+    private void registerMetrics(SiteConfig site) {
         Map<Long, String> names = new LinkedHashMap<>();
-        for (VolumeSettings line :
+        for (VolumeSettings settings :
                 site.volumes().stream().limit(NbdGateway.MAX_VOLUMES_WITH_TOTALS).toList()) {
-            names.put((long) line.id(), line.name());
+            names.put((long) settings.id(), settings.name());
         }
         names.put(0L, "others");
         names.forEach(this::registerVolume);
-        registerTimes();
+        registerLatencyCounters();
         for (PlanTier tier : PlanTier.values()) {
-            total(
+            registerTotalsCounter(
                     "sagepulley.plan.units",
                     "units of operations ended, by part of the plan",
                     "part",
                     tier,
-                    now -> now.units(tier));
+                    latest -> latest.units(tier));
         }
-        counter("sagepulley.hops", "hops sent to nodes", gate -> gate.counters().attempts.sum());
-        counter(
+        registerGatewayCounter(
+                "sagepulley.hops",
+                "hops sent to nodes",
+                source -> source.counters().attempts.sum());
+        registerGatewayCounter(
                 "sagepulley.hops.moot",
                 "hops to a node that does not hold the extent",
-                gate -> gate.counters().notExecuted.sum());
-        counter(
+                source -> source.counters().notExecuted.sum());
+        registerGatewayCounter(
                 "sagepulley.clients.connected",
                 "connections taken",
-                gate -> gate.counters().clients.sum());
-        counter(
+                source -> source.counters().clients.sum());
+        registerGatewayCounter(
                 "sagepulley.clients.bad",
                 "connections ended for what they sent",
-                gate -> gate.counters().protocolErrors.sum());
-        counter(
+                source -> source.counters().protocolErrors.sum());
+        registerGatewayCounter(
                 "sagepulley.traces.made",
                 "operations whose trace was kept",
                 NbdGateway::tracesRecorded);
-        counter(
+        registerGatewayCounter(
                 "sagepulley.traces.dropped",
                 "traces dropped because exports were slow",
                 NbdGateway::tracesDropped);
-        Gauge.builder("sagepulley.operations.open", gateway, gate -> gate.counters().open())
+        Gauge.builder("sagepulley.operations.open", gateway, source -> source.counters().open())
                 .description("operations without a final answer")
                 .register(registry);
         Gauge.builder("sagepulley.bytes.in.hand", gateway, NbdGateway::bytesInFlight)
@@ -233,28 +236,28 @@
     }
 
     private void registerVolume(long id, String name) {
-        operations(id, name, "met", volume -> volume.met);
-        operations(id, name, "declined", volume -> volume.rejected);
-        operations(id, name, "scrapped", volume -> volume.abandoned);
-        operations(id, name, "left", volume -> volume.cancelled);
-        operations(
+        registerOperationCounter(id, name, "met", volume -> volume.met);
+        registerOperationCounter(id, name, "declined", volume -> volume.rejected);
+        registerOperationCounter(id, name, "scrapped", volume -> volume.abandoned);
+        registerOperationCounter(id, name, "left", volume -> volume.cancelled);
+        registerOperationCounter(
                 id,
                 name,
                 "late",
                 volume -> volume.missed - volume.rejected - volume.abandoned - volume.cancelled);
-        volumeTotal(
+        registerVolumeCounter(
                 "sagepulley.volume.units",
                 "units of operations ended",
                 Tags.of("volume", name),
                 id,
                 volume -> volume.units);
-        volumeTotal(
+        registerVolumeCounter(
                 "sagepulley.volume.waited.seconds",
                 "time not worked on by a node",
                 Tags.of("volume", name),
                 id,
                 volume -> volume.waitedMillis / MILLIS_PER_SECOND);
-        volumeTotal(
+        registerVolumeCounter(
                 "sagepulley.volume.utility.lost",
                 "utility of what was not met",
                 Tags.of("volume", name),
@@ -262,67 +265,68 @@
                 volume -> volume.lostWeight);
     }
 
-    private void operations(
-            long id, String name, String end, ToDoubleFunction<Totals.VolumeTotals> figure) {
-        volumeTotal(
+    private void registerOperationCounter(
+            long id, String name, String end, ToDoubleFunction<Totals.VolumeTotals> value) {
+        registerVolumeCounter(
                 "sagepulley.operations",
                 "operations by their end",
                 Tags.of("volume", name, "end", end),
                 id,
-                figure);
+                value);
     }
 
-    private void volumeTotal(
+    private void registerVolumeCounter(
             String metric,
             String description,
             Tags tags,
             long id,
-            ToDoubleFunction<Totals.VolumeTotals> figure) {
-        FunctionCounter.builder(metric, this, server -> figure.applyAsDouble(server.totals.of(id)))
+            ToDoubleFunction<Totals.VolumeTotals> value) {
+        FunctionCounter.builder(metric, this, server -> value.applyAsDouble(server.totals.of(id)))
                 .description(description)
                 .tags(tags)
                 .register(registry);
     }
 
-    private void registerTimes() {
+    private void registerLatencyCounters() {
         for (LatencyComponent component : LatencyComponent.values()) {
-            total(
+            registerTotalsCounter(
                     "sagepulley.spent.seconds",
                     "where operations' time went",
                     "part",
                     component,
-                    now -> now.millisIn(component) / MILLIS_PER_SECOND);
+                    latest -> latest.millisIn(component) / MILLIS_PER_SECOND);
         }
         for (Cause.Kind kind : Cause.Kind.values()) {
-            total(
+            registerTotalsCounter(
                     "sagepulley.cause.seconds",
                     "waiting by its cause",
                     "cause",
                     kind,
-                    now -> now.waitedMillis(kind) / MILLIS_PER_SECOND);
-            total(
+                    latest -> latest.waitedMillis(kind) / MILLIS_PER_SECOND);
+            registerTotalsCounter(
                     "sagepulley.cause.utility.lost",
                     "utility lost by the cause of the wait",
                     "cause",
                     kind,
-                    now -> now.lostWeight(kind));
+                    latest -> latest.lostWeight(kind));
         }
     }
 
-    private void total(
+    private void registerTotalsCounter(
             String metric,
             String description,
             String label,
             Enum<?> constant,
-            ToDoubleFunction<Totals> figure) {
-        FunctionCounter.builder(metric, this, server -> figure.applyAsDouble(server.totals))
+            ToDoubleFunction<Totals> value) {
+        FunctionCounter.builder(metric, this, server -> value.applyAsDouble(server.totals))
                 .description(description)
                 .tags(Tags.of(label, ExternalName.of(constant)))
                 .register(registry);
     }
 
-    private void counter(String metric, String description, ToDoubleFunction<NbdGateway> figure) {
-        FunctionCounter.builder(metric, gateway, figure)
+    private void registerGatewayCounter(
+            String metric, String description, ToDoubleFunction<NbdGateway> value) {
+        FunctionCounter.builder(metric, gateway, value)
                 .description(description)
                 .register(registry);
     }
--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -64,7 +64,7 @@
      *
      * @throws IOException if there are no valid ones
      */
-    public static Loaded report(Path file) throws IOException {
+    public static Loaded inspect(Path file) throws IOException {
         SnapshotFile.ReadResult result =
                 new SnapshotFile(file, KIND, FORMAT, "", EARLIER_GENERATIONS).read();
         if (result.snapshot() != null) {
--- a/src/main/java/sagepulley/persistence/HolderCodec.java
+++ b/src/main/java/sagepulley/persistence/HolderCodec.java
@@ -18,11 +18,11 @@
 
     private static final int MAX_VOLUMES = 1 << 16;
     private static final int COMPRESSION_LEVEL = 3;
-    private static final int FILE_HEADER_BYTES = Integer.BYTES;
+    private static final int BODY_HEADER_BYTES = Integer.BYTES;
     private static final int VOLUME_HEADER_BYTES = 3 * Integer.BYTES;
     private static final int RUN_BYTES = 2 * Integer.BYTES;
     private static final long MAX_BYTES =
-            FILE_HEADER_BYTES
+            BODY_HEADER_BYTES
                     + (long) VOLUME_HEADER_BYTES * MAX_VOLUMES
                     + (long) RUN_BYTES * MAX_EXTENTS;
 
@@ -32,7 +32,7 @@
     private HolderCodec() {}
 
     static byte[] encode(Map<Integer, int[]> volumes) {
-        int length = FILE_HEADER_BYTES;
+        int length = BODY_HEADER_BYTES;
         for (int[] cells : volumes.values()) {
             length += VOLUME_HEADER_BYTES + RUN_BYTES * countRuns(cells);
         }
@@ -74,18 +74,18 @@
     static Map<Integer, int[]> decode(byte[] body, Path file) throws InvalidSnapshotException {
         ByteBuffer buffer = ByteBuffer.wrap(decompress(body, file));
         Map<Integer, int[]> volumes = new LinkedHashMap<>();
-        int count = buffer.getInt();
-        long extents = 0;
-        for (int i = 0; i < count; i++) {
+        int volumeCount = buffer.getInt();
+        long totalExtents = 0;
+        for (int i = 0; i < volumeCount; i++) {
             if (buffer.remaining() < VOLUME_HEADER_BYTES) {
                 throw new InvalidSnapshotException(file, "holders are cut off");
             }
             int volume = buffer.getInt();
             int length = buffer.getInt();
             int runs = buffer.getInt();
-            extents += length;
+            totalExtents += length;
             if (length < 0
-                    || extents > MAX_EXTENTS
+                    || totalExtents > MAX_EXTENTS
                     || runs < 0
                     || buffer.remaining() < (long) RUN_BYTES * runs) {
                 throw new InvalidSnapshotException(
@@ -98,7 +98,7 @@
 
     private static byte[] decompress(byte[] body, Path file) throws InvalidSnapshotException {
         long size = Zstd.getFrameContentSize(body);
-        if (size < FILE_HEADER_BYTES || size > MAX_BYTES) {
+        if (size < BODY_HEADER_BYTES || size > MAX_BYTES) {
             throw new InvalidSnapshotException(file, "holders of " + size + " bytes can be none");
         }
         try {
--- a/src/main/java/sagepulley/persistence/PeriodicWriter.java
+++ b/src/main/java/sagepulley/persistence/PeriodicWriter.java
@@ -24,7 +24,7 @@
         void write(T value) throws IOException;
     }
 
-    private static final long TIMEOUT_SECONDS = 10;
+    private static final long WRITE_TIMEOUT_SECONDS = 10;
     private static final Logger LOG = LoggerFactory.getLogger(PeriodicWriter.class);
 
     private final String name;
@@ -33,7 +33,7 @@
     private final ScheduledExecutorService executor;
 
     /** Whether the latest write failed; on the writer's thread. */
-    private boolean failing;
+    private boolean lastWriteFailed;
 
     /**
      * Starts the thread.
@@ -63,23 +63,23 @@
 
     private void write() {
         try {
-            T value = source.get().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            T value = source.get().get(WRITE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (value == null) {
                 return;
             }
             sink.write(value);
-            if (failing) {
+            if (lastWriteFailed) {
                 LOG.atInfo().addKeyValue("what", name).log("writes succeed again");
             }
-            failing = false;
+            lastWriteFailed = false;
         } catch (IOException | ExecutionException | TimeoutException | RuntimeException e) {
-            if (!failing) {
+            if (!lastWriteFailed) {
                 LOG.atWarn()
                         .addKeyValue("what", name)
                         .addKeyValue("why", e.toString())
                         .log("write failed, retried at each interval");
             }
-            failing = true;
+            lastWriteFailed = true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -96,7 +96,7 @@
         executor.execute(this::write);
         executor.shutdown();
         try {
-            if (!executor.awaitTermination(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (!executor.awaitTermination(WRITE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 LOG.atWarn().addKeyValue("what", name).log("last write timed out");
             }
         } catch (InterruptedException e) {
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -25,12 +25,12 @@
 
     /** The steps of a write, in order. */
     enum WriteStep {
-        WRITTEN,
-        FORCED,
-        OLDER_MOVED,
-        MOVED_AWAY,
-        PUT_IN_PLACE,
-        FOLDER_FORCED
+        TEMPORARY_FILE_WRITTEN,
+        TEMPORARY_FILE_SYNCED,
+        OLDER_GENERATION_ROTATED,
+        CURRENT_GENERATION_ROTATED,
+        RENAMED_INTO_PLACE,
+        DIRECTORY_SYNCED
     }
 
     /** Called after each step of a write; what it throws ends the write there. */
@@ -42,9 +42,9 @@
      * What a valid file holds.
      *
      * @param writtenAt wall-clock milliseconds
-     * @param number counts up with each write
+     * @param sequenceNumber counts up with each write
      */
-    public record Snapshot(byte[] body, long writtenAt, long number, Path file) {}
+    public record Snapshot(byte[] body, long writtenAt, long sequenceNumber, Path file) {}
 
     /** A file that cannot be used, and why not. */
     public record Rejected(Path file, String reason) {}
@@ -60,7 +60,7 @@
     private final WriteListener listener;
 
     /** The number of the newest snapshot; -1 before it is known. */
-    private long number = -1;
+    private long sequenceNumber = -1;
 
     /**
      * A file on disk, which need not exist yet.
@@ -91,7 +91,7 @@
         return age == 0 ? file : file.resolveSibling(file.getFileName() + "." + age);
     }
 
-    private Path temporary() {
+    private Path temporaryFile() {
         return file.resolveSibling(file.getFileName() + ".new");
     }
 
@@ -104,46 +104,47 @@
      * @throws IOException if that failed; every earlier generation is as it was, or moved up by one
      */
     public synchronized void write(byte[] body, long writtenAt) throws IOException {
-        if (number < 0) {
+        if (sequenceNumber < 0) {
             Snapshot newest = read().snapshot;
-            number = newest == null ? 0 : newest.number;
+            sequenceNumber = newest == null ? 0 : newest.sequenceNumber;
         }
         Files.createDirectories(file.getParent());
         writeTemporary(body, writtenAt);
-        moveGenerationsUp();
-        move(temporary(), file);
-        listener.stepDone(WriteStep.PUT_IN_PLACE, 0);
-        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
+        rotateGenerations();
+        move(temporaryFile(), file);
+        listener.stepDone(WriteStep.RENAMED_INTO_PLACE, 0);
+        try (FileChannel directory = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
+            directory.force(true);
         }
-        listener.stepDone(WriteStep.FOLDER_FORCED, 0);
-        number++;
+        listener.stepDone(WriteStep.DIRECTORY_SYNCED, 0);
+        sequenceNumber++;
     }
 
     private void writeTemporary(byte[] body, long writtenAt) throws IOException {
-        SnapshotHeader header = new SnapshotHeader(kind, format, owner, writtenAt, number + 1);
+        SnapshotHeader header =
+                new SnapshotHeader(kind, format, owner, writtenAt, sequenceNumber + 1);
         try (FileChannel channel =
                 FileChannel.open(
-                        temporary(),
+                        temporaryFile(),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
             writeFully(channel, ByteBuffer.wrap(header.encode(body)));
             writeFully(channel, ByteBuffer.wrap(body));
-            listener.stepDone(WriteStep.WRITTEN, 0);
+            listener.stepDone(WriteStep.TEMPORARY_FILE_WRITTEN, 0);
             channel.force(true);
         }
-        listener.stepDone(WriteStep.FORCED, 0);
+        listener.stepDone(WriteStep.TEMPORARY_FILE_SYNCED, 0);
     }
 
-    private void moveGenerationsUp() throws IOException {
+    private void rotateGenerations() throws IOException {
         for (int age = earlierGenerations; age > 1; age--) {
             moveIfPresent(generation(age - 1), generation(age));
-            listener.stepDone(WriteStep.OLDER_MOVED, age);
+            listener.stepDone(WriteStep.OLDER_GENERATION_ROTATED, age);
         }
         if (earlierGenerations > 0) {
             moveIfPresent(file, generation(1));
-            listener.stepDone(WriteStep.MOVED_AWAY, 1);
+            listener.stepDone(WriteStep.CURRENT_GENERATION_ROTATED, 1);
         }
     }
 
@@ -169,10 +170,10 @@
     public synchronized ReadResult read() {
         List<Rejected> rejected = new ArrayList<>();
         Snapshot newest = null;
-        for (Path candidate : candidates()) {
+        for (Path candidate : candidateFiles()) {
             try {
                 Snapshot snapshot = read(candidate);
-                if (newest == null || snapshot.number > newest.number) {
+                if (newest == null || snapshot.sequenceNumber > newest.sequenceNumber) {
                     newest = snapshot;
                 }
             } catch (NoSuchFileException e) {
@@ -187,13 +188,13 @@
         return new ReadResult(newest, rejected);
     }
 
-    private List<Path> candidates() {
-        List<Path> candidates = new ArrayList<>();
-        candidates.add(temporary());
+    private List<Path> candidateFiles() {
+        List<Path> files = new ArrayList<>();
+        files.add(temporaryFile());
         for (int age = 0; age <= earlierGenerations; age++) {
-            candidates.add(generation(age));
+            files.add(generation(age));
         }
-        return candidates;
+        return files;
     }
 
     private Snapshot read(Path path) throws IOException {
@@ -202,9 +203,9 @@
         }
         byte[] content = Files.readAllBytes(path);
         int headerLength = headerLength(content, path);
-        String line = new String(content, 0, headerLength, StandardCharsets.US_ASCII);
+        String headerLine = new String(content, 0, headerLength, StandardCharsets.US_ASCII);
         byte[] body = Arrays.copyOfRange(content, headerLength + 1, content.length);
-        SnapshotHeader header = SnapshotHeader.decode(line, body, path);
+        SnapshotHeader header = SnapshotHeader.decode(headerLine, body, path);
         if (!header.kind().equals(kind)) {
             throw new InvalidSnapshotException(path, "is a file of another kind: " + header.kind());
         }
@@ -216,7 +217,7 @@
             throw new InvalidSnapshotException(
                     path, "belongs to '" + header.owner() + "', not to '" + owner + "'");
         }
-        return new Snapshot(body, header.writtenAt(), header.number(), path);
+        return new Snapshot(body, header.writtenAt(), header.sequenceNumber(), path);
     }
 
     private static int headerLength(byte[] content, Path path) throws InvalidSnapshotException {
--- a/src/main/java/sagepulley/persistence/SnapshotHeader.java
+++ b/src/main/java/sagepulley/persistence/SnapshotHeader.java
@@ -12,9 +12,9 @@
  * spaces.
  *
  * @param writtenAt wall-clock milliseconds
- * @param number counts up with each write of a file
+ * @param sequenceNumber counts up with each write of a file
  */
-record SnapshotHeader(String kind, int format, String owner, long writtenAt, long number) {
+record SnapshotHeader(String kind, int format, String owner, long writtenAt, long sequenceNumber) {
     /** No valid header is longer, its line feed included. */
     static final int MAX_BYTES = 1024;
 
@@ -31,7 +31,7 @@
                         Integer.toString(format),
                         URLEncoder.encode(owner, StandardCharsets.UTF_8),
                         Long.toString(writtenAt),
-                        Long.toString(number),
+                        Long.toString(sequenceNumber),
                         Integer.toString(body.length));
         return (fields + " " + Integer.toHexString(checksum(fields, body)) + "\n")
                 .getBytes(StandardCharsets.US_ASCII);
--- a/src/main/java/sagepulley/tracing/SpanFile.java
+++ b/src/main/java/sagepulley/tracing/SpanFileExporter.java
@@ -24,15 +24,15 @@
  * Writes spans to a file, a line of JSON each; a file that is full is rotated, and the oldest
  * deleted.
  */
-final class SpanFile implements SpanExporter {
+final class SpanFileExporter implements SpanExporter {
     private static final JsonMapper JSON = new JsonMapper();
 
     private static final Duration SIZE_CHECK_INTERVAL = Duration.buildByMilliseconds(200);
 
     private final LoggerContext context = new LoggerContext();
-    private final Logger lines;
+    private final Logger lineLogger;
 
-    SpanFile(Path file, long bytes, int files) {
+    SpanFileExporter(Path file, long bytes, int files) {
         context.setMDCAdapter(new LogbackMDCAdapter());
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setContext(context);
@@ -42,14 +42,14 @@
         appender.setContext(context);
         appender.setFile(file.toString());
         appender.setEncoder(encoder);
-        appender.setRollingPolicy(rolling(file, files, appender));
-        appender.setTriggeringPolicy(triggering(bytes));
+        appender.setRollingPolicy(rollingPolicy(file, files, appender));
+        appender.setTriggeringPolicy(triggeringPolicy(bytes));
         appender.start();
-        lines = context.getLogger("traces");
-        lines.addAppender(appender);
+        lineLogger = context.getLogger("traces");
+        lineLogger.addAppender(appender);
     }
 
-    private FixedWindowRollingPolicy rolling(
+    private FixedWindowRollingPolicy rollingPolicy(
             Path file, int files, RollingFileAppender<ILoggingEvent> appender) {
         FixedWindowRollingPolicy policy = new FixedWindowRollingPolicy();
         policy.setContext(context);
@@ -61,7 +61,7 @@
         return policy;
     }
 
-    private SizeBasedTriggeringPolicy<ILoggingEvent> triggering(long bytes) {
+    private SizeBasedTriggeringPolicy<ILoggingEvent> triggeringPolicy(long bytes) {
         SizeBasedTriggeringPolicy<ILoggingEvent> policy = new SizeBasedTriggeringPolicy<>();
         policy.setContext(context);
         policy.setMaxFileSize(new FileSize(bytes));
@@ -82,7 +82,7 @@
             line.put("end", span.getEndEpochNanos());
             span.getAttributes().forEach((key, value) -> line.put(key.getKey(), value));
             try {
-                lines.info(JSON.writeValueAsString(line));
+                lineLogger.info(JSON.writeValueAsString(line));
             } catch (JsonProcessingException e) {
                 return CompletableResultCode.ofExceptionalFailure(e);
             }
--- a/src/main/java/sagepulley/tracing/SpanMaker.java
+++ b/src/main/java/sagepulley/tracing/SpanRecorder.java
@@ -13,35 +13,35 @@
  * Makes an operation's spans: one for the operation, and within it one for each attempt and each
  * step. The only place that knows the names of spans and attributes, which are the span file's.
  */
-final class SpanMaker {
+final class SpanRecorder {
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final Tracer tracer;
 
-    SpanMaker(Tracer tracer) {
+    SpanRecorder(Tracer tracer) {
         this.tracer = tracer;
     }
 
-    void make(OperationTrace trace, Context parent) {
-        Span operation = startOperation(trace, parent);
+    void record(OperationTrace trace, Context parent) {
+        Span operation = startOperationSpan(trace, parent);
         Context context = parent.with(operation);
         double end = trace.arrivedAt() + trace.duration();
         for (OperationTrace.Attempt attempt : trace.attempts()) {
-            makeAttempt(attempt, trace.arrivedAt(), end, context);
+            recordAttempt(attempt, trace.arrivedAt(), end, context);
         }
         double stepStart = trace.arrivedAt();
         for (OperationTrace.Step step : trace.steps()) {
-            makeStep(step, stepStart, context);
+            recordStep(step, stepStart, context);
             stepStart += step.duration();
         }
         if (trace.end() == Accounts.End.ABANDONED || trace.end() == Accounts.End.REJECTED) {
             operation.setStatus(StatusCode.ERROR, ExternalName.of(trace.reason()));
         }
-        operation.end(nanos(end), TimeUnit.NANOSECONDS);
+        operation.end(toNanos(end), TimeUnit.NANOSECONDS);
     }
 
-    private Span startOperation(OperationTrace trace, Context parent) {
-        return start("operation", parent, trace.arrivedAt())
+    private Span startOperationSpan(OperationTrace trace, Context parent) {
+        return spanBuilderAt("operation", parent, trace.arrivedAt())
                 .setAttribute("gateway", trace.gateway())
                 .setAttribute("operation", trace.operation())
                 .setAttribute("cookie", trace.cookie())
@@ -58,7 +58,7 @@
                 .startSpan();
     }
 
-    private void makeAttempt(
+    private void recordAttempt(
             OperationTrace.Attempt attempt,
             double arrivedAt,
             double operationEnd,
@@ -66,32 +66,32 @@
         boolean inFlight = attempt.outcome() == null;
         double sentAt = arrivedAt + attempt.sentAfter();
         String quotaTier = attempt.quotaTier() == null ? "" : ExternalName.of(attempt.quotaTier());
-        start("hop", context, sentAt)
+        spanBuilderAt("hop", context, sentAt)
                 .setAttribute("number", attempt.number())
                 .setAttribute("node", attempt.node())
                 .setAttribute("owed", quotaTier)
                 .setAttribute("result", inFlight ? "out" : ExternalName.of(attempt.outcome()))
                 .startSpan()
                 .end(
-                        nanos(inFlight ? operationEnd : sentAt + attempt.duration()),
+                        toNanos(inFlight ? operationEnd : sentAt + attempt.duration()),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void makeStep(OperationTrace.Step step, double startedAt, Context context) {
-        start("step", context, startedAt)
+    private void recordStep(OperationTrace.Step step, double startedAt, Context context) {
+        spanBuilderAt("step", context, startedAt)
                 .setAttribute("spent", ExternalName.of(step.component()))
                 .setAttribute("node", step.node())
                 .startSpan()
-                .end(nanos(startedAt + step.duration()), TimeUnit.NANOSECONDS);
+                .end(toNanos(startedAt + step.duration()), TimeUnit.NANOSECONDS);
     }
 
-    private SpanBuilder start(String name, Context parent, double wallMillis) {
+    private SpanBuilder spanBuilderAt(String name, Context parent, double wallClockMillis) {
         return tracer.spanBuilder(name)
                 .setParent(parent)
-                .setStartTimestamp(nanos(wallMillis), TimeUnit.NANOSECONDS);
+                .setStartTimestamp(toNanos(wallClockMillis), TimeUnit.NANOSECONDS);
     }
 
-    private static long nanos(double wallMillis) {
-        return (long) (wallMillis * NANOS_PER_MILLI);
+    private static long toNanos(double wallClockMillis) {
+        return (long) (wallClockMillis * NANOS_PER_MILLI);
     }
 }
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -28,11 +28,11 @@
         RANDOM("chance", 0.1);
 
         private final String externalName;
-        private final double budgetPart;
+        private final double budgetShare;
 
-        SampleReason(String externalName, double budgetPart) {
+        SampleReason(String externalName, double budgetShare) {
             this.externalName = externalName;
-            this.budgetPart = budgetPart;
+            this.budgetShare = budgetShare;
         }
 
         @Override
@@ -68,19 +68,19 @@
     /** By reason: traces that may be kept now, and candidates within the rate window. */
     private final double[] tokens = new double[REASONS.length];
 
-    private final double[] candidates = new double[REASONS.length];
+    private final double[] candidateCounts = new double[REASONS.length];
 
     /** Tokens that no reason had room for. */
-    private double spareTokens;
+    private double sharedTokens;
 
     private double refilledAt;
 
     /** By traffic class: the quantile of durations, and how many of them were seen. */
     private double[] slowQuantile = new double[0];
 
-    private int[] samples = new int[0];
+    private int[] sampleCounts = new int[0];
     private SampleReason reason;
-    private long overBudget;
+    private long droppedOverBudget;
 
     /**
      * A sampler with a full budget.
@@ -97,8 +97,8 @@
         }
     }
 
-    private double capacity(SampleReason ofReason) {
-        return Math.max(1, ofReason.budgetPart * maxTracesPerSecond);
+    private double capacity(SampleReason sampleReason) {
+        return Math.max(1, sampleReason.budgetShare * maxTracesPerSecond);
     }
 
     /**
@@ -114,17 +114,17 @@
         refill(now);
         reason = reason(end, missed, isAmongSlowest(trafficClass, duration));
         int index = reason.ordinal();
-        candidates[index]++;
-        double rate = candidates[index] * 1000 / RATE_WINDOW_MILLIS;
-        double wanted = reason == SampleReason.RANDOM ? sampleProbability : 1;
-        double affordable =
-                (reason.budgetPart * maxTracesPerSecond + spareTokens) / Math.max(MIN_RATE, rate);
-        double probability = Math.min(wanted, affordable);
+        candidateCounts[index]++;
+        double rate = candidateCounts[index] * 1000 / RATE_WINDOW_MILLIS;
+        double targetProbability = reason == SampleReason.RANDOM ? sampleProbability : 1;
+        double budgetProbability =
+                (reason.budgetShare * maxTracesPerSecond + sharedTokens) / Math.max(MIN_RATE, rate);
+        double probability = Math.min(targetProbability, budgetProbability);
         if (probability < 1 && random.nextDouble() >= probability) {
             return 0;
         }
         if (!takeToken(index)) {
-            overBudget++;
+            droppedOverBudget++;
             return 0;
         }
         return 1 / probability;
@@ -148,8 +148,8 @@
             tokens[index]--;
             return true;
         }
-        if (spareTokens >= 1) {
-            spareTokens--;
+        if (sharedTokens >= 1) {
+            sharedTokens--;
             return true;
         }
         return false;
@@ -164,39 +164,40 @@
      * How many were chosen and not kept since the start, because the budget was spent at that
      * moment.
      */
-    public long overBudget() {
-        return overBudget;
+    public long droppedOverBudget() {
+        return droppedOverBudget;
     }
 
     private void refill(double now) {
-        double passed = Math.max(0, now - refilledAt);
-        if (passed < MIN_REFILL_MILLIS) {
+        double elapsed = Math.max(0, now - refilledAt);
+        if (elapsed < MIN_REFILL_MILLIS) {
             return;
         }
         refilledAt = now;
-        double decay = Math.exp(-passed / RATE_WINDOW_MILLIS);
+        double decay = Math.exp(-elapsed / RATE_WINDOW_MILLIS);
         for (SampleReason each : REASONS) {
             int index = each.ordinal();
-            candidates[index] *= decay;
-            double filled = tokens[index] + each.budgetPart * maxTracesPerSecond * passed / 1000;
-            tokens[index] = Math.min(capacity(each), filled);
-            spareTokens += filled - tokens[index];
+            candidateCounts[index] *= decay;
+            double refilled =
+                    tokens[index] + each.budgetShare * maxTracesPerSecond * elapsed / 1000;
+            tokens[index] = Math.min(capacity(each), refilled);
+            sharedTokens += refilled - tokens[index];
         }
-        spareTokens = Math.min(spareTokens, maxTracesPerSecond);
+        sharedTokens = Math.min(sharedTokens, maxTracesPerSecond);
     }
 
     /** Follows the duration that only a small fraction of a traffic class exceeds. */
     private boolean isAmongSlowest(int trafficClass, double duration) {
         if (trafficClass >= slowQuantile.length) {
             slowQuantile = Arrays.copyOf(slowQuantile, trafficClass + 1);
-            samples = Arrays.copyOf(samples, trafficClass + 1);
+            sampleCounts = Arrays.copyOf(sampleCounts, trafficClass + 1);
         }
         double quantile = slowQuantile[trafficClass];
         boolean exceeds = duration > quantile;
         double step = QUANTILE_STEP * quantile + MIN_QUANTILE_STEP_MILLIS;
         quantile += step * (exceeds ? 1 - SLOW_FRACTION : -SLOW_FRACTION);
-        if (samples[trafficClass] < MIN_QUANTILE_SAMPLES) {
-            samples[trafficClass]++;
+        if (sampleCounts[trafficClass] < MIN_QUANTILE_SAMPLES) {
+            sampleCounts[trafficClass]++;
             slowQuantile[trafficClass] = Math.max(quantile, duration);
             return false;
         }
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -27,10 +27,10 @@
     private static final Duration EXPORT_TIMEOUT = Duration.ofSeconds(5);
     private static final long POLL_MILLIS = 100;
     private static final long CLOSE_TIMEOUT_SECONDS = 3;
-    private static final AttributeKey<String> SERVICE = AttributeKey.stringKey("service.name");
+    private static final AttributeKey<String> SERVICE_NAME = AttributeKey.stringKey("service.name");
 
     private final SdkTracerProvider provider;
-    private final SpanMaker spans;
+    private final SpanRecorder spanRecorder;
     private final BlockingQueue<OperationTrace> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TRACES);
     private final Thread thread = new Thread(this::run, "traces");
     private final LongAdder recorded = new LongAdder();
@@ -39,16 +39,18 @@
 
     /** Starts the thread and the exporters. */
     public Tracer(TracingSettings settings, String gateway) {
-        Attributes service = Attributes.of(SERVICE, "sagepulley/" + gateway);
+        Attributes resourceAttributes = Attributes.of(SERVICE_NAME, "sagepulley/" + gateway);
         SdkTracerProviderBuilder builder =
-                SdkTracerProvider.builder().setResource(Resource.create(service));
+                SdkTracerProvider.builder().setResource(Resource.create(resourceAttributes));
         if (settings.file() != null) {
             builder.addSpanProcessor(
-                    batches(new SpanFile(settings.file(), settings.fileBytes(), settings.files())));
+                    batchProcessor(
+                            new SpanFileExporter(
+                                    settings.file(), settings.fileBytes(), settings.files())));
         }
         if (!settings.otlp().isEmpty()) {
             builder.addSpanProcessor(
-                    batches(
+                    batchProcessor(
                             OtlpHttpSpanExporter.builder()
                                     .setEndpoint(settings.otlp())
                                     .setTimeout(EXPORT_TIMEOUT)
@@ -56,12 +58,12 @@
                                     .build()));
         }
         provider = builder.build();
-        spans = new SpanMaker(provider.get("sagepulley"));
+        spanRecorder = new SpanRecorder(provider.get("sagepulley"));
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static BatchSpanProcessor batches(SpanExporter exporter) {
+    private static BatchSpanProcessor batchProcessor(SpanExporter exporter) {
         return BatchSpanProcessor.builder(exporter)
                 .setMaxQueueSize(MAX_QUEUED_SPANS)
                 .setScheduleDelay(EXPORT_INTERVAL)
@@ -91,7 +93,7 @@
             while (!closing || !queue.isEmpty()) {
                 OperationTrace trace = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 if (trace != null) {
-                    spans.make(trace, Context.root());
+                    spanRecorder.record(trace, Context.root());
                     recorded.increment();
                 }
             }
--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -18,7 +18,7 @@
             slices().matching("sagepulley.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule DECISIONS_ARE_PURE =
+    static final ArchRule DECISION_PACKAGES_ARE_FREE_OF_IO_AND_CLOCKS =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -46,7 +46,7 @@
                     .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule CODECS_DECIDE_NOTHING =
+    static final ArchRule CODECS_DO_NOT_DEPEND_ON_DECISIONS =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -65,7 +65,7 @@
                             "sagepulley.scenario..");
 
     @ArchTest
-    static final ArchRule THE_GATEWAY_KNOWS_NO_STAND_IN =
+    static final ArchRule NBD_GATEWAY_DOES_NOT_DEPEND_ON_STAND_INS =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.frontend.nbd..")
@@ -78,7 +78,7 @@
                             "sagepulley.simulator..");
 
     @ArchTest
-    static final ArchRule SIMULATOR_STAYS_LIGHT =
+    static final ArchRule SIMULATOR_HAS_FEW_DEPENDENCIES =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.simulator..")
@@ -94,7 +94,7 @@
                             "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule SETTINGS_STAY_LIGHT =
+    static final ArchRule SETTINGS_DEPEND_ON_MODEL_ONLY =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.config.settings..")
@@ -104,7 +104,7 @@
                             "java..", "sagepulley.config.settings..", "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule SCHEDULER_KNOWS_MODEL_AND_LEASE_ONLY =
+    static final ArchRule SCHEDULER_DEPENDS_ON_MODEL_AND_MEMBERSHIP_ONLY =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.scheduler..")
@@ -118,7 +118,7 @@
 
     /** The two views show what the scheduler has learned; no decision depends on them. */
     @ArchTest
-    static final ArchRule NO_CONCERN_KNOWS_THE_SCHEDULER_THAT_COMPOSES_IT =
+    static final ArchRule SCHEDULER_PARTS_DO_NOT_DEPEND_ON_SCHEDULER =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.scheduler..")
@@ -133,7 +133,7 @@
                     .haveFullyQualifiedName("sagepulley.scheduler.Scheduler");
 
     @ArchTest
-    static final ArchRule ENGINE_KNOWS_NO_PROTOCOL =
+    static final ArchRule ENGINE_DOES_NOT_DEPEND_ON_PROTOCOLS =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.engine..")
@@ -147,7 +147,7 @@
                             "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule RESP_KNOWS_NETTY_ONLY =
+    static final ArchRule RESP_CODEC_DEPENDS_ON_NETTY_ONLY =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.codec.resp..")
@@ -166,7 +166,7 @@
     };
 
     @ArchTest
-    static final ArchRule THE_RESP_GATEWAY_KNOWS_NO_OTHER_ENTRY =
+    static final ArchRule RESP_GATEWAY_DOES_NOT_DEPEND_ON_OTHER_ENTRY_POINTS =
             noClasses()
                     .that()
                     .resideInAnyPackage(RESP_GATEWAY)
@@ -184,7 +184,7 @@
 
     /** No class of another logger or of another configuration format is loaded at its start. */
     @ArchTest
-    static final ArchRule THE_RESP_GATEWAY_STARTS_LIGHT =
+    static final ArchRule RESP_GATEWAY_DOES_NOT_LOAD_HEAVY_LIBRARIES =
             noClasses()
                     .that()
                     .resideInAnyPackage(RESP_GATEWAY)
@@ -197,7 +197,7 @@
                             "org.apache.commons..");
 
     @ArchTest
-    static final ArchRule RESP_CLIENTS_DECIDE_NOTHING =
+    static final ArchRule RESP_CLIENTS_DO_NOT_DEPEND_ON_DECISIONS =
             noClasses()
                     .that()
                     .resideInAnyPackage("sagepulley.upstream.resp..", "sagepulley.discovery.http..")
--- a/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -44,16 +44,16 @@
     private LocalCluster cluster;
 
     @BeforeEach
-    void open() {
-        List<NodeProfile> traits = new ArrayList<>();
+    void startCluster() {
+        List<NodeProfile> profiles = new ArrayList<>();
         for (int i = 1; i <= 2; i++) {
-            traits.add(NodeProfile.quick(i, MIB).withCost(2, 2));
+            profiles.add(NodeProfile.quick(i, MIB).withCost(2, 2));
         }
-        cluster = LocalCluster.start(traits, TrafficRecorder.NO_OP, 2);
+        cluster = LocalCluster.start(profiles, TrafficRecorder.NO_OP, 2);
     }
 
     @AfterEach
-    void close() {
+    void stopCluster() {
         cluster.close();
     }
 
@@ -65,7 +65,7 @@
         return LocalCluster.await(new NbdGateway(SiteConfig.read("site", site), seed).start());
     }
 
-    private void work(NbdGateway gateway, int operations) {
+    private void sendRequests(NbdGateway gateway, int operations) {
         NbdClient client =
                 LocalCluster.await(
                         NbdClient.open(
@@ -83,37 +83,37 @@
         client.channel().close().awaitUninterruptibly();
     }
 
-    private static String printed(String... words) {
-        PrintStream before = System.out;
+    private static String runCommand(String... arguments) {
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(0, Commands.run(words), String.join(" ", words) + " " + out);
+            assertEquals(0, Commands.run(arguments), String.join(" ", arguments) + " " + out);
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void accountsGoOnOverARestartAndATornFileIsSetAside() throws Exception {
+    void accountsSurviveRestartAndTruncatedFileIsSetAside() throws Exception {
         Path file = folder.resolve("accounts");
         String site = site("\n[accounts]\nfile = " + file + "\nevery = 1 h\n");
         NbdGateway first = start(site, 1);
-        work(first, 20);
+        sendRequests(first, 20);
         LocalCluster.await(first.stop());
         NbdGateway second = start(site, 2);
-        work(second, 10);
+        sendRequests(second, 10);
         Map<String, LatencyReport> reports = LocalCluster.await(second.accounts(60_000));
         assertEquals(32, reports.get("demo").operations());
         LocalCluster.await(second.stop());
         // A kill writes nothing more: the file still has what the last orderly end left.
         NbdGateway third = start(site, 3);
-        work(third, 5);
+        sendRequests(third, 5);
         LocalCluster.await(third.kill());
-        assertTrue(printed("report", file.toString()).contains("volume demo: 32 operations"));
-        byte[] whole = Files.readAllBytes(file);
-        Files.write(file, java.util.Arrays.copyOf(whole, whole.length - 7));
+        assertTrue(runCommand("report", file.toString()).contains("volume demo: 32 operations"));
+        byte[] intact = Files.readAllBytes(file);
+        Files.write(file, java.util.Arrays.copyOf(intact, intact.length - 7));
         NbdGateway fourth = start(site, 4);
         assertTrue(Files.exists(folder.resolve("accounts.set-aside")));
         assertEquals(
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void tracesGoToAFileAndAReceiverAndExplainTellsThem() throws Exception {
+    void tracesAreExportedToFileAndReceiverAndExplained() throws Exception {
         AtomicReference<byte[]> received = new AtomicReference<>(new byte[0]);
         HttpServer receiver =
                 HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 4);
@@ -146,43 +146,43 @@
                                         + receiver.getAddress().getPort()
                                         + "/v1/traces\nbudget = 100\nchance = 1\n"),
                         1);
-        work(gateway, 5);
+        sendRequests(gateway, 5);
         LocalCluster.await(gateway.stop());
         receiver.stop(0);
         assertTrue(gateway.tracesRecorded() > 0);
-        String told = printed("explain", file.toString(), "--volume", "demo");
-        assertTrue(told.contains("hop 1 goes to node"), told);
-        assertTrue(told.contains("worked on by the node"), told);
-        assertTrue(told.contains("satisfied after"), told);
+        String explanation = runCommand("explain", file.toString(), "--volume", "demo");
+        assertTrue(explanation.contains("hop 1 goes to node"), explanation);
+        assertTrue(explanation.contains("worked on by the node"), explanation);
+        assertTrue(explanation.contains("satisfied after"), explanation);
         assertTrue(
                 new String(received.get(), StandardCharsets.ISO_8859_1).contains("demo"),
                 "the receiver got spans");
-        assertEquals(3, printed("explain", file.toString(), "--list", "3").lines().count());
+        assertEquals(3, runCommand("explain", file.toString(), "--list", "3").lines().count());
     }
 
     @Test
-    void aReceiverThatIsNotThereHarmsNothing() throws Exception {
+    void unreachableTraceReceiverDoesNotAffectRequests() throws Exception {
         NbdGateway gateway =
                 start(
                         site(
                                 "\n[traces]\notlp = http://127.0.0.1:9/v1/traces\nbudget = 100\nchance = 1\n"),
                         1);
-        work(gateway, 20);
+        sendRequests(gateway, 20);
         assertEquals(21, gateway.counters().served.sum());
         LocalCluster.await(gateway.stop());
     }
 
     @Test
-    void figuresOverHttp() throws Exception {
+    void metricsAndViewsAreServedOverHttp() throws Exception {
         SiteConfig site = SiteConfig.read("site", site(""));
         NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
-        work(gateway, 10);
-        try (MonitoringServer watch =
+        sendRequests(gateway, 10);
+        try (MonitoringServer server =
                 new MonitoringServer(
                         site,
                         gateway,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            String base = "http://127.0.0.1:" + watch.address().getPort();
+            String base = "http://127.0.0.1:" + server.address().getPort();
             HttpClient client = HttpClient.newHttpClient();
             String text =
                     client.send(
@@ -201,25 +201,26 @@
                                             .build(),
                                     HttpResponse.BodyHandlers.discarding())
                             .statusCode());
-            String top = printed("top", "127.0.0.1:" + watch.address().getPort(), "--once");
+            String top = runCommand("top", "127.0.0.1:" + server.address().getPort(), "--once");
             assertTrue(top.contains("demo"), top);
-            String nodes = printed("nodes", "127.0.0.1:" + watch.address().getPort());
+            String nodes = runCommand("nodes", "127.0.0.1:" + server.address().getPort());
             assertTrue(nodes.contains("list fresh") && nodes.contains("directory reached"), nodes);
         }
         LocalCluster.await(gateway.stop());
     }
 
     @Test
-    void anOperatorsListIsImportedVerifiedAndExported() throws Exception {
+    void endpointListIsImportedVerifiedAndExported() throws Exception {
         Path csv = folder.resolve("list.csv");
         Files.writeString(
                 csv, "node,cell,zone,kind,standing,host,port\n7,3,0,0,ready,10.0.0.7,7000\n");
         String file = folder.resolve("nodes").toString();
-        printed("list-file", "import", file, "--site", "sahil", "--csv", csv.toString());
+        runCommand("list-file", "import", file, "--site", "sahil", "--csv", csv.toString());
         assertTrue(
-                printed("list-file", "verify", file, "--site", "sahil").contains("good, 1 nodes"));
-        assertTrue(printed("list-file", "show", file).contains("last confirmed never"));
-        assertEquals(Files.readString(csv), printed("list-file", "export", file));
+                runCommand("list-file", "verify", file, "--site", "sahil")
+                        .contains("good, 1 nodes"));
+        assertTrue(runCommand("list-file", "show", file).contains("last confirmed never"));
+        assertEquals(Files.readString(csv), runCommand("list-file", "export", file));
         assertEquals(3, Commands.run("list-file", "verify", file, "--site", "another"));
         Files.writeString(csv, "7,3,0,0,ready,10.0.0.7,99999\n");
         assertEquals(
--- a/src/test/java/sagepulley/persistence/AccountFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -40,9 +40,9 @@
                     1000,
                     3,
                     0.2);
-    @TempDir private Path folder;
+    @TempDir private Path tempDir;
 
-    private static Accounts filled(long seed) {
+    private static Accounts randomAccounts(long seed) {
         Random random = new Random(seed);
         Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 1e12);
         double now = 0;
@@ -81,11 +81,11 @@
 
     /** What is written is read again, figure by figure. */
     @Property(tries = 20, seed = "5")
-    void roundTrip(@ForAll long seed) throws IOException {
-        Path parent = Files.createTempDirectory("accounts");
-        Accounts accounts = filled(seed);
-        new AccountFile(parent.resolve("a"), "gw").write(stored("gw", accounts));
-        AccountFile.Loaded read = AccountFile.report(parent.resolve("a"));
+    void writtenAccountsAreReadBackUnchanged(@ForAll long seed) throws IOException {
+        Path directory = Files.createTempDirectory("accounts");
+        Accounts accounts = randomAccounts(seed);
+        new AccountFile(directory.resolve("a"), "gw").write(stored("gw", accounts));
+        AccountFile.Loaded read = AccountFile.inspect(directory.resolve("a"));
         assertEquals(Map.of(1L, "exams"), read.stored().volumeNames());
         for (long volume : accounts.volumes()) {
             assertEquals(
@@ -93,33 +93,33 @@
                     read.account().report(volume, 1e12, 1e12 + 1e8).toString());
         }
         for (String name : new String[] {"a", "a.1"}) {
-            Files.deleteIfExists(parent.resolve(name));
+            Files.deleteIfExists(directory.resolve(name));
         }
-        Files.delete(parent);
+        Files.delete(directory);
     }
 
     @Test
-    void aTornFileIsSetAsideAndTheOneBeforeUsed() throws IOException {
-        Path path = folder.resolve("accounts");
+    void truncatedFileIsSetAsideAndEarlierGenerationIsLoaded() throws IOException {
+        Path path = tempDir.resolve("accounts");
         AccountFile file = new AccountFile(path, "gw");
-        file.write(stored("gw", filled(1)));
-        file.write(stored("gw", filled(2)));
+        file.write(stored("gw", randomAccounts(1)));
+        file.write(stored("gw", randomAccounts(2)));
         byte[] intact = Files.readAllBytes(path);
         Files.write(path, Arrays.copyOf(intact, intact.length / 2));
         AccountFile.Loaded read = new AccountFile(path, "gw").load();
         assertEquals(
-                filled(1).report(1, 0, 1e8).toString(),
+                randomAccounts(1).report(1, 0, 1e8).toString(),
                 read.account().report(1, 1e12, 1e12 + 1e8).toString());
-        assertTrue(Files.exists(folder.resolve("accounts.set-aside")));
+        assertTrue(Files.exists(tempDir.resolve("accounts.set-aside")));
     }
 
     @Test
-    void intactFilesWithImpossibleFiguresAreRejected() throws IOException {
-        Path path = folder.resolve("accounts");
+    void undecodableBodiesAreRejected() throws IOException {
+        Path path = tempDir.resolve("accounts");
         for (String body : new String[] {"", "not CBOR at all", "\u00a0", "\u00f6"}) {
             new SnapshotFile(path, "accounts", 1, "gw", 1)
                     .write(body.getBytes(StandardCharsets.ISO_8859_1), 1);
-            assertThrows(IOException.class, () -> AccountFile.report(path), body);
+            assertThrows(IOException.class, () -> AccountFile.inspect(path), body);
         }
         assertNull(new AccountFile(path, "gw").load());
         assertTrue(Files.notExists(path));
@@ -129,20 +129,20 @@
      * Random damage inside a body whose checksum was made to agree: read or rejected, nothing else.
      */
     @Property(tries = 200, seed = "9")
-    void damagedBodiesAreReadOrRejected(@ForAll int at, @ForAll byte value) throws IOException {
-        Path parent = Files.createTempDirectory("accounts");
-        Path path = parent.resolve("a");
-        new AccountFile(path, "gw").write(stored("gw", filled(3)));
+    void corruptedBodiesAreReadOrRejected(@ForAll int at, @ForAll byte value) throws IOException {
+        Path directory = Files.createTempDirectory("accounts");
+        Path path = directory.resolve("a");
+        new AccountFile(path, "gw").write(stored("gw", randomAccounts(3)));
         byte[] body = new SnapshotFile(path, "accounts", 1, "gw", 1).read().snapshot().body();
         body[Math.floorMod(at, body.length)] = value;
         new SnapshotFile(path, "accounts", 1, "gw", 1).write(body, 1);
         try {
-            AccountFile.report(path);
+            AccountFile.inspect(path);
         } catch (IOException e) {
             assertTrue(e.getMessage().length() > 0);
         }
         Files.deleteIfExists(path);
-        Files.deleteIfExists(parent.resolve("a.1"));
-        Files.delete(parent);
+        Files.deleteIfExists(directory.resolve("a.1"));
+        Files.delete(directory);
     }
 }
--- a/src/test/java/sagepulley/persistence/SnapshotFileTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -16,10 +16,10 @@
 
 /** Snapshot files with generations: the newest valid one is read. */
 class SnapshotFileTest {
-    @TempDir private Path folder;
+    @TempDir private Path tempDir;
 
     private SnapshotFile open(String owner) {
-        return new SnapshotFile(folder.resolve("list"), "list", 3, owner, 2);
+        return new SnapshotFile(tempDir.resolve("list"), "list", 3, owner, 2);
     }
 
     private static byte[] body(String text) {
@@ -32,54 +32,54 @@
     }
 
     @Test
-    void aKillAfterAnyStepLeavesTheOldOrTheNewSnapshot() throws IOException {
-        for (int stop = 0; stop < 7; stop++) {
-            Path parent = Files.createDirectory(folder.resolve("kill" + stop));
-            SnapshotFile before = new SnapshotFile(parent.resolve("list"), "list", 3, "site", 2);
+    void killAfterAnyWriteStepLeavesOldOrNewSnapshot() throws IOException {
+        for (int stopStep = 0; stopStep < 7; stopStep++) {
+            Path directory = Files.createDirectory(tempDir.resolve("kill" + stopStep));
+            SnapshotFile file = new SnapshotFile(directory.resolve("list"), "list", 3, "site", 2);
             for (String text : new String[] {"one", "two", "three"}) {
-                before.write(body(text), 1);
+                file.write(body(text), 1);
             }
-            int[] left = {stop};
+            int[] stepsLeft = {stopStep};
             SnapshotFile killed =
                     new SnapshotFile(
-                            parent.resolve("list"),
+                            directory.resolve("list"),
                             "list",
                             3,
                             "site",
                             2,
                             (step, generation) -> {
-                                if (left[0]-- == 0) {
+                                if (stepsLeft[0]-- == 0) {
                                     throw new IOException("killed after " + step);
                                 }
                             });
-            boolean done = true;
+            boolean completed = true;
             try {
                 killed.write(body("four"), 2);
             } catch (IOException e) {
-                done = false;
+                completed = false;
             }
             SnapshotFile.ReadResult after =
-                    new SnapshotFile(parent.resolve("list"), "list", 3, "site", 2).read();
+                    new SnapshotFile(directory.resolve("list"), "list", 3, "site", 2).read();
             String found = text(after);
             assertTrue(
-                    found.equals("four") || (found.equals("three") && !done),
-                    "killed at " + stop + ": " + found);
+                    found.equals("four") || (found.equals("three") && !completed),
+                    "killed at " + stopStep + ": " + found);
             assertTrue(after.rejected().isEmpty());
             // And the next life writes on.
-            SnapshotFile next = new SnapshotFile(parent.resolve("list"), "list", 3, "site", 2);
+            SnapshotFile next = new SnapshotFile(directory.resolve("list"), "list", 3, "site", 2);
             next.write(body("five"), 3);
             assertEquals("five", text(next.read()));
         }
     }
 
     @Test
-    void ofAFileCutAtAnyByteTheEarlierGenerationIsRead() throws IOException {
+    void earlierGenerationIsReadWhenFileIsTruncatedAtAnyByte() throws IOException {
         SnapshotFile file = open("site");
         file.write(body("the first body"), 1);
         file.write(body("the second body"), 2);
-        byte[] intact = Files.readAllBytes(folder.resolve("list"));
+        byte[] intact = Files.readAllBytes(tempDir.resolve("list"));
         for (int length = 0; length < intact.length; length++) {
-            Files.write(folder.resolve("list"), Arrays.copyOf(intact, length));
+            Files.write(tempDir.resolve("list"), Arrays.copyOf(intact, length));
             SnapshotFile.ReadResult result = open("site").read();
             assertEquals("the first body", text(result), "cut to " + length);
             assertEquals(1, result.rejected().size());
@@ -87,14 +87,14 @@
     }
 
     @Test
-    void aFlippedBitAnywhereIsDetected() throws IOException {
+    void anyFlippedBitIsDetected() throws IOException {
         SnapshotFile file = open("site");
         file.write(body("the first body"), 1);
-        byte[] intact = Files.readAllBytes(folder.resolve("list"));
+        byte[] intact = Files.readAllBytes(tempDir.resolve("list"));
         for (int bit = 0; bit < 8 * intact.length; bit++) {
             byte[] flipped = intact.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
-            Files.write(folder.resolve("list"), flipped);
+            Files.write(tempDir.resolve("list"), flipped);
             SnapshotFile.Snapshot found = open("site").read().snapshot();
             // Leading zeros and letter case of the checksum itself may differ and mean the same.
             assertTrue(
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void foreignFilesAreNamedAndSetAside() throws IOException {
+    void filesOfOtherOwnersAndFormatsAreRejected() throws IOException {
         open("another site").write(body("x"), 1);
         SnapshotFile.ReadResult result = open("site").read();
         assertNull(result.snapshot());
@@ -114,12 +114,12 @@
         Path aside = open("site").setAside(result.rejected().get(0).file());
         assertTrue(Files.exists(aside));
         assertTrue(open("site").read().rejected().isEmpty());
-        new SnapshotFile(folder.resolve("list"), "list", 4, "site", 2).write(body("y"), 1);
+        new SnapshotFile(tempDir.resolve("list"), "list", 4, "site", 2).write(body("y"), 1);
         assertTrue(open("site").read().rejected().get(0).reason().contains("format 4"));
         assertEquals(
                 "y",
                 new String(
-                        new SnapshotFile(folder.resolve("list"), "list", 4, "", 2)
+                        new SnapshotFile(tempDir.resolve("list"), "list", 4, "", 2)
                                 .read()
                                 .snapshot()
                                 .body(),
@@ -127,14 +127,14 @@
     }
 
     @Test
-    void aFolderThatCannotBeWrittenFailsAndHarmsNothing() throws IOException {
-        Path taken = folder.resolve("file");
-        Files.writeString(taken, "in the way");
-        SnapshotFile file = new SnapshotFile(taken.resolve("list"), "list", 3, "site", 2);
+    void writeFailsWhenDirectoryIsAFile() throws IOException {
+        Path regularFile = tempDir.resolve("file");
+        Files.writeString(regularFile, "in the way");
+        SnapshotFile file = new SnapshotFile(regularFile.resolve("list"), "list", 3, "site", 2);
         try {
             file.write(body("z"), 1);
         } catch (IOException e) {
-            assertArrayEquals(body("in the way"), Files.readAllBytes(taken));
+            assertArrayEquals(body("in the way"), Files.readAllBytes(regularFile));
             return;
         }
         throw new AssertionError("a file stood where the folder should be");
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -68,28 +68,28 @@
 class ExternalNamesTest {
     private static final Path STORED = Path.of("src/test/resources/stored");
     private static final JsonMapper JSON = new JsonMapper();
-    @TempDir private Path folder;
-    private final TimeZone zone = TimeZone.getDefault();
+    @TempDir private Path tempDir;
+    private final TimeZone originalZone = TimeZone.getDefault();
 
     @BeforeEach
-    void fixTheZone() {
+    void useUtc() {
         TimeZone.setDefault(TimeZone.getTimeZone("UTC"));
     }
 
     @AfterEach
-    void restoreTheZone() {
-        TimeZone.setDefault(zone);
+    void restoreTimeZone() {
+        TimeZone.setDefault(originalZone);
     }
 
-    private static String printed(Object... words) {
-        PrintStream before = System.out;
+    private static String runCommand(Object... arguments) {
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            String[] line = Arrays.stream(words).map(String::valueOf).toArray(String[]::new);
+            String[] line = Arrays.stream(arguments).map(String::valueOf).toArray(String[]::new);
             assertEquals(0, Commands.run(line), String.join(" ", line) + " " + out);
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         return out.toString(StandardCharsets.UTF_8);
     }
@@ -97,14 +97,14 @@
     // ---- command line ----
 
     @Test
-    void commandsAndOptions() throws IOException {
+    void commandsAndOptionsAreUnchanged() throws IOException {
         TreeSet<String> lines = new TreeSet<>();
-        collect(new CommandLine(new Commands()), lines);
-        Expected.text("commands.txt", String.join("\n", lines) + "\n");
+        collectOptions(new CommandLine(new Commands()), lines);
+        ExpectedOutput.assertText("commands.txt", String.join("\n", lines) + "\n");
     }
 
     /** Names, labels, defaults, and the constants that an option of an enum type takes. */
-    private static void collect(CommandLine command, Set<String> lines) {
+    private static void collectOptions(CommandLine command, Set<String> lines) {
         String name = command.getCommandSpec().qualifiedName();
         lines.add(name);
         for (CommandLine.Model.OptionSpec option : command.getCommandSpec().options()) {
@@ -124,41 +124,44 @@
         for (var positional : command.getCommandSpec().positionalParameters()) {
             lines.add(name + " " + positional.index() + " " + positional.paramLabel());
         }
-        command.getSubcommands().values().forEach(each -> collect(each, lines));
+        command.getSubcommands().values().forEach(each -> collectOptions(each, lines));
     }
 
     @Test
-    void reportOfAccounts() throws IOException {
-        Path file = Files.copy(STORED.resolve("accounts"), folder.resolve("accounts"));
-        Expected.json("report.json", printed("report", file, "--since", "100h", "--json"));
-        Path html = folder.resolve("report.html");
-        Expected.text("report.txt", printed("report", file, "--since", "100h", "--html", html));
-        Expected.text(
+    void accountReportsAreUnchanged() throws IOException {
+        Path file = Files.copy(STORED.resolve("accounts"), tempDir.resolve("accounts"));
+        ExpectedOutput.assertJson(
+                "report.json", runCommand("report", file, "--since", "100h", "--json"));
+        Path html = tempDir.resolve("report.html");
+        ExpectedOutput.assertText(
+                "report.txt", runCommand("report", file, "--since", "100h", "--html", html));
+        ExpectedOutput.assertText(
                 "report.html",
                 Files.readString(html).replaceAll("base64,[^\"]*\"", "base64,...\""));
     }
 
     @Test
-    void listOfNodes() throws IOException {
-        Path file = Files.copy(STORED.resolve("nodes"), folder.resolve("nodes"));
-        Expected.json("list-file.json", printed("list-file", "show", file, "--json"));
-        Expected.text("list-file.txt", printed("list-file", "show", file));
-        Expected.text("list-file.csv", printed("list-file", "export", file));
+    void listFileOutputIsUnchanged() throws IOException {
+        Path file = Files.copy(STORED.resolve("nodes"), tempDir.resolve("nodes"));
+        ExpectedOutput.assertJson(
+                "list-file.json", runCommand("list-file", "show", file, "--json"));
+        ExpectedOutput.assertText("list-file.txt", runCommand("list-file", "show", file));
+        ExpectedOutput.assertText("list-file.csv", runCommand("list-file", "export", file));
     }
 
     @Test
-    void checkedSite() throws IOException {
-        Path file = folder.resolve("site.ini");
+    void checkSiteOutputIsUnchanged() throws IOException {
+        Path file = tempDir.resolve("site.ini");
         Files.writeString(
                 file, LocalCluster.demoSite("gw", 0, 1, 0, new InetSocketAddress("127.0.0.1", 9)));
         assertEquals(
                 JSON.readTree("{\"usable\":true,\"mistakes\":[],\"file\":\"%s\"}".formatted(file)),
-                JSON.readTree(printed("check-site", file, "--json")));
+                JSON.readTree(runCommand("check-site", file, "--json")));
     }
 
     /** What drill, truth and measure print with --json, which run too long for here. */
     @Test
-    void rowsOfLongRuns() throws IOException {
+    void rowsOfExperimentsAreUnchanged() throws IOException {
         AttributionExperiment.Row truth =
                 new AttributionExperiment.Row(
                         "day",
@@ -172,7 +175,8 @@
                         true,
                         true,
                         true);
-        ThroughputComparison.PathMetrics pathMetrics = new ThroughputComparison.PathMetrics(1, 2, 3, 4);
+        ThroughputComparison.PathMetrics pathMetrics =
+                new ThroughputComparison.PathMetrics(1, 2, 3, 4);
         ScenarioRunner.Result drill =
                 new ScenarioRunner.Result(
                         "day",
@@ -182,14 +186,15 @@
                         1,
                         2,
                         3);
-        Expected.json(
+        ExpectedOutput.assertJson(
                 "rows.json",
                 JSON.writeValueAsString(
                         Map.of(
                                 "truth",
                                 truth,
                                 "measure",
-                                new ThroughputComparison.Row("read", 1, 2, pathMetrics, pathMetrics, 3, 4, 5, 6),
+                                new ThroughputComparison.Row(
+                                        "read", 1, 2, pathMetrics, pathMetrics, 3, 4, 5, 6),
                                 "drill",
                                 drill,
                                 "confidence",
@@ -198,7 +203,7 @@
 
     /** Words of scripted days that become constants of an enum. */
     @Test
-    void faultsOfScriptedDays() throws Exception {
+    void faultWordsOfScenariosAreAccepted() throws Exception {
         String day = ScenarioRunner.builtIn("bad-evening");
         String nodes =
                 "silent|paused|refusing|unreachable|cut|drains|garbles|restarts cold|loses"
@@ -219,15 +224,15 @@
 
     // ---- figures over HTTP ----
 
-    private static String get(MonitoringServer watch, String path) throws Exception {
-        URI address = URI.create("http://127.0.0.1:" + watch.address().getPort() + path);
+    private static String get(MonitoringServer server, String path) throws Exception {
+        URI address = URI.create("http://127.0.0.1:" + server.address().getPort() + path);
         return HttpClient.newHttpClient()
                 .send(HttpRequest.newBuilder(address).build(), HttpResponse.BodyHandlers.ofString())
                 .body();
     }
 
     @Test
-    void metricsAndViewsOfARunningGateway() throws Exception {
+    void metricsAndViewsOfRunningGatewayAreUnchanged() throws Exception {
         try (LocalCluster cluster =
                 LocalCluster.start(
                         List.of(NodeProfile.quick(1, 1 << 20)), TrafficRecorder.NO_OP, 1)) {
@@ -235,10 +240,10 @@
             SiteConfig site = SiteConfig.read("site", text);
             NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            try (MonitoringServer watch = new MonitoringServer(site, gateway, any)) {
-                Expected.text(
+            try (MonitoringServer server = new MonitoringServer(site, gateway, any)) {
+                ExpectedOutput.assertText(
                         "metrics.txt",
-                        get(watch, "/metrics")
+                        get(server, "/metrics")
                                 .lines()
                                 .map(
                                         line ->
@@ -249,7 +254,7 @@
                                 .collect(Collectors.joining("\n", "", "\n")));
                 assertEquals(
                         "at\ngateway\nnames.1\nnodes\nvolumes\n",
-                        KeyPaths.of(JSON.readTree(get(watch, "/accounts"))));
+                        KeyPaths.of(JSON.readTree(get(server, "/accounts"))));
                 assertEquals(
                         """
                         age
@@ -272,7 +277,7 @@
                         trust
                         unverifiedExtents
                         """,
-                        KeyPaths.of(JSON.readTree(get(watch, "/nodes"))));
+                        KeyPaths.of(JSON.readTree(get(server, "/nodes"))));
             } finally {
                 LocalCluster.await(gateway.stop());
             }
@@ -284,41 +289,41 @@
      * the plan.
      */
     @Test
-    void accountsOverHttp() throws IOException {
-        LatencyAccount book = AccountFile.report(STORED.resolve("accounts")).account();
+    void accountsViewIsUnchanged() throws IOException {
+        LatencyAccount account = AccountFile.inspect(STORED.resolve("accounts")).account();
         MonitoringServer.View view =
                 new MonitoringServer.View(
                         "gw",
                         5,
                         Map.of(1L, "exams"),
-                        List.of(book.report(2, 0, 1e13)),
-                        book.flows(0, 1e13));
-        Expected.json("accounts.json", JSON.writeValueAsString(view));
-        Path earlier = Path.of("src/test/resources/external/accounts.json");
-        MonitoringServer.View read = JSON.readValue(earlier.toFile(), MonitoringServer.View.class);
-        Expected.json("accounts.json", JSON.writeValueAsString(read));
+                        List.of(account.report(2, 0, 1e13)),
+                        account.flows(0, 1e13));
+        ExpectedOutput.assertJson("accounts.json", JSON.writeValueAsString(view));
+        Path expected = Path.of("src/test/resources/external/accounts.json");
+        MonitoringServer.View read = JSON.readValue(expected.toFile(), MonitoringServer.View.class);
+        ExpectedOutput.assertJson("accounts.json", JSON.writeValueAsString(read));
     }
 
     /** The record that is written for /nodes, with every constant of its enums. */
     @Test
-    void nodesOverHttp() throws IOException {
+    void nodesViewIsUnchanged() throws IOException {
         List<JsonNode> views = new ArrayList<>();
         for (ListFreshness trust :
                 List.of(ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD)) {
             List<Membership.MemberView> nodes = new ArrayList<>();
             for (RecordSource source : RecordSource.values()) {
-                EndpointRecord.Phase standing = EndpointRecord.Phase.values()[source.ordinal() % 3];
-                EndpointRecord line = new EndpointRecord(1, 2, 3, 4, standing, 5, 6, "h", 7);
-                nodes.add(new Membership.MemberView(line, standing, true, true, source, "why"));
+                EndpointRecord.Phase phase = EndpointRecord.Phase.values()[source.ordinal() % 3];
+                EndpointRecord line = new EndpointRecord(1, 2, 3, 4, phase, 5, 6, "h", 7);
+                nodes.add(new Membership.MemberView(line, phase, true, true, source, "why"));
             }
             views.add(JSON.valueToTree(new NodesView("gw", trust, 1, true, 2, nodes)));
         }
-        Expected.json("nodes.json", JSON.writeValueAsString(views));
+        ExpectedOutput.assertJson("nodes.json", JSON.writeValueAsString(views));
     }
 
     // ---- spans ----
 
-    private static OperationTrace story(int number) {
+    private static OperationTrace operationTrace(int number) {
         Reason reason = Reason.values()[number];
         QuotaTier quotaTier = QuotaTier.values()[number % 3];
         Outcome outcome = number == 8 ? null : Outcome.values()[number % 8];
@@ -353,11 +358,11 @@
     }
 
     @Test
-    void spansAreWrittenAsBefore() throws IOException {
-        Path file = folder.resolve("traces");
+    void spansAreWrittenInStoredFormat() throws IOException {
+        Path file = tempDir.resolve("traces");
         try (Tracer tracer = new Tracer(new TracingSettings(file, 1 << 24, 2, "", 20, 1), "gw")) {
             for (int i = 0; i < Reason.values().length; i++) {
-                tracer.submit(story(i));
+                tracer.submit(operationTrace(i));
             }
         }
         assertEquals(
@@ -368,11 +373,11 @@
     @Test
     void storedSpansAreExplained() throws IOException {
         Path file = STORED.resolve("traces");
-        Expected.json("explain.json", printed("explain", file, "3", "--json"));
-        StringBuilder told = new StringBuilder(printed("explain", file, "--list", "100"));
+        ExpectedOutput.assertJson("explain.json", runCommand("explain", file, "3", "--json"));
+        StringBuilder output = new StringBuilder(runCommand("explain", file, "--list", "100"));
         for (int i = 0; i < 18; i++) {
-            told.append(printed("explain", file, i));
+            output.append(runCommand("explain", file, i));
         }
-        Expected.text("explain.txt", told.toString());
+        ExpectedOutput.assertText("explain.txt", output.toString());
     }
 }
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -39,38 +39,40 @@
 class StoredFormatTest {
     private static final long WRITTEN_AT = 1_764_700_000_123L;
     private static final Path STORED = Path.of("src/test/resources/stored");
-    @TempDir private Path folder;
+    @TempDir private Path tempDir;
 
     // ---- the contents of the files ----
 
-    private static StoredEndpointList nodes() {
+    private static StoredEndpointList endpointList() {
         return new StoredEndpointList(
                 "hall-1",
                 77,
                 12,
                 1_764_699_999_000L,
                 List.of(
-                        kept(1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
-                        kept(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
-                        kept(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
-                        kept(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
+                        storedEndpoint(
+                                1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
+                        storedEndpoint(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
+                        storedEndpoint(
+                                3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
+                        storedEndpoint(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
     }
 
-    private static StoredEndpointList.StoredEndpoint kept(
-            int node, EndpointRecord.Phase standing, RecordSource source, boolean draining) {
+    private static StoredEndpointList.StoredEndpoint storedEndpoint(
+            int node, EndpointRecord.Phase phase, RecordSource source, boolean selfDraining) {
         return new StoredEndpointList.StoredEndpoint(
                 new EndpointRecord(
                         node,
                         10 + node,
                         20 + node,
                         30 + node,
-                        standing,
+                        phase,
                         1_764_000_000_000L + node,
                         0.5f * node,
                         "10.0.0." + node,
                         7000 + node),
                 source,
-                draining);
+                selfDraining);
     }
 
     private static Map<Integer, int[]> holders() {
@@ -95,12 +97,12 @@
     private static StoredAccounts.StoredWindow window(int level, long number) {
         long[] keys = new long[12];
         Arrays.setAll(keys, kind -> key(kind, kind % 2, 1 + kind, 100 + kind));
-        double[] parts = new double[16];
-        Arrays.setAll(parts, part -> 1000.5 + part);
+        double[] components = new double[16];
+        Arrays.setAll(components, ordinal -> 1000.5 + ordinal);
         return new StoredAccounts.StoredWindow(
                 level,
                 number,
-                parts,
+                components,
                 keys,
                 sums(12, 500),
                 new long[] {2, 3, 4},
@@ -115,14 +117,14 @@
         Map<Long, String> names = new LinkedHashMap<>();
         names.put(1L, "exams");
         names.put(2L, "archive");
-        Map<Long, Double> told = new LinkedHashMap<>();
-        told.put(3L, 7.5);
-        told.put(4L, 1_764_699_990_000.25);
+        Map<Long, Double> notifiedAt = new LinkedHashMap<>();
+        notifiedAt.put(3L, 7.5);
+        notifiedAt.put(4L, 1_764_699_990_000.25);
         return new GatewayAccounts(
                 "gw-1",
                 WRITTEN_AT,
                 names,
-                told,
+                notifiedAt,
                 new StoredAccounts(
                         List.of(
                                 new StoredAccounts.StoredVolume(
@@ -152,66 +154,66 @@
 
     /** Read from a copy, so that a reader that sets a file aside changes no committed file. */
     private Path stored(String name) throws IOException {
-        return Files.copy(STORED.resolve(name), folder.resolve("stored-" + name));
+        return Files.copy(STORED.resolve(name), tempDir.resolve("stored-" + name));
     }
 
-    private static String head(Path file) throws IOException {
+    private static String header(Path file) throws IOException {
         String text = Files.readString(file, StandardCharsets.ISO_8859_1);
         return text.substring(0, text.indexOf('\n'));
     }
 
     private static byte[] body(Path file) throws IOException {
         byte[] all = Files.readAllBytes(file);
-        return Arrays.copyOfRange(all, head(file).length() + 1, all.length);
+        return Arrays.copyOfRange(all, header(file).length() + 1, all.length);
     }
 
     // ---- list of nodes ----
 
     @Test
-    void theListOfNodesIsRead() throws IOException {
-        EndpointListFile.ReadResult look =
+    void storedEndpointListIsRead() throws IOException {
+        EndpointListFile.ReadResult result =
                 new EndpointListFile(stored("nodes"), "hall-1").inspect();
-        assertEquals(List.of(), look.rejected());
-        assertEquals(WRITTEN_AT, look.writtenAt());
-        assertEquals(nodes(), look.list());
-        assertEquals("hall-1", look.list().site());
-        assertEquals(77, look.list().history());
-        assertEquals(12, look.list().version());
-        assertEquals(1_764_699_999_000L, look.list().confirmedAt());
-        EndpointRecord third = look.list().endpoints().get(2).endpoint();
-        assertEquals(3, third.node());
-        assertEquals(13, third.cell());
-        assertEquals(23, third.zone());
-        assertEquals(33, third.kind());
-        assertEquals(EndpointRecord.Phase.DRAINING, third.phase());
-        assertEquals(1_764_000_000_003L, third.startedAt());
-        assertEquals(1.5f, third.weight());
-        assertEquals("10.0.0.3", third.host());
-        assertEquals(7003, third.port());
-        assertEquals(RecordSource.IMPORT, look.list().endpoints().get(2).source());
-        assertTrue(look.list().endpoints().get(1).selfDraining());
+        assertEquals(List.of(), result.rejected());
+        assertEquals(WRITTEN_AT, result.writtenAt());
+        assertEquals(endpointList(), result.list());
+        assertEquals("hall-1", result.list().site());
+        assertEquals(77, result.list().history());
+        assertEquals(12, result.list().version());
+        assertEquals(1_764_699_999_000L, result.list().confirmedAt());
+        EndpointRecord draining = result.list().endpoints().get(2).endpoint();
+        assertEquals(3, draining.node());
+        assertEquals(13, draining.cell());
+        assertEquals(23, draining.zone());
+        assertEquals(33, draining.kind());
+        assertEquals(EndpointRecord.Phase.DRAINING, draining.phase());
+        assertEquals(1_764_000_000_003L, draining.startedAt());
+        assertEquals(1.5f, draining.weight());
+        assertEquals("10.0.0.3", draining.host());
+        assertEquals(7003, draining.port());
+        assertEquals(RecordSource.IMPORT, result.list().endpoints().get(2).source());
+        assertTrue(result.list().endpoints().get(1).selfDraining());
     }
 
-    private static String json(int node, String standing, String source, boolean draining) {
+    private static String json(int node, String phase, String source, boolean selfDraining) {
         return "{\"line\":{\"node\":%d,\"cell\":1%d,\"zone\":2%d,\"kind\":3%d,\"standing\":\"%s\",\"startedAt\":176400000000%d,\"weight\":%s,\"host\":\"10.0.0.%d\",\"port\":700%d},\"source\":\"%s\",\"selfDraining\":%s}"
                 .formatted(
                         node,
                         node,
                         node,
                         node,
-                        standing,
+                        phase,
                         node,
                         0.5 * node,
                         node,
                         node,
                         source,
-                        draining);
+                        selfDraining);
     }
 
     @Test
-    void theListOfNodesIsWrittenAsBefore() throws IOException {
-        Path file = folder.resolve("nodes");
-        new EndpointListFile(file, "hall-1").write(nodes(), WRITTEN_AT);
+    void endpointListIsWrittenInStoredFormat() throws IOException {
+        Path file = tempDir.resolve("nodes");
+        new EndpointListFile(file, "hall-1").write(endpointList(), WRITTEN_AT);
         String expected =
                 "{\"site\":\"hall-1\",\"history\":77,\"version\":12,\"confirmedAt\":1764699999000,\"lines\":["
                         + String.join(
@@ -222,24 +224,27 @@
                                 json(4, "READY", "SITE", true))
                         + "]}";
         assertEquals(new JsonMapper().readTree(expected), new JsonMapper().readTree(body(file)));
-        assertTrue(head(file).startsWith("sagepulley nodes 1 hall-1 1764700000123 1 "), head(file));
+        assertTrue(
+                header(file).startsWith("sagepulley nodes 1 hall-1 1764700000123 1 "),
+                header(file));
         assertArrayEquals(Files.readAllBytes(STORED.resolve("nodes")), Files.readAllBytes(file));
     }
 
     // ---- holders ----
 
     @Test
-    void theHoldersAreReadAndWrittenAsBefore() throws IOException {
+    void holdersAreReadAndWrittenInStoredFormat() throws IOException {
         Map<Integer, int[]> read = new HolderFile(stored("holders"), "hall-1").load();
         assertEquals(List.of(7, 8, 9), List.copyOf(read.keySet()));
         assertArrayEquals(new int[] {3, 3, -1, 4}, read.get(7));
         assertArrayEquals(new int[] {}, read.get(8));
         assertArrayEquals(new int[] {5, 5, 5, 5, 5}, read.get(9));
 
-        Path file = folder.resolve("holders");
+        Path file = tempDir.resolve("holders");
         new HolderFile(file, "hall-1").write(holders(), WRITTEN_AT);
         assertTrue(
-                head(file).startsWith("sagepulley holders 1 hall-1 1764700000123 1 "), head(file));
+                header(file).startsWith("sagepulley holders 1 hall-1 1764700000123 1 "),
+                header(file));
         ByteBuffer expected = ByteBuffer.allocate(4 * 18);
         for (int word : new int[] {3, 7, 4, 3, 3, 2, -1, 1, 4, 1, 8, 0, 0, 9, 5, 1, 5, 5}) {
             expected.putInt(word);
@@ -250,7 +255,7 @@
     // ---- accounts ----
 
     @Test
-    void theAccountsAreRead() throws IOException {
+    void storedAccountsAreRead() throws IOException {
         AccountFile.Loaded read = new AccountFile(stored("accounts"), "gw-1").load();
         assertEquals("gw-1", read.stored().gateway());
         assertEquals(WRITTEN_AT, read.stored().writtenAt());
@@ -269,12 +274,12 @@
 
     /** Parts, parts of the plan and kinds of causes are stored by their order. */
     @Test
-    void theOrderOfStoredFiguresStandsForTheSameNames() throws IOException {
-        LatencyReport report = AccountFile.report(stored("accounts")).account().report(2, 0, 1e13);
+    void storedOrdinalsMapToSameConstants() throws IOException {
+        LatencyReport report = AccountFile.inspect(stored("accounts")).account().report(2, 0, 1e13);
         assertEquals(2, report.rejected());
         assertEquals(3, report.abandoned());
         assertEquals(4, report.cancelled());
-        List<LatencyComponent> parts =
+        List<LatencyComponent> components =
                 List.of(
                         LatencyComponent.RESERVATION_FULL,
                         LatencyComponent.SHARE_FULL,
@@ -294,21 +299,23 @@
                         LatencyComponent.FAILED_ATTEMPT);
         for (int i = 0; i < 16; i++) {
             assertEquals(
-                    1000.5 + i, report.components().get(parts.get(i)), parts.get(i).toString());
+                    1000.5 + i,
+                    report.components().get(components.get(i)),
+                    components.get(i).toString());
         }
-        List<PlanTier> plan =
+        List<PlanTier> tiers =
                 List.of(
                         PlanTier.RESERVATION,
                         PlanTier.SHARE,
                         PlanTier.EXCESS,
                         PlanTier.LIMIT,
                         PlanTier.NONE);
-        for (LatencyReport.TierReport line : report.tiers()) {
-            int at = plan.indexOf(line.tier());
-            assertEquals(11 + at, line.met(), line.toString());
-            assertEquals(21 + at, line.missed(), line.toString());
-            assertEquals(31.5 + at, line.units(), line.toString());
-            assertEquals(41.5 + at, line.lostWeight(), line.toString());
+        for (LatencyReport.TierReport tier : report.tiers()) {
+            int index = tiers.indexOf(tier.tier());
+            assertEquals(11 + index, tier.met(), tier.toString());
+            assertEquals(21 + index, tier.missed(), tier.toString());
+            assertEquals(31.5 + index, tier.units(), tier.toString());
+            assertEquals(41.5 + index, tier.lostWeight(), tier.toString());
         }
         assertEquals(5, report.tiers().size());
         List<Cause.Kind> kinds =
@@ -326,20 +333,21 @@
                         Cause.Kind.DIRECTORY,
                         Cause.Kind.NETWORK);
         assertEquals(12, report.causes().size(), report.causes().toString());
-        for (LatencyReport.CauseReport charged : report.causes()) {
-            int at = kinds.indexOf(charged.kind());
-            assertEquals(500 + 4 * at, charged.waited(), charged.toString());
-            assertEquals(0.25 + 4 * at + 3, charged.lostWeight(), charged.toString());
-            assertEquals(1 + at, charged.node(), charged.toString());
+        for (LatencyReport.CauseReport cause : report.causes()) {
+            int index = kinds.indexOf(cause.kind());
+            assertEquals(500 + 4 * index, cause.waited(), cause.toString());
+            assertEquals(0.25 + 4 * index + 3, cause.lostWeight(), cause.toString());
+            assertEquals(1 + index, cause.node(), cause.toString());
         }
     }
 
     @Test
-    void theAccountsAreWrittenAsBefore() throws IOException {
-        Path file = folder.resolve("accounts");
+    void accountsAreWrittenInStoredFormat() throws IOException {
+        Path file = tempDir.resolve("accounts");
         new AccountFile(file, "gw-1").write(accounts());
         assertTrue(
-                head(file).startsWith("sagepulley accounts 1 gw-1 1764700000123 1 "), head(file));
+                header(file).startsWith("sagepulley accounts 1 gw-1 1764700000123 1 "),
+                header(file));
         assertEquals(
                 """
                 gateway
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -15,16 +15,16 @@
 class TailSamplerTest {
     /** For any operations, no time has more traces than its budget and what was saved up before. */
     @Property(tries = 40, seed = "3")
-    void theBudgetIsNeverExceeded(
+    void keptTracesStayWithinBudget(
             @ForAll long seed,
-            @ForAll @IntRange(min = 1, max = 50) int perSecond,
-            @ForAll @DoubleRange(min = 0.05, max = 20) double gap) {
+            @ForAll @IntRange(min = 1, max = 50) int maxTracesPerSecond,
+            @ForAll @DoubleRange(min = 0.05, max = 20) double meanGapMillis) {
         SplittableRandom random = new SplittableRandom(seed);
-        TailSampler sampler = new TailSampler(perSecond, 0.5, random.split());
+        TailSampler sampler = new TailSampler(maxTracesPerSecond, 0.5, random.split());
         double now = 0;
         long kept = 0;
         while (now < 10_000) {
-            now += gap * 2 * random.nextDouble();
+            now += meanGapMillis * 2 * random.nextDouble();
             End end = End.values()[random.nextInt(4)];
             kept +=
                     sampler.sample(
@@ -37,12 +37,12 @@
                             ? 1
                             : 0;
         }
-        double bound = perSecond * (now / 1000) + 2 * perSecond + 5;
+        double bound = maxTracesPerSecond * (now / 1000) + 2 * maxTracesPerSecond + 5;
         assertTrue(kept <= bound, kept + " kept, bound " + bound);
     }
 
     @Test
-    void anAbandonedOperationIsKeptAmongManyRejected() {
+    void abandonedOperationsAreKeptAmongManyRejected() {
         TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(1));
         int kept = 0;
         for (int i = 0; i < 100_000; i++) {
@@ -57,38 +57,38 @@
     }
 
     @Test
-    void weightsSumToTheNumberOfOperations() {
+    void weightsSumToNumberOfOperations() {
         TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(2));
         double weights = 0;
         int kept = 0;
-        int all = 200_000;
-        for (int i = 0; i < all; i++) {
+        int operations = 200_000;
+        for (int i = 0; i < operations; i++) {
             double weight = sampler.sample(End.REJECTED, true, 0, 10, i);
             weights += weight;
             kept += weight > 0 ? 1 : 0;
         }
         assertTrue(kept > 200 && kept < 200 * 20, "kept " + kept);
-        assertEquals(all, weights, 0.2 * all);
+        assertEquals(operations, weights, 0.2 * operations);
     }
 
     @Test
-    void theSlowestOfATrafficClassAreKeptThoughTheyMetTheirObjective() {
+    void slowestOperationsAreKeptWhenObjectiveIsMet() {
         TailSampler sampler = new TailSampler(50, 0, new SplittableRandom(3));
         SplittableRandom random = new SplittableRandom(4);
-        int slow = 0;
-        int other = 0;
+        int keptSlow = 0;
+        int keptOther = 0;
         for (int i = 0; i < 20_000; i++) {
             boolean isSlow = i > 5_000 && i % 500 == 0;
             double duration = isSlow ? 190 : 10 + random.nextDouble();
             if (sampler.sample(End.SERVED, false, 1, duration, i * 5.0) > 0) {
                 if (isSlow) {
-                    slow++;
+                    keptSlow++;
                 } else {
-                    other++;
+                    keptOther++;
                 }
             }
         }
-        assertTrue(slow >= 25, slow + " of 29 slow ones");
-        assertTrue(other < 400, other + " others");
+        assertTrue(keptSlow >= 25, keptSlow + " of 29 slow ones");
+        assertTrue(keptOther < 400, keptOther + " others");
     }
 }
