--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -36,10 +36,12 @@
 import sagepulley.persistence.GatewayAccounts;
 
 /**
- * A gateway's metrics and views over HTTP: for Prometheus (/metrics, text), for 'top' (/accounts,
- * JSON) and for 'nodes' (/nodes, JSON). Labels are bounded: volumes with totals of their own, and
- * fixed words. Answers are made on the server's own threads of what the gateway's engine hands
- * over.
+ * Serves a gateway's metrics and views over HTTP: /metrics for Prometheus (text), /accounts for the
+ * command 'top' (JSON) and /nodes for the command 'nodes' (JSON).
+ *
+ * <p>Responses are built on the server's threads from copies that the gateway's engine provides.
+ * The number of metric labels is bounded: volumes beyond {@link NbdGateway#MAX_VOLUMES_WITH_TOTALS}
+ * share the label "others".
  */
 public final class MonitoringServer implements AutoCloseable {
     private static final int THREADS = 2;
@@ -53,18 +55,18 @@
     private static final double MILLIS_PER_SECOND = 1000;
     private static final long ENGINE_TIMEOUT_SECONDS = 5;
 
-    /** /accounts reports on so much time. */
+    /** Period that /accounts covers. */
     private static final double REPORT_PERIOD_MILLIS = 600_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(MonitoringServer.class);
 
     /**
-     * What /accounts answers and 'top' shows; the property names are those of the JSON.
+     * The response of /accounts, which 'top' displays. The component names are the JSON keys.
      *
-     * @param at wall-clock milliseconds
-     * @param names by the volumes' numbers
-     * @param volumes reports of the last minutes
-     * @param nodes units worked on by node and volume: all, and the writes
+     * @param at time of the snapshot in wall-clock milliseconds
+     * @param names volume names by volume number
+     * @param volumes reports on the last ten minutes
+     * @param nodes by node and volume number, the units of all operations and of writes
      */
     public record View(
             String gateway,
@@ -79,16 +81,19 @@
     private final PrometheusMeterRegistry registry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-    /** As of the latest scrape. */
+    /** Totals as of the latest scrape. */
     private volatile Totals totals = new Totals(Set.of());
 
-    /** Listens from now on; fails if the address cannot be bound. */
+    /**
+     * Starts the server.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     public MonitoringServer(SiteConfig site, NbdGateway gateway, InetSocketAddress address)
             throws IOException {
         this.gateway = gateway;
         registerMetrics(site);
-        // Whoever is slow to ask or to read is ended.
-
+        // Closes connections whose request or response takes longer than this many seconds.
         System.setProperty("sun.net.httpserver.maxReqTime", "5");
         System.setProperty("sun.net.httpserver.maxRspTime", "10");
         server = HttpServer.create(address, MAX_QUEUED_REQUESTS);
@@ -98,7 +103,7 @@
         serve("/accounts", JSON_TYPE, this::accounts);
         serve("/nodes", JSON_TYPE, this::nodes);
         server.start();
-        LOG.atInfo().addKeyValue("watch", server.getAddress()).log("figures over HTTP");
+        LOG.atInfo().addKeyValue("watch", server.getAddress()).log("monitoring server listening");
     }
 
     private static ThreadPoolExecutor newThreads() {
@@ -115,12 +120,12 @@
                 });
     }
 
-    /** Where it listens; the port is the one that was bound. */
+    /** Returns the listening address with the port that was bound. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
 
-    // ---- answers ----
+    // ---- responses ----
 
     private interface ContentSource {
         String get() throws IOException, InterruptedException, ExecutionException, TimeoutException;
@@ -331,7 +336,7 @@
                 .register(registry);
     }
 
-    /** Stops at once; requests in progress are ended. */
+    /** Stops immediately and aborts requests in progress. */
     @Override
     public void close() {
         server.stop(0);
--- a/src/main/java/sagepulley/monitoring/package-info.java
+++ b/src/main/java/sagepulley/monitoring/package-info.java
@@ -1,8 +1,8 @@
 /**
  * Metrics and views of a running NBD gateway over HTTP.
  *
- * <p>{@link sagepulley.monitoring.MonitoringServer} answers on threads of its own, with copies that
- * the gateway's engine hands over; it owns no state but the latest totals. The names of metrics,
- * labels and JSON properties are fixed: dashboards and scripts use them.
+ * <p>{@link sagepulley.monitoring.MonitoringServer} builds its responses on its own threads from
+ * copies that the gateway's engine provides. Its only state is the latest totals. The names of
+ * metrics, labels and JSON properties are fixed, because dashboards and scripts use them.
  */
 package sagepulley.monitoring;
--- a/src/main/java/sagepulley/tracing/OperationTrace.java
+++ b/src/main/java/sagepulley/tracing/OperationTrace.java
@@ -8,14 +8,15 @@
 import sagepulley.model.Reason;
 
 /**
- * One operation's life as plain values. Durations are milliseconds.
+ * The trace of one ended operation. Durations are in milliseconds.
  *
- * @param cookie the client's number for the request
- * @param trafficClass its name
- * @param arrivedAt wall-clock milliseconds; steps follow one another from it
- * @param mainCause of its waits, in words
- * @param sampleReason why its trace is kept
- * @param sampleWeight for how many operations it stands
+ * @param cookie the NBD cookie that the client gave the request
+ * @param trafficClass name of the traffic class
+ * @param arrivedAt arrival in wall-clock milliseconds; the first step starts here
+ * @param mainCause text that names the main cause of the waits
+ * @param sampleReason why the trace is kept
+ * @param sampleWeight number of operations that the trace represents
+ * @param steps consecutive latency components, without gaps
  */
 public record OperationTrace(
         String gateway,
@@ -35,14 +36,14 @@
         double sampleWeight,
         List<Step> steps,
         List<Attempt> attempts) {
-    /** A step: where its time went, and at which node (0: none). */
+    /** A time spent in one latency component, at a node or at none (0). */
     public record Step(LatencyComponent component, int node, double duration) {}
 
     /**
-     * An attempt.
+     * An attempt to execute the operation at a node.
      *
-     * @param sentAfter milliseconds after the arrival
-     * @param outcome null while it is in flight
+     * @param sentAfter milliseconds from the arrival to the send
+     * @param outcome null if the attempt is still in flight
      */
     public record Attempt(
             int number,
--- a/src/main/java/sagepulley/tracing/SpanFileExporter.java
+++ b/src/main/java/sagepulley/tracing/SpanFileExporter.java
@@ -21,8 +21,8 @@
 import java.util.Map;
 
 /**
- * Writes spans to a file, a line of JSON each; a file that is full is rotated, and the oldest
- * deleted.
+ * Writes spans to a file, one line of JSON each. Rotates the file when it reaches its maximum size
+ * and deletes the oldest rotated file.
  */
 final class SpanFileExporter implements SpanExporter {
     private static final JsonMapper JSON = new JsonMapper();
--- a/src/main/java/sagepulley/tracing/SpanRecorder.java
+++ b/src/main/java/sagepulley/tracing/SpanRecorder.java
@@ -10,8 +10,9 @@
 import sagepulley.model.ExternalName;
 
 /**
- * Makes an operation's spans: one for the operation, and within it one for each attempt and each
- * step. The only place that knows the names of spans and attributes, which are the span file's.
+ * Records an operation's trace as spans: a root span for the operation, with a child span for each
+ * attempt and each step. Defines the names of spans and attributes, which are also the keys of the
+ * traces file.
  */
 final class SpanRecorder {
     private static final double NANOS_PER_MILLI = 1e6;
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -6,25 +6,27 @@
 import sagepulley.model.ExternalName;
 
 /**
- * Decides after an operation's end whether its trace is kept: those that were abandoned, rejected,
- * missed their latency objective or are among the slowest of their traffic class, and of the others
- * some at random, all within a budget (docs/accounts.md). Each reason has a part of the budget, and
- * what one leaves others may use. Where there are more than its part allows, a random sample is
- * kept, evenly over time, and each one has the weight of those it stands for. No clock: times are
- * milliseconds handed in. For one thread.
+ * Decides after an operation's end whether its trace is kept. Keeps operations that were abandoned,
+ * rejected, missed their latency objective or are among the slowest of their traffic class, and a
+ * random sample of the others (docs/accounts.md).
+ *
+ * <p>A token bucket per reason enforces the budget; tokens that a full bucket cannot take go to a
+ * bucket shared by all reasons. When a reason has more candidates than its budget allows, they are
+ * sampled at random, and each kept trace carries the inverse of the sampling probability as its
+ * weight. Times are passed in as milliseconds. Not thread-safe.
  */
 public final class TailSampler {
     /** Why an operation's trace is kept. */
     public enum SampleReason implements ExternalName {
-        /** It may have been executed or not. */
+        /** The operation may or may not have been executed. */
         ABANDONED("scrapped", 0.2),
-        /** It was rejected before execution. */
+        /** The operation was rejected before execution. */
         REJECTED("declined", 0.2),
-        /** It was not served within its latency objective. */
+        /** The operation was not served within its latency objective. */
         MISSED("missed", 0.3),
-        /** It is among the slowest of its traffic class. */
+        /** The operation is among the slowest of its traffic class. */
         SLOWEST("slowest", 0.2),
-        /** It is an ordinary one. */
+        /** The operation was picked at random from the remaining ones. */
         RANDOM("chance", 0.1);
 
         private final String externalName;
@@ -43,20 +45,21 @@
 
     private static final SampleReason[] REASONS = SampleReason.values();
 
-    /** Time constant of the decay with which the rate of candidates is measured. */
+    /** Time constant of the exponential decay of the candidate counts. */
     private static final double RATE_WINDOW_MILLIS = 2_000;
 
     private static final double MIN_REFILL_MILLIS = 5;
 
-    /** The slowest are those beyond the quantile that this fraction exceeds. */
+    /** Fraction of a traffic class's operations that counts as the slowest. */
     private static final double SLOW_FRACTION = 0.005;
 
-    /** A step of the quantile's estimate: a part of it, and a constant that gets it off zero. */
+    /** Relative step of the quantile estimate. */
     private static final double QUANTILE_STEP = 0.05;
 
+    /** Absolute step that moves the estimate away from zero. */
     private static final double MIN_QUANTILE_STEP_MILLIS = 0.01;
 
-    /** With fewer operations of a traffic class its quantile is the maximum so far. */
+    /** Until a traffic class has this many samples, its estimate is at least their maximum. */
     private static final int MIN_QUANTILE_SAMPLES = 200;
 
     private static final double MIN_RATE = 1e-9;
@@ -65,27 +68,29 @@
     private final double sampleProbability;
     private final RandomGenerator random;
 
-    /** By reason: traces that may be kept now, and candidates within the rate window. */
+    /** Traces that may be kept now, by reason. */
     private final double[] tokens = new double[REASONS.length];
 
+    /** Exponentially decayed number of candidates, by reason. */
     private final double[] candidateCounts = new double[REASONS.length];
 
-    /** Tokens that no reason had room for. */
+    /** Tokens that overflowed the buckets of the reasons. */
     private double sharedTokens;
 
     private double refilledAt;
 
-    /** By traffic class: the quantile of durations, and how many of them were seen. */
+    /** Estimated quantile of durations in milliseconds, by traffic class. */
     private double[] slowQuantile = new double[0];
 
+    /** Number of durations seen, by traffic class; stops at {@link #MIN_QUANTILE_SAMPLES}. */
     private int[] sampleCounts = new int[0];
     private SampleReason reason;
     private long droppedOverBudget;
 
     /**
-     * A sampler with a full budget.
+     * Creates a sampler with a full budget.
      *
-     * @param sampleProbability of an ordinary operation, 0 to 1
+     * @param sampleProbability probability of keeping an operation that no other reason selects
      */
     public TailSampler(
             double maxTracesPerSecond, double sampleProbability, RandomGenerator random) {
@@ -102,12 +107,12 @@
     }
 
     /**
-     * Decides on an operation.
+     * Decides whether the trace of an ended operation is kept.
      *
-     * @param missed whether it was not served within its latency objective
-     * @param trafficClass its index
-     * @param duration milliseconds
-     * @return the weight of its trace, for how many operations it stands; 0 if it is not kept
+     * @param missed whether the operation was not served within its latency objective
+     * @param trafficClass index of the traffic class
+     * @param duration duration of the operation in milliseconds
+     * @return the number of operations that the trace represents; 0 if it is not kept
      */
     public double sample(
             Accounts.End end, boolean missed, int trafficClass, double duration, double now) {
@@ -155,15 +160,12 @@
         return false;
     }
 
-    /** Why the latest was kept, or would have been. */
+    /** Returns the reason determined by the latest call of {@link #sample}, kept or not. */
     public SampleReason reason() {
         return reason;
     }
 
-    /**
-     * How many were chosen and not kept since the start, because the budget was spent at that
-     * moment.
-     */
+    /** Returns the number of selected traces dropped since the start because no token was left. */
     public long droppedOverBudget() {
         return droppedOverBudget;
     }
@@ -186,7 +188,10 @@
         sharedTokens = Math.min(sharedTokens, maxTracesPerSecond);
     }
 
-    /** Follows the duration that only a small fraction of a traffic class exceeds. */
+    /**
+     * Returns whether a duration exceeds the estimated quantile of its traffic class, and updates
+     * the estimate.
+     */
     private boolean isAmongSlowest(int trafficClass, double duration) {
         if (trafficClass >= slowQuantile.length) {
             slowQuantile = Arrays.copyOf(slowQuantile, trafficClass + 1);
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -17,8 +17,11 @@
 import sagepulley.config.TracingSettings;
 
 /**
- * Makes spans of sampled operations, on a thread of its own, and exports them to a file and an OTLP
- * receiver. What they cannot take in time is dropped and counted; no operation ever waits for it.
+ * Records the traces of sampled operations as spans and exports them to a file, an OTLP receiver or
+ * both.
+ *
+ * <p>A background thread does the recording. Traces that do not fit in its queue are dropped and
+ * counted, so that submitting never blocks.
  */
 public final class Tracer implements AutoCloseable {
     private static final int MAX_QUEUED_TRACES = 1024;
@@ -37,7 +40,7 @@
     private final LongAdder dropped = new LongAdder();
     private volatile boolean closing;
 
-    /** Starts the thread and the exporters. */
+    /** Creates the exporters and starts the recording thread. */
     public Tracer(TracingSettings settings, String gateway) {
         Attributes resourceAttributes = Attributes.of(SERVICE_NAME, "sagepulley/" + gateway);
         SdkTracerProviderBuilder builder =
@@ -71,19 +74,19 @@
                 .build();
     }
 
-    /** Queues a trace; drops it if the queue is full. From any thread, without waiting. */
+    /** Queues a trace, or drops it if the queue is full. Thread-safe and non-blocking. */
     public void submit(OperationTrace trace) {
         if (!queue.offer(trace)) {
             dropped.increment();
         }
     }
 
-    /** Traces that were made into spans since the start. */
+    /** Returns the number of traces recorded as spans since the start. */
     public long recorded() {
         return recorded.sum();
     }
 
-    /** Traces that were dropped since the start. */
+    /** Returns the number of traces dropped since the start. */
     public long dropped() {
         return dropped.sum();
     }
@@ -102,7 +105,7 @@
         }
     }
 
-    /** Exports what is queued, as far as that goes within seconds. */
+    /** Records and exports the queued traces, up to a timeout of a few seconds. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/sagepulley/tracing/package-info.java
+++ b/src/main/java/sagepulley/tracing/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Traces of operations, made after their end and only of those that are sampled.
+ * Tail-sampled traces of operations.
  *
- * <p>{@link sagepulley.tracing.TailSampler} decides, on the engine's thread of the NBD gateway.
- * {@link sagepulley.tracing.Tracer} takes the sampled ones through a bounded queue to a thread of
- * its own, which makes OpenTelemetry spans; they are exported to the site file's {@code [traces]
- * file}, rotated by size, and to an OTLP receiver.
+ * <p>{@link sagepulley.tracing.TailSampler} decides after an operation's end, on the engine's
+ * thread of the NBD gateway, whether its trace is kept. {@link sagepulley.tracing.Tracer} passes
+ * the kept traces through a bounded queue to a background thread, which records them as
+ * OpenTelemetry spans. The spans are exported to a file that is rotated by size ({@code [traces]
+ * file} in the site file) and to an OTLP receiver ({@code [traces] otlp}).
  */
 package sagepulley.tracing;
