--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -11,7 +11,7 @@
 import sagepulley.accounts.LatencyAccount;
 
 /**
- * The file in which a gateway's latency accounts survive its restarts, with one earlier generation.
+ * Stores a gateway's latency accounts across restarts (CBOR), with one earlier generation.
  */
 public final class AccountFile {
     private static final String KIND = "accounts";
@@ -22,23 +22,24 @@
     private static final ObjectReader READER = CBOR.readerFor(GatewayAccounts.class);
     private static final Logger LOG = LoggerFactory.getLogger(AccountFile.class);
 
-    /** What a file holds: as it is stored, and its account with every figure checked. */
+    /** The content of a file: the stored form, and the account restored from it and validated. */
     public record Loaded(GatewayAccounts stored, LatencyAccount account) {}
 
     private final SnapshotFile snapshots;
 
-    /** Of this gateway; an empty name reads any gateway's. */
+    /** Creates the file of a gateway; with an empty name, files of any gateway are read. */
     public AccountFile(Path file, String gateway) {
         this.snapshots = new SnapshotFile(file, KIND, FORMAT, gateway, EARLIER_GENERATIONS);
     }
 
-    /** Puts new accounts in place. */
+    /** Replaces the stored accounts. */
     public void write(GatewayAccounts accounts) throws IOException {
         snapshots.write(WRITER.writeValueAsBytes(accounts), accounts.writtenAt());
     }
 
     /**
-     * The newest valid accounts, or null; invalid files are logged and set aside.
+     * Returns the newest valid accounts, or null if there are none. Logs invalid files and sets
+     * them aside.
      *
      * @throws IOException if a file cannot be set aside
      */
@@ -60,9 +61,9 @@
     }
 
     /**
-     * A file's accounts, for a report: nothing is changed on the disk.
+     * Returns the newest valid accounts of any gateway without changing any file.
      *
-     * @throws IOException if there are no valid ones
+     * @throws IOException if there are no valid accounts
      */
     public static Loaded inspect(Path file) throws IOException {
         SnapshotFile.ReadResult result =
@@ -71,7 +72,7 @@
             return decode(result.snapshot());
         }
         if (result.rejected().isEmpty()) {
-            throw new InvalidSnapshotException(file, "is not there");
+            throw new InvalidSnapshotException(file, "file does not exist");
         }
         SnapshotFile.Rejected first = result.rejected().get(0);
         throw new InvalidSnapshotException(first.file(), first.reason());
@@ -81,7 +82,8 @@
         try {
             GatewayAccounts stored = READER.readValue(snapshot.body());
             if (stored == null || !stored.isComplete()) {
-                throw new InvalidSnapshotException(snapshot.file(), "has no accounts in it");
+                throw new InvalidSnapshotException(
+                        snapshot.file(), "body contains no complete accounts");
             }
             return new Loaded(stored, stored.accounts().toAccount());
         } catch (JsonProcessingException e) {
--- a/src/main/java/sagepulley/persistence/EndpointListFile.java
+++ b/src/main/java/sagepulley/persistence/EndpointListFile.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import sagepulley.membership.StoredEndpointList;
 
-/** The endpoint list of one site on disk (JSON), with two earlier generations. */
+/** Stores the endpoint list of a site on disk (JSON), with two earlier generations. */
 public final class EndpointListFile {
     private static final String KIND = "nodes";
     private static final int FORMAT = 1;
@@ -19,12 +19,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
 
     /**
-     * What the files hold.
+     * The result of reading all generations.
      *
      * @param list the newest valid list; null if there is none
-     * @param file the one that holds it
-     * @param writtenAt wall-clock milliseconds
-     * @param rejected the files that cannot be used
+     * @param file the newest valid snapshot, or the configured path if there is none
+     * @param writtenAt time of the write in wall-clock milliseconds; 0 if there is no list
+     * @param rejected invalid files, with the reasons
      */
     public record ReadResult(
             StoredEndpointList list,
@@ -35,18 +35,18 @@
     private final SnapshotFile snapshots;
     private final Path file;
 
-    /** Of this site; an empty name reads any site's. */
+    /** Creates the file of a site; with an empty name, files of any site are read. */
     public EndpointListFile(Path file, String site) {
         this.file = file;
         this.snapshots = new SnapshotFile(file, KIND, FORMAT, site, EARLIER_GENERATIONS);
     }
 
-    /** Puts a new list in place; the time is wall-clock milliseconds. */
+    /** Replaces the stored list; the time is in wall-clock milliseconds. */
     public void write(StoredEndpointList list, long now) throws IOException {
         snapshots.write(JSON.writeValueAsBytes(list), now);
     }
 
-    /** Reads the files, and changes nothing on the disk. */
+    /** Reads all generations without changing any file. */
     public ReadResult inspect() {
         SnapshotFile.ReadResult result = snapshots.read();
         List<SnapshotFile.Rejected> rejected = new ArrayList<>(result.rejected());
@@ -68,7 +68,8 @@
         try {
             StoredEndpointList list = JSON.readValue(snapshot.body(), StoredEndpointList.class);
             if (list == null) {
-                throw new InvalidSnapshotException(snapshot.file(), "no list of nodes");
+                throw new InvalidSnapshotException(
+                        snapshot.file(), "body contains no endpoint list");
             }
             return list.checked();
         } catch (JsonProcessingException e) {
@@ -80,7 +81,10 @@
         }
     }
 
-    /** The newest valid list, or null; invalid files are logged and set aside. */
+    /**
+     * Returns the newest valid list, or null if there is none. Logs invalid files and sets them
+     * aside.
+     */
     public StoredEndpointList load() {
         while (true) {
             ReadResult result = inspect();
@@ -91,7 +95,7 @@
                     LOG.atWarn()
                             .addKeyValue("file", rejected.file())
                             .addKeyValue("why", e.toString())
-                            .log("invalid nodes file cannot be set aside");
+                            .log("setting aside invalid nodes file failed");
                     return result.list();
                 }
             }
--- a/src/main/java/sagepulley/persistence/GatewayAccounts.java
+++ b/src/main/java/sagepulley/persistence/GatewayAccounts.java
@@ -5,12 +5,12 @@
 import sagepulley.accounts.StoredAccounts;
 
 /**
- * One gateway's accounts as they are stored (CBOR; the property names are the file's).
+ * The stored form of a gateway's accounts. The property names are the keys in the file (CBOR).
  *
- * @param writtenAt wall-clock milliseconds
- * @param volumeNames by the volumes' numbers
- * @param versionNotifiedAt when each version of the endpoint list was notified, wall-clock
- *     milliseconds
+ * @param writtenAt time of the snapshot in wall-clock milliseconds
+ * @param volumeNames volume names by volume number
+ * @param versionNotifiedAt by endpoint list version, when the gateway was notified of it, in
+ *     wall-clock milliseconds
  */
 public record GatewayAccounts(
         String gateway,
@@ -18,6 +18,7 @@
         @JsonProperty("names") Map<Long, String> volumeNames,
         @JsonProperty("told") Map<Long, Double> versionNotifiedAt,
         @JsonProperty("kept") StoredAccounts accounts) {
+    /** Returns whether no property was missing in the file. */
     boolean isComplete() {
         return gateway != null
                 && volumeNames != null
--- a/src/main/java/sagepulley/persistence/HolderCodec.java
+++ b/src/main/java/sagepulley/persistence/HolderCodec.java
@@ -9,9 +9,11 @@
 import java.util.Map;
 
 /**
- * The body of a holder file, compressed with zstd: the number of volumes; for each its id, the
- * number of its extents and the number of runs; for each run of extents with the same holder the
- * cell and its length. All are 32-bit integers, big-endian.
+ * Encodes and decodes the body of a holder file.
+ *
+ * <p>The body is compressed with zstd and consists of big-endian 32-bit integers: the number of
+ * volumes; for each volume its id, its number of extents and its number of runs; for each run of
+ * consecutive extents with the same holder, the cell and the length of the run.
  */
 final class HolderCodec {
     static final int MAX_EXTENTS = 1 << 22;
@@ -26,7 +28,7 @@
                     + (long) VOLUME_HEADER_BYTES * MAX_VOLUMES
                     + (long) RUN_BYTES * MAX_EXTENTS;
 
-    /** What a cell that is not known is written as. */
+    /** Stored in place of an unknown cell. */
     private static final int UNKNOWN_CELL = -1;
 
     private HolderCodec() {}
@@ -66,10 +68,10 @@
     }
 
     /**
-     * The cells by volume.
+     * Returns the cells of each volume's extents, by volume id.
      *
-     * @param file named in the exception
-     * @throws InvalidSnapshotException if the body is none that {@link #encode} makes
+     * @param file the file that an exception names
+     * @throws InvalidSnapshotException if the body is malformed
      */
     static Map<Integer, int[]> decode(byte[] body, Path file) throws InvalidSnapshotException {
         ByteBuffer buffer = ByteBuffer.wrap(decompress(body, file));
@@ -78,7 +80,9 @@
         long totalExtents = 0;
         for (int i = 0; i < volumeCount; i++) {
             if (buffer.remaining() < VOLUME_HEADER_BYTES) {
-                throw new InvalidSnapshotException(file, "holders are cut off");
+                throw new InvalidSnapshotException(
+                        file,
+                        "holders are truncated after " + i + " of " + volumeCount + " volumes");
             }
             int volume = buffer.getInt();
             int length = buffer.getInt();
@@ -89,7 +93,14 @@
                     || runs < 0
                     || buffer.remaining() < (long) RUN_BYTES * runs) {
                 throw new InvalidSnapshotException(
-                        file, "holders of volume " + volume + " do not fit");
+                        file,
+                        "invalid holders of volume "
+                                + volume
+                                + ": "
+                                + length
+                                + " extents in "
+                                + runs
+                                + " runs");
             }
             volumes.put(volume, readRuns(buffer, volume, length, runs, file));
         }
@@ -99,13 +110,20 @@
     private static byte[] decompress(byte[] body, Path file) throws InvalidSnapshotException {
         long size = Zstd.getFrameContentSize(body);
         if (size < BODY_HEADER_BYTES || size > MAX_BYTES) {
-            throw new InvalidSnapshotException(file, "holders of " + size + " bytes can be none");
+            throw new InvalidSnapshotException(
+                    file,
+                    "uncompressed size of the holders is "
+                            + size
+                            + " bytes, expected "
+                            + BODY_HEADER_BYTES
+                            + " to "
+                            + MAX_BYTES);
         }
         try {
             return Zstd.decompress(body, (int) size);
         } catch (ZstdException e) {
             throw new InvalidSnapshotException(
-                    file, "holders cannot be unpacked: " + e.getMessage(), e);
+                    file, "decompression of the holders failed: " + e.getMessage(), e);
         }
     }
 
@@ -118,14 +136,21 @@
             int run = buffer.getInt();
             if (run < 1 || run > length - start || cell < UNKNOWN_CELL) {
                 throw new InvalidSnapshotException(
-                        file, "holders of volume " + volume + " do not fit");
+                        file,
+                        "invalid run of volume "
+                                + volume
+                                + ": "
+                                + run
+                                + " extents in cell "
+                                + cell);
             }
             Arrays.fill(cells, start, start + run, cell);
             start += run;
         }
         if (start != length) {
             throw new InvalidSnapshotException(
-                    file, "holders of volume " + volume + " are cut off");
+                    file,
+                    "runs of volume " + volume + " cover " + start + " of " + length + " extents");
         }
         return cells;
     }
--- a/src/main/java/sagepulley/persistence/HolderFile.java
+++ b/src/main/java/sagepulley/persistence/HolderFile.java
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which cell holds which extent, on disk, of one site: for each volume the cells of its extents in
- * order (-1: not known). One earlier generation is left.
+ * Stores the extent holders of a site on disk, with one earlier generation: for each volume, the
+ * cells of its extents in order, with -1 for an unknown cell.
  */
 public final class HolderFile {
-    /** Extents of all volumes together that a file can hold. */
+    /** Maximum number of extents of all volumes together. */
     public static final int MAX_EXTENTS = HolderCodec.MAX_EXTENTS;
 
     private static final String KIND = "holders";
@@ -21,17 +21,20 @@
 
     private final SnapshotFile snapshots;
 
-    /** Of this site; an empty name reads any site's. */
+    /** Creates the file of a site; with an empty name, files of any site are read. */
     public HolderFile(Path file, String site) {
         this.snapshots = new SnapshotFile(file, KIND, FORMAT, site, EARLIER_GENERATIONS);
     }
 
-    /** Puts new holders in place, by volume; the time is wall-clock milliseconds. */
+    /** Replaces the stored holders, by volume id; the time is in wall-clock milliseconds. */
     public void write(Map<Integer, int[]> cells, long now) throws IOException {
         snapshots.write(HolderCodec.encode(cells), now);
     }
 
-    /** The newest valid holders, or none; invalid files are logged and set aside. */
+    /**
+     * Returns the newest valid holders by volume id, or an empty map if there are none. Logs
+     * invalid files and sets them aside.
+     */
     public Map<Integer, int[]> load() {
         SnapshotFile.ReadResult result = snapshots.read();
         for (SnapshotFile.Rejected rejected : result.rejected()) {
@@ -56,7 +59,7 @@
             LOG.atWarn()
                     .addKeyValue("file", file)
                     .addKeyValue("why", e.toString())
-                    .log("invalid holders file cannot be set aside");
+                    .log("setting aside invalid holders file failed");
         }
     }
 }
--- a/src/main/java/sagepulley/persistence/InvalidSnapshotException.java
+++ b/src/main/java/sagepulley/persistence/InvalidSnapshotException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A file whose content cannot be used; names the file and what is wrong with it. */
+/** Thrown when a snapshot file is missing or invalid; the message names the file and the reason. */
 public final class InvalidSnapshotException extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -18,7 +18,7 @@
         this.reason = reason;
     }
 
-    /** What is wrong, without the file's name. */
+    /** Returns the reason without the file name. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/sagepulley/persistence/PeriodicWriter.java
+++ b/src/main/java/sagepulley/persistence/PeriodicWriter.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a value at regular intervals, on a thread of its own, so that no disk ever holds up the
- * value's owner. A failure is logged once, and the write repeated at each interval.
+ * Writes a value periodically on a background thread, so that disk I/O never blocks the owner of
+ * the value. Writes are retried at each interval; only the first of consecutive failures is logged.
  *
- * @param <T> what is written; a source that gives null has nothing new
+ * @param <T> type of the value; a source that supplies null has nothing new to write
  */
 public final class PeriodicWriter<T> implements AutoCloseable {
-    /** Where values go. */
+    /** Writes values to disk. */
     public interface Sink<T> {
-        /** Puts a value on the disk; on the writer's thread. */
+        /** Writes a value. Called on the writer's thread. */
         void write(T value) throws IOException;
     }
 
@@ -32,15 +32,15 @@
     private final Sink<T> sink;
     private final ScheduledExecutorService executor;
 
-    /** Whether the latest write failed; on the writer's thread. */
+    /** Whether the latest write failed. Confined to the writer's thread. */
     private boolean lastWriteFailed;
 
     /**
-     * Starts the thread.
+     * Starts the periodic writes.
      *
-     * @param name of the thread, and of the value in the log
-     * @param intervalMillis from the end of one write to the start of the next
-     * @param source called on the writer's thread; the value may be made on another
+     * @param name name of the thread, and of the value in log messages
+     * @param intervalMillis time from the end of one write to the start of the next
+     * @param source supplies the value; called on the writer's thread, may complete on another
      */
     public PeriodicWriter(
             String name,
@@ -85,12 +85,12 @@
         }
     }
 
-    /** Ends without a last write, as a killed process would. */
+    /** Stops without a final write, like a killed process. */
     public void kill() {
         executor.shutdownNow();
     }
 
-    /** Writes once more and ends; waits for that for a bounded time. */
+    /** Writes a final time and stops; waits for the write up to a timeout. */
     @Override
     public void close() {
         executor.execute(this::write);
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -15,15 +15,17 @@
 import org.slf4j.Logger;
 
 /**
- * A file that is replaced as a whole and survives a kill at any byte: written beside, forced to the
- * disk, and put in place by renaming, with some earlier generations left. A {@link SnapshotHeader}
- * says what it is, whose and how old; a file that does not agree with its header is rejected. Safe
- * for use by several threads.
+ * A file that is replaced atomically, so that a crash at any point leaves a valid snapshot. A write
+ * creates a temporary file, syncs it to disk, rotates the earlier generations and renames the
+ * temporary file into place.
+ *
+ * <p>A {@link SnapshotHeader} records kind, format, owner and age; a file that does not match its
+ * header is rejected. Thread-safe.
  */
 public final class SnapshotFile {
     private static final long MAX_BODY_BYTES = 1L << 30;
 
-    /** The steps of a write, in order. */
+    /** Steps of a write, in order. */
     enum WriteStep {
         TEMPORARY_FILE_WRITTEN,
         TEMPORARY_FILE_SYNCED,
@@ -33,23 +35,23 @@
         DIRECTORY_SYNCED
     }
 
-    /** Called after each step of a write; what it throws ends the write there. */
+    /** Called after each step of a write; an exception aborts the write at that step. */
     interface WriteListener {
         void stepDone(WriteStep step, int generation) throws IOException;
     }
 
     /**
-     * What a valid file holds.
+     * The content of a valid file.
      *
-     * @param writtenAt wall-clock milliseconds
-     * @param sequenceNumber counts up with each write
+     * @param writtenAt time of the write in wall-clock milliseconds
+     * @param sequenceNumber increases by one with each write
      */
     public record Snapshot(byte[] body, long writtenAt, long sequenceNumber, Path file) {}
 
-    /** A file that cannot be used, and why not. */
+    /** An invalid file and the reason. */
     public record Rejected(Path file, String reason) {}
 
-    /** The newest valid snapshot (null if there is none) and the files that cannot be used. */
+    /** The newest valid snapshot, or null if there is none, and the invalid files. */
     public record ReadResult(Snapshot snapshot, List<Rejected> rejected) {}
 
     private final Path file;
@@ -59,14 +61,16 @@
     private final int earlierGenerations;
     private final WriteListener listener;
 
-    /** The number of the newest snapshot; -1 before it is known. */
+    /** Sequence number of the newest snapshot; -1 until the first write has read it. */
     private long sequenceNumber = -1;
 
     /**
-     * A file on disk, which need not exist yet.
+     * Creates a snapshot file, which need not exist on disk yet.
      *
-     * @param owner a site or a gateway; empty to read any owner's
-     * @param earlierGenerations how many are left beside the newest
+     * @param kind kind of content, recorded in the header
+     * @param format format version of the content, recorded in the header
+     * @param owner name of a site or gateway; if empty, files of any owner are read
+     * @param earlierGenerations number of generations kept in addition to the newest
      */
     public SnapshotFile(Path file, String kind, int format, String owner, int earlierGenerations) {
         this(file, kind, format, owner, earlierGenerations, (step, generation) -> {});
@@ -98,10 +102,10 @@
     // ---- writing ----
 
     /**
-     * Puts a new body in place.
+     * Replaces the file with a new body.
      *
-     * @param writtenAt wall-clock milliseconds
-     * @throws IOException if that failed; every earlier generation is as it was, or moved up by one
+     * @param writtenAt time of the write in wall-clock milliseconds
+     * @throws IOException if the write fails; each earlier generation is then unchanged or rotated
      */
     public synchronized void write(byte[] body, long writtenAt) throws IOException {
         if (sequenceNumber < 0) {
@@ -166,7 +170,7 @@
 
     // ---- reading ----
 
-    /** Reads every generation; the newest valid one counts. Changes nothing on the disk. */
+    /** Reads all generations and selects the newest valid one, without changing any file. */
     public synchronized ReadResult read() {
         List<Rejected> rejected = new ArrayList<>();
         Snapshot newest = null;
@@ -177,7 +181,7 @@
                     newest = snapshot;
                 }
             } catch (NoSuchFileException e) {
-                // no generation of that age
+                // This generation does not exist.
             } catch (InvalidSnapshotException e) {
                 rejected.add(new Rejected(candidate, e.reason()));
             } catch (IOException e) {
@@ -199,7 +203,11 @@
 
     private Snapshot read(Path path) throws IOException {
         if (Files.size(path) > MAX_BODY_BYTES + SnapshotHeader.MAX_BYTES) {
-            throw new InvalidSnapshotException(path, "is longer than such a file can be");
+            throw new InvalidSnapshotException(
+                    path,
+                    "file is longer than "
+                            + (MAX_BODY_BYTES + SnapshotHeader.MAX_BYTES)
+                            + " bytes");
         }
         byte[] content = Files.readAllBytes(path);
         int headerLength = headerLength(content, path);
@@ -207,15 +215,16 @@
         byte[] body = Arrays.copyOfRange(content, headerLength + 1, content.length);
         SnapshotHeader header = SnapshotHeader.decode(headerLine, body, path);
         if (!header.kind().equals(kind)) {
-            throw new InvalidSnapshotException(path, "is a file of another kind: " + header.kind());
+            throw new InvalidSnapshotException(
+                    path, "kind is '" + header.kind() + "', expected '" + kind + "'");
         }
         if (header.format() != format) {
             throw new InvalidSnapshotException(
-                    path, "has format " + header.format() + ", read is " + format);
+                    path, "format " + header.format() + " is not supported, expected " + format);
         }
         if (!header.owner().equals(owner) && !owner.isEmpty()) {
             throw new InvalidSnapshotException(
-                    path, "belongs to '" + header.owner() + "', not to '" + owner + "'");
+                    path, "owner is '" + header.owner() + "', expected '" + owner + "'");
         }
         return new Snapshot(body, header.writtenAt(), header.sequenceNumber(), path);
     }
@@ -228,17 +237,19 @@
         if (end == content.length || end == SnapshotHeader.MAX_BYTES) {
             throw new InvalidSnapshotException(
                     path,
-                    content.length == 0 ? "is empty" : "has no head: cut off, or no file of ours");
+                    content.length == 0
+                            ? "file is empty"
+                            : "header line is missing or truncated");
         }
         return end;
     }
 
-    // ---- what cannot be used ----
+    // ---- invalid files ----
 
     /**
-     * Moves a file out of the way, to a name that says so; the latest such one stays.
+     * Renames an invalid file so that it is no longer read; replaces one set aside earlier.
      *
-     * @return the new name
+     * @return the new path
      */
     public synchronized Path setAside(Path rejected) throws IOException {
         Path aside = rejected.resolveSibling(rejected.getFileName() + ".set-aside");
@@ -246,7 +257,7 @@
         return aside;
     }
 
-    /** The same, with a line in the log that says why. */
+    /** Sets an invalid file aside and logs the reason. */
     void setAside(Path rejected, String reason, Logger log) throws IOException {
         log.atWarn()
                 .addKeyValue("file", rejected)
--- a/src/main/java/sagepulley/persistence/SnapshotHeader.java
+++ b/src/main/java/sagepulley/persistence/SnapshotHeader.java
@@ -7,21 +7,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * The first line of a snapshot file: magic word, kind, format, owner (URL-encoded), time of
- * writing, number, length of the body, and a CRC32C over all of that and the body, separated by
- * spaces.
+ * The first line of a snapshot file. Its fields are separated by spaces: magic word, kind, format,
+ * owner (URL-encoded), time of writing, sequence number, length of the body, and a CRC32C checksum
+ * of the preceding fields and the body.
  *
- * @param writtenAt wall-clock milliseconds
- * @param sequenceNumber counts up with each write of a file
+ * @param writtenAt time of the write in wall-clock milliseconds
+ * @param sequenceNumber increases by one with each write of a file
  */
 record SnapshotHeader(String kind, int format, String owner, long writtenAt, long sequenceNumber) {
-    /** No valid header is longer, its line feed included. */
+    /** Maximum length of a header, including the line feed. */
     static final int MAX_BYTES = 1024;
 
     private static final String MAGIC = "sagepulley";
     private static final int FIELDS = 8;
 
-    /** The line, with its line feed, for a body. */
+    /** Returns the header line for a body, including the line feed. */
     byte[] encode(byte[] body) {
         String fields =
                 String.join(
@@ -38,31 +38,28 @@
     }
 
     /**
-     * Reads a header.
+     * Parses a header line and verifies the body against it.
      *
-     * @param line without its line feed
-     * @param file named in the exception
-     * @throws InvalidSnapshotException if it is no header, or does not agree with the body
+     * @param line the header line without the line feed
+     * @param file the file that an exception names
+     * @throws InvalidSnapshotException if the line is malformed or does not match the body
      */
     static SnapshotHeader decode(String line, byte[] body, Path file)
             throws InvalidSnapshotException {
         String[] fields = line.split(" ", -1);
         if (fields.length != FIELDS || !fields[0].equals(MAGIC)) {
-            throw new InvalidSnapshotException(file, "is no file of sagepulley");
+            throw new InvalidSnapshotException(file, "file is not a sagepulley snapshot");
         }
         try {
-            // First of all whether it is intact: nothing that a damaged file says can be relied on.
+            // Verifies length and checksum before any other field is used.
             if (Long.parseLong(fields[6]) != body.length) {
                 throw new InvalidSnapshotException(
                         file,
-                        "is cut off, or longer than it says: "
-                                + body.length
-                                + " bytes of "
-                                + fields[6]);
+                        "body has " + body.length + " bytes, expected " + fields[6]);
             }
             int expected = checksum(line.substring(0, line.lastIndexOf(' ')), body);
             if (Integer.parseUnsignedInt(fields[7], 16) != expected) {
-                throw new InvalidSnapshotException(file, "is damaged: its checksum does not agree");
+                throw new InvalidSnapshotException(file, "checksum does not match the content");
             }
             return new SnapshotHeader(
                     fields[1],
@@ -71,7 +68,7 @@
                     Long.parseLong(fields[4]),
                     Long.parseLong(fields[5]));
         } catch (IllegalArgumentException e) {
-            throw new InvalidSnapshotException(file, "has a damaged head", e);
+            throw new InvalidSnapshotException(file, "malformed header", e);
         }
     }
 
