--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -11,11 +11,14 @@
 import sagepulley.simulator.MalformedFrameException;
 import sagepulley.simulator.SimulatorAdapter;
 
-/** Entry point of all commands; simhost and serve load no class of the others. */
+/**
+ * Entry point of all commands. The commands simhost and serve start without loading the classes of
+ * the other commands.
+ */
 public final class Main {
     private Main() {}
 
-    /** Runs the command that the first argument names; exits with its status. */
+    /** Runs the command that the arguments name and exits with its status. */
     public static void main(String[] arguments) {
         switch (arguments.length == 1 ? arguments[0] : "") {
             case "simhost" -> runSimulatorHost();
@@ -30,8 +33,8 @@
     }
 
     /**
-     * Exits with status 1 and one line if the configuration is invalid; with 0 after a signal, once
-     * the gateway has stopped.
+     * Runs a server command and exits: with status 0 once it has stopped, or with status 1 and an
+     * error message if the configuration is invalid or an I/O error occurs.
      */
     private static void runServer(ServerCommand command) {
         try {
@@ -53,7 +56,7 @@
             System.err.println("sagepulley: malformed frame: " + e.getMessage());
             System.exit(1);
         } catch (IOException e) {
-            System.err.println("sagepulley: the wire failed: " + e.getMessage());
+            System.err.println("sagepulley: simulator connection failed: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/sagepulley/cli/AccountFormatter.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -6,16 +6,16 @@
 import sagepulley.accounts.LatencyReport;
 import sagepulley.model.ExternalName;
 
-/** Texts for accounts: where time went, what caused it, and what an operator can do about it. */
+/** Formats latency components, causes and advice for reports. */
 final class AccountFormatter {
     private AccountFormatter() {}
 
-    /** An enum constant by its external name, with spaces. */
+    /** Returns the external name of an enum constant, with spaces in place of underscores. */
     static String label(Enum<?> constant) {
         return ExternalName.of(constant).replace('_', ' ');
     }
 
-    /** Where an operation spent time. */
+    /** Describes a latency component. */
     static String component(LatencyComponent component) {
         return switch (component) {
             case RESERVATION_FULL -> "held here: node's bound full, in its reserve";
@@ -37,12 +37,12 @@
         };
     }
 
-    /** A volume by its name, or its number where the name is not known. */
+    /** Returns a volume's name, or its number if the name is unknown. */
     static String volume(long number, Map<Long, String> names) {
         return number == 0 ? "other volumes" : "volume " + names.getOrDefault(number, "" + number);
     }
 
-    /** What caused a wait. */
+    /** Describes the cause of a wait. */
     static String cause(Cause.Kind kind, long volume, int node, Map<Long, String> names) {
         String atNode = node == 0 ? "" : " at node " + node;
         return switch (kind) {
@@ -68,47 +68,52 @@
         return cause(report.kind(), report.volume(), report.node(), names);
     }
 
-    /** What an operator can do about a cause. */
+    /** Returns advice for an operator on how to address a cause. */
     static String advice(LatencyReport.CauseReport report, Map<Long, String> names) {
         return switch (report.kind()) {
             case OWN_LOAD ->
-                    "It asks for more than its plan owes it: a larger share or reserve, or less at once.";
+                    "Its load exceeds what its plan guarantees: enlarge its share or reserve, or reduce "
+                            + "its load.";
             case OWN_LIMIT ->
-                    "Its plan's limit holds it: raise the limit, or spread its operations over time.";
-            case OWN_WORK -> "Nothing held it up.";
+                    "It reaches the limit of its plan: raise the limit, or spread its operations over "
+                            + "time.";
+            case OWN_WORK -> "No wait to reduce.";
             case NEIGHBOUR ->
                     "Give "
                             + volume(report.volume(), names)
-                            + " a limit, or this one a reserve; "
+                            + " a limit, or this volume a reserve; "
                             + "moving extents off node "
                             + report.node()
-                            + " parts them.";
+                            + " separates the two.";
             case OTHER_GATEWAYS ->
-                    "Read the other gateways' files together with this one: they tell whose work it was.";
+                    "Run the report on the account files of all gateways: it then names the volume that "
+                            + "caused the load.";
             case SLOW_NODE ->
-                    "Look at node "
+                    "Check the disks and the other tenants of node "
                             + report.node()
-                            + ": its disks, its other tenants. Draining it moves "
+                            + ". Draining it moves "
                             + "new objects away.";
             case PAUSE ->
                     "Node "
                             + report.node()
-                            + " pauses of its own, as nodes do that put writes off: look at "
-                            + "its flushing, and at who writes there.";
+                            + " pauses, as nodes with deferred writes do: check "
+                            + "its flushing, and the volumes that write there.";
             case WARMING_UP_NODE ->
                     "Node "
                             + report.node()
-                            + " was restarted; this passes. If it restarts often, see why.";
+                            + " was restarted and is warming up. If it restarts often, find "
+                            + "the reason.";
             case FAULT ->
                     report.node() == 0
-                            ? "See the list of nodes: drained, gone, or not told."
-                            : "See node "
+                            ? "Check the list of nodes for drained, removed or missing nodes."
+                            : "Check node "
                                     + report.node()
-                                    + " and the way to it: it gave no answer, or an error.";
+                                    + " and the network to it: it returned errors or did not "
+                                    + "answer.";
             case LOCAL_THROTTLING ->
-                    "The gateway held it by its own rules (budget of further hops, rank): see the day's "
-                            + "declines and the node's state.";
-            case DIRECTORY -> "See the directory: its answers come late or not at all.";
+                    "The gateway delayed it (queue estimate, retry budget or priority): check the "
+                            + "declined operations and the node's state.";
+            case DIRECTORY -> "Check the directory: its answers are late or missing.";
             case NETWORK -> "See the way to node " + report.node() + ".";
         };
     }
--- a/src/main/java/sagepulley/cli/CheckSiteCommand.java
+++ b/src/main/java/sagepulley/cli/CheckSiteCommand.java
@@ -11,12 +11,13 @@
 import sagepulley.config.SiteConfig;
 import sagepulley.config.SiteConfigException;
 
-/** Checks a site file without starting anything. */
+/** Validates a site file without starting a gateway. */
 @Command(
         name = "check-site",
         mixinStandardHelpOptions = true,
         description =
-                "Checks a site file; exits with 0 if it can be used, with 3 and every mistake if not.")
+                "Validates a site file; exits with 0 if it is valid, otherwise prints all errors and "
+                        + "exits with 3.")
 final class CheckSiteCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SITE", description = "the site file (INI)")
     private Path file;
@@ -47,7 +48,7 @@
         } else if (site != null) {
             System.out.println(
                     file
-                            + ": can be used: "
+                            + ": valid: "
                             + site.volumes().size()
                             + " volumes, "
                             + site.deployment().trafficClasses().size()
--- a/src/main/java/sagepulley/cli/Commands.java
+++ b/src/main/java/sagepulley/cli/Commands.java
@@ -7,7 +7,7 @@
 import sagepulley.config.SiteConfigException;
 import sagepulley.scenario.ScenarioException;
 
-/** The command line. Each sub-command is a class of its own. */
+/** The root command. Each subcommand has a class of its own. */
 @Command(
         name = "sagepulley",
         mixinStandardHelpOptions = true,
@@ -35,19 +35,19 @@
         },
         footer = {
             "",
-            "  simhost      the decisions on the bench's wire, on standard input and output"
+            "  simhost      runs the scheduler for a simulator on standard input and output"
         })
 public final class Commands implements Runnable {
-    /** Exit code: all went well. */
+    /** Exit code: the command succeeded. */
     public static final int OK = 0;
 
     /** Exit code: the command failed. */
     public static final int FAILED = 1;
 
-    /** Exit code: the arguments were wrong. */
+    /** Exit code: the arguments are invalid. */
     public static final int USAGE_ERROR = 2;
 
-    /** Exit code: a site file or script cannot be used. */
+    /** Exit code: a site file, list file or scenario is invalid. */
     public static final int INVALID_FILE = 3;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -57,11 +57,12 @@
             scope = ScopeType.INHERIT,
             defaultValue = "text",
             paramLabel = "text|json",
-            description = "form of the log on standard error")
+            description = "format of the log on standard error")
     void logFormat(String format) {
         if (!format.equals("text") && !format.equals("json")) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--log is text or json, not " + format);
+                    spec.commandLine(),
+                    "invalid value '" + format + "' for --log, expected text or json");
         }
         System.setProperty("sagepulley.log.form", format);
     }
@@ -75,17 +76,20 @@
     void logLevel(String level) {
         if (!level.matches("ERROR|WARN|INFO|DEBUG")) {
             throw new CommandLine.ParameterException(
-                    spec.commandLine(), "--log-level is ERROR, WARN, INFO or DEBUG, not " + level);
+                    spec.commandLine(),
+                    "invalid value '"
+                            + level
+                            + "' for --log-level, expected ERROR, WARN, INFO or DEBUG");
         }
         System.setProperty("sagepulley.log.level", level);
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command");
     }
 
-    /** Runs a command; gives its exit code. */
+    /** Runs a command and returns its exit code. */
     public static int run(String... arguments) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler(
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -11,7 +11,7 @@
 import sagepulley.standin.NodeProfile;
 import sagepulley.standin.TrafficRecorder;
 
-/** Runs a gateway with stand-in nodes and a directory on loopback, with nothing to set up. */
+/** Runs a gateway with stand-in nodes and a stand-in directory on loopback. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
@@ -25,20 +25,20 @@
             defaultValue = "10809",
             paramLabel = "PORT",
             description =
-                    "where NBD clients connect; 0 takes a free one (default: ${DEFAULT-VALUE})")
+                    "port for NBD clients; 0 picks a free port (default: ${DEFAULT-VALUE})")
     private int port;
 
     @Option(
             names = "--nodes",
             defaultValue = "6",
-            description = "stand-in nodes (default: ${DEFAULT-VALUE})")
+            description = "number of stand-in nodes (default: ${DEFAULT-VALUE})")
     private int nodes;
 
     @Option(
             names = "--cost",
             defaultValue = "0.5",
             paramLabel = "MS",
-            description = "what a unit of 128 KiB takes at a node (default: ${DEFAULT-VALUE})")
+            description = "time that a node takes for 128 KiB (default: ${DEFAULT-VALUE})")
     private double cost;
 
     @Override
--- a/src/main/java/sagepulley/cli/DirectoryCommand.java
+++ b/src/main/java/sagepulley/cli/DirectoryCommand.java
@@ -14,21 +14,22 @@
         name = "directory",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a stand-in directory until a signal: the list of nodes, and the holders of extents.")
+                "Runs a stand-in directory until a signal; it serves the endpoint list and the holders of "
+                        + "extents.")
 final class DirectoryCommand implements Callable<Integer> {
     @Option(
             names = "--listen",
             defaultValue = "127.0.0.1:10810",
             converter = AddressConverter.class,
             paramLabel = "HOST:PORT",
-            description = "where gateways and nodes connect (default: ${DEFAULT-VALUE})")
+            description = "listening address for gateways and nodes (default: ${DEFAULT-VALUE})")
     private HostPort listen;
 
     @Option(
             names = "--lag",
             defaultValue = "0",
             paramLabel = "MS",
-            description = "tells changes so late")
+            description = "delay of change notifications")
     private double lag;
 
     @Override
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -14,18 +14,19 @@
 import sagepulley.scenario.ScenarioReader;
 import sagepulley.scenario.ScenarioRunner;
 
-/** Plays one scripted scenario and prints how the rules were kept. */
+/** Runs a scripted scenario and prints the verdict on each rule. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a scripted bad day through real gateways on loopback, and judges the seven rules by "
-                        + "what passed on the sockets; exits with 1 if one was broken or an expectation not met.")
+                "Runs a scripted failure scenario through real gateways on loopback and checks the seven "
+                        + "rules against the recorded traffic; exits with 1 if a rule is violated or an "
+                        + "expectation is not met.")
 final class DrillCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "DAY",
             description =
-                    "a script, or the name of a day that comes with the program: "
+                    "a script file, or the name of a built-in scenario: "
                             + "bad-evening, cold-halls, lost-answers, long-surge, causes/flood and others")
     private String scenarioName;
 
@@ -36,7 +37,7 @@
             names = "--accounts",
             paramLabel = "FOLDER",
             description =
-                    "writes the gateways' latency accounts there at the day's end, for 'report'")
+                    "writes the gateways' latency accounts there at the end, for 'report'")
     private Path accountsFolder;
 
     @Override
--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -16,14 +16,14 @@
 import picocli.CommandLine.Parameters;
 import sagepulley.accounts.LatencyComponent;
 
-/** Prints what happened to one operation, in time order, from a traces file. */
+/** Prints the steps and attempts of one operation in time order, from a traces file. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Tells an operation's story in time order, from the traces that a gateway keeps ([traces] file); "
-                        + "without a number, that of the operation that took longest.")
+                "Prints the steps and attempts of an operation in time order, from a gateway's traces "
+                        + "([traces] file); by default those of the longest operation.")
 final class ExplainCommand implements Callable<Integer> {
     private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
@@ -31,19 +31,23 @@
     @Parameters(
             index = "0",
             paramLabel = "FILE",
-            description = "the traces file; those moved on are read too")
+            description = "the traces file; its rotated files are read too")
     private Path file;
 
-    @Parameters(index = "1", arity = "0..1", paramLabel = "OPERATION", description = "its number")
+    @Parameters(
+            index = "1",
+            arity = "0..1",
+            paramLabel = "OPERATION",
+            description = "number of the operation")
     private Long operation;
 
-    @Option(names = "--volume", paramLabel = "NAME", description = "only of this volume")
+    @Option(names = "--volume", paramLabel = "NAME", description = "only operations of this volume")
     private String volume;
 
     @Option(
             names = "--list",
             paramLabel = "N",
-            description = "lists the N that took longest, instead")
+            description = "lists the N longest operations instead")
     private int listCount;
 
     @Option(names = "--json", description = "prints the spans as JSON")
@@ -54,20 +58,20 @@
         TraceFile traces = TraceFile.read(file);
         if (traces.unreadableLines() > 0) {
             System.err.println(
-                    "sagepulley: "
+                    "sagepulley: skipped "
                             + traces.unreadableLines()
                             + " lines of "
                             + file
-                            + " are no spans, left out");
+                            + " that are not spans");
         }
         List<Span> operations = traces.operations(operation, volume);
         if (operations.isEmpty()) {
             throw new IOException(
                     file
-                            + ": has no trace of "
+                            + ": no trace of "
                             + (operation == null ? "an operation" : "operation " + operation)
                             + (volume == null ? "" : " of volume " + volume)
-                            + "; only some are kept, see docs/operate/accounts.md");
+                            + "; only sampled operations have one, see docs/operate/accounts.md");
         }
         if (listCount > 0) {
             operations.stream().limit(listCount).forEach(ExplainCommand::printSummary);
--- a/src/main/java/sagepulley/cli/GatewayCommand.java
+++ b/src/main/java/sagepulley/cli/GatewayCommand.java
@@ -11,12 +11,13 @@
 import sagepulley.frontend.nbd.NbdGateway;
 import sagepulley.monitoring.MonitoringServer;
 
-/** Runs one gateway from its site file. */
+/** Runs a gateway from a site file. */
 @Command(
         name = "gateway",
         mixinStandardHelpOptions = true,
         description =
-                "Runs one gateway until a signal, then answers what it holds and exits with 0.")
+                "Runs a gateway until a signal, then completes the requests in flight and exits with "
+                        + "0.")
 final class GatewayCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "SITE",
@@ -52,14 +53,14 @@
                     try {
                         gateway.stop().join();
                     } catch (CompletionException e) {
-                        throw new IllegalStateException("did not stop well: " + e.getCause(), e);
+                        throw new IllegalStateException("shutdown failed: " + e.getCause(), e);
                     }
                 });
     }
 
     /**
-     * Starts the monitoring server where the site has one; a gateway that cannot listen there
-     * serves all the same.
+     * Starts the monitoring server if the site configures one. A failure to bind its address does
+     * not stop the gateway.
      */
     private static void startMonitoring(SiteConfig site, NbdGateway gateway) {
         if (site.monitoring() != null) {
@@ -67,7 +68,7 @@
                 new MonitoringServer(site, gateway, site.monitoring().socket());
             } catch (IOException e) {
                 System.err.println(
-                        "sagepulley: no figures over HTTP on "
+                        "sagepulley: cannot start the monitoring server on "
                                 + site.monitoring()
                                 + ": "
                                 + e.getMessage());
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -27,7 +27,7 @@
         name = "list-file",
         mixinStandardHelpOptions = true,
         description =
-                "Shows, checks, exports or brings the file in which a gateway keeps its list of nodes "
+                "Shows, verifies, exports or imports the file that stores a gateway's list of nodes "
                         + "([membership] list).",
         subcommands = {
             ListFileCommand.Show.class,
@@ -40,7 +40,7 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command");
     }
 
     private static StoredEndpointList newestValid(Path file) throws IOException {
@@ -48,7 +48,7 @@
         if (result.list() == null) {
             throw new IOException(
                     result.rejected().isEmpty()
-                            ? file + ": is not there"
+                            ? file + ": file does not exist"
                             : result.rejected().get(0).file()
                                     + ": "
                                     + result.rejected().get(0).reason());
@@ -65,11 +65,11 @@
                         .toString();
     }
 
-    /** Prints the newest list that is valid. */
+    /** Prints the newest valid list. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Prints the newest list that can be believed.")
+            description = "Prints the newest valid list.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -105,12 +105,13 @@
         }
     }
 
-    /** Checks every generation of the file. */
+    /** Verifies every generation of the file. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Checks every generation; exits with 0 if all can be believed, with 3 and the reasons if not.")
+                    "Verifies every generation; exits with 0 if all are valid, otherwise prints the "
+                            + "reasons and exits with 3.")
     static final class Verify implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -119,7 +120,7 @@
                 names = "--site",
                 defaultValue = "",
                 paramLabel = "NAME",
-                description = "whose it must be (default: any)")
+                description = "expected [site] name of the file (default: any)")
         private String site;
 
         @Override
@@ -129,7 +130,7 @@
                 System.out.println(rejected.file() + ": " + rejected.reason());
             }
             if (result.list() == null) {
-                System.out.println(file + ": no list that can be believed");
+                System.out.println(file + ": no valid list");
                 return Commands.INVALID_FILE;
             }
             System.out.println(
@@ -176,26 +177,26 @@
             name = "import",
             mixinStandardHelpOptions = true,
             description =
-                    "Writes a list that was come by in another way as the file's next generation. It counts as never "
-                            + "confirmed: every node is asked who it is before it is used.")
+                    "Writes a list from a CSV file as the next generation. The list counts as never "
+                            + "confirmed: a handshake verifies each node before it is used.")
     static final class Import implements Callable<Integer> {
         @Parameters(
                 paramLabel = "FILE",
-                description = "the list file to write; no gateway may be running on it")
+                description = "the list file to write; no running gateway may use it")
         private Path file;
 
         @Option(
                 names = "--site",
                 required = true,
                 paramLabel = "NAME",
-                description = "[site] name of its gateway")
+                description = "[site] name of the gateway")
         private String site;
 
         @Option(
                 names = "--csv",
                 required = true,
                 paramLabel = "LIST",
-                description = "as 'export' prints it")
+                description = "CSV file in the format that 'export' prints")
         private Path csv;
 
         @Override
@@ -211,9 +212,8 @@
                                 csv
                                         + ":"
                                         + (i + 1)
-                                        + ": node "
-                                        + entry.node()
-                                        + " stands there twice");
+                                        + ": duplicate node "
+                                        + entry.node());
                     }
                     endpoints.add(
                             new StoredEndpointList.StoredEndpoint(
@@ -234,7 +234,7 @@
                 if (fields.length != 7
                         || HostPort.read(fields[5].trim() + ":" + fields[6].trim()) == null) {
                     throw new IllegalArgumentException(
-                            "allowed is node,cell,zone,kind,standing,host,port");
+                            "expected node,cell,zone,kind,standing,host,port");
                 }
                 return new EndpointRecord(
                         Integer.parseInt(fields[0].trim()),
--- a/src/main/java/sagepulley/cli/MeasureCommand.java
+++ b/src/main/java/sagepulley/cli/MeasureCommand.java
@@ -8,19 +8,19 @@
 import picocli.CommandLine.Option;
 import sagepulley.scenario.ThroughputComparison;
 
-/** Measures the gateway against the direct way. */
+/** Compares throughput and latency through a gateway with direct access to the nodes. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Measures the way through a gateway against the way from client to node directly, by turns "
-                        + "on loopback, and prints both with their ratios.")
+                "Compares requests through a gateway with requests sent directly to the nodes, in "
+                        + "alternating rounds on loopback, and prints both with their ratios.")
 final class MeasureCommand implements Callable<Integer> {
     @Option(
             names = "--seconds",
             defaultValue = "3",
-            description = "for each way and row (default: ${DEFAULT-VALUE})")
+            description = "duration for each path and row (default: ${DEFAULT-VALUE})")
     private double seconds;
 
     @Option(
@@ -28,7 +28,7 @@
             split = ",",
             defaultValue = "4096,131072",
             paramLabel = "BYTES",
-            description = "bytes of a request (default: ${DEFAULT-VALUE})")
+            description = "request sizes (default: ${DEFAULT-VALUE})")
     private int[] sizes;
 
     @Option(
@@ -36,7 +36,7 @@
             split = ",",
             defaultValue = "1,32,256",
             paramLabel = "N",
-            description = "requests in flight (default: ${DEFAULT-VALUE})")
+            description = "numbers of requests in flight (default: ${DEFAULT-VALUE})")
     private int[] depths;
 
     @Option(names = "--json", description = "prints the rows as JSON")
@@ -46,14 +46,15 @@
             names = "--accounts",
             paramLabel = "FOLDER",
             description =
-                    "measures a gateway that keeps accounts and traces (there) against one that keeps neither")
+                    "compares a gateway that keeps accounts and traces, in this folder, with one that "
+                            + "keeps neither")
     private Path accountsFolder;
 
     @Option(
             names = "--kept",
             defaultValue = "BOTH",
             paramLabel = "NEITHER|ACCOUNTS|BOTH",
-            description = "with --accounts: what is kept (default: ${DEFAULT-VALUE})")
+            description = "with --accounts: the records to keep (default: ${DEFAULT-VALUE})")
     private ThroughputComparison.RecordKeeping recordKeeping;
 
     @Override
--- a/src/main/java/sagepulley/cli/MonitoringClient.java
+++ b/src/main/java/sagepulley/cli/MonitoringClient.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import sagepulley.config.HostPort;
 
-/** HTTP client of a running gateway's monitoring server ([watch] listen). */
+/** HTTP client for the monitoring server of a running gateway ([watch] listen). */
 final class MonitoringClient {
     private static final int MAX_RESPONSE_CHARS = 64 << 20;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
@@ -22,7 +22,7 @@
         this.address = address;
     }
 
-    /** The body of the answer for a path; any status but 200 is an error. */
+    /** Returns the response body for a path; fails unless the status is 200. */
     String get(String path) throws IOException, InterruptedException {
         HttpResponse<String> response =
                 client.send(
@@ -31,7 +31,16 @@
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
         if (response.statusCode() != 200 || response.body().length() > MAX_RESPONSE_CHARS) {
-            throw new IOException(address + " answers with status " + response.statusCode());
+            throw new IOException(
+                    address
+                            + path
+                            + ": expected status 200 and at most "
+                            + MAX_RESPONSE_CHARS
+                            + " characters, got status "
+                            + response.statusCode()
+                            + " and "
+                            + response.body().length()
+                            + " characters");
         }
         return response.body();
     }
--- a/src/main/java/sagepulley/cli/NodeCommand.java
+++ b/src/main/java/sagepulley/cli/NodeCommand.java
@@ -23,16 +23,19 @@
 final class NodeCommand implements Callable<Integer> {
     private static final double SLOW_START_UNITS = 64;
 
-    @Option(names = "--id", required = true, description = "its number in the list")
+    @Option(
+            names = "--id",
+            required = true,
+            description = "number of the node in the endpoint list")
     private int id;
 
-    @Option(names = "--cell", description = "the cell whose extents it holds (default: its number)")
+    @Option(names = "--cell", description = "cell whose extents the node holds (default: --id)")
     private Integer cell;
 
     @Option(
             names = "--zone",
             defaultValue = "0",
-            description = "its zone's place in the site's list")
+            description = "index of the node's zone in the site file (default: ${DEFAULT-VALUE})")
     private int zone;
 
     @Option(
@@ -40,7 +43,7 @@
             defaultValue = "127.0.0.1:0",
             converter = AddressConverter.class,
             paramLabel = "HOST:PORT",
-            description = "where gateways connect (default: ${DEFAULT-VALUE})")
+            description = "listening address for gateways (default: ${DEFAULT-VALUE})")
     private HostPort listen;
 
     @Option(
@@ -48,39 +51,42 @@
             required = true,
             converter = AddressConverter.class,
             paramLabel = "HOST:PORT",
-            description = "where it registers")
+            description = "address of the directory to register with")
     private HostPort directory;
 
-    @Option(names = "--slots", defaultValue = "4", description = "operations at once")
+    @Option(names = "--slots", defaultValue = "4", description = "operations executed at once")
     private int slots;
 
     @Option(
             names = "--read-cost",
             defaultValue = "0",
             paramLabel = "MS",
-            description = "a unit's time")
+            description = "processing time of a unit read")
     private double readCost;
 
     @Option(
             names = "--write-cost",
             defaultValue = "0",
             paramLabel = "MS",
-            description = "a unit's time")
+            description = "processing time of a unit written")
     private double writeCost;
 
-    @Option(names = "--queue", defaultValue = "256", description = "operations that may wait")
+    @Option(
+            names = "--queue",
+            defaultValue = "256",
+            description = "maximum number of queued operations")
     private int queue;
 
     @Option(
             names = "--extent-bytes",
             defaultValue = "1048576",
-            description = "as the site file has it")
+            description = "extent size, as in the site file")
     private int extentBytes;
 
     @Option(
             names = "--data",
             paramLabel = "FOLDER",
-            description = "keeps data in files (default: in memory)")
+            description = "stores data in files there (default: in memory)")
     private Path data;
 
     @Override
--- a/src/main/java/sagepulley/cli/NodesCommand.java
+++ b/src/main/java/sagepulley/cli/NodesCommand.java
@@ -9,19 +9,19 @@
 import picocli.CommandLine.Parameters;
 import sagepulley.config.HostPort;
 
-/** Shows a running gateway's view of its endpoints. */
+/** Prints a running gateway's view of its nodes. */
 @Command(
         name = "nodes",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Shows what a running gateway knows of its nodes: how far the list is believed and for what age, "
-                        + "and each node's use with the reason for it ([watch] listen).")
+                "Shows a running gateway's view of its nodes: the freshness and age of the endpoint list, "
+                        + "and how each node is used and why ([watch] listen).")
 final class NodesCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "HOST:PORT",
             converter = AddressConverter.class,
-            description = "of the gateway's [watch]")
+            description = "address of the gateway's [watch] listen")
     private HostPort address;
 
     @Option(names = "--json", description = "prints it as JSON")
--- a/src/main/java/sagepulley/cli/Plots.java
+++ b/src/main/java/sagepulley/cli/Plots.java
@@ -13,12 +13,12 @@
 import org.knowm.xchart.style.Styler;
 import sagepulley.accounts.LatencyAccount;
 
-/** Plots for pages, as images that stand in the page itself. */
+/** Renders plots as images embedded in an HTML page. */
 final class Plots {
     private Plots() {}
 
-    /** A volume's waiting and work over time, as seconds in each second. */
-    @SuppressWarnings("JavaUtilDate") // the type that XChart takes on a time axis
+    /** Returns a Base64-encoded PNG of a volume's waiting and work, in seconds per second. */
+    @SuppressWarnings("JavaUtilDate") // XChart requires Date on a time axis
     static String latencyOverTime(List<LatencyAccount.Point> points) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart =
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -23,17 +23,18 @@
 import sagepulley.accounts.LatencyReport;
 import sagepulley.persistence.AccountFile;
 
-/** Reports from gateways' accounts which volume waited for what, and caused by whom. */
+/** Reports from stored latency accounts how long each volume waited and why. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Reads the latency accounts of one gateway, or of several together, and tells for each volume "
-                        + "where its time went, what caused its waits, at which node and when, and what can be done.",
+                "Reads the latency accounts of one or more gateways and reports for each volume where its "
+                        + "time was spent, what caused its waits, at which node and when, and what an "
+                        + "operator can do.",
         footer = {
             "",
-            "Exit codes: 0 told, 1 a file cannot be believed or has no such volume, 2 wrong words."
+            "Exit codes: 0 success, 1 a file is invalid or has no such volume, 2 invalid arguments."
         })
 final class ReportCommand implements Callable<Integer> {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -41,7 +42,7 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "FILE",
-            description = "accounts files of gateways ([accounts] file)")
+            description = "account files of gateways ([accounts] file)")
     private List<Path> files;
 
     @Option(names = "--volume", paramLabel = "NAME", description = "only this volume")
@@ -52,19 +53,22 @@
             defaultValue = "10m",
             paramLabel = "TIME",
             description =
-                    "from when: 90s, 10m, 6h, or 2026-11-30T18:00 (default: ${DEFAULT-VALUE} before the end)")
+                    "start of the period: 90s, 10m or 6h before its end, or 2026-11-30T18:00 (default: "
+                            + "${DEFAULT-VALUE})")
     private String since;
 
     @Option(
             names = "--until",
             paramLabel = "TIME",
-            description = "until when, likewise (default: the newest account)")
+            description =
+                    "end of the period: a time, or a duration before the newest account (default: the "
+                            + "newest account)")
     private String until;
 
-    @Option(names = "--json", description = "prints the figures as JSON")
+    @Option(names = "--json", description = "prints the report as JSON")
     private boolean json;
 
-    @Option(names = "--html", paramLabel = "OUT", description = "writes the report as one page")
+    @Option(names = "--html", paramLabel = "OUT", description = "writes the report as an HTML page")
     private Path html;
 
     private final Map<Long, String> volumeNames = new LinkedHashMap<>();
@@ -124,13 +128,16 @@
         if (reports.isEmpty()) {
             throw new IOException(
                     files.get(0)
-                            + ": has no volume"
+                            + ": no volume"
                             + (volumeName == null ? "" : " called " + volumeName));
         }
         return reports;
     }
 
-    /** A time on the wall's clock in milliseconds, or so long before another. */
+    /**
+     * Returns a time in wall-clock milliseconds: a local date and time, or a duration before the
+     * reference.
+     */
     private double parseTime(String text, double referenceMillis) {
         String lower = text.toLowerCase(Locale.ROOT);
         try {
@@ -145,7 +152,7 @@
         } catch (DateTimeException e) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "'" + text + "' is no time: allowed are 90s, 10m, 6h or 2026-11-30T18:00");
+                    "invalid time '" + text + "', expected 90s, 10m, 6h or 2026-11-30T18:00");
         }
     }
 }
--- a/src/main/java/sagepulley/cli/ReportPage.java
+++ b/src/main/java/sagepulley/cli/ReportPage.java
@@ -14,7 +14,7 @@
 import sagepulley.accounts.LatencyAccount;
 import sagepulley.accounts.LatencyReport;
 
-/** The values that the templates of the latency report fill in, by the names they have there. */
+/** Builds the values that the report templates insert; the map keys are their template names. */
 final class ReportPage {
     private static final int MAX_CAUSES = 8;
     private static final double MILLIS_PER_SECOND = 1000;
@@ -26,10 +26,10 @@
     private final boolean includePlots;
 
     /**
-     * A report of merged accounts.
+     * Creates a page for merged accounts.
      *
-     * @param names the volumes' names by number
-     * @param includePlots whether each volume gets a plot over time
+     * @param names volume names by volume number
+     * @param includePlots whether each volume has a plot of its latency over time
      */
     ReportPage(FleetMerger.Merged merged, Map<Long, String> names, boolean includePlots) {
         this.merged = merged;
@@ -37,7 +37,7 @@
         this.includePlots = includePlots;
     }
 
-    /** The values for reports of a span of time, wall-clock milliseconds. */
+    /** Returns the values for the reports of a period, given in wall-clock milliseconds. */
     Map<String, Object> values(List<LatencyReport> reports, double from, double to)
             throws IOException {
         Map<String, Object> page = new HashMap<>();
@@ -159,7 +159,10 @@
         return values;
     }
 
-    /** The nodes of the main fault's zone, where most of them share the fault. */
+    /**
+     * Returns the faulty nodes in the zone of the main cause, if they are more than one and at
+     * least half of the zone; otherwise an empty list.
+     */
     private static List<Integer> faultyNodesOfZone(
             LatencyAccount account, LatencyReport report, LatencyReport.CauseReport main) {
         if (main.kind() != Cause.Kind.FAULT) {
--- a/src/main/java/sagepulley/cli/SignalWait.java
+++ b/src/main/java/sagepulley/cli/SignalWait.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Keeps a command running until a signal, then shuts it down. */
+/** Keeps a command running until a termination signal, then shuts it down. */
 final class SignalWait {
     private SignalWait() {}
 
     /**
-     * Blocks for good; at SIGTERM or SIGINT runs the shutdown and exits with 0, or with 1 if that
+     * Blocks until SIGTERM or SIGINT, then runs the shutdown and exits with 0, or with 1 if it
      * fails.
      */
     static int untilSignal(Runnable shutdown) {
@@ -23,8 +23,7 @@
                                         code = Commands.FAILED;
                                     }
                                     System.out.flush();
-                                    // Without halt the exit code would be the signal's even after a
-                                    // clean shutdown.
+                                    // Halts so that the exit code is not that of the signal.
                                     Runtime.getRuntime().halt(code);
                                 },
                                 "shutdown"));
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -16,13 +16,14 @@
 import picocli.CommandLine.Option;
 import sagepulley.faultinjection.SoakRun;
 
-/** Runs the seeded soak. */
+/** Runs randomized fault-injection tests, each reproducible from its seed. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description =
-                "Runs small fleets of 'serve' processes on loopback under overlapping faults that follow from a "
-                        + "seed, and judges the rules by what passed on the sockets; exits with 1 if one was broken.")
+                "Runs small fleets of 'serve' processes on loopback under overlapping faults derived from a "
+                        + "seed, and checks the rules against the recorded traffic; exits with 1 if one is "
+                        + "violated.")
 final class SoakCommand implements Callable<Integer> {
     private static final int MAX_PRINTED_VIOLATIONS = 5;
 
@@ -37,21 +38,21 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "8",
-            description = "how many seeds (${DEFAULT-VALUE})")
+            description = "number of seeds (${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(
             names = "--seconds",
             paramLabel = "N",
             defaultValue = "24",
-            description = "length of a run (${DEFAULT-VALUE})")
+            description = "duration of a run (${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
             names = "--at-once",
             paramLabel = "N",
             defaultValue = "4",
-            description = "runs side by side, of two to four processes each (${DEFAULT-VALUE})")
+            description = "parallel runs, of two to four processes each (${DEFAULT-VALUE})")
     private int parallelRuns;
 
     @Option(
@@ -95,8 +96,9 @@
     }
 
     /**
-     * Prints a line, and for a run that broke a rule what it broke and what happened; gives 1 for
-     * such a run.
+     * Prints the result of a run, and for a failed run its first violations and its journal.
+     *
+     * @return 1 for a failed run, otherwise 0
      */
     private int print(Outcome outcome) {
         PrintWriter out = spec.commandLine().getOut();
--- a/src/main/java/sagepulley/cli/Span.java
+++ b/src/main/java/sagepulley/cli/Span.java
@@ -2,16 +2,16 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One line of a traces file: an operation, or an attempt or wait that belongs to one. */
+/** A line of a traces file: an operation, or one of its attempts or steps. */
 record Span(JsonNode json) {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Whether it is an operation, not a part of one. */
+    /** Returns whether the span is an operation rather than an attempt or step. */
     boolean isRoot() {
         return text("parent").isEmpty();
     }
 
-    /** Whether it is an attempt at a node, not a wait. */
+    /** Returns whether the span is an attempt at a node rather than a step. */
     boolean isAttempt() {
         return text("name").equals("hop");
     }
@@ -32,7 +32,7 @@
         return json.path("node").asInt();
     }
 
-    /** Nanoseconds of wall-clock time since the epoch. */
+    /** Returns the start in nanoseconds since the epoch. */
     long startNanos() {
         return json.path("start").asLong();
     }
@@ -45,12 +45,12 @@
         return durationNanos() / NANOS_PER_MILLI;
     }
 
-    /** Milliseconds from the start of another span to the start of this one. */
+    /** Returns the milliseconds from the start of another span to the start of this one. */
     double millisAfter(Span other) {
         return (startNanos() - other.startNanos()) / NANOS_PER_MILLI;
     }
 
-    /** A field as text; empty where the span has none. */
+    /** Returns a field as text, or an empty string if the span lacks it. */
     String text(String field) {
         return json.path(field).asText();
     }
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -10,15 +10,16 @@
 import sagepulley.scenario.ColdStartExperiment;
 import sagepulley.scenario.ReconnectStorm;
 
-/** Measures how gateways start from a stored endpoint list while discovery is down. */
+/** Measures starts from a stored endpoint list while discovery is down, and reconnect storms. */
 @Command(
         name = "starts",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Starts gateways on loopback with discovery down and lists of several ages, of which some nodes have "
-                        + "changed since, against believing the list blindly and waiting for discovery; and plays the return of "
-                        + "many gateways to one directory.")
+                "Starts gateways on loopback with discovery down, from stored lists of several ages in which "
+                        + "some nodes have changed; compares the gateway's policy with using any list "
+                        + "unchecked and with waiting for discovery. Also simulates many gateways that "
+                        + "reconnect to one directory.")
 final class StartsCommand implements Callable<Integer> {
     private static final double WEEK_HOURS = 7 * 24;
     private static final double[] LIST_AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
@@ -32,10 +33,13 @@
             names = "--folder",
             required = true,
             paramLabel = "FOLDER",
-            description = "for the lists' files")
+            description = "folder for the list files")
     private Path folder;
 
-    @Option(names = "--seed", defaultValue = "1", description = "(default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "seed of the runs (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Override
@@ -49,8 +53,8 @@
     private void measureColdStarts() throws SiteConfigException, IOException {
         ColdStartExperiment experiment = new ColdStartExperiment(folder);
         System.out.println(
-                "| way | age | changed since | hops to drained or replaced | pushed over | first satisfied "
-                        + "| service of what is left | of all |");
+                "| list policy | age | changed nodes | hops to drained or replaced | overloaded nodes "
+                        + "| first satisfied | service of remaining extents | of all extents |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (ColdStartExperiment.NodeChange nodeChange : ColdStartExperiment.NodeChange.values()) {
             int changed =
--- a/src/main/java/sagepulley/cli/TemplateRenderer.java
+++ b/src/main/java/sagepulley/cli/TemplateRenderer.java
@@ -7,11 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Renders the FreeMarker templates that the program contains. */
+/** Renders the bundled FreeMarker templates. */
 final class TemplateRenderer {
     private TemplateRenderer() {}
 
-    /** The template of a name with its values filled in. */
+    /** Renders the named template with the given values. */
     static String render(String template, Map<String, Object> values) throws IOException {
         Configuration configuration = new Configuration(Configuration.VERSION_2_3_34);
         configuration.setClassLoaderForTemplateLoading(
@@ -23,7 +23,8 @@
             configuration.getTemplate(template).process(values, output);
         } catch (TemplateException e) {
             throw new IOException(
-                    "the template " + template + " failed: " + e.getMessageWithoutStackTop(), e);
+                    "rendering template " + template + " failed: " + e.getMessageWithoutStackTop(),
+                    e);
         }
         return output.toString();
     }
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -9,14 +9,14 @@
 import sagepulley.config.HostPort;
 import sagepulley.monitoring.MonitoringServer;
 
-/** Shows a gateway's volumes and nodes live. */
+/** Displays the volumes and nodes of a running gateway and refreshes them periodically. */
 @Command(
         name = "top",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Shows a running gateway's volumes (those that lost most utility first) and nodes in the terminal, "
-                        + "by its accounts of the last ten minutes ([watch] listen).")
+                "Shows a running gateway's volumes, ordered by utility lost, and its nodes in the terminal, "
+                        + "from its accounts of the last ten minutes ([watch] listen).")
 final class TopCommand implements Callable<Integer> {
     private static final String CLEAR_SCREEN = "\u001b[H\u001b[2J";
     private static final double MILLIS_PER_SECOND = 1000;
@@ -24,23 +24,23 @@
     @Parameters(
             paramLabel = "HOST:PORT",
             converter = AddressConverter.class,
-            description = "of the gateway's [watch]")
+            description = "address of the gateway's [watch] listen")
     private HostPort address;
 
     @Option(
             names = "--every",
             defaultValue = "2",
             paramLabel = "SECONDS",
-            description = "(default: ${DEFAULT-VALUE})")
+            description = "refresh interval (default: ${DEFAULT-VALUE})")
     private double intervalSeconds;
 
     @Option(
             names = "--rows",
             defaultValue = "20",
-            description = "volumes and nodes shown (default: ${DEFAULT-VALUE})")
+            description = "maximum rows of volumes and of nodes (default: ${DEFAULT-VALUE})")
     private int rows;
 
-    @Option(names = "--once", description = "prints once and ends")
+    @Option(names = "--once", description = "prints once and exits")
     private boolean once;
 
     @Option(names = "--json", description = "prints once, as JSON")
--- a/src/main/java/sagepulley/cli/TopScreen.java
+++ b/src/main/java/sagepulley/cli/TopScreen.java
@@ -8,13 +8,13 @@
 import sagepulley.accounts.LatencyReport;
 import sagepulley.monitoring.MonitoringServer;
 
-/** One screen of the top command: volumes that lost most utility first, then nodes. */
+/** Renders a screen of the top command: volumes ordered by utility lost, then nodes. */
 final class TopScreen {
     private final MonitoringServer.View view;
     private final int maxRows;
     private final StringBuilder text = new StringBuilder();
 
-    /** A screen of a gateway's accounts with so many rows of each table at the most. */
+    /** Creates a screen with up to the given number of rows in each table. */
     TopScreen(MonitoringServer.View view, int maxRows) {
         this.view = view;
         this.maxRows = maxRows;
@@ -72,7 +72,7 @@
                 + AccountFormatter.label(main.confidence());
     }
 
-    /** A node's row; each volume has its units, and the units of its writes. */
+    /** Appends a node's row; a volume maps to the units of all its operations and of its writes. */
     private void appendNode(int node, Map<Long, double[]> volumes) {
         double units = volumes.values().stream().mapToDouble(sums -> sums[0]).sum();
         double writes = volumes.values().stream().mapToDouble(sums -> sums[1]).sum();
--- a/src/main/java/sagepulley/cli/TraceFile.java
+++ b/src/main/java/sagepulley/cli/TraceFile.java
@@ -14,7 +14,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The spans of a traces file and of the rotated files beside it, oldest file first. */
+/** The spans of a traces file and its rotated files, oldest file first. */
 final class TraceFile {
     private static final int MAX_ROTATED_FILES = 100;
     private static final int MAX_LINE_CHARS = 1 << 16;
@@ -25,7 +25,7 @@
 
     private TraceFile() {}
 
-    /** Reads all of it; lines that are no spans are counted and left out. */
+    /** Reads all files; lines that are not spans are counted and skipped. */
     static TraceFile read(Path file) throws IOException {
         TraceFile traces = new TraceFile();
         for (int age = MAX_ROTATED_FILES; age > 0; age--) {
@@ -43,10 +43,10 @@
     }
 
     /**
-     * The operations, longest first.
+     * Returns the operations, longest first.
      *
-     * @param operation only the one of this number; null for any
-     * @param volume only those of this volume; null for any
+     * @param operation number of the operation to return; null for any
+     * @param volume name of the volume whose operations to return; null for any
      */
     List<Span> operations(Long operation, String volume) {
         return spans.stream()
@@ -57,8 +57,8 @@
                 .toList();
     }
 
-    /** The attempts and waits of an operation in time order, attempts before what they caused. */
-    @SuppressWarnings("ReferenceEquality") // the root span itself, not one like it
+    /** Returns the attempts and steps of an operation by start time, attempts first on ties. */
+    @SuppressWarnings("ReferenceEquality") // excludes this very span
     List<Span> children(Span root) {
         return spans.stream()
                 .filter(span -> span.trace().equals(root.trace()) && span != root)
--- a/src/main/java/sagepulley/cli/TruthCommand.java
+++ b/src/main/java/sagepulley/cli/TruthCommand.java
@@ -12,27 +12,28 @@
 import sagepulley.scenario.AttributionExperiment;
 import sagepulley.scenario.ScenarioException;
 
-/** Compares what the accounts name as causes with scenarios whose causes are known. */
+/** Checks the causes that the accounts report against scenarios whose causes are known. */
 @Command(
         name = "truth",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Plays days whose causes are known through real gateways on loopback, under several seeds, and "
-                        + "tells whether the accounts name them; exits with 1 if a wrong one was named with high confidence.")
+                "Runs scenarios with known causes through real gateways on loopback, with several seeds, and "
+                        + "reports whether the accounts name those causes; exits with 1 if a wrong cause is "
+                        + "named with high confidence.")
 final class TruthCommand implements Callable<Integer> {
     @Option(
             names = "--kinds",
             split = ",",
             paramLabel = "KIND",
-            description = "which days (default: all)")
+            description = "scenarios to run (default: all)")
     private List<String> kinds = AttributionExperiment.KINDS;
 
     @Option(
             names = "--seeds",
             defaultValue = "3",
             paramLabel = "N",
-            description = "of each (default: ${DEFAULT-VALUE})")
+            description = "seeds for each scenario (default: ${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(names = "--json", description = "prints the rows as JSON")
--- a/src/main/java/sagepulley/cli/package-info.java
+++ b/src/main/java/sagepulley/cli/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The command line: one picocli class for each sub-command, exit codes, and the texts and pages
- * that commands print.
+ * The command line: a picocli class for each subcommand, the exit codes, and the formatting of
+ * command output.
  *
- * <p>A command owns no state beyond its parsed options. It runs on the main thread; those that run
- * until a signal end on the thread of a shutdown hook ({@link sagepulley.cli.SignalWait}).
+ * <p>A command has no state beyond its parsed options and runs on the main thread. Commands that
+ * run until a signal are shut down by a shutdown hook ({@link sagepulley.cli.SignalWait}).
  */
 package sagepulley.cli;
--- a/src/main/java/sagepulley/package-info.java
+++ b/src/main/java/sagepulley/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program's entry point. Everything else is in the packages below it, which use only those
- * beneath them (docs/architecture.md).
+ * The entry point of the program. All other classes are in subpackages, which have no cyclic
+ * dependencies (docs/architecture.md).
  */
 package sagepulley;
