--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -8,7 +8,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The packages' arrows point down only, and decisions know neither sockets, threads nor clocks. */
+/**
+ * Checks the dependencies between packages: no cycles, and no I/O, threads or clocks in the
+ * packages that make scheduling decisions.
+ */
 @AnalyzeClasses(packages = "sagepulley", importOptions = ImportOption.DoNotIncludeTests.class)
 final class ArrowsTest {
     private ArrowsTest() {}
@@ -116,7 +119,7 @@
                             "sagepulley.membership..",
                             "sagepulley.model..");
 
-    /** The two views show what the scheduler has learned; no decision depends on them. */
+    /** The two views are exempt: they read the scheduler's state, and no decision uses them. */
     @ArchTest
     static final ArchRule SCHEDULER_PARTS_DO_NOT_DEPEND_ON_SCHEDULER =
             noClasses()
@@ -182,7 +185,7 @@
                             "sagepulley.upstream.frame..",
                             "sagepulley.discovery.directory..");
 
-    /** No class of another logger or of another configuration format is loaded at its start. */
+    /** Keeps the start fast: no other logger or configuration format is loaded. */
     @ArchTest
     static final ArchRule RESP_GATEWAY_DOES_NOT_LOAD_HEAVY_LIBRARIES =
             noClasses()
--- a/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
+++ b/src/test/java/sagepulley/monitoring/MonitoringServerTest.java
@@ -36,7 +36,8 @@
 import sagepulley.standin.TrafficRecorder;
 
 /**
- * What a running gateway tells about itself: accounts over a restart, traces, figures over HTTP.
+ * Tests accounts, traces, HTTP views and list files of running gateways through the commands that
+ * read them.
  */
 class MonitoringServerTest {
     private static final int MIB = 1 << 20;
@@ -107,7 +108,7 @@
         Map<String, LatencyReport> reports = LocalCluster.await(second.accounts(60_000));
         assertEquals(32, reports.get("demo").operations());
         LocalCluster.await(second.stop());
-        // A kill writes nothing more: the file still has what the last orderly end left.
+        // A killed gateway writes no final snapshot: the file is that of the last clean shutdown.
         NbdGateway third = start(site, 3);
         sendRequests(third, 5);
         LocalCluster.await(third.kill());
@@ -119,7 +120,7 @@
         assertEquals(
                 21,
                 LocalCluster.await(fourth.accounts(60_000)).get("demo").operations(),
-                "the generation before");
+                "accounts of the earlier generation");
         LocalCluster.await(fourth.stop());
     }
 
@@ -156,7 +157,7 @@
         assertTrue(explanation.contains("satisfied after"), explanation);
         assertTrue(
                 new String(received.get(), StandardCharsets.ISO_8859_1).contains("demo"),
-                "the receiver got spans");
+                "receiver has no spans of volume demo");
         assertEquals(3, runCommand("explain", file.toString(), "--list", "3").lines().count());
     }
 
--- a/src/test/java/sagepulley/persistence/AccountFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -24,7 +24,7 @@
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
 
-/** Account files: what is written is read again, and what is damaged is rejected. */
+/** Tests that account files are read back unchanged and that damaged ones are rejected. */
 class AccountFileTest {
     private static final TrafficClass TRAFFIC_CLASS =
             new TrafficClass(
@@ -79,7 +79,6 @@
                 StoredAccounts.of(accounts.snapshot()));
     }
 
-    /** What is written is read again, figure by figure. */
     @Property(tries = 20, seed = "5")
     void writtenAccountsAreReadBackUnchanged(@ForAll long seed) throws IOException {
         Path directory = Files.createTempDirectory("accounts");
@@ -125,9 +124,7 @@
         assertTrue(Files.notExists(path));
     }
 
-    /**
-     * Random damage inside a body whose checksum was made to agree: read or rejected, nothing else.
-     */
+    /** A corrupted body with a valid checksum never causes an exception other than IOException. */
     @Property(tries = 200, seed = "9")
     void corruptedBodiesAreReadOrRejected(@ForAll int at, @ForAll byte value) throws IOException {
         Path directory = Files.createTempDirectory("accounts");
--- a/src/test/java/sagepulley/persistence/SnapshotFileTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Snapshot files with generations: the newest valid one is read. */
+/** Tests that the newest valid generation of a snapshot file is read. */
 class SnapshotFileTest {
     @TempDir private Path tempDir;
 
@@ -65,7 +65,7 @@
                     found.equals("four") || (found.equals("three") && !completed),
                     "killed at " + stopStep + ": " + found);
             assertTrue(after.rejected().isEmpty());
-            // And the next life writes on.
+            // Writing works after a restart.
             SnapshotFile next = new SnapshotFile(directory.resolve("list"), "list", 3, "site", 2);
             next.write(body("five"), 3);
             assertEquals("five", text(next.read()));
@@ -96,7 +96,7 @@
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(tempDir.resolve("list"), flipped);
             SnapshotFile.Snapshot found = open("site").read().snapshot();
-            // Leading zeros and letter case of the checksum itself may differ and mean the same.
+            // A flipped bit may change only the letter case of the checksum, which stays valid.
             assertTrue(
                     found == null
                             || (Arrays.equals(found.body(), body("the first body"))
@@ -137,6 +137,6 @@
             assertArrayEquals(body("in the way"), Files.readAllBytes(regularFile));
             return;
         }
-        throw new AssertionError("a file stood where the folder should be");
+        throw new AssertionError("write succeeded although its directory is a regular file");
     }
 }
--- a/src/test/java/sagepulley/stored/ExpectedOutput.java
+++ b/src/test/java/sagepulley/stored/ExpectedOutput.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Output compared with a committed text in src/test/resources/external. */
+/** Compares output with the expected texts in src/test/resources/external. */
 public final class ExpectedOutput {
     private static final Path DIRECTORY = Path.of("src/test/resources/external");
     private static final JsonMapper SORTED =
@@ -19,12 +19,12 @@
 
     private ExpectedOutput() {}
 
-    /** The text as it is. */
+    /** Asserts that a text equals the expected file. */
     public static void assertText(String name, String actual) throws IOException {
         assertEquals(Files.readString(DIRECTORY.resolve(name)), actual, name);
     }
 
-    /** JSON with all keys and values, whatever the order of the keys. */
+    /** Asserts that JSON equals the expected file, regardless of the order of the keys. */
     public static void assertJson(String name, String actual) throws IOException {
         Object tree = SORTED.readValue(actual, Object.class);
         assertText(name, SORTED.writeValueAsString(tree) + "\n");
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -61,8 +61,9 @@
 import sagepulley.tracing.Tracer;
 
 /**
- * Names that users, scripts and dashboards rely on: options, JSON keys, metrics, fields of spans,
- * words of scripted days. Compared with literals and with src/test/resources/external.
+ * Guards the names that users, scripts and dashboards depend on: options, JSON keys, metrics, span
+ * fields and words of scenario files. Compares them with literals and with
+ * src/test/resources/external.
  */
 @Isolated("it redirects System.out and sets the time zone")
 class ExternalNamesTest {
@@ -103,7 +104,7 @@
         ExpectedOutput.assertText("commands.txt", String.join("\n", lines) + "\n");
     }
 
-    /** Names, labels, defaults, and the constants that an option of an enum type takes. */
+    /** Collects names, labels, defaults and enum constants of all options and parameters. */
     private static void collectOptions(CommandLine command, Set<String> lines) {
         String name = command.getCommandSpec().qualifiedName();
         lines.add(name);
@@ -159,7 +160,7 @@
                 JSON.readTree(runCommand("check-site", file, "--json")));
     }
 
-    /** What drill, truth and measure print with --json, which run too long for here. */
+    /** Covers the JSON rows of drill, truth and measure, which take too long to run in a test. */
     @Test
     void rowsOfExperimentsAreUnchanged() throws IOException {
         AttributionExperiment.Row truth =
@@ -201,7 +202,7 @@
                                 LatencyReport.Confidence.values())));
     }
 
-    /** Words of scripted days that become constants of an enum. */
+    /** Scenario words that are parsed into enum constants. */
     @Test
     void faultWordsOfScenariosAreAccepted() throws Exception {
         String day = ScenarioRunner.builtIn("bad-evening");
@@ -222,7 +223,7 @@
         }
     }
 
-    // ---- figures over HTTP ----
+    // ---- HTTP views ----
 
     private static String get(MonitoringServer server, String path) throws Exception {
         URI address = URI.create("http://127.0.0.1:" + server.address().getPort() + path);
@@ -284,10 +285,7 @@
         }
     }
 
-    /**
-     * The record that is written for /accounts, and read by top, with every part, kind and part of
-     * the plan.
-     */
+    /** Covers /accounts, which top reads, with every latency component, cause and plan tier. */
     @Test
     void accountsViewIsUnchanged() throws IOException {
         LatencyAccount account = AccountFile.inspect(STORED.resolve("accounts")).account();
@@ -304,7 +302,7 @@
         ExpectedOutput.assertJson("accounts.json", JSON.writeValueAsString(read));
     }
 
-    /** The record that is written for /nodes, with every constant of its enums. */
+    /** Covers /nodes with every freshness and record source. */
     @Test
     void nodesViewIsUnchanged() throws IOException {
         List<JsonNode> views = new ArrayList<>();
@@ -351,7 +349,7 @@
                                 0, 5, number == 8 ? null : quotaTier, 4, 15, outcome)));
     }
 
-    /** Ids differ from run to run. */
+    /** Replaces trace and span ids, which differ between runs. */
     private static String withoutIds(String lines) {
         return lines.replaceAll("\"(trace|span)\":\"[0-9a-f]+\"", "\"$1\":\"ID\"")
                 .replaceAll("\"parent\":\"[0-9a-f]+\"", "\"parent\":\"ID\"");
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -33,15 +33,15 @@
 import sagepulley.persistence.HolderFile;
 
 /**
- * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
- * same content is written with the same keys, enum names and bytes.
+ * Guards the compatibility of stored files. Files of an earlier build (src/test/resources/stored)
+ * must be read correctly, and the same content must be written with the same keys and bytes.
  */
 class StoredFormatTest {
     private static final long WRITTEN_AT = 1_764_700_000_123L;
     private static final Path STORED = Path.of("src/test/resources/stored");
     @TempDir private Path tempDir;
 
-    // ---- the contents of the files ----
+    // ---- contents of the stored files ----
 
     private static StoredEndpointList endpointList() {
         return new StoredEndpointList(
@@ -83,7 +83,7 @@
         return cells;
     }
 
-    /** A key: ordinal of the kind and the estimate's bit, then 24 bits of node, 34 of volume. */
+    /** Encodes a cause: ordinal of the kind, estimate bit, 24 bits of node, 34 bits of volume. */
     private static long key(long kind, long estimate, long node, long volume) {
         return (kind << 1 | estimate) << 58 | node << 34 | volume;
     }
@@ -152,7 +152,7 @@
 
     // ---- helpers ----
 
-    /** Read from a copy, so that a reader that sets a file aside changes no committed file. */
+    /** Copies a stored file, because a reader may set the file aside. */
     private Path stored(String name) throws IOException {
         return Files.copy(STORED.resolve(name), tempDir.resolve("stored-" + name));
     }
@@ -167,7 +167,7 @@
         return Arrays.copyOfRange(all, header(file).length() + 1, all.length);
     }
 
-    // ---- list of nodes ----
+    // ---- endpoint list ----
 
     @Test
     void storedEndpointListIsRead() throws IOException {
@@ -267,12 +267,12 @@
         assertEquals(
                 cbor.<JsonNode>valueToTree(accounts().accounts()),
                 cbor.<JsonNode>valueToTree(StoredAccounts.of(read.account())),
-                "the figures, after they went through the book");
+                "accounts after a round trip");
         double[] flow = read.account().flows(0, 1e13).get(5).get(2L);
         assertArrayEquals(new double[] {64, 64}, flow, "units and writes at node 5");
     }
 
-    /** Parts, parts of the plan and kinds of causes are stored by their order. */
+    /** Latency components, plan tiers and kinds of causes are stored by ordinal. */
     @Test
     void storedOrdinalsMapToSameConstants() throws IOException {
         LatencyReport report = AccountFile.inspect(stored("accounts")).account().report(2, 0, 1e13);
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.accounts.Accounts.End;
 
-/** Which operations' traces are kept, and with which weight. */
+/** Tests which traces are kept, and with which weight. */
 class TailSamplerTest {
-    /** For any operations, no time has more traces than its budget and what was saved up before. */
+    /** The number of kept traces is bounded by the elapsed time and the saved tokens. */
     @Property(tries = 40, seed = "3")
     void keptTracesStayWithinBudget(
             @ForAll long seed,
