--- a/src/main/java/sagepulley/cli/ExplainCommand.java
+++ b/src/main/java/sagepulley/cli/ExplainCommand.java
@@ -16,35 +16,39 @@
 import picocli.CommandLine.Parameters;
 import sagepulley.accounts.LatencyComponent;
 
-/** Prints what happened to one operation, in time order, from a traces file. */
+/** Prints the steps and attempts of one operation in time order, from a traces file. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Tells an operation's story in time order, from the traces that a gateway keeps ([traces] file); "
-                        + "without a number, that of the operation that took longest.")
+                "Prints the steps and attempts of an operation in time order, from a gateway's traces "
+                        + "([traces] file); by default those of the longest operation.")
 final class ExplainCommand implements Callable<Integer> {
-    private static final DateTimeFormatter CLOCK =
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
 
     @Parameters(
             index = "0",
             paramLabel = "FILE",
-            description = "the traces file; those moved on are read too")
+            description = "the traces file; its rotated files are read too")
     private Path file;
 
-    @Parameters(index = "1", arity = "0..1", paramLabel = "OPERATION", description = "its number")
+    @Parameters(
+            index = "1",
+            arity = "0..1",
+            paramLabel = "OPERATION",
+            description = "number of the operation")
     private Long operation;
 
-    @Option(names = "--volume", paramLabel = "NAME", description = "only of this volume")
+    @Option(names = "--volume", paramLabel = "NAME", description = "only operations of this volume")
     private String volume;
 
     @Option(
             names = "--list",
             paramLabel = "N",
-            description = "lists the N that took longest, instead")
-    private int list;
+            description = "lists the N longest operations instead")
+    private int listCount;
 
     @Option(names = "--json", description = "prints the spans as JSON")
     private boolean json;
@@ -54,23 +58,23 @@
         TraceFile traces = TraceFile.read(file);
         if (traces.unreadableLines() > 0) {
             System.err.println(
-                    "sagepulley: "
+                    "sagepulley: skipped "
                             + traces.unreadableLines()
                             + " lines of "
                             + file
-                            + " are no spans, left out");
+                            + " that are not spans");
         }
         List<Span> operations = traces.operations(operation, volume);
         if (operations.isEmpty()) {
             throw new IOException(
                     file
-                            + ": has no trace of "
+                            + ": no trace of "
                             + (operation == null ? "an operation" : "operation " + operation)
                             + (volume == null ? "" : " of volume " + volume)
-                            + "; only some are kept, see docs/operate/accounts.md");
+                            + "; only sampled operations have one, see docs/operate/accounts.md");
         }
-        if (list > 0) {
-            operations.stream().limit(list).forEach(ExplainCommand::printLine);
+        if (listCount > 0) {
+            operations.stream().limit(listCount).forEach(ExplainCommand::printSummary);
             return Commands.OK;
         }
         Span longest = operations.get(0);
@@ -91,21 +95,21 @@
         System.out.println(new JsonMapper().writeValueAsString(nodes));
     }
 
-    private static void printLine(Span root) {
+    private static void printSummary(Span root) {
         System.out.printf(
                 Locale.ROOT,
                 "%10d  %9.1f ms  %-9s  %-16s  %s  %s%n",
                 root.operation(),
-                root.lengthMillis(),
+                root.durationMillis(),
                 root.text("result"),
                 root.volume(),
-                clock(root),
+                formatTime(root),
                 root.text("main_cause"));
     }
 
-    private static String clock(Span span) {
-        return CLOCK.format(
-                Instant.ofEpochMilli(span.start() / 1_000_000).atZone(ZoneId.systemDefault()));
+    private static String formatTime(Span span) {
+        return TIME_FORMAT.format(
+                Instant.ofEpochMilli(span.startNanos() / 1_000_000).atZone(ZoneId.systemDefault()));
     }
 
     private static void printOperation(Span root) {
@@ -114,7 +118,7 @@
                 "operation %d at gateway %s, %s%n",
                 root.operation(),
                 root.text("gateway"),
-                clock(root));
+                formatTime(root));
         System.out.printf(
                 Locale.ROOT,
                 "  a %s of %.2f units in extent %d of volume %s, band %s, NBD cookie %d%n",
@@ -129,7 +133,7 @@
                 Locale.ROOT,
                 "  %s after %.3f ms%s; most of it by %s%n",
                 root.text("result"),
-                root.lengthMillis(),
+                root.durationMillis(),
                 reason.equals("none") ? "" : " (" + reason.replace('_', ' ') + ")",
                 root.text("main_cause"));
         System.out.printf(
@@ -149,13 +153,13 @@
                     child.node(),
                     child.text("owed"),
                     child.text("result").replace('_', ' '),
-                    child.lengthMillis());
+                    child.durationMillis());
         } else {
             System.out.printf(
                     Locale.ROOT,
                     "  +%10.3f ms    %.3f ms %s%s%n",
                     child.millisAfter(root),
-                    child.lengthMillis(),
+                    child.durationMillis(),
                     component(child.text("spent")),
                     child.node() == 0 ? "" : " (node " + child.node() + ")");
         }
@@ -164,7 +168,7 @@
     private static String component(String name) {
         for (LatencyComponent component : LatencyComponent.values()) {
             if (component.externalName().equalsIgnoreCase(name)) {
-                return AccountFormatter.part(component);
+                return AccountFormatter.component(component);
             }
         }
         return name;
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -17,8 +17,11 @@
 import sagepulley.config.TracingSettings;
 
 /**
- * Makes spans of sampled operations, on a thread of its own, and exports them to a file and an OTLP
- * receiver. What they cannot take in time is dropped and counted; no operation ever waits for it.
+ * Records the traces of sampled operations as spans and exports them to a file, an OTLP receiver or
+ * both.
+ *
+ * <p>A background thread does the recording. Traces that do not fit in its queue are dropped and
+ * counted, so that submitting never blocks.
  */
 public final class Tracer implements AutoCloseable {
     private static final int MAX_QUEUED_TRACES = 1024;
@@ -27,28 +30,30 @@
     private static final Duration EXPORT_TIMEOUT = Duration.ofSeconds(5);
     private static final long POLL_MILLIS = 100;
     private static final long CLOSE_TIMEOUT_SECONDS = 3;
-    private static final AttributeKey<String> SERVICE = AttributeKey.stringKey("service.name");
+    private static final AttributeKey<String> SERVICE_NAME = AttributeKey.stringKey("service.name");
 
     private final SdkTracerProvider provider;
-    private final SpanMaker spans;
+    private final SpanRecorder spanRecorder;
     private final BlockingQueue<OperationTrace> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TRACES);
     private final Thread thread = new Thread(this::run, "traces");
     private final LongAdder recorded = new LongAdder();
     private final LongAdder dropped = new LongAdder();
     private volatile boolean closing;
 
-    /** Starts the thread and the exporters. */
+    /** Creates the exporters and starts the recording thread. */
     public Tracer(TracingSettings settings, String gateway) {
-        Attributes service = Attributes.of(SERVICE, "sagepulley/" + gateway);
+        Attributes resourceAttributes = Attributes.of(SERVICE_NAME, "sagepulley/" + gateway);
         SdkTracerProviderBuilder builder =
-                SdkTracerProvider.builder().setResource(Resource.create(service));
+                SdkTracerProvider.builder().setResource(Resource.create(resourceAttributes));
         if (settings.file() != null) {
             builder.addSpanProcessor(
-                    batches(new SpanFile(settings.file(), settings.fileBytes(), settings.files())));
+                    batchProcessor(
+                            new SpanFileExporter(
+                                    settings.file(), settings.fileBytes(), settings.files())));
         }
         if (!settings.otlp().isEmpty()) {
             builder.addSpanProcessor(
-                    batches(
+                    batchProcessor(
                             OtlpHttpSpanExporter.builder()
                                     .setEndpoint(settings.otlp())
                                     .setTimeout(EXPORT_TIMEOUT)
@@ -56,12 +61,12 @@
                                     .build()));
         }
         provider = builder.build();
-        spans = new SpanMaker(provider.get("sagepulley"));
+        spanRecorder = new SpanRecorder(provider.get("sagepulley"));
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static BatchSpanProcessor batches(SpanExporter exporter) {
+    private static BatchSpanProcessor batchProcessor(SpanExporter exporter) {
         return BatchSpanProcessor.builder(exporter)
                 .setMaxQueueSize(MAX_QUEUED_SPANS)
                 .setScheduleDelay(EXPORT_INTERVAL)
@@ -69,19 +74,19 @@
                 .build();
     }
 
-    /** Queues a trace; drops it if the queue is full. From any thread, without waiting. */
+    /** Queues a trace, or drops it if the queue is full. Thread-safe and non-blocking. */
     public void submit(OperationTrace trace) {
         if (!queue.offer(trace)) {
             dropped.increment();
         }
     }
 
-    /** Traces that were made into spans since the start. */
+    /** Returns the number of traces recorded as spans since the start. */
     public long recorded() {
         return recorded.sum();
     }
 
-    /** Traces that were dropped since the start. */
+    /** Returns the number of traces dropped since the start. */
     public long dropped() {
         return dropped.sum();
     }
@@ -91,7 +96,7 @@
             while (!closing || !queue.isEmpty()) {
                 OperationTrace trace = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 if (trace != null) {
-                    spans.make(trace, Context.root());
+                    spanRecorder.record(trace, Context.root());
                     recorded.increment();
                 }
             }
@@ -100,7 +105,7 @@
         }
     }
 
-    /** Exports what is queued, as far as that goes within seconds. */
+    /** Records and exports the queued traces, up to a timeout of a few seconds. */
     @Override
     public void close() {
         closing = true;
--- a/src/test/java/sagepulley/ArrowsTest.java
+++ b/src/test/java/sagepulley/ArrowsTest.java
@@ -8,7 +8,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The packages' arrows point down only, and decisions know neither sockets, threads nor clocks. */
+/**
+ * Checks the dependencies between packages: no cycles, and no I/O, threads or clocks in the
+ * packages that make scheduling decisions.
+ */
 @AnalyzeClasses(packages = "sagepulley", importOptions = ImportOption.DoNotIncludeTests.class)
 final class ArrowsTest {
     private ArrowsTest() {}
@@ -18,7 +21,7 @@
             slices().matching("sagepulley.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule DECISIONS_ARE_PURE =
+    static final ArchRule DECISION_PACKAGES_ARE_FREE_OF_IO_AND_CLOCKS =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -46,7 +49,7 @@
                     .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule CODECS_DECIDE_NOTHING =
+    static final ArchRule CODECS_DO_NOT_DEPEND_ON_DECISIONS =
             noClasses()
                     .that()
                     .resideInAnyPackage(
@@ -65,7 +68,7 @@
                             "sagepulley.scenario..");
 
     @ArchTest
-    static final ArchRule THE_GATEWAY_KNOWS_NO_STAND_IN =
+    static final ArchRule NBD_GATEWAY_DOES_NOT_DEPEND_ON_STAND_INS =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.frontend.nbd..")
@@ -78,7 +81,7 @@
                             "sagepulley.simulator..");
 
     @ArchTest
-    static final ArchRule SIMULATOR_STAYS_LIGHT =
+    static final ArchRule SIMULATOR_HAS_FEW_DEPENDENCIES =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.simulator..")
@@ -94,7 +97,7 @@
                             "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule SETTINGS_STAY_LIGHT =
+    static final ArchRule SETTINGS_DEPEND_ON_MODEL_ONLY =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.config.settings..")
@@ -104,7 +107,7 @@
                             "java..", "sagepulley.config.settings..", "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule SCHEDULER_KNOWS_MODEL_AND_LEASE_ONLY =
+    static final ArchRule SCHEDULER_DEPENDS_ON_MODEL_AND_MEMBERSHIP_ONLY =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.scheduler..")
@@ -116,9 +119,9 @@
                             "sagepulley.membership..",
                             "sagepulley.model..");
 
-    /** The two views show what the scheduler has learned; no decision depends on them. */
+    /** The two views are exempt: they read the scheduler's state, and no decision uses them. */
     @ArchTest
-    static final ArchRule NO_CONCERN_KNOWS_THE_SCHEDULER_THAT_COMPOSES_IT =
+    static final ArchRule SCHEDULER_PARTS_DO_NOT_DEPEND_ON_SCHEDULER =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.scheduler..")
@@ -133,7 +136,7 @@
                     .haveFullyQualifiedName("sagepulley.scheduler.Scheduler");
 
     @ArchTest
-    static final ArchRule ENGINE_KNOWS_NO_PROTOCOL =
+    static final ArchRule ENGINE_DOES_NOT_DEPEND_ON_PROTOCOLS =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.engine..")
@@ -147,7 +150,7 @@
                             "sagepulley.model..");
 
     @ArchTest
-    static final ArchRule RESP_KNOWS_NETTY_ONLY =
+    static final ArchRule RESP_CODEC_DEPENDS_ON_NETTY_ONLY =
             noClasses()
                     .that()
                     .resideInAPackage("sagepulley.codec.resp..")
@@ -166,7 +169,7 @@
     };
 
     @ArchTest
-    static final ArchRule THE_RESP_GATEWAY_KNOWS_NO_OTHER_ENTRY =
+    static final ArchRule RESP_GATEWAY_DOES_NOT_DEPEND_ON_OTHER_ENTRY_POINTS =
             noClasses()
                     .that()
                     .resideInAnyPackage(RESP_GATEWAY)
@@ -182,9 +185,9 @@
                             "sagepulley.upstream.frame..",
                             "sagepulley.discovery.directory..");
 
-    /** No class of another logger or of another configuration format is loaded at its start. */
+    /** Keeps the start fast: no other logger or configuration format is loaded. */
     @ArchTest
-    static final ArchRule THE_RESP_GATEWAY_STARTS_LIGHT =
+    static final ArchRule RESP_GATEWAY_DOES_NOT_LOAD_HEAVY_LIBRARIES =
             noClasses()
                     .that()
                     .resideInAnyPackage(RESP_GATEWAY)
@@ -197,7 +200,7 @@
                             "org.apache.commons..");
 
     @ArchTest
-    static final ArchRule RESP_CLIENTS_DECIDE_NOTHING =
+    static final ArchRule RESP_CLIENTS_DO_NOT_DEPEND_ON_DECISIONS =
             noClasses()
                     .that()
                     .resideInAnyPackage("sagepulley.upstream.resp..", "sagepulley.discovery.http..")
