--- a/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
+++ b/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
@@ -89,14 +89,14 @@
         attempt.duration = receivedAt - attempt.sentAt;
         metrics.onAttemptEnded(outcome, attempt.node);
         EndpointResponse.recordIn(attempt, reply, deployment.reportFields());
-        boolean settled = operation.ended;
-        if (outcome == Outcome.SERVED && !settled) {
-            settled = true;
+        boolean operationEnded = operation.ended;
+        if (outcome == Outcome.SERVED && !operationEnded) {
+            operationEnded = true;
             metrics.onServed(operation, now);
             operation.ended = true;
             requests.replyServed(operation, EndpointResponse.value(reply));
         }
-        engine.onAttemptEnded(attempt, settled, now);
+        engine.onAttemptEnded(attempt, operationEnded, now);
         onEngineEvent.run();
     }
 
@@ -118,7 +118,9 @@
         boolean hasLoadReport = !deployment.reportFields().isEmpty();
         List<byte[]> arguments =
                 (hasLoadReport ? List.of("INFO", "load") : List.of("PING"))
-                        .stream().map(word -> word.getBytes(StandardCharsets.US_ASCII)).toList();
+                        .stream()
+                                .map(argument -> argument.getBytes(StandardCharsets.US_ASCII))
+                                .toList();
         double sentAt = clock.now();
         connections.sendHealthCheck(
                 endpoints.address(node),
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -61,7 +61,7 @@
     }
 
     private EndpointEntry toEngineEntry(EndpointListUpdate.Member member) {
-        int number = numberById.computeIfAbsent(member.id(), any -> ++lastNumber);
+        int number = numberById.computeIfAbsent(member.id(), id -> ++lastNumber);
         idByNumber.put(number, member.id());
         if (member.address() != null) {
             addressByNumber.put(number, member.address());
--- a/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
+++ b/src/main/java/sagepulley/frontend/resp/GatewayMetrics.java
@@ -27,7 +27,7 @@
     void onAttemptEnded(Outcome outcome, Node node) {
         outcomes.merge(outcome, 1L, Long::sum);
         recentOutcomes
-                .computeIfAbsent(node.id, any -> new EnumMap<>(Outcome.class))
+                .computeIfAbsent(node.id, nodeId -> new EnumMap<>(Outcome.class))
                 .merge(outcome, 1, Integer::sum);
     }
 
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -280,8 +280,8 @@
     }
 
     @Override
-    public void scheduleWakeUp(double pause, double now) {
-        dueWork.wakeUpAt(now + pause);
+    public void scheduleWakeUp(double delay, double now) {
+        dueWork.wakeUpAt(now + delay);
     }
 
     // ---- configuration ----
