--- a/src/main/java/sagepulley/codec/resp/NumberParser.java
+++ b/src/main/java/sagepulley/codec/resp/NumberParser.java
@@ -5,8 +5,10 @@
  * operation contains about a dozen numbers.
  */
 public final class NumberParser {
+    /** Maximum number of digits before and after the decimal point. */
+    public static final int MAX_DIGITS = 12;
+
     private static final int ID_DIGITS = 16;
-    private static final int MAX_DIGITS = 12;
 
     private NumberParser() {}
 
--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -77,7 +77,8 @@
         byte[] bytes = new byte[bulkLength];
         in.readBytes(bytes);
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new CorruptedFrameException("a bulk string does not end where its length says");
+            throw new CorruptedFrameException(
+                    "expected CR LF after a bulk string of " + bulkLength + " bytes");
         }
         bulkLength = NO_BULK;
         return new Resp.Bulk(bytes);
@@ -95,7 +96,13 @@
         if (limits.commandsOnly()
                 ? kind != (items == null ? '*' : '$')
                 : "+-:$*".indexOf(kind) < 0) {
-            throw new CorruptedFrameException("a value starts with byte " + (int) kind);
+            throw new CorruptedFrameException(
+                    "value starts with byte "
+                            + (int) kind
+                            + ", expected "
+                            + (limits.commandsOnly()
+                                    ? (items == null ? "*" : "$")
+                                    : "one of +-:$*"));
         }
         String text = readLine(in);
         if (text == null) {
@@ -107,7 +114,10 @@
                 arrayBytes += Math.max(0, bulkLength);
                 if (arrayBytes > limits.maxArrayBytes()) {
                     throw new CorruptedFrameException(
-                            "an array of over " + limits.maxArrayBytes() + " bytes");
+                            "array items total "
+                                    + arrayBytes
+                                    + " bytes so far, expected at most "
+                                    + limits.maxArrayBytes());
                 }
                 yield bulkLength == NO_BULK ? new Resp.Bulk(null) : decodeBulk(in);
             }
@@ -122,11 +132,13 @@
 
     private Resp beginArray(int count) {
         if (items != null) {
-            throw new CorruptedFrameException("an array inside an array");
+            throw new CorruptedFrameException(
+                    "nested array, expected only lines and bulk strings as array items");
         }
         if (count <= 0) {
             if (limits.commandsOnly()) {
-                throw new CorruptedFrameException("a command of " + count + " words");
+                throw new CorruptedFrameException(
+                        "array of " + count + " items, expected at least the command name");
             }
             return new Resp.Array(count < 0 ? null : List.of());
         }
@@ -146,17 +158,17 @@
         if (end < 0) {
             if (in.readableBytes() > limits.maxLineBytes() + 2) {
                 throw new CorruptedFrameException(
-                        "a line of over " + limits.maxLineBytes() + " bytes");
+                        "line is longer than the limit of " + limits.maxLineBytes() + " bytes");
             }
             return null;
         }
         int length = end - in.readerIndex() - 2;
         if (length < 0 || in.getByte(end - 1) != '\r') {
-            throw new CorruptedFrameException("a line that does not end in CR LF");
+            throw new CorruptedFrameException("line ends in LF without CR, expected CR LF");
         }
         String text = in.toString(in.readerIndex() + 1, length, StandardCharsets.ISO_8859_1);
         if (text.indexOf('\r') >= 0) {
-            throw new CorruptedFrameException("a line with a CR inside");
+            throw new CorruptedFrameException("CR inside a line, expected only at its end");
         }
         in.readerIndex(end + 1);
         return text;
@@ -165,7 +177,13 @@
     private int parseLength(String text, int max) {
         long value = parseNumber(text);
         if (value > max || (value < 0 && (limits.commandsOnly() || value != NO_BULK))) {
-            throw new CorruptedFrameException("a length of " + text + ", at most " + max);
+            throw new CorruptedFrameException(
+                    "length is "
+                            + value
+                            + ", expected at "
+                            + (value > max
+                                    ? "most " + max
+                                    : "least " + (limits.commandsOnly() ? 0 : NO_BULK)));
         }
         if (items == null) {
             arrayBytes = 0;
@@ -180,7 +198,10 @@
             valid = text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
         if (!valid) {
-            throw new CorruptedFrameException("a number that cannot be read");
+            throw new CorruptedFrameException(
+                    "invalid number, expected 1 to "
+                            + MAX_DIGITS
+                            + " digits after an optional minus sign");
         }
         return Long.parseLong(text);
     }
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -25,7 +25,10 @@
     static final int MAX_FIELDS_BYTES = 1024;
 
     private static final int MAX_FIELDS = 32;
+
+    /** Number of arguments of a read, including the command name. A write has one more. */
     private static final int READ_ARGUMENTS = 4;
+
     private static final int EXTENT_ARGUMENT = 1;
     private static final int ID_ARGUMENT = 2;
     private static final int FIELDS_ARGUMENT = 3;
@@ -52,14 +55,14 @@
 
     private BlockCommand(List<byte[]> arguments, Deployment deployment) throws BadCommandException {
         this.arguments = arguments;
-        this.extent = parseId(text(arguments.get(EXTENT_ARGUMENT)), "the piece");
-        this.id = parseId(text(arguments.get(ID_ARGUMENT)), "the id");
+        this.extent = parseId(text(arguments.get(EXTENT_ARGUMENT)), "extent");
+        this.id = parseId(text(arguments.get(ID_ARGUMENT)), "operation id");
         String fieldList = text(arguments.get(FIELDS_ARGUMENT));
         Map<String, String> fields = parseFields(fieldList);
         this.trafficClass = findTrafficClass(required(fields, "c"), deployment);
         this.plan = findPlan(required(fields, "t"), deployment);
         this.deadlineMillis = parsePositive(required(fields, "d"), "d", MAX_DEADLINE_MILLIS);
-        this.volume = parseId(required(fields, "volume"), "volume");
+        this.volume = parseId(required(fields, "volume"), "field volume");
         this.units = parsePositive(required(fields, "units"), "units", deployment.maxUnits());
         this.shard = parseShard(required(fields, "shard"), deployment.shards());
         this.gatewayCount = (int) parsePositive(required(fields, "hosts"), "hosts", MAX_GATEWAYS);
@@ -81,13 +84,21 @@
     static BlockCommand parse(List<byte[]> arguments, Deployment deployment)
             throws BadCommandException {
         boolean isWrite = text(arguments.get(0)).equals(WRITE);
-        if (arguments.size() != (isWrite ? READ_ARGUMENTS + 1 : READ_ARGUMENTS)) {
-            throw new BadCommandException("wrong number of words");
+        int expectedArguments = isWrite ? READ_ARGUMENTS + 1 : READ_ARGUMENTS;
+        if (arguments.size() != expectedArguments) {
+            throw new BadCommandException(
+                    (isWrite ? WRITE : READ)
+                            + " with "
+                            + (arguments.size() - 1)
+                            + " arguments, expected "
+                            + (expectedArguments - 1));
         }
         BlockCommand command = new BlockCommand(arguments, deployment);
         if (command.trafficClass.writes() != isWrite) {
             throw new BadCommandException(
-                    "c=" + command.trafficClass.name() + " does not go with the command");
+                    isWrite
+                            ? "field c: " + WRITE + " requires a traffic class that writes"
+                            : "field c: " + READ + " requires a traffic class that does not write");
         }
         return command;
     }
@@ -129,20 +140,30 @@
 
     private static Map<String, String> parseFields(String fieldList) throws BadCommandException {
         if (fieldList.length() > MAX_FIELDS_BYTES) {
-            throw new BadCommandException("fields of over " + MAX_FIELDS_BYTES + " bytes");
+            throw new BadCommandException(
+                    "field list of "
+                            + fieldList.length()
+                            + " bytes, expected at most "
+                            + MAX_FIELDS_BYTES);
         }
         Map<String, String> fields = new HashMap<>();
         String[] fieldTexts = fieldList.split(",", -1);
         if (fieldTexts.length > MAX_FIELDS) {
-            throw new BadCommandException("over " + MAX_FIELDS + " fields");
+            throw new BadCommandException(
+                    fieldTexts.length + " fields, expected at most " + MAX_FIELDS);
         }
         for (String fieldText : fieldTexts) {
+            int position = fields.size() + 1;
             int separator = fieldText.indexOf('=');
             if (separator <= 0 || !isPrintableAscii(fieldText)) {
-                throw new BadCommandException("a field that is no name=value");
+                throw new BadCommandException(
+                        "field "
+                                + position
+                                + ": expected name=value in printable ASCII without spaces");
             }
             if (fields.put(fieldText.substring(0, separator), fieldText.substring(separator + 1)) != null) {
-                throw new BadCommandException("a field that stands twice");
+                throw new BadCommandException(
+                        "field " + position + ": duplicate name, expected each name once");
             }
         }
         return fields;
@@ -161,14 +182,14 @@
             throws BadCommandException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
-            throw new BadCommandException(name + " is missing");
+            throw new BadCommandException("field " + name + " is missing or empty");
         }
         return value;
     }
 
     private static long parseId(String text, String description) throws BadCommandException {
         if (!NumberParser.isId(text)) {
-            throw new BadCommandException(description + " has not 16 hex digits");
+            throw new BadCommandException(description + ": expected 16 hex digits in lower case");
         }
         return Long.parseUnsignedLong(text, 16);
     }
@@ -177,10 +198,21 @@
             throws BadCommandException {
         double value = NumberParser.parseDecimal(text);
         if (Double.isNaN(value)) {
-            throw new BadCommandException(name + " is no number");
+            throw new BadCommandException(
+                    "field "
+                            + name
+                            + ": expected an unsigned decimal number with at most "
+                            + NumberParser.MAX_DIGITS
+                            + " digits before and after the point");
         }
         if (!(value > 0) || value > max) {
-            throw new BadCommandException(name + " is out of range");
+            throw new BadCommandException(
+                    "field "
+                            + name
+                            + " is "
+                            + value
+                            + ", expected a number greater than 0 and at most "
+                            + max);
         }
         return value;
     }
@@ -191,7 +223,13 @@
         }
         int shard = NumberParser.parseInteger(text);
         if (shard < 0 || (shards > 0 && shard >= shards)) {
-            throw new BadCommandException("there is no such shard");
+            throw new BadCommandException(
+                    "field shard"
+                            + (shard < 0 ? ":" : " is " + shard + ",")
+                            + " expected -1 or "
+                            + (shards > 0
+                                    ? "0 to " + (shards - 1)
+                                    : "an integer of 1 to 9 digits"));
         }
         return shard;
     }
@@ -203,7 +241,7 @@
                 return trafficClass;
             }
         }
-        throw new BadCommandException("there is no such class");
+        throw new BadCommandException("field c: expected the name of a traffic class");
     }
 
     private static TenantPlan findPlan(String name, Deployment deployment)
@@ -213,6 +251,6 @@
                 return plan;
             }
         }
-        throw new BadCommandException("there is no such plan");
+        throw new BadCommandException("field t: expected the name of a tenant plan");
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -187,9 +187,19 @@
                 pendingReply.reply(
                         arguments.size() == 1
                                 ? RespEncoder.simple("PONG")
-                                : RespEncoder.error("ERR wrong number of words"));
+                                : RespEncoder.error(
+                                        "ERR PING with "
+                                                + (arguments.size() - 1)
+                                                + " arguments, expected 0"));
             }
-            default -> pendingReply.reply(RespEncoder.error("ERR unknown command"));
+            default ->
+                    pendingReply.reply(
+                            RespEncoder.error(
+                                    "ERR unknown command, expected "
+                                            + BlockCommand.READ
+                                            + ", "
+                                            + BlockCommand.WRITE
+                                            + " or PING"));
         }
         updateAutoRead();
     }
--- a/src/main/java/sagepulley/frontend/resp/RequestHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/RequestHandler.java
@@ -107,7 +107,10 @@
         try {
             command = BlockCommand.parse(arguments, config.deployment());
             if (engine.operation(command.id) != null) {
-                throw new BadCommandException("an operation with this id is in hand");
+                throw new BadCommandException(
+                        "operation id "
+                                + NumberParser.formatId(command.id)
+                                + " is already in flight, expected a unique id");
             }
         } catch (BadCommandException invalid) {
             metrics.invalidCommands++;
@@ -238,7 +241,7 @@
                         "SHUTTING_DOWN",
                         "attempts",
                         attemptsDescription.apply(operation));
-                reply(operation, RespEncoder.error("ERR the gateway stops"));
+                reply(operation, RespEncoder.error("ERR gateway is shutting down"));
                 engine.onClientCancelled(operation.id, clock.now());
             }
         }
