--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -13,8 +13,8 @@
  *
  * <p>A length over its limit is an error as soon as it is read, and bulk strings are allocated only
  * once their bytes have arrived. The first error is reported once, as a
- * {@link CorruptedFrameException}; the rest of the input is dropped. The exception messages are
- * sent to clients.
+ * {@link CorruptedFrameException}; all later input is dropped. The exception messages are sent to
+ * clients, so they contain numbers but no text from the input.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
     private static final int NO_BULK = -1;
@@ -23,9 +23,11 @@
     private final RespLimits limits;
     private List<Resp> items;
     private int remainingItems;
+
+    /** Total length of the bulk strings of the current array in bytes. */
     private int arrayBytes;
 
-    /** Length of the current bulk string in bytes. */
+    /** Length of the current bulk string in bytes; {@link #NO_BULK} if there is none. */
     private int bulkLength = NO_BULK;
 
     private boolean failed;
--- a/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/AcceptErrorHandler.java
@@ -28,6 +28,7 @@
         config.setAutoRead(false);
         context.channel()
                 .eventLoop()
-                .schedule(() -> config.setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                .schedule(
+                        () -> config.setAutoRead(true), ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -161,7 +161,8 @@
                                 + position
                                 + ": expected name=value in printable ASCII without spaces");
             }
-            if (fields.put(fieldText.substring(0, separator), fieldText.substring(separator + 1)) != null) {
+            if (fields.put(fieldText.substring(0, separator), fieldText.substring(separator + 1))
+                    != null) {
                 throw new BadCommandException(
                         "field " + position + ": duplicate name, expected each name once");
             }
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -54,7 +54,7 @@
         double now();
     }
 
-    /** Holds the position of one reply in the order of replies. */
+    /** The reply to one command, queued in the order of commands until it can be written. */
     static final class PendingReply {
         private final ClientConnection connection;
         private ByteBuf reply;
@@ -255,6 +255,7 @@
         }
     }
 
+    /** Pauses reading while too many replies are pending or the client does not read them. */
     private void updateAutoRead() {
         if (phase != Phase.CLOSED) {
             channel.config()
@@ -273,8 +274,8 @@
     }
 
     /**
-     * Handles the close. Called by the close future, because channelInactive follows a task later,
-     * after the commands that were read in the same loop iteration have been forwarded.
+     * Handles the close. Called by the close future, because channelInactive is called one task
+     * later, when commands read in the same loop iteration have already been forwarded.
      */
     private void onChannelClosed() {
         phase = Phase.CLOSED;
@@ -302,7 +303,7 @@
             closeReason = "protocol error";
             pendingReply.reply(RespEncoder.error("ERR protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof DecoderException)) {
-            // Many clients disconnect by a reset; only other errors are logged as failures.
+            // A reset by the client, or another I/O error, is not logged as a failure.
             closeReason = String.valueOf(cause.getMessage());
             if (!(cause instanceof IOException)) {
                 LogWriter.warn(
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -67,8 +67,7 @@
 
     /**
      * @param maxConnections maximum number of open connections, including lingering ones
-     * @param maxCommandMillis maximum time to receive a command; a later one is of no use to its
-     *     client
+     * @param maxCommandMillis maximum time to receive a command; the read timeout if that is longer
      */
     ClientListener(
             Transport transport,
@@ -173,8 +172,8 @@
 
     /**
      * Drains one connection without pending replies and returns whether there was one. Chooses the
-     * oldest that has sent no command within its grace period, otherwise the one idle longest,
-     * preferring connections without a partial command.
+     * oldest one that has never sent a command and has sent no byte within the grace period.
+     * Otherwise chooses the one idle longest, preferring connections without a partial command.
      */
     private boolean drainIdleConnection() {
         ClientConnection candidate = null;
@@ -277,8 +276,8 @@
             return;
         }
         long acceptedNow = accepted;
-        // A scheduled task runs after the loop has polled its sockets again; an executed one may
-        // not.
+        // A scheduled task runs after the loop has polled its sockets again. A task passed to
+        // execute may run before that.
         loop.schedule(() -> closeOnceBacklogIsEmpty(acceptedNow), 1, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/ClientWriter.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientWriter.java
@@ -38,7 +38,7 @@
         this.onResumed = onResumed;
     }
 
-    /** Returns whether any reply has been passed neither to the kernel nor to Netty yet. */
+    /** Returns whether replies are queued here, not yet passed to the kernel or to Netty. */
     boolean hasQueuedReplies() {
         return !queued.isEmpty();
     }
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -47,7 +47,8 @@
     }
 
     /** Describes how the listed phases differ from the phases known so far, for the log. */
-    List<String> describePhaseChanges(EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
+    List<String> describePhaseChanges(
+            EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
         List<String> changes = new ArrayList<>();
         for (EndpointListUpdate.Member member : update.members()) {
             Integer number = numberById.get(member.id());
--- a/src/main/java/sagepulley/frontend/resp/RequestHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/RequestHandler.java
@@ -228,7 +228,8 @@
     }
 
     /**
-     * Replies to each operation in flight with an error that leaves open whether it was executed.
+     * Replies with an error to each operation in flight that has no reply yet. The operation may
+     * have been executed.
      */
     void failAll() {
         for (Operation operation : new ArrayList<>(engine.inFlight())) {
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Listens once the first endpoint list has arrived or timed out. Requires an earlier call of
-     * {@link #connectToDiscovery}.
+     * Listens once the first endpoint list has arrived or the wait for it has timed out. Requires
+     * an earlier call of {@link #connectToDiscovery}.
      *
      * @return a future that completes with the address that clients can connect to
      */
@@ -247,7 +247,7 @@
         metrics.addWaiting(engine.waitingByReason(clock.now()));
     }
 
-    // ---- the engine's decisions ----
+    // ---- decisions of the engine ----
 
     @Override
     public void send(Attempt attempt, double timeout) {
--- a/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
+++ b/src/main/java/sagepulley/frontend/resp/ShutdownSchedule.java
@@ -9,9 +9,9 @@
  */
 record ShutdownSchedule(double failDelayMillis) {
     /**
-     * Upper bound on the time of serving after SIGTERM. SIGKILL follows SIGTERM no sooner than the
-     * longest deadline, capped at this value, plus the kill grace. Clients keep using their open
-     * connections and find no other gateway, so they are served for that long.
+     * Cap on the longest deadline in the schedule. SIGKILL follows SIGTERM after the capped
+     * deadline plus the kill grace, at the earliest. Clients keep using their open connections in
+     * the meantime because they find no other gateway, so the gateway keeps serving them.
      */
     private static final double MAX_SERVING_MILLIS = 3_000;
 
@@ -20,6 +20,7 @@
     /** Margin before SIGKILL in case the process is delayed at the drain or the fail step. */
     private static final double REPLY_MARGIN_MILLIS = 350;
 
+    /** Time from the drain step to the fail step. */
     private static final double DRAIN_MILLIS = 250;
 
     /** Returns the schedule for a deployment whose longest deadline is the given one. */
--- a/src/main/java/sagepulley/frontend/resp/StateReporter.java
+++ b/src/main/java/sagepulley/frontend/resp/StateReporter.java
@@ -44,6 +44,8 @@
 
     /**
      * Records how late this call of a periodic task is, which measures the lag of the event loop.
+     *
+     * @param intervalMillis delay until the next call
      */
     void sampleLag(long intervalMillis) {
         double lateMillis = clock.now() - nextSampleAt;
