--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -47,7 +47,8 @@
     }
 
     /** Describes how the listed phases differ from the phases known so far, for the log. */
-    List<String> describePhaseChanges(EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
+    List<String> describePhaseChanges(
+            EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
         List<String> changes = new ArrayList<>();
         for (EndpointListUpdate.Member member : update.members()) {
             Integer number = numberById.get(member.id());
@@ -61,7 +62,7 @@
     }
 
     private EndpointEntry toEngineEntry(EndpointListUpdate.Member member) {
-        int number = numberById.computeIfAbsent(member.id(), any -> ++lastNumber);
+        int number = numberById.computeIfAbsent(member.id(), id -> ++lastNumber);
         idByNumber.put(number, member.id());
         if (member.address() != null) {
             addressByNumber.put(number, member.address());
--- a/src/main/java/sagepulley/frontend/resp/RequestHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/RequestHandler.java
@@ -107,7 +107,10 @@
         try {
             command = BlockCommand.parse(arguments, config.deployment());
             if (engine.operation(command.id) != null) {
-                throw new BadCommandException("an operation with this id is in hand");
+                throw new BadCommandException(
+                        "operation id "
+                                + NumberParser.formatId(command.id)
+                                + " is already in flight, expected a unique id");
             }
         } catch (BadCommandException invalid) {
             metrics.invalidCommands++;
@@ -225,7 +228,8 @@
     }
 
     /**
-     * Replies to each operation in flight with an error that leaves open whether it was executed.
+     * Replies with an error to each operation in flight that has no reply yet. The operation may
+     * have been executed.
      */
     void failAll() {
         for (Operation operation : new ArrayList<>(engine.inFlight())) {
@@ -238,7 +242,7 @@
                         "SHUTTING_DOWN",
                         "attempts",
                         attemptsDescription.apply(operation));
-                reply(operation, RespEncoder.error("ERR the gateway stops"));
+                reply(operation, RespEncoder.error("ERR gateway is shutting down"));
                 engine.onClientCancelled(operation.id, clock.now());
             }
         }
