--- a/src/jmh/java/sagepulley/bench/SchedulerBench.java
+++ b/src/jmh/java/sagepulley/bench/SchedulerBench.java
@@ -44,7 +44,7 @@
 @Measurement(iterations = 6)
 public class SchedulerBench {
     private static final int OPERATIONS = 1_000;
-    private static final double SERVICE = 10;
+    private static final double SERVICE_MILLIS = 10;
     private static final int SLOTS = 4;
 
     @Param({"8", "48"})
@@ -56,31 +56,31 @@
 
     private Scheduler scheduler;
     private List<Volume> volumes;
-    private final List<TrafficClass> bands = new ArrayList<>();
-    private final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
-    private final List<Attempt> out = new ArrayList<>();
+    private final List<TrafficClass> trafficClasses = new ArrayList<>();
+    private final PriorityQueue<double[]> completions = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
+    private final List<Attempt> attempts = new ArrayList<>();
     private Random random;
     private double now;
-    private double wake;
-    private long ids;
+    private double nextWakeUp;
+    private long lastId;
 
     @Setup(Level.Iteration)
     public void start() {
         random = new Random(7);
         now = 100_000;
-        bands.clear();
-        ends.clear();
-        out.clear();
+        trafficClasses.clear();
+        completions.clear();
+        attempts.clear();
         // With a long target time nothing is given up, and what waits stays.
-        double target = held == 0 ? 500 : 1e7;
+        double latencyObjective = held == 0 ? 500 : 1e7;
         for (int i = 0; i < 3; i++) {
-            bands.add(new TrafficClass(i, "band " + i, TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.ALL, 0, false, i == 1, target, 0,
-                    target * 4, 3 - i, 0.2));
+            trafficClasses.add(new TrafficClass(i, "band " + i, TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.ALL, 0, false, i == 1, latencyObjective, 0,
+                    latencyObjective * 4, 3 - i, 0.2));
         }
         List<TenantPlan> plans = List.of(new TenantPlan(0, "plain", 30, 0, 1, 1, 0, 0, 0),
                 new TenantPlan(1, "reserved", 60, 30, 3, 1, 0, 0, 0));
         ServicePolicy policy = new ServicePolicy(8, 1000, 0.25, 10_000, 2, 2000, 6, 200, Double.NaN, 0, Double.NaN, 3, false);
-        Deployment site = new Deployment(0, 1, 0, bands, plans, policy, 2, nodeCount, 2, 6, 0.35, 0.05, 1000, true,
+        Deployment site = new Deployment(0, 1, 0, trafficClasses, plans, policy, 2, nodeCount, 2, 6, 0.35, 0.05, 1000, true,
                 false, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, false, true, true, 1000, 0, 0, 0.05, false, List.of());
         scheduler = new Scheduler(site, 7);
         List<Node> nodes = new ArrayList<>();
@@ -102,41 +102,41 @@
     @Benchmark
     @OperationsPerInvocation(OPERATIONS)
     public long operations() {
-        double rate = nodeCount * SLOTS / SERVICE * 0.6;
+        double rate = nodeCount * SLOTS / SERVICE_MILLIS * 0.6;
         for (int i = 0; i < OPERATIONS; i++) {
             if (held > 0) {
                 // As many come as end: what waits stays as it is.
-                double[] end = ends.poll();
-                now = Math.max(now, end[0]);
-                finish(out.get((int) end[1]));
+                double[] completion = completions.poll();
+                now = Math.max(now, completion[0]);
+                finish(attempts.get((int) completion[1]));
                 arrive();
                 continue;
             }
             double next = now - Math.log(1 - random.nextDouble()) / rate;
-            while (!ends.isEmpty() && ends.peek()[0] <= next || wake <= next) {
-                if (!ends.isEmpty() && ends.peek()[0] <= wake) {
-                    double[] end = ends.poll();
-                    now = end[0];
-                    finish(out.get((int) end[1]));
+            while (!completions.isEmpty() && completions.peek()[0] <= next || nextWakeUp <= next) {
+                if (!completions.isEmpty() && completions.peek()[0] <= nextWakeUp) {
+                    double[] completion = completions.poll();
+                    now = completion[0];
+                    finish(attempts.get((int) completion[1]));
                 } else {
-                    now = wake;
-                    settle();
+                    now = nextWakeUp;
+                    dispatchDue();
                 }
             }
             now = next;
             arrive();
         }
-        return ids;
+        return lastId;
     }
 
     private void arrive() {
         // A volume's data lies on two nodes.
         int volume = random.nextInt(volumes.size());
-        Operation operation = new Operation(++ids, bands.get(random.nextInt(3)), volumes.get(volume), ids,
+        Operation operation = new Operation(++lastId, trafficClasses.get(random.nextInt(3)), volumes.get(volume), lastId,
                 1 + random.nextInt(4), (volume + random.nextInt(2)) % nodeCount, now,
-                now + bands.get(0).deadline(), false);
-        answer(operation, scheduler.route(operation, now));
-        settle();
+                now + trafficClasses.get(0).deadline(), false);
+        recordAttempt(operation, scheduler.route(operation, now));
+        dispatchDue();
     }
 
     private void finish(Attempt attempt) {
@@ -144,32 +144,32 @@
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended = true;
         if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            answer(attempt.operation, scheduler.route(attempt.operation, now));
+            recordAttempt(attempt.operation, scheduler.route(attempt.operation, now));
         }
-        settle();
+        dispatchDue();
     }
 
-    private void settle() {
+    private void dispatchDue() {
         SchedulerTurn turn = scheduler.nextTurn(now);
         while (!turn.due().isEmpty()) {
-            boolean moved = false;
+            boolean progressed = false;
             for (Operation operation : turn.due()) {
                 RoutingDecision decision = scheduler.route(operation, now);
-                moved |= decision.kind() != RoutingDecision.Kind.WAIT;
-                answer(operation, decision);
+                progressed |= decision.kind() != RoutingDecision.Kind.WAIT;
+                recordAttempt(operation, decision);
             }
-            if (!moved) {
+            if (!progressed) {
                 break;
             }
             turn = scheduler.nextTurn(now);
         }
-        wake = now + Math.max(0.01, turn.delay());
+        nextWakeUp = now + Math.max(0.01, turn.delay());
     }
 
-    private void answer(Operation operation, RoutingDecision decision) {
+    private void recordAttempt(Operation operation, RoutingDecision decision) {
         if (decision.kind() == RoutingDecision.Kind.SEND) {
-            out.add(operation.attempts.get(operation.attempts.size() - 1));
-            ends.add(new double[] {now + SERVICE * (0.5 + random.nextDouble()), out.size() - 1});
+            attempts.add(operation.attempts.get(operation.attempts.size() - 1));
+            completions.add(new double[] {now + SERVICE_MILLIS * (0.5 + random.nextDouble()), attempts.size() - 1});
         }
     }
 }
--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -27,18 +27,18 @@
      * When a gateway process was sent SIGTERM, when SIGKILL, and when it had ended; one that was
      * not sent SIGTERM has 0 for the first.
      */
-    record Ending(int gateway, long termSentAt, long killSentAt, long goneAt) {
+    record Termination(int gateway, long termSentAt, long killSentAt, long exitedAt) {
         boolean isPlanned() {
             return termSentAt != 0;
         }
     }
 
-    private final List<Ending> endings;
+    private final List<Termination> terminations;
     private final boolean descriptorsExhausted;
 
     /** Where idle clients fill the descriptors, a new connection may be shut unread. */
-    AnswerRule(List<Ending> endings, boolean descriptorsExhausted) {
-        this.endings = endings;
+    AnswerRule(List<Termination> terminations, boolean descriptorsExhausted) {
+        this.terminations = terminations;
         this.descriptorsExhausted = descriptorsExhausted;
     }
 
@@ -50,14 +50,14 @@
         }
         List<String> violations = new ArrayList<>();
         for (Request request : requests) {
-            List<StoreServer.Arrival> own = attempts.getOrDefault(request.id, List.of());
-            checkEnd(request, own, violations);
-            for (StoreServer.Arrival arrival : own) {
+            List<StoreServer.Arrival> requestAttempts = attempts.getOrDefault(request.id, List.of());
+            checkEnd(request, requestAttempts, violations);
+            for (StoreServer.Arrival arrival : requestAttempts) {
                 checkAttempt(request, arrival, violations);
             }
-            if (!request.idempotent && own.size() > 1) {
+            if (!request.idempotent && requestAttempts.size() > 1) {
                 violations.add(
-                        request + " may not run twice, and was sent " + own.size() + " times");
+                        request + " may not run twice, and was sent " + requestAttempts.size() + " times");
             }
         }
         return violations;
@@ -89,13 +89,13 @@
                                     + request.answeredBeforeOnConnection
                                     + " on its connection, attempts "
                                     + attempts.size()
-                                    + endingText(request));
+                                    + terminationText(request));
                 }
             }
             case SERVED, REJECTED, FAILED -> {
-                long late = toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
-                if (late > MAX_LATE_MILLIS + SLACK_MILLIS) {
-                    violations.add(request + " was answered " + late + " ms after its deadline");
+                long lateMillis = toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
+                if (lateMillis > MAX_LATE_MILLIS + SLACK_MILLIS) {
+                    violations.add(request + " was answered " + lateMillis + " ms after its deadline");
                 }
             }
             case CANCELLED -> {}
@@ -107,45 +107,45 @@
      * once more.
      */
     private boolean isLost(Request request, List<StoreServer.Arrival> attempts) {
-        Ending ending = killedWhileOpen(request);
-        if (ending != null && !ending.isPlanned()) {
+        Termination termination = killedWhileOpen(request);
+        if (termination != null && !termination.isPlanned()) {
             return false;
         }
-        if (ending != null
-                && request.sentAt - ending.termSentAt()
+        if (termination != null
+                && request.sentAt - termination.termSentAt()
                         < TimeUnit.MILLISECONDS.toNanos(MIN_STOP_NOTICE_MILLIS)) {
             return false;
         }
         return (request.answeredBeforeOnConnection == 0 && !descriptorsExhausted)
                 || !attempts.isEmpty()
-                || ending != null;
+                || termination != null;
     }
 
     /** How its gateway ended by SIGKILL while it was open; null if it did not. */
-    private Ending killedWhileOpen(Request request) {
-        return endings.stream()
+    private Termination killedWhileOpen(Request request) {
+        return terminations.stream()
                 .filter(
-                        ending ->
-                                ending.gateway() == request.gateway
-                                        && ending.goneAt() >= request.sentAt
-                                        && ending.killSentAt() <= request.endedAt)
+                        termination ->
+                                termination.gateway() == request.gateway
+                                        && termination.exitedAt() >= request.sentAt
+                                        && termination.killSentAt() <= request.endedAt)
                 .findFirst()
                 .orElse(null);
     }
 
-    private String endingText(Request request) {
-        return endings.stream()
+    private String terminationText(Request request) {
+        return terminations.stream()
                 .filter(
-                        ending ->
-                                ending.gateway() == request.gateway
-                                        && ending.isPlanned()
-                                        && ending.termSentAt() <= request.endedAt
-                                        && ending.killSentAt() + TimeUnit.SECONDS.toNanos(1)
+                        termination ->
+                                termination.gateway() == request.gateway
+                                        && termination.isPlanned()
+                                        && termination.termSentAt() <= request.endedAt
+                                        && termination.killSentAt() + TimeUnit.SECONDS.toNanos(1)
                                                 >= request.sentAt)
                 .map(
-                        ending ->
+                        termination ->
                                 ", sent "
-                                        + toMillis(request.sentAt - ending.termSentAt())
+                                        + toMillis(request.sentAt - termination.termSentAt())
                                         + " ms after SIGTERM")
                 .findFirst()
                 .orElse("");
@@ -153,14 +153,14 @@
 
     private static void checkAttempt(
             Request request, StoreServer.Arrival arrival, List<String> violations) {
-        long left = request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
-        if (arrival.deadlineMillis() > left + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
+        long remainingMillis = request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
+        if (arrival.deadlineMillis() > remainingMillis + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
             violations.add(
                     request
                             + " told a store "
                             + arrival.deadlineMillis()
                             + " ms with "
-                            + left
+                            + remainingMillis
                             + " ms left");
         }
         if (request.end == Request.End.CANCELLED
--- a/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
+++ b/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
@@ -12,20 +12,20 @@
     private BackgroundTasks() {}
 
     /** What a stand-in does on one thread. */
-    interface Work {
+    interface Task {
         void run() throws IOException, InterruptedException;
     }
 
     /** Runs it on a daemon thread of its own. */
-    static Thread run(String name, Work work) {
+    static Thread run(String name, Task task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                work.run();
-                            } catch (IOException ended) {
+                                task.run();
+                            } catch (IOException connectionClosed) {
                                 // The other end, or the test, has closed it.
-                            } catch (InterruptedException stopped) {
+                            } catch (InterruptedException interrupted) {
                                 Thread.currentThread().interrupt();
                             }
                         },
--- a/src/main/java/sagepulley/faultinjection/ClientLoad.java
+++ b/src/main/java/sagepulley/faultinjection/ClientLoad.java
@@ -37,7 +37,7 @@
     private volatile boolean stopped;
 
     /** Clients that have no connection make none while this is set. */
-    private volatile boolean connectsElsewhere;
+    private volatile boolean newConnectionsSuspended;
 
     ClientLoad(
             int gateway,
@@ -58,7 +58,7 @@
 
     private void runClient(Random random) throws InterruptedException {
         while (!stopped) {
-            if (connectsElsewhere) {
+            if (newConnectionsSuspended) {
                 Thread.sleep(RECONNECT_DELAY_MILLIS);
                 continue;
             }
@@ -68,7 +68,7 @@
                 for (int answered = 0; !stopped && sendOne(peer, random, answered); answered++) {
                     Thread.sleep((long) (behaviour.pauseMillis() * (0.5 + random.nextDouble())));
                 }
-            } catch (IOException refused) {
+            } catch (IOException connectFailed) {
                 Thread.sleep(RECONNECT_DELAY_MILLIS);
             }
         }
@@ -89,13 +89,13 @@
                         deadline,
                         !writes);
         request.answeredBeforeOnConnection = answered;
-        boolean leaves = random.nextDouble() < behaviour.disconnectingShare();
+        boolean disconnects = random.nextDouble() < behaviour.disconnectingShare();
         try {
             peer.socket.setSoTimeout((int) (deadline + ANSWER_SLACK_MILLIS));
             request.sentAt = System.nanoTime();
-            peer.send(text(request));
+            peer.send(commandText(request));
             requests.add(request);
-            if (leaves) {
+            if (disconnects) {
                 Thread.sleep(random.nextInt((int) MAX_DISCONNECT_DELAY_MILLIS));
                 request.endedAt = System.nanoTime();
                 request.end = Request.End.CANCELLED;
@@ -105,10 +105,10 @@
             request.endedAt = System.nanoTime();
             request.end = endOf(request, answer);
             return answer != null;
-        } catch (SocketTimeoutException silent) {
+        } catch (SocketTimeoutException timeout) {
             request.endedAt = System.nanoTime();
             request.end = Request.End.SILENT;
-        } catch (IOException reset) {
+        } catch (IOException connectionReset) {
             request.endedAt = System.nanoTime();
             request.end = Request.End.CLOSED;
         }
@@ -125,7 +125,7 @@
         return answer.startsWith("-BUSY") ? Request.End.REJECTED : Request.End.FAILED;
     }
 
-    private static String text(Request request) {
+    private static String commandText(Request request) {
         String fields =
                 "c="
                         + (request.idempotent ? "get" : "put")
@@ -146,8 +146,8 @@
      * Whether clients connect elsewhere from now on, as they do soon after a gateway was sent
      * SIGTERM.
      */
-    void connectElsewhere(boolean away) {
-        connectsElsewhere = away;
+    void suspendNewConnections(boolean suspended) {
+        newConnectionsSuspended = suspended;
     }
 
     /** Sends nothing new from now on, and waits for the answers that are due. */
--- a/src/main/java/sagepulley/faultinjection/DiscoveryBehaviour.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryBehaviour.java
@@ -55,7 +55,7 @@
     }
 
     /** The same with lists that are indented. */
-    DiscoveryBehaviour withWhiteSpace() {
+    DiscoveryBehaviour withIndentation() {
         return new DiscoveryBehaviour(mode, firstByteDelayMillis, trickleMillis, queue, true);
     }
 }
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -32,7 +32,7 @@
     private static final int BACKLOG = 200;
 
     /** A backlog of one is full with two connections that nobody accepts. */
-    private static final int FULL_BACKLOG = 1;
+    private static final int UNREACHABLE_BACKLOG = 1;
 
     private static final int FILLER_CONNECTIONS = 2;
 
@@ -66,11 +66,11 @@
 
     private final Map<Integer, ServerSocket> listeners = new ConcurrentHashMap<>();
     private final Map<Integer, Integer> ports = new ConcurrentHashMap<>();
-    private final Map<Integer, List<Socket>> fillers = new ConcurrentHashMap<>();
+    private final Map<Integer, List<Socket>> backlogFillers = new ConcurrentHashMap<>();
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final List<WrittenList> written = new ArrayList<>();
     private final List<Outage> outages = new ArrayList<>();
-    private final Semaphore turn = new Semaphore(1, true);
+    private final Semaphore callPermit = new Semaphore(1, true);
     private final AtomicInteger waitingCalls = new AtomicInteger();
     private Reachability reachability = Reachability.REACHABLE;
     private volatile boolean closed;
@@ -89,7 +89,7 @@
 
     /** An address for one gateway, which is listened at while discovery can be reached. */
     synchronized InetSocketAddress listenFor(int gateway) throws IOException {
-        int port = Ports.free().getPort();
+        int port = Ports.allocate().getPort();
         ports.put(gateway, port);
         switch (reachability) {
             case REACHABLE -> bind(gateway, port);
@@ -105,18 +105,18 @@
      */
     synchronized InetSocketAddress moveFor(int gateway) throws IOException {
         BackgroundTasks.close(listeners.get(gateway));
-        fillers.getOrDefault(gateway, List.of()).forEach(BackgroundTasks::reset);
-        int former = ports.get(gateway);
-        InetSocketAddress fresh = listenFor(gateway);
+        backlogFillers.getOrDefault(gateway, List.of()).forEach(BackgroundTasks::reset);
+        int formerPort = ports.get(gateway);
+        InetSocketAddress newAddress = listenFor(gateway);
         BackgroundTasks.run(
                 "discovery-move",
                 () -> {
                     Thread.sleep(FORMER_ADDRESS_MILLIS);
                     connections.stream()
-                            .filter(socket -> socket.getLocalPort() == former)
+                            .filter(socket -> socket.getLocalPort() == formerPort)
                             .forEach(BackgroundTasks::close);
                 });
-        return fresh;
+        return newAddress;
     }
 
     private void bind(int gateway, int port) throws IOException {
@@ -126,12 +126,12 @@
     }
 
     private void bindUnreachable(int gateway, int port) throws IOException {
-        listeners.put(gateway, Ports.listen(port, FULL_BACKLOG));
+        listeners.put(gateway, Ports.listen(port, UNREACHABLE_BACKLOG));
         List<Socket> filling = new ArrayList<>();
         for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             filling.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
-        fillers.put(gateway, filling);
+        backlogFillers.put(gateway, filling);
     }
 
     private void accept(int gateway, ServerSocket listener) throws IOException {
@@ -153,7 +153,7 @@
     // ---- whether it can be reached ----
 
     /** Its process has ended: connections are reset, new ones refused. */
-    synchronized void goDown() {
+    synchronized void stop() {
         beginOutage(Reachability.DOWN);
         listeners.values().forEach(BackgroundTasks::close);
         connections.forEach(BackgroundTasks::reset);
@@ -163,87 +163,87 @@
     synchronized void cutOff() throws IOException {
         beginOutage(Reachability.CUT_OFF);
         watchesSilent = true;
-        for (Map.Entry<Integer, ServerSocket> each : List.copyOf(listeners.entrySet())) {
-            BackgroundTasks.close(each.getValue());
-            bindUnreachable(each.getKey(), ports.get(each.getKey()));
+        for (Map.Entry<Integer, ServerSocket> entry : List.copyOf(listeners.entrySet())) {
+            BackgroundTasks.close(entry.getValue());
+            bindUnreachable(entry.getKey(), ports.get(entry.getKey()));
         }
     }
 
     /** It can be reached again; connections that were cut are reset. */
-    synchronized void comeBack() throws IOException {
+    synchronized void restore() throws IOException {
         connections.forEach(BackgroundTasks::reset);
         reachability = Reachability.REACHABLE;
         watchesSilent = false;
-        for (Map.Entry<Integer, Integer> each : ports.entrySet()) {
-            BackgroundTasks.close(listeners.get(each.getKey()));
-            fillers.getOrDefault(each.getKey(), List.of()).forEach(BackgroundTasks::reset);
-            bind(each.getKey(), each.getValue());
+        for (Map.Entry<Integer, Integer> entry : ports.entrySet()) {
+            BackgroundTasks.close(listeners.get(entry.getKey()));
+            backlogFillers.getOrDefault(entry.getKey(), List.of()).forEach(BackgroundTasks::reset);
+            bind(entry.getKey(), entry.getValue());
         }
-        fillers.clear();
+        backlogFillers.clear();
         int last = outages.size() - 1;
         outages.set(last, new Outage(outages.get(last).from(), System.nanoTime()));
     }
 
     /** Ends all connections that stand, and goes on. */
-    void resetAll() {
+    void resetConnections() {
         connections.forEach(BackgroundTasks::reset);
     }
 
-    private void beginOutage(Reachability now) {
+    private void beginOutage(Reachability outage) {
         outages.add(new Outage(System.nanoTime(), NO_END));
-        reachability = now;
+        reachability = outage;
     }
 
     // ---- one call ----
 
     private void answer(int gateway, Socket socket) throws IOException, InterruptedException {
         long connectedAt = System.nanoTime();
-        String call = readCall(socket);
-        if (call == null) {
+        String requestLine = readRequestLine(socket);
+        if (requestLine == null) {
             return;
         }
-        DiscoveryBehaviour now = behaviour;
-        if (now.mode() == DiscoveryBehaviour.Mode.UNRESPONSIVE) {
+        DiscoveryBehaviour current = behaviour;
+        if (current.mode() == DiscoveryBehaviour.Mode.UNRESPONSIVE) {
             socket.getInputStream().read();
             return;
         }
         TricklingOutput out = new TricklingOutput(socket);
-        if (now.mode() == DiscoveryBehaviour.Mode.REJECTS || !waitForTurn(now.queue())) {
+        if (current.mode() == DiscoveryBehaviour.Mode.REJECTS || !waitInQueue(current.queue())) {
             out.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
-        Thread.sleep(now.firstByteDelayMillis());
-        Matcher watch = WATCH.matcher(call);
-        boolean watches = watch.matches();
-        long after = watches ? Long.parseLong(watch.group(1)) : -1;
+        Thread.sleep(current.firstByteDelayMillis());
+        Matcher watch = WATCH.matcher(requestLine);
+        boolean isWatch = watch.matches();
+        long after = isWatch ? Long.parseLong(watch.group(1)) : -1;
         long revision = endpoints.revision();
         String list = endpoints.json(after, behaviour.indented());
-        if (!watches) {
+        if (!isWatch) {
             out.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
-            out.write(list, now.trickleMillis());
+            out.write(list, current.trickleMillis());
             recordWritten(gateway, revision, connectedAt);
             return;
         }
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        out.writeChunk(list, now.trickleMillis());
+        out.writeChunk(list, current.trickleMillis());
         recordWritten(gateway, revision, connectedAt);
-        follow(gateway, out, revision, connectedAt);
+        writeChanges(gateway, out, revision, connectedAt);
     }
 
     /** The first line of a call, whose headers are skipped; null where the connection ended. */
-    private static String readCall(Socket socket) throws IOException {
+    private static String readRequestLine(Socket socket) throws IOException {
         BufferedReader reader =
                 new BufferedReader(
                         new InputStreamReader(
                                 socket.getInputStream(), StandardCharsets.ISO_8859_1));
-        String call = reader.readLine();
+        String requestLine = reader.readLine();
         for (String header = reader.readLine(); header != null && !header.isEmpty(); ) {
             header = reader.readLine();
         }
-        return call;
+        return requestLine;
     }
 
-    private boolean waitForTurn(DiscoveryBehaviour.CallQueue queue) throws InterruptedException {
+    private boolean waitInQueue(DiscoveryBehaviour.CallQueue queue) throws InterruptedException {
         if (queue == null) {
             return true;
         }
@@ -252,13 +252,13 @@
         }
         waitingCalls.incrementAndGet();
         try {
-            if (!turn.tryAcquire(queue.timeoutMillis(), TimeUnit.MILLISECONDS)) {
+            if (!callPermit.tryAcquire(queue.timeoutMillis(), TimeUnit.MILLISECONDS)) {
                 return false;
             }
             try {
                 Thread.sleep(queue.serviceMillis());
             } finally {
-                turn.release();
+                callPermit.release();
             }
             return true;
         } finally {
@@ -267,7 +267,7 @@
     }
 
     /** Writes each change to a watch, or an empty line where there is none for a while. */
-    private void follow(int gateway, TricklingOutput out, long from, long connectedAt)
+    private void writeChanges(int gateway, TricklingOutput out, long from, long connectedAt)
             throws IOException, InterruptedException {
         long revision = from;
         long lastLine = System.nanoTime();
@@ -278,8 +278,8 @@
             }
             long next = endpoints.revision();
             if (next > revision) {
-                DiscoveryBehaviour now = behaviour;
-                out.writeChunk(endpoints.json(revision, now.indented()), now.trickleMillis());
+                DiscoveryBehaviour current = behaviour;
+                out.writeChunk(endpoints.json(revision, current.indented()), current.trickleMillis());
                 recordWritten(gateway, next, connectedAt);
                 revision = next;
                 lastLine = System.nanoTime();
@@ -299,7 +299,7 @@
     public void close() {
         closed = true;
         listeners.values().forEach(BackgroundTasks::close);
-        fillers.values().forEach(sockets -> sockets.forEach(BackgroundTasks::close));
+        backlogFillers.values().forEach(sockets -> sockets.forEach(BackgroundTasks::close));
         connections.forEach(BackgroundTasks::close);
     }
 }
--- a/src/main/java/sagepulley/faultinjection/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -65,7 +65,7 @@
                 changesByEndpoint.getOrDefault(arrival.endpoint(), List.of());
         for (EndpointHistory.Change change : changes) {
             if (change.endpoint().state() == Endpoint.State.SERVING
-                    || gateway.knowsThatItServesAgain(changes, change, arrival.firstByteAt())) {
+                    || gateway.isNotifiedOfServingAgain(changes, change, arrival.firstByteAt())) {
                 continue;
             }
             long lateNanos = arrival.firstByteAt() - gateway.notifiedAt(change);
@@ -93,13 +93,13 @@
 
         GatewayView(int gateway, long at) {
             this.gateway = gateway;
-            this.processStartedAt = startOfProcess(gateway, at);
+            this.processStartedAt = processStartTime(gateway, at);
         }
 
         /**
          * Whether it had been notified, by the time of the command, that the endpoint serves again.
          */
-        boolean knowsThatItServesAgain(
+        boolean isNotifiedOfServingAgain(
                 List<EndpointHistory.Change> changes, EndpointHistory.Change from, long until) {
             return changes.stream()
                     .filter(change -> change.revision() > from.revision())
@@ -112,12 +112,12 @@
 
         /** When it counts as notified of a change. */
         long notifiedAt(EndpointHistory.Change change) {
-            long notified = reachableFor(change.at(), MAX_NOTIFICATION_MILLIS);
+            long notified = timeReachableFor(change.at(), MAX_NOTIFICATION_MILLIS);
             for (long reload : reloads.getOrDefault(gateway, List.of())) {
                 if (change.at() <= reload) {
                     notified =
                             Math.min(
-                                    notified, reachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS));
+                                    notified, timeReachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS));
                 }
             }
             for (DiscoveryServer.WrittenList list : written) {
@@ -133,7 +133,7 @@
         }
     }
 
-    private long startOfProcess(int gateway, long at) {
+    private long processStartTime(int gateway, long at) {
         return processes.stream()
                 .filter(process -> process.number == gateway && process.startedAt <= at)
                 .mapToLong(process -> process.startedAt)
@@ -142,7 +142,7 @@
     }
 
     /** When discovery has been reachable for so long at a stretch since a time. */
-    private long reachableFor(long from, long millis) {
+    private long timeReachableFor(long from, long millis) {
         long nanos = TimeUnit.MILLISECONDS.toNanos(millis);
         long since = from;
         for (DiscoveryServer.Outage outage : outages) {
--- a/src/main/java/sagepulley/faultinjection/Endpoint.java
+++ b/src/main/java/sagepulley/faultinjection/Endpoint.java
@@ -1,7 +1,7 @@
 package sagepulley.faultinjection;
 
 /** One storage endpoint as the test's discovery lists it. */
-record Endpoint(String id, int port, int cell, State state, long startedAtWallMs) {
+record Endpoint(String id, int port, int cell, State state, long startedAtWallMillis) {
     /** The phases of the discovery protocol. */
     enum State {
         SERVING,
@@ -23,7 +23,7 @@
                         + state
                         + "\",\"size\":1.0,"
                         + "\"up_since_ms\":"
-                        + startedAtWallMs
+                        + startedAtWallMillis
                         + "}";
         return indented ? text.replace(",\"", ",\n      \"").replace("{\"", "{\n      \"") : text;
     }
--- a/src/main/java/sagepulley/faultinjection/GatewayProcess.java
+++ b/src/main/java/sagepulley/faultinjection/GatewayProcess.java
@@ -85,7 +85,7 @@
             RespPeer peer = new RespPeer(socket);
             peer.send(RespPeer.command("PING"));
             return "+PONG".equals(peer.readAnswer());
-        } catch (IOException notYet) {
+        } catch (IOException notReady) {
             return false;
         }
     }
@@ -132,7 +132,7 @@
     }
 
     /** Waits until it has ended. */
-    int exitCode() throws InterruptedException {
+    int awaitExitCode() throws InterruptedException {
         return process.waitFor();
     }
 
--- a/src/main/java/sagepulley/faultinjection/Ports.java
+++ b/src/main/java/sagepulley/faultinjection/Ports.java
@@ -19,15 +19,15 @@
     private static final int MAX_BIND_ATTEMPTS = 100;
     private static final long BIND_RETRY_MILLIS = 10;
     private static final Random RANDOM = new Random();
-    private static final Set<Integer> TAKEN = new HashSet<>();
+    private static final Set<Integer> ALLOCATED = new HashSet<>();
 
     private Ports() {}
 
     /** An address whose port nobody uses. */
-    static synchronized InetSocketAddress free() {
+    static synchronized InetSocketAddress allocate() {
         while (true) {
             int port = FIRST + RANDOM.nextInt(COUNT);
-            if (TAKEN.add(port) && isFree(port)) {
+            if (ALLOCATED.add(port) && isFree(port)) {
                 return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             }
         }
@@ -66,7 +66,7 @@
     private static boolean isFree(int port) {
         try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
             return probe.isBound();
-        } catch (IOException taken) {
+        } catch (IOException inUse) {
             return false;
         }
     }
--- a/src/main/java/sagepulley/faultinjection/RespPeer.java
+++ b/src/main/java/sagepulley/faultinjection/RespPeer.java
@@ -51,13 +51,13 @@
         if (first < 0) {
             return null;
         }
-        int count = Integer.parseInt(line());
+        int count = Integer.parseInt(readLine());
         if (first != '*' || count > MAX_ARGUMENTS) {
             throw new IOException("not a command");
         }
         List<String> arguments = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            arguments.add(bulk(line()));
+            arguments.add(readBulk(readLine()));
         }
         return arguments;
     }
@@ -72,11 +72,11 @@
         if (first < 0) {
             return null;
         }
-        String line = line();
-        return first == '$' ? "$" + bulk("$" + line) : (char) first + line;
+        String line = readLine();
+        return first == '$' ? "$" + readBulk("$" + line) : (char) first + line;
     }
 
-    private String bulk(String head) throws IOException {
+    private String readBulk(String head) throws IOException {
         int length = Integer.parseInt(head.substring(1));
         byte[] bytes = in.readNBytes(length + 2);
         if (bytes.length < length + 2) {
@@ -85,7 +85,7 @@
         return new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
--- a/src/main/java/sagepulley/faultinjection/SoakActions.java
+++ b/src/main/java/sagepulley/faultinjection/SoakActions.java
@@ -35,7 +35,7 @@
     void moveDiscovery(int gateway) throws IOException, InterruptedException;
 
     /** Discovery moves for a gateway that is sent SIGHUP but cannot read its configuration. */
-    void moveDiscoveryUnreadably(int gateway) throws IOException, InterruptedException;
+    void moveDiscoveryWithUnreadableConfig(int gateway) throws IOException, InterruptedException;
 
     /** A gateway's configuration can be read. */
     void restoreConfig(int gateway) throws IOException;
@@ -44,7 +44,7 @@
     void suspendGateway(int gateway) throws IOException, InterruptedException;
 
     /** The wall clock of the gateways is off by so much. */
-    void stepWallClock(long millis) throws IOException;
+    void setWallClockOffset(long millis) throws IOException;
 
     /** Every gateway gets many connections on which nothing is requested. */
     void openIdleConnections();
--- a/src/main/java/sagepulley/faultinjection/SoakOperator.java
+++ b/src/main/java/sagepulley/faultinjection/SoakOperator.java
@@ -36,7 +36,7 @@
     private final Map<Integer, GatewayProcess> running = new ConcurrentHashMap<>();
     private final Set<Integer> restarting = ConcurrentHashMap.newKeySet();
     private final List<Socket> idleConnections = new CopyOnWriteArrayList<>();
-    private final List<AnswerRule.Ending> endings = new CopyOnWriteArrayList<>();
+    private final List<AnswerRule.Termination> terminations = new CopyOnWriteArrayList<>();
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private long runStartedAt;
 
@@ -64,8 +64,8 @@
     }
 
     /** How gateways have ended by SIGKILL so far. */
-    List<AnswerRule.Ending> endings() {
-        return endings;
+    List<AnswerRule.Termination> terminations() {
+        return terminations;
     }
 
     /** Sentences for gateways that crashed or did not start again. */
@@ -96,7 +96,7 @@
     public void setDiscoveryBehaviour(DiscoveryBehaviour behaviour, boolean resetWatches) {
         fleet.discovery.behaviour = behaviour;
         if (resetWatches) {
-            fleet.discovery.resetAll();
+            fleet.discovery.resetConnections();
         }
     }
 
@@ -107,7 +107,7 @@
 
     @Override
     public void stopDiscovery() {
-        fleet.discovery.goDown();
+        fleet.discovery.stop();
     }
 
     @Override
@@ -117,7 +117,7 @@
 
     @Override
     public void restoreDiscovery() throws IOException {
-        fleet.discovery.comeBack();
+        fleet.discovery.restore();
     }
 
     // ---- stores ----
@@ -135,7 +135,7 @@
 
     @Override
     public void resetStore(int store) {
-        fleet.stores.get(store).resetAll();
+        fleet.stores.get(store).resetConnections();
     }
 
     // ---- gateways ----
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void moveDiscoveryUnreadably(int gateway) throws IOException, InterruptedException {
+    public void moveDiscoveryWithUnreadableConfig(int gateway) throws IOException, InterruptedException {
         if (!restarting.contains(gateway)) {
             fleet.moveDiscovery(gateway);
             fleet.makeConfigUnreadable(gateway);
@@ -188,8 +188,8 @@
     }
 
     @Override
-    public void stepWallClock(long millis) throws IOException {
-        shim.step(millis);
+    public void setWallClockOffset(long millis) throws IOException {
+        shim.setWallClockOffset(millis);
     }
 
     @Override
@@ -222,11 +222,11 @@
         }
         long killSentAt = System.nanoTime();
         process.kill();
-        endings.add(new AnswerRule.Ending(gateway, termSentAt, killSentAt, System.nanoTime()));
-        GatewayProcess fresh = fleet.start(gateway);
-        running.put(gateway, fresh);
-        fleet.loads.get(gateway).connectElsewhere(false);
-        awaitPing(gateway, fresh);
+        terminations.add(new AnswerRule.Termination(gateway, termSentAt, killSentAt, System.nanoTime()));
+        GatewayProcess replacement = fleet.start(gateway);
+        running.put(gateway, replacement);
+        fleet.loads.get(gateway).suspendNewConnections(false);
+        awaitPing(gateway, replacement);
     }
 
     private void terminate(int gateway, GatewayProcess process, long termSentAt)
@@ -236,14 +236,14 @@
             process.signal("TERM");
         }
         Thread.sleep(NEW_CONNECTIONS_MILLIS);
-        fleet.loads.get(gateway).connectElsewhere(true);
+        fleet.loads.get(gateway).suspendNewConnections(true);
         long killAfter = TestFleet.MAX_DEADLINE_MILLIS + KILL_DELAY_MILLIS;
         Thread.sleep(Math.max(0, killAfter - millisSince(termSentAt)));
     }
 
-    private void awaitPing(int gateway, GatewayProcess fresh) throws InterruptedException {
+    private void awaitPing(int gateway, GatewayProcess replacement) throws InterruptedException {
         long since = System.nanoTime();
-        while (!fresh.answersPing()) {
+        while (!replacement.answersPing()) {
             if (TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - since) > MAX_RESTART_SECONDS) {
                 failures.add(
                         "gateway "
@@ -251,7 +251,7 @@
                                 + " is not ready "
                                 + MAX_RESTART_SECONDS
                                 + " s after its restart: "
-                                + logTail(fresh));
+                                + logTail(replacement));
                 return;
             }
             Thread.sleep(PING_INTERVAL_MILLIS);
--- a/src/main/java/sagepulley/faultinjection/SoakPlan.java
+++ b/src/main/java/sagepulley/faultinjection/SoakPlan.java
@@ -12,7 +12,7 @@
  */
 final class SoakPlan {
     /** Faults begin so long after the start, when clients are served. */
-    private static final long QUIET_START_MILLIS = 1_500;
+    private static final long FAULT_FREE_START_MILLIS = 1_500;
 
     private static final long MAX_OUTAGE_MILLIS = 12_000;
     private static final long HOUR_MILLIS = 3_600_000;
@@ -46,137 +46,137 @@
 
     /** Draws the events, in order of time; the wall clock moves only where that is possible. */
     Queue<Event> draw(boolean wallClockMoves) {
-        for (long at = QUIET_START_MILLIS; at < lengthMillis - 4_000; ) {
-            long length = 1_000L + random.nextInt(9_000);
-            planDiscoveryFault(at, length);
-            at += length + random.nextInt(3_000);
+        for (long at = FAULT_FREE_START_MILLIS; at < lengthMillis - 4_000; ) {
+            long faultMillis = 1_000L + random.nextInt(9_000);
+            planDiscoveryFault(at, faultMillis);
+            at += faultMillis + random.nextInt(3_000);
         }
-        for (long at = QUIET_START_MILLIS + random.nextInt(2_000);
+        for (long at = FAULT_FREE_START_MILLIS + random.nextInt(2_000);
                 at < lengthMillis - 3_000;
                 at += 700 + random.nextInt(2_500)) {
             planStoreEvent(at);
         }
-        for (long at = QUIET_START_MILLIS + random.nextInt(3_000);
+        for (long at = FAULT_FREE_START_MILLIS + random.nextInt(3_000);
                 at < lengthMillis - 8_000;
                 at += 2_000 + random.nextInt(5_000)) {
             planGatewayEvent(at);
         }
-        for (long at = QUIET_START_MILLIS; at < lengthMillis; at += 1_000 + random.nextInt(4_000)) {
+        for (long at = FAULT_FREE_START_MILLIS; at < lengthMillis; at += 1_000 + random.nextInt(4_000)) {
             int gateway = random.nextInt(gateways);
-            at(at, "gateway " + gateway + " is held up", () -> actions.suspendGateway(gateway));
+            addEvent(at, "gateway " + gateway + " is held up", () -> actions.suspendGateway(gateway));
         }
         if (wallClockMoves) {
             planWallClock();
         }
         if (random.nextInt(3) == 0) {
-            at(
-                    QUIET_START_MILLIS + random.nextInt(3_000),
+            addEvent(
+                    FAULT_FREE_START_MILLIS + random.nextInt(3_000),
                     "a crowd of idle connections",
                     actions::openIdleConnections);
         }
         return events;
     }
 
-    private void at(long millis, String description, Action action) {
+    private void addEvent(long millis, String description, Action action) {
         events.add(new Event(millis, order++, description, action));
     }
 
     private void planWallClock() {
-        for (long at = QUIET_START_MILLIS; at < lengthMillis; at += 3_000 + random.nextInt(6_000)) {
+        for (long at = FAULT_FREE_START_MILLIS; at < lengthMillis; at += 3_000 + random.nextInt(6_000)) {
             long offset =
                     random.nextBoolean()
                             ? random.nextInt(10_000) - 5_000
                             : random.nextBoolean() ? HOUR_MILLIS : -HOUR_MILLIS;
-            at(at, "wall clock off by " + offset + " ms", () -> actions.stepWallClock(offset));
+            addEvent(at, "wall clock off by " + offset + " ms", () -> actions.setWallClockOffset(offset));
         }
     }
 
     // ---- discovery ----
 
-    private void planDiscoveryFault(long at, long length) {
-        long slow = 500L + random.nextInt(4_000);
+    private void planDiscoveryFault(long at, long faultMillis) {
+        long slowMillis = 500L + random.nextInt(4_000);
         boolean resetsWatches = random.nextInt(3) > 0;
         switch (random.nextInt(8)) {
             case 0 ->
                     planBehaviour(
                             at,
-                            length,
-                            DiscoveryBehaviour.delayed(slow),
+                            faultMillis,
+                            DiscoveryBehaviour.delayed(slowMillis),
                             resetsWatches,
-                            "first byte after " + slow);
+                            "first byte after " + slowMillis);
             case 1 ->
                     planBehaviour(
                             at,
-                            length,
-                            DiscoveryBehaviour.trickling(slow),
+                            faultMillis,
+                            DiscoveryBehaviour.trickling(slowMillis),
                             resetsWatches,
-                            "lists trickle for " + slow);
-            case 2 -> planCallQueue(at, length, resetsWatches);
+                            "lists trickle for " + slowMillis);
+            case 2 -> planCallQueue(at, faultMillis, resetsWatches);
             case 3 ->
                     planBehaviour(
                             at,
-                            length,
+                            faultMillis,
                             DiscoveryBehaviour.rejecting(),
                             resetsWatches,
                             "every call is rejected");
             case 4 ->
                     planBehaviour(
                             at,
-                            length,
+                            faultMillis,
                             DiscoveryBehaviour.unresponsive(),
                             resetsWatches,
                             "calls get no answer");
-            case 5 -> planSilentWatches(at, length);
+            case 5 -> planSilentWatches(at, faultMillis);
             case 6 -> {
-                at(at, "discovery: down", actions::stopDiscovery);
-                planRestore(at, length, "discovery: up");
+                addEvent(at, "discovery: down", actions::stopDiscovery);
+                planRestore(at, faultMillis, "discovery: up");
             }
             default -> {
-                at(at, "discovery: cut off", actions::cutOffDiscovery);
-                planRestore(at, length, "discovery: reachable");
+                addEvent(at, "discovery: cut off", actions::cutOffDiscovery);
+                planRestore(at, faultMillis, "discovery: reachable");
             }
         }
     }
 
-    private void planRestore(long at, long length, String description) {
-        at(at + Math.min(length, MAX_OUTAGE_MILLIS), description, actions::restoreDiscovery);
+    private void planRestore(long at, long faultMillis, String description) {
+        addEvent(at + Math.min(faultMillis, MAX_OUTAGE_MILLIS), description, actions::restoreDiscovery);
     }
 
-    private void planSilentWatches(long at, long length) {
-        at(at, "discovery: watches fall silent", () -> actions.setWatchesSilent(true));
-        at(at + length, "discovery: watches speak", () -> actions.setWatchesSilent(false));
+    private void planSilentWatches(long at, long faultMillis) {
+        addEvent(at, "discovery: watches fall silent", () -> actions.setWatchesSilent(true));
+        addEvent(at + faultMillis, "discovery: watches speak", () -> actions.setWatchesSilent(false));
     }
 
-    private void planCallQueue(long at, long length, boolean resetsWatches) {
-        long service = 100L + random.nextInt(1_500);
-        long timeout = 1_000L + random.nextInt(2_000);
+    private void planCallQueue(long at, long faultMillis, boolean resetsWatches) {
+        long serviceMillis = 100L + random.nextInt(1_500);
+        long timeoutMillis = 1_000L + random.nextInt(2_000);
         int limit = 1 + random.nextInt(6);
         planBehaviour(
                 at,
-                length,
-                DiscoveryBehaviour.oneAtATime(service, timeout, limit),
+                faultMillis,
+                DiscoveryBehaviour.oneAtATime(serviceMillis, timeoutMillis, limit),
                 resetsWatches,
                 "crowded: "
-                        + service
+                        + serviceMillis
                         + " ms a call, 503 after "
-                        + timeout
+                        + timeoutMillis
                         + " ms or behind "
                         + limit);
     }
 
     private void planBehaviour(
             long at,
-            long length,
+            long faultMillis,
             DiscoveryBehaviour behaviour,
             boolean resetsWatches,
             String description) {
-        DiscoveryBehaviour form = random.nextBoolean() ? behaviour.withWhiteSpace() : behaviour;
-        at(
+        DiscoveryBehaviour listBehaviour = random.nextBoolean() ? behaviour.withIndentation() : behaviour;
+        addEvent(
                 at,
                 "discovery: " + description,
-                () -> actions.setDiscoveryBehaviour(form, resetsWatches));
-        at(
-                at + length,
+                () -> actions.setDiscoveryBehaviour(listBehaviour, resetsWatches));
+        addEvent(
+                at + faultMillis,
                 "discovery: healthy",
                 () -> actions.setDiscoveryBehaviour(DiscoveryBehaviour.HEALTHY, false));
     }
@@ -189,28 +189,28 @@
         switch (random.nextInt(4)) {
             case 0, 1 -> planDrain(at, store, name);
             case 2 -> {
-                long length = 500L + random.nextInt(6_000);
-                at(at, name + " hangs", () -> actions.setStoreUnresponsive(store, true));
-                at(
-                        at + length,
+                long faultMillis = 500L + random.nextInt(6_000);
+                addEvent(at, name + " hangs", () -> actions.setStoreUnresponsive(store, true));
+                addEvent(
+                        at + faultMillis,
                         name + " goes on",
                         () -> actions.setStoreUnresponsive(store, false));
             }
-            default -> at(at, name + " resets its connections", () -> actions.resetStore(store));
+            default -> addEvent(at, name + " resets its connections", () -> actions.resetStore(store));
         }
     }
 
     private void planDrain(long at, int store, String name) {
-        long back = at + 6_000 + random.nextInt(6_000);
-        boolean vanishes = random.nextBoolean();
-        at(at, name + " drains", () -> actions.listStore(store, Endpoint.State.DRAINING));
-        if (vanishes) {
-            at(
+        long servingAgainAt = at + 6_000 + random.nextInt(6_000);
+        boolean isRemoved = random.nextBoolean();
+        addEvent(at, name + " drains", () -> actions.listStore(store, Endpoint.State.DRAINING));
+        if (isRemoved) {
+            addEvent(
                     at + 1_000 + random.nextInt(3_000),
                     name + " is gone",
                     () -> actions.listStore(store, Endpoint.State.DELETED));
         }
-        at(back, name + " serves again", () -> actions.listStore(store, Endpoint.State.SERVING));
+        addEvent(servingAgainAt, name + " serves again", () -> actions.listStore(store, Endpoint.State.SERVING));
     }
 
     // ---- gateways ----
@@ -219,20 +219,20 @@
         int gateway = random.nextInt(gateways);
         switch (random.nextInt(6)) {
             case 0 ->
-                    at(
+                    addEvent(
                             at,
                             "gateway " + gateway + " is killed",
                             () -> actions.restartGateway(gateway, false));
             case 1, 2 -> planStop(at, gateway);
             case 3 -> planMove(at, gateway, "discovery moves for gateway " + gateway);
             case 4 -> {
-                long unreadable = 300L + random.nextInt(6_000);
-                at(
+                long unreadableMillis = 300L + random.nextInt(6_000);
+                addEvent(
                         at,
                         "discovery moves for gateway " + gateway + ", its file cannot be read",
-                        () -> actions.moveDiscoveryUnreadably(gateway));
-                at(
-                        at + unreadable,
+                        () -> actions.moveDiscoveryWithUnreadableConfig(gateway));
+                addEvent(
+                        at + unreadableMillis,
                         "the file of gateway " + gateway + " can be read",
                         () -> actions.restoreConfig(gateway));
             }
@@ -245,11 +245,11 @@
     }
 
     private void planMove(long at, int gateway, String description) {
-        at(at, description, () -> actions.moveDiscovery(gateway));
+        addEvent(at, description, () -> actions.moveDiscovery(gateway));
     }
 
     private void planStop(long at, int gateway) {
-        at(
+        addEvent(
                 at,
                 "gateway " + gateway + " is told to end",
                 () -> actions.restartGateway(gateway, true));
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -23,7 +23,7 @@
     private static final int CLIENTS = 4;
     private static final long CLIENT_PAUSE_MILLIS = 45;
     private static final double DISCONNECTING_SHARE = 0.08;
-    private static final int HANGUPS_IGNORED_ONE_IN = 6;
+    private static final int SIGHUP_IGNORED_ONE_IN = 6;
 
     /** Two polls of discovery at the longest gap, and the time of the first one. */
     private static final long MAX_RECOVERY_MILLIS = 12_000;
@@ -56,11 +56,11 @@
         this.operator = new SoakOperator(seed, fleet, shim);
         if (shim != null) {
             int failuresInTenThousand = random.nextInt(2) == 0 ? 0 : 5 + random.nextInt(40);
-            shim.environment(seed, failuresInTenThousand).forEach(fleet::environment);
+            shim.environment(seed, failuresInTenThousand).forEach(fleet::setEnvironment);
             addToJournal("system calls fail " + failuresInTenThousand + " in 10,000");
         }
-        if (random.nextInt(HANGUPS_IGNORED_ONE_IN) == 0) {
-            fleet.launchWithHangupsIgnored();
+        if (random.nextInt(SIGHUP_IGNORED_ONE_IN) == 0) {
+            fleet.launchWithSighupIgnored();
             addToJournal("gateways are started with SIGHUP ignored");
         }
     }
@@ -74,7 +74,7 @@
                         + " ms, wall "
                         + Instant.now());
         for (int i = 0; i < gateways; i++) {
-            fleet.load(
+            fleet.startLoad(
                     i,
                     CLIENTS,
                     new ClientLoad.ClientBehaviour(
@@ -162,7 +162,7 @@
         List<String> violations = new ArrayList<>(operator.failures());
         violations.addAll(failures);
         violations.addAll(new DrainRule(fleet).violations(arrivals, requests));
-        AnswerRule answers = new AnswerRule(operator.endings(), operator.openedIdleConnections());
+        AnswerRule answers = new AnswerRule(operator.terminations(), operator.openedIdleConnections());
         violations.addAll(answers.violations(arrivals, requests));
         return violations;
     }
--- a/src/main/java/sagepulley/faultinjection/StoreServer.java
+++ b/src/main/java/sagepulley/faultinjection/StoreServer.java
@@ -74,8 +74,8 @@
     }
 
     /** Its line in the endpoint list. */
-    Endpoint endpoint(Endpoint.State state, long startedAtWallMs) {
-        return new Endpoint(id, port, cell, state, startedAtWallMs);
+    Endpoint endpoint(Endpoint.State state, long startedAtWallMillis) {
+        return new Endpoint(id, port, cell, state, startedAtWallMillis);
     }
 
     private void serve(RespPeer peer) throws IOException, InterruptedException {
@@ -103,7 +103,7 @@
     }
 
     /** Ends all connections that stand by a reset, and goes on. */
-    void resetAll() {
+    void resetConnections() {
         connections.forEach(BackgroundTasks::reset);
     }
 
--- a/src/main/java/sagepulley/faultinjection/SystemCallShim.java
+++ b/src/main/java/sagepulley/faultinjection/SystemCallShim.java
@@ -23,7 +23,7 @@
     private SystemCallShim(Path built, Path clock) throws IOException {
         this.built = built;
         this.clock = clock;
-        step(0);
+        setWallClockOffset(0);
     }
 
     /** Compiled once; null on a machine without a C compiler. */
@@ -60,9 +60,9 @@
     }
 
     /** Moves the wall clock of all processes that load it, in milliseconds against the true one. */
-    void step(long ms) throws IOException {
+    void setWallClockOffset(long millis) throws IOException {
         ByteBuffer offset = ByteBuffer.allocate(Long.BYTES).order(ByteOrder.nativeOrder());
-        offset.putLong(ms * 1_000_000).flip();
+        offset.putLong(millis * 1_000_000).flip();
         try (FileChannel file =
                 FileChannel.open(clock, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             file.write(offset, 0);
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -53,7 +53,7 @@
             discovery.endpoints.set(store.endpoint(Endpoint.State.SERVING, 0));
         }
         for (int i = 0; i < size; i++) {
-            listenAddresses.put(i, Ports.free());
+            listenAddresses.put(i, Ports.allocate());
             discoveryAddresses.put(i, discovery.listenFor(i));
         }
     }
@@ -64,17 +64,17 @@
     }
 
     /** Variables for each gateway process that starts from now on. */
-    void environment(String name, String value) {
+    void setEnvironment(String name, String value) {
         environment.put(name, value);
     }
 
     /** As under nohup: each gateway process that starts from now on has SIGHUP ignored. */
-    void launchWithHangupsIgnored() {
-        launchThrough("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
+    void launchWithSighupIgnored() {
+        setLauncher("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
     }
 
     /** A command in front of each gateway process that starts from now on. */
-    void launchThrough(String... command) {
+    void setLauncher(String... command) {
         launcher.clear();
         launcher.addAll(List.of(command));
     }
@@ -95,7 +95,7 @@
     }
 
     /** Clients of one gateway, which send requests from now on. */
-    ClientLoad load(int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
+    ClientLoad startLoad(int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
         ClientLoad load =
                 new ClientLoad(
                         gateway,
@@ -184,8 +184,8 @@
                 """
                 .formatted(
                         number,
-                        text(listenAddresses.get(number)),
-                        text(discoveryAddresses.get(number)),
+                        hostAndPort(listenAddresses.get(number)),
+                        hostAndPort(discoveryAddresses.get(number)),
                         number + 1,
                         SOCKETS,
                         discovery.endpoints.revision(),
@@ -199,7 +199,7 @@
                         stores.size());
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
--- a/src/main/java/sagepulley/standin/AnswerWriter.java
+++ b/src/main/java/sagepulley/standin/AnswerWriter.java
@@ -21,7 +21,7 @@
 
     private final Channel channel;
     private final Faults faults;
-    private boolean flushDue;
+    private boolean flushScheduled;
 
     AnswerWriter(Channel channel, Faults faults) {
         this.channel = channel;
@@ -52,18 +52,18 @@
                             attempt + UNKNOWN_ATTEMPT_OFFSET, answer, Unpooled.EMPTY_BUFFER));
         }
         channel.write(StoreMessages.answer(attempt, answer, payload));
-        flushSoon();
+        scheduleFlush();
     }
 
-    private void flushSoon() {
-        if (flushDue) {
+    private void scheduleFlush() {
+        if (flushScheduled) {
             return;
         }
-        flushDue = true;
+        flushScheduled = true;
         channel.eventLoop()
                 .execute(
                         () -> {
-                            flushDue = false;
+                            flushScheduled = false;
                             channel.flush();
                         });
     }
--- a/src/main/java/sagepulley/standin/BlockStore.java
+++ b/src/main/java/sagepulley/standin/BlockStore.java
@@ -36,7 +36,7 @@
     }
 
     /** Whether anything of an extent was ever written here. */
-    boolean has(int volume, long extent) {
+    boolean contains(int volume, long extent) {
         ExtentKey key = new ExtentKey(volume, extent);
         try {
             return folder == null ? memory.containsKey(key) : file(key, false) != null;
@@ -73,19 +73,19 @@
     }
 
     /** Writes a range of an extent, durably at once or with the next flush. */
-    void write(int volume, long extent, int offset, ByteBuf data, boolean nowDurable)
+    void write(int volume, long extent, int offset, ByteBuf data, boolean forceNow)
             throws IOException {
         ExtentKey key = new ExtentKey(volume, extent);
         if (folder != null) {
-            writeFile(key, offset, data, nowDurable);
+            writeFile(key, offset, data, forceNow);
             return;
         }
         byte[] content = memory.computeIfAbsent(key, any -> new byte[extentBytes]);
-        if (!nowDurable) {
+        if (!forceNow) {
             durable.computeIfAbsent(key, any -> content.clone());
         }
         copy(data, content, offset);
-        if (nowDurable && durable.containsKey(key)) {
+        if (forceNow && durable.containsKey(key)) {
             copy(data, durable.get(key), offset);
         }
     }
@@ -94,7 +94,7 @@
         data.getBytes(data.readerIndex(), to, offset, data.readableBytes());
     }
 
-    private void writeFile(ExtentKey key, int offset, ByteBuf data, boolean nowDurable)
+    private void writeFile(ExtentKey key, int offset, ByteBuf data, boolean forceNow)
             throws IOException {
         FileChannel file = file(key, true);
         ByteBuffer from = data.nioBuffer();
@@ -102,16 +102,16 @@
             file.write(from, offset + from.position());
         }
         dirtyFiles.add(key);
-        if (nowDurable) {
+        if (forceNow) {
             file.force(false);
             dirtyFiles.remove(key);
         }
     }
 
     /** Writes zeros. */
-    void zero(int volume, long extent, int offset, int length, boolean nowDurable)
+    void zero(int volume, long extent, int offset, int length, boolean forceNow)
             throws IOException {
-        write(volume, extent, offset, Unpooled.wrappedBuffer(new byte[length]), nowDurable);
+        write(volume, extent, offset, Unpooled.wrappedBuffer(new byte[length]), forceNow);
     }
 
     /** Makes all that was written of a volume durable. */
--- a/src/main/java/sagepulley/standin/ExecutedOperations.java
+++ b/src/main/java/sagepulley/standin/ExecutedOperations.java
@@ -5,22 +5,22 @@
 
 /** The deduplicated operations that a node executed lately, so that a retry has no effect twice. */
 final class ExecutedOperations {
-    private static final int MAX_REMEMBERED = 100_000;
+    private static final int MAX_ENTRIES = 100_000;
 
     private record OperationKey(long gateway, long number) {}
 
-    private final Map<OperationKey, Boolean> remembered =
+    private final Map<OperationKey, Boolean> executed =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<OperationKey, Boolean> eldest) {
-                    return size() > MAX_REMEMBERED;
+                protected boolean removeEldestEntry(Map.Entry<OperationKey, Boolean> oldest) {
+                    return size() > MAX_ENTRIES;
                 }
             };
 
     /** Remembers an operation of a gateway; false if it is known to have been executed. */
     boolean add(long gateway, long number) {
-        return remembered.put(new OperationKey(gateway, number), true) == null;
+        return executed.put(new OperationKey(gateway, number), true) == null;
     }
 }
--- a/src/main/java/sagepulley/standin/GatewaySession.java
+++ b/src/main/java/sagepulley/standin/GatewaySession.java
@@ -18,10 +18,10 @@
     /** What a node does on a gateway's messages; called on the node's loop. */
     interface Listener {
         /** The connection is up; the gateway has not yet said who it is. */
-        void opened(GatewaySession session);
+        void sessionOpened(GatewaySession session);
 
         /** The gateway has said who it is. */
-        void greeted(GatewaySession session);
+        void helloReceived(GatewaySession session);
 
         /** An attempt came; the listener owns its payload. */
         void attemptReceived(PendingAttempt attempt);
@@ -30,13 +30,13 @@
         void attemptCancelled(GatewaySession session, long attempt);
 
         /** The gateway asks whether the node is alive, and for its load. */
-        void healthChecked(GatewaySession session, long id);
+        void healthCheckReceived(GatewaySession session, long id);
 
         /** The gateway asks for an extent's write token. */
         void writeTokenRequested(GatewaySession session, ExtentKey extent, long requestId);
 
         /** The connection ended. */
-        void closed(GatewaySession session);
+        void sessionClosed(GatewaySession session);
     }
 
     private static final int EXTENT_KEY_BYTES = Integer.BYTES + Long.BYTES;
@@ -48,10 +48,10 @@
     private final Listener listener;
     private final AnswerWriter answers;
     private long gateway;
-    private boolean greeted;
+    private boolean helloReceived;
 
     /** Units served through this session, by volume. */
-    private final Map<Integer, Double> ownUnits = new HashMap<>();
+    private final Map<Integer, Double> sessionUnits = new HashMap<>();
 
     /** Units served for others as of this session's last answer, by volume. */
     private final Map<Integer, Double> reportedOtherUnits = new HashMap<>();
@@ -59,7 +59,7 @@
     private final Map<Long, StoreMessages.Send> unanswered = new HashMap<>();
 
     /** What came while the node was paused. */
-    private final Queue<Frame> inbox = new ArrayDeque<>();
+    private final Queue<Frame> deferredFrames = new ArrayDeque<>();
 
     GatewaySession(
             Channel channel, int node, Faults faults, TrafficRecorder recorder, Listener listener) {
@@ -100,7 +100,7 @@
 
     /** Counts units that were served through this session. */
     void countServed(int volume, double units) {
-        ownUnits.merge(volume, units, Double::sum);
+        sessionUnits.merge(volume, units, Double::sum);
     }
 
     /**
@@ -108,16 +108,16 @@
      *
      * @param servedUnits units that the node served of that volume for all
      */
-    float unitsOfOthersSinceLastAnswer(int volume, double servedUnits) {
-        double others = servedUnits - ownUnits.getOrDefault(volume, 0.0);
-        double before = reportedOtherUnits.getOrDefault(volume, others);
+    float otherUnitsSinceLastAnswer(int volume, double servedUnits) {
+        double others = servedUnits - sessionUnits.getOrDefault(volume, 0.0);
+        double previous = reportedOtherUnits.getOrDefault(volume, others);
         reportedOtherUnits.put(volume, others);
-        return (float) Math.max(0, others - before);
+        return (float) Math.max(0, others - previous);
     }
 
     /** Handles what came while the node was paused. */
-    void handleInbox() {
-        for (Frame frame = inbox.poll(); frame != null; frame = inbox.poll()) {
+    void handleDeferredFrames() {
+        for (Frame frame = deferredFrames.poll(); frame != null; frame = deferredFrames.poll()) {
             try {
                 handle(frame);
             } catch (MalformedMessageException e) {
@@ -128,18 +128,18 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        listener.opened(this);
+        listener.sessionOpened(this);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message)
             throws MalformedMessageException {
         Frame frame = (Frame) message;
-        if (greeted) {
+        if (helloReceived) {
             record(frame);
         }
         if (faults.paused) {
-            inbox.add(frame);
+            deferredFrames.add(frame);
             return;
         }
         handle(frame);
@@ -147,9 +147,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        inbox.forEach(Frame::release);
-        inbox.clear();
-        listener.closed(this);
+        deferredFrames.forEach(Frame::release);
+        deferredFrames.clear();
+        listener.sessionClosed(this);
     }
 
     @Override
@@ -189,14 +189,14 @@
     }
 
     private void dispatch(Frame frame) throws MalformedMessageException {
-        if (!greeted && frame.type() != StoreMessages.HELLO) {
+        if (!helloReceived && frame.type() != StoreMessages.HELLO) {
             throw new MalformedMessageException("message " + frame.type() + " before the hello");
         }
         switch (frame.type()) {
             case StoreMessages.HELLO -> {
                 gateway = StoreMessages.hello(frame).gateway();
-                greeted = true;
-                listener.greeted(this);
+                helloReceived = true;
+                listener.helloReceived(this);
             }
             case StoreMessages.SEND -> {
                 StoreMessages.Send send = StoreMessages.send(frame);
@@ -204,7 +204,7 @@
                         new PendingAttempt(this, frame.id(), send, frame.payload().retain()));
             }
             case StoreMessages.CANCEL -> listener.attemptCancelled(this, frame.id());
-            case StoreMessages.HEALTH_CHECK -> listener.healthChecked(this, frame.id());
+            case StoreMessages.HEALTH_CHECK -> listener.healthCheckReceived(this, frame.id());
             case StoreMessages.ACQUIRE_WRITE_TOKEN -> {
                 ByteBuf head = FrameFields.requireHead(frame, EXTENT_KEY_BYTES);
                 listener.writeTokenRequested(
--- a/src/main/java/sagepulley/standin/ServiceTime.java
+++ b/src/main/java/sagepulley/standin/ServiceTime.java
@@ -29,9 +29,9 @@
         if (!writes || profile.deferredShare() <= 0) {
             return millis;
         }
-        double putOff = millis * profile.deferredShare();
-        millis -= putOff;
-        deferredMillis += putOff;
+        double deferred = millis * profile.deferredShare();
+        millis -= deferred;
+        deferredMillis += deferred;
         long nowMillis = (long) (System.nanoTime() / NANOS_PER_MILLI);
         if (Math.floorMod(nowMillis, (long) profile.deferIntervalMillis()) < DEFERRED_RUN_MILLIS) {
             millis += deferredMillis;
--- a/src/main/java/sagepulley/standin/SlowStart.java
+++ b/src/main/java/sagepulley/standin/SlowStart.java
@@ -34,15 +34,15 @@
     }
 
     /** Counts units that arrived; whether the node collapses under them. */
-    boolean collapsesUnder(double units) {
+    boolean causesCollapse(double units) {
         double nowMillis = System.nanoTime() / NANOS_PER_MILLI;
         recentUnits.add(nowMillis, units);
         double share = capacityShare();
         double windowSeconds = profile.overloadWindowMillis() / MILLIS_PER_SECOND;
-        double bearable =
+        double maxUnits =
                 profile.overloadMultiple() * share * profile.unitsPerSecond() * windowSeconds;
         return share < 1
                 && recentUnits.sumUnderestimate(nowMillis)
-                        > Math.max(profile.slowStartUnits(), bearable);
+                        > Math.max(profile.slowStartUnits(), maxUnits);
     }
 }
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -43,7 +43,7 @@
     private final Map<ExtentKey, Integer> holders = new HashMap<>();
     private final List<ClientSession> sessions = new ArrayList<>();
     private long version;
-    private long claims;
+    private long claimsAnswered;
     private volatile double notificationDelayMillis;
     private volatile double answerDelayMillis;
 
@@ -85,13 +85,13 @@
     }
 
     /** Answers nothing while this is set, though connections stand. */
-    public void setUnresponsive(boolean now) {
-        unresponsive = now;
+    public void setUnresponsive(boolean value) {
+        unresponsive = value;
     }
 
     /** Answers every request that it failed while this is set. */
-    public void setFailing(boolean now) {
-        failing = now;
+    public void setFailing(boolean value) {
+        failing = value;
     }
 
     /**
@@ -151,7 +151,7 @@
     /** How many extents have a holder, and how many claims were answered. */
     public CompletableFuture<long[]> counts() {
         CompletableFuture<long[]> counts = new CompletableFuture<>();
-        loop.execute(() -> counts.complete(new long[] {holders.size(), claims}));
+        loop.execute(() -> counts.complete(new long[] {holders.size(), claimsAnswered}));
         return counts;
     }
 
@@ -284,7 +284,7 @@
             ExtentKey extent = new ExtentKey(head.readInt(), head.readLong());
             int cell = head.readInt();
             Integer holder = holders.putIfAbsent(extent, cell);
-            claims++;
+            claimsAnswered++;
             channel.writeAndFlush(
                     DirectoryMessages.holder(frame.id(), holder == null ? cell : holder));
         }
@@ -296,7 +296,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             sessions.remove(this);
             if (registered != null && lines.get(registered.node()) == registered) {
-                update(gone(registered));
+                update(withPhaseGone(registered));
             }
         }
 
@@ -306,7 +306,7 @@
         }
     }
 
-    private static DirectoryMessages.EndpointLine gone(DirectoryMessages.EndpointLine line) {
+    private static DirectoryMessages.EndpointLine withPhaseGone(DirectoryMessages.EndpointLine line) {
         return new DirectoryMessages.EndpointLine(
                 line.node(),
                 line.cell(),
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -112,7 +112,7 @@
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    goDown();
+                    shutDown();
                     blockStore.close();
                     stopped.complete(null);
                 });
@@ -131,7 +131,7 @@
         CompletableFuture<Void> down = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    goDown();
+                    shutDown();
                     lostData |= blockStore.failPower();
                     down.complete(null);
                 });
@@ -161,8 +161,8 @@
         loop.execute(
                 () -> {
                     if (!faults.paused) {
-                        List.copyOf(sessions).forEach(GatewaySession::handleInbox);
-                        serve();
+                        List.copyOf(sessions).forEach(GatewaySession::handleDeferredFrames);
+                        startQueuedAttempts();
                     }
                 });
     }
@@ -200,7 +200,7 @@
                 new GatewaySession(channel, profile.id(), faults, recorder, new SessionListener()));
     }
 
-    private void goDown() {
+    private void shutDown() {
         incarnation++;
         server.close();
         closeSessions();
@@ -217,25 +217,25 @@
 
     // ---- attempts ----
 
-    private void accept(PendingAttempt attempt) {
-        if (slowStart.collapsesUnder(attempt.send.units())) {
+    private void admit(PendingAttempt attempt) {
+        if (slowStart.causesCollapse(attempt.send.units())) {
             collapsed = true;
             attempt.payload.release();
             recorder.nodeCollapsed(profile.id(), System.nanoTime());
-            goDown();
+            shutDown();
             return;
         }
-        Optional<StoreMessages.Code> rejection = rejection(attempt);
-        if (rejection.isPresent()) {
+        Optional<StoreMessages.Code> rejectionCode = rejectionCode(attempt);
+        if (rejectionCode.isPresent()) {
             attempt.payload.release();
-            answer(attempt, rejection.get(), Unpooled.EMPTY_BUFFER);
+            answer(attempt, rejectionCode.get(), Unpooled.EMPTY_BUFFER);
             return;
         }
         queue.add(attempt);
-        serve();
+        startQueuedAttempts();
     }
 
-    private Optional<StoreMessages.Code> rejection(PendingAttempt attempt) {
+    private Optional<StoreMessages.Code> rejectionCode(PendingAttempt attempt) {
         StoreMessages.Send send = attempt.send;
         if (draining) {
             return Optional.of(StoreMessages.Code.DRAINING);
@@ -243,7 +243,7 @@
         if (faults.rejecting || queue.size() >= profile.queueLimit()) {
             return Optional.of(StoreMessages.Code.FULL);
         }
-        if (send.extentMustExist() && !blockStore.has(send.volume(), send.extent())) {
+        if (send.extentMustExist() && !blockStore.contains(send.volume(), send.extent())) {
             return Optional.of(StoreMessages.Code.NOT_EXECUTED);
         }
         if (lacksWriteToken(attempt)) {
@@ -257,7 +257,7 @@
         return attempt.send.kind().modifiesData() && !writeTokens.isHeldBy(attempt.session, extent);
     }
 
-    private void serve() {
+    private void startQueuedAttempts() {
         while (busySlots < profile.slots() && !queue.isEmpty() && !faults.paused) {
             PendingAttempt attempt = queue.poll();
             if (attempt.cancelled || !attempt.session.isActive()) {
@@ -267,11 +267,11 @@
             }
             // Work is begun in the order it came, and has its effect when it begins: no later write
             // of an extent can be undone by an earlier one.
-            begin(attempt);
+            startAttempt(attempt);
         }
     }
 
-    private void begin(PendingAttempt attempt) {
+    private void startAttempt(PendingAttempt attempt) {
         attempt.startedAtNanos = System.nanoTime();
         if (lacksWriteToken(attempt)) {
             attempt.payload.release();
@@ -296,7 +296,7 @@
         } else {
             countServed(attempt);
         }
-        finish(attempt, code, result);
+        answerAfterServiceTime(attempt, code, result);
     }
 
     private void countServed(PendingAttempt attempt) {
@@ -307,7 +307,7 @@
     }
 
     /** Answers once the attempt's service time is over, unless the node went down meanwhile. */
-    private void finish(PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
+    private void answerAfterServiceTime(PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
         double millis =
                 serviceTime.millis(attempt.send)
                         * faults.slowdownFactor
@@ -317,16 +317,16 @@
             return;
         }
         busySlots++;
-        int startedIn = incarnation;
+        int startIncarnation = incarnation;
         loop.schedule(
                 () -> {
-                    if (incarnation != startedIn) {
+                    if (incarnation != startIncarnation) {
                         result.release();
                         return;
                     }
                     busySlots--;
                     answer(attempt, code, result);
-                    serve();
+                    startQueuedAttempts();
                 },
                 (long) (millis * NANOS_PER_MILLI),
                 TimeUnit.NANOSECONDS);
@@ -409,7 +409,7 @@
                 new StoreMessages.Answer(
                         code,
                         0,
-                        session.unitsOfOthersSinceLastAnswer(send.volume(), served),
+                        session.otherUnitsSinceLastAnswer(send.volume(), served),
                         (started - attempt.receivedAtNanos) / (float) NANOS_PER_MILLI,
                         (now - started) / (float) NANOS_PER_MILLI,
                         loadReport()),
@@ -432,12 +432,12 @@
 
     private final class SessionListener implements GatewaySession.Listener {
         @Override
-        public void opened(GatewaySession session) {
+        public void sessionOpened(GatewaySession session) {
             sessions.add(session);
         }
 
         @Override
-        public void greeted(GatewaySession session) {
+        public void helloReceived(GatewaySession session) {
             // An older session of the same gateway ends first: nothing that it still holds can come
             // late.
             for (GatewaySession older : List.copyOf(sessions)) {
@@ -450,7 +450,7 @@
 
         @Override
         public void attemptReceived(PendingAttempt attempt) {
-            accept(attempt);
+            admit(attempt);
         }
 
         @Override
@@ -468,7 +468,7 @@
         }
 
         @Override
-        public void healthChecked(GatewaySession session, long id) {
+        public void healthCheckReceived(GatewaySession session, long id) {
             if (!faults.unresponsive) {
                 session.send(StoreMessages.healthReport(id, loadReport()));
             }
@@ -480,7 +480,7 @@
         }
 
         @Override
-        public void closed(GatewaySession session) {
+        public void sessionClosed(GatewaySession session) {
             sessions.remove(session);
             writeTokens.release(session);
         }
--- a/src/main/java/sagepulley/standin/TrafficRecorder.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -21,14 +21,14 @@
     default void attemptAnswered(
             int node,
             long gateway,
-            long mark,
-            int number,
+            long operationId,
+            int attemptNumber,
             StoreMessages.Code code,
             boolean lost,
             long nanos) {}
 
     /** An attempt was cancelled by its gateway. */
-    default void attemptCancelled(int node, long gateway, long mark, int number, long nanos) {}
+    default void attemptCancelled(int node, long gateway, long operationId, int attemptNumber, long nanos) {}
 
     /**
      * A node began to serve after a start.
--- a/src/main/java/sagepulley/standin/WriteTokens.java
+++ b/src/main/java/sagepulley/standin/WriteTokens.java
@@ -40,7 +40,7 @@
     void request(GatewaySession session, ExtentKey extent, long requestId) {
         Token token = tokens.computeIfAbsent(extent, any -> new Token());
         token.waiting.add(new Request(session, requestId));
-        pass(extent, token);
+        grantToWaiting(extent, token);
     }
 
     /** The tokens of a session that ended, unless others wait for them, are nobody's. */
@@ -52,7 +52,7 @@
         tokens.clear();
     }
 
-    private void pass(ExtentKey extent, Token token) {
+    private void grantToWaiting(ExtentKey extent, Token token) {
         while (!token.waiting.isEmpty()) {
             Request request = token.waiting.peek();
             long heldNanos = System.nanoTime() - token.heldSinceNanos;
@@ -62,7 +62,7 @@
                             && token.holder.isActive();
             if (held && heldNanos < MIN_HOLD_NANOS) {
                 loop.schedule(
-                        () -> pass(extent, token),
+                        () -> grantToWaiting(extent, token),
                         MIN_HOLD_NANOS - heldNanos,
                         TimeUnit.NANOSECONDS);
                 return;
--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -27,34 +27,34 @@
     private static final int IDLE_CLIENTS = 150;
 
     /** Longer than 6 s, the grace of 1 s, and some seconds of sending. */
-    private static final long WATCHED_MS = 12_000;
+    private static final long OBSERVED_MILLIS = 12_000;
 
     @TempDir Path folder;
 
     @Test
-    void whileIdleClientsHoldThemAllTheListIsStillBoundedAndANewConfigurationIsStillActedOn()
+    void keepsDrainGraceAndReloadsWhileIdleClientsHoldAllDescriptors()
             throws Exception {
         List<Socket> idle = new ArrayList<>();
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            fleet.launchThrough("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
+            fleet.setLauncher("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 11);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 11);
             Thread.sleep(1_000);
-            fillWith(idle, gateway);
-            fleet.discovery.goDown();
+            openIdleConnections(idle, gateway);
+            fleet.discovery.stop();
             FleetChecks.drain(fleet, 0);
             Thread.sleep(1_000);
             fleet.moveDiscovery(gateway);
             await().until(() -> gateway.logText().contains("Too many open files"));
-            fleet.discovery.comeBack();
+            fleet.discovery.restore();
             FleetChecks.drain(fleet, 1);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
             idle.forEach(BackgroundTasks::close);
             Thread.sleep(3_000);
             FleetChecks.assertServedAgain(fleet);
             FleetChecks.drain(fleet, 2);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
             assertTrue(gateway.isAlive(), gateway::logText);
         } finally {
@@ -62,7 +62,7 @@
         }
     }
 
-    private static void fillWith(List<Socket> idle, GatewayProcess gateway)
+    private static void openIdleConnections(List<Socket> idle, GatewayProcess gateway)
             throws InterruptedException {
         for (int i = 0; i < IDLE_CLIENTS; i++) {
             Socket socket = new Socket();
--- a/src/test/java/sagepulley/faultinjection/FleetChecks.java
+++ b/src/test/java/sagepulley/faultinjection/FleetChecks.java
@@ -20,17 +20,17 @@
 
     static void assertNoSendAfterGrace(TestFleet fleet) {
         List<Request> requests = fleet.requests();
-        List<String> broken = new DrainRule(fleet).violations(fleet.arrivals(), requests);
+        List<String> violations = new DrainRule(fleet).violations(fleet.arrivals(), requests);
         assertTrue(!requests.isEmpty(), "no request was made");
         assertEquals(
                 0,
-                broken.size(),
+                violations.size(),
                 () ->
-                        broken.size()
+                        violations.size()
                                 + " of "
                                 + requests.size()
                                 + " requests; the last: "
-                                + broken.get(broken.size() - 1)
+                                + violations.get(violations.size() - 1)
                                 + "\n"
                                 + fleet.gateways.get(fleet.gateways.size() - 1).logText());
     }
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -23,33 +23,33 @@
     private static final int SIGNALS = 20;
     private static final int FAILURES_IN_TEN_THOUSAND = 45;
     private static final long SHIM_SEED = 7;
-    private static final long HOUR_MS = 3_600_000;
-    private static final long ACTED_ON_WITHIN_S = 5;
+    private static final long HOUR_MILLIS = 3_600_000;
+    private static final long MAX_RELOAD_SECONDS = 5;
 
     /** Longer than a reload's 4 s, the grace of 1 s, and some seconds of sending. */
-    private static final long WATCHED_MS = 10_000;
+    private static final long OBSERVED_MILLIS = 10_000;
 
     @TempDir Path folder;
 
     @Test
-    void eachSignalIsActedOnWhileSystemCallsFailAndTheWallClockSteps() throws Exception {
+    void reloadsOnEachSignalWhileSystemCallsFailAndTheWallClockSteps() throws Exception {
         SystemCallShim shim = SystemCallShim.in(folder);
         assumeTrue(shim != null, "there is no C compiler");
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            shim.environment(SHIM_SEED, FAILURES_IN_TEN_THOUSAND).forEach(fleet::environment);
+            shim.environment(SHIM_SEED, FAILURES_IN_TEN_THOUSAND).forEach(fleet::setEnvironment);
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 7);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 7);
             for (int i = 0; i < SIGNALS; i++) {
-                shim.step((i % 3 - 1) * HOUR_MS);
+                shim.setWallClockOffset((i % 3 - 1) * HOUR_MILLIS);
                 boolean isDown = i % 5 == 2;
                 if (isDown) {
-                    fleet.discovery.goDown();
+                    fleet.discovery.stop();
                 }
                 gateway.suspend("0.05");
                 fleet.moveDiscovery(gateway);
-                awaitActedOn(fleet, gateway);
+                awaitReloaded(fleet, gateway);
                 if (isDown) {
-                    fleet.discovery.comeBack();
+                    fleet.discovery.restore();
                 }
             }
         }
@@ -57,19 +57,19 @@
 
     /** As under nohup: the JVM leaves a signal ignored that was ignored at its start. */
     @Test
-    void aProcessThatWasStartedWithHangupsIgnoredFollowsItsFile() throws Exception {
+    void reloadsWhenStartedWithSighupIgnored() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            fleet.launchThrough("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
+            fleet.setLauncher("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 8);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 8);
             Thread.sleep(1_000);
-            fleet.discovery.goDown();
+            fleet.discovery.stop();
             FleetChecks.drain(fleet, 0);
             fleet.moveDiscovery(gateway);
-            fleet.discovery.comeBack();
-            Thread.sleep(WATCHED_MS);
+            fleet.discovery.restore();
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
-            awaitActedOn(fleet, gateway);
+            awaitReloaded(fleet, gateway);
             FleetChecks.assertServedAgain(fleet);
         }
     }
@@ -79,10 +79,10 @@
      * the same.
      */
     @Test
-    void aConfigurationThatCannotBeReadAtFirstStopsTheLeaseAndIsReadAgain() throws Exception {
+    void unreadableConfigurationEndsTheLeaseAndIsReadAgain() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 9);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 9);
             Thread.sleep(1_000);
             fleet.discovery.watchesSilent = true;
             FleetChecks.drain(fleet, 0);
@@ -90,11 +90,11 @@
             fleet.makeConfigUnreadable(0);
             fleet.signalReload(gateway);
             FleetChecks.drain(fleet, 1);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
             fleet.discovery.watchesSilent = false;
             fleet.moveDiscovery(0);
-            awaitActedOn(fleet, gateway);
+            awaitReloaded(fleet, gateway);
             FleetChecks.assertServedAgain(fleet);
         }
     }
@@ -104,26 +104,26 @@
      * another signal.
      */
     @Test
-    void aConfigurationThatIsWrongLeavesAllAsItWasUntilItIsMended() throws Exception {
+    void invalidConfigurationChangesNothingAndTheCorrectedFileIsLoaded() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 10);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 10);
             Thread.sleep(1_000);
             Files.writeString(fleet.configFile(0), "{\"name\": \"n0\"}");
             fleet.signalReload(gateway);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertServedAgain(fleet);
             fleet.moveDiscovery(0);
-            awaitActedOn(fleet, gateway);
+            awaitReloaded(fleet, gateway);
             FleetChecks.assertServedAgain(fleet);
         }
     }
 
-    private static void awaitActedOn(TestFleet fleet, GatewayProcess gateway) {
+    private static void awaitReloaded(TestFleet fleet, GatewayProcess gateway) {
         String line =
                 "configuration reloaded discovery=/127.0.0.1:"
                         + fleet.discoveryAddress(0).getPort();
-        await().atMost(ACTED_ON_WITHIN_S, TimeUnit.SECONDS)
+        await().atMost(MAX_RELOAD_SECONDS, TimeUnit.SECONDS)
                 .untilAsserted(
                         () ->
                                 assertTrue(
--- a/src/test/java/sagepulley/faultinjection/SoakPlanTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakPlanTest.java
@@ -19,7 +19,7 @@
             "da923f71f2ec1621ed3c155bd366fc9911203cce8d32a50414e297760b7338c2";
 
     @Test
-    void aSeedGivesTheSamePlanAsEver() throws Exception {
+    void sameSeedGivesSamePlanAcrossVersions() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
         for (long seed = 1; seed <= SEEDS; seed++) {
             Random random = new Random(seed);
--- a/src/test/java/sagepulley/faultinjection/SoakTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakTest.java
@@ -26,17 +26,17 @@
 
     @ParameterizedTest(name = "seed {0}")
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void noRuleIsBroken(long seed) throws Exception {
+    void seededRunHasNoViolations(long seed) throws Exception {
         try (SoakRun run = new SoakRun(seed, folder, LENGTH_MILLIS)) {
-            List<String> broken = run.violations();
+            List<String> violations = run.violations();
             assertTrue(
-                    broken.isEmpty(),
+                    violations.isEmpty(),
                     () ->
-                            broken.size()
+                            violations.size()
                                     + " violations; "
                                     + String.join(
                                             "\n  ",
-                                            broken.subList(0, Math.min(MAX_SHOWN, broken.size())))
+                                            violations.subList(0, Math.min(MAX_SHOWN, violations.size())))
                                     + "\n"
                                     + run.journalText());
             assertTrue(run.served() > MIN_SERVED, run::journalText);
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -19,11 +19,11 @@
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
 class StaleEndpointsTest {
-    private static final long WATCHED_MILLIS = 13_000;
+    private static final long OBSERVED_MILLIS = 13_000;
 
     @TempDir Path folder;
 
-    static Stream<Arguments> unhelpfulDiscoveries() {
+    static Stream<Arguments> unansweringDiscoveries() {
         return Stream.of(
                 Arguments.of("rejects every call", DiscoveryBehaviour.rejecting()),
                 Arguments.of("accepts calls and says nothing", DiscoveryBehaviour.unresponsive()),
@@ -35,16 +35,16 @@
     /** As n44 of the incident: killed, started anew, and no call of it is ever answered. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("unhelpfulDiscoveries")
-    void aRestartedProcessWithoutAListSendsNothingToWhatHasDrained(
-            String what, DiscoveryBehaviour behaviour) throws Exception {
+    void restartedProcessWithoutListSendsNothingToDrainedEndpoint(
+            String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.start(0).awaitReady().kill();
             GatewayProcess restarted = fleet.start(0);
             fleet.discovery.behaviour = behaviour;
             FleetChecks.drain(fleet, 0);
             restarted.awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 1);
-            Thread.sleep(WATCHED_MILLIS);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 1);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
     }
@@ -52,10 +52,10 @@
     /** A process that had a list, lost its watch, and is not answered any more. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("unhelpfulDiscoveries")
-    void aProcessThatLostItsWatchSendsNothingToWhatHasDrained(
-            String what, DiscoveryBehaviour behaviour) throws Exception {
+    void processWithLostWatchSendsNothingToDrainedEndpoint(
+            String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            drainAfterTheWatchIsLost(fleet, behaviour, 2);
+            drainAfterWatchReset(fleet, behaviour, 2);
             fleet.discovery.behaviour = DiscoveryBehaviour.HEALTHY;
             FleetChecks.assertServedAgain(fleet);
         }
@@ -63,15 +63,15 @@
 
     /** A watch that stands and is silent, while new calls are not answered. */
     @Test
-    void aProcessWhoseWatchFellSilentSendsNothingToWhatHasDrained() throws Exception {
+    void processWithSilentWatchSendsNothingToDrainedEndpoint() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 3);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 3);
             Thread.sleep(1_000);
             fleet.discovery.behaviour = DiscoveryBehaviour.unresponsive();
             fleet.discovery.watchesSilent = true;
             FleetChecks.drain(fleet, 0);
-            Thread.sleep(WATCHED_MILLIS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
     }
@@ -88,40 +88,40 @@
     /** However slow its answers are, they come: the list has to be taken, and service goes on. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("slowDiscoveries")
-    void aDiscoveryThatAnswersSlowlyIsHeard(String what, DiscoveryBehaviour behaviour)
+    void listFromSlowDiscoveryIsApplied(String description, DiscoveryBehaviour behaviour)
             throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            drainAfterTheWatchIsLost(fleet, behaviour, 4);
+            drainAfterWatchReset(fleet, behaviour, 4);
             FleetChecks.assertServedAgain(fleet);
         }
     }
 
     /** While nothing can be told, nothing counts as told: an outage alone stops no service. */
     @Test
-    void aDiscoveryThatIsDownStopsNoService() throws Exception {
+    void discoveryOutageAloneStopsNoService() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 5);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 5);
             Thread.sleep(1_000);
-            fleet.discovery.goDown();
-            Thread.sleep(WATCHED_MILLIS);
+            fleet.discovery.stop();
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertServedAgain(fleet);
             FleetChecks.drain(fleet, 0);
-            fleet.discovery.comeBack();
-            Thread.sleep(WATCHED_MILLIS);
+            fleet.discovery.restore();
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
         }
     }
 
-    private static void drainAfterTheWatchIsLost(
+    private static void drainAfterWatchReset(
             TestFleet fleet, DiscoveryBehaviour behaviour, long seed) throws Exception {
         fleet.start(0).awaitReady();
-        fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, seed);
+        fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, seed);
         Thread.sleep(1_000);
         fleet.discovery.behaviour = behaviour;
-        fleet.discovery.resetAll();
+        fleet.discovery.resetConnections();
         FleetChecks.drain(fleet, 0);
-        Thread.sleep(WATCHED_MILLIS);
+        Thread.sleep(OBSERVED_MILLIS);
         FleetChecks.assertNoSendAfterGrace(fleet);
     }
 }
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -26,43 +26,43 @@
     @TempDir Path folder;
 
     @Test
-    void allIsAnsweredAndTheProcessHasEndedBeforeTheEarliestKillThoughItIsHeldUp()
+    void answersAllRequestsAndExitsBeforeEarliestKillDespiteSuspensions()
             throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            ClientLoad load = fleet.load(0, 12, ClientLoad.ClientBehaviour.STEADY, 6);
+            ClientLoad load = fleet.startLoad(0, 12, ClientLoad.ClientBehaviour.STEADY, 6);
             Thread.sleep(1_500);
             fleet.stores.get(0).unresponsive = true;
-            long toldAt = System.nanoTime();
+            long termSentAt = System.nanoTime();
             gateway.signal("TERM");
             Thread.sleep(400);
-            load.connectElsewhere(true);
+            load.suspendNewConnections(true);
             for (long beforeKill : SUSPENDED_BEFORE_KILL_MILLIS) {
-                sleepUntil(toldAt, KILL_AFTER_MILLIS - beforeKill);
+                sleepUntil(termSentAt, KILL_AFTER_MILLIS - beforeKill);
                 if (gateway.isAlive()) {
                     gateway.suspend(SUSPEND_SECONDS);
                 }
             }
-            sleepUntil(toldAt, KILL_AFTER_MILLIS);
+            sleepUntil(termSentAt, KILL_AFTER_MILLIS);
             boolean alive = gateway.isAlive();
-            long killedAt = System.nanoTime();
+            long killSentAt = System.nanoTime();
             gateway.kill();
             load.stop();
             List<Request> requests = fleet.requests();
-            List<String> broken =
+            List<String> violations =
                     new AnswerRule(
                                     List.of(
-                                            new AnswerRule.Ending(
-                                                    0, toldAt, killedAt, System.nanoTime())),
+                                            new AnswerRule.Termination(
+                                                    0, termSentAt, killSentAt, System.nanoTime())),
                                     false)
                             .violations(fleet.arrivals(), requests);
-            assertEquals(List.of(), broken);
+            assertEquals(List.of(), violations);
             assertFalse(alive, "it had not ended by the earliest kill");
-            assertEquals(0, gateway.exitCode(), gateway::logText);
+            assertEquals(0, gateway.awaitExitCode(), gateway::logText);
             long lastSent =
                     requests.stream()
                             .filter(each -> each.end == Request.End.SERVED)
-                            .mapToLong(each -> each.sentAt - toldAt)
+                            .mapToLong(each -> each.sentAt - termSentAt)
                             .max()
                             .orElse(0);
             assertTrue(
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -72,12 +72,12 @@
     private final TimeZone zone = TimeZone.getDefault();
 
     @BeforeEach
-    void fixTheZone() {
+    void setTimeZoneToUtc() {
         TimeZone.setDefault(TimeZone.getTimeZone("UTC"));
     }
 
     @AfterEach
-    void restoreTheZone() {
+    void restoreTimeZone() {
         TimeZone.setDefault(zone);
     }
 
@@ -97,7 +97,7 @@
     // ---- command line ----
 
     @Test
-    void commandsAndOptions() throws IOException {
+    void commandsAndOptionsKeepTheirNames() throws IOException {
         TreeSet<String> lines = new TreeSet<>();
         collect(new CommandLine(new Commands()), lines);
         Expected.text("commands.txt", String.join("\n", lines) + "\n");
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void reportOfAccounts() throws IOException {
+    void accountsReportKeepsItsFormat() throws IOException {
         Path file = Files.copy(STORED.resolve("accounts"), folder.resolve("accounts"));
         Expected.json("report.json", printed("report", file, "--since", "100h", "--json"));
         Path html = folder.resolve("report.html");
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void listOfNodes() throws IOException {
+    void storedEndpointListKeepsItsOutput() throws IOException {
         Path file = Files.copy(STORED.resolve("nodes"), folder.resolve("nodes"));
         Expected.json("list-file.json", printed("list-file", "show", file, "--json"));
         Expected.text("list-file.txt", printed("list-file", "show", file));
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void checkedSite() throws IOException {
+    void siteCheckKeepsItsOutput() throws IOException {
         Path file = folder.resolve("site.ini");
         Files.writeString(
                 file, LocalCluster.demoSite("gw", 0, 1, 0, new InetSocketAddress("127.0.0.1", 9)));
@@ -158,7 +158,7 @@
 
     /** What drill, truth and measure print with --json, which run too long for here. */
     @Test
-    void rowsOfLongRuns() throws IOException {
+    void experimentRowsKeepTheirKeys() throws IOException {
         AttributionExperiment.Row truth =
                 new AttributionExperiment.Row(
                         "day",
@@ -198,7 +198,7 @@
 
     /** Words of scripted days that become constants of an enum. */
     @Test
-    void faultsOfScriptedDays() throws Exception {
+    void scenarioFaultWordsAreAccepted() throws Exception {
         String day = ScenarioRunner.builtIn("bad-evening");
         String nodes =
                 "silent|paused|refusing|unreachable|cut|drains|garbles|restarts cold|loses"
@@ -219,15 +219,15 @@
 
     // ---- figures over HTTP ----
 
-    private static String get(MonitoringServer watch, String path) throws Exception {
-        URI address = URI.create("http://127.0.0.1:" + watch.address().getPort() + path);
+    private static String get(MonitoringServer server, String path) throws Exception {
+        URI address = URI.create("http://127.0.0.1:" + server.address().getPort() + path);
         return HttpClient.newHttpClient()
                 .send(HttpRequest.newBuilder(address).build(), HttpResponse.BodyHandlers.ofString())
                 .body();
     }
 
     @Test
-    void metricsAndViewsOfARunningGateway() throws Exception {
+    void runningGatewayKeepsMetricNamesAndJsonKeys() throws Exception {
         try (LocalCluster cluster =
                 LocalCluster.start(
                         List.of(NodeProfile.zeroCost(1, 1 << 20)), TrafficRecorder.NO_OP, 1)) {
@@ -235,10 +235,10 @@
             SiteConfig site = SiteConfig.read("site", text);
             NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            try (MonitoringServer watch = new MonitoringServer(site, gateway, any)) {
+            try (MonitoringServer server = new MonitoringServer(site, gateway, any)) {
                 Expected.text(
                         "metrics.txt",
-                        get(watch, "/metrics")
+                        get(server, "/metrics")
                                 .lines()
                                 .map(
                                         line ->
@@ -249,7 +249,7 @@
                                 .collect(Collectors.joining("\n", "", "\n")));
                 assertEquals(
                         "at\ngateway\nnames.1\nnodes\nvolumes\n",
-                        KeyPaths.of(JSON.readTree(get(watch, "/accounts"))));
+                        KeyPaths.of(JSON.readTree(get(server, "/accounts"))));
                 assertEquals(
                         """
                         age
@@ -272,7 +272,7 @@
                         trust
                         unverifiedExtents
                         """,
-                        KeyPaths.of(JSON.readTree(get(watch, "/nodes"))));
+                        KeyPaths.of(JSON.readTree(get(server, "/nodes"))));
             } finally {
                 LocalCluster.await(gateway.stop());
             }
@@ -284,24 +284,24 @@
      * the plan.
      */
     @Test
-    void accountsOverHttp() throws IOException {
-        LatencyAccount book = AccountFile.report(STORED.resolve("accounts")).account();
+    void accountsViewKeepsItsJson() throws IOException {
+        LatencyAccount account = AccountFile.report(STORED.resolve("accounts")).account();
         MonitoringServer.View view =
                 new MonitoringServer.View(
                         "gw",
                         5,
                         Map.of(1L, "exams"),
-                        List.of(book.report(2, 0, 1e13)),
-                        book.flows(0, 1e13));
+                        List.of(account.report(2, 0, 1e13)),
+                        account.flows(0, 1e13));
         Expected.json("accounts.json", JSON.writeValueAsString(view));
-        Path earlier = Path.of("src/test/resources/external/accounts.json");
-        MonitoringServer.View read = JSON.readValue(earlier.toFile(), MonitoringServer.View.class);
+        Path committed = Path.of("src/test/resources/external/accounts.json");
+        MonitoringServer.View read = JSON.readValue(committed.toFile(), MonitoringServer.View.class);
         Expected.json("accounts.json", JSON.writeValueAsString(read));
     }
 
     /** The record that is written for /nodes, with every constant of its enums. */
     @Test
-    void nodesOverHttp() throws IOException {
+    void nodesViewKeepsItsJson() throws IOException {
         List<JsonNode> views = new ArrayList<>();
         for (ListFreshness trust :
                 List.of(ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD)) {
@@ -318,7 +318,7 @@
 
     // ---- spans ----
 
-    private static OperationTrace story(int number) {
+    private static OperationTrace trace(int number) {
         Reason reason = Reason.values()[number];
         QuotaTier quotaTier = QuotaTier.values()[number % 3];
         Outcome outcome = number == 8 ? null : Outcome.values()[number % 8];
@@ -353,11 +353,11 @@
     }
 
     @Test
-    void spansAreWrittenAsBefore() throws IOException {
+    void spansAreWrittenInStoredFormat() throws IOException {
         Path file = folder.resolve("traces");
         try (Tracer tracer = new Tracer(new TracingSettings(file, 1 << 24, 2, "", 20, 1), "gw")) {
             for (int i = 0; i < Reason.values().length; i++) {
-                tracer.submit(story(i));
+                tracer.submit(trace(i));
             }
         }
         assertEquals(
@@ -366,13 +366,13 @@
     }
 
     @Test
-    void storedSpansAreExplained() throws IOException {
+    void storedSpansKeepTheirExplanation() throws IOException {
         Path file = STORED.resolve("traces");
         Expected.json("explain.json", printed("explain", file, "3", "--json"));
-        StringBuilder told = new StringBuilder(printed("explain", file, "--list", "100"));
+        StringBuilder explained = new StringBuilder(printed("explain", file, "--list", "100"));
         for (int i = 0; i < 18; i++) {
-            told.append(printed("explain", file, i));
+            explained.append(printed("explain", file, i));
         }
-        Expected.text("explain.txt", told.toString());
+        Expected.text("explain.txt", explained.toString());
     }
 }
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -43,20 +43,20 @@
 
     // ---- the contents of the files ----
 
-    private static StoredEndpointList nodes() {
+    private static StoredEndpointList endpointList() {
         return new StoredEndpointList(
                 "hall-1",
                 77,
                 12,
                 1_764_699_999_000L,
                 List.of(
-                        kept(1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
-                        kept(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
-                        kept(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
-                        kept(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
+                        storedEndpoint(1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
+                        storedEndpoint(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
+                        storedEndpoint(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
+                        storedEndpoint(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
     }
 
-    private static StoredEndpointList.StoredEndpoint kept(
+    private static StoredEndpointList.StoredEndpoint storedEndpoint(
             int node, EndpointRecord.Phase standing, RecordSource source, boolean draining) {
         return new StoredEndpointList.StoredEndpoint(
                 new EndpointRecord(
@@ -115,14 +115,14 @@
         Map<Long, String> names = new LinkedHashMap<>();
         names.put(1L, "exams");
         names.put(2L, "archive");
-        Map<Long, Double> told = new LinkedHashMap<>();
-        told.put(3L, 7.5);
-        told.put(4L, 1_764_699_990_000.25);
+        Map<Long, Double> versionNotifiedAt = new LinkedHashMap<>();
+        versionNotifiedAt.put(3L, 7.5);
+        versionNotifiedAt.put(4L, 1_764_699_990_000.25);
         return new GatewayAccounts(
                 "gw-1",
                 WRITTEN_AT,
                 names,
-                told,
+                versionNotifiedAt,
                 new StoredAccounts(
                         List.of(
                                 new StoredAccounts.StoredVolume(
@@ -168,17 +168,17 @@
     // ---- list of nodes ----
 
     @Test
-    void theListOfNodesIsRead() throws IOException {
-        EndpointListFile.ReadResult look =
+    void readsStoredEndpointList() throws IOException {
+        EndpointListFile.ReadResult result =
                 new EndpointListFile(stored("nodes"), "hall-1").inspect();
-        assertEquals(List.of(), look.rejected());
-        assertEquals(WRITTEN_AT, look.writtenAt());
-        assertEquals(nodes(), look.list());
-        assertEquals("hall-1", look.list().site());
-        assertEquals(77, look.list().history());
-        assertEquals(12, look.list().version());
-        assertEquals(1_764_699_999_000L, look.list().confirmedAt());
-        EndpointRecord third = look.list().endpoints().get(2).endpoint();
+        assertEquals(List.of(), result.rejected());
+        assertEquals(WRITTEN_AT, result.writtenAt());
+        assertEquals(endpointList(), result.list());
+        assertEquals("hall-1", result.list().site());
+        assertEquals(77, result.list().history());
+        assertEquals(12, result.list().version());
+        assertEquals(1_764_699_999_000L, result.list().confirmedAt());
+        EndpointRecord third = result.list().endpoints().get(2).endpoint();
         assertEquals(3, third.node());
         assertEquals(13, third.cell());
         assertEquals(23, third.zone());
@@ -188,8 +188,8 @@
         assertEquals(1.5f, third.weight());
         assertEquals("10.0.0.3", third.host());
         assertEquals(7003, third.port());
-        assertEquals(RecordSource.IMPORT, look.list().endpoints().get(2).source());
-        assertTrue(look.list().endpoints().get(1).selfDraining());
+        assertEquals(RecordSource.IMPORT, result.list().endpoints().get(2).source());
+        assertTrue(result.list().endpoints().get(1).selfDraining());
     }
 
     private static String json(int node, String standing, String source, boolean draining) {
@@ -209,9 +209,9 @@
     }
 
     @Test
-    void theListOfNodesIsWrittenAsBefore() throws IOException {
+    void writesEndpointListInStoredFormat() throws IOException {
         Path file = folder.resolve("nodes");
-        new EndpointListFile(file, "hall-1").write(nodes(), WRITTEN_AT);
+        new EndpointListFile(file, "hall-1").write(endpointList(), WRITTEN_AT);
         String expected =
                 "{\"site\":\"hall-1\",\"history\":77,\"version\":12,\"confirmedAt\":1764699999000,\"lines\":["
                         + String.join(
@@ -229,7 +229,7 @@
     // ---- holders ----
 
     @Test
-    void theHoldersAreReadAndWrittenAsBefore() throws IOException {
+    void readsAndWritesHoldersInStoredFormat() throws IOException {
         Map<Integer, int[]> read = new HolderFile(stored("holders"), "hall-1").load();
         assertEquals(List.of(7, 8, 9), List.copyOf(read.keySet()));
         assertArrayEquals(new int[] {3, 3, -1, 4}, read.get(7));
@@ -250,7 +250,7 @@
     // ---- accounts ----
 
     @Test
-    void theAccountsAreRead() throws IOException {
+    void readsStoredAccounts() throws IOException {
         AccountFile.Loaded read = new AccountFile(stored("accounts"), "gw-1").load();
         assertEquals("gw-1", read.stored().gateway());
         assertEquals(WRITTEN_AT, read.stored().writtenAt());
@@ -269,7 +269,7 @@
 
     /** Parts, parts of the plan and kinds of causes are stored by their order. */
     @Test
-    void theOrderOfStoredFiguresStandsForTheSameNames() throws IOException {
+    void storedOrdinalsKeepTheirMeaning() throws IOException {
         LatencyReport report = AccountFile.report(stored("accounts")).account().report(2, 0, 1e13);
         assertEquals(2, report.rejected());
         assertEquals(3, report.abandoned());
@@ -326,16 +326,16 @@
                         Cause.Kind.DIRECTORY,
                         Cause.Kind.NETWORK);
         assertEquals(12, report.causes().size(), report.causes().toString());
-        for (LatencyReport.CauseReport charged : report.causes()) {
-            int at = kinds.indexOf(charged.kind());
-            assertEquals(500 + 4 * at, charged.waited(), charged.toString());
-            assertEquals(0.25 + 4 * at + 3, charged.lostWeight(), charged.toString());
-            assertEquals(1 + at, charged.node(), charged.toString());
+        for (LatencyReport.CauseReport causeReport : report.causes()) {
+            int at = kinds.indexOf(causeReport.kind());
+            assertEquals(500 + 4 * at, causeReport.waited(), causeReport.toString());
+            assertEquals(0.25 + 4 * at + 3, causeReport.lostWeight(), causeReport.toString());
+            assertEquals(1 + at, causeReport.node(), causeReport.toString());
         }
     }
 
     @Test
-    void theAccountsAreWrittenAsBefore() throws IOException {
+    void writesAccountsInStoredFormat() throws IOException {
         Path file = folder.resolve("accounts");
         new AccountFile(file, "gw-1").write(accounts());
         assertTrue(
