--- a/src/jmh/java/sagepulley/bench/SchedulerBench.java
+++ b/src/jmh/java/sagepulley/bench/SchedulerBench.java
@@ -33,8 +33,8 @@
 import sagepulley.model.Volume;
 
 /**
- * What Scheduler costs for one operation, from arrival to end, on a bare host with modelled nodes: at a load
- * under what the nodes do, and while so many operations wait all the time.
+ * Measures the scheduler's cost per operation from arrival to completion with modelled nodes, below
+ * their capacity or with a constant number of waiting operations.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -50,7 +50,7 @@
     @Param({"8", "48"})
     int nodeCount;
 
-    /** What waits at the start; 0 stands for a load of 0.6. */
+    /** Number of operations waiting throughout; 0 selects a load of 0.6. */
     @Param({"0", "2000", "12000"})
     int held;
 
@@ -71,7 +71,7 @@
         trafficClasses.clear();
         completions.clear();
         attempts.clear();
-        // With a long target time nothing is given up, and what waits stays.
+        // A long objective and deadline keep waiting operations from being abandoned.
         double latencyObjective = held == 0 ? 500 : 1e7;
         for (int i = 0; i < 3; i++) {
             trafficClasses.add(new TrafficClass(i, "band " + i, TrafficClass.Idempotency.IDEMPOTENT, TrafficClass.DeduplicationScope.ALL, 0, false, i == 1, latencyObjective, 0,
@@ -105,7 +105,7 @@
         double rate = nodeCount * SLOTS / SERVICE_MILLIS * 0.6;
         for (int i = 0; i < OPERATIONS; i++) {
             if (held > 0) {
-                // As many come as end: what waits stays as it is.
+                // One arrival per completion keeps the number of waiting operations constant.
                 double[] completion = completions.poll();
                 now = Math.max(now, completion[0]);
                 finish(attempts.get((int) completion[1]));
@@ -130,7 +130,7 @@
     }
 
     private void arrive() {
-        // A volume's data lies on two nodes.
+        // The data of a volume is on two nodes.
         int volume = random.nextInt(volumes.size());
         Operation operation = new Operation(++lastId, trafficClasses.get(random.nextInt(3)), volumes.get(volume), lastId,
                 1 + random.nextInt(4), (volume + random.nextInt(2)) % nodeCount, now,
--- a/src/main/resources/faults/shim.c
+++ b/src/main/resources/faults/shim.c
@@ -1,9 +1,9 @@
 /*
- * Loaded into a process under test with LD_PRELOAD: makes system calls fail now and then, as Linux documents, and moves
- * the wall clock. Configured by the environment:
- *   SHIM_SEED     seeds the chance
- *   SHIM_FAILURES failing calls in 10,000
- *   SHIM_CLOCK    a file of one signed 64-bit number, nanoseconds that the wall clock is off; read at each call
+ * Preloaded into a process under test (LD_PRELOAD). Makes system calls fail at random with errors that Linux documents
+ * for them, shortens socket transfers, and shifts the wall clock. Environment variables:
+ *   SHIM_SEED     seed of the random numbers
+ *   SHIM_FAILURES failing calls per 10,000
+ *   SHIM_CLOCK    file with a signed 64-bit wall-clock offset in nanoseconds; mapped at startup, read at each call
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -47,7 +47,7 @@
     return x ^ (x >> 31);
 }
 
-/* One of the errors, or 0 for a call that is to go through. */
+/* Returns a random one of the errors, or 0 if the call is not to fail. */
 static int random_error(const int *errors, unsigned count)
 {
     uint64_t random = next_random();
