--- a/src/main/java/sagepulley/standin/AnswerWriter.java
+++ b/src/main/java/sagepulley/standin/AnswerWriter.java
@@ -11,8 +11,8 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Writes answers to one gateway, spoilt where a fault says so. Answers of one turn of the loop
- * leave with one flush.
+ * Writes answers to one gateway and applies the answer faults set on the node. Answers written in
+ * one turn of the event loop leave with one flush.
  */
 final class AnswerWriter {
     private static final int GARBAGE_BYTES = 28;
@@ -28,7 +28,7 @@
         this.faults = faults;
     }
 
-    /** Writes the answer to an attempt, and releases or passes on its payload. */
+    /** Writes the answer to an attempt. Takes ownership of the payload. */
     void write(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
         if (faults.garbleNextAnswer) {
             faults.garbleNextAnswer = false;
@@ -86,7 +86,7 @@
                 .addListener(done -> ((DuplexChannel) channel).shutdownOutput());
     }
 
-    /** Bytes past the frame encoder. */
+    /** Writes bytes to the socket past the frame encoder. */
     private ChannelFuture writeRaw(ByteBuf bytes) {
         return channel.pipeline().firstContext().writeAndFlush(bytes);
     }
--- a/src/main/java/sagepulley/standin/BlockStore.java
+++ b/src/main/java/sagepulley/standin/BlockStore.java
@@ -15,37 +15,39 @@
 import java.util.Set;
 
 /**
- * The data of a stand-in node: an array for each extent, or a file each. What was written but not
- * flushed is lost when the power fails, not when the program ends. Used on the node's loop only.
+ * Stores the data of a stand-in node, in memory or in one file for each extent.
+ *
+ * <p>In memory, a power failure loses unflushed writes; files lose nothing. Used on the node's loop
+ * only.
  */
 final class BlockStore {
     private final int extentBytes;
     private final Path folder;
     private final Map<ExtentKey, byte[]> memory = new HashMap<>();
 
-    /** The durable content of extents that have unflushed writes. */
+    /** Durable content of the extents that have unflushed writes. */
     private final Map<ExtentKey, byte[]> durable = new HashMap<>();
 
     private final Map<ExtentKey, FileChannel> files = new HashMap<>();
     private final Set<ExtentKey> dirtyFiles = new HashSet<>();
 
-    /** A store of extents of one size; the folder is null to keep them in memory. */
+    /** Creates a store of extents of one size; a null folder keeps them in memory. */
     BlockStore(int extentBytes, Path folder) {
         this.extentBytes = extentBytes;
         this.folder = folder;
     }
 
-    /** Whether anything of an extent was ever written here. */
+    /** Returns true if the extent was ever written, or if its file cannot be opened. */
     boolean contains(int volume, long extent) {
         ExtentKey key = new ExtentKey(volume, extent);
         try {
             return folder == null ? memory.containsKey(key) : file(key, false) != null;
         } catch (IOException e) {
-            return true; // not known: whatever reads it will fail with the reason
+            return true; // the next access fails with the same error
         }
     }
 
-    /** Appends a range of an extent to a buffer; what was never written reads as zeros. */
+    /** Appends a range of an extent to a buffer; ranges that were never written read as zeros. */
     ByteBuf read(int volume, long extent, int offset, int length, ByteBuf into) throws IOException {
         ExtentKey key = new ExtentKey(volume, extent);
         if (folder != null) {
@@ -72,7 +74,10 @@
         return into;
     }
 
-    /** Writes a range of an extent, durably at once or with the next flush. */
+    /**
+     * Writes a range of an extent. The data is durable at once if forceNow is set, otherwise after
+     * the next flush.
+     */
     void write(int volume, long extent, int offset, ByteBuf data, boolean forceNow)
             throws IOException {
         ExtentKey key = new ExtentKey(volume, extent);
@@ -108,13 +113,13 @@
         }
     }
 
-    /** Writes zeros. */
+    /** Overwrites a range of an extent with zeros. */
     void zero(int volume, long extent, int offset, int length, boolean forceNow)
             throws IOException {
         write(volume, extent, offset, Unpooled.wrappedBuffer(new byte[length]), forceNow);
     }
 
-    /** Makes all that was written of a volume durable. */
+    /** Makes all writes to a volume durable. */
     void flush(int volume) throws IOException {
         durable.keySet().removeIf(key -> key.volume() == volume);
         for (ExtentKey key : Set.copyOf(dirtyFiles)) {
@@ -125,7 +130,10 @@
         }
     }
 
-    /** Forgets what was not durable; whether anything was lost. Files lose nothing here. */
+    /**
+     * Reverts extents in memory to their durable content and returns whether any had unflushed
+     * writes. Files are not affected.
+     */
     boolean failPower() {
         boolean lost = !durable.isEmpty();
         memory.putAll(durable);
@@ -133,7 +141,7 @@
         return lost;
     }
 
-    /** Closes the files; they are opened again when needed. */
+    /** Closes the files; each is reopened on its next access. */
     void close() {
         files.values()
                 .forEach(
--- a/src/main/java/sagepulley/standin/DirectoryRegistration.java
+++ b/src/main/java/sagepulley/standin/DirectoryRegistration.java
@@ -16,8 +16,8 @@
 import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
- * Keeps a stand-in node registered at a directory: connects, sends its line, and reconnects when
- * the connection ends. Its state belongs to the loop that it was given.
+ * Keeps a stand-in node registered at a directory: connects, sends the endpoint line, and
+ * reconnects when the connection ends. State is confined to the given event loop.
  */
 public final class DirectoryRegistration implements AutoCloseable {
     private static final long RECONNECT_DELAY_MILLIS = 500;
@@ -28,7 +28,7 @@
     private Channel channel;
     private volatile boolean closed;
 
-    /** Registers at a directory from now on; the line is read anew for each registration. */
+    /** Starts to register at a directory; the line is read again for each registration. */
     public DirectoryRegistration(
             EventLoop loop,
             InetSocketAddress directory,
@@ -39,7 +39,7 @@
         loop.execute(this::connect);
     }
 
-    /** Ends the registration: the directory then lists the node as gone. */
+    /** Ends the registration; the directory then lists the node as gone. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/sagepulley/standin/ExecutedOperations.java
+++ b/src/main/java/sagepulley/standin/ExecutedOperations.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The deduplicated operations that a node executed lately, so that a retry has no effect twice. */
+/**
+ * Remembers the deduplicated operations that a node executed recently, so that a retry is not
+ * executed again.
+ */
 final class ExecutedOperations {
     private static final int MAX_ENTRIES = 100_000;
 
@@ -19,7 +22,7 @@
                 }
             };
 
-    /** Remembers an operation of a gateway; false if it is known to have been executed. */
+    /** Records an operation of a gateway; returns false if it was already recorded. */
     boolean add(long gateway, long number) {
         return executed.put(new OperationKey(gateway, number), true) == null;
     }
--- a/src/main/java/sagepulley/standin/ExtentKey.java
+++ b/src/main/java/sagepulley/standin/ExtentKey.java
@@ -1,4 +1,4 @@
 package sagepulley.standin;
 
-/** One extent of a volume. */
+/** Identifies an extent of a volume. */
 record ExtentKey(int volume, long extent) {}
--- a/src/main/java/sagepulley/standin/Faults.java
+++ b/src/main/java/sagepulley/standin/Faults.java
@@ -1,37 +1,40 @@
 package sagepulley.standin;
 
-/** The faults of a stand-in node; fields are set and read on any thread. */
+/** Holds the fault settings of a stand-in node. Fields may be set and read on any thread. */
 public final class Faults {
-    /** Executes attempts and answers none, nor health checks. */
+    /** Attempts are executed, but neither they nor health checks are answered. */
     public volatile boolean unresponsive;
 
-    /** Handles nothing that comes, and serves nothing. */
+    /** Received messages are queued, and no attempt is started. */
     public volatile boolean paused;
 
-    /** Rejects every attempt as if its queue were full. */
+    /** Every attempt is rejected as if the queue were full. */
     public volatile boolean rejecting;
 
-    /** The share of operations, 0 to 1, that are executed and end with an error. */
+    /** Share of operations, 0 to 1, that are executed and answered with an error. */
     public volatile double errorShare;
 
-    /** The share of answers, 0 to 1, that are lost on the way; health checks are answered. */
+    /** Share of answers, 0 to 1, that are not sent; health checks are still answered. */
     public volatile double lostAnswerShare;
 
-    /** How many times longer everything takes. */
+    /** Factor by which service times are multiplied. */
     public volatile double slowdownFactor = 1;
 
-    /** Accepts no connection. */
+    /** New connections are closed at once. */
     public volatile boolean unreachable;
 
-    /** The next answer with data is cut off in its middle, and the sending side shut down. */
+    /**
+     * The next answer with a payload is cut off in the middle, and the sending side of the
+     * connection is shut down.
+     */
     public volatile boolean halfCloseNextAnswer;
 
-    /** The next answer is bytes that are no frame. */
+    /** The next answer is replaced by bytes that are not a frame. */
     public volatile boolean garbleNextAnswer;
 
     /** The next answer is sent twice. */
     public volatile boolean duplicateNextAnswer;
 
-    /** Before the next answer comes one for an attempt that was never sent. */
+    /** The next answer is preceded by one for an attempt that was never sent. */
     public volatile boolean answerUnknownAttempt;
 }
--- a/src/main/java/sagepulley/standin/FrameServer.java
+++ b/src/main/java/sagepulley/standin/FrameServer.java
@@ -15,7 +15,7 @@
 import sagepulley.codec.frame.FrameDecoder;
 import sagepulley.codec.frame.FrameEncoder;
 
-/** A listening socket whose connections speak frames; the stand-ins' common server side. */
+/** Accepts connections that carry frames, for the stand-in node and the stand-in directory. */
 final class FrameServer {
     private final EventLoop loop;
     private final int maxPayloadBytes;
@@ -24,10 +24,11 @@
     private volatile InetSocketAddress address;
 
     /**
-     * A server on one loop.
+     * Creates a server on one event loop.
      *
-     * @param maxPayloadBytes the longest payload of a frame that it reads
-     * @param sessions makes the handler of a new connection; one that gets none is closed at once
+     * @param maxPayloadBytes the largest frame payload that it accepts
+     * @param sessions creates the handler of a new connection; an empty result closes the
+     *     connection
      */
     FrameServer(
             EventLoop loop,
@@ -38,12 +39,12 @@
         this.sessions = sessions;
     }
 
-    /** Where it listens, or listened last; null before its first start. */
+    /** Returns the address it listens on or last listened on; null before the first start. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Listens at an address (port 0: a free one); completes on the loop. */
+    /** Listens at an address (port 0 picks a free port); the future completes on the loop. */
     CompletableFuture<InetSocketAddress> listen(InetSocketAddress at) {
         CompletableFuture<InetSocketAddress> ready = new CompletableFuture<>();
         new ServerBootstrap()
@@ -66,7 +67,7 @@
         return ready;
     }
 
-    /** Accepts no more connections; those it has stay open. Called on the loop. */
+    /** Stops accepting connections; open ones stay open. Called on the loop. */
     void close() {
         if (listener != null) {
             listener.close();
--- a/src/main/java/sagepulley/standin/GatewaySession.java
+++ b/src/main/java/sagepulley/standin/GatewaySession.java
@@ -13,29 +13,29 @@
 import sagepulley.codec.frame.MalformedMessageException;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** One gateway's connection to a stand-in node: reads its messages, and writes its answers. */
+/** Handles one gateway's connection to a stand-in node: decodes its messages and writes answers. */
 final class GatewaySession extends ChannelInboundHandlerAdapter {
-    /** What a node does on a gateway's messages; called on the node's loop. */
+    /** Handles a gateway's messages at the node; called on the node's loop. */
     interface Listener {
-        /** The connection is up; the gateway has not yet said who it is. */
+        /** Called when the connection is up, before the gateway's hello. */
         void sessionOpened(GatewaySession session);
 
-        /** The gateway has said who it is. */
+        /** Called when the gateway's hello has arrived. */
         void helloReceived(GatewaySession session);
 
-        /** An attempt came; the listener owns its payload. */
+        /** Called for each attempt received; the listener owns its payload. */
         void attemptReceived(PendingAttempt attempt);
 
-        /** The gateway gives an attempt up. */
+        /** Called when the gateway cancels an attempt. */
         void attemptCancelled(GatewaySession session, long attempt);
 
-        /** The gateway asks whether the node is alive, and for its load. */
+        /** Called when the gateway sends a health check; the answer carries the node's load. */
         void healthCheckReceived(GatewaySession session, long id);
 
-        /** The gateway asks for an extent's write token. */
+        /** Called when the gateway requests an extent's write token. */
         void writeTokenRequested(GatewaySession session, ExtentKey extent, long requestId);
 
-        /** The connection ended. */
+        /** Called when the connection has ended. */
         void sessionClosed(GatewaySession session);
     }
 
@@ -53,12 +53,12 @@
     /** Units served through this session, by volume. */
     private final Map<Integer, Double> sessionUnits = new HashMap<>();
 
-    /** Units served for others as of this session's last answer, by volume. */
+    /** Units served through other sessions as of this session's last answer, by volume. */
     private final Map<Integer, Double> reportedOtherUnits = new HashMap<>();
 
     private final Map<Long, StoreMessages.Send> unanswered = new HashMap<>();
 
-    /** What came while the node was paused. */
+    /** Frames received while the node is paused. */
     private final Queue<Frame> deferredFrames = new ArrayDeque<>();
 
     GatewaySession(
@@ -71,7 +71,7 @@
         this.answers = new AnswerWriter(channel, faults);
     }
 
-    /** The gateway's incarnation, once greeted; 0 before. */
+    /** Returns the gateway's incarnation, or 0 before its hello. */
     long gateway() {
         return gateway;
     }
@@ -98,15 +98,16 @@
         answers.write(attempt, answer, payload);
     }
 
-    /** Counts units that were served through this session. */
+    /** Adds units that were served through this session. */
     void countServed(int volume, double units) {
         sessionUnits.merge(volume, units, Double::sum);
     }
 
     /**
-     * Units that a volume had served through other sessions since this session's last answer.
+     * Returns the units of a volume served through other sessions since this session's last answer,
+     * and starts the next period.
      *
-     * @param servedUnits units that the node served of that volume for all
+     * @param servedUnits units of the volume that the node served through all sessions
      */
     float otherUnitsSinceLastAnswer(int volume, double servedUnits) {
         double others = servedUnits - sessionUnits.getOrDefault(volume, 0.0);
@@ -115,7 +116,7 @@
         return (float) Math.max(0, others - previous);
     }
 
-    /** Handles what came while the node was paused. */
+    /** Handles the frames received while the node was paused. */
     void handleDeferredFrames() {
         for (Frame frame = deferredFrames.poll(); frame != null; frame = deferredFrames.poll()) {
             try {
@@ -157,7 +158,7 @@
         ctx.close();
     }
 
-    /** What passed is recorded when it came, even while the node is paused. */
+    /** Records attempts and cancellations on arrival, even while the node is paused. */
     private void record(Frame frame) throws MalformedMessageException {
         if (frame.type() == StoreMessages.SEND) {
             StoreMessages.Send send =
@@ -190,7 +191,7 @@
 
     private void dispatch(Frame frame) throws MalformedMessageException {
         if (!helloReceived && frame.type() != StoreMessages.HELLO) {
-            throw new MalformedMessageException("message " + frame.type() + " before the hello");
+            throw new MalformedMessageException("message type " + frame.type() + " before the hello");
         }
         switch (frame.type()) {
             case StoreMessages.HELLO -> {
@@ -212,7 +213,7 @@
             }
             default ->
                     throw new MalformedMessageException(
-                            "message " + frame.type() + " from a gateway");
+                            "unexpected message type " + frame.type() + " from a gateway");
         }
     }
 }
--- a/src/main/java/sagepulley/standin/NodeProfile.java
+++ b/src/main/java/sagepulley/standin/NodeProfile.java
@@ -3,25 +3,26 @@
 import java.nio.file.Path;
 
 /**
- * What a stand-in node is like.
+ * Configuration of a stand-in node.
  *
- * @param id its number in the endpoint list
- * @param cell the cell whose extents it holds
- * @param zone its zone's place in the site's list
- * @param kind its kind's place in the site's list
- * @param slots operations at once
- * @param readCostMillis milliseconds of one slot for a unit read
- * @param writeCostMillis milliseconds of one slot for a unit written
- * @param queueLimit operations that may wait
- * @param extentBytes the size of an extent
- * @param slowStartShare the share of its capacity that it has right after a start, 0 to 1
- * @param slowStartMillis how long it takes to reach all of its capacity
- * @param overloadMultiple how many times its present capacity it bears during its slow start
- * @param overloadWindowMillis the time over which that load is counted
- * @param slowStartUnits units within that time that it bears in any case
- * @param deferredShare the share of each write's cost that it puts off, 0 to 1
- * @param deferIntervalMillis how often it does what it has put off, in one go
- * @param dataFolder where it keeps data in files; null for memory
+ * @param id the node's number in the endpoint list
+ * @param cell the cell whose extents the node holds
+ * @param zone index of the node's zone in the site's list
+ * @param kind index of the node's kind in the site's list
+ * @param slots number of operations served concurrently
+ * @param readCostMillis service time per unit read, in milliseconds of one slot
+ * @param writeCostMillis service time per unit written, in milliseconds of one slot
+ * @param queueLimit maximum number of queued operations
+ * @param extentBytes size of an extent
+ * @param slowStartShare share of the capacity available right after a start, 0 to 1
+ * @param slowStartMillis time after a start until the full capacity is available
+ * @param overloadMultiple load that the node sustains during its slow start, as a multiple of its
+ *     present capacity
+ * @param overloadWindowMillis window over which that load is measured
+ * @param slowStartUnits units per window that the node sustains in any case
+ * @param deferredShare share of each write's cost that is deferred, 0 to 1
+ * @param deferIntervalMillis interval at which the deferred work is done at once
+ * @param dataFolder folder of the data files; null to keep data in memory
  */
 public record NodeProfile(
         int id,
@@ -42,13 +43,16 @@
         double deferIntervalMillis,
         Path dataFolder) {
 
-    /** A quick node in memory: no cost, four slots, a queue of 256. */
+    /**
+     * Returns the profile of a node in memory without service times, with four slots and a queue of
+     * 256.
+     */
     public static NodeProfile zeroCost(int id, int extentBytes) {
         return new NodeProfile(
                 id, id, 0, 0, 4, 0, 0, 256, extentBytes, 0.25, 10_000, 2, 2_000, 8, 0, 1_000, null);
     }
 
-    /** The same with costs for each unit, in milliseconds of one slot. */
+    /** Returns a copy with a service time per unit, in milliseconds of one slot. */
     public NodeProfile withCost(double readMillis, double writeMillis) {
         return new NodeProfile(
                 id,
@@ -70,7 +74,7 @@
                 dataFolder);
     }
 
-    /** The same in another zone. */
+    /** Returns a copy in another zone. */
     public NodeProfile withZone(int newZone) {
         return new NodeProfile(
                 id,
@@ -92,7 +96,10 @@
                 dataFolder);
     }
 
-    /** The same with another slow start; the arguments are as the components of those names. */
+    /**
+     * Returns a copy with another slow start; the parameters match the components slowStartShare,
+     * slowStartMillis, overloadMultiple, overloadWindowMillis and slowStartUnits.
+     */
     public NodeProfile withSlowStart(
             double startShare,
             double startMillis,
@@ -119,7 +126,7 @@
                 dataFolder);
     }
 
-    /** Units a second when warm; infinity without costs. */
+    /** Returns the warm capacity in units per second; infinity without service times. */
     public double unitsPerSecond() {
         double cost = (readCostMillis + writeCostMillis) / 2;
         return cost > 0 ? slots * 1000 / cost : Double.POSITIVE_INFINITY;
--- a/src/main/java/sagepulley/standin/PendingAttempt.java
+++ b/src/main/java/sagepulley/standin/PendingAttempt.java
@@ -3,17 +3,17 @@
 import io.netty.buffer.ByteBuf;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** An attempt that waits in a stand-in node's queue or is worked on; owns its payload. */
+/** An attempt in a stand-in node's queue or in service; owns its payload. */
 final class PendingAttempt {
     final GatewaySession session;
     final long id;
     final StoreMessages.Send send;
     final ByteBuf payload;
 
-    /** When it was read, System.nanoTime. */
+    /** Time of receipt, System.nanoTime. */
     final long receivedAtNanos = System.nanoTime();
 
-    /** When work on it began, System.nanoTime; 0 before. */
+    /** Start of service, System.nanoTime; 0 before. */
     long startedAtNanos;
 
     boolean cancelled;
--- a/src/main/java/sagepulley/standin/ServiceTime.java
+++ b/src/main/java/sagepulley/standin/ServiceTime.java
@@ -2,9 +2,12 @@
 
 import sagepulley.upstream.frame.StoreMessages;
 
-/** How long a stand-in node works on an operation, and which part of its writes it puts off. */
+/**
+ * Computes the service time of operations at a stand-in node and defers a share of each write's
+ * cost.
+ */
 final class ServiceTime {
-    /** Deferred work runs at the start of each interval, for operations that come so soon. */
+    /** Window at the start of each interval in which a write is charged all deferred work. */
     private static final int DEFERRED_RUN_MILLIS = 10;
 
     private static final double NANOS_PER_MILLI = 1e6;
@@ -16,12 +19,12 @@
         this.profile = profile;
     }
 
-    /** Forgets the work that was put off, as a crash does. */
+    /** Drops the deferred work, as a crash does. */
     void reset() {
         deferredMillis = 0;
     }
 
-    /** Milliseconds of one slot for an operation at full capacity. */
+    /** Returns the service time of an operation at full capacity, in milliseconds of one slot. */
     double millis(StoreMessages.Send send) {
         boolean writes = send.kind().modifiesData();
         double millis =
--- a/src/main/java/sagepulley/standin/SlowStart.java
+++ b/src/main/java/sagepulley/standin/SlowStart.java
@@ -3,8 +3,8 @@
 import sagepulley.model.SlidingWindowCounter;
 
 /**
- * How much a stand-in node can do after a start: its capacity grows from a share to all of it, and
- * until then it collapses under too much work in a short time.
+ * Models the slow start of a stand-in node: its capacity grows from a share to all of it, and until
+ * then the node collapses if too many units arrive within a window.
  */
 final class SlowStart {
     private static final int WINDOW_SLOTS = 20;
@@ -19,21 +19,21 @@
         this.profile = profile;
     }
 
-    /** The node starts now; one that starts warm has all of its capacity. */
+    /** Begins the slow start now; a node that starts warm has its full capacity at once. */
     void begin(boolean warm) {
         long ageNanos = warm ? (long) (profile.slowStartMillis() * 2 * NANOS_PER_MILLI) : 0;
         startedAtNanos = System.nanoTime() - ageNanos;
         recentUnits = new SlidingWindowCounter(profile.overloadWindowMillis(), WINDOW_SLOTS);
     }
 
-    /** What it can do now as a share of what it can do when warm, 0 to 1. */
+    /** Returns the present capacity as a share of the warm capacity, 0 to 1. */
     double capacityShare() {
         double ageMillis = (System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI;
         double share = profile.slowStartShare();
         return Math.min(1, share + (1 - share) * ageMillis / profile.slowStartMillis());
     }
 
-    /** Counts units that arrived; whether the node collapses under them. */
+    /** Counts arriving units and returns whether the node collapses under them. */
     boolean causesCollapse(double units) {
         double nowMillis = System.nanoTime() / NANOS_PER_MILLI;
         recentUnits.add(nowMillis, units);
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -21,21 +21,23 @@
 import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
- * A small directory: the endpoint list, of which changes are notified late on demand, and the
- * holder of each extent, claimed once. Nodes register over a socket and count as gone when their
- * connection ends, or are put in by a test. All on one loop; faults may be set from any thread.
+ * A small directory: keeps the endpoint list, notifies gateways of changes, optionally late, and
+ * assigns a holder to each extent on its first claim.
+ *
+ * <p>Nodes register over a socket and count as gone when their connection ends; tests may also set
+ * lines directly. State is confined to one loop; faults may be set on any thread.
  */
 public final class StandInDirectory {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** The directory's answer for an extent without a holder. */
+    /** Reported as the cell of an extent without a holder. */
     private static final int NO_CELL = -1;
 
     private final EventLoop loop;
     private final TrafficRecorder recorder;
     private final FrameServer server;
 
-    /** The list as it is, and as gateways have been notified of it. */
+    /** The current lines; notifiedLines holds those that gateways were notified of. */
     private final Map<Integer, DirectoryMessages.EndpointLine> lines = new LinkedHashMap<>();
 
     private final Map<Integer, DirectoryMessages.EndpointLine> notifiedLines =
@@ -47,56 +49,55 @@
     private volatile double notificationDelayMillis;
     private volatile double answerDelayMillis;
 
-    /** The site that it says it is of; empty where it says none. */
+    /** Site name sent with the list; empty for none. */
     private volatile String siteName = "";
 
-    /** Which history of versions its version counts in. */
+    /** History that the version belongs to. */
     private volatile long history = 1;
 
     private volatile long completeLists;
     private volatile boolean unresponsive;
     private volatile boolean failing;
 
-    /** A directory on a loop of the group, which does not listen yet. */
+    /** Creates a directory on a loop of the group; it does not listen yet. */
     public StandInDirectory(EventLoopGroup group, TrafficRecorder recorder) {
         this.loop = group.next();
         this.recorder = recorder;
         this.server = new FrameServer(loop, 0, channel -> Optional.of(new ClientSession(channel)));
     }
 
-    /** Starts to listen at an address (port 0: a free one). */
+    /** Starts to listen at an address (port 0 picks a free port). */
     public CompletableFuture<StandInDirectory> start(InetSocketAddress at) {
         return server.listen(at).thenApply(address -> this);
     }
 
-    /** Where it listens, or listened last; null before its first start. */
+    /** Returns the address it listens on or last listened on; null before the first start. */
     public InetSocketAddress address() {
         return server.address();
     }
 
-    /** Changes are notified so many milliseconds late. */
+    /** Delays notifications of later changes by a time in milliseconds. */
     public void delayNotifications(double millis) {
         notificationDelayMillis = millis;
     }
 
-    /** Requests are answered so many milliseconds late. */
+    /** Delays answers to later requests by a time in milliseconds. */
     public void delayAnswers(double millis) {
         answerDelayMillis = millis;
     }
 
-    /** Answers nothing while this is set, though connections stand. */
+    /** Sets whether requests go unanswered and changes unnotified while connections stay open. */
     public void setUnresponsive(boolean value) {
         unresponsive = value;
     }
 
-    /** Answers every request that it failed while this is set. */
+    /** Sets whether every request is answered with a failure. */
     public void setFailing(boolean value) {
         failing = value;
     }
 
     /**
-     * From now on it is another directory: of this site, with a history, a version and lines of its
-     * own.
+     * Replaces the site name, history, version and lines, as if another directory had taken over.
      */
     public CompletableFuture<Void> replaceWith(
             String newSite,
@@ -120,17 +121,17 @@
         return done;
     }
 
-    /** How many complete lists it has sent since its start. */
+    /** Returns the number of complete lists sent. */
     public long completeLists() {
         return completeLists;
     }
 
-    /** A node's line as it now is. */
+    /** Adds or replaces a node's line. */
     public void put(DirectoryMessages.EndpointLine line) {
         loop.execute(() -> update(line));
     }
 
-    /** Goes down with every connection; the holders stay. */
+    /** Stops listening and closes every connection; the holders are kept. */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         loop.execute(
@@ -142,13 +143,13 @@
         return stopped;
     }
 
-    /** Comes back at the same address. */
+    /** Stops, then listens again at the same address. */
     public CompletableFuture<StandInDirectory> restart() {
         InetSocketAddress at = address();
         return stop().thenCompose(done -> start(at));
     }
 
-    /** How many extents have a holder, and how many claims were answered. */
+    /** Returns the number of extents with a holder and the number of claims answered. */
     public CompletableFuture<long[]> counts() {
         CompletableFuture<long[]> counts = new CompletableFuture<>();
         loop.execute(() -> counts.complete(new long[] {holders.size(), claimsAnswered}));
@@ -181,7 +182,7 @@
         }
     }
 
-    /** One connection, of a gateway or a node. */
+    /** Handles one connection of a gateway or a node. */
     private final class ClientSession extends ChannelInboundHandlerAdapter {
         private final Channel channel;
         private long gateway;
@@ -260,7 +261,7 @@
                 case DirectoryMessages.CLAIM -> claim(frame);
                 default ->
                         throw new MalformedMessageException(
-                                "message " + frame.type() + " to the directory");
+                                "unexpected message type " + frame.type() + " to the directory");
             }
         }
 
@@ -270,7 +271,11 @@
             long first = head.readLong();
             int count = head.readInt();
             if (count < 1 || count > DirectoryMessages.MAX_LOOKUP_EXTENTS) {
-                throw new MalformedMessageException("a look-up of " + count + " extents");
+                throw new MalformedMessageException(
+                        "lookup of "
+                                + count
+                                + " extents, expected 1 to "
+                                + DirectoryMessages.MAX_LOOKUP_EXTENTS);
             }
             int[] cells = new int[count];
             for (int i = 0; i < count; i++) {
@@ -289,9 +294,8 @@
                     DirectoryMessages.holder(frame.id(), holder == null ? cell : holder));
         }
 
+        // Compares identities, so that a later registration of the same node is kept.
         @SuppressWarnings("ReferenceEquality")
-        // a later registration of the node stays
-
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             sessions.remove(this);
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -24,10 +24,12 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * A small storage node: slots, a queue, a slow start during which overload makes it collapse,
- * writes of which a part is deferred, and faults on demand. All of it runs on one loop. It keeps
- * the node's duties of docs/protocols.md: one answer for each attempt, write tokens, one session
- * for each gateway, retries dropped where a traffic class is deduplicated.
+ * A small storage node with slots, a queue, a slow start during which overload makes it collapse,
+ * partly deferred writes, and injectable faults.
+ *
+ * <p>Runs on one loop and meets the duties of a node in docs/protocols.md: one answer for each
+ * attempt, write tokens, one session for each gateway, and no second execution of retries where a
+ * traffic class is deduplicated.
  */
 public final class StandInNode {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -53,15 +55,21 @@
     private boolean draining;
     private boolean collapsed;
 
-    /** Whether unflushed writes were lost by a power failure. */
+    /** Set once a power failure has lost unflushed writes. */
     private boolean lostData;
 
     private long startedAtWallMillis;
 
-    /** Counts starts and ends, so that work of an earlier life does not end in a later one. */
+    /**
+     * Incremented on each start and shutdown, so that work of an earlier run does not complete in a
+     * later one.
+     */
     private int incarnation;
 
-    /** A node on a loop of the group; the seed is that of the faults that meet a random share. */
+    /**
+     * Creates a node on a loop of the group; the seed selects which operations and answers meet a
+     * fault of a random share.
+     */
     public StandInNode(
             NodeProfile profile, EventLoopGroup group, TrafficRecorder recorder, long seed) {
         this.profile = profile;
@@ -75,39 +83,44 @@
         this.serviceTime = new ServiceTime(profile);
     }
 
-    /** What it is like. */
+    /** Returns the node's profile. */
     public NodeProfile profile() {
         return profile;
     }
 
-    /** Its faults, to be set on any thread. */
+    /** Returns the fault settings, which may be changed on any thread. */
     public Faults faults() {
         return faults;
     }
 
-    /** Where it listens, or listened last; null before its first start. */
+    /** Returns the address it listens on or last listened on; null before the first start. */
     public InetSocketAddress address() {
         return server.address();
     }
 
-    /** When it last started, wall-clock milliseconds; 0 where it counts as started long ago. */
+    /** Returns the wall-clock time of the last start in milliseconds; 0 if it started warm. */
     public long startedAt() {
         return startedAtWallMillis;
     }
 
-    /** Whether it collapsed under overload during its slow start. */
+    /**
+     * Returns whether the node has collapsed under overload in its slow start since its last start.
+     */
     public boolean hasCollapsed() {
         return collapsed;
     }
 
-    // ---- start and end ----
+    // ---- lifecycle ----
 
-    /** Starts to listen, warm. */
+    /** Starts to listen at an address, with full capacity. */
     public CompletableFuture<StandInNode> start(InetSocketAddress at) {
         return listen(at, true);
     }
 
-    /** Ends every connection and all work, as a crash does; then it is gone until started again. */
+    /**
+     * Closes every connection and drops all work, as a crash does. The node stays down until it is
+     * restarted.
+     */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         loop.execute(
@@ -119,13 +132,16 @@
         return stopped;
     }
 
-    /** Crashes and comes back at the same address, at the beginning of its slow start. */
+    /** Stops, then listens again at the same address, at the beginning of its slow start. */
     public CompletableFuture<StandInNode> restartCold() {
         InetSocketAddress at = address();
         return stop().thenCompose(done -> listen(at, false));
     }
 
-    /** Loses what was not durable, and comes back at the beginning of its slow start. */
+    /**
+     * Loses unflushed writes, then listens again at the same address, at the beginning of its slow
+     * start.
+     */
     public CompletableFuture<StandInNode> failPower() {
         InetSocketAddress at = address();
         CompletableFuture<Void> down = new CompletableFuture<>();
@@ -138,7 +154,7 @@
         return down.thenCompose(done -> listen(at, false));
     }
 
-    /** Takes nothing new from now on, and notifies its gateways. */
+    /** Rejects new attempts from now on and notifies the connected gateways. */
     public void drain() {
         loop.execute(
                 () -> {
@@ -150,12 +166,14 @@
                 });
     }
 
-    /** Cuts every connection. */
+    /** Closes every connection. */
     public void closeConnections() {
         loop.execute(this::closeSessions);
     }
 
-    /** Handles nothing that comes and serves nothing, until it is called with false. */
+    /**
+     * Pauses or resumes the node. While paused, it queues received messages and starts no attempt.
+     */
     public void pause(boolean paused) {
         faults.paused = paused;
         loop.execute(
@@ -265,8 +283,8 @@
                 answer(attempt, StoreMessages.Code.CANCELLED, Unpooled.EMPTY_BUFFER);
                 continue;
             }
-            // Work is begun in the order it came, and has its effect when it begins: no later write
-            // of an extent can be undone by an earlier one.
+            // Attempts start in order of arrival and take effect at their start, so an earlier
+            // write cannot overwrite a later one.
             startAttempt(attempt);
         }
     }
@@ -306,7 +324,7 @@
         attempt.session.countServed(volume, units);
     }
 
-    /** Answers once the attempt's service time is over, unless the node went down meanwhile. */
+    /** Answers after the attempt's service time, unless the node goes down before. */
     private void answerAfterServiceTime(PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
         double millis =
                 serviceTime.millis(attempt.send)
@@ -375,7 +393,7 @@
     }
 
     private void flush(StoreMessages.Send send) throws IOException {
-        // Writes acknowledged by an earlier incarnation are gone if the power failed since.
+        // A power failure has lost unflushed writes that an earlier run acknowledged.
         if (lostData && send.expectedNodeStart() != startedAtWallMillis) {
             throw new IOException("writes before the start were lost");
         }
@@ -438,8 +456,8 @@
 
         @Override
         public void helloReceived(GatewaySession session) {
-            // An older session of the same gateway ends first: nothing that it still holds can come
-            // late.
+            // Closes an older session of the same gateway first, so that its queued attempts are
+            // not executed.
             for (GatewaySession older : List.copyOf(sessions)) {
                 if (older != session && older.gateway() == session.gateway()) {
                     older.close();
--- a/src/main/java/sagepulley/standin/TrafficRecorder.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -5,19 +5,19 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Records what passes on the stand-ins' sockets. Called on their loops; times are System.nanoTime.
+ * Records the traffic on the stand-ins' sockets. Called on their loops; times are System.nanoTime.
  */
 public interface TrafficRecorder {
     /** Records nothing. */
     TrafficRecorder NO_OP = new TrafficRecorder() {};
 
-    /** An attempt was read from a gateway's connection. */
+    /** Records an attempt read from a gateway's connection. */
     default void attemptReceived(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
-    /** An operation was executed; its effect is there from now on. */
+    /** Records the execution of an operation, just before its effect is applied. */
     default void operationExecuted(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
-    /** An answer was handed to the socket, or held back by a fault (lost). */
+    /** Records an answer that was passed to the socket, or suppressed by a fault (lost). */
     default void attemptAnswered(
             int node,
             long gateway,
@@ -27,20 +27,20 @@
             boolean lost,
             long nanos) {}
 
-    /** An attempt was cancelled by its gateway. */
+    /** Records the cancellation of an attempt by its gateway. */
     default void attemptCancelled(int node, long gateway, long operationId, int attemptNumber, long nanos) {}
 
     /**
-     * A node began to serve after a start.
+     * Records that a node serves after a start.
      *
-     * @param unitsPerSecond what it can do when warm; NaN where it started warm
+     * @param unitsPerSecond the warm capacity; NaN if the node started warm
      */
     default void nodeStarted(int node, double unitsPerSecond, long nanos) {}
 
-    /** A node collapsed under overload during its slow start. */
+    /** Records that a node collapsed under overload during its slow start. */
     default void nodeCollapsed(int node, long nanos) {}
 
-    /** A gateway was sent the endpoint list, complete or only what changed. */
+    /** Records an endpoint list sent to a gateway, complete or with the changed lines only. */
     default void endpointListSent(
             long gateway,
             boolean complete,
--- a/src/main/java/sagepulley/standin/WriteTokens.java
+++ b/src/main/java/sagepulley/standin/WriteTokens.java
@@ -9,11 +9,11 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * The write tokens (fencing tokens) of a stand-in node's extents: only the gateway that holds an
- * extent's token may change it. Used on the node's loop only.
+ * Manages the write tokens (fencing tokens) of a stand-in node's extents: only the gateway that
+ * holds an extent's token may modify it. Used on the node's loop only.
  */
 final class WriteTokens {
-    /** A holder keeps a token for so long that its writes arrive before another takes it away. */
+    /** Minimum hold time, so that a holder's writes arrive before the token is passed on. */
     private static final long MIN_HOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
     private record Request(GatewaySession session, long id) {}
@@ -36,14 +36,14 @@
         return token != null && token.holder == session;
     }
 
-    /** A gateway asks for an extent's token; it is told once it has it. */
+    /** Requests an extent's token for a session, which is notified when the token is granted. */
     void request(GatewaySession session, ExtentKey extent, long requestId) {
         Token token = tokens.computeIfAbsent(extent, any -> new Token());
         token.waiting.add(new Request(session, requestId));
         grantToWaiting(extent, token);
     }
 
-    /** The tokens of a session that ended, unless others wait for them, are nobody's. */
+    /** Frees the tokens held by an ended session, except those with waiting requests. */
     void release(GatewaySession session) {
         tokens.values().removeIf(token -> token.holder == session && token.waiting.isEmpty());
     }
