--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -7,25 +7,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The rules on answers and attempts, judged from what passed on the sockets: each request that a
- * gateway took gets one final answer in time, with the value that a store made for it; what may not
- * run twice is sent once; a store gets no later deadline than the client's; and nothing begins for
- * a client that has disconnected.
+ * Checks answers and attempts against the traffic seen on the sockets.
+ *
+ * <p>Each request that a gateway accepted gets one final answer in time, with the value that a
+ * store made for it. A request that is not idempotent is sent at most once, a store gets no later
+ * deadline than the client's, and no attempt begins after its client has disconnected.
  */
 final class AnswerRule {
     private static final long MAX_LATE_MILLIS = 500;
     private static final long MAX_EXTRA_DEADLINE_MILLIS = 150;
     private static final long MAX_AFTER_DISCONNECT_MILLIS = 100;
 
-    /** What a busy machine adds between two of this program's own threads. */
+    /** Allowance for scheduling delays between two threads of this program on a busy machine. */
     private static final long SLACK_MILLIS = 150;
 
-    /** A request that comes so long after SIGTERM is lost where SIGKILL finds it unanswered. */
+    /** A request sent this long after SIGTERM counts as lost if SIGKILL finds it unanswered. */
     private static final long MIN_STOP_NOTICE_MILLIS = 700;
 
     /**
-     * When a gateway process was sent SIGTERM, when SIGKILL, and when it had ended; one that was
-     * not sent SIGTERM has 0 for the first.
+     * Times at which a gateway process was sent SIGTERM and SIGKILL and at which it had exited;
+     * termSentAt is 0 if it was not sent SIGTERM.
      */
     record Termination(int gateway, long termSentAt, long killSentAt, long exitedAt) {
         boolean isPlanned() {
@@ -36,13 +37,18 @@
     private final List<Termination> terminations;
     private final boolean descriptorsExhausted;
 
-    /** Where idle clients fill the descriptors, a new connection may be shut unread. */
+    /**
+     * Creates the rule.
+     *
+     * @param descriptorsExhausted whether idle clients may have used up the descriptors, so that a
+     *     new connection may be closed without being read
+     */
     AnswerRule(List<Termination> terminations, boolean descriptorsExhausted) {
         this.terminations = terminations;
         this.descriptorsExhausted = descriptorsExhausted;
     }
 
-    /** Sentences for what broke the rules. */
+    /** Returns a description of each violation. */
     List<String> violations(List<StoreServer.Arrival> arrivals, List<Request> requests) {
         Map<String, List<StoreServer.Arrival>> attempts = new HashMap<>();
         for (StoreServer.Arrival arrival : arrivals) {
@@ -57,7 +63,7 @@
             }
             if (!request.idempotent && requestAttempts.size() > 1) {
                 violations.add(
-                        request + " may not run twice, and was sent " + requestAttempts.size() + " times");
+                        request + " is not idempotent but was sent " + requestAttempts.size() + " times");
             }
         }
         return violations;
@@ -66,7 +72,7 @@
     private void checkEnd(
             Request request, List<StoreServer.Arrival> attempts, List<String> violations) {
         if (request.end == null) {
-            return; // the run ended first
+            return; // the run ended before the request
         }
         switch (request.end) {
             case WRONG_VALUE -> violations.add(request + " got a value that no store made for it");
@@ -103,8 +109,12 @@
     }
 
     /**
-     * On a connection that was at rest it may have crossed the end unread; then its client sends it
-     * once more.
+     * Returns whether a request whose connection was closed without an answer counts as lost.
+     *
+     * <p>If SIGKILL ended its gateway while it was open, it counts only if it was sent at least
+     * MIN_STOP_NOTICE_MILLIS after SIGTERM. Otherwise it counts if an attempt was sent for it, or
+     * if it was the first on its connection and descriptors were not exhausted; a later one may
+     * have crossed the close unread, and its client sends it again.
      */
     private boolean isLost(Request request, List<StoreServer.Arrival> attempts) {
         Termination termination = killedWhileOpen(request);
@@ -121,7 +131,7 @@
                 || termination != null;
     }
 
-    /** How its gateway ended by SIGKILL while it was open; null if it did not. */
+    /** Returns the termination of the request's gateway while the request was open, or null. */
     private Termination killedWhileOpen(Request request) {
         return terminations.stream()
                 .filter(
@@ -157,7 +167,7 @@
         if (arrival.deadlineMillis() > remainingMillis + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
             violations.add(
                     request
-                            + " told a store "
+                            + " gave a store a deadline of "
                             + arrival.deadlineMillis()
                             + " ms with "
                             + remainingMillis
@@ -170,7 +180,7 @@
                     request
                             + " was sent "
                             + toMillis(arrival.firstByteAt() - request.endedAt)
-                            + " ms after its client had gone");
+                            + " ms after its client disconnected");
         }
     }
 
--- a/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
+++ b/src/main/java/sagepulley/faultinjection/BackgroundTasks.java
@@ -5,18 +5,18 @@
 import java.net.Socket;
 
 /**
- * Work of the stand-ins on threads of its own, which ends quietly with the connection that it
- * serves.
+ * Runs the stand-ins' work on daemon threads. A task ends without an error when its connection is
+ * closed.
  */
 final class BackgroundTasks {
     private BackgroundTasks() {}
 
-    /** What a stand-in does on one thread. */
+    /** Work that a stand-in runs on one thread. */
     interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Runs it on a daemon thread of its own. */
+    /** Runs a task on a new daemon thread. */
     static Thread run(String name, Task task) {
         Thread thread =
                 new Thread(
@@ -24,7 +24,7 @@
                             try {
                                 task.run();
                             } catch (IOException connectionClosed) {
-                                // The other end, or the test, has closed it.
+                                // Closed by the peer or by the test.
                             } catch (InterruptedException interrupted) {
                                 Thread.currentThread().interrupt();
                             }
@@ -35,21 +35,21 @@
         return thread;
     }
 
-    /** Closes a socket, which may be closed already. */
+    /** Closes a socket, which may already be closed. */
     static void close(Closeable socket) {
         try {
             socket.close();
         } catch (IOException alreadyClosed) {
-            // There is nothing left to close.
+            // Nothing to close.
         }
     }
 
-    /** Ends a connection by a reset. */
+    /** Closes a connection with a TCP reset. */
     static void reset(Socket socket) {
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException alreadyClosed) {
-            // It cannot be reset any more.
+            // Too late for a reset.
         }
         close(socket);
     }
--- a/src/main/java/sagepulley/faultinjection/ClientLoad.java
+++ b/src/main/java/sagepulley/faultinjection/ClientLoad.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of one gateway: each sends one request after the other, on one connection for as long as
- * that stays open, and runs on a thread of its own.
+ * Clients of one gateway. Each sends one request after another, on one connection for as long as
+ * that stays open, and runs on its own thread.
  */
 final class ClientLoad implements Closeable {
     /**
-     * What they do: the pause between requests, the longest deadline, and the share of requests, 0
-     * to 1, whose client disconnects before the answer.
+     * Client behaviour: the mean pause between requests, the longest deadline, and the share of
+     * requests, 0 to 1, whose client disconnects before the answer.
      */
     record ClientBehaviour(long pauseMillis, long maxDeadlineMillis, double disconnectingShare) {
         static final ClientBehaviour STEADY = new ClientBehaviour(40, 1_500, 0);
@@ -36,7 +36,7 @@
     private final ClientBehaviour behaviour;
     private volatile boolean stopped;
 
-    /** Clients that have no connection make none while this is set. */
+    /** Clients without a connection open none while this is set. */
     private volatile boolean newConnectionsSuspended;
 
     ClientLoad(
@@ -74,7 +74,9 @@
         }
     }
 
-    /** Whether the connection can be used again. */
+    /**
+     * Sends one request and waits for its answer; returns whether the connection can be used again.
+     */
     private boolean sendOne(RespPeer peer, Random random, int answered)
             throws InterruptedException {
         boolean writes = random.nextInt(4) == 0;
@@ -143,14 +145,14 @@
     }
 
     /**
-     * Whether clients connect elsewhere from now on, as they do soon after a gateway was sent
-     * SIGTERM.
+     * Sets whether clients without a connection stop opening new ones, as clients do soon after
+     * their gateway is sent SIGTERM.
      */
     void suspendNewConnections(boolean suspended) {
         newConnectionsSuspended = suspended;
     }
 
-    /** Sends nothing new from now on, and waits for the answers that are due. */
+    /** Stops sending requests and waits for the answers that are due. */
     void stop() throws InterruptedException {
         stopped = true;
         long until =
--- a/src/main/java/sagepulley/faultinjection/DiscoveryBehaviour.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryBehaviour.java
@@ -1,12 +1,12 @@
 package sagepulley.faultinjection;
 
 /**
- * How the stand-in for discovery answers calls.
+ * Behaviour of the stand-in discovery service.
  *
- * @param mode whether it answers at all
- * @param firstByteDelayMillis how long an answer takes to begin
- * @param trickleMillis over how long a list is written
- * @param queue how calls wait for each other; null where they don't
+ * @param mode whether calls are answered
+ * @param firstByteDelayMillis delay before an answer begins
+ * @param trickleMillis time over which a list is written
+ * @param queue queueing of calls; null for none
  * @param indented whether lists are written with white space
  */
 record DiscoveryBehaviour(
@@ -15,18 +15,18 @@
         long trickleMillis,
         CallQueue queue,
         boolean indented) {
-    /** What becomes of a call. */
+    /** Outcome of a call. */
     enum Mode {
         ANSWERS,
-        /** Calls are accepted and get no answer. */
+        /** Calls are accepted but not answered. */
         UNRESPONSIVE,
-        /** Every call gets 503. */
+        /** Every call is answered with status 503. */
         REJECTS
     }
 
     /**
-     * Calls are served one at a time; one that has waited for too long, or finds too many waiting,
-     * gets 503.
+     * Serves calls one at a time; a call that waits longer than the timeout, or arrives when the
+     * limit of waiting calls is reached, is answered with status 503.
      */
     record CallQueue(long serviceMillis, long timeoutMillis, int limit) {}
 
@@ -54,7 +54,7 @@
         return new DiscoveryBehaviour(Mode.REJECTS, 0, 0, null, false);
     }
 
-    /** The same with lists that are indented. */
+    /** Returns a copy that indents lists. */
     DiscoveryBehaviour withIndentation() {
         return new DiscoveryBehaviour(mode, firstByteDelayMillis, trickleMillis, queue, true);
     }
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -21,8 +21,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A discovery service on loopback that misbehaves on demand. Each gateway has a port of its own, so
- * that what was written to whom is known. All times are System.nanoTime.
+ * A discovery service on loopback with injectable faults. Each gateway uses its own port, so that
+ * the lists written to it are known. All times are System.nanoTime.
  */
 final class DiscoveryServer implements Closeable {
     private static final Pattern WATCH =
@@ -31,12 +31,12 @@
     private static final long POLL_INTERVAL_MILLIS = 10;
     private static final int BACKLOG = 200;
 
-    /** A backlog of one is full with two connections that nobody accepts. */
+    /** Two unaccepted connections fill this backlog, so that further ones are not established. */
     private static final int UNREACHABLE_BACKLOG = 1;
 
     private static final int FILLER_CONNECTIONS = 2;
 
-    /** A former address closes the connections that it has so long after the move. */
+    /** Time after a move until the former address closes its connections. */
     private static final long FORMER_ADDRESS_MILLIS = 1_500;
 
     private static final long NO_END = Long.MAX_VALUE;
@@ -48,20 +48,22 @@
     }
 
     /**
-     * That a gateway was written the complete list up to a revision at a time, on a connection made
-     * at another.
+     * A write that brought a gateway's list up to a revision.
+     *
+     * @param at when it was written
+     * @param connectedAt when its connection was accepted
      */
     record WrittenList(long at, int gateway, long revision, long connectedAt) {}
 
-    /** A time during which nobody could reach discovery; one that lasts ends at Long.MAX_VALUE. */
+    /** A period during which discovery was unreachable; until is Long.MAX_VALUE while it lasts. */
     record Outage(long from, long until) {}
 
     final EndpointHistory endpoints = new EndpointHistory();
 
-    /** How calls are answered from now on. */
+    /** Behaviour of calls that arrive from now on. */
     volatile DiscoveryBehaviour behaviour = DiscoveryBehaviour.HEALTHY;
 
-    /** Watches that stand say nothing while this is set: neither changes nor empty lines. */
+    /** Open watches get neither changes nor heartbeats while this is set. */
     volatile boolean watchesSilent;
 
     private final Map<Integer, ServerSocket> listeners = new ConcurrentHashMap<>();
@@ -75,19 +77,21 @@
     private Reachability reachability = Reachability.REACHABLE;
     private volatile boolean closed;
 
-    /** What was written to gateways so far. */
+    /** Returns the lists written to gateways so far. */
     synchronized List<WrittenList> written() {
         return new ArrayList<>(written);
     }
 
-    /** The times at which it could not be reached, in order. */
+    /** Returns the outages in order. */
     synchronized List<Outage> outages() {
         return new ArrayList<>(outages);
     }
 
     // ---- addresses ----
 
-    /** An address for one gateway, which is listened at while discovery can be reached. */
+    /**
+     * Allocates an address for one gateway and listens on it according to the present reachability.
+     */
     synchronized InetSocketAddress listenFor(int gateway) throws IOException {
         int port = Ports.allocate().getPort();
         ports.put(gateway, port);
@@ -100,8 +104,8 @@
     }
 
     /**
-     * Another address for one gateway. The former one accepts nothing more, and soon closes what it
-     * has.
+     * Moves one gateway to another address. The former one accepts no more connections and soon
+     * closes the open ones.
      */
     synchronized InetSocketAddress moveFor(int gateway) throws IOException {
         BackgroundTasks.close(listeners.get(gateway));
@@ -150,16 +154,19 @@
         }
     }
 
-    // ---- whether it can be reached ----
+    // ---- reachability ----
 
-    /** Its process has ended: connections are reset, new ones refused. */
+    /** Simulates the end of the process: connections are reset and new ones refused. */
     synchronized void stop() {
         beginOutage(Reachability.DOWN);
         listeners.values().forEach(BackgroundTasks::close);
         connections.forEach(BackgroundTasks::reset);
     }
 
-    /** It is cut off: connections stay open and silent, new ones never come up. */
+    /**
+     * Simulates a network partition: connections stay open but silent, and new ones are not
+     * established.
+     */
     synchronized void cutOff() throws IOException {
         beginOutage(Reachability.CUT_OFF);
         watchesSilent = true;
@@ -169,7 +176,7 @@
         }
     }
 
-    /** It can be reached again; connections that were cut are reset. */
+    /** Ends the outage; connections from before are reset. */
     synchronized void restore() throws IOException {
         connections.forEach(BackgroundTasks::reset);
         reachability = Reachability.REACHABLE;
@@ -184,7 +191,7 @@
         outages.set(last, new Outage(outages.get(last).from(), System.nanoTime()));
     }
 
-    /** Ends all connections that stand, and goes on. */
+    /** Resets all connections and keeps serving. */
     void resetConnections() {
         connections.forEach(BackgroundTasks::reset);
     }
@@ -230,7 +237,7 @@
         writeChanges(gateway, out, revision, connectedAt);
     }
 
-    /** The first line of a call, whose headers are skipped; null where the connection ended. */
+    /** Reads a call and returns its request line; null if the connection ended. */
     private static String readRequestLine(Socket socket) throws IOException {
         BufferedReader reader =
                 new BufferedReader(
@@ -266,7 +273,9 @@
         }
     }
 
-    /** Writes each change to a watch, or an empty line where there is none for a while. */
+    /**
+     * Writes each change to a watch, and a heartbeat line if there is none for HEARTBEAT_MILLIS.
+     */
     private void writeChanges(int gateway, TricklingOutput out, long from, long connectedAt)
             throws IOException, InterruptedException {
         long revision = from;
--- a/src/main/java/sagepulley/faultinjection/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -9,31 +9,33 @@
 import java.util.stream.Collectors;
 
 /**
- * The rule on draining and removed endpoints, judged from what passed on the sockets: no command
- * may begin at an endpoint later than the grace after the gateway was notified that it drains or is
- * gone. A gateway counts as notified once discovery has written the change to it, and at the latest
- * 6 s after discovery had it and could be reached, or 4 s after a new configuration of which
- * discovery had the change already.
+ * Checks that no command begins at a draining or removed endpoint later than the drain grace after
+ * its gateway was notified.
+ *
+ * <p>A gateway counts as notified once discovery has written the change to it, and at the latest 6
+ * s after discovery had the change and was reachable, or 4 s after a reload if discovery had the
+ * change before it.
  */
 final class DrainRule {
     private static final long MAX_NOTIFICATION_MILLIS = 6_000;
     private static final long MAX_RELOAD_NOTIFICATION_MILLIS = 4_000;
 
     /**
-     * What the page allows each time limit, and what a busy machine adds between the two sockets.
+     * The tolerance of each time limit, plus an allowance for delays between two sockets on a busy
+     * machine.
      */
     private static final long SLACK_MILLIS = 50 + 150;
 
     private final List<GatewayProcess> processes;
 
-    /** When each gateway was sent SIGHUP with a new address of discovery. */
+    /** Times at which each gateway was sent SIGHUP with a new discovery address. */
     private final Map<Integer, List<Long>> reloads;
 
     private final Map<String, List<EndpointHistory.Change>> changesByEndpoint;
     private final List<DiscoveryServer.WrittenList> written;
     private final List<DiscoveryServer.Outage> outages;
 
-    /** The rule for what a fleet has recorded up to now. */
+    /** Creates the rule for the records of a fleet up to now. */
     DrainRule(TestFleet fleet) {
         this.processes = fleet.gateways;
         this.reloads = fleet.reloads();
@@ -44,7 +46,7 @@
         this.outages = fleet.discovery.outages();
     }
 
-    /** Sentences for the commands that broke it. */
+    /** Returns a description of each command that violates the rule. */
     List<String> violations(List<StoreServer.Arrival> arrivals, List<Request> requests) {
         Map<String, Request> byId =
                 requests.stream()
@@ -86,7 +88,7 @@
         return Optional.empty();
     }
 
-    /** What the process of a gateway that ran at a time had been notified of. */
+    /** The notifications received by the gateway process that ran at a given time. */
     private final class GatewayView {
         private final int gateway;
         private final long processStartedAt;
@@ -97,7 +99,7 @@
         }
 
         /**
-         * Whether it had been notified, by the time of the command, that the endpoint serves again.
+         * Returns whether the process was notified by a given time that the endpoint serves again.
          */
         boolean isNotifiedOfServingAgain(
                 List<EndpointHistory.Change> changes, EndpointHistory.Change from, long until) {
@@ -110,7 +112,7 @@
                                             <= until + TimeUnit.MILLISECONDS.toNanos(SLACK_MILLIS));
         }
 
-        /** When it counts as notified of a change. */
+        /** Returns the time at which the process counts as notified of a change. */
         long notifiedAt(EndpointHistory.Change change) {
             long notified = timeReachableFor(change.at(), MAX_NOTIFICATION_MILLIS);
             for (long reload : reloads.getOrDefault(gateway, List.of())) {
@@ -121,7 +123,7 @@
                 }
             }
             for (DiscoveryServer.WrittenList list : written) {
-                // What was written to a process that is gone by then notifies the next of nothing.
+                // Lists written to an earlier process do not notify this one.
                 if (list.connectedAt() >= processStartedAt
                         && list.gateway() == gateway
                         && list.revision() >= change.revision()
@@ -141,7 +143,10 @@
                 .orElse(Long.MIN_VALUE);
     }
 
-    /** When discovery has been reachable for so long at a stretch since a time. */
+    /**
+     * Returns the time at which discovery has been reachable without interruption for a period
+     * since a given time.
+     */
     private long timeReachableFor(long from, long millis) {
         long nanos = TimeUnit.MILLISECONDS.toNanos(millis);
         long since = from;
--- a/src/main/java/sagepulley/faultinjection/Endpoint.java
+++ b/src/main/java/sagepulley/faultinjection/Endpoint.java
@@ -1,15 +1,15 @@
 package sagepulley.faultinjection;
 
-/** One storage endpoint as the test's discovery lists it. */
+/** A storage endpoint as listed by the stand-in discovery service. */
 record Endpoint(String id, int port, int cell, State state, long startedAtWallMillis) {
-    /** The phases of the discovery protocol. */
+    /** Phases of the discovery protocol. */
     enum State {
         SERVING,
         DRAINING,
         DELETED
     }
 
-    /** Its line in the endpoint list of the discovery protocol. */
+    /** Returns the endpoint's entry in the endpoint list of the discovery protocol. */
     String json(boolean indented) {
         String text =
                 "{\"id\":\""
--- a/src/main/java/sagepulley/faultinjection/EndpointHistory.java
+++ b/src/main/java/sagepulley/faultinjection/EndpointHistory.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The endpoint list of the stand-in for discovery, with each change and its time. Thread-safe. */
+/** Records the changes of the endpoint list with their times and revisions. Thread-safe. */
 final class EndpointHistory {
-    /** An endpoint's state from a time on. */
+    /** The state of an endpoint from a time on. */
     record Change(long at, long revision, Endpoint endpoint) {}
 
     private final TreeMap<Long, Change> changes = new TreeMap<>();
 
-    /** Changes an endpoint, or adds it; the list's new revision. */
+    /** Adds or changes an endpoint and returns the list's new revision. */
     synchronized long set(Endpoint endpoint) {
         long revision = revision() + 1;
         changes.put(revision, new Change(System.nanoTime(), revision, endpoint));
         return revision;
     }
 
-    /** The revision of the last change; 0 before any. */
+    /** Returns the revision of the last change; 0 before the first. */
     synchronized long revision() {
         return changes.isEmpty() ? 0 : changes.lastKey();
     }
@@ -30,7 +30,7 @@
         return new ArrayList<>(changes.values());
     }
 
-    /** The endpoints that are not deleted, as they are now. */
+    /** Returns the current endpoints without the deleted ones. */
     synchronized Collection<Endpoint> listed() {
         Collection<Endpoint> latest = latest(changes.values());
         latest.removeIf(endpoint -> endpoint.state() == Endpoint.State.DELETED);
@@ -38,8 +38,8 @@
     }
 
     /**
-     * The list in the protocol's form: what changed after a revision, or all of it where the
-     * revision is none of this history.
+     * Returns the list in the form of the discovery protocol: the changes after a revision, or the
+     * complete list if this history does not contain that revision.
      */
     synchronized String json(long after, boolean indented) {
         boolean complete = after <= 0 || after > revision();
--- a/src/main/java/sagepulley/faultinjection/GatewayProcess.java
+++ b/src/main/java/sagepulley/faultinjection/GatewayProcess.java
@@ -12,7 +12,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One `serve` process as it runs in service: its own JVM, a configuration file, signals. */
+/**
+ * A gateway running as a separate serve process with its own JVM, configuration file and signals.
+ */
 final class GatewayProcess implements Closeable {
     private static final long MAX_START_SECONDS = 30;
     private static final long PING_INTERVAL_MILLIS = 50;
@@ -24,7 +26,8 @@
     private final Process process;
 
     /**
-     * The launcher is a command in front of it, which becomes the process itself; it may be empty.
+     * Starts the process. The launcher is a command that is put before the java command and
+     * executes it; it may be empty.
      */
     GatewayProcess(
             int number,
@@ -56,11 +59,11 @@
                 builder.redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
                         .start();
-        // A run that is ended from outside leaves no gateway behind.
+        // Leaves no gateway behind when this JVM is stopped.
         Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
     }
 
-    /** Waits until it answers PING. */
+    /** Waits until the gateway answers PING. */
     GatewayProcess awaitReady() throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_START_SECONDS);
         while (!answersPing()) {
@@ -73,11 +76,11 @@
         return this;
     }
 
-    /** Whether it answers PING now; fails if its process has ended. */
+    /** Returns whether the gateway answers PING now; fails if its process has ended. */
     boolean answersPing() {
         if (!process.isAlive()) {
             throw new IllegalStateException(
-                    "the gateway ended with " + process.exitValue() + ": " + logText());
+                    "the gateway exited with code " + process.exitValue() + ": " + logText());
         }
         try (Socket socket = new Socket()) {
             socket.connect(listen, 200);
@@ -90,7 +93,7 @@
         }
     }
 
-    /** All that it has logged. */
+    /** Returns the text of the log file. */
     String logText() {
         try {
             return Files.readString(log);
@@ -99,7 +102,7 @@
         }
     }
 
-    /** Sends a signal, such as TERM, to a process that may have ended. */
+    /** Sends a signal, such as TERM; the process may have ended. */
     void signal(String name) throws IOException, InterruptedException {
         int result =
                 new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
@@ -111,7 +114,7 @@
         }
     }
 
-    /** Stops the process for so many seconds, as a busy machine does. */
+    /** Suspends the process for a number of seconds, to simulate a busy machine. */
     void suspend(String seconds) throws IOException, InterruptedException {
         String pid = Long.toString(process.pid());
         new ProcessBuilder(
@@ -122,7 +125,7 @@
                 .waitFor();
     }
 
-    /** SIGKILL, and waits until it is gone. */
+    /** Sends SIGKILL and waits for the process to end. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
@@ -131,7 +134,7 @@
         return process.isAlive();
     }
 
-    /** Waits until it has ended. */
+    /** Waits for the process to end and returns its exit code. */
     int awaitExitCode() throws InterruptedException {
         return process.waitFor();
     }
--- a/src/main/java/sagepulley/faultinjection/Ports.java
+++ b/src/main/java/sagepulley/faultinjection/Ports.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * Ports on loopback for listeners that are closed and opened again: below the range from which the
- * system gives connections theirs, and none twice in one program.
+ * Allocates loopback ports for listeners that are closed and reopened. They lie below the ephemeral
+ * port range and are never allocated twice in one JVM.
  */
 final class Ports {
     private static final int FIRST = 12_000;
@@ -23,7 +23,7 @@
 
     private Ports() {}
 
-    /** An address whose port nobody uses. */
+    /** Returns a loopback address with an unused port. */
     static synchronized InetSocketAddress allocate() {
         while (true) {
             int port = FIRST + RANDOM.nextInt(COUNT);
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Listens where another listener was just closed: the system may need a moment to let the port
-     * go.
+     * Listens on a port whose former listener was just closed, and retries while the port is still
+     * in use.
      */
     static ServerSocket listen(int port, int backlog) throws IOException {
         for (int attempts = 0; ; attempts++) {
--- a/src/main/java/sagepulley/faultinjection/Request.java
+++ b/src/main/java/sagepulley/faultinjection/Request.java
@@ -1,22 +1,20 @@
 package sagepulley.faultinjection;
 
-/**
- * One client's request and how it ended, as seen at the client's socket. Times are System.nanoTime.
- */
+/** A client's request and its outcome as seen at the client's socket. Times are System.nanoTime. */
 final class Request {
-    /** How a request ended for its client. */
+    /** Outcome of a request for its client. */
     enum End {
-        /** The value that a store made for it. */
+        /** The answer is the value that a store made for the request. */
         SERVED,
-        /** A value that no store made for it. */
+        /** The answer is a value that no store made for the request. */
         WRONG_VALUE,
         REJECTED,
         FAILED,
         /** The connection ended without an answer. */
         CLOSED,
-        /** No answer came until well after the deadline. */
+        /** No answer arrived until well after the deadline. */
         SILENT,
-        /** The client went away first. */
+        /** The client disconnected first. */
         CANCELLED
     }
 
@@ -27,7 +25,7 @@
     final boolean idempotent;
     long sentAt;
 
-    /** Number of requests answered on its connection before. */
+    /** Number of requests answered before on the same connection. */
     int answeredBeforeOnConnection;
 
     volatile long endedAt;
--- a/src/main/java/sagepulley/faultinjection/RespPeer.java
+++ b/src/main/java/sagepulley/faultinjection/RespPeer.java
@@ -9,14 +9,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One end of a RESP connection. */
+/** One side of a RESP connection. */
 final class RespPeer {
     private static final int MAX_ARGUMENTS = 64;
 
     final Socket socket;
     private final InputStream in;
 
-    /** When the first byte of the command or answer that was read last came. */
+    /** Arrival of the first byte of the command or answer read last, System.nanoTime. */
     long firstByteAt;
 
     RespPeer(Socket socket) throws IOException {
@@ -25,13 +25,13 @@
         this.in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Writes it at once. */
+    /** Writes a text and flushes it. */
     void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
     }
 
-    /** A command in the protocol's form. */
+    /** Returns a command encoded as an array of bulk strings. */
     static String command(String... arguments) {
         StringBuilder text = new StringBuilder("*" + arguments.length + "\r\n");
         for (String argument : arguments) {
@@ -44,7 +44,7 @@
         return text.toString();
     }
 
-    /** The arguments of the next command; null at the end of the connection. */
+    /** Reads a command and returns its arguments; null at the end of the connection. */
     List<String> readCommand() throws IOException {
         int first = in.read();
         firstByteAt = System.nanoTime();
@@ -53,7 +53,12 @@
         }
         int count = Integer.parseInt(readLine());
         if (first != '*' || count > MAX_ARGUMENTS) {
-            throw new IOException("not a command");
+            throw new IOException("expected a command of at most "
+                            + MAX_ARGUMENTS
+                            + " arguments, got type "
+                            + (char) first
+                            + " with count "
+                            + count);
         }
         List<String> arguments = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -63,8 +68,8 @@
     }
 
     /**
-     * The next answer: a line with its first character, or a bulk string behind '$'; null at the
-     * connection's end.
+     * Reads an answer and returns a line with its first character, or a bulk string prefixed with
+     * '$'; null at the end of the connection.
      */
     String readAnswer() throws IOException {
         int first = in.read();
@@ -80,7 +85,7 @@
         int length = Integer.parseInt(head.substring(1));
         byte[] bytes = in.readNBytes(length + 2);
         if (bytes.length < length + 2) {
-            throw new EOFException("ended inside a value");
+            throw new EOFException("connection ended inside a bulk string");
         }
         return new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
     }
@@ -89,7 +94,7 @@
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new EOFException("ended inside a line");
+                throw new EOFException("connection ended inside a line");
             }
             line.append((char) next);
         }
--- a/src/main/java/sagepulley/faultinjection/SoakActions.java
+++ b/src/main/java/sagepulley/faultinjection/SoakActions.java
@@ -2,50 +2,50 @@
 
 import java.io.IOException;
 
-/** What a soak run's plan can do to a fleet. */
+/** The actions that a soak run's plan can perform on a fleet. */
 interface SoakActions {
-    /** Discovery answers in another way; watches that stand may be reset. */
+    /** Changes how discovery answers calls, and optionally resets open watches. */
     void setDiscoveryBehaviour(DiscoveryBehaviour behaviour, boolean resetWatches);
 
-    /** Watches that stand say nothing, or speak again. */
+    /** Sets whether open watches stay silent. */
     void setWatchesSilent(boolean silent);
 
-    /** Discovery's process ends. */
+    /** Simulates the end of the discovery process. */
     void stopDiscovery();
 
-    /** Discovery is cut off by the network. */
+    /** Simulates a network partition of discovery. */
     void cutOffDiscovery() throws IOException;
 
-    /** Discovery can be reached again. */
+    /** Makes discovery reachable again. */
     void restoreDiscovery() throws IOException;
 
-    /** A store is listed in a state. */
+    /** Lists a store in a state. */
     void listStore(int store, Endpoint.State state);
 
-    /** A store takes commands and answers none, or goes on. */
+    /** Sets whether a store accepts commands without answering them. */
     void setStoreUnresponsive(int store, boolean unresponsive);
 
-    /** A store resets its connections. */
+    /** Resets a store's connections. */
     void resetStore(int store);
 
-    /** A gateway is killed and started again, with SIGTERM first if that is planned. */
+    /** Kills a gateway, after SIGTERM if the restart is planned, and starts it again. */
     void restartGateway(int gateway, boolean planned);
 
-    /** Discovery moves for a gateway, which is sent SIGHUP. */
+    /** Moves discovery to another address for a gateway and sends the gateway SIGHUP. */
     void moveDiscovery(int gateway) throws IOException, InterruptedException;
 
-    /** Discovery moves for a gateway that is sent SIGHUP but cannot read its configuration. */
+    /** Moves discovery for a gateway whose configuration cannot be read, and sends it SIGHUP. */
     void moveDiscoveryWithUnreadableConfig(int gateway) throws IOException, InterruptedException;
 
-    /** A gateway's configuration can be read. */
+    /** Makes a gateway's configuration readable again. */
     void restoreConfig(int gateway) throws IOException;
 
-    /** A gateway's process is stopped for a moment, as by a busy machine. */
+    /** Suspends a gateway's process for a moment, to simulate a busy machine. */
     void suspendGateway(int gateway) throws IOException, InterruptedException;
 
-    /** The wall clock of the gateways is off by so much. */
+    /** Sets the offset of the gateways' wall clock. */
     void setWallClockOffset(long millis) throws IOException;
 
-    /** Every gateway gets many connections on which nothing is requested. */
+    /** Opens many connections to every gateway without sending requests. */
     void openIdleConnections();
 }
--- a/src/main/java/sagepulley/faultinjection/SoakOperator.java
+++ b/src/main/java/sagepulley/faultinjection/SoakOperator.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Does to a fleet what a soak run's plan says, as an operator, a network or a machine would. Called
- * on the run's thread; restarts of gateways go on beside it, one at a time for each gateway.
+ * Performs the actions of a soak run's plan on a fleet. Called on the run's thread; restarts of
+ * gateways run in the background, one at a time for each gateway.
  */
 final class SoakOperator implements SoakActions, Closeable {
     private static final int IDLE_CONNECTIONS_PER_GATEWAY = 130;
@@ -24,10 +24,10 @@
     private static final long PING_INTERVAL_MILLIS = 100;
     private static final long RESTART_POLL_MILLIS = 50;
 
-    /** SIGKILL comes no sooner after SIGTERM than the longest deadline and this. */
+    /** SIGKILL follows SIGTERM after the longest deadline plus this delay. */
     private static final long KILL_DELAY_MILLIS = 700;
 
-    /** So long after SIGTERM new connections keep coming. */
+    /** Time after SIGTERM during which clients still open new connections. */
     private static final long NEW_CONNECTIONS_MILLIS = 400;
 
     private final long seed;
@@ -40,14 +40,14 @@
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private long runStartedAt;
 
-    /** An operator of a fleet; the shim is null where system calls can't be made to fail. */
+    /** Creates an operator of a fleet; the shim is null if system calls cannot be made to fail. */
     SoakOperator(long seed, TestFleet fleet, SystemCallShim shim) {
         this.seed = seed;
         this.fleet = fleet;
         this.shim = shim;
     }
 
-    /** Starts so many gateways and waits until they are ready. */
+    /** Starts a number of gateways and waits until they are ready. */
     void startGateways(int count) throws IOException, InterruptedException {
         for (int i = 0; i < count; i++) {
             running.put(i, fleet.start(i));
@@ -58,27 +58,27 @@
         runStartedAt = System.nanoTime();
     }
 
-    /** When all gateways had started. */
+    /** Returns the time at which all gateways were ready. */
     long runStartedAt() {
         return runStartedAt;
     }
 
-    /** How gateways have ended by SIGKILL so far. */
+    /** Returns the terminations of gateways by SIGKILL so far. */
     List<AnswerRule.Termination> terminations() {
         return terminations;
     }
 
-    /** Sentences for gateways that crashed or did not start again. */
+    /** Returns a description of each gateway that crashed or did not restart. */
     List<String> failures() {
         return failures;
     }
 
-    /** Whether idle connections may have used up the gateways' descriptors. */
+    /** Returns whether idle connections may have used up the gateways' descriptors. */
     boolean openedIdleConnections() {
         return !idleConnections.isEmpty();
     }
 
-    /** The last lines of a gateway's log. */
+    /** Returns the last lines of a gateway's log. */
     String logTail(int gateway) {
         return logTail(running.get(gateway));
     }
@@ -143,7 +143,7 @@
     @Override
     public void restartGateway(int gateway, boolean planned) {
         if (!restarting.add(gateway)) {
-            return; // it is on its way down already
+            return; // a restart is already in progress
         }
         BackgroundTasks.run(
                 "operator",
@@ -208,8 +208,8 @@
     }
 
     /**
-     * SIGKILL at the earliest moment that the page allows, or at once; then the same gateway starts
-     * anew.
+     * Sends SIGKILL, after SIGTERM and the shortest permitted delay if planned, and starts the
+     * gateway again.
      */
     private void restart(int gateway, boolean planned) throws IOException, InterruptedException {
         GatewayProcess process = running.get(gateway);
--- a/src/main/java/sagepulley/faultinjection/SoakPlan.java
+++ b/src/main/java/sagepulley/faultinjection/SoakPlan.java
@@ -7,22 +7,22 @@
 import java.util.Random;
 
 /**
- * Which faults a soak run meets, and when. The plan follows from the random source alone: the order
- * of its draws is part of what a seed means.
+ * Draws the faults of a soak run and their times. The plan depends only on the random source, so
+ * the order of the draws must not change.
  */
 final class SoakPlan {
-    /** Faults begin so long after the start, when clients are served. */
+    /** Time before the first fault, in which clients are served. */
     private static final long FAULT_FREE_START_MILLIS = 1_500;
 
     private static final long MAX_OUTAGE_MILLIS = 12_000;
     private static final long HOUR_MILLIS = 3_600_000;
 
-    /** What an event does. */
+    /** The action of an event. */
     interface Action {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Something that happens at a time of the run; events of one time keep their order. */
+    /** An event at a time of the run; events at the same time keep their order. */
     record Event(long atMillis, long order, String description, Action action) {}
 
     private final Random random;
@@ -35,7 +35,7 @@
                     Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::order));
     private long order;
 
-    /** A plan for a fleet of so many gateways and stores. */
+    /** Creates a plan for a fleet with a number of gateways and stores. */
     SoakPlan(Random random, long lengthMillis, int gateways, int stores, SoakActions actions) {
         this.random = random;
         this.lengthMillis = lengthMillis;
@@ -44,7 +44,11 @@
         this.actions = actions;
     }
 
-    /** Draws the events, in order of time; the wall clock moves only where that is possible. */
+    /**
+     * Draws the events in order of time.
+     *
+     * @param wallClockMoves whether the plan may change the wall clock
+     */
     Queue<Event> draw(boolean wallClockMoves) {
         for (long at = FAULT_FREE_START_MILLIS; at < lengthMillis - 4_000; ) {
             long faultMillis = 1_000L + random.nextInt(9_000);
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One run of a small fleet of real processes under overlapping faults that follow from one seed:
- * faults of discovery, of storage endpoints, of gateway processes, of system calls and of the wall
- * clock. It judges what passed on the sockets, and keeps a journal of what it did.
+ * Runs a small fleet of real processes under overlapping faults drawn from one seed: faults of
+ * discovery, storage endpoints, gateway processes, system calls and the wall clock. Checks the
+ * traffic seen on the sockets and keeps a journal of the faults.
  */
 public final class SoakRun implements Closeable {
     private static final int SHARDS = 6;
@@ -25,7 +25,7 @@
     private static final double DISCONNECTING_SHARE = 0.08;
     private static final int SIGHUP_IGNORED_ONE_IN = 6;
 
-    /** Two polls of discovery at the longest gap, and the time of the first one. */
+    /** Covers two polls of discovery at the longest interval and the duration of the first one. */
     private static final long MAX_RECOVERY_MILLIS = 12_000;
 
     private static final long SERVICE_WATCH_MILLIS = 2_000;
@@ -41,9 +41,9 @@
     private final List<String> failures = new ArrayList<>();
 
     /**
-     * A run that has not begun yet.
+     * Creates a run that has not started yet.
      *
-     * @param folder where its configurations and logs go
+     * @param folder receives configurations and logs
      */
     public SoakRun(long seed, Path folder, long lengthMillis)
             throws IOException, InterruptedException {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Runs it to its end; sentences for what broke a rule. */
+    /** Executes the run and returns a description of each violation. */
     public List<String> violations() throws IOException, InterruptedException {
         operator.startGateways(gateways);
         addToJournal(
@@ -93,7 +93,7 @@
         return checkRules();
     }
 
-    /** What happened when, and how many requests ended how. */
+    /** Returns the journal of events with the number of requests by outcome. */
     public String journalText() {
         Map<Request.End, Integer> ends = new EnumMap<>(Request.End.class);
         for (Request request : fleet.requests()) {
@@ -109,7 +109,7 @@
                 + String.join("\n  ", journal);
     }
 
-    /** How many requests were served so far. */
+    /** Returns the number of requests served so far. */
     public long served() {
         return fleet.requests().stream()
                 .filter(request -> request.end == Request.End.SERVED)
@@ -132,7 +132,7 @@
         }
     }
 
-    /** All faults are over: after a while each gateway has to serve again. */
+    /** Checks that each gateway serves requests again some time after the last fault. */
     private void checkRecovery() throws InterruptedException {
         Thread.sleep(MAX_RECOVERY_MILLIS);
         long from = System.nanoTime();
@@ -150,7 +150,7 @@
                                 + gateway
                                 + " serves nothing "
                                 + MAX_RECOVERY_MILLIS
-                                + " ms after the last trouble: "
+                                + " ms after the last fault: "
                                 + operator.logTail(gateway));
             }
         }
--- a/src/main/java/sagepulley/faultinjection/StoreServer.java
+++ b/src/main/java/sagepulley/faultinjection/StoreServer.java
@@ -14,10 +14,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/**
- * A storage endpoint on loopback that records every command, and serves it unless it is
- * unresponsive.
- */
+/** A storage endpoint on loopback that records and serves every command. */
 final class StoreServer implements Closeable {
     private static final Pattern DEADLINE = Pattern.compile("(?:^|,)d=(\\d+)(?:,|$)");
     private static final int BACKLOG = 500;
@@ -25,8 +22,11 @@
     private static final long UNRESPONSIVE_POLL_MILLIS = 20;
 
     /**
-     * One command as it came: when its first and its last byte were there, and its deadline in
-     * milliseconds from then; -1 where it had none.
+     * A command received.
+     *
+     * @param firstByteAt arrival of the first byte, System.nanoTime
+     * @param lastByteAt arrival of the last byte, System.nanoTime
+     * @param deadlineMillis deadline from then on; -1 for none
      */
     record Arrival(
             String endpoint,
@@ -40,13 +40,13 @@
     final int port;
     final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
 
-    /** Takes commands and answers none while this is set. */
+    /** Commands are recorded but not answered while this is set. */
     volatile boolean unresponsive;
 
     private final ServerSocket listener;
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
 
-    /** A store at a free port. */
+    /** Starts a store on a free port. */
     StoreServer(String id, int cell) throws IOException {
         this.id = id;
         this.cell = cell;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Its line in the endpoint list. */
+    /** Returns the store's entry in the endpoint list. */
     Endpoint endpoint(Endpoint.State state, long startedAtWallMillis) {
         return new Endpoint(id, port, cell, state, startedAtWallMillis);
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Ends all connections that stand by a reset, and goes on. */
+    /** Resets all connections and keeps serving. */
     void resetConnections() {
         connections.forEach(BackgroundTasks::reset);
     }
--- a/src/main/java/sagepulley/faultinjection/SystemCallShim.java
+++ b/src/main/java/sagepulley/faultinjection/SystemCallShim.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * The library of shim.c: failing system calls and a wall clock that steps, for the processes that
- * load it.
+ * The library built from shim.c, which makes system calls fail and shifts the wall clock in the
+ * processes that preload it.
  */
 final class SystemCallShim {
     private static Path library;
@@ -26,7 +26,10 @@
         setWallClockOffset(0);
     }
 
-    /** Compiled once; null on a machine without a C compiler. */
+    /**
+     * Returns the shim with its clock file in a folder, compiling the library on first use; null if
+     * there is no working C compiler.
+     */
     static synchronized SystemCallShim in(Path folder) throws IOException, InterruptedException {
         if (library == null) {
             Path source = Files.createTempFile("shim", ".c");
@@ -59,7 +62,7 @@
         return library == null ? null : new SystemCallShim(library, folder.resolve("wall-clock"));
     }
 
-    /** Moves the wall clock of all processes that load it, in milliseconds against the true one. */
+    /** Sets the offset of the wall clock, in milliseconds, for all processes that use this shim. */
     void setWallClockOffset(long millis) throws IOException {
         ByteBuffer offset = ByteBuffer.allocate(Long.BYTES).order(ByteOrder.nativeOrder());
         offset.putLong(millis * 1_000_000).flip();
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -12,11 +12,11 @@
 import java.util.stream.Collectors;
 
 /**
- * Real gateway processes between stand-ins for clients, storage endpoints and discovery, all on
- * loopback.
+ * A fleet of real gateway processes between stand-in clients, storage endpoints and discovery, all
+ * on loopback.
  */
 final class TestFleet implements Closeable {
-    /** How long commands may still begin at an endpoint that drains. */
+    /** Period in which commands may still begin at a draining endpoint. */
     static final long DRAIN_GRACE_MILLIS = 1_000;
 
     /** The longest deadline of a client. */
@@ -37,12 +37,12 @@
     private final List<String> launcher = new ArrayList<>();
     private final boolean pushed;
 
-    /** So many gateways, and as many endpoints as there are shards, all listed. */
+    /** Creates a fleet with one listed endpoint per shard. */
     TestFleet(Path folder, int size, int shards) throws IOException {
         this(folder, size, shards, false);
     }
 
-    /** The same where lists are said to be pushed. */
+    /** Creates a fleet; pushed selects the automatic discovery mode instead of subscribe. */
     TestFleet(Path folder, int size, int shards, boolean pushed) throws IOException {
         this.folder = folder;
         this.size = size;
@@ -58,28 +58,28 @@
         }
     }
 
-    /** The name of a store in the endpoint list. */
+    /** Returns the name of a store in the endpoint list. */
     static String storeName(int number) {
         return "s-" + number;
     }
 
-    /** Variables for each gateway process that starts from now on. */
+    /** Sets an environment variable of the gateway processes started from now on. */
     void setEnvironment(String name, String value) {
         environment.put(name, value);
     }
 
-    /** As under nohup: each gateway process that starts from now on has SIGHUP ignored. */
+    /** Starts later gateway processes with SIGHUP ignored, as nohup does. */
     void launchWithSighupIgnored() {
         setLauncher("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
     }
 
-    /** A command in front of each gateway process that starts from now on. */
+    /** Sets a command that launches the gateway processes started from now on. */
     void setLauncher(String... command) {
         launcher.clear();
         launcher.addAll(List.of(command));
     }
 
-    /** Starts one; it knows the list as it is now, as if it had had it before. */
+    /** Writes a gateway's configuration with the current endpoint list and starts its process. */
     GatewayProcess start(int number) throws IOException {
         writeConfig(number);
         GatewayProcess gateway =
@@ -94,7 +94,7 @@
         return gateway;
     }
 
-    /** Clients of one gateway, which send requests from now on. */
+    /** Starts clients that send requests to one gateway. */
     ClientLoad startLoad(int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
         ClientLoad load =
                 new ClientLoad(
@@ -108,48 +108,49 @@
         return load;
     }
 
-    /** Discovery has another address for this gateway, which its file has from now on. */
+    /** Moves discovery to another address for a gateway and writes it to the configuration. */
     void moveDiscovery(int number) throws IOException {
         discoveryAddresses.put(number, discovery.moveFor(number));
         writeConfig(number);
     }
 
-    /** The same, and SIGHUP to the process right behind. */
+    /** Moves discovery for a gateway and sends it SIGHUP. */
     void moveDiscovery(GatewayProcess gateway) throws IOException, InterruptedException {
         moveDiscovery(gateway.number);
         signalReload(gateway);
     }
 
-    /** SIGHUP, and the time of it for the rules. */
+    /** Records the time of a reload and sends SIGHUP. */
     void signalReload(GatewayProcess gateway) throws IOException, InterruptedException {
         reloads.computeIfAbsent(gateway.number, any -> new ArrayList<>()).add(System.nanoTime());
         gateway.signal("HUP");
     }
 
-    /** When each gateway was sent SIGHUP with a new configuration. */
+    /** Returns the times at which each gateway was sent SIGHUP with a new configuration. */
     Map<Integer, List<Long>> reloads() {
         return reloads;
     }
 
-    /** Where discovery is for this gateway by its file. */
+    /** Returns the discovery address in a gateway's configuration. */
     InetSocketAddress discoveryAddress(int number) {
         return discoveryAddresses.get(number);
     }
 
-    /** The gateway's configuration. */
+    /** Returns the path of a gateway's configuration file. */
     Path configFile(int number) {
         return folder.resolve("gateway-" + number + ".json");
     }
 
     /**
-     * Nobody can read the gateway's file until it is written again: a directory is in its place.
+     * Replaces a gateway's configuration file by a directory, so that it cannot be read until it is
+     * written again.
      */
     void makeConfigUnreadable(int number) throws IOException {
         Files.deleteIfExists(configFile(number));
         Files.createDirectory(configFile(number));
     }
 
-    /** Writes the gateway's configuration as of now. */
+    /** Writes a gateway's current configuration. */
     void writeConfig(int number) throws IOException {
         if (Files.isDirectory(configFile(number))) {
             Files.delete(configFile(number));
@@ -203,12 +204,12 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** What all clients have requested so far. */
+    /** Returns the requests of all clients so far. */
     List<Request> requests() {
         return loads.stream().flatMap(load -> load.requests.stream()).toList();
     }
 
-    /** The commands that have come to all stores so far. */
+    /** Returns the commands received by all stores so far. */
     List<StoreServer.Arrival> arrivals() {
         return stores.stream().flatMap(store -> store.arrivals.stream()).toList();
     }
--- a/src/main/java/sagepulley/faultinjection/TricklingOutput.java
+++ b/src/main/java/sagepulley/faultinjection/TricklingOutput.java
@@ -5,7 +5,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Writes HTTP answers to a socket, at once or in pieces that are spread over a time. */
+/** Writes HTTP responses to a socket, at once or in pieces spread over a time. */
 final class TricklingOutput {
     private static final long CHUNK_INTERVAL_MILLIS = 50;
 
@@ -20,12 +20,12 @@
         write(text, 0);
     }
 
-    /** Writes a chunk of a chunked body over a time. */
+    /** Writes one chunk of a chunked body, spread over a time. */
     void writeChunk(String text, long trickleMillis) throws IOException, InterruptedException {
         write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n", trickleMillis);
     }
 
-    /** Writes a text in pieces spread evenly over a time; at once where that is 0. */
+    /** Writes a text in pieces spread evenly over a time; at once if the time is 0. */
     void write(String text, long trickleMillis) throws IOException, InterruptedException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         long intervals = trickleMillis / CHUNK_INTERVAL_MILLIS;
