--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * A process whose descriptors run out: it may have fewer than its configuration says, and idle
- * clients take them all.
+ * Guards against a gateway that stops following discovery or configuration changes when idle
+ * clients use up its descriptors.
  */
 @Timeout(120)
 @Execution(ExecutionMode.CONCURRENT)
 class DescriptorsTest {
-    /** The program's own files take some 90 where its libraries are files of their own. */
+    /** The JVM itself may use about 90 when its libraries are separate files. */
     private static final int DESCRIPTORS = 160;
 
     private static final int IDLE_CLIENTS = 150;
 
-    /** Longer than 6 s, the grace of 1 s, and some seconds of sending. */
+    /** Exceeds the 6 s until notified plus the drain grace of 1 s. */
     private static final long OBSERVED_MILLIS = 12_000;
 
     @TempDir Path folder;
--- a/src/test/java/sagepulley/faultinjection/FleetChecks.java
+++ b/src/test/java/sagepulley/faultinjection/FleetChecks.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** What several tests on a fleet of real processes do and check. */
+/** Actions and assertions shared by the tests on a fleet of real processes. */
 final class FleetChecks {
     private static final long MAX_RECOVERY_SECONDS = 10;
 
     private FleetChecks() {}
 
-    /** The store is listed as draining from now on. */
+    /** Lists a store as draining from now on. */
     static void drain(TestFleet fleet, int store) {
         fleet.discovery.endpoints.set(fleet.stores.get(store).endpoint(Endpoint.State.DRAINING, 0));
     }
@@ -21,7 +21,7 @@
     static void assertNoSendAfterGrace(TestFleet fleet) {
         List<Request> requests = fleet.requests();
         List<String> violations = new DrainRule(fleet).violations(fleet.arrivals(), requests);
-        assertTrue(!requests.isEmpty(), "no request was made");
+        assertTrue(!requests.isEmpty(), "no request was sent");
         assertEquals(
                 0,
                 violations.size(),
@@ -29,13 +29,13 @@
                         violations.size()
                                 + " of "
                                 + requests.size()
-                                + " requests; the last: "
+                                + " requests violate the drain grace; the last: "
                                 + violations.get(violations.size() - 1)
                                 + "\n"
                                 + fleet.gateways.get(fleet.gateways.size() - 1).logText());
     }
 
-    /** Some request that is sent from now on is served. */
+    /** Asserts that a request sent from now on is served. */
     static void assertServedAgain(TestFleet fleet) {
         long from = System.nanoTime();
         await().atMost(MAX_RECOVERY_SECONDS, TimeUnit.SECONDS)
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * New configurations on a real process: each one is acted on, whatever stands in its way, and the
- * list follows it.
+ * Guards against reloads of a real process that are lost, and against sends to drained endpoints
+ * after a reload.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
@@ -26,7 +26,7 @@
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long MAX_RELOAD_SECONDS = 5;
 
-    /** Longer than a reload's 4 s, the grace of 1 s, and some seconds of sending. */
+    /** Exceeds the 4 s of a reload plus the drain grace of 1 s. */
     private static final long OBSERVED_MILLIS = 10_000;
 
     @TempDir Path folder;
@@ -34,7 +34,7 @@
     @Test
     void reloadsOnEachSignalWhileSystemCallsFailAndTheWallClockSteps() throws Exception {
         SystemCallShim shim = SystemCallShim.in(folder);
-        assumeTrue(shim != null, "there is no C compiler");
+        assumeTrue(shim != null, "no working C compiler");
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             shim.environment(SHIM_SEED, FAILURES_IN_TEN_THOUSAND).forEach(fleet::setEnvironment);
             GatewayProcess gateway = fleet.start(0).awaitReady();
@@ -55,7 +55,7 @@
         }
     }
 
-    /** As under nohup: the JVM leaves a signal ignored that was ignored at its start. */
+    /** The JVM keeps a signal ignored that was ignored at its start, as under nohup. */
     @Test
     void reloadsWhenStartedWithSighupIgnored() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
@@ -75,8 +75,8 @@
     }
 
     /**
-     * The file is no text for a while: what discovery has at its new address counts as notified all
-     * the same.
+     * Changes that discovery has at its new address count as notified although the file cannot be
+     * read.
      */
     @Test
     void unreadableConfigurationEndsTheLeaseAndIsReadAgain() throws Exception {
@@ -100,7 +100,7 @@
     }
 
     /**
-     * A file that is wrong leaves all as it was; the next one that is right is taken without
+     * An invalid file leaves the configuration unchanged; the next valid one is loaded without
      * another signal.
      */
     @Test
--- a/src/test/java/sagepulley/faultinjection/SoakPlanTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakPlanTest.java
@@ -9,7 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A seed gives the same faults at the same times in every version of the program. */
+/**
+ * Guards against a change of the random draws: a seed gives the same faults at the same times in
+ * every version.
+ */
 class SoakPlanTest {
     private static final long LENGTH_MILLIS = 24_000;
     private static final int GATEWAYS = 3;
--- a/src/test/java/sagepulley/faultinjection/SoakTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Seeded runs of real processes under overlapping faults; the command 'soak' runs any number of
- * seeds by hand.
+ * seeds.
  */
 @Timeout(180)
 @Execution(ExecutionMode.CONCURRENT)
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -12,9 +12,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The incident of issue 26 on real processes: discovery can be reached, and does not get its list
- * to a gateway. What it has counts as told 6 s later all the same, so that nothing may go to an
- * endpoint that has drained by then.
+ * Guards against sends to drained endpoints while discovery is reachable but does not deliver its
+ * list (issue 26). The gateway counts as notified 6 s after discovery has the change.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
@@ -26,13 +25,13 @@
     static Stream<Arguments> unansweringDiscoveries() {
         return Stream.of(
                 Arguments.of("rejects every call", DiscoveryBehaviour.rejecting()),
-                Arguments.of("accepts calls and says nothing", DiscoveryBehaviour.unresponsive()),
+                Arguments.of("accepts calls without answering them", DiscoveryBehaviour.unresponsive()),
                 Arguments.of(
                         "keeps calls waiting and then rejects them",
                         DiscoveryBehaviour.oneAtATime(60_000, 2_000, 100)));
     }
 
-    /** As n44 of the incident: killed, started anew, and no call of it is ever answered. */
+    /** A process killed and started again, none of whose discovery calls is answered. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("unhelpfulDiscoveries")
     void restartedProcessWithoutListSendsNothingToDrainedEndpoint(
@@ -49,7 +48,7 @@
         }
     }
 
-    /** A process that had a list, lost its watch, and is not answered any more. */
+    /** A process that had a list and lost its watch, and whose later calls are not answered. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("unhelpfulDiscoveries")
     void processWithLostWatchSendsNothingToDrainedEndpoint(
@@ -61,7 +60,7 @@
         }
     }
 
-    /** A watch that stands and is silent, while new calls are not answered. */
+    /** An open but silent watch, while new calls are not answered. */
     @Test
     void processWithSilentWatchSendsNothingToDrainedEndpoint() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
@@ -85,7 +84,7 @@
                         DiscoveryBehaviour.oneAtATime(2_500, 20_000, 100)));
     }
 
-    /** However slow its answers are, they come: the list has to be taken, and service goes on. */
+    /** The list is applied and service continues as long as discovery answers at all. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("slowDiscoveries")
     void listFromSlowDiscoveryIsApplied(String description, DiscoveryBehaviour behaviour)
@@ -96,7 +95,9 @@
         }
     }
 
-    /** While nothing can be told, nothing counts as told: an outage alone stops no service. */
+    /**
+     * A gateway does not count as notified during an outage, so an outage alone stops no service.
+     */
     @Test
     void discoveryOutageAloneStopsNoService() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A planned stop on a real process: clients go on using their connections, a store hangs, the
- * process is held up.
+ * Guards against lost requests in a planned stop while clients keep their connections, a store
+ * hangs and the process is suspended.
  */
 @Timeout(60)
 class StopTest {
     private static final long KILL_AFTER_MILLIS = TestFleet.MAX_DEADLINE_MILLIS + 700;
     private static final String SUSPEND_SECONDS = "0.14";
 
-    /** When no more is taken, and just before the kill. */
+    /** When the gateway stops accepting requests, and just before the kill. */
     private static final long[] SUSPENDED_BEFORE_KILL_MILLIS = {620, 160};
 
     @TempDir Path folder;
@@ -57,7 +57,7 @@
                                     false)
                             .violations(fleet.arrivals(), requests);
             assertEquals(List.of(), violations);
-            assertFalse(alive, "it had not ended by the earliest kill");
+            assertFalse(alive, "the gateway had not exited by the earliest kill");
             assertEquals(0, gateway.awaitExitCode(), gateway::logText);
             long lastSent =
                     requests.stream()
@@ -67,7 +67,9 @@
                             .orElse(0);
             assertTrue(
                     TimeUnit.NANOSECONDS.toMillis(lastSent) > TestFleet.MAX_DEADLINE_MILLIS - 200,
-                    "clients were served nearly to the end, the last asked after " + lastSent);
+                    "expected service until shortly before the stop, last served request sent "
+                            + lastSent
+                            + " ns after SIGTERM");
         }
     }
 
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -61,8 +61,8 @@
 import sagepulley.tracing.Tracer;
 
 /**
- * Names that users, scripts and dashboards rely on: options, JSON keys, metrics, fields of spans,
- * words of scripted days. Compared with literals and with src/test/resources/external.
+ * Guards the names that users, scripts and dashboards rely on: options, JSON keys, metrics, span
+ * fields and words of scenario scripts. Compared with literals and src/test/resources/external.
  */
 @Isolated("it redirects System.out and sets the time zone")
 class ExternalNamesTest {
@@ -103,7 +103,7 @@
         Expected.text("commands.txt", String.join("\n", lines) + "\n");
     }
 
-    /** Names, labels, defaults, and the constants that an option of an enum type takes. */
+    /** Collects names, labels, defaults and the constants accepted by options of an enum type. */
     private static void collect(CommandLine command, Set<String> lines) {
         String name = command.getCommandSpec().qualifiedName();
         lines.add(name);
@@ -156,7 +156,7 @@
                 JSON.readTree(printed("check-site", file, "--json")));
     }
 
-    /** What drill, truth and measure print with --json, which run too long for here. */
+    /** Rows printed by drill, truth and measure with --json, which run too long for a unit test. */
     @Test
     void experimentRowsKeepTheirKeys() throws IOException {
         AttributionExperiment.Row truth =
@@ -196,7 +196,7 @@
                                 LatencyReport.Confidence.values())));
     }
 
-    /** Words of scripted days that become constants of an enum. */
+    /** Words of scenario scripts that are parsed into enum constants. */
     @Test
     void scenarioFaultWordsAreAccepted() throws Exception {
         String day = ScenarioRunner.builtIn("bad-evening");
@@ -217,7 +217,7 @@
         }
     }
 
-    // ---- figures over HTTP ----
+    // ---- monitoring over HTTP ----
 
     private static String get(MonitoringServer server, String path) throws Exception {
         URI address = URI.create("http://127.0.0.1:" + server.address().getPort() + path);
@@ -280,8 +280,8 @@
     }
 
     /**
-     * The record that is written for /accounts, and read by top, with every part, kind and part of
-     * the plan.
+     * The record written for /accounts and read by top, with every latency component, cause kind
+     * and plan tier.
      */
     @Test
     void accountsViewKeepsItsJson() throws IOException {
@@ -299,7 +299,7 @@
         Expected.json("accounts.json", JSON.writeValueAsString(read));
     }
 
-    /** The record that is written for /nodes, with every constant of its enums. */
+    /** The record written for /nodes, with every constant of its enums. */
     @Test
     void nodesViewKeepsItsJson() throws IOException {
         List<JsonNode> views = new ArrayList<>();
@@ -346,7 +346,7 @@
                                 0, 5, number == 8 ? null : quotaTier, 4, 15, outcome)));
     }
 
-    /** Ids differ from run to run. */
+    /** Replaces the identifiers, which differ between runs. */
     private static String withoutIds(String lines) {
         return lines.replaceAll("\"(trace|span)\":\"[0-9a-f]+\"", "\"$1\":\"ID\"")
                 .replaceAll("\"parent\":\"[0-9a-f]+\"", "\"parent\":\"ID\"");
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -33,15 +33,16 @@
 import sagepulley.persistence.HolderFile;
 
 /**
- * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
- * same content is written with the same keys, enum names and bytes.
+ * Guards the formats of stored files: files written by an earlier build (src/test/resources/stored)
+ * are read field by field, and the same content is written with the same keys, enum names and
+ * bytes.
  */
 class StoredFormatTest {
     private static final long WRITTEN_AT = 1_764_700_000_123L;
     private static final Path STORED = Path.of("src/test/resources/stored");
     @TempDir private Path folder;
 
-    // ---- the contents of the files ----
+    // ---- contents of the files ----
 
     private static StoredEndpointList endpointList() {
         return new StoredEndpointList(
@@ -81,7 +82,10 @@
         return cells;
     }
 
-    /** A key: ordinal of the kind and the estimate's bit, then 24 bits of node, 34 of volume. */
+    /**
+     * Packs the ordinal of the cause kind and the estimate bit, then 24 bits of node and 34 of
+     * volume.
+     */
     private static long key(long kind, long estimate, long node, long volume) {
         return (kind << 1 | estimate) << 58 | node << 34 | volume;
     }
@@ -150,7 +154,7 @@
 
     // ---- helpers ----
 
-    /** Read from a copy, so that a reader that sets a file aside changes no committed file. */
+    /** Returns a copy of a stored file, because a reader may set a damaged file aside. */
     private Path stored(String name) throws IOException {
         return Files.copy(STORED.resolve(name), folder.resolve("stored-" + name));
     }
@@ -165,7 +169,7 @@
         return Arrays.copyOfRange(all, head(file).length() + 1, all.length);
     }
 
-    // ---- list of nodes ----
+    // ---- endpoint list ----
 
     @Test
     void readsStoredEndpointList() throws IOException {
@@ -262,12 +266,12 @@
         assertEquals(
                 cbor.<JsonNode>valueToTree(accounts().accounts()),
                 cbor.<JsonNode>valueToTree(StoredAccounts.of(read.account())),
-                "the figures, after they went through the book");
+                "stored accounts after loading into LatencyAccount");
         double[] flow = read.account().flows(0, 1e13).get(5).get(2L);
         assertArrayEquals(new double[] {64, 64}, flow, "units and writes at node 5");
     }
 
-    /** Parts, parts of the plan and kinds of causes are stored by their order. */
+    /** Latency components, plan tiers and cause kinds are stored by ordinal. */
     @Test
     void storedOrdinalsKeepTheirMeaning() throws IOException {
         LatencyReport report = AccountFile.report(stored("accounts")).account().report(2, 0, 1e13);
