--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -114,7 +114,7 @@
      * <p>If SIGKILL ended its gateway while it was open, it counts only if it was sent at least
      * MIN_STOP_NOTICE_MILLIS after SIGTERM. Otherwise it counts if an attempt was sent for it, or
      * if it was the first on its connection and descriptors were not exhausted; a later one may
-     * have crossed the close unread, and its client sends it again.
+     * have crossed the close unread, in which case a client may send it again.
      */
     private boolean isLost(Request request, List<StoreServer.Arrival> attempts) {
         Termination termination = killedWhileOpen(request);
