--- a/src/test/java/sagepulley/stored/Expected.java
+++ b/src/test/java/sagepulley/stored/Expected.java
@@ -8,7 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Compares output with the committed texts in src/test/resources/external. */
+/** Output compared with a committed text in src/test/resources/external. */
 public final class Expected {
     private static final Path FOLDER = Path.of("src/test/resources/external");
     private static final JsonMapper SORTED =
@@ -19,12 +19,12 @@
 
     private Expected() {}
 
-    /** Asserts that a text equals the committed one. */
+    /** The text as it is. */
     public static void text(String name, String actual) throws IOException {
         assertEquals(Files.readString(FOLDER.resolve(name)), actual, name);
     }
 
-    /** Asserts that JSON has the committed keys and values, in any order of the keys. */
+    /** JSON with all keys and values, whatever the order of the keys. */
     public static void json(String name, String actual) throws IOException {
         Object tree = SORTED.readValue(actual, Object.class);
         text(name, SORTED.writeValueAsString(tree) + "\n");
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -61,8 +61,8 @@
 import sagepulley.tracing.Tracer;
 
 /**
- * Guards the names that users, scripts and dashboards rely on: options, JSON keys, metrics, span
- * fields and words of scenario scripts. Compared with literals and src/test/resources/external.
+ * Names that users, scripts and dashboards rely on: options, JSON keys, metrics, fields of spans,
+ * words of scripted days. Compared with literals and with src/test/resources/external.
  */
 @Isolated("it redirects System.out and sets the time zone")
 class ExternalNamesTest {
@@ -72,12 +72,12 @@
     private final TimeZone zone = TimeZone.getDefault();
 
     @BeforeEach
-    void setTimeZoneToUtc() {
+    void fixTheZone() {
         TimeZone.setDefault(TimeZone.getTimeZone("UTC"));
     }
 
     @AfterEach
-    void restoreTimeZone() {
+    void restoreTheZone() {
         TimeZone.setDefault(zone);
     }
 
@@ -97,13 +97,13 @@
     // ---- command line ----
 
     @Test
-    void commandsAndOptionsKeepTheirNames() throws IOException {
+    void commandsAndOptions() throws IOException {
         TreeSet<String> lines = new TreeSet<>();
         collect(new CommandLine(new Commands()), lines);
         Expected.text("commands.txt", String.join("\n", lines) + "\n");
     }
 
-    /** Collects names, labels, defaults and the constants accepted by options of an enum type. */
+    /** Names, labels, defaults, and the constants that an option of an enum type takes. */
     private static void collect(CommandLine command, Set<String> lines) {
         String name = command.getCommandSpec().qualifiedName();
         lines.add(name);
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void accountsReportKeepsItsFormat() throws IOException {
+    void reportOfAccounts() throws IOException {
         Path file = Files.copy(STORED.resolve("accounts"), folder.resolve("accounts"));
         Expected.json("report.json", printed("report", file, "--since", "100h", "--json"));
         Path html = folder.resolve("report.html");
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void storedEndpointListKeepsItsOutput() throws IOException {
+    void listOfNodes() throws IOException {
         Path file = Files.copy(STORED.resolve("nodes"), folder.resolve("nodes"));
         Expected.json("list-file.json", printed("list-file", "show", file, "--json"));
         Expected.text("list-file.txt", printed("list-file", "show", file));
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void siteCheckKeepsItsOutput() throws IOException {
+    void checkedSite() throws IOException {
         Path file = folder.resolve("site.ini");
         Files.writeString(
                 file, LocalCluster.demoSite("gw", 0, 1, 0, new InetSocketAddress("127.0.0.1", 9)));
@@ -156,9 +156,9 @@
                 JSON.readTree(printed("check-site", file, "--json")));
     }
 
-    /** Rows printed by drill, truth and measure with --json, which run too long for a unit test. */
+    /** What drill, truth and measure print with --json, which run too long for here. */
     @Test
-    void experimentRowsKeepTheirKeys() throws IOException {
+    void rowsOfLongRuns() throws IOException {
         AttributionExperiment.Row truth =
                 new AttributionExperiment.Row(
                         "day",
@@ -196,9 +196,9 @@
                                 LatencyReport.Confidence.values())));
     }
 
-    /** Words of scenario scripts that are parsed into enum constants. */
+    /** Words of scripted days that become constants of an enum. */
     @Test
-    void scenarioFaultWordsAreAccepted() throws Exception {
+    void faultsOfScriptedDays() throws Exception {
         String day = ScenarioRunner.builtIn("bad-evening");
         String nodes =
                 "silent|paused|refusing|unreachable|cut|drains|garbles|restarts cold|loses"
@@ -217,17 +217,17 @@
         }
     }
 
-    // ---- monitoring over HTTP ----
+    // ---- figures over HTTP ----
 
-    private static String get(MonitoringServer server, String path) throws Exception {
-        URI address = URI.create("http://127.0.0.1:" + server.address().getPort() + path);
+    private static String get(MonitoringServer watch, String path) throws Exception {
+        URI address = URI.create("http://127.0.0.1:" + watch.address().getPort() + path);
         return HttpClient.newHttpClient()
                 .send(HttpRequest.newBuilder(address).build(), HttpResponse.BodyHandlers.ofString())
                 .body();
     }
 
     @Test
-    void runningGatewayKeepsMetricNamesAndJsonKeys() throws Exception {
+    void metricsAndViewsOfARunningGateway() throws Exception {
         try (LocalCluster cluster =
                 LocalCluster.start(
                         List.of(NodeProfile.zeroCost(1, 1 << 20)), TrafficRecorder.NO_OP, 1)) {
@@ -235,10 +235,10 @@
             SiteConfig site = SiteConfig.read("site", text);
             NbdGateway gateway = LocalCluster.await(new NbdGateway(site, 1).start());
             InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            try (MonitoringServer server = new MonitoringServer(site, gateway, any)) {
+            try (MonitoringServer watch = new MonitoringServer(site, gateway, any)) {
                 Expected.text(
                         "metrics.txt",
-                        get(server, "/metrics")
+                        get(watch, "/metrics")
                                 .lines()
                                 .map(
                                         line ->
@@ -249,7 +249,7 @@
                                 .collect(Collectors.joining("\n", "", "\n")));
                 assertEquals(
                         "at\ngateway\nnames.1\nnodes\nvolumes\n",
-                        KeyPaths.of(JSON.readTree(get(server, "/accounts"))));
+                        KeyPaths.of(JSON.readTree(get(watch, "/accounts"))));
                 assertEquals(
                         """
                         age
@@ -272,7 +272,7 @@
                         trust
                         unverifiedExtents
                         """,
-                        KeyPaths.of(JSON.readTree(get(server, "/nodes"))));
+                        KeyPaths.of(JSON.readTree(get(watch, "/nodes"))));
             } finally {
                 LocalCluster.await(gateway.stop());
             }
@@ -280,28 +280,28 @@
     }
 
     /**
-     * The record written for /accounts and read by top, with every latency component, cause kind
-     * and plan tier.
+     * The record that is written for /accounts, and read by top, with every part, kind and part of
+     * the plan.
      */
     @Test
-    void accountsViewKeepsItsJson() throws IOException {
-        LatencyAccount account = AccountFile.report(STORED.resolve("accounts")).account();
+    void accountsOverHttp() throws IOException {
+        LatencyAccount book = AccountFile.report(STORED.resolve("accounts")).account();
         MonitoringServer.View view =
                 new MonitoringServer.View(
                         "gw",
                         5,
                         Map.of(1L, "exams"),
-                        List.of(account.report(2, 0, 1e13)),
-                        account.flows(0, 1e13));
+                        List.of(book.report(2, 0, 1e13)),
+                        book.flows(0, 1e13));
         Expected.json("accounts.json", JSON.writeValueAsString(view));
-        Path committed = Path.of("src/test/resources/external/accounts.json");
-        MonitoringServer.View read = JSON.readValue(committed.toFile(), MonitoringServer.View.class);
+        Path earlier = Path.of("src/test/resources/external/accounts.json");
+        MonitoringServer.View read = JSON.readValue(earlier.toFile(), MonitoringServer.View.class);
         Expected.json("accounts.json", JSON.writeValueAsString(read));
     }
 
-    /** The record written for /nodes, with every constant of its enums. */
+    /** The record that is written for /nodes, with every constant of its enums. */
     @Test
-    void nodesViewKeepsItsJson() throws IOException {
+    void nodesOverHttp() throws IOException {
         List<JsonNode> views = new ArrayList<>();
         for (ListFreshness trust :
                 List.of(ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD)) {
@@ -318,7 +318,7 @@
 
     // ---- spans ----
 
-    private static OperationTrace trace(int number) {
+    private static OperationTrace story(int number) {
         Reason reason = Reason.values()[number];
         QuotaTier quotaTier = QuotaTier.values()[number % 3];
         Outcome outcome = number == 8 ? null : Outcome.values()[number % 8];
@@ -346,18 +346,18 @@
                                 0, 5, number == 8 ? null : quotaTier, 4, 15, outcome)));
     }
 
-    /** Replaces the identifiers, which differ between runs. */
+    /** Ids differ from run to run. */
     private static String withoutIds(String lines) {
         return lines.replaceAll("\"(trace|span)\":\"[0-9a-f]+\"", "\"$1\":\"ID\"")
                 .replaceAll("\"parent\":\"[0-9a-f]+\"", "\"parent\":\"ID\"");
     }
 
     @Test
-    void spansAreWrittenInStoredFormat() throws IOException {
+    void spansAreWrittenAsBefore() throws IOException {
         Path file = folder.resolve("traces");
         try (Tracer tracer = new Tracer(new TracingSettings(file, 1 << 24, 2, "", 20, 1), "gw")) {
             for (int i = 0; i < Reason.values().length; i++) {
-                tracer.submit(trace(i));
+                tracer.submit(story(i));
             }
         }
         assertEquals(
@@ -366,13 +366,13 @@
     }
 
     @Test
-    void storedSpansKeepTheirExplanation() throws IOException {
+    void storedSpansAreExplained() throws IOException {
         Path file = STORED.resolve("traces");
         Expected.json("explain.json", printed("explain", file, "3", "--json"));
-        StringBuilder explained = new StringBuilder(printed("explain", file, "--list", "100"));
+        StringBuilder told = new StringBuilder(printed("explain", file, "--list", "100"));
         for (int i = 0; i < 18; i++) {
-            explained.append(printed("explain", file, i));
+            told.append(printed("explain", file, i));
         }
-        Expected.text("explain.txt", explained.toString());
+        Expected.text("explain.txt", told.toString());
     }
 }
--- a/src/test/java/sagepulley/stored/KeyPaths.java
+++ b/src/test/java/sagepulley/stored/KeyPaths.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Lists the key paths of a JSON or CBOR tree, sorted; the elements of an array share one path. */
+/** The key paths of a JSON or CBOR tree, sorted; the elements of an array share one path. */
 public final class KeyPaths {
     private KeyPaths() {}
 
-    /** Returns one path per line, such as {@code nodes[].line.host}. */
+    /** One path a line, such as {@code nodes[].line.host}. */
     public static String of(JsonNode tree) {
         Set<String> paths = new TreeSet<>();
         add("", tree, paths);
--- a/src/test/java/sagepulley/stored/StoredFormatTest.java
+++ b/src/test/java/sagepulley/stored/StoredFormatTest.java
@@ -33,31 +33,30 @@
 import sagepulley.persistence.HolderFile;
 
 /**
- * Guards the formats of stored files: files written by an earlier build (src/test/resources/stored)
- * are read field by field, and the same content is written with the same keys, enum names and
- * bytes.
+ * Files written by an earlier build (src/test/resources/stored) are read field by field, and the
+ * same content is written with the same keys, enum names and bytes.
  */
 class StoredFormatTest {
     private static final long WRITTEN_AT = 1_764_700_000_123L;
     private static final Path STORED = Path.of("src/test/resources/stored");
     @TempDir private Path folder;
 
-    // ---- contents of the files ----
+    // ---- the contents of the files ----
 
-    private static StoredEndpointList endpointList() {
+    private static StoredEndpointList nodes() {
         return new StoredEndpointList(
                 "hall-1",
                 77,
                 12,
                 1_764_699_999_000L,
                 List.of(
-                        storedEndpoint(1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
-                        storedEndpoint(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
-                        storedEndpoint(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
-                        storedEndpoint(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
+                        kept(1, EndpointRecord.Phase.REMOVED, RecordSource.DIRECTORY, false),
+                        kept(2, EndpointRecord.Phase.READY, RecordSource.DISK, true),
+                        kept(3, EndpointRecord.Phase.DRAINING, RecordSource.IMPORT, false),
+                        kept(4, EndpointRecord.Phase.READY, RecordSource.SITE, true)));
     }
 
-    private static StoredEndpointList.StoredEndpoint storedEndpoint(
+    private static StoredEndpointList.StoredEndpoint kept(
             int node, EndpointRecord.Phase standing, RecordSource source, boolean draining) {
         return new StoredEndpointList.StoredEndpoint(
                 new EndpointRecord(
@@ -82,10 +81,7 @@
         return cells;
     }
 
-    /**
-     * Packs the ordinal of the cause kind and the estimate bit, then 24 bits of node and 34 of
-     * volume.
-     */
+    /** A key: ordinal of the kind and the estimate's bit, then 24 bits of node, 34 of volume. */
     private static long key(long kind, long estimate, long node, long volume) {
         return (kind << 1 | estimate) << 58 | node << 34 | volume;
     }
@@ -119,14 +115,14 @@
         Map<Long, String> names = new LinkedHashMap<>();
         names.put(1L, "exams");
         names.put(2L, "archive");
-        Map<Long, Double> versionNotifiedAt = new LinkedHashMap<>();
-        versionNotifiedAt.put(3L, 7.5);
-        versionNotifiedAt.put(4L, 1_764_699_990_000.25);
+        Map<Long, Double> told = new LinkedHashMap<>();
+        told.put(3L, 7.5);
+        told.put(4L, 1_764_699_990_000.25);
         return new GatewayAccounts(
                 "gw-1",
                 WRITTEN_AT,
                 names,
-                versionNotifiedAt,
+                told,
                 new StoredAccounts(
                         List.of(
                                 new StoredAccounts.StoredVolume(
@@ -154,7 +150,7 @@
 
     // ---- helpers ----
 
-    /** Returns a copy of a stored file, because a reader may set a damaged file aside. */
+    /** Read from a copy, so that a reader that sets a file aside changes no committed file. */
     private Path stored(String name) throws IOException {
         return Files.copy(STORED.resolve(name), folder.resolve("stored-" + name));
     }
@@ -169,20 +165,20 @@
         return Arrays.copyOfRange(all, head(file).length() + 1, all.length);
     }
 
-    // ---- endpoint list ----
+    // ---- list of nodes ----
 
     @Test
-    void readsStoredEndpointList() throws IOException {
-        EndpointListFile.ReadResult result =
+    void theListOfNodesIsRead() throws IOException {
+        EndpointListFile.ReadResult look =
                 new EndpointListFile(stored("nodes"), "hall-1").inspect();
-        assertEquals(List.of(), result.rejected());
-        assertEquals(WRITTEN_AT, result.writtenAt());
-        assertEquals(endpointList(), result.list());
-        assertEquals("hall-1", result.list().site());
-        assertEquals(77, result.list().history());
-        assertEquals(12, result.list().version());
-        assertEquals(1_764_699_999_000L, result.list().confirmedAt());
-        EndpointRecord third = result.list().endpoints().get(2).endpoint();
+        assertEquals(List.of(), look.rejected());
+        assertEquals(WRITTEN_AT, look.writtenAt());
+        assertEquals(nodes(), look.list());
+        assertEquals("hall-1", look.list().site());
+        assertEquals(77, look.list().history());
+        assertEquals(12, look.list().version());
+        assertEquals(1_764_699_999_000L, look.list().confirmedAt());
+        EndpointRecord third = look.list().endpoints().get(2).endpoint();
         assertEquals(3, third.node());
         assertEquals(13, third.cell());
         assertEquals(23, third.zone());
@@ -192,8 +188,8 @@
         assertEquals(1.5f, third.weight());
         assertEquals("10.0.0.3", third.host());
         assertEquals(7003, third.port());
-        assertEquals(RecordSource.IMPORT, result.list().endpoints().get(2).source());
-        assertTrue(result.list().endpoints().get(1).selfDraining());
+        assertEquals(RecordSource.IMPORT, look.list().endpoints().get(2).source());
+        assertTrue(look.list().endpoints().get(1).selfDraining());
     }
 
     private static String json(int node, String standing, String source, boolean draining) {
@@ -213,9 +209,9 @@
     }
 
     @Test
-    void writesEndpointListInStoredFormat() throws IOException {
+    void theListOfNodesIsWrittenAsBefore() throws IOException {
         Path file = folder.resolve("nodes");
-        new EndpointListFile(file, "hall-1").write(endpointList(), WRITTEN_AT);
+        new EndpointListFile(file, "hall-1").write(nodes(), WRITTEN_AT);
         String expected =
                 "{\"site\":\"hall-1\",\"history\":77,\"version\":12,\"confirmedAt\":1764699999000,\"lines\":["
                         + String.join(
@@ -233,7 +229,7 @@
     // ---- holders ----
 
     @Test
-    void readsAndWritesHoldersInStoredFormat() throws IOException {
+    void theHoldersAreReadAndWrittenAsBefore() throws IOException {
         Map<Integer, int[]> read = new HolderFile(stored("holders"), "hall-1").load();
         assertEquals(List.of(7, 8, 9), List.copyOf(read.keySet()));
         assertArrayEquals(new int[] {3, 3, -1, 4}, read.get(7));
@@ -254,7 +250,7 @@
     // ---- accounts ----
 
     @Test
-    void readsStoredAccounts() throws IOException {
+    void theAccountsAreRead() throws IOException {
         AccountFile.Loaded read = new AccountFile(stored("accounts"), "gw-1").load();
         assertEquals("gw-1", read.stored().gateway());
         assertEquals(WRITTEN_AT, read.stored().writtenAt());
@@ -266,14 +262,14 @@
         assertEquals(
                 cbor.<JsonNode>valueToTree(accounts().accounts()),
                 cbor.<JsonNode>valueToTree(StoredAccounts.of(read.account())),
-                "stored accounts after loading into LatencyAccount");
+                "the figures, after they went through the book");
         double[] flow = read.account().flows(0, 1e13).get(5).get(2L);
         assertArrayEquals(new double[] {64, 64}, flow, "units and writes at node 5");
     }
 
-    /** Latency components, plan tiers and cause kinds are stored by ordinal. */
+    /** Parts, parts of the plan and kinds of causes are stored by their order. */
     @Test
-    void storedOrdinalsKeepTheirMeaning() throws IOException {
+    void theOrderOfStoredFiguresStandsForTheSameNames() throws IOException {
         LatencyReport report = AccountFile.report(stored("accounts")).account().report(2, 0, 1e13);
         assertEquals(2, report.rejected());
         assertEquals(3, report.abandoned());
@@ -330,16 +326,16 @@
                         Cause.Kind.DIRECTORY,
                         Cause.Kind.NETWORK);
         assertEquals(12, report.causes().size(), report.causes().toString());
-        for (LatencyReport.CauseReport causeReport : report.causes()) {
-            int at = kinds.indexOf(causeReport.kind());
-            assertEquals(500 + 4 * at, causeReport.waited(), causeReport.toString());
-            assertEquals(0.25 + 4 * at + 3, causeReport.lostWeight(), causeReport.toString());
-            assertEquals(1 + at, causeReport.node(), causeReport.toString());
+        for (LatencyReport.CauseReport charged : report.causes()) {
+            int at = kinds.indexOf(charged.kind());
+            assertEquals(500 + 4 * at, charged.waited(), charged.toString());
+            assertEquals(0.25 + 4 * at + 3, charged.lostWeight(), charged.toString());
+            assertEquals(1 + at, charged.node(), charged.toString());
         }
     }
 
     @Test
-    void writesAccountsInStoredFormat() throws IOException {
+    void theAccountsAreWrittenAsBefore() throws IOException {
         Path file = folder.resolve("accounts");
         new AccountFile(file, "gw-1").write(accounts());
         assertTrue(
