--- a/src/main/java/sagepulley/faultinjection/ClientLoad.java
+++ b/src/main/java/sagepulley/faultinjection/ClientLoad.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of one gateway: each sends one request after the other, on one connection for as long as
- * that stays open, and runs on a thread of its own.
+ * Clients of one gateway. Each sends one request after another, on one connection for as long as
+ * that stays open, and runs on its own thread.
  */
 final class ClientLoad implements Closeable {
     /**
-     * What they do: the pause between requests, the longest deadline, and the share of requests, 0
-     * to 1, whose client disconnects before the answer.
+     * Client behaviour: the mean pause between requests, the longest deadline, and the share of
+     * requests, 0 to 1, whose client disconnects before the answer.
      */
     record ClientBehaviour(long pauseMillis, long maxDeadlineMillis, double disconnectingShare) {
         static final ClientBehaviour STEADY = new ClientBehaviour(40, 1_500, 0);
@@ -36,8 +36,8 @@
     private final ClientBehaviour behaviour;
     private volatile boolean stopped;
 
-    /** Clients that have no connection make none while this is set. */
-    private volatile boolean connectsElsewhere;
+    /** Clients without a connection open none while this is set. */
+    private volatile boolean newConnectionsSuspended;
 
     ClientLoad(
             int gateway,
@@ -58,7 +58,7 @@
 
     private void runClient(Random random) throws InterruptedException {
         while (!stopped) {
-            if (connectsElsewhere) {
+            if (newConnectionsSuspended) {
                 Thread.sleep(RECONNECT_DELAY_MILLIS);
                 continue;
             }
@@ -68,13 +68,15 @@
                 for (int answered = 0; !stopped && sendOne(peer, random, answered); answered++) {
                     Thread.sleep((long) (behaviour.pauseMillis() * (0.5 + random.nextDouble())));
                 }
-            } catch (IOException refused) {
+            } catch (IOException connectFailed) {
                 Thread.sleep(RECONNECT_DELAY_MILLIS);
             }
         }
     }
 
-    /** Whether the connection can be used again. */
+    /**
+     * Sends one request and waits for its answer; returns whether the connection can be used again.
+     */
     private boolean sendOne(RespPeer peer, Random random, int answered)
             throws InterruptedException {
         boolean writes = random.nextInt(4) == 0;
@@ -89,13 +91,13 @@
                         deadline,
                         !writes);
         request.answeredBeforeOnConnection = answered;
-        boolean leaves = random.nextDouble() < behaviour.disconnectingShare();
+        boolean disconnects = random.nextDouble() < behaviour.disconnectingShare();
         try {
             peer.socket.setSoTimeout((int) (deadline + ANSWER_SLACK_MILLIS));
             request.sentAt = System.nanoTime();
-            peer.send(text(request));
+            peer.send(commandText(request));
             requests.add(request);
-            if (leaves) {
+            if (disconnects) {
                 Thread.sleep(random.nextInt((int) MAX_DISCONNECT_DELAY_MILLIS));
                 request.endedAt = System.nanoTime();
                 request.end = Request.End.CANCELLED;
@@ -105,10 +107,10 @@
             request.endedAt = System.nanoTime();
             request.end = endOf(request, answer);
             return answer != null;
-        } catch (SocketTimeoutException silent) {
+        } catch (SocketTimeoutException timeout) {
             request.endedAt = System.nanoTime();
             request.end = Request.End.SILENT;
-        } catch (IOException reset) {
+        } catch (IOException connectionReset) {
             request.endedAt = System.nanoTime();
             request.end = Request.End.CLOSED;
         }
@@ -125,7 +127,7 @@
         return answer.startsWith("-BUSY") ? Request.End.REJECTED : Request.End.FAILED;
     }
 
-    private static String text(Request request) {
+    private static String commandText(Request request) {
         String fields =
                 "c="
                         + (request.idempotent ? "get" : "put")
@@ -143,14 +145,14 @@
     }
 
     /**
-     * Whether clients connect elsewhere from now on, as they do soon after a gateway was sent
-     * SIGTERM.
+     * Sets whether clients without a connection stop opening new ones, as clients do soon after
+     * their gateway is sent SIGTERM.
      */
-    void connectElsewhere(boolean away) {
-        connectsElsewhere = away;
+    void suspendNewConnections(boolean suspended) {
+        newConnectionsSuspended = suspended;
     }
 
-    /** Sends nothing new from now on, and waits for the answers that are due. */
+    /** Stops sending requests and waits for the answers that are due. */
     void stop() throws InterruptedException {
         stopped = true;
         long until =
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -24,10 +24,12 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * A small storage node: slots, a queue, a slow start during which overload makes it collapse,
- * writes of which a part is deferred, and faults on demand. All of it runs on one loop. It keeps
- * the node's duties of docs/protocols.md: one answer for each attempt, write tokens, one session
- * for each gateway, retries dropped where a traffic class is deduplicated.
+ * A small storage node with slots, a queue, a slow start during which overload makes it collapse,
+ * partly deferred writes, and injectable faults.
+ *
+ * <p>Runs on one loop and meets the duties of a node in docs/protocols.md: one answer for each
+ * attempt, write tokens, one session for each gateway, and no second execution of retries where a
+ * traffic class is deduplicated.
  */
 public final class StandInNode {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -53,15 +55,21 @@
     private boolean draining;
     private boolean collapsed;
 
-    /** Whether unflushed writes were lost by a power failure. */
+    /** Set once a power failure has lost unflushed writes. */
     private boolean lostData;
 
     private long startedAtWallMillis;
 
-    /** Counts starts and ends, so that work of an earlier life does not end in a later one. */
+    /**
+     * Incremented on each start and shutdown, so that work of an earlier run does not complete in a
+     * later one.
+     */
     private int incarnation;
 
-    /** A node on a loop of the group; the seed is that of the faults that meet a random share. */
+    /**
+     * Creates a node on a loop of the group; the seed selects which operations and answers meet a
+     * fault of a random share.
+     */
     public StandInNode(
             NodeProfile profile, EventLoopGroup group, TrafficRecorder recorder, long seed) {
         this.profile = profile;
@@ -75,70 +83,78 @@
         this.serviceTime = new ServiceTime(profile);
     }
 
-    /** What it is like. */
+    /** Returns the node's profile. */
     public NodeProfile profile() {
         return profile;
     }
 
-    /** Its faults, to be set on any thread. */
+    /** Returns the fault settings, which may be changed on any thread. */
     public Faults faults() {
         return faults;
     }
 
-    /** Where it listens, or listened last; null before its first start. */
+    /** Returns the address it listens on or last listened on; null before the first start. */
     public InetSocketAddress address() {
         return server.address();
     }
 
-    /** When it last started, wall-clock milliseconds; 0 where it counts as started long ago. */
+    /** Returns the wall-clock time of the last start in milliseconds; 0 if it started warm. */
     public long startedAt() {
         return startedAtWallMillis;
     }
 
-    /** Whether it collapsed under overload during its slow start. */
+    /**
+     * Returns whether the node has collapsed under overload in its slow start since its last start.
+     */
     public boolean hasCollapsed() {
         return collapsed;
     }
 
-    // ---- start and end ----
+    // ---- lifecycle ----
 
-    /** Starts to listen, warm. */
+    /** Starts to listen at an address, with full capacity. */
     public CompletableFuture<StandInNode> start(InetSocketAddress at) {
         return listen(at, true);
     }
 
-    /** Ends every connection and all work, as a crash does; then it is gone until started again. */
+    /**
+     * Closes every connection and drops all work, as a crash does. The node stays down until it is
+     * restarted.
+     */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    goDown();
+                    shutDown();
                     blockStore.close();
                     stopped.complete(null);
                 });
         return stopped;
     }
 
-    /** Crashes and comes back at the same address, at the beginning of its slow start. */
+    /** Stops, then listens again at the same address, at the beginning of its slow start. */
     public CompletableFuture<StandInNode> restartCold() {
         InetSocketAddress at = address();
         return stop().thenCompose(done -> listen(at, false));
     }
 
-    /** Loses what was not durable, and comes back at the beginning of its slow start. */
+    /**
+     * Loses unflushed writes, then listens again at the same address, at the beginning of its slow
+     * start.
+     */
     public CompletableFuture<StandInNode> failPower() {
         InetSocketAddress at = address();
         CompletableFuture<Void> down = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    goDown();
+                    shutDown();
                     lostData |= blockStore.failPower();
                     down.complete(null);
                 });
         return down.thenCompose(done -> listen(at, false));
     }
 
-    /** Takes nothing new from now on, and notifies its gateways. */
+    /** Rejects new attempts from now on and notifies the connected gateways. */
     public void drain() {
         loop.execute(
                 () -> {
@@ -150,19 +166,21 @@
                 });
     }
 
-    /** Cuts every connection. */
+    /** Closes every connection. */
     public void closeConnections() {
         loop.execute(this::closeSessions);
     }
 
-    /** Handles nothing that comes and serves nothing, until it is called with false. */
+    /**
+     * Pauses or resumes the node. While paused, it queues received messages and starts no attempt.
+     */
     public void pause(boolean paused) {
         faults.paused = paused;
         loop.execute(
                 () -> {
                     if (!faults.paused) {
-                        List.copyOf(sessions).forEach(GatewaySession::handleInbox);
-                        serve();
+                        List.copyOf(sessions).forEach(GatewaySession::handleDeferredFrames);
+                        startQueuedAttempts();
                     }
                 });
     }
@@ -200,7 +218,7 @@
                 new GatewaySession(channel, profile.id(), faults, recorder, new SessionListener()));
     }
 
-    private void goDown() {
+    private void shutDown() {
         incarnation++;
         server.close();
         closeSessions();
@@ -217,25 +235,25 @@
 
     // ---- attempts ----
 
-    private void accept(PendingAttempt attempt) {
-        if (slowStart.collapsesUnder(attempt.send.units())) {
+    private void admit(PendingAttempt attempt) {
+        if (slowStart.causesCollapse(attempt.send.units())) {
             collapsed = true;
             attempt.payload.release();
             recorder.nodeCollapsed(profile.id(), System.nanoTime());
-            goDown();
+            shutDown();
             return;
         }
-        Optional<StoreMessages.Code> rejection = rejection(attempt);
-        if (rejection.isPresent()) {
+        Optional<StoreMessages.Code> rejectionCode = rejectionCode(attempt);
+        if (rejectionCode.isPresent()) {
             attempt.payload.release();
-            answer(attempt, rejection.get(), Unpooled.EMPTY_BUFFER);
+            answer(attempt, rejectionCode.get(), Unpooled.EMPTY_BUFFER);
             return;
         }
         queue.add(attempt);
-        serve();
+        startQueuedAttempts();
     }
 
-    private Optional<StoreMessages.Code> rejection(PendingAttempt attempt) {
+    private Optional<StoreMessages.Code> rejectionCode(PendingAttempt attempt) {
         StoreMessages.Send send = attempt.send;
         if (draining) {
             return Optional.of(StoreMessages.Code.DRAINING);
@@ -243,7 +261,7 @@
         if (faults.rejecting || queue.size() >= profile.queueLimit()) {
             return Optional.of(StoreMessages.Code.FULL);
         }
-        if (send.extentMustExist() && !blockStore.has(send.volume(), send.extent())) {
+        if (send.extentMustExist() && !blockStore.contains(send.volume(), send.extent())) {
             return Optional.of(StoreMessages.Code.NOT_EXECUTED);
         }
         if (lacksWriteToken(attempt)) {
@@ -257,7 +275,7 @@
         return attempt.send.kind().modifiesData() && !writeTokens.isHeldBy(attempt.session, extent);
     }
 
-    private void serve() {
+    private void startQueuedAttempts() {
         while (busySlots < profile.slots() && !queue.isEmpty() && !faults.paused) {
             PendingAttempt attempt = queue.poll();
             if (attempt.cancelled || !attempt.session.isActive()) {
@@ -265,13 +283,13 @@
                 answer(attempt, StoreMessages.Code.CANCELLED, Unpooled.EMPTY_BUFFER);
                 continue;
             }
-            // Work is begun in the order it came, and has its effect when it begins: no later write
-            // of an extent can be undone by an earlier one.
-            begin(attempt);
+            // Attempts start in order of arrival and take effect at their start, so an earlier
+            // write cannot overwrite a later one.
+            startAttempt(attempt);
         }
     }
 
-    private void begin(PendingAttempt attempt) {
+    private void startAttempt(PendingAttempt attempt) {
         attempt.startedAtNanos = System.nanoTime();
         if (lacksWriteToken(attempt)) {
             attempt.payload.release();
@@ -296,7 +314,7 @@
         } else {
             countServed(attempt);
         }
-        finish(attempt, code, result);
+        answerAfterServiceTime(attempt, code, result);
     }
 
     private void countServed(PendingAttempt attempt) {
@@ -306,8 +324,8 @@
         attempt.session.countServed(volume, units);
     }
 
-    /** Answers once the attempt's service time is over, unless the node went down meanwhile. */
-    private void finish(PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
+    /** Answers after the attempt's service time, unless the node goes down before. */
+    private void answerAfterServiceTime(PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
         double millis =
                 serviceTime.millis(attempt.send)
                         * faults.slowdownFactor
@@ -317,16 +335,16 @@
             return;
         }
         busySlots++;
-        int startedIn = incarnation;
+        int startIncarnation = incarnation;
         loop.schedule(
                 () -> {
-                    if (incarnation != startedIn) {
+                    if (incarnation != startIncarnation) {
                         result.release();
                         return;
                     }
                     busySlots--;
                     answer(attempt, code, result);
-                    serve();
+                    startQueuedAttempts();
                 },
                 (long) (millis * NANOS_PER_MILLI),
                 TimeUnit.NANOSECONDS);
@@ -375,7 +393,7 @@
     }
 
     private void flush(StoreMessages.Send send) throws IOException {
-        // Writes acknowledged by an earlier incarnation are gone if the power failed since.
+        // A power failure has lost unflushed writes that an earlier run acknowledged.
         if (lostData && send.expectedNodeStart() != startedAtWallMillis) {
             throw new IOException("writes before the start were lost");
         }
@@ -409,7 +427,7 @@
                 new StoreMessages.Answer(
                         code,
                         0,
-                        session.unitsOfOthersSinceLastAnswer(send.volume(), served),
+                        session.otherUnitsSinceLastAnswer(send.volume(), served),
                         (started - attempt.receivedAtNanos) / (float) NANOS_PER_MILLI,
                         (now - started) / (float) NANOS_PER_MILLI,
                         loadReport()),
@@ -432,14 +450,14 @@
 
     private final class SessionListener implements GatewaySession.Listener {
         @Override
-        public void opened(GatewaySession session) {
+        public void sessionOpened(GatewaySession session) {
             sessions.add(session);
         }
 
         @Override
-        public void greeted(GatewaySession session) {
-            // An older session of the same gateway ends first: nothing that it still holds can come
-            // late.
+        public void helloReceived(GatewaySession session) {
+            // Closes an older session of the same gateway first, so that its queued attempts are
+            // not executed.
             for (GatewaySession older : List.copyOf(sessions)) {
                 if (older != session && older.gateway() == session.gateway()) {
                     older.close();
@@ -450,7 +468,7 @@
 
         @Override
         public void attemptReceived(PendingAttempt attempt) {
-            accept(attempt);
+            admit(attempt);
         }
 
         @Override
@@ -468,7 +486,7 @@
         }
 
         @Override
-        public void healthChecked(GatewaySession session, long id) {
+        public void healthCheckReceived(GatewaySession session, long id) {
             if (!faults.unresponsive) {
                 session.send(StoreMessages.healthReport(id, loadReport()));
             }
@@ -480,7 +498,7 @@
         }
 
         @Override
-        public void closed(GatewaySession session) {
+        public void sessionClosed(GatewaySession session) {
             sessions.remove(session);
             writeTokens.release(session);
         }
