--- a/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
+++ b/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
@@ -48,9 +48,9 @@
         maxTimesToDeadline[index] = Math.max(maxTimesToDeadline[index], timeToDeadline);
         double elapsed = maxTimesToDeadline[index] - timeToDeadline;
         boolean isRetry = elapsed > MIN_ELAPSED_FRACTION * trafficClass.latencyObjective();
-        Double originalObjectiveAt = isRetry ? unserved.get(operation.extent) : null;
-        return originalObjectiveAt != null
-                ? originalObjectiveAt
+        Double originalObjectiveEnd = isRetry ? unserved.get(operation.extent) : null;
+        return originalObjectiveEnd != null
+                ? originalObjectiveEnd
                 : now + trafficClass.latencyObjective() - (operation.clientRetry ? elapsed : 0);
     }
 
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -17,7 +17,7 @@
 
     private static final double PLACEMENTS_WINDOW_MILLIS = 10_000;
     private static final int PLACEMENTS_BUCKETS = 10;
-    private static final int SLOW_START_BUCKETS = 20;
+    private static final int OVERLOAD_WINDOW_BUCKETS = 20;
 
     final int index;
     final Node node;
@@ -45,7 +45,7 @@
             new SlidingWindowCounter(PLACEMENTS_WINDOW_MILLIS, PLACEMENTS_BUCKETS);
 
     /** Units recently sent to this endpoint, within the window of slow start. */
-    final SlidingWindowCounter slowStartSpent;
+    final SlidingWindowCounter recentlySentUnits;
 
     // ConcurrencyLimiter
 
@@ -119,10 +119,11 @@
     /** The ratio of write to read service time, relative to the mean of all endpoints. */
     double writeReadRatio = 1;
 
-    EndpointState(int index, Node node, double slowStartWindowMillis) {
+    EndpointState(int index, Node node, double overloadWindowMillis) {
         this.index = index;
         this.node = node;
-        this.slowStartSpent = new SlidingWindowCounter(slowStartWindowMillis, SLOW_START_BUCKETS);
+        this.recentlySentUnits =
+                new SlidingWindowCounter(overloadWindowMillis, OVERLOAD_WINDOW_BUCKETS);
         this.reportedStart = node.startedAt;
         this.startedAt = node.startedAt;
     }
@@ -142,7 +143,7 @@
         Operation operation = attempt.operation;
         inFlight.add(attempt);
         lastSentAt = now;
-        slowStartSpent.add(now, operation.units);
+        recentlySentUnits.add(now, operation.units);
         if (operation.extent != 0 && operation.extent == lastExtent) {
             runRemaining--;
         } else {
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -186,7 +186,7 @@
      * now.
      */
     void onServed(Volume volume, EndpointState endpoint, double now) {
-        usageAt(usage(volume, now), endpoint).reportedAt = now;
+        usageAt(usage(volume, now), endpoint).lastServedAt = now;
     }
 
     /**
@@ -205,7 +205,8 @@
         usage.reservationOverflow -= offset;
         double reserved = Math.min(Math.max(0, usage.reservationLeft), units - offset);
         usage.reservationLeft -= reserved;
-        double recentFraction = Math.min(1, SHARE_WINDOW_MILLIS / Math.max(1, now - endpointUsage.reportedAt));
+        double recentFraction =
+                Math.min(1, SHARE_WINDOW_MILLIS / Math.max(1, now - endpointUsage.lastServedAt));
         endpointUsage.reserved.add(now, (offset + reserved) * recentFraction);
         endpointUsage.beyondReservation.add(now, (units - offset - reserved) * recentFraction);
         usage.beyondReservation.add(now, (units - offset - reserved) * recentFraction);
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -156,7 +156,7 @@
 
     /** Ignores the outcome of a health check, as the scheduler requests none. */
     public void onHealthCheck(
-            Node node, Outcome outcome, double took, double[] report, double now) {}
+            Node node, Outcome outcome, double durationMillis, double[] report, double now) {}
 
     /**
      * Removes an operation that its client has cancelled. Its attempts in flight are cancelled at
@@ -361,9 +361,9 @@
         latencies.onServed(attempt);
         slowStart.onServed(operation.units);
         EndpointLatencies.onServed(attempt, endpoint);
-        double queued = latencies.queueingDelay(attempt);
-        admission.onServed(attempt, endpoint, queued, now);
-        concurrency.onServed(attempt, endpoint, queued, now);
+        double queueingDelay = latencies.queueingDelay(attempt);
+        admission.onServed(attempt, endpoint, queueingDelay, now);
+        concurrency.onServed(attempt, endpoint, queueingDelay, now);
     }
 
     /** Returns the state of an operation, which counts as an arrival on the first call. */
--- a/src/main/java/sagepulley/scheduler/SlowStartBudget.java
+++ b/src/main/java/sagepulley/scheduler/SlowStartBudget.java
@@ -70,9 +70,9 @@
         }
         double windows = Math.max(1, (now - gatewayStartedAt) / policy.overloadWindow());
         double averageUnits = servedUnits / windows / endpointCount;
-        double spent = endpoint.slowStartSpent.sumOverestimate(now);
+        double recentUnits = endpoint.recentlySentUnits.sumOverestimate(now);
         return operation.attempts.isEmpty()
-                && spent + operation.units
+                && recentUnits + operation.units
                         <= Math.max(deployment.maxUnits(), MAX_BURST_FACTOR * fraction * averageUnits);
     }
 }
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -16,7 +16,7 @@
     /**
      * The time at which the endpoint last served the volume through this gateway, in milliseconds.
      */
-    double reportedAt = Double.NEGATIVE_INFINITY;
+    double lastServedAt = Double.NEGATIVE_INFINITY;
 
     /** Units served beyond the reservation; set for {@link MaxMinFairness}. */
     double served;
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -101,13 +101,13 @@
     @ParameterizedTest
     @CsvSource({"1", "3", "40"})
     void allGatewaysTogetherStayWithinTheSlowStartLimit(int gateways) {
-        List<SchedulerHarness> hosts = new ArrayList<>();
+        List<SchedulerHarness> harnesses = new ArrayList<>();
         for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
-            hosts.add(new SchedulerHarness(1, gatewayIndex, gateways, false, Double.NaN));
+            harnesses.add(new SchedulerHarness(1, gatewayIndex, gateways, false, Double.NaN));
         }
         double[] sent = new double[200];
         for (int turn = 0; turn < 1800; turn++) {
-            SchedulerHarness harness = hosts.get(turn % gateways);
+            SchedulerHarness harness = harnesses.get(turn % gateways);
             harness.advanceClock(10.0 * gateways);
             if (turn / gateways == 400 / gateways) {
                 harness.nodes.get(0).startedAt = harness.now;
@@ -145,19 +145,19 @@
         double warmUnits = 100;
         double step = 10;
         RandomGenerator random = new SplittableRandom(5L * gateways);
-        SchedulerHarness[] hosts = new SchedulerHarness[gateways];
+        SchedulerHarness[] harnesses = new SchedulerHarness[gateways];
         double[] weight = new double[gateways];
-        double weights = 0;
+        double totalWeight = 0;
         for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
-            hosts[gatewayIndex] = new SchedulerHarness(2, gatewayIndex, gateways, false, Double.NaN);
+            harnesses[gatewayIndex] = new SchedulerHarness(2, gatewayIndex, gateways, false, Double.NaN);
             weight[gatewayIndex] = 1.0 / (gatewayIndex + 1);
-            weights += weight[gatewayIndex];
+            totalWeight += weight[gatewayIndex];
         }
         double startedAt = 110_000;
         List<Double> sentAt = new ArrayList<>();
         for (double now = 100_000; now < 122_000; now += step) {
             for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
-                SchedulerHarness harness = hosts[gatewayIndex];
+                SchedulerHarness harness = harnesses[gatewayIndex];
                 if (now == startedAt) {
                     harness.nodes.get(0).startedAt = startedAt;
                     harness.updateEndpointList();
@@ -166,20 +166,20 @@
                     harness.advanceClock(now - harness.now);
                     harness.nodes.get(0).startedAt = startedAt;
                     harness.updateEndpointList();
-                    hosts[gatewayIndex] = harness;
+                    harnesses[gatewayIndex] = harness;
                 }
                 harness.advanceClock(step);
             }
             double rate = warmUnits / SchedulerHarness.UNITS * (now >= startedAt ? burst : 1);
             for (double due = rate * step / 1000; random.nextDouble() < due; due--) {
-                double pick = random.nextDouble() * weights;
+                double pick = random.nextDouble() * totalWeight;
                 int gatewayIndex = 0;
                 for (; gatewayIndex < gateways - 1 && pick >= weight[gatewayIndex]; gatewayIndex++) {
                     pick -= weight[gatewayIndex];
                 }
-                hosts[gatewayIndex].submit(SchedulerHarness.READ, 0);
+                harnesses[gatewayIndex].submit(SchedulerHarness.READ, 0);
             }
-            for (SchedulerHarness harness : hosts) {
+            for (SchedulerHarness harness : harnesses) {
                 for (Attempt attempt : List.copyOf(harness.sent)) {
                     if (now >= startedAt && attempt.node == harness.nodes.get(0)) {
                         sentAt.add(now);
