--- a/src/main/java/sagepulley/model/Deployment.java
+++ b/src/main/java/sagepulley/model/Deployment.java
@@ -23,10 +23,11 @@
  * @param usagePeriod the period over which endpoints report a plan's usage
  * @param reportsOtherGateways whether endpoints report what they served through other gateways
  * @param mustPoll whether discovery sends the endpoint list only on request
- * @param pollInterval the maximum time between two polls of the endpoint list
+ * @param pollInterval the poll interval of the endpoint list; the spread of the gateways' first
+ *     polls and the wait for a result before the next poll are derived from it
  * @param notifiedWithin the time after which a change of the endpoint list counts as notified,
  *     whether or not it arrived; infinite where no change can be missed
- * @param mayCheckHealth whether endpoints answer health checks
+ * @param mayCheckHealth whether endpoints respond to health checks
  * @param mayCancel whether attempts may be cancelled
  * @param mayRetryAfter whether a rejection may advise when to retry
  * @param maxRetryAfter the maximum retry delay that a rejection may advise
@@ -64,8 +65,8 @@
         boolean hasNodeWeights,
         List<String> reportFields) {
     /**
-     * Returns this deployment for endpoint lists that arrive only on a watch. The gateway opens the
-     * watch without delay where discovery would otherwise push the lists.
+     * Returns a copy of this deployment in which endpoint lists arrive only on a watch. The gateway
+     * opens the watch without delay where discovery would otherwise push the lists.
      *
      * @param notifiedWithin the time after which a change of the endpoint list counts as notified
      */
--- a/src/main/java/sagepulley/model/Node.java
+++ b/src/main/java/sagepulley/model/Node.java
@@ -12,7 +12,10 @@
     public final int id;
     public int zone;
     public int cell;
+
+    /** The hardware kind. */
     public int kind;
+
     public double weight = 1;
     public Phase phase = Phase.READY;
 
--- a/src/main/java/sagepulley/model/Outcome.java
+++ b/src/main/java/sagepulley/model/Outcome.java
@@ -2,9 +2,9 @@
 
 /** The outcome of an attempt. */
 public enum Outcome implements ExternalName {
-    /** The node answered with success. */
+    /** The node responded with success. */
     SERVED("satisfied", false),
-    /** The node answered with an error, or with an invalid response. */
+    /** The node responded with an error, or its response was invalid. */
     FAILED("fault", false),
     /** The node rejected the attempt because it was at capacity. */
     REJECTED("full", true),
--- a/src/main/java/sagepulley/model/Reason.java
+++ b/src/main/java/sagepulley/model/Reason.java
@@ -6,7 +6,10 @@
     NONE("none"),
     /** The concurrency limit of its node is reached; its units are inside the reservation. */
     RESERVATION_FULL("reserve_full"),
-    /** The concurrency limit of its node is reached; its units are inside the share. */
+    /**
+     * The concurrency limit of its node is reached; its units are inside the share. Also the reason
+     * of a waiting new object, which has no node yet.
+     */
     SHARE_FULL("share_full"),
     /** The concurrency limit of its node is reached; its units are in excess of the share. */
     EXCESS_FULL("beyond_share"),
@@ -24,7 +27,7 @@
     NO_LEASE("no_lease"),
     /** The volume's rate limit is reached. */
     LIMIT("limit"),
-    /** The retry budget is exhausted. */
+    /** The retry budget is exhausted, or its retry is not allowed now for another reason. */
     RETRY_BUDGET("budget"),
     /** An earlier operation of the same key has not ended, or the key is idle after it. */
     KEY_ORDER("order"),
--- a/src/main/java/sagepulley/model/Volume.java
+++ b/src/main/java/sagepulley/model/Volume.java
@@ -6,7 +6,8 @@
     public final TenantPlan plan;
 
     /**
-     * The number of gateways through which its operations arrive, as given by the latest operation.
+     * The number of gateways through which its operations arrive, as given by the settings or by
+     * the latest operation.
      */
     public int gatewayCount = 1;
 
--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -108,10 +108,9 @@
     /**
      * Returns whether an operation must wait because of the queue at an endpoint.
      *
-     * <p>Nothing is held back at a low queue estimate. Above it, an operation that would miss its
-     * latency objective always is; any
-     * other operation is held back if a part of the concurrency limit is in use and the estimate
-     * exceeds the queue limit of its quota tier.
+     * <p>Nothing is held back at a low queue estimate. Above that, an operation that would miss its
+     * latency objective is always held back. Any other operation is held back if about half of the
+     * concurrency limit is in use and the estimate exceeds the operation's queue limit.
      */
     boolean isHeldBack(Operation operation, EndpointState endpoint, double now) {
         if (endpoint.queueEstimate <= MIN_QUEUE_ESTIMATE) {
@@ -131,7 +130,7 @@
         return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * maxEstimate);
     }
 
-    /** Counts an operation that arrives for an endpoint; null if it has no endpoint yet. */
+    /** Counts an operation that arrives; its endpoint is null if it has none yet. */
     void onArrival(EndpointState endpoint, double now) {
         arrivalWindow(endpoint).arrivals().add(now, 1);
     }
@@ -147,8 +146,8 @@
     }
 
     /**
-     * Returns whether recent rejections for an endpoint exceed the ratio above which operations are
-     * not retried; null for operations without an endpoint.
+     * Returns whether recent rejections for an endpoint exceed, by more than one, the ratio above
+     * which operations are not retried. A null endpoint stands for operations without one.
      */
     boolean exceedsRejectionRatio(EndpointState endpoint, double now) {
         ArrivalWindow window = arrivalWindow(endpoint);
--- a/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
+++ b/src/main/java/sagepulley/scheduler/ConcurrencyLimiter.java
@@ -42,7 +42,8 @@
 
     /**
      * Returns whether one more attempt may be in flight at an endpoint. An unresponsive endpoint
-     * only takes probation requests; a run of operations on one extent may exceed the limit.
+     * only takes probation requests. A run of operations on one extent that are sent at the same
+     * time may exceed the limit.
      */
     boolean hasCapacity(EndpointState endpoint, double now) {
         if (endpoint.node.phase != Node.Phase.READY) {
--- a/src/main/java/sagepulley/scheduler/DispatchRules.java
+++ b/src/main/java/sagepulley/scheduler/DispatchRules.java
@@ -11,7 +11,7 @@
  * prefer. Times are milliseconds.
  */
 final class DispatchRules {
-    /** The reply must leave the gateway by the deadline, and the clock advances in ticks. */
+    /** The answer must leave the gateway by the deadline, and the clock advances in ticks. */
     private static final double DEADLINE_MARGIN_TICKS = 1.5;
 
     private final Deployment deployment;
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -27,29 +27,27 @@
     /** The waiting operations whose data this endpoint holds. */
     final WaitQueue waitQueue = new WaitQueue();
 
-    // Scheduler, when it sends an attempt
+    // Scheduler, when it sends an attempt and when an attempt ends
 
     final List<Attempt> inFlight = new ArrayList<>();
     double lastSentAt = Double.NEGATIVE_INFINITY;
 
-    /**
-     * The extent of the last attempt sent, and the number of its operations that may still precede
-     * others.
-     */
+    /** The extent of the last attempt sent; 0 for none. */
     long lastExtent;
 
+    /** The number of operations on that extent that may still be sent ahead of others. */
     int runRemaining;
 
     /** New objects recently sent to this endpoint. */
     final SlidingWindowCounter placements =
             new SlidingWindowCounter(PLACEMENTS_WINDOW_MILLIS, PLACEMENTS_BUCKETS);
 
-    /** Units recently sent to this endpoint, within the window of slow start. */
+    /** Units sent to this endpoint within the overload window; read by {@link SlowStartBudget}. */
     final SlidingWindowCounter recentlySentUnits;
 
     // ConcurrencyLimiter
 
-    /** The maximum number of attempts in flight; the fraction is ignored. */
+    /** The maximum number of attempts in flight; its fractional part is ignored. */
     double concurrencyLimit = ConcurrencyLimiter.INITIAL_LIMIT;
 
     double limitReducedAt = Double.NEGATIVE_INFINITY;
--- a/src/main/java/sagepulley/scheduler/EndpointTable.java
+++ b/src/main/java/sagepulley/scheduler/EndpointTable.java
@@ -97,7 +97,8 @@
         } else {
             endpoints.set(index, endpoint);
         }
-        // An endpoint added after the first list has just started, whatever start is reported.
+        // An endpoint added after the first list counts as just started if no start or an old one
+        // is reported.
         if (hasList && node.startedAt < now - policy.slowStartTime()) {
             endpoint.startedAt = now;
         }
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -38,7 +38,8 @@
     private double totalWeight;
 
     /**
-     * The rate beyond reservations for which all volumes seen are provisioned, in units per second.
+     * The sum of the rates beyond reservations for which all volumes seen are provisioned, in units
+     * per second. Each volume counts with at least half of its plan's rate.
      */
     private double totalShareRate;
 
@@ -102,8 +103,8 @@
     }
 
     /**
-     * Returns the units of a volume in the share window if the rate for which all volumes are
-     * provisioned is divided by weight.
+     * Returns the units that a volume gets in the share window if totalShareRate is divided by
+     * weight among all volumes seen.
      */
     private double proportionalShare(Volume volume) {
         return volume.plan.weight()
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -25,8 +25,8 @@
  * <p>The caller owns the operations and the timer, and makes all calls from one thread:
  *
  * <ul>
- *   <li>{@link #route} decides whether an operation is sent now, waits, or is given up; if it is
- *       sent, the attempt has already been added to it
+ *   <li>{@link #route} decides whether an operation is sent now, waits, or is given up (rejected or
+ *       abandoned); if it is sent, the attempt has already been added to it
  *   <li>{@link #onAttemptEnded} records the outcome of an attempt and returns what to do for its
  *       operation
  *   <li>{@link #nextTurn} returns what is due now and the delay until the next turn; the caller
@@ -111,7 +111,8 @@
             discovery.started(now);
         } else if (!lease.isBounded()) {
             // With a bounded lease only onListConfirmed counts as a successful poll: a list may
-            // also come from a former discovery address, which answers no poll of the current one.
+            // also come from a former discovery address, which does not respond to polls of the
+            // current one.
             discovery.pollSucceeded();
         }
         queues.onEndpointList();
--- a/src/main/java/sagepulley/scheduler/SlowStartBudget.java
+++ b/src/main/java/sagepulley/scheduler/SlowStartBudget.java
@@ -29,6 +29,8 @@
     private final ServicePolicy policy;
     private final WakeUpTime wakeUp;
     private double gatewayStartedAt;
+
+    /** Units served by all endpoints since this gateway started. */
     private double servedUnits;
 
     SlowStartBudget(Deployment deployment, WakeUpTime wakeUp) {
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -32,6 +32,7 @@
         if (operation.attempts.isEmpty() && !scheduler.rules.fitsLimit(operation, now)) {
             return Reason.LIMIT;
         }
+        // Besides the end and the deadline of the operation, only rules on retries are left.
         if (!scheduler.rules.isAllowed(operation, endpoint, now)) {
             return Reason.RETRY_BUDGET;
         }
--- a/src/test/java/sagepulley/scheduler/CancellationTest.java
+++ b/src/test/java/sagepulley/scheduler/CancellationTest.java
@@ -8,7 +8,7 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 
-/** Effects of client cancellations on the latency objective and on attempts in flight. */
+/** Tests the effects of client cancellations on the latency objective and on attempts in flight. */
 class CancellationTest {
     @Test
     void earlyCancellationsShortenTheObjectiveAndCancelAttempts() {
@@ -58,7 +58,7 @@
             }
             harness.cancel(operation);
             harness.endAttempt(harness.lastAttempt(operation), Outcome.CANCELLED);
-            // The node is slow for a while: no reply arrives before clients cancel.
+            // The node is slow for a while: no response arrives before clients cancel.
             serveReads(harness, 2, 60);
         }
         int sentBefore = harness.sent.size();
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -56,6 +56,7 @@
         assertFalse(lease.holds(1));
     }
 
+    /** Changes count as notified 4 s after the notification of a reload. */
     @Test
     void aReloadShortensTheLeaseUntilTheNextConfirmation() {
         lease.confirmed(0);
--- a/src/test/java/sagepulley/scheduler/EndpointPollTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointPollTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The schedule of endpoint list polls. */
+/** Tests the schedule of endpoint list polls. */
 class EndpointPollTest {
     @Test
     void listIsPolledAtStartAndAfterFailuresWithBackoff() {
@@ -70,7 +70,7 @@
         assertEquals(pollsBefore + 1, harness.polls);
     }
 
-    /** Many gateways start together; 6 s after a change it counts as notified to all of them. */
+    /** Guards against a stagger of the first polls that lasts longer than the notification span. */
     @Test
     void lastOfManyGatewaysPollsBeforeAChangeCountsAsNotified() {
         SchedulerHarness harness = new SchedulerHarness(1, 199, 200, true, Double.NaN);
--- a/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
+++ b/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
@@ -92,7 +92,8 @@
         harness.advanceClock(250);
         harness.endAttempt(harness.lastAttempt(read), Outcome.FAILED);
         assertEquals(1, read.attempts.size());
-        assertEquals(List.of(read), harness.rejected, "immediately, not near its deadline");
+        assertEquals(
+                List.of(read), harness.rejected, "rejected immediately, not near its deadline");
     }
 
     @Test
--- a/src/test/java/sagepulley/scheduler/PlacementTest.java
+++ b/src/test/java/sagepulley/scheduler/PlacementTest.java
@@ -11,7 +11,8 @@
 import sagepulley.model.Volume;
 
 /**
- * Placement scores, the concurrency limit, runs on one extent, and the order of waiting operations.
+ * Tests placement scores, the concurrency limit, runs on one extent, and the order of waiting
+ * operations.
  */
 class PlacementTest {
     @Test
@@ -110,7 +111,7 @@
             harness.submit(SchedulerHarness.BULK, 0);
         }
         Operation read = harness.submit(SchedulerHarness.READ, harness.volume(0), 1, 2, 0);
-        // The node keeps replying, so the read does not wait for a probation request.
+        // The node keeps responding, so the read does not wait for a probation request.
         for (int i = 0; i < 4; i++) {
             harness.advanceClock(50);
             harness.submit(SchedulerHarness.READ, 0);
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -16,7 +16,7 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
-/** Hosts a scheduler with a manual clock and passive nodes, and records its decisions. */
+/** Runs a scheduler with a manual clock and passive nodes, and records its decisions. */
 final class SchedulerHarness {
     /**
      * Indexes of the traffic classes: read, write, bulk read, deduplicated within a cell,
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -29,7 +29,7 @@
         harness.advanceClock(sent.trafficClass.deadline() - 2);
         assertTrue(unplaced.ended, "an operation whose shard no node holds");
         harness.endAttempt(harness.lastAttempt(sent), Outcome.TIMED_OUT);
-        assertTrue(sent.ended, "an operation whose only attempt was never answered");
+        assertTrue(sent.ended, "an operation whose only attempt timed out");
         assertEquals(2, harness.rejected.size() + harness.abandoned.size());
     }
 
@@ -67,7 +67,7 @@
                 retried.attempts.get(0).sentAt + retried.trafficClass.deduplicationWindow();
         assertFalse(
                 harness.scheduler.mayStart(harness.lastAttempt(retried), deduplicationEnd),
-                "not after the deduplication window");
+                "a retry does not start after the deduplication window");
         harness.endAttempt(harness.lastAttempt(nonIdempotent), Outcome.REJECTED);
         assertTrue(
                 harness.scheduler.mayStart(harness.lastAttempt(nonIdempotent), harness.now),
@@ -76,7 +76,7 @@
         nonIdempotent.attempts.get(0).outcome = Outcome.RESET;
         assertFalse(
                 harness.scheduler.mayStart(harness.lastAttempt(nonIdempotent), harness.now),
-                "not without that proof");
+                "a retry does not start while the first attempt may have been executed");
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         assertFalse(harness.scheduler.mayStart(harness.lastAttempt(drained), harness.now));
--- a/src/test/java/sagepulley/scheduler/StartTimesTest.java
+++ b/src/test/java/sagepulley/scheduler/StartTimesTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import sagepulley.model.Node;
 
-/** Start times are reported by wall clocks that may be off by seconds or by an hour. */
+/** Tests start times reported by wall clocks that are off by seconds or by an hour. */
 class StartTimesTest {
     private static final double HOUR_MILLIS = 3_600_000;
     private static final double NOTIFICATION_SPAN_MILLIS = 6_000;
