--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -17,7 +17,7 @@
 
     private static final double PLACEMENTS_WINDOW_MILLIS = 10_000;
     private static final int PLACEMENTS_BUCKETS = 10;
-    private static final int SLOW_START_BUCKETS = 20;
+    private static final int OVERLOAD_WINDOW_BUCKETS = 20;
 
     final int index;
     final Node node;
@@ -27,29 +27,27 @@
     /** The waiting operations whose data this endpoint holds. */
     final WaitQueue waitQueue = new WaitQueue();
 
-    // Scheduler, when it sends an attempt
+    // Scheduler, when it sends an attempt and when an attempt ends
 
     final List<Attempt> inFlight = new ArrayList<>();
     double lastSentAt = Double.NEGATIVE_INFINITY;
 
-    /**
-     * The extent of the last attempt sent, and the number of its operations that may still precede
-     * others.
-     */
+    /** The extent of the last attempt sent; 0 for none. */
     long lastExtent;
 
+    /** The number of operations on that extent that may still be sent ahead of others. */
     int runRemaining;
 
     /** New objects recently sent to this endpoint. */
     final SlidingWindowCounter placements =
             new SlidingWindowCounter(PLACEMENTS_WINDOW_MILLIS, PLACEMENTS_BUCKETS);
 
-    /** Units recently sent to this endpoint, within the window of slow start. */
-    final SlidingWindowCounter slowStartSpent;
+    /** Units sent to this endpoint within the overload window; read by {@link SlowStartBudget}. */
+    final SlidingWindowCounter recentlySentUnits;
 
     // ConcurrencyLimiter
 
-    /** The maximum number of attempts in flight; the fraction is ignored. */
+    /** The maximum number of attempts in flight; its fractional part is ignored. */
     double concurrencyLimit = ConcurrencyLimiter.INITIAL_LIMIT;
 
     double limitReducedAt = Double.NEGATIVE_INFINITY;
@@ -119,10 +117,11 @@
     /** The ratio of write to read service time, relative to the mean of all endpoints. */
     double writeReadRatio = 1;
 
-    EndpointState(int index, Node node, double slowStartWindowMillis) {
+    EndpointState(int index, Node node, double overloadWindowMillis) {
         this.index = index;
         this.node = node;
-        this.slowStartSpent = new SlidingWindowCounter(slowStartWindowMillis, SLOW_START_BUCKETS);
+        this.recentlySentUnits =
+                new SlidingWindowCounter(overloadWindowMillis, OVERLOAD_WINDOW_BUCKETS);
         this.reportedStart = node.startedAt;
         this.startedAt = node.startedAt;
     }
@@ -142,7 +141,7 @@
         Operation operation = attempt.operation;
         inFlight.add(attempt);
         lastSentAt = now;
-        slowStartSpent.add(now, operation.units);
+        recentlySentUnits.add(now, operation.units);
         if (operation.extent != 0 && operation.extent == lastExtent) {
             runRemaining--;
         } else {
