--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -47,7 +47,7 @@
     /** The supported version of the protocol. */
     public static final int VERSION = 1;
 
-    private static final int SEND_HEAD_BYTES = 55;
+    private static final int SEND_HEAD_CAPACITY_BYTES = 55;
     private static final int MAX_REPORT_VALUES = 4;
 
     /** The identity of a gateway; its number differs at every start. */
@@ -216,7 +216,7 @@
     /** Encodes an attempt and takes ownership of the payload. */
     public static Frame send(long attempt, Send send, ByteBuf payload) {
         ByteBuf head =
-                Unpooled.buffer(SEND_HEAD_BYTES)
+                Unpooled.buffer(SEND_HEAD_CAPACITY_BYTES)
                         .writeByte(send.kind().ordinal())
                         .writeByte(send.trafficClass())
                         .writeByte((send.durable() ? 1 : 0) | (send.extentMustExist() ? 2 : 0))
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -12,12 +12,12 @@
 
 /** Reading of site files and reporting of their errors. */
 class SiteConfigTest {
-    private static final String GOOD =
+    private static final String VALID_SITE_FILE =
             LocalCluster.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
 
     @Test
     void demoFileIsRead() throws SiteConfigException {
-        SiteConfig site = SiteConfig.read("demo.ini", GOOD);
+        SiteConfig site = SiteConfig.read("demo.ini", VALID_SITE_FILE);
         assertEquals(3, site.deployment().gatewayCount());
         assertEquals(64L << 20, site.volumes().get(0).sizeBytes());
         assertEquals(500, site.deployment().trafficClasses().get(0).latencyObjective());
@@ -42,11 +42,11 @@
             })
     void errorNamesFileSectionKeyAndExpectedValue(
             String text, String replacement, String expected) {
-        assertTrue(GOOD.contains(text), text);
+        assertTrue(VALID_SITE_FILE.contains(text), text);
         SiteConfigException error =
                 assertThrows(
                         SiteConfigException.class,
-                        () -> SiteConfig.read("demo.ini", GOOD.replace(text, replacement)));
+                        () -> SiteConfig.read("demo.ini", VALID_SITE_FILE.replace(text, replacement)));
         assertTrue(error.getMessage().contains(expected), error.getMessage());
     }
 
@@ -58,7 +58,7 @@
                         () ->
                                 SiteConfig.read(
                                         "demo.ini",
-                                        GOOD.replace("size = 64 MiB", "size = x")
+                                        VALID_SITE_FILE.replace("size = 64 MiB", "size = x")
                                                 .replace("patience = 4 s", "patience = y")));
         assertEquals(
                 2,
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -112,7 +112,7 @@
     @Test
     void clientsThatDisconnectAnywhereLeakNothing() throws Exception {
         try (NbdTestFixture fixture = new NbdTestFixture(2)) {
-            NbdClient good = fixture.client();
+            NbdClient otherClient = fixture.client();
             byte[] write =
                     ByteBuffer.allocate(28 + 4096)
                             .putInt(NbdConstants.REQUEST_MAGIC)
@@ -122,10 +122,10 @@
                             .putLong(0)
                             .putInt(4096)
                             .array();
-            byte[] whole = ByteBuffer.allocate(24 + write.length).put(openingBytes()).put(write).array();
-            for (int cut = 0; cut <= whole.length; cut += cut < 60 ? 1 : 512) {
+            byte[] sessionBytes = ByteBuffer.allocate(24 + write.length).put(openingBytes()).put(write).array();
+            for (int length = 0; length <= sessionBytes.length; length += length < 60 ? 1 : 512) {
                 try (Socket socket = connect(fixture)) {
-                    socket.getOutputStream().write(whole, 0, cut);
+                    socket.getOutputStream().write(sessionBytes, 0, length);
                 }
             }
             await().until(
@@ -133,14 +133,14 @@
                                     fixture.gateway.counters().clients.sum() - 1
                                             == fixture.gateway.counters().clientsEnded.sum());
             await().until(() -> fixture.gateway.bytesInFlight() == 0);
-            assertEquals(0, NbdTestFixture.error(good.read(0, 4096)));
+            assertEquals(0, NbdTestFixture.error(otherClient.read(0, 4096)));
         }
     }
 
     @Test
     void malformedBytesEndOnlyTheirConnection() throws Exception {
         try (NbdTestFixture fixture = new NbdTestFixture(1)) {
-            NbdClient good = fixture.client();
+            NbdClient otherClient = fixture.client();
             Random random = new Random(3);
             for (int i = 0; i < 60; i++) {
                 byte[] randomBytes = new byte[2000];
@@ -158,7 +158,7 @@
                     // A connection reset is accepted as well.
                 }
             }
-            assertEquals(0, NbdTestFixture.error(good.read(0, 512)));
+            assertEquals(0, NbdTestFixture.error(otherClient.read(0, 512)));
             await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
@@ -172,8 +172,8 @@
                         TrafficRecorder.NO_OP,
                         "[site]",
                         "client-bytes = 8 MiB\nall-bytes = 16 MiB\nmost-request = 4 MiB\n[site]")) {
-            NbdClient good = fixture.client();
-            NbdTestFixture.await(good.write(0, new byte[4 * NbdTestFixture.MIB]));
+            NbdClient otherClient = fixture.client();
+            NbdTestFixture.await(otherClient.write(0, new byte[4 * NbdTestFixture.MIB]));
             try (Socket nonReading = connect(fixture)) {
                 nonReading.getOutputStream().write(openingBytes());
                 DataInputStream in = new DataInputStream(nonReading.getInputStream());
@@ -191,7 +191,7 @@
                     nonReading.getOutputStream().write(read);
                 }
                 for (int i = 0; i < 50; i++) {
-                    assertEquals(0, NbdTestFixture.error(good.read(0, 65536)));
+                    assertEquals(0, NbdTestFixture.error(otherClient.read(0, 65536)));
                 }
                 assertTrue(fixture.gateway.maxBytesInFlight() <= 16L * NbdTestFixture.MIB);
                 assertTrue(fixture.gateway.bytesInFlight() <= 8L * NbdTestFixture.MIB + 8192);
@@ -201,22 +201,22 @@
     }
 
     @Test
-    void endlessWritesStayWithinTheBudgetAndOthersContinue() throws Exception {
+    void largeWritesStayWithinTheBudgetAndOthersContinue() throws Exception {
         try (NbdTestFixture fixture =
                 new NbdTestFixture(
                         3,
                         TrafficRecorder.NO_OP,
                         "[site]",
                         "client-bytes = 40 MiB\nall-bytes = 64 MiB\n[site]")) {
-            NbdClient good = fixture.client();
-            NbdClient flood = fixture.client();
-            byte[] big = new byte[32 * NbdTestFixture.MIB];
+            NbdClient otherClient = fixture.client();
+            NbdClient floodingClient = fixture.client();
+            byte[] maxRequestData = new byte[32 * NbdTestFixture.MIB];
             List<java.util.concurrent.CompletableFuture<NbdReply>> writes = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                writes.add(flood.write(0, big));
+                writes.add(floodingClient.write(0, maxRequestData));
             }
             for (int i = 0; i < 30; i++) {
-                NbdReply reply = NbdTestFixture.await(good.read(48L * NbdTestFixture.MIB, 4096));
+                NbdReply reply = NbdTestFixture.await(otherClient.read(48L * NbdTestFixture.MIB, 4096));
                 assertEquals(0, reply.error);
                 reply.release();
             }
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -125,8 +125,8 @@
     @Test
     void disconnectingClientLeaksNothing() throws Exception {
         try (NbdTestFixture fixture = new NbdTestFixture(3)) {
-            NbdClient other = fixture.client();
-            NbdTestFixture.await(other.write(0, new byte[NbdTestFixture.MIB]));
+            NbdClient otherClient = fixture.client();
+            NbdTestFixture.await(otherClient.write(0, new byte[NbdTestFixture.MIB]));
             fixture.cluster.nodes().forEach(node -> node.faults().unresponsive = true);
             NbdClient disconnecting = fixture.client();
             AtomicInteger ends = new AtomicInteger();
@@ -139,7 +139,7 @@
             await().until(() -> fixture.gateway.counters().open() == 0 && ends.get() == 20);
             assertTrue(fixture.gateway.counters().cancelled.sum() > 0);
             fixture.cluster.nodes().forEach(node -> node.faults().unresponsive = false);
-            await().until(() -> NbdTestFixture.error(other.read(0, 512)) == 0);
+            await().until(() -> NbdTestFixture.error(otherClient.read(0, 512)) == 0);
             await().until(() -> fixture.gateway.bytesInFlight() == 0);
         }
     }
@@ -198,8 +198,8 @@
     void concurrentFirstWritesEndWithOneHolder() throws Exception {
         try (NbdTestFixture fixture = new NbdTestFixture(6)) {
             NbdGateway second = fixture.cluster.open(fixture.site(1, 2), 2);
-            NbdClient a = fixture.client();
-            NbdClient b = fixture.client(second, NbdClient.Style.GO);
+            NbdClient clientA = fixture.client();
+            NbdClient clientB = fixture.client(second, NbdClient.Style.GO);
             for (int extent = 0; extent < 40; extent++) {
                 long offset = extent * (long) NbdTestFixture.MIB;
                 byte[] dataA = NbdTestFixture.randomBytes(extent, 8192);
@@ -207,13 +207,13 @@
                 // Both clients also write to other parts of the same extent at the same time.
                 var writes =
                         List.of(
-                                writeUntilServed(a, offset, dataA),
-                                writeUntilServed(b, offset, dataB),
-                                writeUntilServed(a, offset + 65536, dataA),
-                                writeUntilServed(b, offset + 131072, dataB));
+                                writeUntilServed(clientA, offset, dataA),
+                                writeUntilServed(clientB, offset, dataB),
+                                writeUntilServed(clientA, offset + 65536, dataA),
+                                writeUntilServed(clientB, offset + 131072, dataB));
                 writes.forEach(NbdTestFixture::await);
-                byte[] readFromA = NbdTestFixture.data(NbdTestFixture.await(a.read(offset, 8192)));
-                byte[] readFromB = NbdTestFixture.data(NbdTestFixture.await(b.read(offset, 8192)));
+                byte[] readFromA = NbdTestFixture.data(NbdTestFixture.await(clientA.read(offset, 8192)));
+                byte[] readFromB = NbdTestFixture.data(NbdTestFixture.await(clientB.read(offset, 8192)));
                 assertTrue(java.util.Arrays.equals(readFromA, readFromB));
                 assertTrue(
                         java.util.Arrays.equals(readFromA, dataA) || java.util.Arrays.equals(readFromA, dataB));
@@ -221,12 +221,12 @@
                         java.util.Arrays.equals(
                                 dataA,
                                 NbdTestFixture.data(
-                                        NbdTestFixture.await(b.read(offset + 65536, 8192)))));
+                                        NbdTestFixture.await(clientB.read(offset + 65536, 8192)))));
                 assertTrue(
                         java.util.Arrays.equals(
                                 dataB,
                                 NbdTestFixture.data(
-                                        NbdTestFixture.await(a.read(offset + 131072, 8192)))));
+                                        NbdTestFixture.await(clientA.read(offset + 131072, 8192)))));
             }
             assertEquals(40, NbdTestFixture.await(fixture.cluster.directory().counts())[0]);
         }
@@ -324,11 +324,11 @@
             NbdTestFixture.await(fixture.gateway.kill());
             NbdGateway restarted = fixture.cluster.open(fixture.site(0, 1), 99);
             NbdClient newClient = fixture.client(restarted, NbdClient.Style.GO);
-            List<Integer> kept;
+            List<Integer> acknowledgedWrites;
             synchronized (acknowledged) {
-                kept = List.copyOf(acknowledged);
+                acknowledgedWrites = List.copyOf(acknowledged);
             }
-            for (int i : kept) {
+            for (int i : acknowledgedWrites) {
                 assertTrue(
                         java.util.Arrays.equals(
                                 NbdTestFixture.randomBytes(i, 4096),
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -90,10 +90,10 @@
         try (NbdTestFixture fixture = new NbdTestFixture(3)) {
             String site = runFirstIncarnation(fixture);
             NbdTestFixture.await(fixture.cluster.directory().stop());
-            double[] ages = {60_000, 3_600_000, 7 * 86_400_000.0};
+            double[] agesMillis = {60_000, 3_600_000, 7 * 86_400_000.0};
             ListFreshness[] expectedFreshness = {ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD};
-            for (int i = 0; i < ages.length; i++) {
-                ageStoredList(ages[i]);
+            for (int i = 0; i < agesMillis.length; i++) {
+                ageStoredList(agesMillis[i]);
                 NbdGateway restarted = start(site, 20 + i);
                 assertEquals(expectedFreshness[i], NbdTestFixture.await(restarted.nodes()).trust());
                 assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
@@ -103,14 +103,14 @@
     }
 
     @Test
-    void drainingNodeAnnouncesItInHandshakeAndGetsNoAttempts() throws Exception {
+    void nodeThatAnnouncesDrainingInItsHandshakeIsShownAsDraining() throws Exception {
         try (NbdTestFixture fixture = new NbdTestFixture(3)) {
             String site = runFirstIncarnation(fixture);
             NbdTestFixture.await(fixture.cluster.directory().stop());
             fixture.cluster.nodes().get(0).drain();
             ageStoredList(60_000);
             NbdGateway restarted = start(site, 30);
-            long before = restarted.counters().attempts.sum();
+            long attemptsBefore = restarted.counters().attempts.sum();
             NbdClient client = fixture.client(restarted, NbdClient.Style.GO);
             List<CompletableFuture<NbdReply>> reads = new java.util.ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -119,7 +119,7 @@
             for (CompletableFuture<NbdReply> read : reads) {
                 NbdTestFixture.await(read).release();
             }
-            assertTrue(restarted.counters().attempts.sum() > before);
+            assertTrue(restarted.counters().attempts.sum() > attemptsBefore);
             NodesView view = NbdTestFixture.await(restarted.nodes());
             assertEquals(
                     EndpointRecord.Phase.DRAINING,
@@ -169,11 +169,11 @@
             String site = runFirstIncarnation(fixture);
             HolderFile file = new HolderFile(tempDir.resolve("holders"), SITE);
             int[] cells = file.load().get(1);
-            int[] wrong = cells.clone();
+            int[] wrongCells = cells.clone();
             for (int i = 0; i < 6; i++) {
-                wrong[i] = 1 + cells[i] % 3;
+                wrongCells[i] = 1 + cells[i] % 3;
             }
-            file.write(java.util.Map.of(1, wrong), System.currentTimeMillis());
+            file.write(java.util.Map.of(1, wrongCells), System.currentTimeMillis());
             NbdGateway restarted = start(site, 50);
             assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
             assertTrue(
@@ -191,20 +191,20 @@
             String site = runFirstIncarnation(fixture);
             ageStoredList(0); // writes a second generation
             Path file = tempDir.resolve("nodes");
-            byte[] whole = Files.readAllBytes(file);
-            Files.write(file, Arrays.copyOf(whole, whole.length / 3));
+            byte[] listBytes = Files.readAllBytes(file);
+            Files.write(file, Arrays.copyOf(listBytes, listBytes.length / 3));
             NbdTestFixture.await(fixture.cluster.directory().stop());
             NbdGateway restarted = start(site, 60);
             assertExtentsReadable(fixture.client(restarted, NbdClient.Style.GO));
             assertTrue(Files.exists(tempDir.resolve("nodes.set-aside")));
             NbdTestFixture.await(restarted.kill());
             NbdTestFixture.await(fixture.cluster.directory().restart());
-            String other = site.replace("[site]", "[site]\nname = elsewhere");
-            NbdGateway elsewhere = start(other, 61);
-            NodesView view = NbdTestFixture.await(elsewhere.nodes());
+            String otherSite = site.replace("[site]", "[site]\nname = elsewhere");
+            NbdGateway otherGateway = start(otherSite, 61);
+            NodesView view = NbdTestFixture.await(otherGateway.nodes());
             assertEquals(3, view.nodes().size(), "nodes come from the directory, not from the stored list");
             assertEquals(0, view.unverifiedExtents());
-            NbdTestFixture.await(elsewhere.kill());
+            NbdTestFixture.await(otherGateway.kill());
         }
     }
 
@@ -217,8 +217,8 @@
             NbdTestFixture.await(fixture.cluster.directory().stop());
             NbdTestFixture.await(fixture.cluster.directory().replaceWith("another", 9, 1, List.of()));
             NbdTestFixture.await(fixture.cluster.directory().restart());
-            long lists = fixture.cluster.directory().completeLists();
-            await().until(() -> fixture.cluster.directory().completeLists() > lists);
+            long listsBefore = fixture.cluster.directory().completeLists();
+            await().until(() -> fixture.cluster.directory().completeLists() > listsBefore);
             assertExtentsReadable(client);
             NbdTestFixture.await(restarted.kill());
         }
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -125,7 +125,7 @@
     }
 
     /** Encodes a frame, like one that a paused gateway has left in its socket. */
-    private static byte[] bytes(Frame frame) {
+    private static byte[] encode(Frame frame) {
         EmbeddedChannel out = new EmbeddedChannel(new FrameEncoder());
         out.writeOutbound(frame);
         ByteBuf all = Unpooled.buffer();
@@ -141,24 +141,24 @@
         try (Socket staleConnection =
                 new Socket(node.address().getAddress(), node.address().getPort())) {
             staleConnection.getOutputStream()
-                    .write(bytes(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
+                    .write(encode(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
             staleConnection.getOutputStream()
                     .write(
-                            bytes(
+                            encode(
                                     StoreMessages.writeToken(
                                             StoreMessages.ACQUIRE_WRITE_TOKEN, 5, 1, 7)));
             DataInputStream in = new DataInputStream(staleConnection.getInputStream());
             // handshake reply (49 bytes) and granted write token (40 bytes)
             in.readFully(new byte[24 + 21 + 4 + 24 + 12 + 4]);
-            Peer b = peer(2, 3);
-            b.write(1, 2);
-            assertEquals(StoreMessages.Code.SERVED.name(), b.awaitOutcome(1));
+            Peer peerB = peer(2, 3);
+            peerB.write(1, 2);
+            assertEquals(StoreMessages.Code.SERVED.name(), peerB.awaitOutcome(1));
             StoreMessages.Send send =
                     new StoreMessages.Send(
                             StoreMessages.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
             staleConnection.getOutputStream()
                     .write(
-                            bytes(
+                            encode(
                                     StoreMessages.send(
                                             8, send, Unpooled.wrappedBuffer(new byte[512]))));
             // revoked write token
@@ -167,19 +167,19 @@
             in.readFully(answer);
             assertEquals(StoreMessages.ANSWER, answer[3]);
             assertEquals(StoreMessages.Code.STALE_WRITE_TOKEN.ordinal(), answer[24]);
-            assertEquals(2, b.read(9));
+            assertEquals(2, peerB.read(9));
         }
     }
 
     @Test
     void gatewayWithRevokedTokenAcquiresItAgain() {
-        Peer a = peer(1, 3);
-        Peer b = peer(2, 3);
+        Peer peerA = peer(1, 3);
+        Peer peerB = peer(2, 3);
         for (long attempt = 1; attempt < 9; attempt++) {
-            Peer writer = attempt % 2 == 0 ? a : b;
+            Peer writer = attempt % 2 == 0 ? peerA : peerB;
             writer.write(attempt, (int) attempt);
             assertEquals(StoreMessages.Code.SERVED.name(), writer.awaitOutcome(attempt));
-            assertEquals(attempt, (attempt % 2 == 0 ? b : a).read(100 + attempt));
+            assertEquals(attempt, (attempt % 2 == 0 ? peerB : peerA).read(100 + attempt));
         }
     }
 
