--- a/src/main/java/sagepulley/codec/nbd/NbdConstants.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdConstants.java
@@ -79,10 +79,12 @@
     public static final int ENOTSUP = 95;
     public static final int ESHUTDOWN = 108;
 
-    /** The only supported metadata context, followed by its id on the wire. */
+    /** The only supported metadata context. */
     public static final String BASE_ALLOCATION = "base:allocation";
 
+    /** The id of base:allocation that the server assigns and sends with each block status. */
     public static final int BASE_ALLOCATION_ID = 1;
+
     public static final int STATE_HOLE = 1;
     public static final int STATE_ZERO = 2;
 
--- a/src/main/java/sagepulley/config/AccountsSettings.java
+++ b/src/main/java/sagepulley/config/AccountsSettings.java
@@ -3,9 +3,9 @@
 import java.nio.file.Path;
 
 /**
- * How latency accounts are stored.
+ * Settings of the latency accounts.
  *
  * @param enabled whether latency accounts are recorded
- * @param file the file in which they survive a restart; null for none
+ * @param file the file from which they are restored at a restart; null for none
  */
 public record AccountsSettings(boolean enabled, Path file, double writeIntervalMillis) {}
--- a/src/main/java/sagepulley/config/IniReader.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -89,7 +89,10 @@
         return new IniSection(this, name);
     }
 
-    /** Returns the rest of the names of all sections that start with the prefix, in file order. */
+    /**
+     * Returns the names of all sections whose first word is the prefix, without that word and in
+     * file order.
+     */
     List<String> sectionNames(String prefix) {
         List<String> names = new ArrayList<>();
         for (String section : sections.keySet()) {
@@ -114,7 +117,7 @@
     }
 
     /**
-     * Ends the reading.
+     * Checks that the file has no errors and that all of its sections and keys were read.
      *
      * @param allowedPrefixes the first words that section names may have
      * @throws SiteConfigException if there are errors, or sections or keys that were not read
--- a/src/main/java/sagepulley/config/MembershipSettings.java
+++ b/src/main/java/sagepulley/config/MembershipSettings.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Where the endpoint list and the extent holders are stored, and how long the list is trusted.
+ * Settings of the membership: the files of the endpoint list and the extent holders, the ages at
+ * which the list is trusted less, the probes and the configured nodes.
  *
  * @param listFile the file of the endpoint list; null for none
  * @param holderFile the file of the extent holders; null for none
--- a/src/main/java/sagepulley/config/TracingSettings.java
+++ b/src/main/java/sagepulley/config/TracingSettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 
 /**
- * Where traces are written and how many are sampled.
+ * Settings of tracing: the destinations of the traces and the limits of sampling.
  *
  * @param file the trace file; null for none
  * @param fileBytes the size at which a file is rotated
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -71,8 +71,9 @@
     private final Set<Long> unverified = new HashSet<>();
 
     /**
-     * Whether the directory is unreachable. This class sends no lookup or claim until it answers
-     * a request for the endpoint list.
+     * Whether the directory is unreachable. Set when a call fails and the connection is closed,
+     * and cleared by the next endpoint list. While it is set, no lookups are sent, and new first
+     * writes wait at the scheduler.
      */
     private boolean directoryUnreachable;
 
@@ -133,8 +134,8 @@
     }
 
     /**
-     * Returns whether the holder of the part's extent was read from disk, so that the node must
-     * confirm that it has the extent.
+     * Returns whether the holder of the part's extent was read from disk and is not confirmed yet,
+     * so that the node must confirm that it has the extent.
      */
     boolean isUnverified(RequestPart part) {
         return unverified.contains(part.operation.extent);
@@ -187,8 +188,8 @@
     }
 
     /**
-     * Hands the parts that have waited for the directory for the maximum time to the listener
-     * without a holder.
+     * Passes parts to the listener without a holder once they have waited for the directory for
+     * the maximum time.
      */
     void releaseExpired(double now) {
         for (RequestPart part : holders.takeExpired(now)) {
@@ -401,8 +402,8 @@
     }
 
     /**
-     * Records that the directory has answered. If it was unreachable, first writes may claim
-     * extents again and pending lookups are repeated.
+     * Records that an endpoint list has arrived. If the directory was unreachable, first writes may
+     * claim extents again, and the other parts without a holder are looked up again.
      */
     void directoryAnswered() {
         if (!directoryUnreachable) {
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -156,8 +156,8 @@
     }
 
     /**
-     * Starts to follow the endpoint list and runs the callback once a list is known. A list that
-     * has to be fetched first is followed by a preload of the extent holders before the callback.
+     * Starts to follow the endpoint list and runs the callback once a list is known. If the list
+     * has to be fetched first, the extent holders are preloaded before the callback runs.
      */
     void start(Runnable ready) {
         List<EndpointRecord> configured =
@@ -378,7 +378,7 @@
         return exportedVolumes;
     }
 
-    /** Returns the accessor to the accounts. */
+    /** Returns the source of reports and copies of the accounts. */
     AccountReports accountReports() {
         return accountReports;
     }
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -43,7 +43,7 @@
  * files around the engine. Public methods may be called from any thread.
  */
 public final class NbdGateway {
-    /** Maximum number of volumes with totals since the start, the first of the site file. */
+    /** Maximum number of volumes that have totals since the start: the first in the site file. */
     public static final int MAX_VOLUMES_WITH_TOTALS = 100;
 
     private static final double ENDPOINT_LIST_CHECK_INTERVAL_MILLIS = 500;
@@ -346,7 +346,6 @@
 
     private void closeClients(CompletableFuture<Void> stopped) {
         clients.flush();
-        // Gives the last replies time to leave the sockets.
         clientGroup
                 .next()
                 .schedule(
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -114,7 +114,10 @@
         }
     }
 
-    /** Sends the reply of a request. May be called from any event loop. */
+    /**
+     * Sends the reply of a request, or only releases its data and budget if the connection has
+     * closed. May be called from any event loop.
+     */
     void sendReply(PendingRequest request) {
         if (channel.eventLoop().inEventLoop()) {
             writeReply(request);
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -334,7 +334,8 @@
     }
 
     /**
-     * Cancels an attempt at the scheduler's request. It is unknown whether the node executed it.
+     * Cancels an attempt at the scheduler's request. The outcome does not tell whether the node
+     * executed it.
      */
     private void cancel(Attempt attempt) {
         RequestPart part = partOf(attempt.operation);
--- a/src/main/java/sagepulley/upstream/frame/NodeConnection.java
+++ b/src/main/java/sagepulley/upstream/frame/NodeConnection.java
@@ -222,7 +222,7 @@
             return;
         }
         channel.write(frame);
-        // Flushes once per turn of the event loop.
+        // Flushes once per event loop iteration.
         if (!flushScheduled) {
             flushScheduled = true;
             loop.execute(
--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -155,7 +155,8 @@
      * @param otherGatewaysUnits the units that the tenant used at the node through other gateways
      * @param queuedMillis the time that the attempt waited in the node's queue
      * @param serviceMillis the time that the node worked on the attempt
-     * @param loadReport up to four values
+     * @param loadReport up to four values, the first of which is the node's queue length; may be
+     *     empty
      */
     public record Answer(
             Code code,
--- a/src/test/java/sagepulley/codec/frame/FrameTest.java
+++ b/src/test/java/sagepulley/codec/frame/FrameTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Decoding of frames that are fragmented, corrupted or random. */
+/** Verifies the decoding of frames that are fragmented, corrupted or random. */
 class FrameTest {
     /** Encodes a frame for each payload. */
     private static byte[] encode(List<byte[]> payloads) {
--- a/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
+++ b/src/test/java/sagepulley/codec/nbd/NbdCodecTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.codec.frame.MalformedMessageException;
 
-/** NBD handshake and requests that are fragmented, malformed or random. */
+/** Verifies the NBD codec with input that is fragmented, malformed or random. */
 class NbdCodecTest {
     private static final Export EXPORT =
             new Export("vol", "a volume", 1 << 20, false, true, 512, 4096, 65536);
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.scenario.LocalCluster;
 
-/** Reading of site files and reporting of their errors. */
+/** Verifies the reading of site files and the reporting of their errors. */
 class SiteConfigTest {
     private static final String VALID_SITE_FILE =
             LocalCluster.demoSite("gw-1", 1, 3, 0, new InetSocketAddress("127.0.0.1", 9));
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -27,7 +27,9 @@
 import sagepulley.standin.StandInNode;
 import sagepulley.standin.TrafficRecorder;
 
-/** Delayed writes are rejected by the node, and each attempt ends with the right outcome. */
+/**
+ * Verifies that a node rejects delayed writes and that each attempt ends with the right outcome.
+ */
 class NodeConnectionTest {
     private final EventLoopGroup loops = EventLoops.group(2, "test");
     private StandInNode node;
--- a/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
+++ b/src/test/java/sagepulley/upstream/frame/StoreMessagesTest.java
@@ -16,8 +16,8 @@
 import sagepulley.discovery.directory.DirectoryMessages;
 
 /**
- * Encoding and decoding of store and directory messages; random fields are read or rejected as
- * malformed, without any other exception.
+ * Verifies that store and directory messages are decoded as encoded, and that random fields are
+ * read or rejected as malformed, without any other exception.
  */
 class StoreMessagesTest {
     private interface MessageReader {
