--- a/src/main/java/sagepulley/upstream/frame/StoreMessages.java
+++ b/src/main/java/sagepulley/upstream/frame/StoreMessages.java
@@ -47,7 +47,7 @@
     /** The supported version of the protocol. */
     public static final int VERSION = 1;
 
-    private static final int SEND_HEAD_BYTES = 55;
+    private static final int SEND_HEAD_CAPACITY_BYTES = 55;
     private static final int MAX_REPORT_VALUES = 4;
 
     /** The identity of a gateway; its number differs at every start. */
@@ -155,7 +155,8 @@
      * @param otherGatewaysUnits the units that the tenant used at the node through other gateways
      * @param queuedMillis the time that the attempt waited in the node's queue
      * @param serviceMillis the time that the node worked on the attempt
-     * @param loadReport up to four values
+     * @param loadReport up to four values, the first of which is the node's queue length; may be
+     *     empty
      */
     public record Answer(
             Code code,
@@ -216,7 +217,7 @@
     /** Encodes an attempt and takes ownership of the payload. */
     public static Frame send(long attempt, Send send, ByteBuf payload) {
         ByteBuf head =
-                Unpooled.buffer(SEND_HEAD_BYTES)
+                Unpooled.buffer(SEND_HEAD_CAPACITY_BYTES)
                         .writeByte(send.kind().ordinal())
                         .writeByte(send.trafficClass())
                         .writeByte((send.durable() ? 1 : 0) | (send.extentMustExist() ? 2 : 0))
