--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -59,7 +59,7 @@
             return result.passed() ? Commands.OK : Commands.FAILED;
         }
         System.out.println(
-                result.day()
+                result.scenario()
                         + ": "
                         + result.requests()
                         + " requests, "
@@ -79,7 +79,7 @@
                         (volume, share) ->
                                 System.out.printf(
                                         "service of %-20s %5.1f %%%n", volume, 100 * share));
-        result.unmet().forEach(System.out::println);
+        result.unmetExpectations().forEach(System.out::println);
         return result.passed() ? Commands.OK : Commands.FAILED;
     }
 }
--- a/src/main/java/sagepulley/cli/TruthCommand.java
+++ b/src/main/java/sagepulley/cli/TruthCommand.java
@@ -47,7 +47,7 @@
         }
         for (String kind : kinds) {
             for (int seed = 1; seed <= seeds; seed++) {
-                for (AttributionExperiment.Row row : AttributionExperiment.play(kind, seed)) {
+                for (AttributionExperiment.Row row : AttributionExperiment.run(kind, seed)) {
                     rows.add(row);
                     if (!json) {
                         print(row);
@@ -74,7 +74,7 @@
     private static void print(AttributionExperiment.Row row) {
         System.out.printf(
                 "| %s | %d | %s | %s | %s | %.0f %% | %s | %s | %s | %s | %s |%n",
-                row.day(),
+                row.scenario(),
                 row.seed(),
                 row.volume(),
                 String.join(" or ", row.expected()),
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -95,16 +95,16 @@
 
     /** Returns the journal of events with the number of requests by outcome. */
     public String journalText() {
-        Map<Request.End, Integer> ends = new EnumMap<>(Request.End.class);
+        Map<Request.End, Integer> outcomes = new EnumMap<>(Request.End.class);
         for (Request request : fleet.requests()) {
-            ends.merge(request.end == null ? Request.End.SILENT : request.end, 1, Integer::sum);
+            outcomes.merge(request.end == null ? Request.End.SILENT : request.end, 1, Integer::sum);
         }
         return "seed "
                 + seed
                 + ", "
                 + gateways
                 + " gateways, ends "
-                + ends
+                + outcomes
                 + "\n  "
                 + String.join("\n  ", journal);
     }
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -35,18 +35,18 @@
     private final Map<String, String> environment = new HashMap<>();
     private final Map<Integer, List<Long>> reloads = new HashMap<>();
     private final List<String> launcher = new ArrayList<>();
-    private final boolean pushed;
+    private final boolean automaticDiscovery;
 
     /** Creates a fleet with one listed endpoint per shard. */
     TestFleet(Path folder, int size, int shards) throws IOException {
         this(folder, size, shards, false);
     }
 
-    /** Creates a fleet; pushed selects the automatic discovery mode instead of subscribe. */
-    TestFleet(Path folder, int size, int shards, boolean pushed) throws IOException {
+    /** Creates a fleet; automaticDiscovery selects the automatic discovery mode instead of subscribe. */
+    TestFleet(Path folder, int size, int shards, boolean automaticDiscovery) throws IOException {
         this.folder = folder;
         this.size = size;
-        this.pushed = pushed;
+        this.automaticDiscovery = automaticDiscovery;
         for (int i = 0; i < shards; i++) {
             StoreServer store = new StoreServer(storeName(i), i);
             stores.add(store);
@@ -193,7 +193,7 @@
                         known,
                         number,
                         size,
-                        pushed ? "automatic" : "subscribe",
+                        automaticDiscovery ? "automatic" : "subscribe",
                         MAX_DEADLINE_MILLIS,
                         MAX_DEADLINE_MILLIS,
                         DRAIN_GRACE_MILLIS,
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -42,7 +42,7 @@
      * @param rulesSatisfied whether the gateways followed all rules
      */
     public record Row(
-            String day,
+            @JsonProperty("day") String scenario,
             long seed,
             String volume,
             @JsonProperty("right") List<String> expected,
@@ -57,7 +57,7 @@
     private AttributionExperiment() {}
 
     /** Runs one scenario with a seed and returns a row for each volume with a known cause. */
-    public static List<Row> play(String kind, long seed)
+    public static List<Row> run(String kind, long seed)
             throws ScenarioException, SiteConfigException {
         Scenario scenario =
                 ScenarioReader.read(
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -292,7 +292,7 @@
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
-            NbdGateway gateway = gateway(listPolicy, siteTexts.get(i), seed * 1000 + i);
+            NbdGateway gateway = createGateway(listPolicy, siteTexts.get(i), seed * 1000 + i);
             CompletableFuture<NbdGateway> ready = gateway.start();
             if (listPolicy != ListPolicy.WAITING) {
                 LocalCluster.await(ready);
@@ -303,7 +303,7 @@
         return gateways;
     }
 
-    private static NbdGateway gateway(ListPolicy listPolicy, String siteText, long seed)
+    private static NbdGateway createGateway(ListPolicy listPolicy, String siteText, long seed)
             throws SiteConfigException {
         String text =
                 listPolicy == ListPolicy.WAITING
--- a/src/main/java/sagepulley/scenario/FinalAnswerRule.java
+++ b/src/main/java/sagepulley/scenario/FinalAnswerRule.java
@@ -47,18 +47,18 @@
     /** Checks the time of an answer. Returns the milliseconds left until the deadline. */
     private static double checkDeadline(
             SocketEventLog.ClientRequest request, Evidence evidence, Findings findings) {
-        double deadline =
+        double deadlineMillis =
                 evidence.site.deployment().trafficClasses().get(request.trafficClass).deadline();
         double elapsedMillis = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
-        if (elapsedMillis > deadline + evidence.policy().answerGrace() + evidence.toleranceMillis) {
+        if (elapsedMillis > deadlineMillis + evidence.policy().answerGrace() + evidence.toleranceMillis) {
             findings.addBreach(
                     "answered after "
                             + Findings.format(elapsedMillis)
                             + " ms, deadline "
-                            + Findings.format(deadline)
+                            + Findings.format(deadlineMillis)
                             + " ms");
         }
-        return deadline - elapsedMillis;
+        return deadlineMillis - elapsedMillis;
     }
 
     /** Checks that every attempt belongs to a request that was still open. */
--- a/src/main/java/sagepulley/scenario/ReconnectStorm.java
+++ b/src/main/java/sagepulley/scenario/ReconnectStorm.java
@@ -59,8 +59,8 @@
             pendingCalls.add(new Call(random.nextDouble(), i));
         }
         Map<Long, Integer> callsByTenth = new HashMap<>();
-        double busyUntil = downMillis;
-        double lastServedAt = 0;
+        double busyUntilMillis = downMillis;
+        double lastServedAtMillis = 0;
         long calls = 0;
         while (!pendingCalls.isEmpty()) {
             Call call = pendingCalls.poll();
@@ -72,14 +72,14 @@
             double pauseMillis = usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
             if (nowMillis < downMillis) {
                 pendingCalls.add(new Call(nowMillis + pauseMillis, call.gateway()));
-            } else if (busyUntil - nowMillis > queue * MILLIS_PER_SECOND / callsPerSecond) {
+            } else if (busyUntilMillis - nowMillis > queue * MILLIS_PER_SECOND / callsPerSecond) {
                 pendingCalls.add(new Call(nowMillis + CALL_TIMEOUT_MILLIS + pauseMillis, call.gateway()));
             } else {
-                busyUntil = Math.max(busyUntil, nowMillis) + MILLIS_PER_SECOND / callsPerSecond;
-                lastServedAt = Math.max(lastServedAt, busyUntil);
+                busyUntilMillis = Math.max(busyUntilMillis, nowMillis) + MILLIS_PER_SECOND / callsPerSecond;
+                lastServedAtMillis = Math.max(lastServedAtMillis, busyUntilMillis);
             }
         }
         int maxCalls = callsByTenth.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        return new ReconnectStorm(gateways, usesBackoff, maxCalls, calls, lastServedAt - downMillis);
+        return new ReconnectStorm(gateways, usesBackoff, maxCalls, calls, lastServedAtMillis - downMillis);
     }
 }
--- a/src/main/java/sagepulley/scenario/RetryBudgetRule.java
+++ b/src/main/java/sagepulley/scenario/RetryBudgetRule.java
@@ -31,13 +31,13 @@
         ServicePolicy policy = evidence.policy();
         List<Long> operations = operationTimes(evidence, gateway.gateway);
         List<Long> retries = retryTimes(evidence, gateway.gateway);
-        double retryWindow = policy.retryBudgetWindow() * Evidence.NANOS_PER_MILLI;
-        double operationWindow =
+        double retryWindowNanos = policy.retryBudgetWindow() * Evidence.NANOS_PER_MILLI;
+        double operationWindowNanos =
                 (policy.retryBudgetWindow() + evidence.toleranceMillis) * Evidence.NANOS_PER_MILLI;
         double maxShare = 0;
         for (long at : retries) {
-            long used = countWithin(retries, at, retryWindow);
-            long accepted = countWithin(operations, at, operationWindow);
+            long used = countWithin(retries, at, retryWindowNanos);
+            long accepted = countWithin(operations, at, operationWindowNanos);
             double allowed = policy.retryBudgetFloor() + policy.retryBudgetRatio() * accepted;
             maxShare = Math.max(maxShare, used / Math.max(MIN_BUDGET, allowed));
             if (used > allowed) {
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -424,8 +424,8 @@
                         .map(token -> (int) number(token.getSymbol(), 1, nodes, "the node"))
                         .toList();
             }
-            if (target instanceof ScenarioParser.HallContext hall) {
-                int index = (int) number(hall.NUMBER().getSymbol(), 1, zones, "the hall");
+            if (target instanceof ScenarioParser.HallContext zone) {
+                int index = (int) number(zone.NUMBER().getSymbol(), 1, zones, "the hall");
                 return IntStream.rangeClosed(1, nodes)
                         .filter(node -> (node - 1) % zones == index - 1)
                         .boxed()
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -33,26 +33,26 @@
     /**
      * The result of a scenario run. The components are the fields of the JSON output.
      *
-     * @param day the name of the scenario
+     * @param scenario the name of the scenario
      * @param verdicts the verdict on each rule and on the data that reads returned
      * @param service for each volume, the weighted share of its requests served within their
      *     latency objective, 0 to 1
-     * @param unmet descriptions of the expectations that were not met
+     * @param unmetExpectations descriptions of the expectations that were not met
      * @param requests the number of requests that clients sent
      * @param attempts the number of attempts that reached a node
      * @param stallMillis the longest stall of the test process, in milliseconds
      */
     public record Result(
-            String day,
+            @JsonProperty("day") String scenario,
             List<RuleVerdict> verdicts,
             Map<String, Double> service,
-            List<String> unmet,
+            @JsonProperty("unmet") List<String> unmetExpectations,
             long requests,
             long attempts,
             @JsonProperty("stoodStill") double stallMillis) {
         /** Returns whether every rule was satisfied and every expectation met. */
         public boolean passed() {
-            return unmet.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
+            return unmetExpectations.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
         }
     }
 
@@ -239,11 +239,11 @@
     }
 
     private List<String> unmetExpectations(Map<String, Double> service) {
-        List<String> unmet = new ArrayList<>();
+        List<String> descriptions = new ArrayList<>();
         for (Scenario.Expectation expected : scenario.expectations()) {
             double share = service.getOrDefault(expected.volume(), 0.0);
             if (!(share > expected.minService())) {
-                unmet.add(
+                descriptions.add(
                         "service of "
                                 + expected.volume()
                                 + " is "
@@ -253,7 +253,7 @@
                                 + " %");
             }
         }
-        return unmet;
+        return descriptions;
     }
 
     /** Returns the script of a built-in scenario. */
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -41,16 +41,16 @@
 
         synchronized double worstStallMillis() {
             tick();
-            double worst = 0;
+            double maxMillis = 0;
             double sum = 0;
             for (int windowStart = 0, i = 0; i < stalls.size(); i++) {
                 sum += stalls.get(i).lateMillis();
                 while (stalls.get(i).atMillis() - stalls.get(windowStart).atMillis() > WINDOW_MILLIS) {
                     sum -= stalls.get(windowStart++).lateMillis();
                 }
-                worst = Math.max(worst, sum);
+                maxMillis = Math.max(maxMillis, sum);
             }
-            return worst;
+            return maxMillis;
         }
     }
 
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -73,7 +73,7 @@
         }
     }
 
-    private static void sleepUntil(long from, long ms) throws InterruptedException {
-        Thread.sleep(Math.max(0, ms - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from)));
+    private static void sleepUntil(long from, long millis) throws InterruptedException {
+        Thread.sleep(Math.max(0, millis - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from)));
     }
 }
--- a/src/test/java/sagepulley/scenario/MisbehavingGateway.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingGateway.java
@@ -78,7 +78,7 @@
         final EventLoopGroup group = EventLoops.group(1, "rogue");
         final long seed;
         final Map<Integer, NodeClient> nodes = new TreeMap<>();
-        final CompletableFuture<Void> listed = new CompletableFuture<>();
+        final CompletableFuture<Void> listReceived = new CompletableFuture<>();
         final DirectoryClient directory;
         final Channel listener;
         final InetSocketAddress address;
@@ -96,7 +96,7 @@
                             "rogue",
                             this);
             group.next().execute(directory::subscribe);
-            LocalCluster.await(listed);
+            LocalCluster.await(listReceived);
             listener =
                     new ServerBootstrap()
                             .group(group)
@@ -134,7 +134,7 @@
                                         node,
                                         new InetSocketAddress(line.host(), line.port())));
             }
-            listed.complete(null);
+            listReceived.complete(null);
         }
 
         @Override
@@ -142,20 +142,20 @@
 
         @Override
         public List<Export> all() {
-            return site.volumes().stream().map(line -> findByName(line.name())).toList();
+            return site.volumes().stream().map(settings -> findByName(settings.name())).toList();
         }
 
         @Override
         public Export findByName(String name) {
             return site.volumes().stream()
-                    .filter(line -> line.name().equals(name))
+                    .filter(settings -> settings.name().equals(name))
                     .findFirst()
                     .map(
-                            line ->
+                            settings ->
                                     new Export(
                                             name,
                                             "",
-                                            line.sizeBytes(),
+                                            settings.sizeBytes(),
                                             false,
                                             true,
                                             512,
@@ -212,7 +212,7 @@
         public void healthReported(long id, float[] report) {}
 
         @Override
-        public boolean handshakeCompleted(StoreMessages.HandshakeReply welcome) {
+        public boolean handshakeCompleted(StoreMessages.HandshakeReply reply) {
             return true;
         }
     }
@@ -230,7 +230,7 @@
             if (event instanceof sagepulley.codec.nbd.AttachedExport attached) {
                 volume =
                         gateway.site.volumes().stream()
-                                .filter(line -> line.name().equals(attached.export().name()))
+                                .filter(settings -> settings.name().equals(attached.export().name()))
                                 .findFirst()
                                 .orElseThrow();
             }
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -93,7 +93,7 @@
         Scenario scenario = ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
         ScenarioRunner.Result result = new ScenarioRunner(scenario).run();
         result.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
-        assertEquals(java.util.List.of(), result.unmet());
+        assertEquals(java.util.List.of(), result.unmetExpectations());
     }
 
     @Test
--- a/src/test/java/sagepulley/stored/ExternalNamesTest.java
+++ b/src/test/java/sagepulley/stored/ExternalNamesTest.java
@@ -205,21 +205,21 @@
     /** Scenario words that are parsed into enum constants. */
     @Test
     void faultWordsOfScenariosAreAccepted() throws Exception {
-        String day = ScenarioRunner.builtIn("bad-evening");
+        String script = ScenarioRunner.builtIn("bad-evening");
         String nodes =
                 "silent|paused|refusing|unreachable|cut|drains|garbles|restarts cold|loses"
                         + " power|gone|slow 3 times|losing 10 %|erring 10 %";
         String directory = "silent|down|failing|lagging 1 s|slow 1 s";
         for (String fault : nodes.split("\\|")) {
             assertEquals(
-                    ScenarioReader.read("day", day).events().size() + 1,
-                    ScenarioReader.read("day", day + "\nat 1 s node 1 " + fault + " for 1 s\n")
+                    ScenarioReader.read("day", script).events().size() + 1,
+                    ScenarioReader.read("day", script + "\nat 1 s node 1 " + fault + " for 1 s\n")
                             .events()
                             .size(),
                     fault);
         }
         for (String fault : directory.split("\\|")) {
-            ScenarioReader.read("day", day + "\nat 1 s directory " + fault + " for 1 s\n");
+            ScenarioReader.read("day", script + "\nat 1 s directory " + fault + " for 1 s\n");
         }
     }
 
@@ -306,7 +306,7 @@
     @Test
     void nodesViewIsUnchanged() throws IOException {
         List<JsonNode> views = new ArrayList<>();
-        for (ListFreshness trust :
+        for (ListFreshness freshness :
                 List.of(ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD)) {
             List<Membership.MemberView> nodes = new ArrayList<>();
             for (RecordSource source : RecordSource.values()) {
@@ -314,7 +314,7 @@
                 EndpointRecord line = new EndpointRecord(1, 2, 3, 4, phase, 5, 6, "h", 7);
                 nodes.add(new Membership.MemberView(line, phase, true, true, source, "why"));
             }
-            views.add(JSON.valueToTree(new NodesView("gw", trust, 1, true, 2, nodes)));
+            views.add(JSON.valueToTree(new NodesView("gw", freshness, 1, true, 2, nodes)));
         }
         ExpectedOutput.assertJson("nodes.json", JSON.writeValueAsString(views));
     }
