--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -33,7 +33,7 @@
 
     /** A process killed and started again, none of whose discovery calls is answered. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("unhelpfulDiscoveries")
+    @MethodSource("unansweringDiscoveries")
     void restartedProcessWithoutListSendsNothingToDrainedEndpoint(
             String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
@@ -50,7 +50,7 @@
 
     /** A process that had a list and lost its watch, and whose later calls are not answered. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("unhelpfulDiscoveries")
+    @MethodSource("unansweringDiscoveries")
     void processWithLostWatchSendsNothingToDrainedEndpoint(
             String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
