--- a/src/main/java/sagepulley/cli/AccountFormatter.java
+++ b/src/main/java/sagepulley/cli/AccountFormatter.java
@@ -37,7 +37,7 @@
         };
     }
 
-    /** Returns a volume's name, or its number if the name is unknown. */
+    /** Describes a volume by its name, or by its number if that is unknown; 0 is all others. */
     static String volume(long number, Map<Long, String> names) {
         return number == 0 ? "other volumes" : "volume " + names.getOrDefault(number, "" + number);
     }
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -64,7 +64,7 @@
                         + result.requests()
                         + " requests, "
                         + result.attempts()
-                        + " hops");
+                        + " attempts");
         for (RuleVerdict verdict : result.verdicts()) {
             System.out.printf(
                     "%-6s %-42s %s (bound: %s)%n",
--- a/src/main/java/sagepulley/cli/MonitoringClient.java
+++ b/src/main/java/sagepulley/cli/MonitoringClient.java
@@ -22,7 +22,7 @@
         this.address = address;
     }
 
-    /** Returns the response body for a path; fails unless the status is 200. */
+    /** Returns the response body for a path; fails on another status than 200 or a longer body. */
     String get(String path) throws IOException, InterruptedException {
         HttpResponse<String> response =
                 client.send(
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -129,7 +129,7 @@
             throw new IOException(
                     files.get(0)
                             + ": no volume"
-                            + (volumeName == null ? "" : " called " + volumeName));
+                            + (volumeName == null ? "s" : " is named " + volumeName));
         }
         return reports;
     }
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -31,28 +31,29 @@
             names = "--first",
             paramLabel = "SEED",
             defaultValue = "1",
-            description = "the first seed (${DEFAULT-VALUE})")
+            description = "the first seed (default: ${DEFAULT-VALUE})")
     private long firstSeed;
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "8",
-            description = "number of seeds (${DEFAULT-VALUE})")
+            description = "number of seeds (default: ${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(
             names = "--seconds",
             paramLabel = "N",
             defaultValue = "24",
-            description = "duration of a run (${DEFAULT-VALUE})")
+            description = "duration of a run (default: ${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
             names = "--at-once",
             paramLabel = "N",
             defaultValue = "4",
-            description = "parallel runs, of two to four processes each (${DEFAULT-VALUE})")
+            description =
+                    "parallel runs, of two to four processes each (default: ${DEFAULT-VALUE})")
     private int parallelRuns;
 
     @Option(
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -10,16 +10,16 @@
 import sagepulley.scenario.ColdStartExperiment;
 import sagepulley.scenario.ReconnectStorm;
 
-/** Measures starts from a stored endpoint list while discovery is down, and reconnect storms. */
+/** Measures starts from a stored endpoint list without the directory, and reconnect storms. */
 @Command(
         name = "starts",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Starts gateways on loopback with discovery down, from stored lists of several ages in which "
-                        + "some nodes have changed; compares the gateway's policy with using any list "
-                        + "unchecked and with waiting for discovery. Also simulates many gateways that "
-                        + "reconnect to one directory.")
+                "Starts gateways on loopback with the directory down, from stored lists of several "
+                        + "ages in which some nodes have changed; compares the gateway's policy "
+                        + "with using any list unchecked and with waiting for the directory. Also "
+                        + "simulates many gateways that reconnect to one directory.")
 final class StartsCommand implements Callable<Integer> {
     private static final double WEEK_HOURS = 7 * 24;
     private static final double[] LIST_AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
@@ -53,8 +53,9 @@
     private void measureColdStarts() throws SiteConfigException, IOException {
         ColdStartExperiment experiment = new ColdStartExperiment(folder);
         System.out.println(
-                "| list policy | age | changed nodes | hops to drained or replaced | overloaded nodes "
-                        + "| first satisfied | service of remaining extents | of all extents |");
+                "| list policy | age | changed nodes | attempts at drained or replaced "
+                        + "| overloaded nodes | first served | service of remaining extents "
+                        + "| of all extents |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (ColdStartExperiment.NodeChange nodeChange : ColdStartExperiment.NodeChange.values()) {
             int changed =
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -69,9 +69,9 @@
     public List<String> violations() throws IOException, InterruptedException {
         operator.startGateways(gateways);
         addToJournal(
-                "on the clock of the requests "
+                "request clock "
                         + operator.runStartedAt() / 1_000_000 % 10_000_000
-                        + " ms, wall "
+                        + " ms, wall clock "
                         + Instant.now());
         for (int i = 0; i < gateways; i++) {
             fleet.startLoad(
@@ -103,7 +103,7 @@
                 + seed
                 + ", "
                 + gateways
-                + " gateways, ends "
+                + " gateways, outcomes "
                 + outcomes
                 + "\n  "
                 + String.join("\n  ", journal);
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Checks that each gateway serves requests again some time after the last fault. */
+    /** Checks that each gateway serves requests MAX_RECOVERY_MILLIS after the last fault. */
     private void checkRecovery() throws InterruptedException {
         Thread.sleep(MAX_RECOVERY_MILLIS);
         long from = System.nanoTime();
@@ -148,7 +148,9 @@
                 failures.add(
                         "gateway "
                                 + gateway
-                                + " serves nothing "
+                                + " served no request in "
+                                + SERVICE_WATCH_MILLIS
+                                + " ms, "
                                 + MAX_RECOVERY_MILLIS
                                 + " ms after the last fault: "
                                 + operator.logTail(gateway));
--- a/src/main/java/sagepulley/faultinjection/StoreServer.java
+++ b/src/main/java/sagepulley/faultinjection/StoreServer.java
@@ -14,7 +14,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A storage endpoint on loopback that records and serves every command. */
+/** A storage endpoint on loopback that serves every command and records reads and writes. */
 final class StoreServer implements Closeable {
     private static final Pattern DEADLINE = Pattern.compile("(?:^|,)d=(\\d+)(?:,|$)");
     private static final int BACKLOG = 500;
@@ -26,7 +26,7 @@
      *
      * @param firstByteAt arrival of the first byte, System.nanoTime
      * @param lastByteAt arrival of the last byte, System.nanoTime
-     * @param deadlineMillis deadline from then on; -1 for none
+     * @param deadlineMillis time left until the deadline, as the command states it; -1 for none
      */
     record Arrival(
             String endpoint,
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -42,7 +42,10 @@
         this(folder, size, shards, false);
     }
 
-    /** Creates a fleet; automaticDiscovery selects the automatic discovery mode instead of subscribe. */
+    /**
+     * Creates a fleet; automaticDiscovery selects the automatic discovery mode instead of
+     * subscribe.
+     */
     TestFleet(Path folder, int size, int shards, boolean automaticDiscovery) throws IOException {
         this.folder = folder;
         this.size = size;
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -14,7 +14,7 @@
 
 /** Runs scenarios with known faults and checks the main causes that the accounts report. */
 public final class AttributionExperiment {
-    /** The built-in scenarios, one for each kind of cause. */
+    /** The built-in scenarios with known causes. */
     public static final List<String> KINDS =
             List.of(
                     "flood",
@@ -33,7 +33,7 @@
      * The result for one volume of one scenario. The components are the fields of the JSON output.
      *
      * @param expected the accepted main causes
-     * @param named the main cause that the accounts report
+     * @param named the main cause that the accounts report; "nothing" if there is none
      * @param share the reported share of the main cause
      * @param second the next cause; empty if there is none
      * @param hit whether the main cause is an accepted one
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -28,10 +28,10 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Starts gateways while discovery is down, from stored endpoint lists of a given age.
+ * Starts gateways while the directory is down, from stored endpoint lists of a given age.
  *
  * <p>Some nodes have changed since the list was stored. The experiment counts the attempts that
- * reached those nodes and measures how soon and how well the gateways serve reads.
+ * reach drained or replaced nodes and measures how soon and how well the gateways serve reads.
  */
 public final class ColdStartExperiment {
     private static final int EXTENT_BYTES = 256 << 10;
@@ -52,7 +52,7 @@
 
     /**
      * The gateway's use of its stored list: trusted by age, trusted at any age, or not used.
-     * Without the list the gateway waits for discovery.
+     * Without the list the gateway waits for the directory.
      */
     public enum ListPolicy {
         BY_AGE,
@@ -66,7 +66,8 @@
      * @param changed the number of changed nodes
      * @param misdirectedAttempts attempts that reached draining or replacement nodes
      * @param collapsedNodes the number of overload collapses of nodes in slow start
-     * @param firstServedMillis the time to the first read served; NaN if none was
+     * @param firstServedMillis the time from the gateways' start to the first read served; NaN if
+     *     none was
      * @param service the share of reads served within the latency objective, relative to the reads
      *     that unchanged or restarted nodes can serve
      * @param serviceOfAllReads the share of all reads served within the latency objective
@@ -177,6 +178,10 @@
                 + "\n";
     }
 
+    /**
+     * Starts all gateways, writes to each extent through the first one, and stops them. They leave
+     * their stored endpoint lists behind.
+     */
     private static void fillVolume(LocalCluster cluster, List<String> siteTexts, long seed)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
@@ -286,7 +291,7 @@
                 load.service());
     }
 
-    /** Starts all gateways and adds a client for each, unless they wait for discovery. */
+    /** Starts all gateways and adds a client for each, unless they wait for the directory. */
     private static List<NbdGateway> startGateways(
             LocalCluster cluster, ListPolicy listPolicy, List<String> siteTexts, long seed, List<NbdClient> clients)
             throws SiteConfigException {
--- a/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
+++ b/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Returns when the first read was served, or 0 if none was. */
+    /** Returns the time at which the first read was served, or 0 if none was. */
     long firstServedAt() {
         return firstServedAt.get();
     }
--- a/src/main/java/sagepulley/scenario/RetryBudgetRule.java
+++ b/src/main/java/sagepulley/scenario/RetryBudgetRule.java
@@ -6,6 +6,7 @@
 
 /** Rule 6: the retries of each gateway stay within the retry budget, if one is configured. */
 final class RetryBudgetRule implements Rule {
+    /** Avoids a division by zero if the budget allows no retries. */
     private static final double MIN_BUDGET = 1e-9;
 
     @Override
@@ -46,9 +47,8 @@
                                 + gateway.index
                                 + " sent "
                                 + used
-                                + " retries within the budget window, at most "
-                                + Findings.format(allowed)
-                                + " are allowed");
+                                + " retries within the budget window, expected at most "
+                                + Findings.format(allowed));
             }
         }
         return maxShare;
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -160,7 +160,7 @@
                                 + quantity
                                 + " is "
                                 + token.getText()
-                                + ", allowed is "
+                                + ", expected "
                                 + min
                                 + " to "
                                 + max);
@@ -316,7 +316,7 @@
                         context,
                         "the size is "
                                 + bytes
-                                + " bytes, allowed are multiples of 4 KiB up to 32 MiB");
+                                + " bytes, expected a multiple of 4 KiB up to 32 MiB");
                 bytes = 4096;
             }
             return null;
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -18,7 +18,7 @@
     private static final double TICK_MILLIS = 5;
     private static final double EXPECTED_DELAY_MILLIS = 2;
 
-    /** Stalls further apart than this do not add up: no checked interval is longer. */
+    /** Stalls further apart than this are not added up. */
     private static final double WINDOW_MILLIS = 3_000;
 
     /** A late tick; its time is System.nanoTime in milliseconds. */
--- a/src/main/java/sagepulley/scenario/package-info.java
+++ b/src/main/java/sagepulley/scenario/package-info.java
@@ -6,6 +6,7 @@
  * <p>{@link sagepulley.scenario.ScenarioRunner} owns a run: the cluster, the load generators and
  * the thread that executes scripted events. Stand-ins and clients run on the cluster's event loops
  * and record into one {@link sagepulley.scenario.SocketEventLog} and one {@link
- * sagepulley.scenario.BlockHistory}, which are thread-safe. The rules read both after the run.
+ * sagepulley.scenario.BlockHistory}, which are thread-safe. The rules check the former after the
+ * run.
  */
 package sagepulley.scenario;
--- a/src/main/java/sagepulley/standin/AnswerWriter.java
+++ b/src/main/java/sagepulley/standin/AnswerWriter.java
@@ -11,8 +11,8 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Writes answers to one gateway and applies the answer faults set on the node. Answers written in
- * one turn of the event loop leave with one flush.
+ * Writes answers to one gateway and applies the faults that garble, cut off, duplicate or precede
+ * them. Answers written in one turn of the event loop leave with one flush.
  */
 final class AnswerWriter {
     private static final int GARBAGE_BYTES = 28;
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Guards against sends to drained endpoints while discovery is reachable but does not deliver its
- * list (issue 26). The gateway counts as notified 6 s after discovery has the change.
+ * list. The gateway counts as notified 6 s after discovery has the change.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -15,7 +15,10 @@
 @Isolated(
         "the tolerance grows with stalls of this process; other tests could stall it until breaches are hidden")
 class RuleCheckerTest {
-    /** Returns the script of a scenario of 1.5 s with one load, and additional lines. */
+    /**
+     * Returns the script of a scenario of 1.5 s with one load, and additional lines. The text
+     * "budget" in place of traffic class lines configures a retry budget.
+     */
     private static String script(String trafficClassLines, String planLimits, String extraLines) {
         return """
                 day "small"
@@ -119,7 +122,7 @@
             delimiter = '|',
             value = {
                 "nodes 3 slots|x:1:14: ",
-                "at 2 s node 9 silent|x:1:13: the node is 9, allowed is 1.0 to 6.0",
+                "at 2 s node 9 silent|x:1:13: the node is 9, expected 1.0 to 6.0",
                 "load l on v 5 a second size 5 KiB|x:1:24: the size is 5120 bytes",
                 "at 1 s load nobody times 3|x:1:8: no load is named nobody",
                 "gateways 1000|x:1:10: the number of gateways is 1000",
