--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -69,9 +69,9 @@
     public List<String> violations() throws IOException, InterruptedException {
         operator.startGateways(gateways);
         addToJournal(
-                "on the clock of the requests "
+                "request clock "
                         + operator.runStartedAt() / 1_000_000 % 10_000_000
-                        + " ms, wall "
+                        + " ms, wall clock "
                         + Instant.now());
         for (int i = 0; i < gateways; i++) {
             fleet.startLoad(
@@ -95,16 +95,16 @@
 
     /** Returns the journal of events with the number of requests by outcome. */
     public String journalText() {
-        Map<Request.End, Integer> ends = new EnumMap<>(Request.End.class);
+        Map<Request.End, Integer> outcomes = new EnumMap<>(Request.End.class);
         for (Request request : fleet.requests()) {
-            ends.merge(request.end == null ? Request.End.SILENT : request.end, 1, Integer::sum);
+            outcomes.merge(request.end == null ? Request.End.SILENT : request.end, 1, Integer::sum);
         }
         return "seed "
                 + seed
                 + ", "
                 + gateways
-                + " gateways, ends "
-                + ends
+                + " gateways, outcomes "
+                + outcomes
                 + "\n  "
                 + String.join("\n  ", journal);
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Checks that each gateway serves requests again some time after the last fault. */
+    /** Checks that each gateway serves requests MAX_RECOVERY_MILLIS after the last fault. */
     private void checkRecovery() throws InterruptedException {
         Thread.sleep(MAX_RECOVERY_MILLIS);
         long from = System.nanoTime();
@@ -148,7 +148,9 @@
                 failures.add(
                         "gateway "
                                 + gateway
-                                + " serves nothing "
+                                + " served no request in "
+                                + SERVICE_WATCH_MILLIS
+                                + " ms, "
                                 + MAX_RECOVERY_MILLIS
                                 + " ms after the last fault: "
                                 + operator.logTail(gateway));
--- a/src/main/java/sagepulley/scenario/RetryBudgetRule.java
+++ b/src/main/java/sagepulley/scenario/RetryBudgetRule.java
@@ -6,6 +6,7 @@
 
 /** Rule 6: the retries of each gateway stay within the retry budget, if one is configured. */
 final class RetryBudgetRule implements Rule {
+    /** Avoids a division by zero if the budget allows no retries. */
     private static final double MIN_BUDGET = 1e-9;
 
     @Override
@@ -31,13 +32,13 @@
         ServicePolicy policy = evidence.policy();
         List<Long> operations = operationTimes(evidence, gateway.gateway);
         List<Long> retries = retryTimes(evidence, gateway.gateway);
-        double retryWindow = policy.retryBudgetWindow() * Evidence.NANOS_PER_MILLI;
-        double operationWindow =
+        double retryWindowNanos = policy.retryBudgetWindow() * Evidence.NANOS_PER_MILLI;
+        double operationWindowNanos =
                 (policy.retryBudgetWindow() + evidence.toleranceMillis) * Evidence.NANOS_PER_MILLI;
         double maxShare = 0;
         for (long at : retries) {
-            long used = countWithin(retries, at, retryWindow);
-            long accepted = countWithin(operations, at, operationWindow);
+            long used = countWithin(retries, at, retryWindowNanos);
+            long accepted = countWithin(operations, at, operationWindowNanos);
             double allowed = policy.retryBudgetFloor() + policy.retryBudgetRatio() * accepted;
             maxShare = Math.max(maxShare, used / Math.max(MIN_BUDGET, allowed));
             if (used > allowed) {
@@ -46,9 +47,8 @@
                                 + gateway.index
                                 + " sent "
                                 + used
-                                + " retries within the budget window, at most "
-                                + Findings.format(allowed)
-                                + " are allowed");
+                                + " retries within the budget window, expected at most "
+                                + Findings.format(allowed));
             }
         }
         return maxShare;
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -18,7 +18,7 @@
     private static final double TICK_MILLIS = 5;
     private static final double EXPECTED_DELAY_MILLIS = 2;
 
-    /** Stalls further apart than this do not add up: no checked interval is longer. */
+    /** Stalls further apart than this are not added up. */
     private static final double WINDOW_MILLIS = 3_000;
 
     /** A late tick; its time is System.nanoTime in milliseconds. */
@@ -41,16 +41,16 @@
 
         synchronized double worstStallMillis() {
             tick();
-            double worst = 0;
+            double maxMillis = 0;
             double sum = 0;
             for (int windowStart = 0, i = 0; i < stalls.size(); i++) {
                 sum += stalls.get(i).lateMillis();
                 while (stalls.get(i).atMillis() - stalls.get(windowStart).atMillis() > WINDOW_MILLIS) {
                     sum -= stalls.get(windowStart++).lateMillis();
                 }
-                worst = Math.max(worst, sum);
+                maxMillis = Math.max(maxMillis, sum);
             }
-            return worst;
+            return maxMillis;
         }
     }
 
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Guards against sends to drained endpoints while discovery is reachable but does not deliver its
- * list (issue 26). The gateway counts as notified 6 s after discovery has the change.
+ * list. The gateway counts as notified 6 s after discovery has the change.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
@@ -33,7 +33,7 @@
 
     /** A process killed and started again, none of whose discovery calls is answered. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("unhelpfulDiscoveries")
+    @MethodSource("unansweringDiscoveries")
     void restartedProcessWithoutListSendsNothingToDrainedEndpoint(
             String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
@@ -50,7 +50,7 @@
 
     /** A process that had a list and lost its watch, and whose later calls are not answered. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("unhelpfulDiscoveries")
+    @MethodSource("unansweringDiscoveries")
     void processWithLostWatchSendsNothingToDrainedEndpoint(
             String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
