--- a/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
+++ b/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
@@ -14,7 +14,7 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 import sagepulley.upstream.resp.EndpointConnectionPool;
-import sagepulley.upstream.resp.EndpointResponse;
+import sagepulley.upstream.resp.EndpointReply;
 
 /**
  * Sends attempts and health checks to endpoints as decided by the engine, and reports each result
@@ -88,13 +88,13 @@
         attempt.outcome = outcome;
         attempt.duration = receivedAt - attempt.sentAt;
         metrics.onAttemptEnded(outcome, attempt.node);
-        EndpointResponse.recordIn(attempt, reply, deployment.reportFields());
+        EndpointReply.recordIn(attempt, reply, deployment.reportFields());
         boolean operationEnded = operation.ended;
         if (outcome == Outcome.SERVED && !operationEnded) {
             operationEnded = true;
             metrics.onServed(operation, now);
             operation.ended = true;
-            requests.replyServed(operation, EndpointResponse.value(reply));
+            requests.replyServed(operation, EndpointReply.value(reply));
         }
         engine.onAttemptEnded(attempt, operationEnded, now);
         onEngineEvent.run();
@@ -136,7 +136,7 @@
                         || (reply instanceof Resp.Line line && !line.isError());
         double[] report =
                 reply instanceof Resp.Bulk bulk
-                        ? EndpointResponse.parseReport(bulk, deployment.reportFields())
+                        ? EndpointReply.parseReport(bulk, deployment.reportFields())
                         : null;
         engine.onHealthCheck(
                 node.id, healthy ? Outcome.SERVED : outcome, duration, report, clock.now());
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -136,7 +136,7 @@
                         config.idleTimeoutMillis() * IDLE_TIMEOUT_FRACTION,
                         minLatencyObjective(config) * STALL_TIMEOUT_FRACTION,
                         clock::now);
-        pool.onClose(
+        pool.setCloseListener(
                 (address, reason) ->
                         eventLog.info(
                                 "endpoint connection closed",
--- a/src/main/java/sagepulley/lifecycle/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -42,7 +42,7 @@
 public final class WarmUpRun {
     private static final int CLIENTS = 4;
     private static final int OPERATIONS = 300;
-    private static final long SHUTDOWN_QUIET_MILLIS = 100;
+    private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 100;
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 1_000;
     private static final long BUILD_TIMEOUT_MILLIS = 10_000;
     private static final RespLimits COMMAND_LIMITS = RespLimits.commands(64, 2048, 4096, 8);
@@ -153,11 +153,11 @@
             peerTransport
                     .eventLoops()
                     .shutdownGracefully(
-                            SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                            SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             gatewayTransport
                     .eventLoops()
                     .shutdownGracefully(
-                            SHUTDOWN_QUIET_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                            SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -102,7 +102,7 @@
     }
 
     /** Sets the listener for the address and the reason of each closed connection. */
-    public void onClose(BiConsumer<SocketAddress, String> listener) {
+    public void setCloseListener(BiConsumer<SocketAddress, String> listener) {
         closeListener = listener;
     }
 
@@ -279,7 +279,7 @@
             @Override
             public void onIdle(EndpointConnection connection) {
                 ArrayDeque<EndpointConnection> connections =
-                        idle.computeIfAbsent(connection.address(), any -> new ArrayDeque<>());
+                        idle.computeIfAbsent(connection.address(), key -> new ArrayDeque<>());
                 if (!connections.contains(connection)) {
                     connections.addFirst(connection);
                 }
@@ -291,7 +291,7 @@
                 closeListener.accept(address, reason);
                 openConnections--;
                 openByAddress.computeIfPresent(
-                        address, (any, count) -> count == 1 ? null : count - 1);
+                        address, (key, count) -> count == 1 ? null : count - 1);
                 ArrayDeque<EndpointConnection> connections = idle.get(address);
                 if (connections != null) {
                     connections.remove(connection);
--- a/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointReply.java
@@ -6,13 +6,13 @@
 import sagepulley.model.Attempt;
 
 /** Extracts the value, the usage fields and the load report from an endpoint's reply. */
-public final class EndpointResponse {
+public final class EndpointReply {
     private static final int VALUE_ITEM = 0;
     private static final int USAGE_ITEM = 1;
     private static final int REPORT_ITEM = 2;
     private static final double MAX_FIELD_VALUE = 1e9;
 
-    private EndpointResponse() {}
+    private EndpointReply() {}
 
     /** Returns the value of a reply whose outcome is SERVED. */
     public static byte[] value(Resp reply) {
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -43,13 +43,13 @@
                 "{\"name\" | [{\"name\" | not a JSON object",
                 "\"discovery\": \"127.0.0.1:1\", | '' | discovery is missing"
             })
-    void invalidFileIsReportedInOneLine(String good, String bad, String expected) throws Exception {
+    void invalidFileIsReportedInOneLine(String validPart, String replacement, String expected) throws Exception {
         String text = WarmUpConfig.text();
-        assertTrue(text.contains(good));
+        assertTrue(text.contains(validPart));
         ConfigException error =
                 assertThrows(
                         ConfigException.class,
-                        () -> GatewayConfig.read(write(text.replace(good, bad))));
+                        () -> GatewayConfig.read(write(text.replace(validPart, replacement))));
         assertTrue(error.getMessage().contains(expected), error.getMessage());
         assertTrue(error.getMessage().contains("config.json"), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -56,7 +56,7 @@
     private DiscoveryClient openClient(ScriptedPeers peers, long firstListTimeoutMillis, long idleTimeoutMillis)
             throws Exception {
         Transport transport = Transport.sockets();
-        discovery = peers.discovery();
+        discovery = peers.startDiscovery();
         DiscoveryClient client =
                 new DiscoveryClient(
                         transport,
@@ -161,7 +161,7 @@
                         (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
-            var newAddress = peers.discovery();
+            var newAddress = peers.startDiscovery();
             loop.submit(
                             () -> {
                                 assertTrue(client.moveTo(newAddress));
@@ -231,7 +231,7 @@
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection formerWatch = lastWatch(peers);
             peers.endpointList = null;
-            var newAddress = peers.discovery();
+            var newAddress = peers.startDiscovery();
             loop.submit(
                             () -> {
                                 assertTrue(client.moveTo(newAddress));
@@ -272,9 +272,9 @@
             peers.watches.get(0).socket.close();
             await().until(() -> peers.discoveryRequests.size() >= 2);
             peers.endpointList = "{\"revision\":7,\"complete\":false,\"members\":[]}";
-            var first = peers.discovery();
-            var newAddress = peers.discovery();
-            peers.gateway.onConfigurationRead(peers.configAt(first), peers.gateway.now());
+            var intermediateAddress = peers.startDiscovery();
+            var newAddress = peers.startDiscovery();
+            peers.gateway.onConfigurationRead(peers.configAt(intermediateAddress), peers.gateway.now());
             peers.gateway.onConfigurationRead(peers.configAt(newAddress), peers.gateway.now());
             await().until(
                             () ->
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -115,33 +115,33 @@
      * Runs the first step while the event loop is blocked, then the second on the loop before it
      * reads.
      */
-    private void whileLoopIsHeld(Step meanwhile, Step then) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    private void runWhileLoopIsBlocked(Step whileBlocked, Step afterwards) throws Exception {
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        CountDownLatch releaseLoop = new CountDownLatch(1);
         var done =
                 loop.submit(
                         () -> {
-                            held.countDown();
-                            go.await();
-                            then.run();
+                            loopBlocked.countDown();
+                            releaseLoop.await();
+                            afterwards.run();
                             return null;
                         });
-        held.await();
+        loopBlocked.await();
         try {
-            meanwhile.run();
+            whileBlocked.run();
         } finally {
-            go.countDown();
+            releaseLoop.countDown();
         }
         done.get();
     }
 
-    private void onLoop(Step step) throws Exception {
-        whileLoopIsHeld(() -> {}, step);
+    private void runOnLoop(Step step) throws Exception {
+        runWhileLoopIsBlocked(() -> {}, step);
     }
 
-    private void advanceTime(double length) throws Exception {
-        now += length;
-        onLoop(listener::closeExpired);
+    private void advanceTime(double millis) throws Exception {
+        now += millis;
+        runOnLoop(listener::closeExpired);
     }
 
     @Test
@@ -149,7 +149,7 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
-        whileLoopIsHeld(
+        runWhileLoopIsBlocked(
                 () -> client.send("*4\r\n$8\r\nBLK.RE"),
                 () -> {
                     requests.get(0).reply(RespEncoder.bulk(new byte[LARGE_VALUE_BYTES]));
@@ -169,7 +169,7 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
-        onLoop(listener::drain);
+        runOnLoop(listener::drain);
         assertNull(client.readReply(), "expected end of stream");
         client.sendCommand(ScriptedPeers.readCommand(1));
         client.sendCommand(ScriptedPeers.readCommand(2));
@@ -183,9 +183,9 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
-        whileLoopIsHeld(() -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
+        runWhileLoopIsBlocked(() -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
         await().until(() -> requests.size() == 2);
-        onLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
+        runOnLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
         assertEquals("+FIRST", client.readReply());
         assertEquals("-BUSY", client.readReply());
         assertNull(client.readReply());
@@ -194,7 +194,7 @@
     @Test
     void connectionsInTheBacklogAreRepliedToBeforeTheListenerCloses() throws Exception {
         List<ScriptedPeers.Connection> clients = new ArrayList<>();
-        whileLoopIsHeld(
+        runWhileLoopIsBlocked(
                 () -> {
                     for (int i = 0; i < 20; i++) {
                         ScriptedPeers.Connection client = client();
@@ -257,7 +257,7 @@
         client.send(command.substring(half, half + 1));
         client.send(command.substring(half + 1));
         await().until(() -> requests.size() == 1);
-        onLoop(() -> requests.get(0).reply(RespEncoder.simple("DONE")));
+        runOnLoop(() -> requests.get(0).reply(RespEncoder.simple("DONE")));
         assertEquals("+DONE", client.readReply());
         client.send(command.substring(0, half));
         awaitPartialCommand();
@@ -275,7 +275,7 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
-        onLoop(listener::drain);
+        runOnLoop(listener::drain);
         assertNull(client.readReply());
         advanceTime(900);
         assertEquals(1, listener.connectionCount());
@@ -294,13 +294,13 @@
             now += 10;
         }
         await().until(() -> listener.connectionCount() <= MAX_CONNECTIONS);
-        int ended = 0;
+        int drainedClients = 0;
         // The oldest lingering connection is closed with nothing unread on it.
         for (ScriptedPeers.Connection client : clients.subList(0, MAX_CONNECTIONS)) {
             assertNull(client.readReply());
-            ended++;
+            drainedClients++;
         }
-        assertEquals(MAX_CONNECTIONS, ended);
+        assertEquals(MAX_CONNECTIONS, drainedClients);
         ScriptedPeers.Connection last = clients.get(clients.size() - 1);
         last.sendCommand("PING");
         assertEquals("+PONG", last.readReply());
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -51,11 +51,11 @@
                     "bytes");
             assertEquals("$5 value", client.readReply());
             assertEquals("BLK.READ", peers.commands.get(0).get(0));
-            String sent = peers.commands.get(1).get(3);
+            String forwardedFields = peers.commands.get(1).get(3);
             assertEquals(
                     ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
-                    sent.replaceAll(",d=\\d+", ""));
-            int forwardedDeadline = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1"));
+                    forwardedFields.replaceAll(",d=\\d+", ""));
+            int forwardedDeadline = Integer.parseInt(forwardedFields.replaceAll(".*,d=(\\d+),.*", "$1"));
             assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "forwarded deadline " + forwardedDeadline);
             assertEquals("bytes", peers.commands.get(1).get(4));
         }
@@ -128,7 +128,7 @@
     void malformedInputClosesOnlyItsOwnConnection() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection otherClient = peers.connectClient();
-            for (String bad :
+            for (String malformedInput :
                     new String[] {
                         "GET / HTTP/1.1\r\n",
                         "*1\r\n$-7\r\n",
@@ -136,7 +136,7 @@
                         "*1\r\n$4\r\nPINGPING"
                     }) {
                 ScriptedPeers.Connection client = peers.connectClient();
-                client.send(bad);
+                client.send(malformedInput);
                 assertTrue(client.readReply().startsWith("-ERR protocol error"));
                 assertNull(client.readReply(), "closed");
             }
@@ -147,21 +147,21 @@
 
     @Test
     void idInFlightIsRejectedAndTheFirstRequestIsServed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch releaseEndpoint = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (arguments, connection) -> {
-                            awaitLatch(go);
+                            awaitLatch(releaseEndpoint);
                             connection.send(ScriptedPeers.VALUE_REPLY);
                         })) {
-            ScriptedPeers.Connection first = peers.connectClient();
-            first.sendCommand(ScriptedPeers.readCommand(1));
+            ScriptedPeers.Connection firstClient = peers.connectClient();
+            firstClient.sendCommand(ScriptedPeers.readCommand(1));
             await().until(() -> peers.commands.size() == 1);
-            ScriptedPeers.Connection second = peers.connectClient();
-            second.sendCommand(ScriptedPeers.readCommand(1));
-            assertTrue(second.readReply().startsWith("-ERR"));
-            go.countDown();
-            assertEquals("$5 value", first.readReply());
+            ScriptedPeers.Connection secondClient = peers.connectClient();
+            secondClient.sendCommand(ScriptedPeers.readCommand(1));
+            assertTrue(secondClient.readReply().startsWith("-ERR"));
+            releaseEndpoint.countDown();
+            assertEquals("$5 value", firstClient.readReply());
             assertEquals(1, peers.commands.size());
         }
     }
@@ -260,19 +260,19 @@
 
     @Test
     void attemptIsCancelledWhenItsClientDisconnects() throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch endpointConnectionClosed = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (arguments, connection) -> {
                             if (connection.readLine() == null) {
-                                ended.countDown();
+                                endpointConnectionClosed.countDown();
                             }
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(ScriptedPeers.readCommand(1));
             await().until(() -> peers.commands.size() == 1);
             client.socket.close();
-            ended.await();
+            endpointConnectionClosed.await();
         }
     }
 
@@ -288,26 +288,26 @@
             assertEquals("$5 value", otherClient.readReply());
             for (int id = 10; id < 20; id++) {
                 ScriptedPeers.Connection disconnected = peers.connectClient();
-                CountDownLatch held = new CountDownLatch(1);
-                CountDownLatch go = new CountDownLatch(1);
+                CountDownLatch loopBlocked = new CountDownLatch(1);
+                CountDownLatch releaseLoop = new CountDownLatch(1);
                 peers.transport
                         .eventLoops()
                         .next()
                         .execute(
                                 () -> {
-                                    held.countDown();
+                                    loopBlocked.countDown();
                                     try {
-                                        go.await();
+                                        releaseLoop.await();
                                     } catch (InterruptedException e) {
                                         throw new IllegalStateException(e);
                                     }
                                 });
-                held.await();
+                loopBlocked.await();
                 int port = disconnected.socket.getLocalPort();
                 disconnected.sendCommand(ScriptedPeers.readCommand(id));
                 disconnected.socket.close();
                 KernelTcpTable.awaitFin(disconnected.socket.getPort(), port);
-                go.countDown();
+                releaseLoop.countDown();
             }
             otherClient.sendCommand(ScriptedPeers.readCommand(2));
             assertEquals("$5 value", otherClient.readReply());
@@ -436,19 +436,19 @@
     void oversizedCommandClosesOnlyItsOwnConnection() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection otherClient = peers.connectClient();
-            ScriptedPeers.Connection bad = peers.connectClient();
+            ScriptedPeers.Connection oversizedClient = peers.connectClient();
             byte[] chunk = new byte[1 << 20];
             try {
-                bad.send(
+                oversizedClient.send(
                         "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n"
                                 + NumberParser.formatId(7)
                                 + "\r\n$16\r\n"
                                 + NumberParser.formatId(1)
                                 + "\r\n$1\r\nx\r\n$62914560\r\n");
                 for (int i = 0; i < 60; i++) {
-                    bad.socket.getOutputStream().write(chunk);
+                    oversizedClient.socket.getOutputStream().write(chunk);
                 }
-                while (bad.input.read() >= 0) {
+                while (oversizedClient.input.read() >= 0) {
                     continue;
                 }
             } catch (IOException closed) {
--- a/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ServeNamesTest.java
@@ -18,7 +18,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.Reason;
 import sagepulley.model.TrafficClass;
-import sagepulley.upstream.resp.EndpointResponse;
+import sagepulley.upstream.resp.EndpointReply;
 
 /** Pins the names that 'serve' uses on the wire and in its log, and the command that starts it. */
 class ServeNamesTest {
@@ -64,7 +64,7 @@
                 WarmUpConfig.at(null, null, null).deployment().trafficClasses().get(0);
         Operation operation = new Operation(1, trafficClass, null, 0, 1, 0, 0, 900, false);
         Attempt attempt = new Attempt(operation, new Node(1), 0, 0);
-        EndpointResponse.recordIn(
+        EndpointReply.recordIn(
                 attempt, new Resp.Line('-', "BUSY used=5 cost=6 queue=7"), List.of("queue"));
         assertEquals(5, attempt.planUsagePercent);
         assertEquals(6, attempt.otherGatewaysUnits);
--- a/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -33,14 +33,14 @@
                         (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
-            Files.writeString(file, config(port, peers.discovery()));
+            Files.writeString(file, config(port, peers.startDiscovery()));
             CompletableFuture<RespGateway> ready = new CompletableFuture<>();
             CompletableFuture<Void> ended = serve(Map.of("GW_CONFIG", file.toString()), ready);
             RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
-            SocketAddress firstDiscovery = peers.discovery();
-            SocketAddress lastDiscovery = peers.discovery();
+            SocketAddress firstDiscovery = peers.startDiscovery();
+            SocketAddress lastDiscovery = peers.startDiscovery();
             Files.delete(file);
             assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
             sendHangup();
@@ -87,14 +87,14 @@
                         (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
-            Files.writeString(file, config(port, peers.discovery()));
+            Files.writeString(file, config(port, peers.startDiscovery()));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
             CompletableFuture<RespGateway> ready = new CompletableFuture<>();
             CompletableFuture<Void> ended = serve(environment, ready);
             RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
-            Files.writeString(file, config(port, peers.discovery()));
+            Files.writeString(file, config(port, peers.startDiscovery()));
             sendHangup();
             await().until(() -> peers.watches.size() == 3);
 
--- a/src/test/java/sagepulley/testing/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -21,7 +21,7 @@
     public static void awaitFin(int localPort, int remotePort) {
         await().until(
                         () ->
-                                lines(localPort, remotePort).stream()
+                                findConnections(localPort, remotePort).stream()
                                         .anyMatch(
                                                 fields ->
                                                         Integer.parseInt(fields[3], 16)
@@ -32,7 +32,7 @@
     public static void awaitUnread(int localPort, int remotePort) {
         await().until(
                         () ->
-                                lines(localPort, remotePort).stream()
+                                findConnections(localPort, remotePort).stream()
                                         .anyMatch(
                                                 fields ->
                                                         Long.parseLong(fields[4].split(":")[1], 16)
@@ -41,27 +41,27 @@
 
     /** Waits until the local port's connection no longer exists. */
     public static void awaitClosed(int localPort, int remotePort) {
-        await().until(() -> lines(localPort, remotePort).isEmpty());
+        await().until(() -> findConnections(localPort, remotePort).isEmpty());
     }
 
-    private static List<String[]> lines(int localPort, int remotePort) throws IOException {
+    private static List<String[]> findConnections(int localPort, int remotePort) throws IOException {
         assumeTrue(Files.isReadable(TABLES.get(0)), "needs the TCP table of Linux");
-        List<String[]> found = new ArrayList<>();
+        List<String[]> connections = new ArrayList<>();
         for (Path table : TABLES) {
             if (!Files.isReadable(table)) {
                 continue;
             }
             for (String line : Files.readAllLines(table)) {
                 String[] fields = line.trim().split("\\s+");
-                if (fields[1].endsWith(":" + port(localPort)) && fields[2].endsWith(":" + port(remotePort))) {
-                    found.add(fields);
+                if (fields[1].endsWith(":" + hexPort(localPort)) && fields[2].endsWith(":" + hexPort(remotePort))) {
+                    connections.add(fields);
                 }
             }
         }
-        return found;
+        return connections;
     }
 
-    private static String port(int port) {
+    private static String hexPort(int port) {
         return String.format("%04X", port);
     }
 }
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -120,7 +120,7 @@
     /** Response of discovery, a list or a complete HTTP response; null to send none. */
     public volatile String endpointList = "{\"revision\":2,\"complete\":false,\"members\":[]}";
 
-    private final List<Closeable> open = new CopyOnWriteArrayList<>();
+    private final List<Closeable> openResources = new CopyOnWriteArrayList<>();
     private final SocketAddress clientAddress;
     private final GatewayConfig config;
 
@@ -129,8 +129,8 @@
     }
 
     /** Starts a gateway whose configuration file is modified by the operator. */
-    public ScriptedPeers(Script script, UnaryOperator<String> change) throws Exception {
-        ServerSocket node =
+    public ScriptedPeers(Script script, UnaryOperator<String> configEdit) throws Exception {
+        ServerSocket endpoint =
                 serve(
                         connection -> {
                             for (List<String> arguments = connection.readCommand();
@@ -140,25 +140,25 @@
                                 script.respond(arguments, connection);
                             }
                         });
-        SocketAddress discovery = discovery();
+        SocketAddress discovery = startDiscovery();
         config =
                 GatewayConfig.parse(
                         JsonReader.readObject(
-                                change.apply(WarmUpConfig.text()).getBytes(StandardCharsets.UTF_8)),
+                                configEdit.apply(WarmUpConfig.text()).getBytes(StandardCharsets.UTF_8)),
                         Map.of());
         gateway =
                 new RespGateway(
                         config.withAddresses(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 discovery,
-                                node.getLocalSocketAddress()),
+                                endpoint.getLocalSocketAddress()),
                         transport);
         gateway.connectToDiscovery();
         clientAddress = gateway.start().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Starts another discovery, which responds with the endpoint list and keeps watches open. */
-    public SocketAddress discovery() throws IOException {
+    public SocketAddress startDiscovery() throws IOException {
         return serve(
                         connection -> {
                             String request = connection.readRequestLine();
@@ -195,7 +195,7 @@
     public Connection connectClient() throws IOException {
         Socket socket = new Socket();
         socket.connect(clientAddress);
-        open.add(socket);
+        openResources.add(socket);
         return new Connection(socket);
     }
 
@@ -232,12 +232,12 @@
 
     private ServerSocket serve(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        open.add(server);
+        openResources.add(server);
         daemon(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
-                        open.add(socket);
+                        openResources.add(socket);
                         daemon(
                                 () -> {
                                     try (socket) {
@@ -272,10 +272,10 @@
     public void close() {
         gateway.stopNow();
         gateway.stopped().join();
-        for (Closeable each : open) {
+        for (Closeable each : openResources) {
             try {
                 each.close();
-            } catch (IOException alreadyGone) {
+            } catch (IOException alreadyClosed) {
                 continue;
             }
         }
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -60,7 +60,7 @@
     }
 
     private Outcome sendPing(EndpointConnectionPool pool, SocketAddress address, double timeoutMillis) {
-        CompletableFuture<Outcome> ended = new CompletableFuture<>();
+        CompletableFuture<Outcome> result = new CompletableFuture<>();
         transport
                 .eventLoops()
                 .next()
@@ -70,8 +70,8 @@
                                         address,
                                         List.of("PING".getBytes(StandardCharsets.US_ASCII)),
                                         timeoutMillis,
-                                        (outcome, reply, receivedAt) -> ended.complete(outcome)));
-        return ended.join();
+                                        (outcome, reply, receivedAt) -> result.complete(outcome)));
+        return result.join();
     }
 
     @Test
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -200,10 +200,10 @@
 
     @Test
     void idleConnectionIsReused() throws Exception {
-        List<ScriptedPeers.Connection> first = new ArrayList<>();
-        CompletableFuture<Result> second = sendSecondRequestAfter(first, connection -> {});
-        first.get(0).readCommand();
-        serve(first.get(0), "two");
+        List<ScriptedPeers.Connection> connections = new ArrayList<>();
+        CompletableFuture<Result> second = sendSecondRequestAfter(connections, connection -> {});
+        connections.get(0).readCommand();
+        serve(connections.get(0), "two");
         assertEquals("two", second.get().value());
         assertEquals(1, pool.connectionsOpened());
     }
@@ -269,16 +269,16 @@
                         .get();
         assertEquals(Outcome.CANCELLED, result.get().outcome());
         CompletableFuture<Result> next = loop.submit(() -> sendRequest(attempt(), LOOP_HOLD_MILLIS * 100)).get();
-        List<String> sent = null;
-        while (sent == null) {
+        List<String> firstCommand = null;
+        while (firstCommand == null) {
             ScriptedPeers.Connection connection = accepted.take();
-            sent = connection.readCommand();
-            if (sent != null) {
+            firstCommand = connection.readCommand();
+            if (firstCommand != null) {
                 serve(connection, "next");
             }
         }
         assertTrue(
-                Long.parseLong(sent.get(0)) <= LOOP_HOLD_MILLIS * 100,
+                Long.parseLong(firstCommand.get(0)) <= LOOP_HOLD_MILLIS * 100,
                 "the first command sent is that of the next request");
         assertEquals("next", next.get().value());
     }
