--- a/src/main/java/sagepulley/codec/resp/NumberParser.java
+++ b/src/main/java/sagepulley/codec/resp/NumberParser.java
@@ -23,7 +23,8 @@
     }
 
     /**
-     * Parses a non-negative number with an optional fraction; returns NaN if the text is not one.
+     * Parses a non-negative number with an optional fraction, with at most {@link #MAX_DIGITS}
+     * digits before and after the point; returns NaN if the text is not one.
      */
     public static double parseDecimal(String text) {
         int point = text.indexOf('.');
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -231,8 +231,8 @@
         if (request.isWatch() && !isFormerAddress) {
             promoteToWatch(request);
         }
-        // A lower revision in the first list of a new request means that discovery has restarted.
-        // Otherwise a newer list has overtaken this response.
+        // A lower revision in the first list of a request means that discovery has restarted,
+        // unless a newer list was reported after the request was opened.
         boolean discoveryRestarted = request.hasOneList() && request.afterRevision() == revision;
         if (update.revision() < revision && !discoveryRestarted) {
             return;
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -67,6 +67,7 @@
     private ScheduledFuture<?> timeoutTask;
     private long receivedBytes;
     private int receivedLists;
+    /** Whether the status received last is informational (1xx), so that a final one follows. */
     private boolean isInformational;
     private State state = State.WAITING;
     private Role role = Role.CURRENT;
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequestListener.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequestListener.java
@@ -10,12 +10,12 @@
     /** Called for each list, which reflects everything that discovery had as of the given time. */
     void onEndpointList(DiscoveryRequest request, EndpointListUpdate update, double asOf);
 
-    /** Called for an empty line of a watch: nothing had changed as of the given time. */
+    /** Called for an empty line after a list: nothing had changed as of the given time. */
     void onHeartbeat(DiscoveryRequest request, double asOf);
 
     /**
-     * Called when the connection ends between two lists: everything that discovery had as of the
-     * given time has been received.
+     * Called when the connection ends after a list and not within the next one: everything that
+     * discovery had as of the given time has been received.
      */
     void onCleanClose(DiscoveryRequest request, double asOf);
 
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -28,7 +28,7 @@
 final class ClientConnection extends ChannelInboundHandlerAdapter {
     private enum Phase {
         OPEN,
-        /** Reads and writes are rejected; pending replies are still written. */
+        /** Read and write commands are rejected; pending replies are still written. */
         DRAINING,
         /** All replies are written and the output is shut down; further input is dropped. */
         HALF_CLOSED,
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -150,7 +150,8 @@
     }
 
     /**
-     * Returns whether another connection can be accepted, after draining an idle one if necessary.
+     * Returns whether another connection can be accepted. At the limit, drains an idle connection.
+     * Also closes the oldest of the drained connections if too many linger for their client's FIN.
      */
     private boolean ensureCapacity() {
         ClientConnection oldestLingering = null;
--- a/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointListHandler.java
@@ -20,7 +20,7 @@
     private final CompletableFuture<Void> firstList = new CompletableFuture<>();
 
     /**
-     * @param onEngineEvent runs after each event that is passed to the engine
+     * @param onEngineEvent runs after each event that may give the engine due work
      */
     EndpointListHandler(
             Clock clock, GatewayEngine engine, EndpointRegistry endpoints, Runnable onEngineEvent) {
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -291,15 +291,18 @@
         return reloads;
     }
 
-    /** Returns the address of discovery in the configuration applied last. */
+    /**
+     * Returns the address of discovery in the configuration applied last. Other threads are
+     * guaranteed to read the new address only once {@link #reloads} has counted that configuration.
+     */
     public SocketAddress discoveryAddress() {
         return discovery.address();
     }
 
     /**
-     * Records that a new configuration was notified at the given time. The lease of the endpoint
-     * list ends a few seconds after that time unless it is renewed, however long reading the file
-     * takes.
+     * Records that a new configuration was notified at the given time. A bounded lease of the
+     * endpoint list ends at most a few seconds after that time, and is not renewed before the
+     * configuration has been read.
      */
     public void onReloadNotified(double notifiedAt) {
         loop.execute(
@@ -313,7 +316,7 @@
     }
 
     /**
-     * Applies a configuration that was read from the given time on. Only a new discovery address
+     * Applies a configuration whose reading began at the given time. Only a new discovery address
      * takes effect; other changes apply at the next start.
      */
     public void onConfigurationRead(GatewayConfig newConfig, double readAt) {
@@ -336,8 +339,8 @@
     }
 
     /**
-     * Records that the configuration read from the given time on is invalid. The previous one stays
-     * in effect.
+     * Records that a configuration whose reading began at the given time is invalid. The previous
+     * one stays in effect.
      */
     public void onConfigurationUnusable(double readAt) {
         loop.execute(() -> engine.onConfigurationRead(readAt));
--- a/src/main/java/sagepulley/lifecycle/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -19,7 +19,8 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * Reloads the configuration file on SIGHUP, and retries for as long as the file is invalid.
+ * Reloads the configuration file on SIGHUP, and retries for as long as the file is unreadable or
+ * invalid.
  *
  * <p>A process that was started with SIGHUP ignored, as by nohup, receives no signal and polls the
  * file instead. All reads run on one thread, so that the configuration read last is also applied
@@ -40,7 +41,7 @@
 
     private double checkedAt;
 
-    /** Reason logged last why the file was invalid; null if it was valid. */
+    /** Failure logged last; null if the last read succeeded. */
     private String lastFailure;
 
     private boolean retryScheduled;
@@ -50,7 +51,7 @@
         this.gateway = gateway;
     }
 
-    /** Starts watching the file for changes. */
+    /** Sets the SIGHUP handler, or starts polling the file if the signal is ignored. */
     void start() {
         if (!SignalHandlers.isIgnored(HANGUP_SIGNAL)) {
             SignalHandlers.setHandler(HANGUP_SIGNAL, () -> onReloadRequested(gateway.now()));
@@ -94,7 +95,10 @@
         }
     }
 
-    /** Reads the file. An invalid file changes nothing and is read again later. */
+    /**
+     * Reads and applies the file. If it is unreadable or invalid, the previous configuration stays
+     * in effect and the file is read again later.
+     */
     void reload() {
         double readAt = gateway.now();
         try {
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -211,7 +211,7 @@
 
     /**
      * Returns whether the idle connection has unread input: a FIN, a reset, or bytes that belong to
-     * no request.
+     * no request. Always false on transports other than native sockets.
      */
     boolean isStale() {
         if (!(channel instanceof UnixChannel socket)) {
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -130,7 +130,7 @@
         return rejectedAtLimit;
     }
 
-    /** Returns the number of idle connections found closed or with unread input when reused. */
+    /** Returns the number of idle connections found closed or with unread input before reuse. */
     public long staleConnections() {
         return staleConnections;
     }
@@ -254,7 +254,7 @@
         return oldest != null;
     }
 
-    /** Closes connections that have reached the idle timeout, before their endpoint does. */
+    /** Closes the connections that have been idle for longer than the idle timeout. */
     public void closeExpired() {
         double now = clock.getAsDouble();
         for (ArrayDeque<EndpointConnection> connections : List.copyOf(idle.values())) {
--- a/src/main/java/sagepulley/upstream/resp/EndpointReply.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointReply.java
@@ -49,7 +49,8 @@
     }
 
     /**
-     * Parses a load report in the order of the fields; returns null if one is missing or invalid.
+     * Parses a load report in the order of the fields; returns null if one is missing or invalid,
+     * or if there are no fields.
      */
     public static double[] parseReport(Resp item, List<String> fields) {
         return parseReport(text(item), fields);
--- a/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -64,7 +64,7 @@
                 errors++;
             }
         }
-        assertTrue(errors <= 1, errors + " errors");
+        assertTrue(errors <= 1, errors + " errors, expected at most 1");
         channel.finishAndReleaseAll();
     }
 
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.lifecycle.WarmUpConfig;
 
-/** Reading of the configuration file and reporting of its errors. */
+/** Tests reading of the configuration file and the messages of its errors. */
 class GatewayConfigTest {
     @TempDir private Path folder;
 
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -358,7 +358,7 @@
         }
     }
 
-    /** The largest supported fleet, compact and indented; indented it takes over 1 MiB. */
+    /** The compact list takes less than 1 MiB, the indented one more. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n                              "})
     void listOf3200EndpointsIsAcceptedCompactAndIndented(String indent) throws Exception {
@@ -381,7 +381,7 @@
             assertEquals(
                     indent.isEmpty(),
                     peers.endpointList.length() < 1 << 20,
-                    "bytes " + peers.endpointList.length());
+                    "expected only the compact list to be below 1 MiB, bytes: " + peers.endpointList.length());
             openClient(peers);
             await().until(() -> updates.size() == 1);
             assertEquals(3_200, updates.get(0).members().size());
@@ -408,13 +408,13 @@
             Thread.sleep(100);
             assertTrue(
                     confirmations.stream().allMatch(asOf -> asOf <= requestedAt),
-                    "as of " + confirmations);
+                    "expected confirmations as of the request at the latest: " + confirmations);
             double listStartedAt = clock.now();
             sendInTwoParts(connection, "", CHANGE.formatted(45, "") + "\n\n");
             await().until(() -> updates.size() == 2);
             assertTrue(
                     confirmations.stream().allMatch(asOf -> asOf <= listStartedAt + 100),
-                    "as of " + confirmations);
+                    "expected confirmations as of the start of the list at the latest: " + confirmations);
             Thread.sleep(700);
             double idleAt = clock.now();
             connection.send("\n");
@@ -503,8 +503,8 @@
     }
 
     /**
-     * A list counts as notified 6 s after discovery had it, whether pushed or polled, also for a
-     * gateway that has just started.
+     * A new gateway must know the changes that already count as notified, so it accepts clients
+     * only after the first list or a timeout, in either discovery mode.
      */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -56,7 +56,7 @@
                     ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
                     forwardedFields.replaceAll(",d=\\d+", ""));
             int forwardedDeadline = Integer.parseInt(forwardedFields.replaceAll(".*,d=(\\d+),.*", "$1"));
-            assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "forwarded deadline " + forwardedDeadline);
+            assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "expected a forwarded deadline of 1 to 8999 ms, got " + forwardedDeadline);
             assertEquals("bytes", peers.commands.get(1).get(4));
         }
     }
@@ -479,7 +479,7 @@
             }
             assertTrue(
                     peers.commands.size() < commandCount,
-                    peers.commands.size() + " of " + commandCount);
+                    peers.commands.size() + " commands forwarded, expected fewer than " + commandCount);
             ScriptedPeers.Connection otherClient = peers.connectClient();
             otherClient.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
             assertTrue(otherClient.readReply().startsWith("$60000 "));
--- a/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -44,7 +44,8 @@
             Files.delete(file);
             assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
             sendHangup();
-            try (OutputStream pipe = Files.newOutputStream(file)) { // opens once the reader has
+            // Opening the pipe blocks until the reload opens it for reading.
+            try (OutputStream pipe = Files.newOutputStream(file)) {
                 Files.delete(file);
                 Files.writeString(file, config(port, lastDiscovery));
                 sendHangup();
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -111,7 +111,10 @@
     public final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
     public final List<Connection> watches = new CopyOnWriteArrayList<>();
 
-    /** Requests to discovery that have received no response. */
+    /**
+     * Connections whose request arrived while {@link #endpointList} was null, so that discovery
+     * sent no response. A test may send one.
+     */
     public final List<Connection> unansweredRequests = new CopyOnWriteArrayList<>();
 
     public final RespGateway gateway;
@@ -128,7 +131,11 @@
         this(script, text -> text);
     }
 
-    /** Starts a gateway whose configuration file is modified by the operator. */
+    /**
+     * Starts a gateway with the built-in configuration file of the warm-up run.
+     *
+     * @param configEdit modifies the text of the file before it is parsed
+     */
     public ScriptedPeers(Script script, UnaryOperator<String> configEdit) throws Exception {
         ServerSocket endpoint =
                 serve(
@@ -157,7 +164,7 @@
         clientAddress = gateway.start().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Starts another discovery, which responds with the endpoint list and keeps watches open. */
+    /** Starts a discovery, which responds with the endpoint list and keeps watches open. */
     public SocketAddress startDiscovery() throws IOException {
         return serve(
                         connection -> {
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -22,7 +22,10 @@
 import sagepulley.model.Outcome;
 import sagepulley.transport.Transport;
 
-/** Tests the outcome of a request for partial, stalled and missing replies. */
+/**
+ * Tests the outcome of a request for partial, stalled and missing replies, and the receive time of
+ * a reply that is read late.
+ */
 class EndpointConnectionPoolTest {
     private static final long LONG_MILLIS = 600_000;
     private static final long LOOP_HOLD_MILLIS = 300;
@@ -115,7 +118,7 @@
                                     (outcome, reply, receivedAt) -> delayMillis.complete(clock.now() - receivedAt));
                             transport.eventLoops().next().execute(() -> holdLoop());
                         });
-        assertTrue(delayMillis.join() >= LOOP_HOLD_MILLIS / 2, "received " + delayMillis.join() + " ms ago");
+        assertTrue(delayMillis.join() >= LOOP_HOLD_MILLIS / 2, "received " + delayMillis.join() + " ms ago, expected at least half the hold time");
     }
 
     private void holdLoop() {
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -176,8 +176,8 @@
     }
 
     /**
-     * Serves one request, so that its connection is idle. Then runs the step and sends a second
-     * request, before the loop polls again.
+     * Serves one request, so that its connection is idle, and adds that connection to the list.
+     * Then runs the step and sends a second request, before the loop polls again.
      */
     private CompletableFuture<Result> sendSecondRequestAfter(List<ScriptedPeers.Connection> connections, Step step)
             throws Exception {
@@ -220,7 +220,7 @@
                         .get();
         ScriptedPeers.Connection connection = accepted.take();
         long forwardedMillis = Long.parseLong(connection.readCommand().get(0));
-        assertTrue(forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS, "forwarded " + forwardedMillis + " ms");
+        assertTrue(forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS, "forwarded " + forwardedMillis + " ms, expected the time left after the connect");
         serve(connection, "value");
         assertEquals("value", result.get().value());
     }
