--- a/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnectionPool.java
@@ -102,7 +102,7 @@
     }
 
     /** Sets the listener for the address and the reason of each closed connection. */
-    public void onClose(BiConsumer<SocketAddress, String> listener) {
+    public void setCloseListener(BiConsumer<SocketAddress, String> listener) {
         closeListener = listener;
     }
 
@@ -130,7 +130,7 @@
         return rejectedAtLimit;
     }
 
-    /** Returns the number of idle connections found closed or with unread input when reused. */
+    /** Returns the number of idle connections found closed or with unread input before reuse. */
     public long staleConnections() {
         return staleConnections;
     }
@@ -254,7 +254,7 @@
         return oldest != null;
     }
 
-    /** Closes connections that have reached the idle timeout, before their endpoint does. */
+    /** Closes the connections that have been idle for longer than the idle timeout. */
     public void closeExpired() {
         double now = clock.getAsDouble();
         for (ArrayDeque<EndpointConnection> connections : List.copyOf(idle.values())) {
@@ -279,7 +279,7 @@
             @Override
             public void onIdle(EndpointConnection connection) {
                 ArrayDeque<EndpointConnection> connections =
-                        idle.computeIfAbsent(connection.address(), any -> new ArrayDeque<>());
+                        idle.computeIfAbsent(connection.address(), key -> new ArrayDeque<>());
                 if (!connections.contains(connection)) {
                     connections.addFirst(connection);
                 }
@@ -291,7 +291,7 @@
                 closeListener.accept(address, reason);
                 openConnections--;
                 openByAddress.computeIfPresent(
-                        address, (any, count) -> count == 1 ? null : count - 1);
+                        address, (key, count) -> count == 1 ? null : count - 1);
                 ArrayDeque<EndpointConnection> connections = idle.get(address);
                 if (connections != null) {
                     connections.remove(connection);
