--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -82,14 +82,14 @@
     }
 
     /** Creates empty accounts that also keep totals since the start for the given volumes. */
-    public Accounts(Bounds bounds, double wallClockOffset, Set<Long> summedVolumes) {
+    public Accounts(Bounds bounds, double wallClockOffset, Set<Long> volumesWithTotals) {
         this.enabled = bounds.volumes() > 0;
         this.wallClockOffset = wallClockOffset;
         this.windows = new VolumeWindows(bounds.volumes(), bounds.windows());
         this.nodes = new NodeActivities(bounds.nodes());
         this.attribution = new WaitAttribution(nodes);
         this.steps = new OperationSteps(nodes, attribution);
-        this.totals = new Totals(summedVolumes);
+        this.totals = new Totals(volumesWithTotals);
     }
 
     // ---- events ----
--- a/src/main/java/sagepulley/accounts/CauseRanking.java
+++ b/src/main/java/sagepulley/accounts/CauseRanking.java
@@ -95,7 +95,7 @@
         double total = 0;
         for (int i = 0; i < sum.causes.size(); i++) {
             Cause cause = Cause.of(sum.causes.key(i));
-            sums.computeIfAbsent(Key.of(cause), any -> new Sum()).add(sum.causes, i, cause);
+            sums.computeIfAbsent(Key.of(cause), key -> new Sum()).add(sum.causes, i, cause);
             total += cause.kind() == Cause.Kind.OWN_WORK ? 0 : sum.causes.waited(i);
         }
         this.totalWaited = Math.max(MIN_MILLIS, total);
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -47,7 +47,7 @@
         Map<Long, double[]> units = new TreeMap<>();
         for (int i = 0; i < flow.units.size(); i++) {
             Cause cause = Cause.of(flow.units.key(i));
-            double[] allAndWrites = units.computeIfAbsent(cause.volume(), any -> new double[2]);
+            double[] allAndWrites = units.computeIfAbsent(cause.volume(), volume -> new double[2]);
             allAndWrites[0] += flow.units.waited(i);
             allAndWrites[1] += cause.isEstimated() ? flow.units.waited(i) : 0;
         }
@@ -82,11 +82,11 @@
     void merge(LatencyAccount other, double clockOffsetMillis) {
         other.volumes.forEach(
                 (volume, timeline) ->
-                        volumes.computeIfAbsent(volume, any -> new Timeline<>(AccountWindow::new))
+                        volumes.computeIfAbsent(volume, key -> new Timeline<>(AccountWindow::new))
                                 .merge(timeline, -clockOffsetMillis));
         other.flows.forEach(
                 (node, timeline) ->
-                        flows.computeIfAbsent(node, any -> new Timeline<>(NodeFlow::new))
+                        flows.computeIfAbsent(node, key -> new Timeline<>(NodeFlow::new))
                                 .merge(timeline, -clockOffsetMillis));
         other.zones.forEach(zones::putIfAbsent);
     }
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -46,7 +46,7 @@
     public record StoredFlow(int level, long number, long[] keys, double[] sums) {}
 
     private static final int MAX_DURATIONS = 10_000;
-    private static final double MAX_FIGURE = 1e18;
+    private static final double VALUE_LIMIT = 1e18;
 
     // ---- encoding ----
 
@@ -180,10 +180,10 @@
         return level;
     }
 
-    private static double requireValidFigure(double value) {
-        if (!(value >= 0 && value < MAX_FIGURE)) {
+    private static double requireValidValue(double value) {
+        if (!(value >= 0 && value < VALUE_LIMIT)) {
             throw new IllegalArgumentException(
-                    "figure " + value + " is out of range, expected 0 to less than " + MAX_FIGURE);
+                    "figure " + value + " is out of range, expected 0 to less than " + VALUE_LIMIT);
         }
         return value;
     }
@@ -239,7 +239,7 @@
                     "figures are missing or not " + to.length + " in number");
         }
         for (int i = 0; i < to.length; i++) {
-            to[i] = requireValidFigure(from[i]);
+            to[i] = requireValidValue(from[i]);
         }
     }
 
@@ -275,10 +275,10 @@
             }
             to.add(
                     keys[i],
-                    requireValidFigure(sums[CauseCharges.SUMS * i]),
-                    requireValidFigure(sums[CauseCharges.SUMS * i + 1]),
-                    requireValidFigure(sums[CauseCharges.SUMS * i + 2]),
-                    requireValidFigure(sums[CauseCharges.SUMS * i + 3]));
+                    requireValidValue(sums[CauseCharges.SUMS * i]),
+                    requireValidValue(sums[CauseCharges.SUMS * i + 1]),
+                    requireValidValue(sums[CauseCharges.SUMS * i + 2]),
+                    requireValidValue(sums[CauseCharges.SUMS * i + 3]));
         }
     }
 }
--- a/src/main/java/sagepulley/accounts/Totals.java
+++ b/src/main/java/sagepulley/accounts/Totals.java
@@ -59,8 +59,8 @@
     private final double[] tierUnits = new double[PlanTier.values().length];
 
     /** Creates totals with separate sums for the given volumes. All others share number 0. */
-    public Totals(Set<Long> summedVolumes) {
-        summedVolumes.forEach(volume -> volumes.put(volume, new VolumeTotals()));
+    public Totals(Set<Long> volumesWithTotals) {
+        volumesWithTotals.forEach(volume -> volumes.put(volume, new VolumeTotals()));
         volumes.put(0L, new VolumeTotals());
     }
 
--- a/src/main/java/sagepulley/accounts/VolumeWindows.java
+++ b/src/main/java/sagepulley/accounts/VolumeWindows.java
@@ -66,7 +66,7 @@
         Timeline<AccountWindow> timeline = volumes.get(volume);
         if (timeline == null) {
             long key = volumes.size() < maxVolumes ? volume : SHARED_VOLUME;
-            timeline = volumes.computeIfAbsent(key, any -> new Timeline<>(AccountWindow::new));
+            timeline = volumes.computeIfAbsent(key, newKey -> new Timeline<>(AccountWindow::new));
         }
         return timeline;
     }
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -86,7 +86,7 @@
         for (Node node : nodes.values()) {
             if (node.phase != Node.Phase.REMOVED) {
                 removedAt.remove(node.id);
-            } else if (now - removedAt.computeIfAbsent(node.id, any -> now) > MAX_REMOVED_MILLIS
+            } else if (now - removedAt.computeIfAbsent(node.id, id -> now) > MAX_REMOVED_MILLIS
                     && !inUse.contains(node)) {
                 node.pruned = true;
                 pruned.add(node);
@@ -151,7 +151,7 @@
 
     /** Returns the volume with an id; creates it under the given plan if it is not known. */
     public Volume volume(long id, int plan) {
-        return volumes.computeIfAbsent(id, any -> new Volume(any, deployment.plans().get(plan)));
+        return volumes.computeIfAbsent(id, newId -> new Volume(newId, deployment.plans().get(plan)));
     }
 
     /** Returns the operation with an id; null if none is in flight. */
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -141,9 +141,9 @@
                     new SimulatedGateway(reply, deployment, batch.u64(record, 5));
             gateways.put(gatewayId, gateway);
             activate(gateway);
-        } catch (InvalidSettingException missing) {
+        } catch (InvalidSettingException invalidSetting) {
             gateways.remove(gatewayId);
-            reply.fatal("first message: " + missing.getMessage());
+            reply.fatal("first message: " + invalidSetting.getMessage());
         }
     }
 
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -39,7 +39,7 @@
     private final Accounts accounts = new Accounts(Accounts.Bounds.DEFAULT, 0);
 
     /** Runs one operation with a single answered attempt. */
-    private OperationTimer attempt(
+    private OperationTimer runServedOperation(
             Accounts target,
             long volume,
             int node,
@@ -56,7 +56,7 @@
     }
 
     /** Runs one operation that waits at the gateway for a node and is rejected. */
-    private void heldUntilRejected(
+    private void runRejectedOperation(
             Accounts target,
             long volume,
             LatencyComponent component,
@@ -143,11 +143,11 @@
     void aSlowNodeIsDistinguishedFromANeighbour() {
         for (int i = 0; i < 50; i++) {
             for (int node = 1; node <= 4; node++) {
-                attempt(accounts, 1, node, QuotaTier.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
+                runServedOperation(accounts, 1, node, QuotaTier.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
             }
         }
-        OperationTimer flood = accounts.begin(9, TRAFFIC_CLASS, false, 3, 600);
-        accounts.attemptSent(flood, 4, QuotaTier.EXCESS, 600);
+        OperationTimer neighbour = accounts.begin(9, TRAFFIC_CLASS, false, 3, 600);
+        accounts.attemptSent(neighbour, 4, QuotaTier.EXCESS, 600);
         OperationTimer waiting = accounts.begin(2, TRAFFIC_CLASS, false, 1, 600);
         accounts.waitStarted(waiting, LatencyComponent.SHARE_FULL, 4, 600);
         accounts.end(waiting, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 4, 900);
@@ -176,18 +176,18 @@
                     accounts.begin(3, TRAFFIC_CLASS, false, 1, 0), 1, QuotaTier.RESERVATION, 0);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilRejected(accounts, 2, LatencyComponent.EXCESS_FULL, 1, 0, 10);
-            heldUntilRejected(accounts, 4, LatencyComponent.RESERVATION_FULL, 1, 0, 10);
+            runRejectedOperation(accounts, 2, LatencyComponent.EXCESS_FULL, 1, 0, 10);
+            runRejectedOperation(accounts, 4, LatencyComponent.RESERVATION_FULL, 1, 0, 10);
         }
         assertEquals(Cause.Kind.OWN_LOAD, accounts.report(2, 0, 100).mainCause().kind());
         assertTrue(
                 accounts.report(2, 0, 100).causes().stream()
                         .noneMatch(cause -> cause.kind() == Cause.Kind.NEIGHBOUR),
                 "no other volume is charged");
-        LatencyReport reserved = accounts.report(4, 0, 100);
-        assertEquals(Cause.Kind.NEIGHBOUR, reserved.mainCause().kind());
-        assertEquals(3, reserved.mainCause().volume());
-        assertEquals(LatencyReport.Confidence.HIGH, reserved.mainCause().confidence());
+        LatencyReport reservationReport = accounts.report(4, 0, 100);
+        assertEquals(Cause.Kind.NEIGHBOUR, reservationReport.mainCause().kind());
+        assertEquals(3, reservationReport.mainCause().volume());
+        assertEquals(LatencyReport.Confidence.HIGH, reservationReport.mainCause().confidence());
     }
 
     @Test
@@ -197,12 +197,12 @@
             OperationTimer local = accounts.begin(5, TRAFFIC_CLASS, false, 1, at);
             accounts.attemptSent(local, 1, QuotaTier.SHARE, at);
             // The node reports a queue that is not this gateway's.
-            attempt(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
+            runServedOperation(accounts, 2, 1, QuotaTier.SHARE, at, 60, 5, 30);
             accounts.attemptAnswered(local, 60, 5, 30, at + 66);
             accounts.end(local, Accounts.End.SERVED, Reason.NONE, 1, at + 66);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilRejected(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
+            runRejectedOperation(accounts, 2, LatencyComponent.SHARE_FULL, 1, 6000 + i, 6050 + i);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(
@@ -220,7 +220,7 @@
             OperationTimer earlier = accounts.begin(3, TRAFFIC_CLASS, false, 1, 20 * i + 6);
             accounts.attemptSent(earlier, 1, QuotaTier.SHARE, 20 * i + 6);
             // The typical wait behind one unit is 5 ms; every twentieth takes 300 ms.
-            attempt(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
+            runServedOperation(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
             accounts.attemptAnswered(earlier, 0, 5, 0, 20 * i + 11);
             accounts.end(earlier, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 11);
         }
@@ -233,14 +233,14 @@
     @Test
     void waitsForASilentNodeAreChargedAsItsFault() {
         for (int i = 0; i < 20; i++) {
-            attempt(accounts, 3, 1, QuotaTier.SHARE, 10 * i, 0, 5, 0);
+            runServedOperation(accounts, 3, 1, QuotaTier.SHARE, 10 * i, 0, 5, 0);
         }
         for (int i = 0; i < 8; i++) {
             accounts.attemptSent(
                     accounts.begin(3, TRAFFIC_CLASS, false, 1, 200), 1, QuotaTier.SHARE, 200);
         }
         for (int i = 0; i < 30; i++) {
-            heldUntilRejected(accounts, 2, LatencyComponent.SHARE_FULL, 1, 200, 900);
+            runRejectedOperation(accounts, 2, LatencyComponent.SHARE_FULL, 1, 200, 900);
         }
         LatencyReport report = accounts.report(2, 0, 9_000);
         assertEquals(Cause.Kind.FAULT, report.mainCause().kind());
@@ -249,20 +249,20 @@
 
     @Test
     void aTimeoutInALongQueueIsNotChargedAsAFault() {
-        OperationTimer flood = accounts.begin(9, TRAFFIC_CLASS, false, 20, 0);
-        accounts.attemptSent(flood, 1, QuotaTier.EXCESS, 0);
+        OperationTimer neighbour = accounts.begin(9, TRAFFIC_CLASS, false, 20, 0);
+        accounts.attemptSent(neighbour, 1, QuotaTier.EXCESS, 0);
         for (int i = 0; i < 40; i++) {
-            attempt(accounts, 9, 1, QuotaTier.EXCESS, 100 * i, 90, 10, 0);
+            runServedOperation(accounts, 9, 1, QuotaTier.EXCESS, 100 * i, 90, 10, 0);
         }
         for (int i = 0; i < 30; i++) {
             OperationTimer rejected = accounts.begin(2, TRAFFIC_CLASS, false, 1, 3900);
             accounts.attemptSent(rejected, 1, QuotaTier.SHARE, 3900);
-            attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
+            runServedOperation(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.attemptFailed(rejected, Outcome.TIMED_OUT, 4100);
             accounts.end(rejected, Accounts.End.REJECTED, Reason.OBJECTIVE_MISSED, 1, 4100);
             OperationTimer abandoned = accounts.begin(3, TRAFFIC_CLASS, false, 1, 3900);
             accounts.attemptSent(abandoned, 1, QuotaTier.SHARE, 3900);
-            attempt(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
+            runServedOperation(accounts, 9, 1, QuotaTier.EXCESS, 3900, 90, 10, 0);
             accounts.attemptFailed(abandoned, Outcome.TIMED_OUT, 6900);
             accounts.end(abandoned, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, 6900);
         }
@@ -297,7 +297,7 @@
     @Test
     void tenThousandVolumesEachHaveAnAccount() {
         for (int i = 1; i <= 10_000; i++) {
-            attempt(accounts, i, 1 + i % 40, QuotaTier.SHARE, i, 1, 1, 0);
+            runServedOperation(accounts, i, 1 + i % 40, QuotaTier.SHARE, i, 1, 1, 0);
         }
         assertEquals(10_000, accounts.volumes().size());
         assertEquals(10_000, accounts.windowCount());
@@ -306,8 +306,8 @@
 
     @Test
     void planTiersAreCountedSeparately() {
-        attempt(accounts, 2, 1, QuotaTier.RESERVATION, 0, 1, 4, 0);
-        attempt(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
+        runServedOperation(accounts, 2, 1, QuotaTier.RESERVATION, 0, 1, 4, 0);
+        runServedOperation(accounts, 2, 1, QuotaTier.EXCESS, 0, 300, 10, 0);
         OperationTimer limited = accounts.begin(2, TRAFFIC_CLASS, false, 1, 0);
         accounts.waitStarted(limited, LatencyComponent.LIMIT, 0, 0);
         accounts.attemptSent(limited, 1, QuotaTier.SHARE, 50);
@@ -326,13 +326,13 @@
     @Test
     void storedAccountsAreRestoredWithTheClockSetBack() {
         Accounts earlier = new Accounts(Accounts.Bounds.DEFAULT, 5e9);
-        attempt(earlier, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
+        runServedOperation(earlier, 2, 1, QuotaTier.SHARE, 1000, 5, 5, 0);
         LatencyAccount stored = StoredAccounts.of(earlier.snapshot()).toAccount();
-        Accounts after = new Accounts(Accounts.Bounds.DEFAULT, 5e9 - 7_200_000);
-        after.restore(stored, 0);
-        assertEquals(1, after.report(2, -86_400_000, 0).operations());
-        attempt(after, 2, 1, QuotaTier.SHARE, 10, 5, 5, 0);
-        assertEquals(2, after.report(2, -86_400_000, 1000).operations());
+        Accounts restored = new Accounts(Accounts.Bounds.DEFAULT, 5e9 - 7_200_000);
+        restored.restore(stored, 0);
+        assertEquals(1, restored.report(2, -86_400_000, 0).operations());
+        runServedOperation(restored, 2, 1, QuotaTier.SHARE, 10, 5, 5, 0);
+        assertEquals(2, restored.report(2, -86_400_000, 1000).operations());
     }
 
     @Test
@@ -340,11 +340,11 @@
         // The second gateway's clock is one hour ahead; both were notified of versions 4 and 5.
         Accounts floodingGateway = new Accounts(Accounts.Bounds.DEFAULT, 1e12 + 3_600_000);
         for (int i = 0; i < 200; i++) {
-            attempt(floodingGateway, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
+            runServedOperation(floodingGateway, 9, 1, QuotaTier.EXCESS, 30 * i, 20, 10, 0);
         }
         Accounts affectedGateway = new Accounts(Accounts.Bounds.DEFAULT, 1e12);
         for (int i = 0; i < 60; i++) {
-            attempt(affectedGateway, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
+            runServedOperation(affectedGateway, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
         }
         assertEquals(
                 Cause.Kind.OTHER_GATEWAYS,
--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -92,8 +92,8 @@
         Membership restored = restoredAfter(7 * DAY_MILLIS, endpoints);
         assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 1, now));
         List<Integer> probed = new ArrayList<>();
-        for (double at = now; at < now + 1_000; at += 10) {
-            probed.addAll(restored.takeProbes(at));
+        for (double time = now; time < now + 1_000; time += 10) {
+            probed.addAll(restored.takeProbes(time));
         }
         assertEquals(4, probed.size(), "at most four probes are in flight");
         restored.handshakeCompleted(
@@ -236,10 +236,10 @@
         Membership membership = newMembership();
         membership.addConfigured(List.of(ready(1)));
         int probes = 0;
-        for (double at = START_MILLIS; at < START_MILLIS + 300_000; at += 50) {
-            if (!membership.takeProbes(at).isEmpty()) {
+        for (double time = START_MILLIS; time < START_MILLIS + 300_000; time += 50) {
+            if (!membership.takeProbes(time).isEmpty()) {
                 probes++;
-                membership.disconnected(1, at);
+                membership.disconnected(1, time);
             }
         }
         assertTrue(probes >= 8 && probes <= 30, "probed " + probes + " times in five minutes");
@@ -336,8 +336,8 @@
                 case 8 -> {
                     StoredEndpointList stored = membership.snapshot();
                     membership = newMembership();
-                    double jump = value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
-                    now += jump;
+                    double clockChangeMillis = value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
+                    now += clockChangeMillis;
                     membership.restore(stored, now);
                     hasWrongIdentity.clear();
                     connected.clear();
--- a/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/sagepulley/simulator/SimulatorAdapterTest.java
@@ -17,9 +17,9 @@
 /** Checks the adapter's replies to valid and malformed frames. */
 class SimulatorAdapterTest {
     @Test
-    void emptyBatchIsAnsweredAndEndOfInputReturnsNormally() throws IOException {
-        assertEquals("000000010000000400000000", hex(answer(frame(1, 0, new byte[0]))));
-        assertEquals("", hex(answer(new byte[0])));
+    void emptyBatchYieldsAnEmptyReplyAndEndOfInputYieldsNone() throws IOException {
+        assertEquals("000000010000000400000000", hex(replyTo(frame(1, 0, new byte[0]))));
+        assertEquals("", hex(replyTo(new byte[0])));
     }
 
     @ParameterizedTest
@@ -31,7 +31,7 @@
     })
     void malformedFrameIsReportedWithItsNumber(String bytes, String detail) {
         MalformedFrameException exception =
-                assertThrows(MalformedFrameException.class, () -> answer(unhex(bytes)));
+                assertThrows(MalformedFrameException.class, () -> replyTo(unhex(bytes)));
         assertEquals("frame 1: " + detail, exception.getMessage());
     }
 
@@ -43,10 +43,10 @@
     })
     void malformedRecordIsReportedWithItsIndex(String record, String detail) {
         byte[] bytes = new byte[56];
-        byte[] start = unhex(record.replace(" ", ""));
-        System.arraycopy(start, 0, bytes, 0, start.length);
+        byte[] prefix = unhex(record.replace(" ", ""));
+        System.arraycopy(prefix, 0, bytes, 0, prefix.length);
         MalformedFrameException exception =
-                assertThrows(MalformedFrameException.class, () -> answer(frame(1, 1, bytes)));
+                assertThrows(MalformedFrameException.class, () -> replyTo(frame(1, 1, bytes)));
         assertTrue(
                 exception.getMessage().startsWith("frame 1: record 0: ")
                         && exception.getMessage().contains(detail),
@@ -60,7 +60,7 @@
         startRecord.put((byte) 5).putInt(3).putLong(1).putInt(0).putInt(text.length);
         startRecord.position(56);
         startRecord.put(text);
-        byte[] reply = answer(frame(1, 1, startRecord.array()));
+        byte[] reply = replyTo(frame(1, 1, startRecord.array()));
         assertEquals(74, reply[12]);
         assertTrue(new String(reply, StandardCharsets.UTF_8).endsWith("classes.count is missing"));
     }
@@ -75,7 +75,7 @@
                 .array();
     }
 
-    private static byte[] answer(byte[] input) throws IOException {
+    private static byte[] replyTo(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(input), out).run();
         return out.toByteArray();
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -22,11 +22,11 @@
         SplittableRandom random = new SplittableRandom(seed);
         TailSampler sampler = new TailSampler(maxTracesPerSecond, 0.5, random.split());
         double now = 0;
-        long kept = 0;
+        long keptTraces = 0;
         while (now < 10_000) {
             now += meanGapMillis * 2 * random.nextDouble();
             End end = End.values()[random.nextInt(4)];
-            kept +=
+            keptTraces +=
                     sampler.sample(
                                             end,
                                             end != End.SERVED || random.nextInt(5) == 0,
@@ -37,58 +37,58 @@
                             ? 1
                             : 0;
         }
-        double bound = maxTracesPerSecond * (now / 1000) + 2 * maxTracesPerSecond + 5;
-        assertTrue(kept <= bound, kept + " kept, bound " + bound);
+        double maxKeptTraces = maxTracesPerSecond * (now / 1000) + 2 * maxTracesPerSecond + 5;
+        assertTrue(keptTraces <= maxKeptTraces, keptTraces + " kept, bound " + maxKeptTraces);
     }
 
     @Test
     void abandonedOperationsAreKeptAmongManyRejected() {
         TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(1));
-        int kept = 0;
+        int keptTraces = 0;
         for (int i = 0; i < 100_000; i++) {
             if (i % 10_000 == 5_000) {
-                kept += sampler.sample(End.ABANDONED, true, 0, 900, i * 0.5) > 0 ? 1 : 0;
+                keptTraces += sampler.sample(End.ABANDONED, true, 0, 900, i * 0.5) > 0 ? 1 : 0;
                 assertEquals(TailSampler.SampleReason.ABANDONED, sampler.reason());
             } else {
                 sampler.sample(End.REJECTED, true, 0, 10, i * 0.5);
             }
         }
-        assertEquals(10, kept);
+        assertEquals(10, keptTraces);
     }
 
     @Test
     void weightsSumToNumberOfOperations() {
         TailSampler sampler = new TailSampler(20, 0.001, new SplittableRandom(2));
-        double weights = 0;
-        int kept = 0;
+        double totalWeight = 0;
+        int keptTraces = 0;
         int operations = 200_000;
         for (int i = 0; i < operations; i++) {
             double weight = sampler.sample(End.REJECTED, true, 0, 10, i);
-            weights += weight;
-            kept += weight > 0 ? 1 : 0;
+            totalWeight += weight;
+            keptTraces += weight > 0 ? 1 : 0;
         }
-        assertTrue(kept > 200 && kept < 200 * 20, "kept " + kept);
-        assertEquals(operations, weights, 0.2 * operations);
+        assertTrue(keptTraces > 200 && keptTraces < 200 * 20, "kept " + keptTraces);
+        assertEquals(operations, totalWeight, 0.2 * operations);
     }
 
     @Test
     void slowestOperationsAreKeptWhenObjectiveIsMet() {
         TailSampler sampler = new TailSampler(50, 0, new SplittableRandom(3));
         SplittableRandom random = new SplittableRandom(4);
-        int keptSlow = 0;
-        int keptOther = 0;
+        int keptSlowTraces = 0;
+        int keptOtherTraces = 0;
         for (int i = 0; i < 20_000; i++) {
             boolean isSlow = i > 5_000 && i % 500 == 0;
             double duration = isSlow ? 190 : 10 + random.nextDouble();
             if (sampler.sample(End.SERVED, false, 1, duration, i * 5.0) > 0) {
                 if (isSlow) {
-                    keptSlow++;
+                    keptSlowTraces++;
                 } else {
-                    keptOther++;
+                    keptOtherTraces++;
                 }
             }
         }
-        assertTrue(keptSlow >= 25, keptSlow + " of 29 slow ones");
-        assertTrue(keptOther < 400, keptOther + " others");
+        assertTrue(keptSlowTraces >= 25, keptSlowTraces + " of 29 slow ones");
+        assertTrue(keptOtherTraces < 400, keptOtherTraces + " others");
     }
 }
