--- a/src/main/java/sagepulley/accounts/AccountWindow.java
+++ b/src/main/java/sagepulley/accounts/AccountWindow.java
@@ -27,7 +27,7 @@
     long abandoned;
     long cancelled;
 
-    /** Operations within their latency objective, by plan tier, as are the following arrays. */
+    /** Operations within their latency objective. This and the next arrays are by plan tier. */
     final long[] met = new long[TIERS];
 
     final long[] missed = new long[TIERS];
--- a/src/main/java/sagepulley/accounts/Accounts.java
+++ b/src/main/java/sagepulley/accounts/Accounts.java
@@ -21,11 +21,11 @@
     /**
      * Bounds of memory.
      *
-     * @param volumes the number of volumes with an account of their own; the others share one,
-     *     number 0
-     * @param windows the number of windows of all volumes; beyond it, windows of the least recently
-     *     used volume are merged
-     * @param nodes the number of nodes whose activity is tracked
+     * @param volumes the maximum number of volumes with an account of their own; the others share
+     *     one, number 0
+     * @param windows the maximum number of windows of all volumes; beyond it, windows of the least
+     *     recently used volume are merged
+     * @param nodes the maximum number of nodes whose activity is tracked
      */
     public record Bounds(int volumes, int windows, int nodes) {
         /** The bounds of a gateway. */
@@ -41,7 +41,7 @@
     /** Charged to an operation that did not wait, so that its lost weight has a cause. */
     private static final double NOMINAL_WAIT_MILLIS = 1e-9;
 
-    /** How an operation ended. */
+    /** The ways in which an operation ends. */
     public enum End implements ExternalName {
         /** The operation ended with a result. */
         SERVED("satisfied"),
@@ -267,7 +267,8 @@
      * Records the end of an operation: its final answer, or the disconnection of its client.
      *
      * @param reason why the operation was not served
-     * @param node the node for which the operation was rejected or abandoned; 0 for none
+     * @param node the node to which a nominal wait is charged if the operation did not wait; 0 for
+     *     none
      */
     public void end(OperationTimer timer, End end, Reason reason, int node, double now) {
         if (timer == null || timer.hasEnded) {
--- a/src/main/java/sagepulley/accounts/CauseRanking.java
+++ b/src/main/java/sagepulley/accounts/CauseRanking.java
@@ -21,7 +21,10 @@
     /** For high confidence, the largest other wait is at most this fraction of the cause. */
     private static final double MAX_RUNNER_UP_FRACTION = 0.6;
 
+    /** A cause with a smaller share of the waiting has low confidence. */
     private static final double MIN_SHARE = 0.3;
+
+    /** For high confidence, at least this fraction of the cause's waiting was observed. */
     private static final double MIN_OBSERVED_SHARE = 0.7;
 
     /** Replaces zero as a divisor. */
--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -110,7 +110,7 @@
 
     /**
      * Replaces charges to other gateways by charges to volumes, in proportion to the units that the
-     * other gateways sent to the node at about that time.
+     * node executed for the other gateways at about that time.
      */
     private void attributeOtherGateways(int index) {
         aligned.get(index)
@@ -170,7 +170,8 @@
     }
 
     /**
-     * Returns the units that the other gateways sent to a node at about the given time, by volume.
+     * Returns the units that a node executed for the other gateways, by volume, in a period that is
+     * extended by {@link #MAX_FLOW_DISTANCE_MILLIS} at either end.
      */
     private Map<Long, Double> unitsOfOtherGateways(int index, int node, double from, double to) {
         Map<Long, Double> units = new TreeMap<>();
--- a/src/main/java/sagepulley/accounts/IncrementalCopy.java
+++ b/src/main/java/sagepulley/accounts/IncrementalCopy.java
@@ -13,8 +13,8 @@
     private final LatencyAccount copy = new LatencyAccount();
 
     /**
-     * Starts the copy of a view that shares its windows with the accounts. The nodes are copied at
-     * once.
+     * Starts the copy of a view that shares its windows with the accounts. The flows and zones of
+     * nodes are copied at once.
      */
     IncrementalCopy(LatencyAccount shared) {
         this.remaining = List.copyOf(shared.volumes.entrySet()).iterator();
--- a/src/main/java/sagepulley/accounts/LatencyAccount.java
+++ b/src/main/java/sagepulley/accounts/LatencyAccount.java
@@ -27,7 +27,8 @@
     }
 
     /**
-     * Returns the units that each node executed in a period, by volume: in total, and of writes.
+     * Returns the units that each node executed in a period, by node and volume. Element 0 is the
+     * total, element 1 the units of writes.
      */
     public Map<Integer, Map<Long, double[]>> flows(double from, double to) {
         Map<Integer, Map<Long, double[]>> flowsByNode = new LinkedHashMap<>();
--- a/src/main/java/sagepulley/accounts/LatencyComponent.java
+++ b/src/main/java/sagepulley/accounts/LatencyComponent.java
@@ -11,50 +11,50 @@
  */
 public enum LatencyComponent implements ExternalName {
     /**
-     * Waits at this gateway: the node's concurrency limit is reached, inside the tenant's
+     * Wait at this gateway: the node's concurrency limit is reached, inside the tenant's
      * reservation.
      */
     @JsonProperty("RESERVE_FULL")
     RESERVATION_FULL("reserve_full"),
     /**
-     * Waits at this gateway: the node's concurrency limit is reached, inside the tenant's share.
+     * Wait at this gateway: the node's concurrency limit is reached, inside the tenant's share.
      */
     SHARE_FULL("share_full"),
-    /** Waits at this gateway: the node's concurrency limit is reached, in excess of the share. */
+    /** Wait at this gateway: the node's concurrency limit is reached, in excess of the share. */
     @JsonProperty("BEYOND_SHARE")
     EXCESS_FULL("beyond_share"),
-    /** Waits at this gateway: the node's queue estimate is too high. */
+    /** Wait at this gateway: the node's queue estimate is too high. */
     @JsonProperty("HELD_BACK")
     QUEUE_AT_NODE("held_back"),
-    /** Waits at this gateway: the node is in slow start. */
+    /** Wait at this gateway: the node is in slow start. */
     @JsonProperty("COLD")
     WARMING_UP("cold"),
-    /** Waits at this gateway: the node is unresponsive. */
+    /** Wait at this gateway: the node is unresponsive. */
     @JsonProperty("SILENT")
     UNRESPONSIVE("silent"),
-    /** Waits at this gateway: no node is ready. */
+    /** Wait at this gateway: no node is ready. */
     NOT_READY("not_ready"),
-    /** Waits at this gateway: the tenant's rate limit is reached. */
+    /** Wait at this gateway: the tenant's rate limit is reached. */
     LIMIT("limit"),
-    /** Waits at this gateway: the retry budget is exhausted. */
+    /** Wait at this gateway: the retry budget is exhausted. */
     @JsonProperty("BUDGET")
     RETRY_BUDGET("budget"),
-    /** Waits at this gateway: an earlier operation of the same key has not ended. */
+    /** Wait at this gateway: an earlier operation of the same key has not ended. */
     @JsonProperty("ORDER")
     KEY_ORDER("order"),
-    /** Waits at this gateway: operations of higher priority are dispatched first. */
+    /** Wait at this gateway: operations of higher priority are dispatched first. */
     @JsonProperty("RANKS_LATER")
     LOWER_PRIORITY("ranks_later"),
-    /** Waits for the directory, or for the claim of an extent. */
+    /** Wait for the directory, or for the claim of an extent. */
     DIRECTORY("directory"),
-    /** Is on the network between gateway and node, in either direction. */
+    /** Time on the network between gateway and node, in either direction. */
     @JsonProperty("ON_THE_WAY")
     NETWORK("on_the_way"),
-    /** Waits in the node's queue. */
+    /** Wait in the node's queue. */
     NODE_QUEUE("node_queue"),
-    /** Is executed by the node. */
+    /** Execution by the node. */
     NODE_WORK("node_work"),
-    /** Is spent in an attempt without a result. */
+    /** Time of an attempt that ended without a result. */
     @JsonProperty("FUTILE")
     FAILED_ATTEMPT("futile");
 
--- a/src/main/java/sagepulley/accounts/LatencyReport.java
+++ b/src/main/java/sagepulley/accounts/LatencyReport.java
@@ -42,7 +42,7 @@
 
     /**
      * The operations that were served or held in one plan tier. Percentiles and maximum are
-     * milliseconds from arrival to the final answer.
+     * milliseconds from arrival to the end of the operation.
      */
     public record TierReport(
             @JsonProperty("part") PlanTier tier,
@@ -57,13 +57,13 @@
     /**
      * A cause of waiting.
      *
-     * @param node the node at which most of the waiting occurred; 0 for none
+     * @param node the node with the largest part of the waiting; 0 for none
      * @param nodeShare the fraction of the waiting that occurred at that node
      * @param waited milliseconds charged to the cause, with a lower and an upper bound
      * @param share the fraction of all waiting
      * @param lostWeight the priority weight lost to the cause
      * @param observedShare the fraction of the waiting that was observed and not estimated
-     * @param worstFrom the start of the window with the highest charge, in wall-clock milliseconds
+     * @param worstFrom the start of the window with the highest charge relative to its length
      * @param worstTo the end of that window
      */
     public record CauseReport(
--- a/src/main/java/sagepulley/accounts/NodeActivities.java
+++ b/src/main/java/sagepulley/accounts/NodeActivities.java
@@ -5,9 +5,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Tracks the activity of a bounded number of nodes, and what concerns all of them: units in flight
- * at any node, units that wait for a claim, and how a node's service time compares with the
- * others'. Times are milliseconds.
+ * Tracks the activity of a bounded number of nodes and the sums over all of them: units in flight,
+ * units that wait for a claim, and service times, with which it compares those of one node. Times
+ * are milliseconds.
  */
 final class NodeActivities {
     /** A node is slow if its service time exceeds the mean of the other nodes by this factor. */
--- a/src/main/java/sagepulley/accounts/NodeActivity.java
+++ b/src/main/java/sagepulley/accounts/NodeActivity.java
@@ -1,9 +1,9 @@
 package sagepulley.accounts;
 
 /**
- * What this gateway observes of a node: its service time, its queue, its pauses, and the units in
- * flight there by volume. Times are milliseconds on the monotonic clock; service times are per
- * unit.
+ * The activity of one node as observed by this gateway: its service times, its queue, its pauses,
+ * and the units in flight there by volume. Times are milliseconds on the monotonic clock; service
+ * times are per unit.
  */
 final class NodeActivity {
     /** Weight of the newest sample in an exponentially weighted average. */
@@ -156,7 +156,7 @@
         pausedFraction += SMOOTHING * (paused - pausedFraction);
     }
 
-    // ---- its queue ----
+    // ---- queue ----
 
     /** Returns the minimum number of attempts of other gateways in the node's queue. */
     double minOtherAttempts() {
@@ -191,7 +191,7 @@
                 : TYPICAL_WAIT_FACTOR * waitPerUnitAhead * units + TYPICAL_WAIT_ALLOWANCE_MILLIS;
     }
 
-    // ---- its service time ----
+    // ---- service time ----
 
     private static int direction(boolean isWrite) {
         return isWrite ? 1 : 0;
@@ -215,7 +215,7 @@
         return comparedServiceTime[direction(isWrite)];
     }
 
-    // ---- its pauses ----
+    // ---- pauses ----
 
     /**
      * Returns the maximum typical duration of an attempt sent at the given time; 0 if the node has
--- a/src/main/java/sagepulley/accounts/OperationTimer.java
+++ b/src/main/java/sagepulley/accounts/OperationTimer.java
@@ -5,9 +5,9 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Tracks the time of one operation from its arrival to its final answer: its steps and their
- * causes. Times are milliseconds on the monotonic clock. Only {@link Accounts} and its helpers
- * change it, on the thread that owns the accounts.
+ * Tracks the time of one operation from its arrival to its end: its steps and their causes. Times
+ * are milliseconds on the monotonic clock. Only {@link Accounts} and its helpers change it, on the
+ * thread that owns the accounts.
  */
 public final class OperationTimer {
     private static final int MAX_STEPS = 24;
@@ -49,8 +49,8 @@
     double maxOtherAttempts;
 
     /**
-     * The node at which the attempt is in flight, and the keys under which its units are
-     * outstanding; null if there is none.
+     * The activity of the node at which the attempt is in flight, and the keys under which its
+     * units are outstanding; null if no attempt is in flight or the node is not tracked.
      */
     NodeActivity attemptActivity;
 
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -7,8 +7,8 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * The figures of an account as plain values for storage. The names of the record components are
- * those of the stored file.
+ * The sums of an account as plain values for storage. The names of the record components are those
+ * of the stored file.
  */
 public record StoredAccounts(List<StoredVolume> volumes, List<StoredNode> nodes) {
     /** The windows of a volume. */
@@ -21,7 +21,7 @@
      * @param number the number of the window in its level
      * @param parts milliseconds by latency component
      * @param keys keys of causes
-     * @param sums four sums for each key
+     * @param sums the wait, its lower and upper bound, and the lost weight for each key
      * @param ends operations rejected, abandoned and cancelled
      * @param met operations by plan tier, as are the following components
      * @param times pairs of a duration in ticks and a count
@@ -135,7 +135,7 @@
     /**
      * Returns the account of these plain values.
      *
-     * @throws IllegalArgumentException if a figure is missing or out of range
+     * @throws IllegalArgumentException if a value is missing or out of range
      */
     public LatencyAccount toAccount() {
         LatencyAccount account = new LatencyAccount();
@@ -183,7 +183,7 @@
     private static double requireValidValue(double value) {
         if (!(value >= 0 && value < VALUE_LIMIT)) {
             throw new IllegalArgumentException(
-                    "figure " + value + " is out of range, expected 0 to less than " + VALUE_LIMIT);
+                    "value " + value + " is out of range, expected 0 to less than " + VALUE_LIMIT);
         }
         return value;
     }
@@ -236,7 +236,7 @@
     private static void copy(double[] from, double[] to) {
         if (from == null || from.length != to.length) {
             throw new IllegalArgumentException(
-                    "figures are missing or not " + to.length + " in number");
+                    "array of values is missing or does not have " + to.length + " elements");
         }
         for (int i = 0; i < to.length; i++) {
             to[i] = requireValidValue(from[i]);
@@ -246,7 +246,7 @@
     private static void copy(long[] from, long[] to) {
         if (from == null || from.length != to.length) {
             throw new IllegalArgumentException(
-                    "counts are missing or not " + to.length + " in number");
+                    "array of counts is missing or does not have " + to.length + " elements");
         }
         for (int i = 0; i < to.length; i++) {
             if (from[i] < 0) {
@@ -263,11 +263,11 @@
                 || keys.length > maxSize
                 || sums.length != CauseCharges.SUMS * keys.length) {
             throw new IllegalArgumentException(
-                    "causes are missing, more than "
+                    "keys or sums of causes are missing, there are more than "
                             + maxSize
-                            + ", or do not have "
+                            + " keys, or there are not "
                             + CauseCharges.SUMS
-                            + " sums each");
+                            + " sums for each key");
         }
         for (int i = 0; i < keys.length; i++) {
             if (!Cause.isValidKey(keys[i])) {
--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -13,8 +13,8 @@
 
     /**
      * Gives discovery time to work off its queue while many gateways retry. With the largest jitter
-     * (1.5 times this) it stays below the notification span, because a refused poll renews the
-     * lease.
+     * (1.5 times this) it stays below the notification span, so that refused polls keep renewing
+     * the lease.
      */
     private static final double MAX_BACKOFF_MILLIS = 3_000;
 
--- a/src/main/java/sagepulley/membership/EndpointRecord.java
+++ b/src/main/java/sagepulley/membership/EndpointRecord.java
@@ -23,7 +23,7 @@
     private static final int MAX_HOST_LENGTH = 255;
     private static final int MAX_PORT = 65_535;
 
-    /** Whether operations may be sent to a node. */
+    /** The phase of a node, which determines whether operations may be sent to it. */
     public enum Phase implements ExternalName {
         /** The node is no longer a member. */
         @JsonProperty("GONE")
--- a/src/main/java/sagepulley/membership/ListFreshness.java
+++ b/src/main/java/sagepulley/membership/ListFreshness.java
@@ -1,6 +1,6 @@
 package sagepulley.membership;
 
-/** How far an endpoint list is trusted, by the time since a directory last confirmed it. */
+/** The trust in an endpoint list, by the time since a directory last confirmed it. */
 public enum ListFreshness {
     /**
      * Nodes are used as listed; changes since the last confirmation are expected to arrive soon.
--- a/src/main/java/sagepulley/membership/Member.java
+++ b/src/main/java/sagepulley/membership/Member.java
@@ -279,7 +279,7 @@
                 && (freshness != ListFreshness.FRESH || isConfigured() || mayBeReady);
     }
 
-    // ---- the result ----
+    // ---- view ----
 
     /** Returns how the node is to be used now, and the reason. */
     Membership.MemberView view(double now, ListFreshness freshness, Membership.Policy policy) {
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -329,7 +329,7 @@
         return changed;
     }
 
-    // ---- the result ----
+    // ---- views ----
 
     /** Returns every known node in the order of ids, and how it is to be used now. */
     public List<MemberView> members(double now) {
--- a/src/main/java/sagepulley/membership/RecordSource.java
+++ b/src/main/java/sagepulley/membership/RecordSource.java
@@ -1,6 +1,6 @@
 package sagepulley.membership;
 
-/** Where an endpoint record came from. */
+/** The origin of an endpoint record. */
 public enum RecordSource {
     /** A directory, since this process started. */
     DIRECTORY,
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -19,8 +19,8 @@
  * creates a temporary file, syncs it to disk, rotates the earlier generations and renames the
  * temporary file into place.
  *
- * <p>A {@link SnapshotHeader} records kind, format, owner and age; a file that does not match its
- * header is rejected. Thread-safe.
+ * <p>A {@link SnapshotHeader} records kind, format, owner and time of writing; a file that does not
+ * match its header is rejected. Thread-safe.
  */
 public final class SnapshotFile {
     private static final long MAX_BODY_BYTES = 1L << 30;
--- a/src/main/java/sagepulley/placement/ExtentHolders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Caches which cell holds each extent, and tracks what waits to learn the holder of an extent. A
- * known holder stays until a node denies that it holds the extent.
+ * Caches which cell holds each extent, and keeps the waiters for unknown holders. A known holder
+ * stays until {@link #forget} discards it.
  *
  * <p>While a claim is pending, other operations on the extent wait for its result. As the directory
  * may not answer, the wait is limited, and the caller decides about waiters whose time has expired.
@@ -81,7 +81,7 @@
         return takeWaiters(key, extent);
     }
 
-    /** Discards the known holder of an extent, which proved to be wrong. */
+    /** Discards the known holder of an extent after a node reported that it lacks the extent. */
     public void forget(long key) {
         Extent<W> extent = extents.get(key);
         if (extent != null) {
--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -100,6 +100,7 @@
         return records;
     }
 
+    /** Returns the time of the batch in nanoseconds. */
     long clock() {
         return body.getLong(0);
     }
--- a/src/main/java/sagepulley/tracing/OperationTrace.java
+++ b/src/main/java/sagepulley/tracing/OperationTrace.java
@@ -36,7 +36,7 @@
         double sampleWeight,
         List<Step> steps,
         List<Attempt> attempts) {
-    /** A time spent in one latency component, at a node or at none (0). */
+    /** Time spent in one latency component, at a node or at none (0). */
     public record Step(LatencyComponent component, int node, double duration) {}
 
     /**
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -16,7 +16,7 @@
  * weight. Times are passed in as milliseconds. Not thread-safe.
  */
 public final class TailSampler {
-    /** Why an operation's trace is kept. */
+    /** The reasons for keeping an operation's trace. */
     public enum SampleReason implements ExternalName {
         /** The operation may or may not have been executed. */
         ABANDONED("scrapped", 0.2),
@@ -59,7 +59,10 @@
     /** Absolute step that moves the estimate away from zero. */
     private static final double MIN_QUANTILE_STEP_MILLIS = 0.01;
 
-    /** Until a traffic class has this many samples, its estimate is at least their maximum. */
+    /**
+     * Until a traffic class has this many samples, its estimate is at least the latest duration and
+     * no operation counts as slow.
+     */
     private static final int MIN_QUANTILE_SAMPLES = 200;
 
     private static final double MIN_RATE = 1e-9;
--- a/src/main/java/sagepulley/tracing/Tracer.java
+++ b/src/main/java/sagepulley/tracing/Tracer.java
@@ -86,7 +86,7 @@
         return recorded.sum();
     }
 
-    /** Returns the number of traces dropped since the start. */
+    /** Returns the number of traces dropped since the start because the queue was full. */
     public long dropped() {
         return dropped.sum();
     }
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -143,7 +143,8 @@
     void aSlowNodeIsDistinguishedFromANeighbour() {
         for (int i = 0; i < 50; i++) {
             for (int node = 1; node <= 4; node++) {
-                runServedOperation(accounts, 1, node, QuotaTier.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
+                runServedOperation(
+                        accounts, 1, node, QuotaTier.SHARE, 10 * i, 0, node == 4 ? 80 : 10, 0);
             }
         }
         OperationTimer neighbour = accounts.begin(9, TRAFFIC_CLASS, false, 3, 600);
@@ -220,7 +221,8 @@
             OperationTimer earlier = accounts.begin(3, TRAFFIC_CLASS, false, 1, 20 * i + 6);
             accounts.attemptSent(earlier, 1, QuotaTier.SHARE, 20 * i + 6);
             // The typical wait behind one unit is 5 ms; every twentieth takes 300 ms.
-            runServedOperation(accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
+            runServedOperation(
+                    accounts, 2, 1, QuotaTier.SHARE, 20 * i + 6, i % 20 == 19 ? 300 : 5, 5, 0);
             accounts.attemptAnswered(earlier, 0, 5, 0, 20 * i + 11);
             accounts.end(earlier, Accounts.End.SERVED, Reason.NONE, 1, 20 * i + 11);
         }
@@ -285,13 +287,15 @@
             bounded.end(timer, Accounts.End.ABANDONED, Reason.MAY_HAVE_EXECUTED, 1, at + 50);
         }
         assertTrue(bounded.volumes().size() <= 6, bounded.volumes().toString());
-        assertTrue(bounded.windowCount() <= 60, "windows " + bounded.windowCount());
+        assertTrue(
+                bounded.windowCount() <= 60,
+                "window count, expected at most 60: " + bounded.windowCount());
         assertTrue(bounded.report(0, 0, 10_000_000).causes().size() <= AccountWindow.MAX_CAUSES);
         long operations =
                 bounded.volumes().stream()
                         .mapToLong(volume -> bounded.report(volume, 0, 10_000_000).operations())
                         .sum();
-        assertEquals(100_000, operations, "merging keeps the sums");
+        assertEquals(100_000, operations, "merging must keep the number of operations");
     }
 
     @Test
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -288,6 +288,7 @@
             return HexFormat.of().formatHex(digest.digest());
         }
 
+        /** Adds a decision. The recorded digests depend on its text, which must not change. */
         private void addToDigest(String decision, double value) {
             String line = now + " " + decision + " " + value + "\n";
             digest.update(line.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -179,7 +179,7 @@
         assertEquals(
                 EndpointRecord.Phase.READY,
                 phase(membership, 3, START_MILLIS + 1),
-                "what a stale list omits is not removed");
+                "a stale list must not remove the nodes that it omits");
     }
 
     @Test
@@ -242,13 +242,17 @@
                 membership.disconnected(1, time);
             }
         }
-        assertTrue(probes >= 8 && probes <= 30, "probed " + probes + " times in five minutes");
+        assertTrue(
+                probes >= 8 && probes <= 30,
+                "probed " + probes + " times in five minutes, expected 8 to 30");
     }
 
     /**
      * Compares membership with a simple model over random lists, handshakes, disconnects, restarts
      * from disk and clock changes. A node that any source restricts must not be used, and none may
      * be used beyond the trust in its sources.
+     *
+     * <p>The last digit of a step selects the event; the other digits select a node and a value.
      */
     @Property(tries = 400, seed = "17")
     void membersAreUsedOnlyAsTheirSourcesPermit(
@@ -336,7 +340,8 @@
                 case 8 -> {
                     StoredEndpointList stored = membership.snapshot();
                     membership = newMembership();
-                    double clockChangeMillis = value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
+                    double clockChangeMillis =
+                            value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
                     now += clockChangeMillis;
                     membership.restore(stored, now);
                     hasWrongIdentity.clear();
--- a/src/test/java/sagepulley/persistence/SnapshotFileTest.java
+++ b/src/test/java/sagepulley/persistence/SnapshotFileTest.java
@@ -63,7 +63,7 @@
             String found = text(after);
             assertTrue(
                     found.equals("four") || (found.equals("three") && !completed),
-                    "killed at " + stopStep + ": " + found);
+                    "killed after step " + stopStep + ", found: " + found);
             assertTrue(after.rejected().isEmpty());
             // Writing works after a restart.
             SnapshotFile next = new SnapshotFile(directory.resolve("list"), "list", 3, "site", 2);
@@ -81,7 +81,7 @@
         for (int length = 0; length < intact.length; length++) {
             Files.write(tempDir.resolve("list"), Arrays.copyOf(intact, length));
             SnapshotFile.ReadResult result = open("site").read();
-            assertEquals("the first body", text(result), "cut to " + length);
+            assertEquals("the first body", text(result), "file truncated to length " + length);
             assertEquals(1, result.rejected().size());
         }
     }
@@ -101,7 +101,7 @@
                     found == null
                             || (Arrays.equals(found.body(), body("the first body"))
                                     && found.writtenAt() == 1),
-                    "bit " + bit);
+                    "flipped bit " + bit);
         }
     }
 
--- a/src/test/java/sagepulley/tracing/TailSamplerTest.java
+++ b/src/test/java/sagepulley/tracing/TailSamplerTest.java
@@ -38,7 +38,9 @@
                             : 0;
         }
         double maxKeptTraces = maxTracesPerSecond * (now / 1000) + 2 * maxTracesPerSecond + 5;
-        assertTrue(keptTraces <= maxKeptTraces, keptTraces + " kept, bound " + maxKeptTraces);
+        assertTrue(
+                keptTraces <= maxKeptTraces,
+                keptTraces + " traces kept, expected at most " + maxKeptTraces);
     }
 
     @Test
@@ -67,7 +69,9 @@
             totalWeight += weight;
             keptTraces += weight > 0 ? 1 : 0;
         }
-        assertTrue(keptTraces > 200 && keptTraces < 200 * 20, "kept " + keptTraces);
+        assertTrue(
+                keptTraces > 200 && keptTraces < 200 * 20,
+                "traces kept, expected 201 to 3999: " + keptTraces);
         assertEquals(operations, totalWeight, 0.2 * operations);
     }
 
@@ -88,7 +92,11 @@
                 }
             }
         }
-        assertTrue(keptSlowTraces >= 25, keptSlowTraces + " of 29 slow ones");
-        assertTrue(keptOtherTraces < 400, keptOtherTraces + " others");
+        assertTrue(
+                keptSlowTraces >= 25,
+                keptSlowTraces + " of 29 slow operations kept, expected at least 25");
+        assertTrue(
+                keptOtherTraces < 400,
+                keptOtherTraces + " other operations kept, expected fewer than 400");
     }
 }
