--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -151,7 +151,8 @@
 
     /** Returns the volume with an id; creates it under the given plan if it is not known. */
     public Volume volume(long id, int plan) {
-        return volumes.computeIfAbsent(id, newId -> new Volume(newId, deployment.plans().get(plan)));
+        return volumes.computeIfAbsent(
+                id, newId -> new Volume(newId, deployment.plans().get(plan)));
     }
 
     /** Returns the operation with an id; null if none is in flight. */
