--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -92,8 +92,8 @@
         Membership restored = restoredAfter(7 * DAY_MILLIS, endpoints);
         assertEquals(EndpointRecord.Phase.REMOVED, phase(restored, 1, now));
         List<Integer> probed = new ArrayList<>();
-        for (double at = now; at < now + 1_000; at += 10) {
-            probed.addAll(restored.takeProbes(at));
+        for (double time = now; time < now + 1_000; time += 10) {
+            probed.addAll(restored.takeProbes(time));
         }
         assertEquals(4, probed.size(), "at most four probes are in flight");
         restored.handshakeCompleted(
@@ -179,7 +179,7 @@
         assertEquals(
                 EndpointRecord.Phase.READY,
                 phase(membership, 3, START_MILLIS + 1),
-                "what a stale list omits is not removed");
+                "a stale list must not remove the nodes that it omits");
     }
 
     @Test
@@ -236,19 +236,23 @@
         Membership membership = newMembership();
         membership.addConfigured(List.of(ready(1)));
         int probes = 0;
-        for (double at = START_MILLIS; at < START_MILLIS + 300_000; at += 50) {
-            if (!membership.takeProbes(at).isEmpty()) {
+        for (double time = START_MILLIS; time < START_MILLIS + 300_000; time += 50) {
+            if (!membership.takeProbes(time).isEmpty()) {
                 probes++;
-                membership.disconnected(1, at);
+                membership.disconnected(1, time);
             }
         }
-        assertTrue(probes >= 8 && probes <= 30, "probed " + probes + " times in five minutes");
+        assertTrue(
+                probes >= 8 && probes <= 30,
+                "probed " + probes + " times in five minutes, expected 8 to 30");
     }
 
     /**
      * Compares membership with a simple model over random lists, handshakes, disconnects, restarts
      * from disk and clock changes. A node that any source restricts must not be used, and none may
      * be used beyond the trust in its sources.
+     *
+     * <p>The last digit of a step selects the event; the other digits select a node and a value.
      */
     @Property(tries = 400, seed = "17")
     void membersAreUsedOnlyAsTheirSourcesPermit(
@@ -336,8 +340,9 @@
                 case 8 -> {
                     StoredEndpointList stored = membership.snapshot();
                     membership = newMembership();
-                    double jump = value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
-                    now += jump;
+                    double clockChangeMillis =
+                            value % 4 == 0 ? -3 * DAY_MILLIS : value % 4 * DAY_MILLIS;
+                    now += clockChangeMillis;
                     membership.restore(stored, now);
                     hasWrongIdentity.clear();
                     connected.clear();
