--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Counts an operation that was rejected or abandoned. Operations given up because their
-     * endpoint is unhealthy are not a sign of overload and do not suppress retries.
+     * Counts an operation that was rejected or abandoned, unless its endpoint is unhealthy: an
+     * outage is not an overload and must not prevent retries elsewhere.
      */
     void onGivenUp(EndpointState endpoint, double now) {
         if (endpoint == null || outliers.isHealthy(endpoint, now)) {
@@ -146,8 +146,9 @@
     }
 
     /**
-     * Returns whether recent rejections for an endpoint exceed, by more than one, the ratio above
-     * which operations are not retried. A null endpoint stands for operations without one.
+     * Returns whether the recent rejections for an endpoint exceed the tolerated fraction of its
+     * arrivals by more than one, so that operations are not retried. A null endpoint stands for
+     * operations without one.
      */
     boolean exceedsRejectionRatio(EndpointState endpoint, double now) {
         ArrivalWindow window = arrivalWindow(endpoint);
@@ -161,8 +162,8 @@
 
     /**
      * Returns the delay after which the client of a rejected operation should retry, in
-     * milliseconds: the estimated time for the queue to drain, or the maximum for an unhealthy
-     * endpoint. Returns 0 if the deployment gives no retry advice.
+     * milliseconds: the estimated time for the queue to drain, limited to the maximum, or the
+     * maximum for an unhealthy endpoint. Returns 0 if the deployment gives no retry advice.
      */
     double retryAfter(EndpointState endpoint, double now) {
         if (!deployment.mayRetryAfter()) {
--- a/src/main/java/sagepulley/scheduler/AttemptTimeout.java
+++ b/src/main/java/sagepulley/scheduler/AttemptTimeout.java
@@ -11,8 +11,8 @@
  */
 final class AttemptTimeout {
     /**
-     * The extension of the timeout, as a fraction of the objective, for an operation that is
-     * already late or whose class values late responses.
+     * The extension of the timeout, as a fraction of the objective, for an operation whose
+     * objective has already ended or whose class values late responses.
      */
     private static final double GRACE_FRACTION = 0.5;
 
--- a/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
+++ b/src/main/java/sagepulley/scheduler/ClientRetryTracker.java
@@ -7,7 +7,7 @@
 
 /**
  * Recognises client retries of operations that were not served, so that a retry keeps the latency
- * objective of the first attempt. A retry addresses the same extent and has less time to its
+ * objective of the first request. A retry addresses the same extent and has less time to its
  * deadline than is usual for its traffic class.
  *
  * <p>An operation with an early deadline that matches no unserved operation gets a full latency
--- a/src/main/java/sagepulley/scheduler/DeadlineIndex.java
+++ b/src/main/java/sagepulley/scheduler/DeadlineIndex.java
@@ -73,7 +73,7 @@
 
         /**
          * Adds the operations whose end time is reached to the overdue ones, and passes on the
-         * first end time after now.
+         * first end time after now of an operation that is not overdue.
          */
         void collectOverdue(
                 NavigableSet<QueuedRequest> order,
--- a/src/main/java/sagepulley/scheduler/DispatchRules.java
+++ b/src/main/java/sagepulley/scheduler/DispatchRules.java
@@ -76,7 +76,8 @@
 
     /**
      * Returns whether an endpoint may get new attempts: the lease on the endpoint list holds, and
-     * the endpoint is neither draining nor removed.
+     * the endpoint is neither draining nor removed. Without the lease, it may be draining or
+     * removed although the cached list shows it as ready.
      */
     private boolean isUsable(Node node, double now) {
         return lease.holds(now) && node.phase == Node.Phase.READY;
--- a/src/main/java/sagepulley/scheduler/EndpointState.java
+++ b/src/main/java/sagepulley/scheduler/EndpointState.java
@@ -12,7 +12,7 @@
  * above it. Times are milliseconds.
  */
 final class EndpointState {
-    /** The maximum number of operations on one extent that are sent in a row. */
+    /** The number of operations on one extent that are sent in a row, ahead of others. */
     private static final int RUN_LENGTH = 4;
 
     private static final double PLACEMENTS_WINDOW_MILLIS = 10_000;
--- a/src/main/java/sagepulley/scheduler/EndpointTable.java
+++ b/src/main/java/sagepulley/scheduler/EndpointTable.java
@@ -117,7 +117,8 @@
      * not before that confirmation. Only recent starts are reported, so one that appears very old
      * counts as now.
      *
-     * <p>An unbounded lease and an unreported start, negative infinity, leave the value unchanged.
+     * <p>With an unbounded lease, or if no start is reported (negative infinity), the value is
+     * returned unchanged.
      */
     private double clampStart(double reported, double now) {
         if (!lease.isBounded() || reported == Double.NEGATIVE_INFINITY) {
--- a/src/main/java/sagepulley/scheduler/OutlierDetector.java
+++ b/src/main/java/sagepulley/scheduler/OutlierDetector.java
@@ -49,7 +49,8 @@
 
     /**
      * Returns whether an endpoint is ejected, or has attempts in flight and has not responded for
-     * too long. Otherwise requests a wake-up for when that time is over.
+     * too long. If it is responsive with attempts in flight, requests a wake-up for when that time
+     * is over.
      */
     boolean isUnresponsive(EndpointState endpoint, double now) {
         if (endpoint.ejected) {
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -24,7 +24,10 @@
      */
     private static final double MAX_OVERFLOW_MILLIS = 5_000;
 
-    /** The multiple of its proportional share above which the usage of a volume is a surge. */
+    /**
+     * The multiple of its proportional share above which the usage of a volume beyond its
+     * reservation is a surge.
+     */
     private static final double SURGE_FACTOR = 2.5;
 
     private static final double LIMIT_RECHECK_MILLIS = 20;
@@ -51,7 +54,7 @@
 
     /**
      * Returns the units that the volume may still send through this gateway under its rate limit,
-     * or infinity if it has none. Requests a wake-up, as the limit refills with time.
+     * or infinity if it has none. Requests a wake-up if it has one, as the limit refills with time.
      */
     double limitRemaining(Volume volume, double now) {
         double rate = volume.plan.limit();
@@ -81,8 +84,8 @@
     }
 
     /**
-     * Returns a volume's recent usage at an endpoint as a fraction of its proportional share, with
-     * half of the given units added.
+     * Returns a volume's recent usage beyond its reservation at an endpoint, with half of the given
+     * units added, as a fraction of its proportional share.
      */
     double proportionalShareUtilization(Volume volume, EndpointState endpoint, double units, double now) {
         double used = usedBeyondReservation(usage(volume, now), endpoint, units, now);
--- a/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
+++ b/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
@@ -110,7 +110,7 @@
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         Operation clientRetry = harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
-        assertTrue(harness.rejected.contains(clientRetry), "the objective of its first attempt has ended");
+        assertTrue(harness.rejected.contains(clientRetry), "the objective of the first request has ended");
     }
 
     @Test
