--- a/src/main/java/sagepulley/codec/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -3,7 +3,7 @@
 /**
  * Limits on the size of decoded values.
  *
- * @param maxArrayBytes maximum total size of the items of an array in bytes
+ * @param maxArrayBytes maximum total size of the bulk strings of an array in bytes
  * @param commandsOnly whether only arrays of bulk strings are accepted, as clients send them
  */
 public record RespLimits(
--- a/src/main/java/sagepulley/config/resp/ConfigException.java
+++ b/src/main/java/sagepulley/config/resp/ConfigException.java
@@ -1,6 +1,6 @@
 package sagepulley.config.resp;
 
-/** Thrown if the configuration is missing or invalid; the message is one line. */
+/** Thrown if the configuration is missing or cannot be used; the message is one line. */
 public class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryClient.java
@@ -125,8 +125,9 @@
     /**
      * Sends requests to a new address from now on.
      *
-     * <p>A watch that has received a list stays open at the former address until the new one has
-     * sent a list. Its lists are still reported, but not confirmed, and its end is not a failure.
+     * <p>A watch that has received a list stays open at the former address until a watch at the new
+     * address has received one. Its lists are still reported, but not confirmed, and its end is not
+     * a failure.
      *
      * @return whether the address has changed
      */
@@ -194,8 +195,8 @@
     }
 
     /**
-     * Makes a request that has received a list or a heartbeat the watch, and closes the other
-     * watches.
+     * Makes a request that has received a list or a heartbeat the watch. Closes the previous watch
+     * and all overdue requests.
      */
     private void promoteToWatch(DiscoveryRequest request) {
         if (watch != null && watch != request) {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -299,7 +299,8 @@
         if (receivedLists > listsBefore) {
             timing.onListStarted(receivedAt); // start of the next list, if any of it has arrived
         }
-        // Bytes of an incomplete list do not count as a heartbeat, even if it contains line ends.
+        // Bytes of an incomplete list do not count as a heartbeat, even if it contains line ends,
+        // so a list that arrives too slowly still reaches the idle timeout.
         if (isAnswered()
                 && hasLineEnd
                 && !valueDecoder.hasPartialValue()
--- a/src/main/java/sagepulley/frontend/resp/ClientConnection.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientConnection.java
@@ -44,7 +44,7 @@
         void onRequest(
                 ClientConnection connection, PendingReply pendingReply, List<byte[]> arguments);
 
-        /** Called when the client disconnects before its command has been replied to. */
+        /** Called when the connection has closed before a command in flight was replied to. */
         void onClientCancelled(PendingReply pendingReply);
 
         /** Called when the connection has closed. */
@@ -66,7 +66,7 @@
             this.connection = connection;
         }
 
-        /** Sets the reply, at most once, and writes all replies that are ready. */
+        /** Sets the reply and writes all replies that are ready. Must be called at most once. */
         void reply(ByteBuf bytes) {
             attachment = null;
             reply = bytes;
@@ -100,10 +100,7 @@
      */
     double unwritableSince = Double.POSITIVE_INFINITY;
 
-    /**
-     * Time at which the last pending reply of the draining connection was passed to the writer;
-     * infinite before that.
-     */
+    /** Time since which the draining connection has no pending replies; infinite before that. */
     double drainedSince = Double.POSITIVE_INFINITY;
 
     /** Whether a valid read or write, or a PING, has been received. */
--- a/src/main/java/sagepulley/frontend/resp/ClientListener.java
+++ b/src/main/java/sagepulley/frontend/resp/ClientListener.java
@@ -38,7 +38,7 @@
     /** Maximum wait for the first command, or for further bytes of a partial command. */
     private static final double READ_TIMEOUT_MILLIS = 2_000;
 
-    /** Time that a new connection has to send its first command before it may be drained. */
+    /** Time within which a new client is expected to send its first command. */
     private static final double FIRST_COMMAND_GRACE_MILLIS = 100;
 
     private static final double WRITE_TIMEOUT_MILLIS = 5_000;
@@ -150,8 +150,9 @@
     }
 
     /**
-     * Returns whether another connection can be accepted. At the limit, drains an idle connection.
-     * Also closes the oldest of the drained connections if too many linger for their client's FIN.
+     * Returns whether another connection can be accepted. At the limit, drains an idle connection
+     * to make room, and closes the oldest of the drained connections if too many of them linger for
+     * their client's FIN.
      */
     private boolean ensureCapacity() {
         ClientConnection oldestLingering = null;
--- a/src/main/java/sagepulley/frontend/resp/RespGateway.java
+++ b/src/main/java/sagepulley/frontend/resp/RespGateway.java
@@ -300,9 +300,10 @@
     }
 
     /**
-     * Records that a new configuration was notified at the given time. A bounded lease of the
-     * endpoint list ends at most a few seconds after that time, and is not renewed before the
-     * configuration has been read.
+     * Records that a new configuration was notified at the given time. A few seconds after that
+     * time, changes at discovery count as notified. A bounded lease of the endpoint list therefore
+     * ends at most one drain grace later, and is not renewed before the configuration has been read
+     * or found invalid.
      */
     public void onReloadNotified(double notifiedAt) {
         loop.execute(
--- a/src/main/java/sagepulley/transport/KernelReceiveTime.java
+++ b/src/main/java/sagepulley/transport/KernelReceiveTime.java
@@ -19,8 +19,8 @@
     private final EpollTcpInfo info = new EpollTcpInfo();
 
     /**
-     * Returns the time since the last bytes arrived, between 0 and the maximum; 0 if the kernel
-     * provides none.
+     * Returns the milliseconds since the last bytes arrived, between 0 and the maximum; 0 if the
+     * kernel provides no time.
      */
     public double millisSinceReceived(Channel channel, double maxMillis) {
         if (!(channel instanceof EpollSocketChannel socket)) {
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -308,7 +308,7 @@
 
     /**
      * Restarts the stall timeout at each read of an incomplete reply. A slow reply may still
-     * complete; one that pauses for longer usually does not.
+     * complete; one that pauses for longer than the timeout usually does not.
      */
     private void restartStallTimeout() {
         if (stallTask != null) {
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -26,7 +26,7 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Keys of settings are part of the file formats: each committed file sets every key to a value
+ * Keys of settings are part of the file formats: each key in the committed files has a value
  * other than its default, and the result is compared as a whole.
  */
 class SettingNamesTest {
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -36,7 +36,7 @@
         void respond(List<String> arguments, Connection connection) throws IOException;
     }
 
-    /** A connection between a test and a peer, or a peer and the gateway. */
+    /** The side of a connection that a test or a scripted peer controls. */
     public static final class Connection {
         public final Socket socket;
         public final InputStream input;
