--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void moveOpensAWatchAtTheNewAddressWithoutReportingAFailure() throws Exception {
+    void watchOpensAtTheNewAddressAfterAMoveWithoutReportingAFailure() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
