--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void connectionWithoutACompleteCommandIsClosed() throws Exception {
+    void connectionWithoutACompleteCommandIsClosedAndOthersStayOpen() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection activeClient = peers.connectClient();
             activeClient.sendCommand(ScriptedPeers.readCommand(1));
