--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -36,7 +36,7 @@
         void respond(List<String> arguments, Connection connection) throws IOException;
     }
 
-    /** A connection between a test and a peer, or a peer and the gateway. */
+    /** The side of a connection that a test or a scripted peer controls. */
     public static final class Connection {
         public final Socket socket;
         public final InputStream input;
@@ -68,7 +68,7 @@
 
         /**
          * Reads an HTTP request and returns its first line; null if the stream ends before the
-         * request.
+         * request is complete.
          */
         public String readRequestLine() throws IOException {
             String request = readLine();
@@ -95,7 +95,7 @@
 
         /**
          * Reads a reply and returns its first line, followed by a blank and the value of a bulk
-         * string.
+         * string; null at the end of the stream.
          */
         public String readReply() throws IOException {
             String head = readLine();
