--- a/src/main/java/sagepulley/codec/nbd/NbdRequest.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdRequest.java
@@ -7,7 +7,8 @@
  * are validated. Offset and length are unsigned. The payload is owned by the receiver of the
  * request and is empty except for writes.
  *
- * @param admitted the bytes that the admission gate counted for the request
+ * @param admitted the bytes that the admission gate counted for the request; 0 if the payload was
+ *     too long and was skipped
  */
 public record NbdRequest(
         int flags,
--- a/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
+++ b/src/main/java/sagepulley/discovery/directory/DirectoryClient.java
@@ -133,7 +133,7 @@
 
     /**
      * Claims an extent for a cell. The result is the cell that holds the extent, which is another
-     * one if it was claimed earlier.
+     * cell if the extent was claimed for that one first.
      */
     public void claim(int volume, long extent, int cell, ResultHandler<Integer> result) {
         long id = ++lastCallId;
--- a/src/main/java/sagepulley/frontend/nbd/Counters.java
+++ b/src/main/java/sagepulley/frontend/nbd/Counters.java
@@ -28,7 +28,7 @@
     /** Attempts that ended with the outcome NOT_EXECUTED. */
     public final LongAdder notExecuted = new LongAdder();
 
-    /** Operations on extents without a holder, which need no node. */
+    /** Operations that needed no node because their extent has no holder. */
     public final LongAdder holes = new LongAdder();
 
     /** Client connections accepted. */
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -154,8 +154,8 @@
     // ---- locating parts ----
 
     /**
-     * Finds the holder of a part's extent. The listener is called at once if no answer of the
-     * directory is needed, and later otherwise.
+     * Finds the holder of a part's extent. The listener is called at once, or later if the part has
+     * to wait for the directory.
      */
     void locate(RequestPart part) {
         long key = part.operation.extent;
@@ -351,8 +351,8 @@
     void claim(RequestPart part, Attempt attempt, Consumer<Integer> result) {
         long key = part.operation.extent;
         holders.claimStarted(key);
-        // Holds back other first writes to the extent until the claim ends, because claims for
-        // other cells would fail.
+        // Holds back other first writes to the extent until the claim ends, because a claim for
+        // another cell would lose against it.
         rerouteFirstWrites(key, UNKNOWN_SHARD);
         directory.claim(
                 part.request.volume.settings.id(),
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -292,7 +292,7 @@
         return engine.accountReports().totals();
     }
 
-    /** Returns the number of traces exported since the start; 0 if tracing is disabled. */
+    /** Returns the number of traces recorded since the start; 0 if tracing is disabled. */
     public long tracesRecorded() {
         return tracer == null ? 0 : tracer.recorded();
     }
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -155,7 +155,7 @@
         double now = clock.now();
         locator.releaseExpired(now);
         SchedulerTurn turn = scheduler.nextTurn(now);
-        // Once no operation gets a decision, another turn at the same time would change nothing.
+        // Once every due operation waits, another turn at the same time would change nothing.
         while (applyTurn(turn, now)) {
             turn = scheduler.nextTurn(now);
         }
--- a/src/main/java/sagepulley/frontend/nbd/RequestPart.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestPart.java
@@ -54,8 +54,8 @@
     long writesBeforeFlush;
 
     /**
-     * For a flush: the start time of the node incarnation that acknowledged the writes; 0
-     * otherwise.
+     * For a flush: the start time of the node incarnation that acknowledged the writes, which the
+     * node must still have; 0 otherwise.
      */
     long expectedNodeStart;
 
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -262,7 +262,8 @@
             fixture.cluster.directory().setUnresponsive(true);
             NbdGateway second = new NbdGateway(SiteConfig.read("second", fixture.site(1, 2)), 5);
             CompletableFuture<NbdGateway> ready = second.start();
-            Thread.sleep(300); // lets the unresponsive directory receive the call
+            // Lets the unresponsive directory receive the call; the assertions hold without it.
+            Thread.sleep(300);
             assertTrue(!ready.isDone());
             fixture.cluster.directory().setUnresponsive(false);
             NbdTestFixture.await(ready);
