--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -30,7 +30,7 @@
      */
     public record ClockOffset(String gateway, @JsonProperty("ahead") double offsetMillis) {}
 
-    /** The merged account and the clock offsets that were applied. */
+    /** The merged account and the clock offsets; an unknown offset was applied as 0. */
     public record Merged(LatencyAccount account, List<ClockOffset> clocks) {}
 
     /** Load further than this from the time of a wait is not attributed to it. */
@@ -75,7 +75,7 @@
 
     /**
      * Returns the median offset over versions in common with the first gateway, or the sum of two
-     * offsets through an intermediate gateway.
+     * offsets through an intermediate gateway; NaN if there is neither.
      */
     private static double clockOffset(List<GatewayAccount> accounts, GatewayAccount member) {
         GatewayAccount first = accounts.get(0);
--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -29,7 +29,7 @@
     /** Maximum time between the first polls of two consecutive gateways. */
     private static final double MAX_STAGGER_MILLIS = 250;
 
-    /** The first polls of all gateways are spread over this fraction of the poll interval. */
+    /** The first polls of all gateways are spread over at most this part of the poll interval. */
     private static final double FIRST_POLL_SPREAD_FRACTION = 0.8;
 
     private static final double MAX_FIRST_POLL_SPREAD_MILLIS = 2_500;
@@ -77,7 +77,10 @@
         }
     }
 
-    /** Records that a poll failed or the watch ended, and schedules a retry after the backoff. */
+    /**
+     * Records that a poll failed or the watch ended, and schedules a retry after the backoff if the
+     * deployment has to poll.
+     */
     public void pollFailed(double now) {
         if (deployment.mustPoll()) {
             nextAt = now + backoff * (MIN_JITTER_FACTOR + random.nextDouble());
--- a/src/main/java/sagepulley/membership/Member.java
+++ b/src/main/java/sagepulley/membership/Member.java
@@ -23,7 +23,7 @@
     private EndpointRecord endpoint;
     private RecordSource source;
 
-    /** Whether the latest update of the directory that has the node lists it as ready. */
+    /** Whether the directory lists the node as ready. A stale update can only clear this. */
     private boolean listedReady;
 
     /** Whether the node announced that it is draining. */
@@ -265,7 +265,8 @@
 
     /**
      * Returns whether the node should be probed now: it is excluded, or it is unverified and the
-     * list alone does not suffice to use it.
+     * list alone does not suffice to use it. A node that is removed, connected, being probed or
+     * whose next probe is not due yet is not probed.
      */
     boolean needsProbe(double now, ListFreshness freshness, Membership.Policy policy) {
         if (probing || connected || now < nextProbeAt || endpoint.isRemoved()) {
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -55,7 +55,7 @@
          * rerouted.
          */
         REROUTE,
-        /** Another node or cell answered: nothing may be sent there. */
+        /** Another node or cell answered, or the node is not known: nothing may be sent there. */
         WRONG_NODE
     }
 
--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Returns the newest valid accounts of any gateway without changing any file.
+     * Returns the accounts in the newest valid snapshot, of any gateway, without changing any file.
      *
-     * @throws IOException if there are no valid accounts
+     * @throws IOException if there is no valid snapshot or the newest one has no valid accounts
      */
     public static Loaded inspect(Path file) throws IOException {
         SnapshotFile.ReadResult result =
--- a/src/main/java/sagepulley/persistence/EndpointListFile.java
+++ b/src/main/java/sagepulley/persistence/EndpointListFile.java
@@ -21,7 +21,8 @@
     /**
      * The result of reading all generations.
      *
-     * @param list the newest valid list; null if there is none
+     * @param list the list in the newest valid snapshot; null if there is no such snapshot or its
+     *     list is invalid
      * @param file the newest valid snapshot, or the configured path if there is none
      * @param writtenAt time of the write in wall-clock milliseconds; 0 if there is no list
      * @param rejected invalid files, with the reasons
--- a/src/main/java/sagepulley/persistence/GatewayAccounts.java
+++ b/src/main/java/sagepulley/persistence/GatewayAccounts.java
@@ -18,7 +18,7 @@
         @JsonProperty("names") Map<Long, String> volumeNames,
         @JsonProperty("told") Map<Long, Double> versionNotifiedAt,
         @JsonProperty("kept") StoredAccounts accounts) {
-    /** Returns whether no property was missing in the file. */
+    /** Returns whether no property except writtenAt, which defaults to 0, is missing. */
     boolean isComplete() {
         return gateway != null
                 && volumeNames != null
--- a/src/main/java/sagepulley/persistence/HolderFile.java
+++ b/src/main/java/sagepulley/persistence/HolderFile.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Returns the newest valid holders by volume id, or an empty map if there are none. Logs
-     * invalid files and sets them aside.
+     * Returns the holders in the newest valid snapshot by volume id, or an empty map if there is no
+     * such snapshot or its holders are invalid. Logs invalid files and sets them aside.
      */
     public Map<Integer, int[]> load() {
         SnapshotFile.ReadResult result = snapshots.read();
--- a/src/main/java/sagepulley/persistence/PeriodicWriter.java
+++ b/src/main/java/sagepulley/persistence/PeriodicWriter.java
@@ -24,7 +24,9 @@
         void write(T value) throws IOException;
     }
 
+    /** Limits the wait for a value from the source, and for the final write at close. */
     private static final long WRITE_TIMEOUT_SECONDS = 10;
+
     private static final Logger LOG = LoggerFactory.getLogger(PeriodicWriter.class);
 
     private final String name;
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -170,7 +170,10 @@
 
     // ---- reading ----
 
-    /** Reads all generations and selects the newest valid one, without changing any file. */
+    /**
+     * Reads all generations and the temporary file of an unfinished write, and selects the newest
+     * valid snapshot. Changes no file.
+     */
     public synchronized ReadResult read() {
         List<Rejected> rejected = new ArrayList<>();
         Snapshot newest = null;
--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -33,7 +33,11 @@
         this.in = in;
     }
 
-    /** Reads the next batch. Returns false at the end of the input. */
+    /**
+     * Reads the next batch. Returns false if the input ends before it.
+     *
+     * @throws MalformedFrameException if the input ends within the batch or its length is wrong
+     */
     boolean read() throws IOException {
         int received = in.readNBytes(header, 0, HEADER_BYTES);
         if (received == 0) {
