--- a/src/test/java/sagepulley/persistence/AccountFileTest.java
+++ b/src/test/java/sagepulley/persistence/AccountFileTest.java
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void undecodableBodiesAreRejected() throws IOException {
+    void bodiesWithoutAccountsAreRejected() throws IOException {
         Path path = tempDir.resolve("accounts");
         for (String body : new String[] {"", "not CBOR at all", "\u00a0", "\u00f6"}) {
             new SnapshotFile(path, "accounts", 1, "gw", 1)
