--- a/src/jmh/java/sagepulley/bench/SchedulerBench.java
+++ b/src/jmh/java/sagepulley/bench/SchedulerBench.java
@@ -50,7 +50,7 @@
     @Param({"8", "48"})
     int nodeCount;
 
-    /** Number of operations waiting throughout; 0 selects arrivals at 60 % of the capacity. */
+    /** Operations waiting or in flight throughout; 0 selects arrivals at 60 % of the capacity. */
     @Param({"0", "2000", "12000"})
     int held;
 
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import sagepulley.faultinjection.SoakRun;
 
-/** Runs randomized fault-injection tests, each reproducible from its seed. */
+/** Runs fault-injection tests whose faults follow from a seed. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
--- a/src/main/java/sagepulley/cli/TopCommand.java
+++ b/src/main/java/sagepulley/cli/TopCommand.java
@@ -15,8 +15,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Shows a running gateway's volumes, ordered by utility lost, and its nodes in the terminal, "
-                        + "from its accounts of the last ten minutes ([watch] listen).")
+                "Shows a running gateway's volumes, most utility lost first, and its nodes in the "
+                        + "terminal, from its accounts of the last ten minutes ([watch] listen).")
 final class TopCommand implements Callable<Integer> {
     private static final String CLEAR_SCREEN = "\u001b[H\u001b[2J";
     private static final double MILLIS_PER_SECOND = 1000;
--- a/src/main/java/sagepulley/cli/TopScreen.java
+++ b/src/main/java/sagepulley/cli/TopScreen.java
@@ -8,7 +8,7 @@
 import sagepulley.accounts.LatencyReport;
 import sagepulley.monitoring.MonitoringServer;
 
-/** Renders a screen of the top command: volumes ordered by utility lost, then nodes. */
+/** Renders a screen of the top command: volumes, most utility lost first, then nodes. */
 final class TopScreen {
     private final MonitoringServer.View view;
     private final int maxRows;
--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -21,7 +21,7 @@
     /** Allowance for scheduling delays between two threads of this program on a busy machine. */
     private static final long SLACK_MILLIS = 150;
 
-    /** A request sent this long after SIGTERM counts as lost if SIGKILL finds it unanswered. */
+    /** A request sent at least this long after SIGTERM is lost if SIGKILL finds it unanswered. */
     private static final long MIN_STOP_NOTICE_MILLIS = 700;
 
     /**
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -60,7 +60,7 @@
 
     final EndpointHistory endpoints = new EndpointHistory();
 
-    /** Behaviour of calls that arrive from now on. */
+    /** Behaviour of calls that arrive from now on, and of later list writes to open watches. */
     volatile DiscoveryBehaviour behaviour = DiscoveryBehaviour.HEALTHY;
 
     /** Open watches get neither changes nor heartbeats while this is set. */
--- a/src/main/java/sagepulley/faultinjection/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -99,7 +99,8 @@
         }
 
         /**
-         * Returns whether the process was notified by a given time that the endpoint serves again.
+         * Returns whether the process was notified by a given time, plus SLACK_MILLIS, that the
+         * endpoint serves again.
          */
         boolean isNotifiedOfServingAgain(
                 List<EndpointHistory.Change> changes, EndpointHistory.Change from, long until) {
--- a/src/main/java/sagepulley/faultinjection/GatewayProcess.java
+++ b/src/main/java/sagepulley/faultinjection/GatewayProcess.java
@@ -26,8 +26,8 @@
     private final Process process;
 
     /**
-     * Starts the process. The launcher is a command that is put before the java command and
-     * executes it; it may be empty.
+     * Starts the process. The launcher is a command that is put before the java command; it may be
+     * empty. It must replace itself by the java command (exec), because signals go to its process.
      */
     GatewayProcess(
             int number,
--- a/src/main/java/sagepulley/faultinjection/SoakActions.java
+++ b/src/main/java/sagepulley/faultinjection/SoakActions.java
@@ -4,7 +4,7 @@
 
 /** The actions that a soak run's plan can perform on a fleet. */
 interface SoakActions {
-    /** Changes how discovery answers calls, and optionally resets open watches. */
+    /** Changes how discovery answers calls, and optionally resets all open connections. */
     void setDiscoveryBehaviour(DiscoveryBehaviour behaviour, boolean resetWatches);
 
     /** Sets whether open watches stay silent. */
--- a/src/main/java/sagepulley/faultinjection/SoakPlan.java
+++ b/src/main/java/sagepulley/faultinjection/SoakPlan.java
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Draws the events in order of time.
+     * Draws the events and returns them in a queue ordered by time.
      *
      * @param wallClockMoves whether the plan may change the wall clock
      */
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -76,7 +76,7 @@
         setLauncher("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
     }
 
-    /** Sets a command that launches the gateway processes started from now on. */
+    /** Sets a command that launches, by exec, the gateway processes started from now on. */
     void setLauncher(String... command) {
         launcher.clear();
         launcher.addAll(List.of(command));
--- a/src/main/java/sagepulley/scenario/Evidence.java
+++ b/src/main/java/sagepulley/scenario/Evidence.java
@@ -36,7 +36,7 @@
     /**
      * Indexes the recorded traffic of a run.
      *
-     * @param stallMillis the longest stall of the test process during the run
+     * @param stallMillis the stalls of the run, see {@link StallDetector#worstStallMillis}
      */
     Evidence(SocketEventLog log, SiteConfig site, List<NodeProfile> profiles, double stallMillis) {
         this.log = log;
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -29,7 +29,7 @@
     /**
      * Creates a checker for a finished run.
      *
-     * @param stallMillis the longest stall of the test process during the run
+     * @param stallMillis the stalls of the run, see {@link StallDetector#worstStallMillis}
      */
     public RuleChecker(
             SocketEventLog eventLog,
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -40,7 +40,7 @@
      * @param unmetExpectations descriptions of the expectations that were not met
      * @param requests the number of requests that clients sent
      * @param attempts the number of attempts that reached a node
-     * @param stallMillis the longest stall of the test process, in milliseconds
+     * @param stallMillis the stalls of the run, see {@link StallDetector#worstStallMillis}
      */
     public record Result(
             @JsonProperty("day") String scenario,
@@ -50,7 +50,7 @@
             long requests,
             long attempts,
             @JsonProperty("stoodStill") double stallMillis) {
-        /** Returns whether every rule was satisfied and every expectation met. */
+        /** Returns whether every verdict is satisfied and every expectation was met. */
         public boolean passed() {
             return unmetExpectations.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
         }
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -18,7 +18,7 @@
     private static final double TICK_MILLIS = 5;
     private static final double EXPECTED_DELAY_MILLIS = 2;
 
-    /** Stalls further apart than this are not added up. */
+    /** The checked delays are shorter than this, so stalls further apart are not added up. */
     private static final double WINDOW_MILLIS = 3_000;
 
     /** A late tick; its time is System.nanoTime in milliseconds. */
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Returns the longest total stall within three seconds, in milliseconds, summed over the
-     * process thread and all event loops measured.
+     * Returns the sum, over this detector's thread and all event loops measured, of the largest
+     * total stall of each within any three seconds, in milliseconds.
      */
     public double worstStallMillis() {
         return sources.stream().mapToDouble(TickSource::worstStallMillis).sum();
--- a/src/main/java/sagepulley/standin/NodeProfile.java
+++ b/src/main/java/sagepulley/standin/NodeProfile.java
@@ -21,7 +21,7 @@
  * @param overloadWindowMillis window over which that load is measured
  * @param slowStartUnits units per window that the node sustains in any case
  * @param deferredShare share of each write's cost that is deferred, 0 to 1
- * @param deferIntervalMillis interval at which the deferred work is done at once
+ * @param deferIntervalMillis interval at which all deferred work is done in one step
  * @param dataFolder folder of the data files; null to keep data in memory
  */
 public record NodeProfile(
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Loses unflushed writes, then listens again at the same address, at the beginning of its slow
-     * start.
+     * Loses the unflushed writes of data in memory, then listens again at the same address, at the
+     * beginning of its slow start. Data in files is kept.
      */
     public CompletableFuture<StandInNode> failPower() {
         InetSocketAddress at = address();
--- a/src/main/java/sagepulley/standin/TrafficRecorder.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -17,7 +17,11 @@
     /** Records the execution of an operation, just before its effect is applied. */
     default void operationExecuted(int node, long gateway, StoreMessages.Send send, long nanos) {}
 
-    /** Records an answer that was passed to the socket, or suppressed by a fault (lost). */
+    /**
+     * Records the answer to an attempt, also if the gateway's connection has ended.
+     *
+     * @param lost whether a fault suppressed the answer
+     */
     default void attemptAnswered(
             int node,
             long gateway,
@@ -31,7 +35,7 @@
     default void attemptCancelled(int node, long gateway, long operationId, int attemptNumber, long nanos) {}
 
     /**
-     * Records that a node serves after a start.
+     * Records that a node began to serve after a start.
      *
      * @param unitsPerSecond the warm capacity; NaN if the node started warm
      */
--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -26,7 +26,7 @@
 
     private static final int IDLE_CLIENTS = 150;
 
-    /** Exceeds the 6 s until notified plus the drain grace of 1 s. */
+    /** Covers the 6 s until notified, the drain grace of 1 s, and some seconds of sending. */
     private static final long OBSERVED_MILLIS = 12_000;
 
     @TempDir Path folder;
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -26,7 +26,7 @@
     private static final long HOUR_MILLIS = 3_600_000;
     private static final long MAX_RELOAD_SECONDS = 5;
 
-    /** Exceeds the 4 s of a reload plus the drain grace of 1 s. */
+    /** Covers the 4 s of a reload, the drain grace of 1 s, and some seconds of sending. */
     private static final long OBSERVED_MILLIS = 10_000;
 
     @TempDir Path folder;
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Guards against sends to drained endpoints while discovery is reachable but does not deliver its
- * list. The gateway counts as notified 6 s after discovery has the change.
+ * list. The gateway counts as notified at the latest 6 s after discovery has the change.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
@@ -22,7 +22,7 @@
 
     @TempDir Path folder;
 
-    static Stream<Arguments> unansweringDiscoveries() {
+    static Stream<Arguments> discoveriesWithoutList() {
         return Stream.of(
                 Arguments.of("rejects every call", DiscoveryBehaviour.rejecting()),
                 Arguments.of("accepts calls without answering them", DiscoveryBehaviour.unresponsive()),
@@ -31,9 +31,9 @@
                         DiscoveryBehaviour.oneAtATime(60_000, 2_000, 100)));
     }
 
-    /** A process killed and started again, none of whose discovery calls is answered. */
+    /** A process killed and started again, none of whose discovery calls gets a list. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("unansweringDiscoveries")
+    @MethodSource("discoveriesWithoutList")
     void restartedProcessWithoutListSendsNothingToDrainedEndpoint(
             String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
@@ -48,9 +48,9 @@
         }
     }
 
-    /** A process that had a list and lost its watch, and whose later calls are not answered. */
+    /** A process that had a list and lost its watch, and whose later calls get no list. */
     @ParameterizedTest(name = "{0}")
-    @MethodSource("unansweringDiscoveries")
+    @MethodSource("discoveriesWithoutList")
     void processWithLostWatchSendsNothingToDrainedEndpoint(
             String description, DiscoveryBehaviour behaviour) throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
