--- a/src/main/java/sagepulley/accounts/LatencyComponent.java
+++ b/src/main/java/sagepulley/accounts/LatencyComponent.java
@@ -16,9 +16,7 @@
      */
     @JsonProperty("RESERVE_FULL")
     RESERVATION_FULL("reserve_full"),
-    /**
-     * Wait at this gateway: the node's concurrency limit is reached, inside the tenant's share.
-     */
+    /** Wait at this gateway: the node's concurrency limit is reached, inside the tenant's share. */
     SHARE_FULL("share_full"),
     /** Wait at this gateway: the node's concurrency limit is reached, in excess of the share. */
     @JsonProperty("BEYOND_SHARE")
--- a/src/main/java/sagepulley/accounts/Timeline.java
+++ b/src/main/java/sagepulley/accounts/Timeline.java
@@ -101,8 +101,7 @@
         for (int coarserLevel = level + 1; coarserLevel < LEVELS; coarserLevel++) {
             long number = windowNumber(coarserLevel, oldest.getKey() * WINDOW_MILLIS[level]);
             if (levels[coarserLevel].isEmpty()
-                    || number
-                            > levels[coarserLevel].lastKey() - MAX_AGE_WINDOWS[coarserLevel]) {
+                    || number > levels[coarserLevel].lastKey() - MAX_AGE_WINDOWS[coarserLevel]) {
                 windowAt(coarserLevel, number).add(oldest.getValue());
                 return;
             }
--- a/src/main/java/sagepulley/cli/DemoCommand.java
+++ b/src/main/java/sagepulley/cli/DemoCommand.java
@@ -24,8 +24,7 @@
             names = "--nbd-port",
             defaultValue = "10809",
             paramLabel = "PORT",
-            description =
-                    "port for NBD clients; 0 picks a free port (default: ${DEFAULT-VALUE})")
+            description = "port for NBD clients; 0 picks a free port (default: ${DEFAULT-VALUE})")
     private int port;
 
     @Option(
--- a/src/main/java/sagepulley/cli/DrillCommand.java
+++ b/src/main/java/sagepulley/cli/DrillCommand.java
@@ -36,8 +36,7 @@
     @Option(
             names = "--accounts",
             paramLabel = "FOLDER",
-            description =
-                    "writes the gateways' latency accounts there at the end, for 'report'")
+            description = "writes the gateways' latency accounts there at the end, for 'report'")
     private Path accountsFolder;
 
     @Override
--- a/src/main/java/sagepulley/cli/ListFileCommand.java
+++ b/src/main/java/sagepulley/cli/ListFileCommand.java
@@ -209,11 +209,7 @@
                     EndpointRecord entry = parseEntry(i + 1, csvLines.get(i));
                     if (!nodes.add(entry.node())) {
                         throw new IOException(
-                                csv
-                                        + ":"
-                                        + (i + 1)
-                                        + ": duplicate node "
-                                        + entry.node());
+                                csv + ":" + (i + 1) + ": duplicate node " + entry.node());
                     }
                     endpoints.add(
                             new StoredEndpointList.StoredEndpoint(
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -58,8 +58,7 @@
                         + "| of all extents |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (ColdStartExperiment.NodeChange nodeChange : ColdStartExperiment.NodeChange.values()) {
-            int changed =
-                    nodeChange == ColdStartExperiment.NodeChange.NOTHING ? 0 : HALF_OF_NODES;
+            int changed = nodeChange == ColdStartExperiment.NodeChange.NOTHING ? 0 : HALF_OF_NODES;
             for (double age : LIST_AGES_HOURS) {
                 print(
                         experiment.run(
--- a/src/main/java/sagepulley/codec/frame/FrameEncoder.java
+++ b/src/main/java/sagepulley/codec/frame/FrameEncoder.java
@@ -21,7 +21,8 @@
                                 Frame.PREFIX_BYTES
                                         + headLength
                                         + (hasPayload ? 0 : Frame.SUFFIX_BYTES));
-        prefixAndHead.writeShort(Frame.MAGIC)
+        prefixAndHead
+                .writeShort(Frame.MAGIC)
                 .writeByte(Frame.VERSION)
                 .writeByte(frame.type())
                 .writeInt(headLength)
--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -12,9 +12,9 @@
  * Decodes RESP2 strictly.
  *
  * <p>A length over its limit is an error as soon as it is read, and bulk strings are allocated only
- * once their bytes have arrived. The first error is reported once, as a
- * {@link CorruptedFrameException}; all later input is dropped. The exception messages are sent to
- * clients, so they contain numbers but no text from the input.
+ * once their bytes have arrived. The first error is reported once, as a {@link
+ * CorruptedFrameException}; all later input is dropped. The exception messages are sent to clients,
+ * so they contain numbers but no text from the input.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
     private static final int NO_BULK = -1;
--- a/src/main/java/sagepulley/codec/resp/RespLimits.java
+++ b/src/main/java/sagepulley/codec/resp/RespLimits.java
@@ -12,12 +12,14 @@
     public static final int MAX_VALUE_BYTES = 65_536;
 
     /** Returns limits for input from clients. */
-    public static RespLimits commands(int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
+    public static RespLimits commands(
+            int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
         return new RespLimits(maxLineBytes, maxBulkBytes, maxArrayBytes, maxItems, true);
     }
 
     /** Returns limits for input from servers. */
-    public static RespLimits replies(int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
+    public static RespLimits replies(
+            int maxLineBytes, int maxBulkBytes, int maxArrayBytes, int maxItems) {
         return new RespLimits(maxLineBytes, maxBulkBytes, maxArrayBytes, maxItems, false);
     }
 }
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -67,8 +67,10 @@
     private ScheduledFuture<?> timeoutTask;
     private long receivedBytes;
     private int receivedLists;
+
     /** Whether the status received last is informational (1xx), so that a final one follows. */
     private boolean isInformational;
+
     private State state = State.WAITING;
     private Role role = Role.CURRENT;
 
@@ -125,7 +127,8 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel newChannel) {
-                newChannel.pipeline()
+                newChannel
+                        .pipeline()
                         .addLast(
                                 new HttpClientCodec(),
                                 DiscoveryRequest.this,
@@ -290,7 +293,9 @@
         boolean hasLineEnd =
                 content.indexOf(content.readerIndex(), content.writerIndex(), (byte) '\n') >= 0;
         double receivedAt =
-                now - receiveTime.millisSinceReceived(channel, (double) timeouts.idleTimeoutMillis());
+                now
+                        - receiveTime.millisSinceReceived(
+                                channel, (double) timeouts.idleTimeoutMillis());
         if (!valueDecoder.hasPartialValue()) {
             timing.onListStarted(receivedAt);
         }
--- a/src/main/java/sagepulley/engine/GatewayEngine.java
+++ b/src/main/java/sagepulley/engine/GatewayEngine.java
@@ -229,7 +229,8 @@
     }
 
     /** Processes the result of a health check; ignores an unknown endpoint. */
-    public void onHealthCheck(int id, Outcome outcome, double durationMillis, double[] report, double now) {
+    public void onHealthCheck(
+            int id, Outcome outcome, double durationMillis, double[] report, double now) {
         Node node = nodes.get(id);
         if (node != null) {
             scheduler.onHealthCheck(node, outcome, durationMillis, report, now);
--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -56,14 +56,18 @@
         }
         List<String> violations = new ArrayList<>();
         for (Request request : requests) {
-            List<StoreServer.Arrival> requestAttempts = attempts.getOrDefault(request.id, List.of());
+            List<StoreServer.Arrival> requestAttempts =
+                    attempts.getOrDefault(request.id, List.of());
             checkEnd(request, requestAttempts, violations);
             for (StoreServer.Arrival arrival : requestAttempts) {
                 checkAttempt(request, arrival, violations);
             }
             if (!request.idempotent && requestAttempts.size() > 1) {
                 violations.add(
-                        request + " is not idempotent but was sent " + requestAttempts.size() + " times");
+                        request
+                                + " is not idempotent but was sent "
+                                + requestAttempts.size()
+                                + " times");
             }
         }
         return violations;
@@ -99,9 +103,11 @@
                 }
             }
             case SERVED, REJECTED, FAILED -> {
-                long lateMillis = toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
+                long lateMillis =
+                        toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
                 if (lateMillis > MAX_LATE_MILLIS + SLACK_MILLIS) {
-                    violations.add(request + " was answered " + lateMillis + " ms after its deadline");
+                    violations.add(
+                            request + " was answered " + lateMillis + " ms after its deadline");
                 }
             }
             case CANCELLED -> {}
@@ -163,7 +169,8 @@
 
     private static void checkAttempt(
             Request request, StoreServer.Arrival arrival, List<String> violations) {
-        long remainingMillis = request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
+        long remainingMillis =
+                request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
         if (arrival.deadlineMillis() > remainingMillis + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
             violations.add(
                     request
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -288,7 +288,8 @@
             long next = endpoints.revision();
             if (next > revision) {
                 DiscoveryBehaviour current = behaviour;
-                out.writeChunk(endpoints.json(revision, current.indented()), current.trickleMillis());
+                out.writeChunk(
+                        endpoints.json(revision, current.indented()), current.trickleMillis());
                 recordWritten(gateway, next, connectedAt);
                 revision = next;
                 lastLine = System.nanoTime();
--- a/src/main/java/sagepulley/faultinjection/DrainRule.java
+++ b/src/main/java/sagepulley/faultinjection/DrainRule.java
@@ -12,8 +12,8 @@
  * Checks that no command begins at a draining or removed endpoint later than the drain grace after
  * its gateway was notified.
  *
- * <p>A gateway counts as notified once discovery has written the change to it, and at the latest
- * 6 s after discovery had the change and was reachable, or 4 s after a reload if discovery had the
+ * <p>A gateway counts as notified once discovery has written the change to it, and at the latest 6
+ * s after discovery had the change and was reachable, or 4 s after a reload if discovery had the
  * change before it.
  */
 final class DrainRule {
@@ -120,7 +120,8 @@
                 if (change.at() <= reload) {
                     notified =
                             Math.min(
-                                    notified, timeReachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS));
+                                    notified,
+                                    timeReachableFor(reload, MAX_RELOAD_NOTIFICATION_MILLIS));
                 }
             }
             for (DiscoveryServer.WrittenList list : written) {
--- a/src/main/java/sagepulley/faultinjection/RespPeer.java
+++ b/src/main/java/sagepulley/faultinjection/RespPeer.java
@@ -53,7 +53,8 @@
         }
         int count = Integer.parseInt(readLine());
         if (first != '*' || count > MAX_ARGUMENTS) {
-            throw new IOException("expected a command of at most "
+            throw new IOException(
+                    "expected a command of at most "
                             + MAX_ARGUMENTS
                             + " arguments, got type "
                             + (char) first
--- a/src/main/java/sagepulley/faultinjection/SoakOperator.java
+++ b/src/main/java/sagepulley/faultinjection/SoakOperator.java
@@ -164,7 +164,8 @@
     }
 
     @Override
-    public void moveDiscoveryWithUnreadableConfig(int gateway) throws IOException, InterruptedException {
+    public void moveDiscoveryWithUnreadableConfig(int gateway)
+            throws IOException, InterruptedException {
         if (!restarting.contains(gateway)) {
             fleet.moveDiscovery(gateway);
             fleet.makeConfigUnreadable(gateway);
@@ -222,7 +223,8 @@
         }
         long killSentAt = System.nanoTime();
         process.kill();
-        terminations.add(new AnswerRule.Termination(gateway, termSentAt, killSentAt, System.nanoTime()));
+        terminations.add(
+                new AnswerRule.Termination(gateway, termSentAt, killSentAt, System.nanoTime()));
         GatewayProcess replacement = fleet.start(gateway);
         running.put(gateway, replacement);
         fleet.loads.get(gateway).suspendNewConnections(false);
--- a/src/main/java/sagepulley/faultinjection/SoakPlan.java
+++ b/src/main/java/sagepulley/faultinjection/SoakPlan.java
@@ -65,9 +65,14 @@
                 at += 2_000 + random.nextInt(5_000)) {
             planGatewayEvent(at);
         }
-        for (long at = FAULT_FREE_START_MILLIS; at < lengthMillis; at += 1_000 + random.nextInt(4_000)) {
+        for (long at = FAULT_FREE_START_MILLIS;
+                at < lengthMillis;
+                at += 1_000 + random.nextInt(4_000)) {
             int gateway = random.nextInt(gateways);
-            addEvent(at, "gateway " + gateway + " is held up", () -> actions.suspendGateway(gateway));
+            addEvent(
+                    at,
+                    "gateway " + gateway + " is held up",
+                    () -> actions.suspendGateway(gateway));
         }
         if (wallClockMoves) {
             planWallClock();
@@ -86,12 +91,17 @@
     }
 
     private void planWallClock() {
-        for (long at = FAULT_FREE_START_MILLIS; at < lengthMillis; at += 3_000 + random.nextInt(6_000)) {
+        for (long at = FAULT_FREE_START_MILLIS;
+                at < lengthMillis;
+                at += 3_000 + random.nextInt(6_000)) {
             long offset =
                     random.nextBoolean()
                             ? random.nextInt(10_000) - 5_000
                             : random.nextBoolean() ? HOUR_MILLIS : -HOUR_MILLIS;
-            addEvent(at, "wall clock off by " + offset + " ms", () -> actions.setWallClockOffset(offset));
+            addEvent(
+                    at,
+                    "wall clock off by " + offset + " ms",
+                    () -> actions.setWallClockOffset(offset));
         }
     }
 
@@ -143,12 +153,18 @@
     }
 
     private void planRestore(long at, long faultMillis, String description) {
-        addEvent(at + Math.min(faultMillis, MAX_OUTAGE_MILLIS), description, actions::restoreDiscovery);
+        addEvent(
+                at + Math.min(faultMillis, MAX_OUTAGE_MILLIS),
+                description,
+                actions::restoreDiscovery);
     }
 
     private void planSilentWatches(long at, long faultMillis) {
         addEvent(at, "discovery: watches fall silent", () -> actions.setWatchesSilent(true));
-        addEvent(at + faultMillis, "discovery: watches speak", () -> actions.setWatchesSilent(false));
+        addEvent(
+                at + faultMillis,
+                "discovery: watches speak",
+                () -> actions.setWatchesSilent(false));
     }
 
     private void planCallQueue(long at, long faultMillis, boolean resetsWatches) {
@@ -174,7 +190,8 @@
             DiscoveryBehaviour behaviour,
             boolean resetsWatches,
             String description) {
-        DiscoveryBehaviour listBehaviour = random.nextBoolean() ? behaviour.withIndentation() : behaviour;
+        DiscoveryBehaviour listBehaviour =
+                random.nextBoolean() ? behaviour.withIndentation() : behaviour;
         addEvent(
                 at,
                 "discovery: " + description,
@@ -200,7 +217,8 @@
                         name + " goes on",
                         () -> actions.setStoreUnresponsive(store, false));
             }
-            default -> addEvent(at, name + " resets its connections", () -> actions.resetStore(store));
+            default ->
+                    addEvent(at, name + " resets its connections", () -> actions.resetStore(store));
         }
     }
 
@@ -214,7 +232,10 @@
                     name + " is gone",
                     () -> actions.listStore(store, Endpoint.State.DELETED));
         }
-        addEvent(servingAgainAt, name + " serves again", () -> actions.listStore(store, Endpoint.State.SERVING));
+        addEvent(
+                servingAgainAt,
+                name + " serves again",
+                () -> actions.listStore(store, Endpoint.State.SERVING));
     }
 
     // ---- gateways ----
--- a/src/main/java/sagepulley/faultinjection/SoakRun.java
+++ b/src/main/java/sagepulley/faultinjection/SoakRun.java
@@ -164,7 +164,8 @@
         List<String> violations = new ArrayList<>(operator.failures());
         violations.addAll(failures);
         violations.addAll(new DrainRule(fleet).violations(arrivals, requests));
-        AnswerRule answers = new AnswerRule(operator.terminations(), operator.openedIdleConnections());
+        AnswerRule answers =
+                new AnswerRule(operator.terminations(), operator.openedIdleConnections());
         violations.addAll(answers.violations(arrivals, requests));
         return violations;
     }
--- a/src/main/java/sagepulley/faultinjection/TestFleet.java
+++ b/src/main/java/sagepulley/faultinjection/TestFleet.java
@@ -98,7 +98,8 @@
     }
 
     /** Starts clients that send requests to one gateway. */
-    ClientLoad startLoad(int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
+    ClientLoad startLoad(
+            int gateway, int clients, ClientLoad.ClientBehaviour behaviour, long seed) {
         ClientLoad load =
                 new ClientLoad(
                         gateway,
--- a/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
+++ b/src/main/java/sagepulley/frontend/nbd/ExtentLocator.java
@@ -71,9 +71,9 @@
     private final Set<Long> unverified = new HashSet<>();
 
     /**
-     * Whether the directory is unreachable. Set when a call fails and the connection is closed,
-     * and cleared by the next endpoint list. While it is set, no lookups are sent, and new first
-     * writes wait at the scheduler.
+     * Whether the directory is unreachable. Set when a call fails and the connection is closed, and
+     * cleared by the next endpoint list. While it is set, no lookups are sent, and new first writes
+     * wait at the scheduler.
      */
     private boolean directoryUnreachable;
 
@@ -188,8 +188,8 @@
     }
 
     /**
-     * Passes parts to the listener without a holder once they have waited for the directory for
-     * the maximum time.
+     * Passes parts to the listener without a holder once they have waited for the directory for the
+     * maximum time.
      */
     void releaseExpired(double now) {
         for (RequestPart part : holders.takeExpired(now)) {
--- a/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdEngine.java
@@ -218,7 +218,10 @@
         PendingRequest request = new PendingRequest(session, command, volume, clock.now());
         if (requests.isStopping()) {
             command.payload().release();
-            request.addError(-1, NbdConstants.ESHUTDOWN, "the gateway is shutting down; the request was not executed");
+            request.addError(
+                    -1,
+                    NbdConstants.ESHUTDOWN,
+                    "the gateway is shutting down; the request was not executed");
             session.sendReply(request);
             return;
         }
--- a/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdGateway.java
@@ -331,7 +331,8 @@
             listener.close();
         }
         engine.stop(() -> requestsCompleted.complete(null));
-        requestsCompleted.orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
+        requestsCompleted
+                .orTimeout((long) site.shutdownTimeoutMillis() + 1, TimeUnit.MILLISECONDS)
                 .whenComplete(
                         (done, timeout) -> {
                             if (timeout != null) {
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -71,7 +71,9 @@
         boolean writeStalled = state == IdleState.WRITER_IDLE && !channel.isWritable();
         if (readStalled || writeStalled) {
             String reason =
-                    readStalled ? "client connection closed, incomplete message" : "client connection closed, replies not read";
+                    readStalled
+                            ? "client connection closed, incomplete message"
+                            : "client connection closed, replies not read";
             LOG.atInfo().addKeyValue("client", channel.remoteAddress()).log(reason);
             channel.close();
         }
--- a/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
+++ b/src/main/java/sagepulley/frontend/nbd/OperationDispatcher.java
@@ -296,7 +296,8 @@
             return;
         }
         AttemptMessages.recordLoad(lastAttempt(part), answer);
-        boolean denied = answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.holderDenied(part);
+        boolean denied =
+                answer.code() == StoreMessages.Code.NOT_EXECUTED && locator.holderDenied(part);
         if (answer.code() == StoreMessages.Code.SERVED) {
             locator.holderVerified(part);
             accounting.attemptServed(part, answer);
--- a/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
+++ b/src/main/java/sagepulley/frontend/nbd/RequestValidator.java
@@ -63,8 +63,7 @@
             return invalid("command " + command + " is not supported");
         }
         if ((flags & ~KNOWN_FLAGS) != 0) {
-            return invalid(
-                    "command flags 0x" + Integer.toHexString(flags) + " are not supported");
+            return invalid("command flags 0x" + Integer.toHexString(flags) + " are not supported");
         }
         if ((flags & NbdConstants.CMD_FLAG_DF) != 0
                 && !(structured && command == NbdConstants.CMD_READ)) {
@@ -138,7 +137,9 @@
     }
 
     private PendingRequest.RequestError tooLong(int error) {
-        return error(error, "request length exceeds the maximum of " + volume.export.maxBlockSize() + " bytes");
+        return error(
+                error,
+                "request length exceeds the maximum of " + volume.export.maxBlockSize() + " bytes");
     }
 
     private static PendingRequest.RequestError invalid(String message) {
--- a/src/main/java/sagepulley/lifecycle/WarmUpRun.java
+++ b/src/main/java/sagepulley/lifecycle/WarmUpRun.java
@@ -153,11 +153,15 @@
             peerTransport
                     .eventLoops()
                     .shutdownGracefully(
-                            SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                            SHUTDOWN_QUIET_PERIOD_MILLIS,
+                            SHUTDOWN_TIMEOUT_MILLIS,
+                            TimeUnit.MILLISECONDS);
             gatewayTransport
                     .eventLoops()
                     .shutdownGracefully(
-                            SHUTDOWN_QUIET_PERIOD_MILLIS, SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                            SHUTDOWN_QUIET_PERIOD_MILLIS,
+                            SHUTDOWN_TIMEOUT_MILLIS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/sagepulley/membership/DiscoverySchedule.java
+++ b/src/main/java/sagepulley/membership/DiscoverySchedule.java
@@ -57,7 +57,9 @@
     public void started(double now) {
         if (deployment.mustPoll()) {
             double spread =
-                    Math.min(FIRST_POLL_SPREAD_FRACTION * deployment.pollInterval(), MAX_FIRST_POLL_SPREAD_MILLIS);
+                    Math.min(
+                            FIRST_POLL_SPREAD_FRACTION * deployment.pollInterval(),
+                            MAX_FIRST_POLL_SPREAD_MILLIS);
             nextAt =
                     now
                             + deployment.gatewayIndex()
--- a/src/main/java/sagepulley/membership/EndpointRecord.java
+++ b/src/main/java/sagepulley/membership/EndpointRecord.java
@@ -55,7 +55,8 @@
                     return phase;
                 }
             }
-            throw new IllegalArgumentException("unknown phase '" + name + "', expected one of gone, ready, draining");
+            throw new IllegalArgumentException(
+                    "unknown phase '" + name + "', expected one of gone, ready, draining");
         }
     }
 
--- a/src/main/java/sagepulley/membership/Membership.java
+++ b/src/main/java/sagepulley/membership/Membership.java
@@ -145,7 +145,8 @@
     /** Applies an endpoint list, or changes to it, that a directory sent. */
     public UpdateResult applyUpdate(EndpointListUpdate update, double now) {
         if (!update.site().isEmpty() && !update.site().equals(site)) {
-            return UpdateResult.rejected("list is for site '" + update.site() + "', expected '" + site + "'");
+            return UpdateResult.rejected(
+                    "list is for site '" + update.site() + "', expected '" + site + "'");
         }
         if (update.complete() && update.endpoints().isEmpty() && !members.isEmpty()) {
             return UpdateResult.rejected("complete list is empty although nodes are known");
@@ -161,7 +162,10 @@
             return new UpdateResult(
                     false,
                     changed,
-                    "version " + update.version() + " is older than the current version " + version);
+                    "version "
+                            + update.version()
+                            + " is older than the current version "
+                            + version);
         }
         if (update.complete()) {
             changed |= applyOmissions(update, isOtherHistory, now);
@@ -227,12 +231,16 @@
             return HandshakeVerdict.WRONG_NODE;
         }
         if (answeringNode != node) {
-            member.exclude("node " + answeringNode + " answered at the address of node " + node, now, random);
+            member.exclude(
+                    "node " + answeringNode + " answered at the address of node " + node,
+                    now,
+                    random);
             return HandshakeVerdict.WRONG_NODE;
         }
         int expectedCell = member.endpoint().cell();
         if (cell != expectedCell) {
-            member.exclude("node holds cell " + cell + ", expected cell " + expectedCell, now, random);
+            member.exclude(
+                    "node holds cell " + cell + ", expected cell " + expectedCell, now, random);
             return HandshakeVerdict.WRONG_NODE;
         }
         return member.markVerified(draining, startedAt, now)
--- a/src/main/java/sagepulley/membership/StoredEndpointList.java
+++ b/src/main/java/sagepulley/membership/StoredEndpointList.java
@@ -46,7 +46,8 @@
                 || endpoints.size() > MAX_ENDPOINTS
                 || version < 0
                 || confirmedAt < 0) {
-            throw new IllegalArgumentException("invalid endpoint list: site or lines missing, more than "
+            throw new IllegalArgumentException(
+                    "invalid endpoint list: site or lines missing, more than "
                             + MAX_ENDPOINTS
                             + " lines, or a negative version or confirmedAt");
         }
--- a/src/main/java/sagepulley/model/ExternalName.java
+++ b/src/main/java/sagepulley/model/ExternalName.java
@@ -10,9 +10,7 @@
     /** Returns the name in lower case, with its words separated by underscores. */
     String externalName();
 
-    /**
-     * Returns the external name of any constant: its own name in lower case if it defines none.
-     */
+    /** Returns the external name of any constant: its own name in lower case if it defines none. */
     static String of(Enum<?> constant) {
         return constant instanceof ExternalName named
                 ? named.externalName()
--- a/src/main/java/sagepulley/model/QuotaTier.java
+++ b/src/main/java/sagepulley/model/QuotaTier.java
@@ -20,9 +20,7 @@
         return externalName;
     }
 
-    /**
-     * Returns why an operation of this tier waits at a node whose concurrency limit is reached.
-     */
+    /** Returns why an operation of this tier waits at a node whose concurrency limit is reached. */
     public Reason fullReason() {
         return switch (this) {
             case RESERVATION -> Reason.RESERVATION_FULL;
--- a/src/main/java/sagepulley/monitoring/MonitoringServer.java
+++ b/src/main/java/sagepulley/monitoring/MonitoringServer.java
@@ -331,9 +331,7 @@
 
     private void registerGatewayCounter(
             String metric, String description, ToDoubleFunction<NbdGateway> value) {
-        FunctionCounter.builder(metric, gateway, value)
-                .description(description)
-                .register(registry);
+        FunctionCounter.builder(metric, gateway, value).description(description).register(registry);
     }
 
     /** Stops immediately and aborts requests in progress. */
--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -10,9 +10,7 @@
 import org.slf4j.LoggerFactory;
 import sagepulley.accounts.LatencyAccount;
 
-/**
- * Stores a gateway's latency accounts across restarts (CBOR), with one earlier generation.
- */
+/** Stores a gateway's latency accounts across restarts (CBOR), with one earlier generation. */
 public final class AccountFile {
     private static final String KIND = "accounts";
     private static final int FORMAT = 1;
--- a/src/main/java/sagepulley/persistence/SnapshotFile.java
+++ b/src/main/java/sagepulley/persistence/SnapshotFile.java
@@ -240,9 +240,7 @@
         if (end == content.length || end == SnapshotHeader.MAX_BYTES) {
             throw new InvalidSnapshotException(
                     path,
-                    content.length == 0
-                            ? "file is empty"
-                            : "header line is missing or truncated");
+                    content.length == 0 ? "file is empty" : "header line is missing or truncated");
         }
         return end;
     }
--- a/src/main/java/sagepulley/persistence/SnapshotHeader.java
+++ b/src/main/java/sagepulley/persistence/SnapshotHeader.java
@@ -54,8 +54,7 @@
             // Verifies length and checksum before any other field is used.
             if (Long.parseLong(fields[6]) != body.length) {
                 throw new InvalidSnapshotException(
-                        file,
-                        "body has " + body.length + " bytes, expected " + fields[6]);
+                        file, "body has " + body.length + " bytes, expected " + fields[6]);
             }
             int expected = checksum(line.substring(0, line.lastIndexOf(' ')), body);
             if (Integer.parseUnsignedInt(fields[7], 16) != expected) {
--- a/src/main/java/sagepulley/placement/ExtentHolders.java
+++ b/src/main/java/sagepulley/placement/ExtentHolders.java
@@ -110,7 +110,8 @@
     /** Removes and returns all expired waiters. */
     public List<W> takeExpired(double now) {
         List<W> expired = new ArrayList<>(0);
-        for (Iterator<Map.Entry<Long, Extent<W>>> entries = extentsWithWaiters.entrySet().iterator();
+        for (Iterator<Map.Entry<Long, Extent<W>>> entries =
+                        extentsWithWaiters.entrySet().iterator();
                 entries.hasNext(); ) {
             Extent<W> extent = entries.next().getValue();
             extent.waiters.removeIf(
--- a/src/main/java/sagepulley/scenario/AttributionExperiment.java
+++ b/src/main/java/sagepulley/scenario/AttributionExperiment.java
@@ -73,7 +73,9 @@
             volumeNames.putAll(gatewayAccounts.volumeNames());
             members.add(
                     new FleetMerger.GatewayAccount(
-                            gatewayAccounts.gateway(), gatewayAccounts.accounts().toAccount(), gatewayAccounts.versionNotifiedAt()));
+                            gatewayAccounts.gateway(),
+                            gatewayAccounts.accounts().toAccount(),
+                            gatewayAccounts.versionNotifiedAt()));
         }
         LatencyAccount merged = FleetMerger.merge(members).account();
         List<Row> rows = new ArrayList<>();
@@ -84,7 +86,10 @@
             boolean falseBlame = namesWrongCause(knownCause, mainCause, volumeNames);
             for (FleetMerger.GatewayAccount member : members) {
                 falseBlame |=
-                        namesWrongCause(knownCause, report(member.account(), volume).mainCause(), volumeNames);
+                        namesWrongCause(
+                                knownCause,
+                                report(member.account(), volume).mainCause(),
+                                volumeNames);
             }
             rows.add(
                     new Row(
@@ -112,7 +117,8 @@
         return volumeNames.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new SiteConfigException("no volume in the accounts is named " + name))
+                .orElseThrow(
+                        () -> new SiteConfigException("no volume in the accounts is named " + name))
                 .getKey();
     }
 
@@ -126,21 +132,29 @@
     }
 
     private static boolean namesWrongCause(
-            Scenario.KnownCause knownCause, LatencyReport.CauseReport mainCause, Map<Long, String> volumeNames) {
+            Scenario.KnownCause knownCause,
+            LatencyReport.CauseReport mainCause,
+            Map<Long, String> volumeNames) {
         return mainCause != null
                 && mainCause.confidence() == LatencyReport.Confidence.HIGH
                 && !isExpected(knownCause, mainCause, volumeNames);
     }
 
     private static boolean isExpected(
-            Scenario.KnownCause knownCause, LatencyReport.CauseReport mainCause, Map<Long, String> volumeNames) {
+            Scenario.KnownCause knownCause,
+            LatencyReport.CauseReport mainCause,
+            Map<Long, String> volumeNames) {
         String mainName = causeName(mainCause, volumeNames);
         return knownCause.causes().stream()
-                .anyMatch(expectedCause -> mainName.equals(expectedCause) || mainName.startsWith(expectedCause + ":"));
+                .anyMatch(
+                        expectedCause ->
+                                mainName.equals(expectedCause)
+                                        || mainName.startsWith(expectedCause + ":"));
     }
 
     /** Returns a cause as scripts write it: the kind, with a volume or node if it has one. */
-    private static String causeName(LatencyReport.CauseReport cause, Map<Long, String> volumeNames) {
+    private static String causeName(
+            LatencyReport.CauseReport cause, Map<Long, String> volumeNames) {
         if (cause == null) {
             return "nothing";
         }
--- a/src/main/java/sagepulley/scenario/BlockHistory.java
+++ b/src/main/java/sagepulley/scenario/BlockHistory.java
@@ -64,12 +64,19 @@
 
     /** Checks the data of a read that was sent at begin and answered at end. */
     public synchronized void check(int volume, long offset, ByteBuf data, long begin, long end) {
-        for (int position = 0; position + BLOCK_BYTES <= data.readableBytes(); position += BLOCK_BYTES) {
+        for (int position = 0;
+                position + BLOCK_BYTES <= data.readableBytes();
+                position += BLOCK_BYTES) {
             long stamp = data.getLong(data.readerIndex() + position);
             long block = (offset + position) / BLOCK_BYTES;
             for (int i = 8; i < BLOCK_BYTES; i += 8) {
                 if (data.getLong(data.readerIndex() + position + i) != stamp) {
-                    addBreach("block " + block + " of volume " + volume + " is torn: it mixes writes");
+                    addBreach(
+                            "block "
+                                    + block
+                                    + " of volume "
+                                    + volume
+                                    + " is torn: it mixes writes");
                     break;
                 }
             }
--- a/src/main/java/sagepulley/scenario/ColdStartExperiment.java
+++ b/src/main/java/sagepulley/scenario/ColdStartExperiment.java
@@ -96,7 +96,12 @@
 
         @Override
         public HandshakeVerdict handshakeCompleted(
-                int node, int answeringNode, int cell, boolean draining, long startedAt, double now) {
+                int node,
+                int answeringNode,
+                int cell,
+                boolean draining,
+                long startedAt,
+                double now) {
             return HandshakeVerdict.ACCEPTED;
         }
 
@@ -135,7 +140,8 @@
     }
 
     /** Runs one start with the given number of changed nodes. */
-    public Row run(ListPolicy listPolicy, double ageHours, NodeChange nodeChange, int changed, long seed)
+    public Row run(
+            ListPolicy listPolicy, double ageHours, NodeChange nodeChange, int changed, long seed)
             throws SiteConfigException, IOException {
         AttemptCounter counter = new AttemptCounter();
         List<NodeProfile> profiles = new ArrayList<>();
@@ -157,13 +163,19 @@
             }
             LocalCluster.await(cluster.directory().stop());
             changeNodes(cluster, counter, nodeChange, changed);
-            return measureService(cluster, listPolicy, ageHours, nodeChange, changed, siteTexts, counter, seed);
+            return measureService(
+                    cluster, listPolicy, ageHours, nodeChange, changed, siteTexts, counter, seed);
         }
     }
 
-    private static String buildSiteText(LocalCluster cluster, int gatewayIndex, Path gatewayFolder) {
+    private static String buildSiteText(
+            LocalCluster cluster, int gatewayIndex, Path gatewayFolder) {
         return LocalCluster.demoSite(
-                                "gw-" + gatewayIndex, gatewayIndex, GATEWAYS, 0, cluster.directory().address())
+                                "gw-" + gatewayIndex,
+                                gatewayIndex,
+                                GATEWAYS,
+                                0,
+                                cluster.directory().address())
                         .replace("extent = 1 MiB", "extent = 256 KiB\nask-within = 2 s")
                         .replace("unit = 128 KiB", "unit = 16 KiB")
                         .replace("cold-time = 10 s", "cold-time = 3 s")
@@ -243,7 +255,8 @@
             }
             if (nodeChange == NodeChange.DRAINED || nodeChange == NodeChange.REPLACED) {
                 synchronized (counter.unavailableNodes) {
-                    counter.unavailableNodes.add(node.profile().id() + (nodeChange == NodeChange.REPLACED ? 100 : 0));
+                    counter.unavailableNodes.add(
+                            node.profile().id() + (nodeChange == NodeChange.REPLACED ? 100 : 0));
                 }
             }
         }
@@ -293,7 +306,11 @@
 
     /** Starts all gateways and adds a client for each, unless they wait for the directory. */
     private static List<NbdGateway> startGateways(
-            LocalCluster cluster, ListPolicy listPolicy, List<String> siteTexts, long seed, List<NbdClient> clients)
+            LocalCluster cluster,
+            ListPolicy listPolicy,
+            List<String> siteTexts,
+            long seed,
+            List<NbdClient> clients)
             throws SiteConfigException {
         List<NbdGateway> gateways = new ArrayList<>();
         for (int i = 0; i < GATEWAYS; i++) {
--- a/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
+++ b/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
@@ -50,7 +50,9 @@
     /** Sends reads for a duration. Without clients, each read counts as not served. */
     void send(List<NbdClient> clients, long durationMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMillis);
-        for (long nextAtNanos = System.nanoTime(); nextAtNanos < end; nextAtNanos += nextGapNanos()) {
+        for (long nextAtNanos = System.nanoTime();
+                nextAtNanos < end;
+                nextAtNanos += nextGapNanos()) {
             sleepUntil.accept(nextAtNanos);
             long extent = random.nextInt(extents);
             requests++;
--- a/src/main/java/sagepulley/scenario/DrainingRule.java
+++ b/src/main/java/sagepulley/scenario/DrainingRule.java
@@ -49,7 +49,9 @@
         evidence.log.listsSent.forEach(
                 list -> events.add(new TimedEvent(list.at(), () -> evaluator.listSent(list))));
         evidence.log.received.forEach(
-                attempt -> events.add(new TimedEvent(attempt.at(), () -> evaluator.received(attempt))));
+                attempt ->
+                        events.add(
+                                new TimedEvent(attempt.at(), () -> evaluator.received(attempt))));
         events.sort(Comparator.comparingLong(TimedEvent::at));
         events.forEach(event -> event.action().run());
         return evaluator.verdict();
--- a/src/main/java/sagepulley/scenario/FaultInjector.java
+++ b/src/main/java/sagepulley/scenario/FaultInjector.java
@@ -106,7 +106,9 @@
                 LocalCluster.await(node.stop());
                 cluster.list(node, DirectoryMessages.Phase.GONE);
             }
-            default -> throw new IllegalStateException("fault cannot be injected at a node: " + event.fault());
+            default ->
+                    throw new IllegalStateException(
+                            "fault cannot be injected at a node: " + event.fault());
         }
     }
 
--- a/src/main/java/sagepulley/scenario/FinalAnswerRule.java
+++ b/src/main/java/sagepulley/scenario/FinalAnswerRule.java
@@ -31,7 +31,8 @@
                                 + " request at offset "
                                 + request.offset);
             } else {
-                minRemainingMillis = Math.min(minRemainingMillis, checkDeadline(request, evidence, findings));
+                minRemainingMillis =
+                        Math.min(minRemainingMillis, checkDeadline(request, evidence, findings));
             }
         }
         checkAttempts(evidence, findings);
@@ -50,7 +51,8 @@
         double deadlineMillis =
                 evidence.site.deployment().trafficClasses().get(request.trafficClass).deadline();
         double elapsedMillis = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
-        if (elapsedMillis > deadlineMillis + evidence.policy().answerGrace() + evidence.toleranceMillis) {
+        if (elapsedMillis
+                > deadlineMillis + evidence.policy().answerGrace() + evidence.toleranceMillis) {
             findings.addBreach(
                     "answered after "
                             + Findings.format(elapsedMillis)
@@ -63,7 +65,8 @@
 
     /** Checks that every attempt belongs to a request that was still open. */
     private static void checkAttempts(Evidence evidence, Findings findings) {
-        Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests = requestsByExtent(evidence);
+        Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests =
+                requestsByExtent(evidence);
         for (SocketEventLog.AttemptReceived attempt : evidence.log.received) {
             StoreMessages.Send send = attempt.send();
             if (send.kind() == StoreMessages.Kind.FLUSH) {
--- a/src/main/java/sagepulley/scenario/KeyOrderRule.java
+++ b/src/main/java/sagepulley/scenario/KeyOrderRule.java
@@ -23,7 +23,8 @@
             StoreMessages.Send send = entry.getValue().get(0).send();
             if (evidence.trafficClass(send).ordered()) {
                 ordered++;
-                OrderingKey key = new OrderingKey(entry.getKey().gateway(), send.volume(), send.extent());
+                OrderingKey key =
+                        new OrderingKey(entry.getKey().gateway(), send.volume(), send.extent());
                 byKey.computeIfAbsent(key, unused -> new ArrayList<>()).add(entry.getKey());
             }
         }
--- a/src/main/java/sagepulley/scenario/ReconnectStorm.java
+++ b/src/main/java/sagepulley/scenario/ReconnectStorm.java
@@ -69,17 +69,21 @@
             if (nowMillis >= FIRST_COUNTED_MILLIS) {
                 callsByTenth.merge((long) (nowMillis / TENTH_MILLIS), 1, Integer::sum);
             }
-            double pauseMillis = usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
+            double pauseMillis =
+                    usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
             if (nowMillis < downMillis) {
                 pendingCalls.add(new Call(nowMillis + pauseMillis, call.gateway()));
             } else if (busyUntilMillis - nowMillis > queue * MILLIS_PER_SECOND / callsPerSecond) {
-                pendingCalls.add(new Call(nowMillis + CALL_TIMEOUT_MILLIS + pauseMillis, call.gateway()));
+                pendingCalls.add(
+                        new Call(nowMillis + CALL_TIMEOUT_MILLIS + pauseMillis, call.gateway()));
             } else {
-                busyUntilMillis = Math.max(busyUntilMillis, nowMillis) + MILLIS_PER_SECOND / callsPerSecond;
+                busyUntilMillis =
+                        Math.max(busyUntilMillis, nowMillis) + MILLIS_PER_SECOND / callsPerSecond;
                 lastServedAtMillis = Math.max(lastServedAtMillis, busyUntilMillis);
             }
         }
         int maxCalls = callsByTenth.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        return new ReconnectStorm(gateways, usesBackoff, maxCalls, calls, lastServedAtMillis - downMillis);
+        return new ReconnectStorm(
+                gateways, usesBackoff, maxCalls, calls, lastServedAtMillis - downMillis);
     }
 }
--- a/src/main/java/sagepulley/scenario/ScenarioGateways.java
+++ b/src/main/java/sagepulley/scenario/ScenarioGateways.java
@@ -25,7 +25,8 @@
     private final InetSocketAddress directory;
     private final AtomicLong lastSeed;
     private final List<LoadGenerator.GatewayTarget> targets = new ArrayList<>();
-    private final List<ScenarioRunner.GatewayLauncher.RunningGateway> running = new CopyOnWriteArrayList<>();
+    private final List<ScenarioRunner.GatewayLauncher.RunningGateway> running =
+            new CopyOnWriteArrayList<>();
     private final List<SocketEventLog.GatewayIncarnation> incarnations =
             new CopyOnWriteArrayList<>();
 
@@ -106,7 +107,8 @@
         long seed = lastSeed.incrementAndGet();
         SocketEventLog.GatewayIncarnation incarnation =
                 eventLog.gatewayStarted(index, seed, System.nanoTime());
-        ScenarioRunner.GatewayLauncher.RunningGateway gateway = launcher.launch(site(scenario, index, directory), seed);
+        ScenarioRunner.GatewayLauncher.RunningGateway gateway =
+                launcher.launch(site(scenario, index, directory), seed);
         running.set(index, gateway);
         incarnations.set(index, incarnation);
         targets.get(index).gateway = seed;
--- a/src/main/java/sagepulley/scenario/ScenarioReader.java
+++ b/src/main/java/sagepulley/scenario/ScenarioReader.java
@@ -174,7 +174,8 @@
             double factor = unit.equals("ms") ? 1 : unit.equals("s") ? 1000 : 60_000;
             return Math.min(
                     MAX_TIME_MILLIS,
-                    number(duration.NUMBER().getSymbol(), 0, MAX_TIME_MILLIS, "the duration") * factor);
+                    number(duration.NUMBER().getSymbol(), 0, MAX_TIME_MILLIS, "the duration")
+                            * factor);
         }
 
         private void addError(ParserRuleContext context, String message) {
@@ -250,7 +251,8 @@
 
         @Override
         public Void visitDefer(ScenarioParser.DeferContext context) {
-            deferredShare = number(context.NUMBER().getSymbol(), 0, 100, "the deferred share") / 100;
+            deferredShare =
+                    number(context.NUMBER().getSymbol(), 0, 100, "the deferred share") / 100;
             deferIntervalMillis = Math.max(1, millis(context.duration()));
             return null;
         }
@@ -265,7 +267,9 @@
         @Override
         public Void visitSiteNamed(ScenarioParser.SiteNamedContext context) {
             try {
-                site = ScenarioRunner.readResource(context.TEXT().getText().replace("\"", "") + ".site");
+                site =
+                        ScenarioRunner.readResource(
+                                context.TEXT().getText().replace("\"", "") + ".site");
             } catch (ScenarioException e) {
                 addError(context, e.getMessage());
             }
@@ -358,14 +362,21 @@
             causes.add(
                     new Scenario.KnownCause(
                             context.WORD().getText(),
-                            List.of(context.TEXT().getText().replace("\"", "").split("\\s+or\\s+"))));
+                            List.of(
+                                    context.TEXT()
+                                            .getText()
+                                            .replace("\"", "")
+                                            .split("\\s+or\\s+"))));
             return null;
         }
 
         @Override
         public Void visitAt(ScenarioParser.AtContext context) {
             double atMillis = millis(context.duration(0));
-            double untilMillis = context.duration().size() > 1 ? atMillis + millis(context.duration(1)) : Double.NaN;
+            double untilMillis =
+                    context.duration().size() > 1
+                            ? atMillis + millis(context.duration(1))
+                            : Double.NaN;
             ScenarioParser.EventContext event = context.event();
             if (event instanceof ScenarioParser.NodeEventContext node) {
                 events.add(nodeEvent(node, atMillis, untilMillis));
@@ -376,12 +387,18 @@
                                 "DIRECTORY_"
                                         + fault.getChild(0).getText().toUpperCase(Locale.ROOT));
                 double magnitude = fault.duration() == null ? 0 : millis(fault.duration());
-                events.add(new Scenario.Event(atMillis, kind, List.of(), magnitude, "", untilMillis));
+                events.add(
+                        new Scenario.Event(atMillis, kind, List.of(), magnitude, "", untilMillis));
             } else if (event instanceof ScenarioParser.GatewayKilledContext killed) {
                 int index = (int) number(killed.NUMBER().getSymbol(), 1, gateways, "the gateway");
                 events.add(
                         new Scenario.Event(
-                                atMillis, Scenario.Fault.GATEWAY_KILLED, List.of(index), 0, "", untilMillis));
+                                atMillis,
+                                Scenario.Fault.GATEWAY_KILLED,
+                                List.of(index),
+                                0,
+                                "",
+                                untilMillis));
             } else if (event instanceof ScenarioParser.SurgeContext surge) {
                 String loadName = surge.WORD().getText();
                 if (loads.stream().noneMatch(load -> load.name().equals(loadName))) {
@@ -411,11 +428,16 @@
             double magnitude =
                     context.fault().NUMBER() == null
                             ? 0
-                            : number(context.fault().NUMBER().getSymbol(), 0, 10_000, "the magnitude of the fault");
+                            : number(
+                                    context.fault().NUMBER().getSymbol(),
+                                    0,
+                                    10_000,
+                                    "the magnitude of the fault");
             if (fault == Scenario.Fault.LOSING || fault == Scenario.Fault.ERRING) {
                 magnitude = Math.min(100, magnitude) / 100;
             }
-            return new Scenario.Event(atMillis, fault, targets(context.target()), magnitude, "", untilMillis);
+            return new Scenario.Event(
+                    atMillis, fault, targets(context.target()), magnitude, "", untilMillis);
         }
 
         private List<Integer> targets(ScenarioParser.TargetContext target) {
@@ -445,7 +467,8 @@
             expectations.add(
                     new Scenario.Expectation(
                             context.WORD().getText(),
-                            number(context.NUMBER().getSymbol(), 0, 100, "the expected service") / 100));
+                            number(context.NUMBER().getSymbol(), 0, 100, "the expected service")
+                                    / 100));
             return null;
         }
     }
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -52,7 +52,8 @@
             @JsonProperty("stoodStill") double stallMillis) {
         /** Returns whether every verdict is satisfied and every expectation was met. */
         public boolean passed() {
-            return unmetExpectations.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
+            return unmetExpectations.isEmpty()
+                    && verdicts.stream().allMatch(RuleVerdict::satisfied);
         }
     }
 
@@ -113,7 +114,8 @@
                 LocalCluster cluster = LocalCluster.start(profiles, eventLog, CLUSTER_LOOPS)) {
             stalls.watch(cluster.loops());
             ScenarioGateways gateways =
-                    new ScenarioGateways(scenario, launcher, eventLog, cluster.directory().address());
+                    new ScenarioGateways(
+                            scenario, launcher, eventLog, cluster.directory().address());
             gateways.openAll();
             for (Scenario.Load load : scenario.loads()) {
                 loads.add(
@@ -206,7 +208,8 @@
     }
 
     private void awaitOpenRequests() {
-        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_OPEN_REQUEST_WAIT_MILLIS);
+        long deadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_OPEN_REQUEST_WAIT_MILLIS);
         while (loads.stream().anyMatch(load -> load.openRequests() > 0)
                 && System.nanoTime() < deadlineNanos) {
             try {
@@ -269,7 +272,8 @@
             }
             return new String(from.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new ScenarioException(name + ": failed to read the built-in file: " + e.getMessage());
+            throw new ScenarioException(
+                    name + ": failed to read the built-in file: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sagepulley/scenario/SingleEffectRule.java
+++ b/src/main/java/sagepulley/scenario/SingleEffectRule.java
@@ -67,12 +67,16 @@
                 && trafficClass.deduplicationScope() == TrafficClass.DeduplicationScope.CELL
                 && previous.node() != retry.node()) {
             findings.addBreach(
-                    "deduplicated operation " + operation.operationId() + " was sent to another cell");
+                    "deduplicated operation "
+                            + operation.operationId()
+                            + " was sent to another cell");
         }
         if (!hasEnded(evidence, operation, previous, answer, retry)
                 && !evidence.policy().hedgingAllowed()) {
             findings.addBreach(
-                    "two attempts of operation " + operation.operationId() + " were in flight at once");
+                    "two attempts of operation "
+                            + operation.operationId()
+                            + " were in flight at once");
         }
     }
 
--- a/src/main/java/sagepulley/scenario/SlowStartRule.java
+++ b/src/main/java/sagepulley/scenario/SlowStartRule.java
@@ -19,7 +19,8 @@
         }
         Findings findings = new Findings();
         for (SocketEventLog.NodeCollapsed collapse : evidence.log.collapses) {
-            findings.addBreach("node " + collapse.node() + " collapsed under overload during its slow start");
+            findings.addBreach(
+                    "node " + collapse.node() + " collapsed under overload during its slow start");
         }
         return findings.verdict(
                 "4 no cold node pushed over",
@@ -49,7 +50,8 @@
             while (millisBetween(window.peek().at(), attempt.at()) > policy.overloadWindow()) {
                 units -= window.poll().send().units();
             }
-            double thresholdUnits = collapseThresholdUnits(policy, node, start.unitsPerSecond(), ageMillis);
+            double thresholdUnits =
+                    collapseThresholdUnits(policy, node, start.unitsPerSecond(), ageMillis);
             max = Math.max(max, units / thresholdUnits);
         }
         return max;
--- a/src/main/java/sagepulley/scenario/SocketEventLog.java
+++ b/src/main/java/sagepulley/scenario/SocketEventLog.java
@@ -30,7 +30,8 @@
             long at) {}
 
     /** A cancellation of an attempt by its gateway. */
-    public record AttemptCancelled(int node, long gateway, long operationId, int attemptNumber, long at) {}
+    public record AttemptCancelled(
+            int node, long gateway, long operationId, int attemptNumber, long at) {}
 
     /** A start of a node. Its warm capacity in units per second is NaN if it started warm. */
     public record NodeStarted(int node, double unitsPerSecond, long at) {}
@@ -121,7 +122,8 @@
             StoreMessages.Code code,
             boolean lost,
             long nanos) {
-        answered.add(new AttemptAnswered(node, gateway, operationId, attemptNumber, code, lost, nanos));
+        answered.add(
+                new AttemptAnswered(node, gateway, operationId, attemptNumber, code, lost, nanos));
     }
 
     @Override
--- a/src/main/java/sagepulley/scenario/StallDetector.java
+++ b/src/main/java/sagepulley/scenario/StallDetector.java
@@ -45,7 +45,8 @@
             double sum = 0;
             for (int windowStart = 0, i = 0; i < stalls.size(); i++) {
                 sum += stalls.get(i).lateMillis();
-                while (stalls.get(i).atMillis() - stalls.get(windowStart).atMillis() > WINDOW_MILLIS) {
+                while (stalls.get(i).atMillis() - stalls.get(windowStart).atMillis()
+                        > WINDOW_MILLIS) {
                     sum -= stalls.get(windowStart++).lateMillis();
                 }
                 maxMillis = Math.max(maxMillis, sum);
--- a/src/main/java/sagepulley/scenario/ThroughputComparison.java
+++ b/src/main/java/sagepulley/scenario/ThroughputComparison.java
@@ -115,7 +115,10 @@
                                         direct.send(
                                                 isRead,
                                                 requestNumber % EXTENTS,
-                                                requestNumber / EXTENTS % (EXTENT_BYTES / bytes) * bytes,
+                                                requestNumber
+                                                        / EXTENTS
+                                                        % (EXTENT_BYTES / bytes)
+                                                        * bytes,
                                                 bytes,
                                                 data,
                                                 onEnd);
@@ -139,7 +142,8 @@
     }
 
     /** Returns a sender that sends requests through a gateway. */
-    private static RequestSender gatewaySender(NbdClient client, boolean isRead, int bytes, ByteBuf data) {
+    private static RequestSender gatewaySender(
+            NbdClient client, boolean isRead, int bytes, ByteBuf data) {
         int positions = EXTENT_BYTES / bytes;
         return (requestNumber, onEnd) -> {
             long offset =
@@ -198,7 +202,9 @@
                                         NbdClient.Style.GO));
             }
             for (int i = 0; i < EXTENTS; i++) {
-                LocalCluster.await(sideClients[0].write(i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
+                LocalCluster.await(
+                                sideClients[0].write(
+                                        i * (long) EXTENT_BYTES, new byte[EXTENT_BYTES]))
                         .release();
                 LocalCluster.await(sideClients[1].read(i * (long) EXTENT_BYTES, 4096)).release();
             }
@@ -269,7 +275,12 @@
             for (boolean isDirect : new boolean[] {i % 2 == 0, i % 2 != 0}) {
                 Totals totals = isDirect ? directTotals : gatewayTotals;
                 long[] before = gatewayThreadUsage();
-                runPhase(loop, isDirect ? directSender : viaGateway, depth, seconds / rounds, totals);
+                runPhase(
+                        loop,
+                        isDirect ? directSender : viaGateway,
+                        depth,
+                        seconds / rounds,
+                        totals);
                 long[] after = gatewayThreadUsage();
                 totals.allocatedBytes += after[0] - before[0];
                 totals.cpuNanos += after[1] - before[1];
@@ -306,7 +317,11 @@
 
     /** Keeps a fixed number of requests in flight for a duration and adds up the results. */
     private void runPhase(
-            EventLoop loop, RequestSender sender, int depth, double durationSeconds, Totals totals) {
+            EventLoop loop,
+            RequestSender sender,
+            int depth,
+            double durationSeconds,
+            Totals totals) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(
                 new Runnable() {
--- a/src/main/java/sagepulley/scheduler/AdmissionController.java
+++ b/src/main/java/sagepulley/scheduler/AdmissionController.java
@@ -125,8 +125,13 @@
         if (quota.fitsReservation(operation.volume, operation.units, now)) {
             return endpoint.queueEstimate > admissionFactor * MAX_QUEUE_IN_RESERVATION;
         }
-        double utilization = quota.proportionalShareUtilization(operation.volume, endpoint, operation.units, now);
-        double maxEstimate = Math.min(MAX_QUEUE_BEYOND_RESERVATION, MAX_QUEUE_AT_PROPORTIONAL_SHARE / utilization);
+        double utilization =
+                quota.proportionalShareUtilization(
+                        operation.volume, endpoint, operation.units, now);
+        double maxEstimate =
+                Math.min(
+                        MAX_QUEUE_BEYOND_RESERVATION,
+                        MAX_QUEUE_AT_PROPORTIONAL_SHARE / utilization);
         return endpoint.queueEstimate > Math.max(MIN_QUEUE_ESTIMATE, admissionFactor * maxEstimate);
     }
 
@@ -173,7 +178,8 @@
             return deployment.maxRetryAfter();
         }
         double drainMillis =
-                (endpoint == null ? 1 : endpoint.queueEstimate) * latencies.acceptableQueueingDelay();
+                (endpoint == null ? 1 : endpoint.queueEstimate)
+                        * latencies.acceptableQueueingDelay();
         return Math.min(deployment.maxRetryAfter(), drainMillis);
     }
 
@@ -209,7 +215,8 @@
                         MIN_SAMPLE_WEIGHT,
                         1 - Math.exp((endpoint.queueObservedAt - now) / ESTIMATE_AGING_MILLIS));
         endpoint.queueObservedAt = now;
-        double sample = Math.min(MAX_QUEUE_ESTIMATE, queueingDelay / latencies.acceptableQueueingDelay());
+        double sample =
+                Math.min(MAX_QUEUE_ESTIMATE, queueingDelay / latencies.acceptableQueueingDelay());
         endpoint.queueEstimate += weight * smoothing * (sample - endpoint.queueEstimate);
     }
 
--- a/src/main/java/sagepulley/scheduler/MaxMinFairness.java
+++ b/src/main/java/sagepulley/scheduler/MaxMinFairness.java
@@ -30,7 +30,8 @@
         for (boolean changed = true; changed && unsatisfied > 0; ) {
             changed = false;
             for (TenantEndpointUsage usage : usages) {
-                if (usage.unsatisfied && usage.shareDemand <= usage.weight * capacity / unsatisfiedWeight) {
+                if (usage.unsatisfied
+                        && usage.shareDemand <= usage.weight * capacity / unsatisfiedWeight) {
                     usage.unsatisfied = false;
                     unsatisfied--;
                     capacity -= usage.shareDemand;
--- a/src/main/java/sagepulley/scheduler/QuotaTracker.java
+++ b/src/main/java/sagepulley/scheduler/QuotaTracker.java
@@ -87,7 +87,8 @@
      * Returns a volume's recent usage beyond its reservation at an endpoint, with half of the given
      * units added, as a fraction of its proportional share.
      */
-    double proportionalShareUtilization(Volume volume, EndpointState endpoint, double units, double now) {
+    double proportionalShareUtilization(
+            Volume volume, EndpointState endpoint, double units, double now) {
         double used = usedBeyondReservation(usage(volume, now), endpoint, units, now);
         return used / proportionalShare(volume);
     }
--- a/src/main/java/sagepulley/scheduler/SlowStartBudget.java
+++ b/src/main/java/sagepulley/scheduler/SlowStartBudget.java
@@ -75,6 +75,7 @@
         double recentUnits = endpoint.recentlySentUnits.sumOverestimate(now);
         return operation.attempts.isEmpty()
                 && recentUnits + operation.units
-                        <= Math.max(deployment.maxUnits(), MAX_BURST_FACTOR * fraction * averageUnits);
+                        <= Math.max(
+                                deployment.maxUnits(), MAX_BURST_FACTOR * fraction * averageUnits);
     }
 }
--- a/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
+++ b/src/main/java/sagepulley/scheduler/TenantEndpointUsage.java
@@ -24,9 +24,7 @@
     /** Units demanded beyond the reservation; set for {@link MaxMinFairness}. */
     double shareDemand;
 
-    /**
-     * True if the demand exceeds the level computed so far; also set by {@link MaxMinFairness}.
-     */
+    /** True if the demand exceeds the level computed so far; also set by {@link MaxMinFairness}. */
     boolean unsatisfied;
 
     TenantEndpointUsage(
--- a/src/main/java/sagepulley/scheduler/TrafficClassStats.java
+++ b/src/main/java/sagepulley/scheduler/TrafficClassStats.java
@@ -2,9 +2,7 @@
 
 /** Holds the latency statistics of one traffic class. Owned by {@link LatencyTracker}. */
 final class TrafficClassStats {
-    /**
-     * The service time of a unit without a queue, in milliseconds, estimated as a low quantile.
-     */
+    /** The service time of a unit without a queue, in milliseconds, estimated as a low quantile. */
     double baseServiceTime;
 
     /** The mean service time of a unit, in milliseconds. */
--- a/src/main/java/sagepulley/simulator/EventBatch.java
+++ b/src/main/java/sagepulley/simulator/EventBatch.java
@@ -45,7 +45,8 @@
         }
         frameCount++;
         if (received < HEADER_BYTES) {
-            throw malformedFrame("the header ends after " + received + " of " + HEADER_BYTES + " bytes");
+            throw malformedFrame(
+                    "the header ends after " + received + " of " + HEADER_BYTES + " bytes");
         }
         ByteBuffer head = ByteBuffer.wrap(header);
         number = head.getInt();
@@ -53,7 +54,8 @@
         long size = Integer.toUnsignedLong(head.getInt());
         if (size < CLOCK_BYTES + count * RECORD_BYTES
                 || size > Integer.MAX_VALUE - INITIAL_BUFFER_BYTES) {
-            throw malformedFrame("a length of " + size + " bytes does not fit " + count + " records");
+            throw malformedFrame(
+                    "a length of " + size + " bytes does not fit " + count + " records");
         }
         records = (int) count;
         length = (int) size;
@@ -77,9 +79,11 @@
                                                 (long) bytes.length * 2,
                                                 Math.max(length, INITIAL_BUFFER_BYTES)));
             }
-            int received = in.readNBytes(bytes, bytesRead, Math.min(length, bytes.length) - bytesRead);
+            int received =
+                    in.readNBytes(bytes, bytesRead, Math.min(length, bytes.length) - bytesRead);
             if (received == 0) {
-                throw malformedFrame("the input ends after " + bytesRead + " of " + length + " bytes");
+                throw malformedFrame(
+                        "the input ends after " + bytesRead + " of " + length + " bytes");
             }
             bytesRead += received;
         }
--- a/src/main/java/sagepulley/simulator/EventDecoder.java
+++ b/src/main/java/sagepulley/simulator/EventDecoder.java
@@ -73,12 +73,18 @@
         List<TrafficClass> classes = deployment.trafficClasses();
         if (classIndex >= classes.size()) {
             throw batch.malformedRecord(
-                    record, "traffic class " + classIndex + " is out of range, the gateway has " + classes.size());
+                    record,
+                    "traffic class "
+                            + classIndex
+                            + " is out of range, the gateway has "
+                            + classes.size());
         }
         long plan = Integer.toUnsignedLong(batch.u32(record, 14));
         int planCount = deployment.plans().size();
         if (plan >= planCount) {
-            throw batch.malformedRecord(record, "tenant plan " + plan + " is out of range, the gateway has " + planCount);
+            throw batch.malformedRecord(
+                    record,
+                    "tenant plan " + plan + " is out of range, the gateway has " + planCount);
         }
         Volume volume = engine.volume(batch.u64(record, 34), (int) plan);
         volume.gatewayCount = Math.max(1, (int) batch.f32(record, 50));
@@ -122,7 +128,9 @@
             return null;
         }
         if (count > MAX_REPORT_VALUES) {
-            throw batch.malformedRecord(record, "load report has " + count + " values, expected at most " + MAX_REPORT_VALUES);
+            throw batch.malformedRecord(
+                    record,
+                    "load report has " + count + " values, expected at most " + MAX_REPORT_VALUES);
         }
         double[] values = new double[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/sagepulley/simulator/SimulatorAdapter.java
+++ b/src/main/java/sagepulley/simulator/SimulatorAdapter.java
@@ -174,7 +174,12 @@
     private void setListTable(int record) throws MalformedFrameException {
         int table = batch.u8(record, 1);
         if (table >= MAX_LIST_TABLES) {
-            throw batch.malformedRecord(record, "list table " + table + " is out of range, expected 0 to " + (MAX_LIST_TABLES - 1));
+            throw batch.malformedRecord(
+                    record,
+                    "list table "
+                            + table
+                            + " is out of range, expected 0 to "
+                            + (MAX_LIST_TABLES - 1));
         }
         listTables.set(table, decoder.endpointEntries(record, 2));
     }
@@ -191,7 +196,9 @@
                 }
                 engine.onEndpointList(listTables.get(table), scope != LIST_UPDATE, now);
             }
-            default -> throw batch.malformedRecord(record, "unknown list scope " + scope + ", expected 0, 1, 3 or 4");
+            default ->
+                    throw batch.malformedRecord(
+                            record, "unknown list scope " + scope + ", expected 0, 1, 3 or 4");
         }
     }
 
--- a/src/main/java/sagepulley/standin/GatewaySession.java
+++ b/src/main/java/sagepulley/standin/GatewaySession.java
@@ -191,7 +191,8 @@
 
     private void dispatch(Frame frame) throws MalformedMessageException {
         if (!helloReceived && frame.type() != StoreMessages.HELLO) {
-            throw new MalformedMessageException("message type " + frame.type() + " before the hello");
+            throw new MalformedMessageException(
+                    "message type " + frame.type() + " before the hello");
         }
         switch (frame.type()) {
             case StoreMessages.HELLO -> {
--- a/src/main/java/sagepulley/standin/StandInDirectory.java
+++ b/src/main/java/sagepulley/standin/StandInDirectory.java
@@ -310,7 +310,8 @@
         }
     }
 
-    private static DirectoryMessages.EndpointLine withPhaseGone(DirectoryMessages.EndpointLine line) {
+    private static DirectoryMessages.EndpointLine withPhaseGone(
+            DirectoryMessages.EndpointLine line) {
         return new DirectoryMessages.EndpointLine(
                 line.node(),
                 line.cell(),
--- a/src/main/java/sagepulley/standin/StandInNode.java
+++ b/src/main/java/sagepulley/standin/StandInNode.java
@@ -325,7 +325,8 @@
     }
 
     /** Answers after the attempt's service time, unless the node goes down before. */
-    private void answerAfterServiceTime(PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
+    private void answerAfterServiceTime(
+            PendingAttempt attempt, StoreMessages.Code code, ByteBuf result) {
         double millis =
                 serviceTime.millis(attempt.send)
                         * faults.slowdownFactor
--- a/src/main/java/sagepulley/standin/TrafficRecorder.java
+++ b/src/main/java/sagepulley/standin/TrafficRecorder.java
@@ -32,7 +32,8 @@
             long nanos) {}
 
     /** Records the cancellation of an attempt by its gateway. */
-    default void attemptCancelled(int node, long gateway, long operationId, int attemptNumber, long nanos) {}
+    default void attemptCancelled(
+            int node, long gateway, long operationId, int attemptNumber, long nanos) {}
 
     /**
      * Records that a node began to serve after a start.
--- a/src/main/java/sagepulley/tracing/TailSampler.java
+++ b/src/main/java/sagepulley/tracing/TailSampler.java
@@ -87,6 +87,7 @@
 
     /** Number of durations seen, by traffic class; stops at {@link #MIN_QUANTILE_SAMPLES}. */
     private int[] sampleCounts = new int[0];
+
     private SampleReason reason;
     private long droppedOverBudget;
 
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -142,7 +142,9 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel newChannel) {
-                                        newChannel.pipeline().addLast(decoder, EndpointConnection.this);
+                                        newChannel
+                                                .pipeline()
+                                                .addLast(decoder, EndpointConnection.this);
                                     }
                                 })
                         .connect(address);
--- a/src/test/java/sagepulley/accounts/AccountsTest.java
+++ b/src/test/java/sagepulley/accounts/AccountsTest.java
@@ -351,8 +351,7 @@
             runServedOperation(affectedGateway, 2, 1, QuotaTier.SHARE, 100 * i, 60, 5, 30);
         }
         assertEquals(
-                Cause.Kind.OTHER_GATEWAYS,
-                affectedGateway.report(2, 0, 10_000).mainCause().kind());
+                Cause.Kind.OTHER_GATEWAYS, affectedGateway.report(2, 0, 10_000).mainCause().kind());
         FleetMerger.Merged merged =
                 FleetMerger.merge(
                         List.of(
--- a/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
+++ b/src/test/java/sagepulley/codec/resp/RespDecoderTest.java
@@ -45,7 +45,8 @@
             assertEquals(command.size(), decoded.items().size());
             for (int i = 0; i < command.size(); i++) {
                 assertTrue(
-                        Arrays.equals(command.get(i), ((Resp.Bulk) decoded.items().get(i)).bytes()));
+                        Arrays.equals(
+                                command.get(i), ((Resp.Bulk) decoded.items().get(i)).bytes()));
             }
         }
         assertNull(channel.readInbound());
--- a/src/test/java/sagepulley/config/SiteConfigTest.java
+++ b/src/test/java/sagepulley/config/SiteConfigTest.java
@@ -46,7 +46,9 @@
         SiteConfigException error =
                 assertThrows(
                         SiteConfigException.class,
-                        () -> SiteConfig.read("demo.ini", VALID_SITE_FILE.replace(text, replacement)));
+                        () ->
+                                SiteConfig.read(
+                                        "demo.ini", VALID_SITE_FILE.replace(text, replacement)));
         assertTrue(error.getMessage().contains(expected), error.getMessage());
     }
 
@@ -58,7 +60,8 @@
                         () ->
                                 SiteConfig.read(
                                         "demo.ini",
-                                        VALID_SITE_FILE.replace("size = 64 MiB", "size = x")
+                                        VALID_SITE_FILE
+                                                .replace("size = 64 MiB", "size = x")
                                                 .replace("patience = 4 s", "patience = y")));
         assertEquals(
                 2,
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -43,7 +43,8 @@
                 "{\"name\" | [{\"name\" | not a JSON object",
                 "\"discovery\": \"127.0.0.1:1\", | '' | discovery is missing"
             })
-    void invalidFileIsReportedInOneLine(String validPart, String replacement, String expected) throws Exception {
+    void invalidFileIsReportedInOneLine(String validPart, String replacement, String expected)
+            throws Exception {
         String text = WarmUpConfig.text();
         assertTrue(text.contains(validPart));
         ConfigException error =
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -26,8 +26,8 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Keys of settings are part of the file formats: each key in the committed files has a value
- * other than its default, and the result is compared as a whole.
+ * Keys of settings are part of the file formats: each key in the committed files has a value other
+ * than its default, and the result is compared as a whole.
  */
 class SettingNamesTest {
     private static final Path FOLDER = Path.of("src/test/resources/external");
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -53,7 +53,8 @@
         return openClient(peers, LONG_MILLIS, LONG_MILLIS);
     }
 
-    private DiscoveryClient openClient(ScriptedPeers peers, long firstListTimeoutMillis, long idleTimeoutMillis)
+    private DiscoveryClient openClient(
+            ScriptedPeers peers, long firstListTimeoutMillis, long idleTimeoutMillis)
             throws Exception {
         Transport transport = Transport.sockets();
         discovery = peers.startDiscovery();
@@ -215,7 +216,9 @@
             watch.socket.setSoLinger(true, 0);
             watch.socket.close();
             await().until(() -> failures.size() == 1);
-            assertEquals(!listIncomplete, confirmations.stream().anyMatch(asOf -> asOf > resetAt - 1_100));
+            assertEquals(
+                    !listIncomplete,
+                    confirmations.stream().anyMatch(asOf -> asOf > resetAt - 1_100));
         }
     }
 
@@ -274,7 +277,8 @@
             peers.endpointList = "{\"revision\":7,\"complete\":false,\"members\":[]}";
             var intermediateAddress = peers.startDiscovery();
             var newAddress = peers.startDiscovery();
-            peers.gateway.onConfigurationRead(peers.configAt(intermediateAddress), peers.gateway.now());
+            peers.gateway.onConfigurationRead(
+                    peers.configAt(intermediateAddress), peers.gateway.now());
             peers.gateway.onConfigurationRead(peers.configAt(newAddress), peers.gateway.now());
             await().until(
                             () ->
@@ -327,7 +331,10 @@
             openClient(peers);
             await().until(() -> hasUnansweredRequest(peers));
             String response =
-                    prefix + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n" + CHANGE.formatted(44, "") + "\n";
+                    prefix
+                            + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n"
+                            + CHANGE.formatted(44, "")
+                            + "\n";
             for (char character : response.toCharArray()) {
                 last(peers.unansweredRequests).send(String.valueOf(character));
             }
@@ -381,7 +388,8 @@
             assertEquals(
                     indent.isEmpty(),
                     peers.endpointList.length() < 1 << 20,
-                    "expected only the compact list to be below 1 MiB, bytes: " + peers.endpointList.length());
+                    "expected only the compact list to be below 1 MiB, bytes: "
+                            + peers.endpointList.length());
             openClient(peers);
             await().until(() -> updates.size() == 1);
             assertEquals(3_200, updates.get(0).members().size());
@@ -414,7 +422,8 @@
             await().until(() -> updates.size() == 2);
             assertTrue(
                     confirmations.stream().allMatch(asOf -> asOf <= listStartedAt + 100),
-                    "expected confirmations as of the start of the list at the latest: " + confirmations);
+                    "expected confirmations as of the start of the list at the latest: "
+                            + confirmations);
             Thread.sleep(700);
             double idleAt = clock.now();
             connection.send("\n");
@@ -423,8 +432,8 @@
     }
 
     /** Sends half of a list and, after a pause, the rest, with its line end as a separate write. */
-    private static void sendInTwoParts(ScriptedPeers.Connection connection, String head, String list)
-            throws Exception {
+    private static void sendInTwoParts(
+            ScriptedPeers.Connection connection, String head, String list) throws Exception {
         int middle = list.length() / 2;
         int end = list.lastIndexOf('}') + 1;
         connection.send(head + list.substring(0, middle));
@@ -473,7 +482,11 @@
             await().until(() -> updates.size() == 2);
             ScriptedPeers.Connection pollConnection = last(peers.unansweredRequests);
             String completeList = "{\"revision\":8,\"complete\":true,\"members\":[]}";
-            pollConnection.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
+            pollConnection.send(
+                    "HTTP/1.1 200 OK\r\nContent-Length: "
+                            + completeList.length()
+                            + "\r\n\r\n"
+                            + completeList);
             assertEquals(-1, pollConnection.input.read(), "the request is still open");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
@@ -510,12 +523,15 @@
     @ValueSource(strings = {"subscribe", "automatic"})
     void gatewayListensOnlyAfterTheFirstList(String discoveryMode) throws Exception {
         Transport transport = Transport.sockets();
-        try (ServerSocket discoveryServer = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket discoveryServer =
+                new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             GatewayConfig config =
                     GatewayConfig.parse(
                                     JsonReader.readObject(
                                             WarmUpConfig.text()
-                                                    .replace("\"subscribe\"", "\"" + discoveryMode + "\"")
+                                                    .replace(
+                                                            "\"subscribe\"",
+                                                            "\"" + discoveryMode + "\"")
                                                     .getBytes(StandardCharsets.UTF_8)),
                                     Map.of())
                             .withAddresses(
@@ -525,7 +541,8 @@
             RespGateway gateway = new RespGateway(config, transport);
             gateway.connectToDiscovery();
             CompletableFuture<SocketAddress> ready = gateway.start();
-            ScriptedPeers.Connection request = new ScriptedPeers.Connection(discoveryServer.accept());
+            ScriptedPeers.Connection request =
+                    new ScriptedPeers.Connection(discoveryServer.accept());
             assertTrue(request.readLine().contains("watch=1"));
             assertFalse(ready.isDone());
             request.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
--- a/src/test/java/sagepulley/engine/DecisionDigestTest.java
+++ b/src/test/java/sagepulley/engine/DecisionDigestTest.java
@@ -118,7 +118,8 @@
     }
 
     /** The scheduled end of an attempt, by a response or a failure. */
-    private record Ending(double at, long order, Attempt attempt, Outcome outcome, boolean endsOperation) {}
+    private record Ending(
+            double at, long order, Attempt attempt, Outcome outcome, boolean endsOperation) {}
 
     /**
      * Drives one gateway with random traffic, random endpoint faults and a changing endpoint list.
@@ -155,7 +156,9 @@
             Deployment deployment = SettingsReader.ofLines(SETTINGS).deployment();
             this.engine =
                     new GatewayEngine(
-                            isLeaseBounded ? deployment.withWatch(NOTIFICATION_SPAN_MILLIS) : deployment,
+                            isLeaseBounded
+                                    ? deployment.withWatch(NOTIFICATION_SPAN_MILLIS)
+                                    : deployment,
                             seed,
                             this);
             for (int i = 0; i < ENDPOINTS; i++) {
@@ -249,7 +252,8 @@
 
         private void cancelRandomOperation() {
             if (!openOperations.isEmpty()) {
-                engine.onClientCancelled(openOperations.remove(random.nextInt(openOperations.size())), now);
+                engine.onClientCancelled(
+                        openOperations.remove(random.nextInt(openOperations.size())), now);
             }
             if (openOperations.size() > 200) {
                 openOperations.subList(0, 100).clear();
@@ -298,9 +302,11 @@
         public void send(Attempt attempt, double timeout) {
             sent++;
             addToDigest("send " + attempt.operation.id + " to " + attempt.node.id, timeout);
-            addToDigest("may begin " + engine.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
+            addToDigest(
+                    "may begin " + engine.mayStart(attempt, now + 5), attempt.quotaTier.ordinal());
             int index = attempt.node.id - 100;
-            double serviceTime = (2 + attempt.operation.units * 3) * slowdown[index] * random.nextDouble();
+            double serviceTime =
+                    (2 + attempt.operation.units * 3) * slowdown[index] * random.nextDouble();
             int choice = random.nextInt(100);
             if (silent[index] || serviceTime >= timeout) {
                 scheduleEnding(timeout, attempt, Outcome.TIMED_OUT, false);
@@ -319,7 +325,8 @@
             }
         }
 
-        private void scheduleEnding(double delay, Attempt attempt, Outcome outcome, boolean endsOperation) {
+        private void scheduleEnding(
+                double delay, Attempt attempt, Outcome outcome, boolean endsOperation) {
             endings.add(new Ending(now + delay, ++sequence, attempt, outcome, endsOperation));
         }
 
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -46,7 +46,8 @@
 
                         @Override
                         public void endUnserved(Operation operation, RoutingDecision decision) {
-                            throw new AssertionError("unexpectedly rejected or abandoned: " + decision.reason());
+                            throw new AssertionError(
+                                    "unexpectedly rejected or abandoned: " + decision.reason());
                         }
 
                         @Override
@@ -61,12 +62,14 @@
 
                         @Override
                         public void openWatch() {
-                            throw new AssertionError("unexpected watch: the endpoint list is pushed");
+                            throw new AssertionError(
+                                    "unexpected watch: the endpoint list is pushed");
                         }
 
                         @Override
                         public void pollEndpointList() {
-                            throw new AssertionError("unexpected poll: the endpoint list is pushed");
+                            throw new AssertionError(
+                                    "unexpected poll: the endpoint list is pushed");
                         }
 
                         @Override
--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -32,8 +32,7 @@
     @TempDir Path folder;
 
     @Test
-    void keepsDrainGraceAndReloadsWhileIdleClientsHoldAllDescriptors()
-            throws Exception {
+    void keepsDrainGraceAndReloadsWhileIdleClientsHoldAllDescriptors() throws Exception {
         List<Socket> idle = new ArrayList<>();
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             fleet.setLauncher("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
--- a/src/test/java/sagepulley/faultinjection/SoakTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakTest.java
@@ -36,7 +36,8 @@
                                     + " violations; "
                                     + String.join(
                                             "\n  ",
-                                            violations.subList(0, Math.min(MAX_SHOWN, violations.size())))
+                                            violations.subList(
+                                                    0, Math.min(MAX_SHOWN, violations.size())))
                                     + "\n"
                                     + run.journalText());
             assertTrue(run.served() > MIN_SERVED, run::journalText);
--- a/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
+++ b/src/test/java/sagepulley/faultinjection/StaleEndpointsTest.java
@@ -25,7 +25,8 @@
     static Stream<Arguments> discoveriesWithoutList() {
         return Stream.of(
                 Arguments.of("rejects every call", DiscoveryBehaviour.rejecting()),
-                Arguments.of("accepts calls without answering them", DiscoveryBehaviour.unresponsive()),
+                Arguments.of(
+                        "accepts calls without answering them", DiscoveryBehaviour.unresponsive()),
                 Arguments.of(
                         "keeps calls waiting and then rejects them",
                         DiscoveryBehaviour.oneAtATime(60_000, 2_000, 100)));
--- a/src/test/java/sagepulley/faultinjection/StopTest.java
+++ b/src/test/java/sagepulley/faultinjection/StopTest.java
@@ -26,8 +26,7 @@
     @TempDir Path folder;
 
     @Test
-    void answersAllRequestsAndExitsBeforeEarliestKillDespiteSuspensions()
-            throws Exception {
+    void answersAllRequestsAndExitsBeforeEarliestKillDespiteSuspensions() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
             ClientLoad load = fleet.startLoad(0, 12, ClientLoad.ClientBehaviour.STEADY, 6);
--- a/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/BadClientsTest.java
@@ -106,7 +106,8 @@
     }
 
     private static Socket connect(NbdTestFixture fixture) throws IOException {
-        return new Socket(fixture.gateway.address().getAddress(), fixture.gateway.address().getPort());
+        return new Socket(
+                fixture.gateway.address().getAddress(), fixture.gateway.address().getPort());
     }
 
     @Test
@@ -122,7 +123,8 @@
                             .putLong(0)
                             .putInt(4096)
                             .array();
-            byte[] sessionBytes = ByteBuffer.allocate(24 + write.length).put(openingBytes()).put(write).array();
+            byte[] sessionBytes =
+                    ByteBuffer.allocate(24 + write.length).put(openingBytes()).put(write).array();
             for (int length = 0; length <= sessionBytes.length; length += length < 60 ? 1 : 512) {
                 try (Socket socket = connect(fixture)) {
                     socket.getOutputStream().write(sessionBytes, 0, length);
@@ -216,7 +218,8 @@
                 writes.add(floodingClient.write(0, maxRequestData));
             }
             for (int i = 0; i < 30; i++) {
-                NbdReply reply = NbdTestFixture.await(otherClient.read(48L * NbdTestFixture.MIB, 4096));
+                NbdReply reply =
+                        NbdTestFixture.await(otherClient.read(48L * NbdTestFixture.MIB, 4096));
                 assertEquals(0, reply.error);
                 reply.release();
             }
--- a/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FaultsTest.java
@@ -48,9 +48,11 @@
                     node.closeConnections();
                 }),
         DIRECTORY_DOWN((fixture, node) -> NbdTestFixture.await(fixture.cluster.directory().stop())),
-        DIRECTORY_UNRESPONSIVE((fixture, node) -> fixture.cluster.directory().setUnresponsive(true)),
+        DIRECTORY_UNRESPONSIVE(
+                (fixture, node) -> fixture.cluster.directory().setUnresponsive(true)),
         DIRECTORY_FAILING((fixture, node) -> fixture.cluster.directory().setFailing(true)),
-        DIRECTORY_RESTARTED((fixture, node) -> NbdTestFixture.await(fixture.cluster.directory().restart()));
+        DIRECTORY_RESTARTED(
+                (fixture, node) -> NbdTestFixture.await(fixture.cluster.directory().restart()));
 
         @SuppressWarnings("ImmutableEnumChecker") // the lambdas hold no state
         final BiConsumer<NbdTestFixture, StandInNode> begin;
@@ -108,7 +110,8 @@
                 // The deadline is 2.5 s for reads and 1 s for writes; stalls of this machine are
                 // added to it.
                 assertTrue(
-                        reply.join().durationMillis() < 2500 + 100 + stallDetector.worstStallMillis(),
+                        reply.join().durationMillis()
+                                < 2500 + 100 + stallDetector.worstStallMillis(),
                         "took " + reply.join().durationMillis());
             }
             Counters counters = fixture.gateway.counters();
@@ -131,7 +134,8 @@
             NbdClient disconnecting = fixture.client();
             AtomicInteger ends = new AtomicInteger();
             for (int i = 0; i < 20; i++) {
-                disconnecting.read(i * 1024L, 1024)
+                disconnecting
+                        .read(i * 1024L, 1024)
                         .whenComplete((reply, failure) -> ends.incrementAndGet());
             }
             await().until(() -> fixture.gateway.counters().accepted.sum() >= 21);
@@ -181,7 +185,8 @@
     }
 
     /** Repeats a write until it is served; a rejected write may be retried. */
-    private static CompletableFuture<Void> writeUntilServed(NbdClient client, long offset, byte[] data) {
+    private static CompletableFuture<Void> writeUntilServed(
+            NbdClient client, long offset, byte[] data) {
         return client.write(offset, data)
                 .thenCompose(
                         reply -> {
@@ -212,11 +217,14 @@
                                 writeUntilServed(clientA, offset + 65536, dataA),
                                 writeUntilServed(clientB, offset + 131072, dataB));
                 writes.forEach(NbdTestFixture::await);
-                byte[] readFromA = NbdTestFixture.data(NbdTestFixture.await(clientA.read(offset, 8192)));
-                byte[] readFromB = NbdTestFixture.data(NbdTestFixture.await(clientB.read(offset, 8192)));
+                byte[] readFromA =
+                        NbdTestFixture.data(NbdTestFixture.await(clientA.read(offset, 8192)));
+                byte[] readFromB =
+                        NbdTestFixture.data(NbdTestFixture.await(clientB.read(offset, 8192)));
                 assertTrue(java.util.Arrays.equals(readFromA, readFromB));
                 assertTrue(
-                        java.util.Arrays.equals(readFromA, dataA) || java.util.Arrays.equals(readFromA, dataB));
+                        java.util.Arrays.equals(readFromA, dataA)
+                                || java.util.Arrays.equals(readFromA, dataB));
                 assertTrue(
                         java.util.Arrays.equals(
                                 dataA,
@@ -226,7 +234,8 @@
                         java.util.Arrays.equals(
                                 dataB,
                                 NbdTestFixture.data(
-                                        NbdTestFixture.await(clientA.read(offset + 131072, 8192)))));
+                                        NbdTestFixture.await(
+                                                clientA.read(offset + 131072, 8192)))));
             }
             assertEquals(40, NbdTestFixture.await(fixture.cluster.directory().counts())[0]);
         }
--- a/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/FullPathTest.java
@@ -50,7 +50,8 @@
         try (NbdTestFixture fixture = new NbdTestFixture(3)) {
             NbdClient client = fixture.client();
             assertTrue(client.hasBaseAllocation());
-            NbdTestFixture.await(client.write(0, NbdTestFixture.randomBytes(2, 2 * NbdTestFixture.MIB)));
+            NbdTestFixture.await(
+                    client.write(0, NbdTestFixture.randomBytes(2, 2 * NbdTestFixture.MIB)));
             assertEquals(
                     0,
                     NbdTestFixture.error(
@@ -119,7 +120,8 @@
             java.util.List<java.util.concurrent.CompletableFuture<NbdReply>> writes =
                     new java.util.ArrayList<>();
             for (int i = 0; i < 512; i++) {
-                writes.add(client.write(i * 128L * 1024, NbdTestFixture.randomBytes(i, 128 * 1024)));
+                writes.add(
+                        client.write(i * 128L * 1024, NbdTestFixture.randomBytes(i, 128 * 1024)));
             }
             int served = 0;
             for (var write : writes) {
--- a/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
+++ b/src/test/java/sagepulley/frontend/nbd/NbdTestFixture.java
@@ -50,7 +50,11 @@
         NbdClient client =
                 await(
                         NbdClient.open(
-                                cluster.loops(), EventLoops.socket(), target.address(), "demo", style));
+                                cluster.loops(),
+                                EventLoops.socket(),
+                                target.address(),
+                                "demo",
+                                style));
         clients.add(client);
         return client;
     }
--- a/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
+++ b/src/test/java/sagepulley/frontend/nbd/WithoutDiscoveryTest.java
@@ -51,7 +51,8 @@
         for (int i = 0; i < 6; i++) {
             NbdTestFixture.await(
                             client.write(
-                                    i * (long) NbdTestFixture.MIB, NbdTestFixture.randomBytes(i, 4096)))
+                                    i * (long) NbdTestFixture.MIB,
+                                    NbdTestFixture.randomBytes(i, 4096)))
                     .release();
         }
         NbdTestFixture.await(first.stop());
@@ -91,7 +92,9 @@
             String site = runFirstIncarnation(fixture);
             NbdTestFixture.await(fixture.cluster.directory().stop());
             double[] agesMillis = {60_000, 3_600_000, 7 * 86_400_000.0};
-            ListFreshness[] expectedFreshness = {ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD};
+            ListFreshness[] expectedFreshness = {
+                ListFreshness.FRESH, ListFreshness.AGED, ListFreshness.OLD
+            };
             for (int i = 0; i < agesMillis.length; i++) {
                 ageStoredList(agesMillis[i]);
                 NbdGateway restarted = start(site, 20 + i);
@@ -140,7 +143,8 @@
                     NbdConstants.ENOMEM,
                     NbdTestFixture.error(
                             client.write(
-                                    40L * NbdTestFixture.MIB, NbdTestFixture.randomBytes(40, 4096))));
+                                    40L * NbdTestFixture.MIB,
+                                    NbdTestFixture.randomBytes(40, 4096))));
             long attempts = restarted.counters().attempts.sum();
             assertEquals(
                     0,
@@ -181,7 +185,9 @@
                     "attempts not executed: " + restarted.counters().notExecuted.sum());
             NbdTestFixture.await(restarted.stop());
             assertArrayEquals(
-                    Arrays.copyOf(cells, 6), Arrays.copyOf(file.load().get(1), 6), "stored holders are corrected");
+                    Arrays.copyOf(cells, 6),
+                    Arrays.copyOf(file.load().get(1), 6),
+                    "stored holders are corrected");
         }
     }
 
@@ -202,7 +208,10 @@
             String otherSite = site.replace("[site]", "[site]\nname = elsewhere");
             NbdGateway otherGateway = start(otherSite, 61);
             NodesView view = NbdTestFixture.await(otherGateway.nodes());
-            assertEquals(3, view.nodes().size(), "nodes come from the directory, not from the stored list");
+            assertEquals(
+                    3,
+                    view.nodes().size(),
+                    "nodes come from the directory, not from the stored list");
             assertEquals(0, view.unverifiedExtents());
             NbdTestFixture.await(otherGateway.kill());
         }
@@ -215,7 +224,8 @@
             NbdGateway restarted = start(site, 70);
             NbdClient client = fixture.client(restarted, NbdClient.Style.GO);
             NbdTestFixture.await(fixture.cluster.directory().stop());
-            NbdTestFixture.await(fixture.cluster.directory().replaceWith("another", 9, 1, List.of()));
+            NbdTestFixture.await(
+                    fixture.cluster.directory().replaceWith("another", 9, 1, List.of()));
             NbdTestFixture.await(fixture.cluster.directory().restart());
             long listsBefore = fixture.cluster.directory().completeLists();
             await().until(() -> fixture.cluster.directory().completeLists() > listsBefore);
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -183,7 +183,8 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
-        runWhileLoopIsBlocked(() -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
+        runWhileLoopIsBlocked(
+                () -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
         await().until(() -> requests.size() == 2);
         runOnLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
         assertEquals("+FIRST", client.readReply());
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -55,8 +55,11 @@
             assertEquals(
                     ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
                     forwardedFields.replaceAll(",d=\\d+", ""));
-            int forwardedDeadline = Integer.parseInt(forwardedFields.replaceAll(".*,d=(\\d+),.*", "$1"));
-            assertTrue(forwardedDeadline > 0 && forwardedDeadline < 9000, "expected a forwarded deadline of 1 to 8999 ms, got " + forwardedDeadline);
+            int forwardedDeadline =
+                    Integer.parseInt(forwardedFields.replaceAll(".*,d=(\\d+),.*", "$1"));
+            assertTrue(
+                    forwardedDeadline > 0 && forwardedDeadline < 9000,
+                    "expected a forwarded deadline of 1 to 8999 ms, got " + forwardedDeadline);
             assertEquals("bytes", peers.commands.get(1).get(4));
         }
     }
@@ -70,7 +73,8 @@
                             if (arguments.get(2).equals(NumberParser.formatId(1))) {
                                 awaitLatch(secondReplied);
                             }
-                            connection.send("*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n");
+                            connection.send(
+                                    "*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n");
                             if (arguments.get(2).equals(NumberParser.formatId(2))) {
                                 secondReplied.countDown();
                             }
@@ -234,7 +238,8 @@
         try (ScriptedPeers peers =
                 new ScriptedPeers(
                         (arguments, connection) -> {
-                            String reply = "*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n";
+                            String reply =
+                                    "*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n";
                             connection.send(reply + reply);
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
@@ -322,10 +327,14 @@
         Transport transport = Transport.sockets();
         try {
             int port = WarmUpConfig.freePort();
-            InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-            InetSocketAddress listenAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            InetSocketAddress unusedAddress =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+            InetSocketAddress listenAddress =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             RespGateway gateway =
-                    new RespGateway(WarmUpConfig.at(listenAddress, unusedAddress, unusedAddress), transport);
+                    new RespGateway(
+                            WarmUpConfig.at(listenAddress, unusedAddress, unusedAddress),
+                            transport);
             gateway.stop();
             gateway.connectToDiscovery();
             gateway.start().join();
@@ -479,7 +488,9 @@
             }
             assertTrue(
                     peers.commands.size() < commandCount,
-                    peers.commands.size() + " commands forwarded, expected fewer than " + commandCount);
+                    peers.commands.size()
+                            + " commands forwarded, expected fewer than "
+                            + commandCount);
             ScriptedPeers.Connection otherClient = peers.connectClient();
             otherClient.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
             assertTrue(otherClient.readReply().startsWith("$60000 "));
--- a/src/test/java/sagepulley/membership/MembershipTest.java
+++ b/src/test/java/sagepulley/membership/MembershipTest.java
@@ -66,7 +66,8 @@
                 restoredAfter(MINUTE_MILLIS, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING));
         assertEquals(ListFreshness.FRESH, restored.freshness(START_MILLIS + MINUTE_MILLIS));
         assertTrue(member(restored, 1, START_MILLIS + MINUTE_MILLIS).acceptsNewObjects());
-        assertEquals(EndpointRecord.Phase.DRAINING, phase(restored, 2, START_MILLIS + MINUTE_MILLIS));
+        assertEquals(
+                EndpointRecord.Phase.DRAINING, phase(restored, 2, START_MILLIS + MINUTE_MILLIS));
         assertTrue(restored.takeProbes(START_MILLIS + MINUTE_MILLIS).isEmpty());
     }
 
@@ -168,7 +169,8 @@
     void olderVersionAppliesOnlyRestrictions() {
         Membership membership = newMembership();
         membership.applyUpdate(
-                complete(5, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING), ready(3)), START_MILLIS);
+                complete(5, ready(1), endpoint(2, EndpointRecord.Phase.DRAINING), ready(3)),
+                START_MILLIS);
         Membership.UpdateResult result =
                 membership.applyUpdate(
                         complete(4, endpoint(1, EndpointRecord.Phase.DRAINING), ready(2)),
@@ -190,14 +192,16 @@
                 new EndpointListUpdate("site", 2, 1, true, List.of(ready(1))), START_MILLIS + 1);
         assertEquals(EndpointRecord.Phase.READY, phase(membership, 2, START_MILLIS + 1));
         membership.applyUpdate(
-                new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))), START_MILLIS + 5_000);
+                new EndpointListUpdate("site", 2, 2, false, List.of(ready(2))),
+                START_MILLIS + 5_000);
         membership.advanceTo(START_MILLIS + 40_000);
         assertEquals(
                 EndpointRecord.Phase.READY,
                 phase(membership, 2, START_MILLIS + 40_000),
                 "node 2 was listed again within the grace period");
         membership.applyUpdate(
-                new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))), START_MILLIS + 41_000);
+                new EndpointListUpdate("site", 3, 1, true, List.of(ready(1))),
+                START_MILLIS + 41_000);
         membership.advanceTo(START_MILLIS + 72_000);
         assertEquals(EndpointRecord.Phase.REMOVED, phase(membership, 2, START_MILLIS + 72_000));
     }
@@ -300,7 +304,8 @@
                                         List.of(endpoint(node, phase))),
                                 now);
                         listedReady.computeIfPresent(
-                                node, (id, wasReady) -> wasReady && phase == EndpointRecord.Phase.READY);
+                                node,
+                                (id, wasReady) -> wasReady && phase == EndpointRecord.Phase.READY);
                     }
                 }
                 case 3 ->
--- a/src/test/java/sagepulley/scenario/MisbehavingGateway.java
+++ b/src/test/java/sagepulley/scenario/MisbehavingGateway.java
@@ -230,7 +230,9 @@
             if (event instanceof sagepulley.codec.nbd.AttachedExport attached) {
                 volume =
                         gateway.site.volumes().stream()
-                                .filter(settings -> settings.name().equals(attached.export().name()))
+                                .filter(
+                                        settings ->
+                                                settings.name().equals(attached.export().name()))
                                 .findFirst()
                                 .orElseThrow();
             }
@@ -247,7 +249,13 @@
             long operationId = ++gateway.lastOperationId;
             StoreMessages.Kind kind = isRead ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE;
             int trafficClass = isRead ? volume.readTrafficClass() : volume.writeTrafficClass();
-            int idempotency = gateway.site.deployment().trafficClasses().get(trafficClass).idempotency().ordinal();
+            int idempotency =
+                    gateway.site
+                            .deployment()
+                            .trafficClasses()
+                            .get(trafficClass)
+                            .idempotency()
+                            .ordinal();
             ByteBuf payload = Unpooled.wrappedBuffer(ByteBufUtil.getBytes(request.payload()));
             request.payload().release();
             java.util.function.IntConsumer send =
@@ -256,7 +264,9 @@
                         nodeClient.callbacks.put(
                                 attempt,
                                 data -> {
-                                    boolean last = misbehavior != Misbehavior.EXTRA_RETRIES || attemptNumber == 2;
+                                    boolean last =
+                                            misbehavior != Misbehavior.EXTRA_RETRIES
+                                                    || attemptNumber == 2;
                                     if (!last) {
                                         retry(
                                                 attempt + 1,
@@ -271,7 +281,8 @@
                                                 payload,
                                                 ctx,
                                                 data);
-                                    } else if (attemptNumber == (misbehavior == Misbehavior.EXTRA_RETRIES ? 2 : 0)) {
+                                    } else if (attemptNumber
+                                            == (misbehavior == Misbehavior.EXTRA_RETRIES ? 2 : 0)) {
                                         gateway.schedule(
                                                 misbehavior == Misbehavior.LATE_ANSWER ? 900 : 0,
                                                 () -> reply(ctx, request, data));
@@ -367,7 +378,15 @@
                     });
             nodeClient.connection.send(
                     attempt,
-                    createMessage(kind, trafficClass, idempotency, operationId, attemptNumber, extent, request, gateway.site.extentBytes()),
+                    createMessage(
+                            kind,
+                            trafficClass,
+                            idempotency,
+                            operationId,
+                            attemptNumber,
+                            extent,
+                            request,
+                            gateway.site.extentBytes()),
                     payload.retainedDuplicate());
         }
 
--- a/src/test/java/sagepulley/scenario/RuleCheckerTest.java
+++ b/src/test/java/sagepulley/scenario/RuleCheckerTest.java
@@ -78,22 +78,33 @@
         "7, DROPPED_WRITES, '', '', ''",
     })
     void detectsRuleBrokenByMisbehavingGateway(
-            int rule, MisbehavingGateway.Misbehavior misbehavior, String trafficClassLines, String planLimits, String extraLines)
+            int rule,
+            MisbehavingGateway.Misbehavior misbehavior,
+            String trafficClassLines,
+            String planLimits,
+            String extraLines)
             throws Exception {
-        Scenario scenario = ScenarioReader.read("small", script(trafficClassLines, planLimits.replace('|', '\n'), extraLines));
-        ScenarioRunner.Result result = new ScenarioRunner(scenario, new MisbehavingGateway(misbehavior)).run();
+        Scenario scenario =
+                ScenarioReader.read(
+                        "small",
+                        script(trafficClassLines, planLimits.replace('|', '\n'), extraLines));
+        ScenarioRunner.Result result =
+                new ScenarioRunner(scenario, new MisbehavingGateway(misbehavior)).run();
         assertFalse(
                 result.verdicts().get(rule).satisfied(), result.verdicts().get(rule).toString());
         assertFalse(result.passed());
         // The real gateway satisfies all rules in the same scenario.
         ScenarioRunner.Result realResult = new ScenarioRunner(scenario).run();
-        realResult.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
+        realResult
+                .verdicts()
+                .forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
         assertTrue(realResult.requests() > 50);
     }
 
     @Test
     void badEveningScenarioSatisfiesAllRules() throws Exception {
-        Scenario scenario = ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
+        Scenario scenario =
+                ScenarioReader.read("bad-evening", ScenarioRunner.builtIn("bad-evening"));
         ScenarioRunner.Result result = new ScenarioRunner(scenario).run();
         result.verdicts().forEach(verdict -> assertTrue(verdict.satisfied(), verdict.toString()));
         assertEquals(java.util.List.of(), result.unmetExpectations());
@@ -110,7 +121,9 @@
         second.complete(40, true);
         history.check(1, 0, firstData, 38, 45); // the read began before the acknowledgement
         assertEquals(0, history.breaches().size());
-        history.check(1, 0, firstData, 50, 55); // stale: the second write was acknowledged before the read
+        history.check(
+                1, 0, firstData, 50,
+                55); // stale: the second write was acknowledged before the read
         assertEquals(1, history.breaches().size());
         history.check(1, 0, firstData.setLong(512, 99), 20, 25);
         assertTrue(history.breaches().get(1).contains("torn"));
--- a/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
+++ b/src/test/java/sagepulley/scheduler/EndpointLeaseTest.java
@@ -19,7 +19,8 @@
      */
     private static final double SAFETY_MARGIN_MILLIS = 200;
 
-    private final EndpointLease lease = new EndpointLease(NOTIFICATION_SPAN_MILLIS, DRAIN_GRACE_MILLIS);
+    private final EndpointLease lease =
+            new EndpointLease(NOTIFICATION_SPAN_MILLIS, DRAIN_GRACE_MILLIS);
 
     @Test
     void noLeaseIsHeldBeforeTheFirstConfirmation() {
@@ -30,8 +31,19 @@
     void theLeaseExpiresOneSpanAndTheGraceAfterTheLatestConfirmation() {
         lease.confirmed(100);
         lease.confirmed(50);
-        assertTrue(lease.holds(100 + NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS - SAFETY_MARGIN_MILLIS - 1));
-        assertFalse(lease.holds(100 + NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS - SAFETY_MARGIN_MILLIS));
+        assertTrue(
+                lease.holds(
+                        100
+                                + NOTIFICATION_SPAN_MILLIS
+                                + DRAIN_GRACE_MILLIS
+                                - SAFETY_MARGIN_MILLIS
+                                - 1));
+        assertFalse(
+                lease.holds(
+                        100
+                                + NOTIFICATION_SPAN_MILLIS
+                                + DRAIN_GRACE_MILLIS
+                                - SAFETY_MARGIN_MILLIS));
     }
 
     @Test
@@ -78,7 +90,8 @@
         lease.reloadCompleted(299);
         lease.confirmed(400);
         assertFalse(
-                lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS), "the configuration read is older than the latest notification");
+                lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS),
+                "the configuration read is older than the latest notification");
         lease.reloadCompleted(500);
         lease.confirmed(600);
         assertTrue(lease.holds(100 + 4_000 + DRAIN_GRACE_MILLIS));
@@ -93,14 +106,16 @@
 
     @Test
     void withoutALeaseNothingIsSentAndTheOperationIsRejected() {
-        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
+        SchedulerHarness harness =
+                new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
         harness.scheduler.onListConfirmed(harness.now);
         assertEquals(1, harness.submit(SchedulerHarness.READ, 0).attempts.size());
         harness.serveAllInFlight();
         harness.advanceClock(NOTIFICATION_SPAN_MILLIS + DRAIN_GRACE_MILLIS);
         Operation waiting = harness.submit(SchedulerHarness.READ, 0);
         assertEquals(0, waiting.attempts.size());
-        assertEquals(Reason.NO_LEASE, WaitExplainer.reasonFor(harness.scheduler, waiting, harness.now));
+        assertEquals(
+                Reason.NO_LEASE, WaitExplainer.reasonFor(harness.scheduler, waiting, harness.now));
         harness.advanceClock(260);
         assertTrue(harness.rejected.contains(waiting));
         Operation next = harness.submit(SchedulerHarness.READ, 0);
@@ -112,11 +127,14 @@
     /** The connection of the attempt is established only after the lease has expired. */
     @Test
     void anAttemptDelayedBeyondTheLeaseDoesNotStart() {
-        SchedulerHarness harness = new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
+        SchedulerHarness harness =
+                new SchedulerHarness(1, 0, 1, true, Double.NaN, NOTIFICATION_SPAN_MILLIS);
         harness.scheduler.onListConfirmed(harness.now - NOTIFICATION_SPAN_MILLIS);
         Operation read = harness.submit(SchedulerHarness.BULK, 0);
         assertEquals(1, read.attempts.size());
         assertTrue(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now));
-        assertFalse(harness.scheduler.mayStart(harness.lastAttempt(read), harness.now + DRAIN_GRACE_MILLIS));
+        assertFalse(
+                harness.scheduler.mayStart(
+                        harness.lastAttempt(read), harness.now + DRAIN_GRACE_MILLIS));
     }
 }
--- a/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
+++ b/src/test/java/sagepulley/scheduler/LoadSheddingTest.java
@@ -20,7 +20,9 @@
             harness.submit(SchedulerHarness.READ, surging, 100 + i, 2, 0);
         }
         harness.advanceClock(260);
-        assertTrue(harness.rejected.size() > 20, "rejected at the overloaded endpoint: " + harness.rejected.size());
+        assertTrue(
+                harness.rejected.size() > 20,
+                "rejected at the overloaded endpoint: " + harness.rejected.size());
         Operation read = harness.submit(SchedulerHarness.READ, 1);
         harness.advanceClock(10);
         harness.endAttempt(harness.lastAttempt(read), Outcome.FAILED);
@@ -109,8 +111,11 @@
         harness.endAttempt(harness.lastAttempt(shortDeadline), Outcome.SERVED);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
-        Operation clientRetry = harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
-        assertTrue(harness.rejected.contains(clientRetry), "the objective of the first request has ended");
+        Operation clientRetry =
+                harness.submitWithDeadline(SchedulerHarness.READ, first.extent, 0, 1700);
+        assertTrue(
+                harness.rejected.contains(clientRetry),
+                "the objective of the first request has ended");
     }
 
     @Test
@@ -128,7 +133,8 @@
         harness.serveAllInFlight();
         harness.advanceClock(140);
         assertTrue(
-                harness.retryAfter > 0 && harness.retryAfter < 500, "retry after " + harness.retryAfter);
+                harness.retryAfter > 0 && harness.retryAfter < 500,
+                "retry after " + harness.retryAfter);
         harness.nodes.get(0).phase = Node.Phase.DRAINING;
         harness.updateEndpointList();
         harness.submit(SchedulerHarness.READ, 0);
--- a/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
+++ b/src/test/java/sagepulley/scheduler/OutlierDetectorTest.java
@@ -24,10 +24,15 @@
                     harness.lastAttempt(harness.submitted.get(harness.submitted.size() - 1)),
                     Outcome.SERVED);
         }
-        assertEquals(2, sentTo(harness, 0), "the attempt that found it unresponsive, and one probation request");
+        assertEquals(
+                2,
+                sentTo(harness, 0),
+                "the attempt that found it unresponsive, and one probation request");
         harness.advanceClock(70);
         assertEquals(
-                2, sentTo(harness, 0), "the next probation request waits for a fraction of the shortest objective");
+                2,
+                sentTo(harness, 0),
+                "the next probation request waits for a fraction of the shortest objective");
         harness.advanceClock(10);
         assertEquals(3, sentTo(harness, 0), "one more probation request");
         for (int i = 0; i < harness.sent.size(); i++) {
--- a/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
+++ b/src/test/java/sagepulley/scheduler/ServicePolicyTest.java
@@ -149,7 +149,8 @@
         double[] weight = new double[gateways];
         double totalWeight = 0;
         for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
-            harnesses[gatewayIndex] = new SchedulerHarness(2, gatewayIndex, gateways, false, Double.NaN);
+            harnesses[gatewayIndex] =
+                    new SchedulerHarness(2, gatewayIndex, gateways, false, Double.NaN);
             weight[gatewayIndex] = 1.0 / (gatewayIndex + 1);
             totalWeight += weight[gatewayIndex];
         }
@@ -174,7 +175,9 @@
             for (double due = rate * step / 1000; random.nextDouble() < due; due--) {
                 double pick = random.nextDouble() * totalWeight;
                 int gatewayIndex = 0;
-                for (; gatewayIndex < gateways - 1 && pick >= weight[gatewayIndex]; gatewayIndex++) {
+                for (;
+                        gatewayIndex < gateways - 1 && pick >= weight[gatewayIndex];
+                        gatewayIndex++) {
                     pick -= weight[gatewayIndex];
                 }
                 harnesses[gatewayIndex].submit(SchedulerHarness.READ, 0);
@@ -285,7 +288,8 @@
             harness.endAttempt(harness.lastAttempt(operation), Outcome.NO_CONNECTION);
             harness.advanceClock(302);
         }
-        assertEquals(1, submitted.stream().mapToInt(operation -> operation.attempts.size() - 1).sum());
+        assertEquals(
+                1, submitted.stream().mapToInt(operation -> operation.attempts.size() - 1).sum());
         harness.advanceClock(200);
         assertEquals(
                 2,
@@ -301,11 +305,12 @@
         harness.endAttempt(harness.lastAttempt(deduplicated), Outcome.FAILED);
         harness.advanceClock(100);
         assertTrue(deduplicated.attempts.stream().allMatch(attempt -> attempt.node == first));
-        assertTrue(
-                harness.rejected.isEmpty(),
-                "a rejection would promise that a retry is safe");
+        assertTrue(harness.rejected.isEmpty(), "a rejection would promise that a retry is safe");
         harness.advanceClock(2000);
-        assertTrue(deduplicated.ended || deduplicated.attempts.get(deduplicated.attempts.size() - 1).outcome == null);
+        assertTrue(
+                deduplicated.ended
+                        || deduplicated.attempts.get(deduplicated.attempts.size() - 1).outcome
+                                == null);
         Operation expired = harness.submit(SchedulerHarness.DEDUPLICATED, 0);
         harness.advanceClock(1100);
         int attempts = expired.attempts.size();
--- a/src/test/java/sagepulley/testing/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -44,7 +44,8 @@
         await().until(() -> findConnections(localPort, remotePort).isEmpty());
     }
 
-    private static List<String[]> findConnections(int localPort, int remotePort) throws IOException {
+    private static List<String[]> findConnections(int localPort, int remotePort)
+            throws IOException {
         assumeTrue(Files.isReadable(TABLES.get(0)), "needs the TCP table of Linux");
         List<String[]> connections = new ArrayList<>();
         for (Path table : TABLES) {
@@ -53,7 +54,8 @@
             }
             for (String line : Files.readAllLines(table)) {
                 String[] fields = line.trim().split("\\s+");
-                if (fields[1].endsWith(":" + hexPort(localPort)) && fields[2].endsWith(":" + hexPort(remotePort))) {
+                if (fields[1].endsWith(":" + hexPort(localPort))
+                        && fields[2].endsWith(":" + hexPort(remotePort))) {
                     connections.add(fields);
                 }
             }
--- a/src/test/java/sagepulley/testing/ScriptedPeers.java
+++ b/src/test/java/sagepulley/testing/ScriptedPeers.java
@@ -151,7 +151,9 @@
         config =
                 GatewayConfig.parse(
                         JsonReader.readObject(
-                                configEdit.apply(WarmUpConfig.text()).getBytes(StandardCharsets.UTF_8)),
+                                configEdit
+                                        .apply(WarmUpConfig.text())
+                                        .getBytes(StandardCharsets.UTF_8)),
                         Map.of());
         gateway =
                 new RespGateway(
@@ -209,7 +211,11 @@
     public static String command(String... arguments) {
         StringBuilder command = new StringBuilder("*" + arguments.length + "\r\n");
         for (String argument : arguments) {
-            command.append('$').append(argument.length()).append("\r\n").append(argument).append("\r\n");
+            command.append('$')
+                    .append(argument.length())
+                    .append("\r\n")
+                    .append(argument)
+                    .append("\r\n");
         }
         return command.toString();
     }
--- a/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
+++ b/src/test/java/sagepulley/upstream/frame/NodeConnectionTest.java
@@ -142,9 +142,11 @@
     void lateWriteWithRevokedTokenNeverRuns() throws Exception {
         try (Socket staleConnection =
                 new Socket(node.address().getAddress(), node.address().getPort())) {
-            staleConnection.getOutputStream()
+            staleConnection
+                    .getOutputStream()
                     .write(encode(StoreMessages.hello(new StoreMessages.Hello(1, "late"))));
-            staleConnection.getOutputStream()
+            staleConnection
+                    .getOutputStream()
                     .write(
                             encode(
                                     StoreMessages.writeToken(
@@ -158,7 +160,8 @@
             StoreMessages.Send send =
                     new StoreMessages.Send(
                             StoreMessages.Kind.WRITE, 0, false, 0, 1, 0, 1, 7, 0, 512, 1, 0);
-            staleConnection.getOutputStream()
+            staleConnection
+                    .getOutputStream()
                     .write(
                             encode(
                                     StoreMessages.send(
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionPoolTest.java
@@ -62,7 +62,8 @@
                 transport, 100, 5_000, LONG_MILLIS, stallTimeoutMillis, new Clock()::now);
     }
 
-    private Outcome sendPing(EndpointConnectionPool pool, SocketAddress address, double timeoutMillis) {
+    private Outcome sendPing(
+            EndpointConnectionPool pool, SocketAddress address, double timeoutMillis) {
         CompletableFuture<Outcome> result = new CompletableFuture<>();
         transport
                 .eventLoops()
@@ -94,14 +95,16 @@
 
     @Test
     void replyStalledForTheStallTimeoutIsAFailure() throws IOException {
-        assertEquals(Outcome.FAILED, sendPing(pool(20), startEndpoint("*3\r\n$5\r\nva"), LONG_MILLIS));
+        assertEquals(
+                Outcome.FAILED, sendPing(pool(20), startEndpoint("*3\r\n$5\r\nva"), LONG_MILLIS));
     }
 
     /** Blocks the loop until the reply has been in the kernel for some time. */
     @Test
     void receiveTimeIsTakenFromTheKernelWhenTheLoopIsDelayed() throws IOException {
         assumeTrue(
-                transport.socket() == EpollSocketChannel.class, "the kernel receive time needs epoll");
+                transport.socket() == EpollSocketChannel.class,
+                "the kernel receive time needs epoll");
         SocketAddress address = startEndpoint("+PONG\r\n");
         EndpointConnectionPool pool = pool(LONG_MILLIS);
         Clock clock = new Clock();
@@ -115,10 +118,13 @@
                                     address,
                                     List.of("PING".getBytes(StandardCharsets.US_ASCII)),
                                     LONG_MILLIS,
-                                    (outcome, reply, receivedAt) -> delayMillis.complete(clock.now() - receivedAt));
+                                    (outcome, reply, receivedAt) ->
+                                            delayMillis.complete(clock.now() - receivedAt));
                             transport.eventLoops().next().execute(() -> holdLoop());
                         });
-        assertTrue(delayMillis.join() >= LOOP_HOLD_MILLIS / 2, "received " + delayMillis.join() + " ms ago, expected at least half the hold time");
+        assertTrue(
+                delayMillis.join() >= LOOP_HOLD_MILLIS / 2,
+                "received " + delayMillis.join() + " ms ago, expected at least half the hold time");
     }
 
     private void holdLoop() {
--- a/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
+++ b/src/test/java/sagepulley/upstream/resp/EndpointConnectionRaceTest.java
@@ -90,7 +90,10 @@
         pool.send(
                 attempt,
                 address,
-                remainingMillis -> List.of(Long.toString((long) remainingMillis).getBytes(StandardCharsets.US_ASCII)),
+                remainingMillis ->
+                        List.of(
+                                Long.toString((long) remainingMillis)
+                                        .getBytes(StandardCharsets.US_ASCII)),
                 timeoutMillis,
                 (outcome, reply, receivedAt) ->
                         result.complete(
@@ -179,8 +182,8 @@
      * Serves one request, so that its connection is idle, and adds that connection to the list.
      * Then runs the step and sends a second request, before the loop polls again.
      */
-    private CompletableFuture<Result> sendSecondRequestAfter(List<ScriptedPeers.Connection> connections, Step step)
-            throws Exception {
+    private CompletableFuture<Result> sendSecondRequestAfter(
+            List<ScriptedPeers.Connection> connections, Step step) throws Exception {
         CompletableFuture<Result> first = sendRequest();
         ScriptedPeers.Connection connection = accepted.take();
         connections.add(connection);
@@ -188,7 +191,8 @@
         serve(connection, "one");
         assertEquals("one", first.get().value());
         assumeTrue(
-                transport.socket() == EpollSocketChannel.class, "detecting stale connections needs epoll");
+                transport.socket() == EpollSocketChannel.class,
+                "detecting stale connections needs epoll");
         return loop.submit(
                         () -> {
                             holdLoop();
@@ -213,14 +217,17 @@
         CompletableFuture<Result> result =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<Result> pending = sendRequest(attempt(), 5_000);
+                                    CompletableFuture<Result> pending =
+                                            sendRequest(attempt(), 5_000);
                                     holdLoop();
                                     return pending;
                                 })
                         .get();
         ScriptedPeers.Connection connection = accepted.take();
         long forwardedMillis = Long.parseLong(connection.readCommand().get(0));
-        assertTrue(forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS, "forwarded " + forwardedMillis + " ms, expected the time left after the connect");
+        assertTrue(
+                forwardedMillis <= 5_000 - LOOP_HOLD_MILLIS,
+                "forwarded " + forwardedMillis + " ms, expected the time left after the connect");
         serve(connection, "value");
         assertEquals("value", result.get().value());
     }
@@ -261,14 +268,16 @@
         CompletableFuture<Result> result =
                 loop.submit(
                                 () -> {
-                                    CompletableFuture<Result> pending = sendRequest(attempt, LONG_MILLIS);
+                                    CompletableFuture<Result> pending =
+                                            sendRequest(attempt, LONG_MILLIS);
                                     holdLoop();
                                     pool.cancelUnwritten(attempt);
                                     return pending;
                                 })
                         .get();
         assertEquals(Outcome.CANCELLED, result.get().outcome());
-        CompletableFuture<Result> next = loop.submit(() -> sendRequest(attempt(), LOOP_HOLD_MILLIS * 100)).get();
+        CompletableFuture<Result> next =
+                loop.submit(() -> sendRequest(attempt(), LOOP_HOLD_MILLIS * 100)).get();
         List<String> firstCommand = null;
         while (firstCommand == null) {
             ScriptedPeers.Connection connection = accepted.take();
@@ -286,7 +295,8 @@
     @Test
     void writtenAttemptIsNotCancelledAsUnwritten() throws Exception {
         Attempt attempt = attempt();
-        CompletableFuture<Result> result = loop.submit(() -> sendRequest(attempt, LONG_MILLIS)).get();
+        CompletableFuture<Result> result =
+                loop.submit(() -> sendRequest(attempt, LONG_MILLIS)).get();
         ScriptedPeers.Connection connection = accepted.take();
         connection.readCommand();
         loop.submit(() -> pool.cancelUnwritten(attempt)).get();
@@ -296,7 +306,8 @@
 
     @Test
     void replyAndTimeoutInOneLoopIterationEndInOneOutcome() throws Exception {
-        CompletableFuture<Result> result = loop.submit(() -> sendRequest(attempt(), 2 * LOOP_HOLD_MILLIS)).get();
+        CompletableFuture<Result> result =
+                loop.submit(() -> sendRequest(attempt(), 2 * LOOP_HOLD_MILLIS)).get();
         ScriptedPeers.Connection connection = accepted.take();
         connection.readCommand();
         loop.submit(
