--- a/src/main/java/sagepulley/Main.java
+++ b/src/main/java/sagepulley/Main.java
@@ -11,31 +11,34 @@
 import sagepulley.simulator.MalformedFrameException;
 import sagepulley.simulator.SimulatorAdapter;
 
-/** Entry point of all commands; simhost and serve load no class of the others. */
+/**
+ * Entry point of all commands. The commands simhost and serve start without loading the classes of
+ * the other commands.
+ */
 public final class Main {
     private Main() {}
 
-    /** Runs the command that the first argument names; exits with its status. */
+    /** Runs the command that the arguments name and exits with its status. */
     public static void main(String[] arguments) {
         switch (arguments.length == 1 ? arguments[0] : "") {
-            case "simhost" -> simhost();
-            case "serve" -> serve(() -> GatewayServer.run(System.getenv()));
-            case "rehearse" -> serve(WarmUpRun::onLoopback);
+            case "simhost" -> runSimulatorHost();
+            case "serve" -> runServer(() -> GatewayServer.run(System.getenv()));
+            case "rehearse" -> runServer(WarmUpRun::onLoopback);
             default -> System.exit(Commands.run(arguments));
         }
     }
 
-    private interface Service {
+    private interface ServerCommand {
         void run() throws ConfigException, IOException;
     }
 
     /**
-     * Exits with status 1 and one line if the configuration is invalid; with 0 after a signal, once
-     * the gateway has stopped.
+     * Runs a server command and exits: with status 0 once it has stopped, or with status 1 and an
+     * error message if the configuration is invalid or an I/O error occurs.
      */
-    private static void serve(Service service) {
+    private static void runServer(ServerCommand command) {
         try {
-            service.run();
+            command.run();
             System.exit(0);
         } catch (ConfigException | IOException e) {
             System.err.println("sagepulley: " + e.getMessage());
@@ -43,7 +46,7 @@
         }
     }
 
-    private static void simhost() {
+    private static void runSimulatorHost() {
         try {
             new SimulatorAdapter(
                             new FileInputStream(FileDescriptor.in),
@@ -53,7 +56,7 @@
             System.err.println("sagepulley: malformed frame: " + e.getMessage());
             System.exit(1);
         } catch (IOException e) {
-            System.err.println("sagepulley: the wire failed: " + e.getMessage());
+            System.err.println("sagepulley: simulator connection failed: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/sagepulley/accounts/FleetMerger.java
+++ b/src/main/java/sagepulley/accounts/FleetMerger.java
@@ -8,40 +8,44 @@
 import java.util.TreeMap;
 
 /**
- * Merges the accounts of several gateways. Their clocks differ: every gateway is notified of each
- * version of the endpoint list at nearly the same moment, so that the times at which two noted the
- * same version show by how much. And what one gateway knows only as other gateways' work at a node,
- * the others' own accounts name.
+ * Merges the accounts of several gateways.
+ *
+ * <p>Gateways are notified of a version of the endpoint list at nearly the same time, so the
+ * notification times of a common version give the offset between two clocks. Load that one gateway
+ * can charge only to other gateways is attributed to volumes by the accounts of those gateways.
  */
 public final class FleetMerger {
     /**
-     * A gateway's account.
+     * The account of one gateway.
      *
-     * @param versionNotifiedAt when, by its own clock, each version of the endpoint list was
-     *     notified, wall-clock milliseconds
+     * @param versionNotifiedAt when the gateway was notified of each version of the endpoint list,
+     *     in wall-clock milliseconds of its own clock
      */
     public record GatewayAccount(
             String gateway, LatencyAccount account, Map<Long, Double> versionNotifiedAt) {}
 
     /**
-     * By how many milliseconds a gateway's clock is ahead of the first's; NaN where nothing shows
-     * it. The property name is that of {@code report --json}.
+     * The milliseconds by which a gateway's clock is ahead of the first gateway's; NaN if unknown.
+     * The property name is that of {@code report --json}.
      */
     public record ClockOffset(String gateway, @JsonProperty("ahead") double offsetMillis) {}
 
-    /** One account for all, and how the clocks were aligned. */
+    /** The merged account and the clock offsets; an unknown offset was applied as 0. */
     public record Merged(LatencyAccount account, List<ClockOffset> clocks) {}
 
-    /** Flows further than this from the time of a wait do not explain it. */
+    /** Load further than this from the time of a wait is not attributed to it. */
     private static final double MAX_FLOW_DISTANCE_MILLIS = 10_000;
 
-    /** The accounts, by the clock of the first. */
+    /** The accounts, shifted to the clock of the first gateway. */
     private final List<LatencyAccount> aligned = new ArrayList<>();
 
     private FleetMerger() {}
 
-    /** Merges all by the clock of the first; names who worked elsewhere, as an estimate. */
-    @SuppressWarnings("ReferenceEquality") // the first account itself, not one like it
+    /**
+     * Merges all accounts on the clock of the first gateway and attributes the load of other
+     * gateways to volumes, as an estimate.
+     */
+    @SuppressWarnings("ReferenceEquality") // identifies the first account by identity
     public static Merged merge(List<GatewayAccount> accounts) {
         List<ClockOffset> clocks = new ArrayList<>();
         FleetMerger merger = new FleetMerger();
@@ -58,9 +62,9 @@
     private LatencyAccount mergeAligned() {
         LatencyAccount merged = new LatencyAccount();
         for (int i = 0; i < aligned.size(); i++) {
-            // Names are read from the others' flows, which naming leaves as they are.
+            // The attribution reads only the flows of the other accounts, which it does not change.
             if (aligned.size() > 1) {
-                nameOtherGateways(i);
+                attributeOtherGateways(i);
             }
             merged.merge(aligned.get(i), 0);
         }
@@ -69,15 +73,19 @@
 
     // ---- clocks ----
 
-    /** From common versions with the first, or by way of another gateway that has both. */
+    /**
+     * Returns the median offset over versions in common with the first gateway, or the sum of two
+     * offsets through an intermediate gateway; NaN if there is neither.
+     */
     private static double clockOffset(List<GatewayAccount> accounts, GatewayAccount member) {
         GatewayAccount first = accounts.get(0);
         double direct = medianDifference(first, member);
         if (!Double.isNaN(direct)) {
             return direct;
         }
-        for (GatewayAccount between : accounts) {
-            double sum = medianDifference(first, between) + medianDifference(between, member);
+        for (GatewayAccount intermediate : accounts) {
+            double sum =
+                    medianDifference(first, intermediate) + medianDifference(intermediate, member);
             if (!Double.isNaN(sum)) {
                 return sum;
             }
@@ -98,10 +106,13 @@
         return differences.length == 0 ? Double.NaN : differences[differences.length / 2];
     }
 
-    // ---- names ----
+    // ---- attribution ----
 
-    /** Names volumes in place of other gateways' work, as the other gateways' accounts tell. */
-    private void nameOtherGateways(int index) {
+    /**
+     * Replaces charges to other gateways by charges to volumes, in proportion to the units that the
+     * node executed for the other gateways at about that time.
+     */
+    private void attributeOtherGateways(int index) {
         aligned.get(index)
                 .volumes
                 .forEach(
@@ -111,7 +122,7 @@
                                 timeline.level(level)
                                         .forEach(
                                                 (number, window) ->
-                                                        nameOtherGateways(
+                                                        attributeOtherGateways(
                                                                 index,
                                                                 volume,
                                                                 window.causes,
@@ -121,45 +132,48 @@
                         });
     }
 
-    private void nameOtherGateways(
+    private void attributeOtherGateways(
             int index, long volume, CauseCharges charges, double from, double to) {
-        CauseCharges before = new CauseCharges(AccountWindow.MAX_CAUSES);
-        before.addAll(charges);
+        CauseCharges original = new CauseCharges(AccountWindow.MAX_CAUSES);
+        original.addAll(charges);
         charges.clear();
-        for (int i = 0; i < before.size(); i++) {
-            Cause cause = Cause.of(before.key(i));
+        for (int i = 0; i < original.size(); i++) {
+            Cause cause = Cause.of(original.key(i));
             Map<Long, Double> units =
                     cause.kind() == Cause.Kind.OTHER_GATEWAYS
-                            ? unitsOfOthers(index, cause.node(), from, to)
+                            ? unitsOfOtherGateways(index, cause.node(), from, to)
                             : Map.of();
             double sum = units.values().stream().mapToDouble(Double::doubleValue).sum();
             if (sum <= 0) {
-                addPart(charges, before.key(i), before, i, 1);
+                addFraction(charges, original.key(i), original, i, 1);
                 continue;
             }
-            int charged = i;
+            int causeIndex = i;
             units.forEach(
                     (other, amount) -> {
                         Cause.Kind kind =
                                 other == volume ? Cause.Kind.OWN_LOAD : Cause.Kind.NEIGHBOUR;
                         long key = Cause.key(kind, other, cause.node(), true);
-                        addPart(charges, key, before, charged, amount / sum);
+                        addFraction(charges, key, original, causeIndex, amount / sum);
                     });
         }
     }
 
-    private static void addPart(
-            CauseCharges charges, long key, CauseCharges from, int index, double part) {
+    private static void addFraction(
+            CauseCharges charges, long key, CauseCharges from, int index, double fraction) {
         charges.add(
                 key,
-                part * from.waited(index),
-                part * from.lowerBound(index),
-                part * from.upperBound(index),
-                part * from.lostWeight(index));
+                fraction * from.waited(index),
+                fraction * from.lowerBound(index),
+                fraction * from.upperBound(index),
+                fraction * from.lostWeight(index));
     }
 
-    /** Units that the other gateways sent to a node about a time, by volume. */
-    private Map<Long, Double> unitsOfOthers(int index, int node, double from, double to) {
+    /**
+     * Returns the units that a node executed for the other gateways, by volume, in a period that is
+     * extended by {@link #MAX_FLOW_DISTANCE_MILLIS} at either end.
+     */
+    private Map<Long, Double> unitsOfOtherGateways(int index, int node, double from, double to) {
         Map<Long, Double> units = new TreeMap<>();
         for (int i = 0; i < aligned.size(); i++) {
             Timeline<NodeFlow> timeline = aligned.get(i).flows.get(node);
@@ -168,27 +182,29 @@
             }
             NodeFlow sum = new NodeFlow();
             timeline.sum(sum, from - MAX_FLOW_DISTANCE_MILLIS, to + MAX_FLOW_DISTANCE_MILLIS - 1);
-            for (int at = 0; at < sum.units.size(); at++) {
-                long volume = Cause.of(sum.units.key(at)).volume();
-                units.merge(volume, sum.units.waited(at), Double::sum);
+            for (int flowIndex = 0; flowIndex < sum.units.size(); flowIndex++) {
+                long volume = Cause.of(sum.units.key(flowIndex)).volume();
+                units.merge(volume, sum.units.waited(flowIndex), Double::sum);
             }
         }
         return units;
     }
 
     /**
-     * The nodes of one zone that share a fault, when it is more than one and at least half of the
-     * zone's.
+     * Returns the faulty nodes of a zone if there are at least two and they are at least half of
+     * the nodes of the zone; otherwise an empty list.
      */
-    public static List<Integer> zoneAtFault(
-            LatencyAccount account, int zone, List<Integer> atFault) {
+    public static List<Integer> faultyNodesOfZone(
+            LatencyAccount account, int zone, List<Integer> faultyNodes) {
         int[] nodesInZone =
                 account.zones.entrySet().stream()
                         .filter(entry -> entry.getValue() == zone)
                         .mapToInt(Map.Entry::getKey)
                         .toArray();
-        List<Integer> faulty =
-                Arrays.stream(nodesInZone).filter(atFault::contains).boxed().toList();
-        return faulty.size() > 1 && 2 * faulty.size() >= nodesInZone.length ? faulty : List.of();
+        List<Integer> faultyInZone =
+                Arrays.stream(nodesInZone).filter(faultyNodes::contains).boxed().toList();
+        return faultyInZone.size() > 1 && 2 * faultyInZone.size() >= nodesInZone.length
+                ? faultyInZone
+                : List.of();
     }
 }
--- a/src/main/java/sagepulley/accounts/StoredAccounts.java
+++ b/src/main/java/sagepulley/accounts/StoredAccounts.java
@@ -7,21 +7,23 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * An account's figures as plain values, to be stored and read again. The names of the record
- * components are those of the stored file.
+ * The sums of an account as plain values for storage. The names of the record components are those
+ * of the stored file.
  */
 public record StoredAccounts(List<StoredVolume> volumes, List<StoredNode> nodes) {
-    /** A volume's windows. */
+    /** The windows of a volume. */
     public record StoredVolume(long volume, List<StoredWindow> windows) {}
 
     /**
      * A window.
      *
-     * @param level of the timeline, and the window's number in it
+     * @param level the level of the timeline
+     * @param number the number of the window in its level
      * @param parts milliseconds by latency component
-     * @param keys causes, and four sums to each
+     * @param keys keys of causes
+     * @param sums the wait, its lower and upper bound, and the lost weight for each key
      * @param ends operations rejected, abandoned and cancelled
-     * @param met by plan tier, as are the following
+     * @param met operations by plan tier, as are the following components
      * @param times pairs of a duration in ticks and a count
      */
     public record StoredWindow(
@@ -37,18 +39,18 @@
             double[] lost,
             long[][] times) {}
 
-    /** A node's windows of units worked on. */
+    /** The windows of a node, with the units that it executed. */
     public record StoredNode(int node, int zone, List<StoredFlow> flows) {}
 
-    /** One of them; keys and sums as those of causes. */
+    /** A window of a node. Keys and sums have the form of those of causes. */
     public record StoredFlow(int level, long number, long[] keys, double[] sums) {}
 
     private static final int MAX_DURATIONS = 10_000;
-    private static final double MAX_FIGURE = 1e18;
+    private static final double VALUE_LIMIT = 1e18;
 
-    // ---- to be stored ----
+    // ---- encoding ----
 
-    /** An account's plain values. */
+    /** Returns the plain values of an account. */
     public static StoredAccounts of(LatencyAccount account) {
         List<StoredVolume> volumes = new ArrayList<>();
         account.volumes.forEach(
@@ -128,29 +130,32 @@
         return sums;
     }
 
-    // ---- read again ----
+    // ---- decoding ----
 
     /**
-     * The account again.
+     * Returns the account of these plain values.
      *
-     * @throws IllegalArgumentException if a figure is missing or out of range
+     * @throws IllegalArgumentException if a value is missing or out of range
      */
     public LatencyAccount toAccount() {
         LatencyAccount account = new LatencyAccount();
-        for (StoredVolume volume : checked(volumes)) {
+        for (StoredVolume volume : requireComplete(volumes)) {
             Timeline<AccountWindow> timeline = new Timeline<>(AccountWindow::new);
-            for (StoredWindow window : checked(volume.windows)) {
-                read(window, timeline.put(checkedLevel(window.level), window.number));
+            for (StoredWindow window : requireComplete(volume.windows)) {
+                readWindow(
+                        window,
+                        timeline.getOrCreate(requireValidLevel(window.level), window.number));
             }
             if (volume.volume < 0 || account.volumes.put(volume.volume, timeline) != null) {
                 throw new IllegalArgumentException(
-                        "volume " + volume.volume + " is no volume, or there twice");
+                        "volume " + volume.volume + " is negative or occurs twice");
             }
         }
-        for (StoredNode node : checked(nodes)) {
+        for (StoredNode node : requireComplete(nodes)) {
             Timeline<NodeFlow> timeline = new Timeline<>(NodeFlow::new);
-            for (StoredFlow flow : checked(node.flows)) {
-                CauseCharges units = timeline.put(checkedLevel(flow.level), flow.number).units;
+            for (StoredFlow flow : requireComplete(node.flows)) {
+                CauseCharges units =
+                        timeline.getOrCreate(requireValidLevel(flow.level), flow.number).units;
                 readCharges(flow.keys, flow.sums, units, NodeFlow.MAX_VOLUMES);
             }
             account.flows.put(node.node, timeline);
@@ -159,28 +164,31 @@
         return account;
     }
 
-    private static <T> List<T> checked(List<T> list) {
+    private static <T> List<T> requireComplete(List<T> list) {
         if (list == null || list.contains(null)) {
-            throw new IllegalArgumentException("a list is missing or has gaps");
+            throw new IllegalArgumentException(
+                    "a list of volumes, nodes or windows is missing or contains null");
         }
         return list;
     }
 
-    private static int checkedLevel(int level) {
+    private static int requireValidLevel(int level) {
         if (level < 0 || level >= Timeline.LEVELS) {
-            throw new IllegalArgumentException("level " + level + " is none");
+            throw new IllegalArgumentException(
+                    "unknown timeline level " + level + ", expected 0 to " + (Timeline.LEVELS - 1));
         }
         return level;
     }
 
-    private static double checkedFigure(double value) {
-        if (!(value >= 0 && value < MAX_FIGURE)) {
-            throw new IllegalArgumentException("a figure of " + value + " can be none");
+    private static double requireValidValue(double value) {
+        if (!(value >= 0 && value < VALUE_LIMIT)) {
+            throw new IllegalArgumentException(
+                    "value " + value + " is out of range, expected 0 to less than " + VALUE_LIMIT);
         }
         return value;
     }
 
-    private static void read(StoredWindow from, AccountWindow to) {
+    private static void readWindow(StoredWindow from, AccountWindow to) {
         copy(from.parts, to.components);
         readCharges(from.keys, from.sums, to.causes, AccountWindow.MAX_CAUSES);
         long[] ends = new long[3];
@@ -193,7 +201,10 @@
         copy(from.units, to.units);
         copy(from.lost, to.lostWeight);
         if (from.times == null || from.times.length != AccountWindow.TIERS) {
-            throw new IllegalArgumentException("times by part of the plan are missing");
+            throw new IllegalArgumentException(
+                    "durations by plan tier are missing or do not have "
+                            + AccountWindow.TIERS
+                            + " tiers");
         }
         for (int tier = 0; tier < AccountWindow.TIERS; tier++) {
             readDurations(from.times[tier], to, tier);
@@ -202,7 +213,11 @@
 
     private static void readDurations(long[] pairs, AccountWindow to, int tier) {
         if (pairs == null || pairs.length % 2 != 0 || pairs.length > 2 * MAX_DURATIONS) {
-            throw new IllegalArgumentException("times are no pairs of value and count");
+            throw new IllegalArgumentException(
+                    "durations of plan tier "
+                            + tier
+                            + " are missing, not pairs of ticks and count, or more than "
+                            + MAX_DURATIONS);
         }
         for (int i = 0; i < pairs.length; i += 2) {
             long ticks = pairs[i];
@@ -211,7 +226,8 @@
                     || ticks > AccountWindow.MAX_TICKS * 2
                     || count < 0
                     || count > Integer.MAX_VALUE) {
-                throw new IllegalArgumentException("a time of " + ticks + " can be none");
+                throw new IllegalArgumentException(
+                        "duration of " + ticks + " ticks with count " + count + " is out of range");
             }
             to.durations(tier).recordValueWithCount(ticks, count);
         }
@@ -219,20 +235,23 @@
 
     private static void copy(double[] from, double[] to) {
         if (from == null || from.length != to.length) {
-            throw new IllegalArgumentException("so many figures are none of ours");
+            throw new IllegalArgumentException(
+                    "array of values is missing or does not have " + to.length + " elements");
         }
         for (int i = 0; i < to.length; i++) {
-            to[i] = checkedFigure(from[i]);
+            to[i] = requireValidValue(from[i]);
         }
     }
 
     private static void copy(long[] from, long[] to) {
         if (from == null || from.length != to.length) {
-            throw new IllegalArgumentException("so many counts are none of ours");
+            throw new IllegalArgumentException(
+                    "array of counts is missing or does not have " + to.length + " elements");
         }
         for (int i = 0; i < to.length; i++) {
             if (from[i] < 0) {
-                throw new IllegalArgumentException("a count of " + from[i] + " can be none");
+                throw new IllegalArgumentException(
+                        "count " + from[i] + " is negative, expected 0 or more");
             }
             to[i] = from[i];
         }
@@ -243,18 +262,23 @@
                 || sums == null
                 || keys.length > maxSize
                 || sums.length != CauseCharges.SUMS * keys.length) {
-            throw new IllegalArgumentException("causes and their sums do not go together");
+            throw new IllegalArgumentException(
+                    "keys or sums of causes are missing, there are more than "
+                            + maxSize
+                            + " keys, or there are not "
+                            + CauseCharges.SUMS
+                            + " sums for each key");
         }
         for (int i = 0; i < keys.length; i++) {
-            if (!Cause.isKey(keys[i])) {
-                throw new IllegalArgumentException("cause " + keys[i] + " is none");
+            if (!Cause.isValidKey(keys[i])) {
+                throw new IllegalArgumentException("unknown cause key " + keys[i]);
             }
             to.add(
                     keys[i],
-                    checkedFigure(sums[CauseCharges.SUMS * i]),
-                    checkedFigure(sums[CauseCharges.SUMS * i + 1]),
-                    checkedFigure(sums[CauseCharges.SUMS * i + 2]),
-                    checkedFigure(sums[CauseCharges.SUMS * i + 3]));
+                    requireValidValue(sums[CauseCharges.SUMS * i]),
+                    requireValidValue(sums[CauseCharges.SUMS * i + 1]),
+                    requireValidValue(sums[CauseCharges.SUMS * i + 2]),
+                    requireValidValue(sums[CauseCharges.SUMS * i + 3]));
         }
     }
 }
--- a/src/main/java/sagepulley/cli/CheckSiteCommand.java
+++ b/src/main/java/sagepulley/cli/CheckSiteCommand.java
@@ -11,12 +11,13 @@
 import sagepulley.config.SiteConfig;
 import sagepulley.config.SiteConfigException;
 
-/** Checks a site file without starting anything. */
+/** Validates a site file without starting a gateway. */
 @Command(
         name = "check-site",
         mixinStandardHelpOptions = true,
         description =
-                "Checks a site file; exits with 0 if it can be used, with 3 and every mistake if not.")
+                "Validates a site file; exits with 0 if it is valid, otherwise prints all errors and "
+                        + "exits with 3.")
 final class CheckSiteCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SITE", description = "the site file (INI)")
     private Path file;
@@ -26,12 +27,12 @@
 
     @Override
     public Integer call() throws Exception {
-        List<String> mistakes = List.of();
+        List<String> errors = List.of();
         SiteConfig site = null;
         try {
             site = SiteConfig.read(file);
-        } catch (SiteConfigException error) {
-            mistakes = List.of(error.getMessage().split("\n"));
+        } catch (SiteConfigException exception) {
+            errors = List.of(exception.getMessage().split("\n"));
         }
         if (json) {
             System.out.println(
@@ -43,11 +44,11 @@
                                             "usable",
                                             site != null,
                                             "mistakes",
-                                            mistakes)));
+                                            errors)));
         } else if (site != null) {
             System.out.println(
                     file
-                            + ": can be used: "
+                            + ": valid: "
                             + site.volumes().size()
                             + " volumes, "
                             + site.deployment().trafficClasses().size()
@@ -55,8 +56,8 @@
                             + site.deployment().plans().size()
                             + " plans");
         } else {
-            mistakes.forEach(System.err::println);
+            errors.forEach(System.err::println);
         }
-        return site != null ? Commands.OK : Commands.UNUSABLE_FILE;
+        return site != null ? Commands.OK : Commands.INVALID_FILE;
     }
 }
--- a/src/main/java/sagepulley/cli/Plots.java
+++ b/src/main/java/sagepulley/cli/Plots.java
@@ -13,13 +13,13 @@
 import org.knowm.xchart.style.Styler;
 import sagepulley.accounts.LatencyAccount;
 
-/** Plots for pages, as images that stand in the page itself. */
+/** Renders plots as images embedded in an HTML page. */
 final class Plots {
     private Plots() {}
 
-    /** A volume's waiting and work over time, as seconds in each second. */
-    @SuppressWarnings("JavaUtilDate") // the type that XChart takes on a time axis
-    static String course(List<LatencyAccount.Point> points) throws IOException {
+    /** Returns a Base64-encoded PNG of a volume's waiting and work, in seconds per second. */
+    @SuppressWarnings("JavaUtilDate") // XChart requires Date on a time axis
+    static String latencyOverTime(List<LatencyAccount.Point> points) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart =
                 new XYChartBuilder().width(760).height(260).yAxisTitle("seconds a second").build();
@@ -31,7 +31,7 @@
         List<Double> waited = new ArrayList<>();
         List<Double> worked = new ArrayList<>();
         for (LatencyAccount.Point point : points) {
-            times.add(new Date((long) point.wall()));
+            times.add(new Date((long) point.wallMillis()));
             waited.add(point.waited() / point.length());
             worked.add(point.work() / point.length());
         }
--- a/src/main/java/sagepulley/cli/ReportCommand.java
+++ b/src/main/java/sagepulley/cli/ReportCommand.java
@@ -23,17 +23,18 @@
 import sagepulley.accounts.LatencyReport;
 import sagepulley.persistence.AccountFile;
 
-/** Reports from gateways' accounts which volume waited for what, and caused by whom. */
+/** Reports from stored latency accounts how long each volume waited and why. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Reads the latency accounts of one gateway, or of several together, and tells for each volume "
-                        + "where its time went, what caused its waits, at which node and when, and what can be done.",
+                "Reads the latency accounts of one or more gateways and reports for each volume where its "
+                        + "time was spent, what caused its waits, at which node and when, and what an "
+                        + "operator can do.",
         footer = {
             "",
-            "Exit codes: 0 told, 1 a file cannot be believed or has no such volume, 2 wrong words."
+            "Exit codes: 0 success, 1 a file is invalid or has no such volume, 2 invalid arguments."
         })
 final class ReportCommand implements Callable<Integer> {
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -41,41 +42,44 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "FILE",
-            description = "accounts files of gateways ([accounts] file)")
+            description = "account files of gateways ([accounts] file)")
     private List<Path> files;
 
     @Option(names = "--volume", paramLabel = "NAME", description = "only this volume")
-    private String only;
+    private String volumeName;
 
     @Option(
             names = "--since",
             defaultValue = "10m",
             paramLabel = "TIME",
             description =
-                    "from when: 90s, 10m, 6h, or 2026-11-30T18:00 (default: ${DEFAULT-VALUE} before the end)")
+                    "start of the period: 90s, 10m or 6h before its end, or 2026-11-30T18:00 (default: "
+                            + "${DEFAULT-VALUE})")
     private String since;
 
     @Option(
             names = "--until",
             paramLabel = "TIME",
-            description = "until when, likewise (default: the newest account)")
+            description =
+                    "end of the period: a time, or a duration before the newest account (default: the "
+                            + "newest account)")
     private String until;
 
-    @Option(names = "--json", description = "prints the figures as JSON")
+    @Option(names = "--json", description = "prints the report as JSON")
     private boolean json;
 
-    @Option(names = "--html", paramLabel = "OUT", description = "writes the report as one page")
+    @Option(names = "--html", paramLabel = "OUT", description = "writes the report as an HTML page")
     private Path html;
 
-    private final Map<Long, String> names = new LinkedHashMap<>();
+    private final Map<Long, String> volumeNames = new LinkedHashMap<>();
 
     @Override
     public Integer call() throws IOException {
-        FleetMerger.Merged merged = FleetMerger.merge(readMembers());
+        FleetMerger.Merged merged = FleetMerger.merge(readAccounts());
         LatencyAccount account = merged.account();
-        double newest = account.lastBookedAt();
-        double to = until == null ? newest : time(until, newest);
-        double from = time(since, to);
+        double newestMillis = account.newestWindowEnd();
+        double to = until == null ? newestMillis : parseTime(until, newestMillis);
+        double from = parseTime(since, to);
         List<LatencyReport> reports = reports(account, from, to);
         if (json) {
             System.out.println(
@@ -85,30 +89,30 @@
                                             "clocks",
                                             merged.clocks(),
                                             "names",
-                                            names,
+                                            volumeNames,
                                             "volumes",
                                             reports)));
             return Commands.OK;
         }
         Map<String, Object> page =
-                new ReportPage(merged, names, html != null).values(reports, from, to);
-        System.out.print(TemplateRenderer.fill("report.txt.ftl", page));
+                new ReportPage(merged, volumeNames, html != null).values(reports, from, to);
+        System.out.print(TemplateRenderer.render("report.txt.ftl", page));
         if (html != null) {
-            Files.writeString(html, TemplateRenderer.fill("report.ftlh", page));
+            Files.writeString(html, TemplateRenderer.render("report.ftlh", page));
         }
         return Commands.OK;
     }
 
-    private List<FleetMerger.GatewayAccount> readMembers() throws IOException {
+    private List<FleetMerger.GatewayAccount> readAccounts() throws IOException {
         List<FleetMerger.GatewayAccount> members = new ArrayList<>();
         for (Path file : files) {
-            AccountFile.Loaded read = AccountFile.report(file);
+            AccountFile.Loaded loaded = AccountFile.inspect(file);
             members.add(
                     new FleetMerger.GatewayAccount(
-                            read.stored().gateway(),
-                            read.account(),
-                            read.stored().versionNotifiedAt()));
-            names.putAll(read.stored().volumeNames());
+                            loaded.stored().gateway(),
+                            loaded.account(),
+                            loaded.stored().versionNotifiedAt()));
+            volumeNames.putAll(loaded.stored().volumeNames());
         }
         return members;
     }
@@ -117,23 +121,29 @@
             throws IOException {
         List<LatencyReport> reports = new ArrayList<>();
         for (long volume : account.volumes()) {
-            if (only == null || only.equals(names.get(volume))) {
+            if (volumeName == null || volumeName.equals(volumeNames.get(volume))) {
                 reports.add(account.report(volume, from, to));
             }
         }
         if (reports.isEmpty()) {
             throw new IOException(
-                    files.get(0) + ": has no volume" + (only == null ? "" : " called " + only));
+                    files.get(0)
+                            + ": no volume"
+                            + (volumeName == null ? "s" : " is named " + volumeName));
         }
         return reports;
     }
 
-    /** A time on the wall's clock in milliseconds, or so long before another. */
-    private double time(String text, double before) {
-        String length = text.toLowerCase(Locale.ROOT);
+    /**
+     * Returns a time in wall-clock milliseconds: a local date and time, or a duration before the
+     * reference.
+     */
+    private double parseTime(String text, double referenceMillis) {
+        String lower = text.toLowerCase(Locale.ROOT);
         try {
-            if (length.matches("[0-9.]+[smh]")) {
-                return before - Duration.parse("PT" + length.toUpperCase(Locale.ROOT)).toMillis();
+            if (lower.matches("[0-9.]+[smh]")) {
+                return referenceMillis
+                        - Duration.parse("PT" + lower.toUpperCase(Locale.ROOT)).toMillis();
             }
             return LocalDateTime.parse(text)
                     .atZone(ZoneId.systemDefault())
@@ -142,7 +152,7 @@
         } catch (DateTimeException e) {
             throw new CommandLine.ParameterException(
                     spec.commandLine(),
-                    "'" + text + "' is no time: allowed are 90s, 10m, 6h or 2026-11-30T18:00");
+                    "invalid time '" + text + "', expected 90s, 10m, 6h or 2026-11-30T18:00");
         }
     }
 }
--- a/src/main/java/sagepulley/cli/SoakCommand.java
+++ b/src/main/java/sagepulley/cli/SoakCommand.java
@@ -16,13 +16,14 @@
 import picocli.CommandLine.Option;
 import sagepulley.faultinjection.SoakRun;
 
-/** Runs the seeded soak. */
+/** Runs fault-injection tests whose faults follow from a seed. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description =
-                "Runs small fleets of 'serve' processes on loopback under overlapping faults that follow from a "
-                        + "seed, and judges the rules by what passed on the sockets; exits with 1 if one was broken.")
+                "Runs small fleets of 'serve' processes on loopback under overlapping faults derived from a "
+                        + "seed, and checks the rules against the recorded traffic; exits with 1 if one is "
+                        + "violated.")
 final class SoakCommand implements Callable<Integer> {
     private static final int MAX_PRINTED_VIOLATIONS = 5;
 
@@ -30,29 +31,30 @@
             names = "--first",
             paramLabel = "SEED",
             defaultValue = "1",
-            description = "the first seed (${DEFAULT-VALUE})")
-    private long first;
+            description = "the first seed (default: ${DEFAULT-VALUE})")
+    private long firstSeed;
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "8",
-            description = "how many seeds (${DEFAULT-VALUE})")
+            description = "number of seeds (default: ${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(
             names = "--seconds",
             paramLabel = "N",
             defaultValue = "24",
-            description = "length of a run (${DEFAULT-VALUE})")
+            description = "duration of a run (default: ${DEFAULT-VALUE})")
     private int seconds;
 
     @Option(
             names = "--at-once",
             paramLabel = "N",
             defaultValue = "4",
-            description = "runs side by side, of two to four processes each (${DEFAULT-VALUE})")
-    private int atOnce;
+            description =
+                    "parallel runs, of two to four processes each (default: ${DEFAULT-VALUE})")
+    private int parallelRuns;
 
     @Option(
             names = "--logs",
@@ -68,12 +70,12 @@
 
     @Override
     public Integer call() throws InterruptedException, ExecutionException {
-        ExecutorService runners = Executors.newFixedThreadPool(atOnce);
+        ExecutorService executor = Executors.newFixedThreadPool(parallelRuns);
         try {
             List<Future<Outcome>> runs = new ArrayList<>();
-            for (long seed = first; seed < first + seeds; seed++) {
-                long each = seed;
-                runs.add(runners.submit(() -> run(each)));
+            for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
+                long runSeed = seed;
+                runs.add(executor.submit(() -> run(runSeed)));
             }
             int failed = 0;
             for (Future<Outcome> run : runs) {
@@ -82,7 +84,7 @@
             spec.commandLine().getOut().println(seeds - failed + " passed, " + failed + " failed");
             return failed == 0 ? Commands.OK : Commands.FAILED;
         } finally {
-            runners.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
@@ -95,8 +97,9 @@
     }
 
     /**
-     * Prints a line, and for a run that broke a rule what it broke and what happened; gives 1 for
-     * such a run.
+     * Prints the result of a run, and for a failed run its first violations and its journal.
+     *
+     * @return 1 for a failed run, otherwise 0
      */
     private int print(Outcome outcome) {
         PrintWriter out = spec.commandLine().getOut();
@@ -112,7 +115,7 @@
                         + " violations");
         outcome.violations().stream()
                 .limit(MAX_PRINTED_VIOLATIONS)
-                .forEach(each -> out.println("  " + each));
+                .forEach(violation -> out.println("  " + violation));
         out.println(outcome.journal());
         return 1;
     }
--- a/src/main/java/sagepulley/cli/StartsCommand.java
+++ b/src/main/java/sagepulley/cli/StartsCommand.java
@@ -10,87 +10,108 @@
 import sagepulley.scenario.ColdStartExperiment;
 import sagepulley.scenario.ReconnectStorm;
 
-/** Measures how gateways start from a stored endpoint list while discovery is down. */
+/** Measures starts from a stored endpoint list without the directory, and reconnect storms. */
 @Command(
         name = "starts",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Starts gateways on loopback with discovery down and lists of several ages, of which some nodes have "
-                        + "changed since, against believing the list blindly and waiting for discovery; and plays the return of "
-                        + "many gateways to one directory.")
+                "Starts gateways on loopback with the directory down, from stored lists of several "
+                        + "ages in which some nodes have changed; compares the gateway's policy "
+                        + "with using any list unchecked and with waiting for the directory. Also "
+                        + "simulates many gateways that reconnect to one directory.")
 final class StartsCommand implements Callable<Integer> {
     private static final double WEEK_HOURS = 7 * 24;
-    private static final double[] AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
-    private static final int HALF_OF_THE_NODES = 4;
+    private static final double[] LIST_AGES_HOURS = {1.0 / 60, 1, 23, WEEK_HOURS, 30 * 24};
+    private static final int HALF_OF_NODES = 4;
     private static final int[] STORM_GATEWAYS = {16, 64, 1000};
     private static final double STORM_OUTAGE_MILLIS = 20_000;
     private static final double STORM_CALLS_PER_SECOND = 50;
-    private static final int STORM_QUEUE = 20;
+    private static final int STORM_QUEUE_LIMIT = 20;
 
     @Option(
             names = "--folder",
             required = true,
             paramLabel = "FOLDER",
-            description = "for the lists' files")
+            description = "folder for the list files")
     private Path folder;
 
-    @Option(names = "--seed", defaultValue = "1", description = "(default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "seed of the runs (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Override
     public Integer call() throws SiteConfigException, IOException {
-        measureStarts();
+        measureColdStarts();
         System.out.println();
-        simulateStorms();
+        simulateReconnectStorms();
         return Commands.OK;
     }
 
-    private void measureStarts() throws SiteConfigException, IOException {
+    private void measureColdStarts() throws SiteConfigException, IOException {
         ColdStartExperiment experiment = new ColdStartExperiment(folder);
         System.out.println(
-                "| way | age | changed since | hops to drained or replaced | pushed over | first satisfied "
-                        + "| service of what is left | of all |");
+                "| list policy | age | changed nodes | attempts at drained or replaced "
+                        + "| overloaded nodes | first served | service of remaining extents "
+                        + "| of all extents |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (ColdStartExperiment.Since since : ColdStartExperiment.Since.values()) {
-            int changed = since == ColdStartExperiment.Since.NOTHING ? 0 : HALF_OF_THE_NODES;
-            for (double age : AGES_HOURS) {
-                print(experiment.run(ColdStartExperiment.Way.BY_AGE, age, since, changed, seed));
+        for (ColdStartExperiment.NodeChange nodeChange : ColdStartExperiment.NodeChange.values()) {
+            int changed = nodeChange == ColdStartExperiment.NodeChange.NOTHING ? 0 : HALF_OF_NODES;
+            for (double age : LIST_AGES_HOURS) {
+                print(
+                        experiment.run(
+                                ColdStartExperiment.ListPolicy.BY_AGE,
+                                age,
+                                nodeChange,
+                                changed,
+                                seed));
             }
-            if (since != ColdStartExperiment.Since.NOTHING) {
-                print(experiment.run(ColdStartExperiment.Way.BY_AGE, WEEK_HOURS, since, 2, seed));
+            if (nodeChange != ColdStartExperiment.NodeChange.NOTHING) {
+                print(
+                        experiment.run(
+                                ColdStartExperiment.ListPolicy.BY_AGE,
+                                WEEK_HOURS,
+                                nodeChange,
+                                2,
+                                seed));
             }
             print(
                     experiment.run(
-                            ColdStartExperiment.Way.BLINDLY, WEEK_HOURS, since, changed, seed));
+                            ColdStartExperiment.ListPolicy.BLINDLY,
+                            WEEK_HOURS,
+                            nodeChange,
+                            changed,
+                            seed));
         }
         print(
                 experiment.run(
-                        ColdStartExperiment.Way.WAITING,
+                        ColdStartExperiment.ListPolicy.WAITING,
                         WEEK_HOURS,
-                        ColdStartExperiment.Since.NOTHING,
+                        ColdStartExperiment.NodeChange.NOTHING,
                         0,
                         seed));
     }
 
-    private void simulateStorms() {
+    private void simulateReconnectStorms() {
         System.out.println(
                 "| gateways | pauses | most calls in 100 ms | calls | all hold a list after |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int gateways : STORM_GATEWAYS) {
-            for (boolean spread : new boolean[] {false, true}) {
+            for (boolean usesBackoff : new boolean[] {false, true}) {
                 ReconnectStorm storm =
                         ReconnectStorm.simulate(
                                 gateways,
-                                spread,
+                                usesBackoff,
                                 STORM_OUTAGE_MILLIS,
                                 STORM_CALLS_PER_SECOND,
-                                STORM_QUEUE,
+                                STORM_QUEUE_LIMIT,
                                 seed);
                 System.out.printf(
                         "| %d | %s | %d | %d | %.0f ms |%n",
                         gateways,
-                        spread ? "drawn" : "250 ms",
+                        usesBackoff ? "drawn" : "250 ms",
                         storm.maxCallsInTenthSecond(),
                         storm.calls(),
                         storm.allListedMillis());
@@ -101,21 +122,21 @@
     private static void print(ColdStartExperiment.Row row) {
         System.out.printf(
                 "| %s | %s | %s | %d | %d | %s | %.0f %% | %.0f %% |%n",
-                AccountFormatter.of(row.way()),
-                ageText(row.ageHours()),
-                row.since() == ColdStartExperiment.Since.NOTHING
+                AccountFormatter.label(row.listPolicy()),
+                formatAge(row.ageHours()),
+                row.nodeChange() == ColdStartExperiment.NodeChange.NOTHING
                         ? "nothing"
-                        : row.changed() + " of 8 " + AccountFormatter.of(row.since()),
-                row.wrongAttempts(),
+                        : row.changed() + " of 8 " + AccountFormatter.label(row.nodeChange()),
+                row.misdirectedAttempts(),
                 row.collapsedNodes(),
                 Double.isNaN(row.firstServedMillis())
                         ? "never"
                         : String.format(Locale.ROOT, "%.0f ms", row.firstServedMillis()),
                 100 * row.service(),
-                100 * row.serviceOfAll());
+                100 * row.serviceOfAllReads());
     }
 
-    private static String ageText(double hours) {
+    private static String formatAge(double hours) {
         if (hours < 1) {
             return Math.round(hours * 60) + " min";
         }
--- a/src/main/java/sagepulley/cli/TraceFile.java
+++ b/src/main/java/sagepulley/cli/TraceFile.java
@@ -14,27 +14,27 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The spans of a traces file and of the rotated files beside it, oldest file first. */
+/** The spans of a traces file and its rotated files, oldest file first. */
 final class TraceFile {
     private static final int MAX_ROTATED_FILES = 100;
     private static final int MAX_LINE_CHARS = 1 << 16;
 
-    private final JsonMapper mapper = new JsonMapper();
+    private final JsonMapper json = new JsonMapper();
     private final List<Span> spans = new ArrayList<>();
     private long unreadableLines;
 
     private TraceFile() {}
 
-    /** Reads all of it; lines that are no spans are counted and left out. */
+    /** Reads all files; lines that are not spans are counted and skipped. */
     static TraceFile read(Path file) throws IOException {
         TraceFile traces = new TraceFile();
         for (int age = MAX_ROTATED_FILES; age > 0; age--) {
             Path rotated = file.resolveSibling(file.getFileName() + "." + age);
             if (Files.exists(rotated)) {
-                traces.readOne(rotated);
+                traces.readFile(rotated);
             }
         }
-        traces.readOne(file);
+        traces.readFile(file);
         return traces;
     }
 
@@ -43,48 +43,48 @@
     }
 
     /**
-     * The operations, longest first.
+     * Returns the operations, longest first.
      *
-     * @param operation only the one of this number; null for any
-     * @param volume only those of this volume; null for any
+     * @param operation number of the operation to return; null for any
+     * @param volume name of the volume whose operations to return; null for any
      */
     List<Span> operations(Long operation, String volume) {
         return spans.stream()
                 .filter(Span::isRoot)
                 .filter(span -> operation == null || span.operation() == operation)
                 .filter(span -> volume == null || span.volume().equals(volume))
-                .sorted(Comparator.comparingLong(Span::lengthNanos).reversed())
+                .sorted(Comparator.comparingLong(Span::durationNanos).reversed())
                 .toList();
     }
 
-    /** The attempts and waits of an operation in time order, attempts before what they caused. */
-    @SuppressWarnings("ReferenceEquality") // the root span itself, not one like it
+    /** Returns the attempts and steps of an operation by start time, attempts first on ties. */
+    @SuppressWarnings("ReferenceEquality") // excludes this very span
     List<Span> children(Span root) {
         return spans.stream()
                 .filter(span -> span.trace().equals(root.trace()) && span != root)
                 .sorted(
-                        Comparator.comparingLong(Span::start)
+                        Comparator.comparingLong(Span::startNanos)
                                 .thenComparing(span -> span.text("name")))
                 .toList();
     }
 
-    private void readOne(Path file) throws IOException {
-        try (BufferedReader lines =
+    private void readFile(Path file) throws IOException {
+        try (BufferedReader reader =
                 new BufferedReader(
                         new InputStreamReader(
                                 Files.newInputStream(file),
                                 StandardCharsets.UTF_8
                                         .newDecoder()
                                         .onMalformedInput(CodingErrorAction.REPLACE)))) {
-            for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                add(line);
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                addLine(line);
             }
         }
     }
 
-    private void add(String line) {
+    private void addLine(String line) {
         try {
-            JsonNode span = line.length() > MAX_LINE_CHARS ? null : mapper.readTree(line);
+            JsonNode span = line.length() > MAX_LINE_CHARS ? null : json.readTree(line);
             if (span != null && span.has("trace") && span.has("start")) {
                 spans.add(new Span(span));
             } else {
--- a/src/main/java/sagepulley/codec/nbd/Handshake.java
+++ b/src/main/java/sagepulley/codec/nbd/Handshake.java
@@ -13,15 +13,15 @@
 import sagepulley.codec.frame.MalformedMessageException;
 
 /**
- * The server's side of fixed newstyle negotiation ('Fixed newstyle negotiation' of the protocol
- * text): answers options until the client has chosen an export, then passes requests on. Owns the
- * data of each option; confined to the client's event loop.
+ * The server side of fixed newstyle negotiation ('Fixed newstyle negotiation'). Replies to options
+ * until the client has chosen an export, then passes requests on. Owns the data of each option;
+ * confined to the connection's event loop.
  */
 final class Handshake extends ChannelInboundHandlerAdapter {
-    /** A client may send so many options before it must choose an export. */
+    /** The maximum number of options that a client may send before it chooses an export. */
     private static final int MAX_OPTIONS = 256;
 
-    private static final int ZERO_BYTES = 124;
+    private static final int EXPORT_NAME_PADDING_BYTES = 124;
 
     private final Exports exports;
     private final NbdServerDecoder decoder;
@@ -29,7 +29,7 @@
     private int optionCount;
     private boolean structured;
 
-    /** The export for which base:allocation was chosen; null for none. */
+    /** The export for which base:allocation is selected, or null. */
     private String baseAllocationExport;
 
     private boolean finished;
@@ -57,16 +57,16 @@
             ctx.fireChannelRead(message);
         } else if (message instanceof Integer flags) {
             clientFlags = flags;
-            // 'Client flags': an unknown flag ends the session.
+            // 'Client flags': unknown flags end the session.
             if ((flags & ~(NbdConstants.FLAG_FIXED_NEWSTYLE | NbdConstants.FLAG_NO_ZEROES)) != 0) {
                 ctx.fireExceptionCaught(
                         new MalformedMessageException(
-                                "client flags 0x" + Integer.toHexString(flags)));
+                                "unknown client flags 0x" + Integer.toHexString(flags)));
             }
         } else {
             NbdOption option = (NbdOption) message;
             try {
-                answer(ctx, option);
+                handleOption(ctx, option);
             } finally {
                 if (option.data() != null) {
                     option.data().release();
@@ -75,71 +75,76 @@
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, NbdOption option) {
+    private void handleOption(ChannelHandlerContext ctx, NbdOption option) {
         int code = option.code();
         if (++optionCount > MAX_OPTIONS) {
             ctx.fireExceptionCaught(
-                    new MalformedMessageException("more than " + MAX_OPTIONS + " options"));
+                    new MalformedMessageException(
+                            "more than " + MAX_OPTIONS + " handshake options"));
             return;
         }
         if (option.data() == null) {
-            replyError(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "the option's data is too long");
+            replyError(ctx, code, NbdConstants.REP_ERR_TOO_BIG, "option data is too long");
             return;
         }
         switch (code) {
-            case NbdConstants.OPT_EXPORT_NAME -> exportName(ctx, option.data());
+            case NbdConstants.OPT_EXPORT_NAME -> handleExportName(ctx, option.data());
             case NbdConstants.OPT_ABORT -> {
                 finished = true;
                 reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER)
                         .addListener(ChannelFutureListener.CLOSE);
             }
-            case NbdConstants.OPT_LIST -> list(ctx, option.data());
-            case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> info(ctx, code, option.data());
+            case NbdConstants.OPT_LIST -> handleList(ctx, option.data());
+            case NbdConstants.OPT_INFO, NbdConstants.OPT_GO -> handleInfo(ctx, code, option.data());
             case NbdConstants.OPT_STRUCTURED_REPLY -> {
                 if (option.data().isReadable()) {
-                    replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "this option has no data");
+                    replyError(
+                            ctx, code, NbdConstants.REP_ERR_INVALID, "this option takes no data");
                 } else {
                     structured = true;
                     reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
                 }
             }
             case NbdConstants.OPT_LIST_META_CONTEXT, NbdConstants.OPT_SET_META_CONTEXT ->
-                    metaContext(ctx, code, option.data());
+                    handleMetaContext(ctx, code, option.data());
             default ->
                     replyError(
                             ctx,
                             code,
                             NbdConstants.REP_ERR_UNSUP,
-                            "option " + Integer.toUnsignedString(code) + " is not known here");
+                            "option " + Integer.toUnsignedString(code) + " is not supported");
         }
     }
 
-    /** 'NBD_OPT_EXPORT_NAME': there is no way to answer an error but to end the session. */
-    private void exportName(ChannelHandlerContext ctx, ByteBuf data) {
-        Export export = exports.named(data.toString(StandardCharsets.UTF_8));
+    /**
+     * Handles NBD_OPT_EXPORT_NAME. Its reply cannot carry an error, so an unknown export ends the
+     * session.
+     */
+    private void handleExportName(ChannelHandlerContext ctx, ByteBuf data) {
+        Export export = exports.findByName(data.toString(StandardCharsets.UTF_8));
         if (export == null) {
-            ctx.fireExceptionCaught(new MalformedMessageException("no such export"));
+            ctx.fireExceptionCaught(new MalformedMessageException("unknown export"));
             return;
         }
         ByteBuf reply =
                 ctx.alloc()
-                        .ioBuffer(10 + ZERO_BYTES)
+                        .ioBuffer(10 + EXPORT_NAME_PADDING_BYTES)
                         .writeLong(export.size())
                         .writeShort(export.flags(structured));
         if ((clientFlags & NbdConstants.FLAG_NO_ZEROES) == 0) {
-            reply.writeZero(ZERO_BYTES);
+            reply.writeZero(EXPORT_NAME_PADDING_BYTES);
         }
         ctx.writeAndFlush(reply);
         attach(ctx, export);
     }
 
-    private void list(ChannelHandlerContext ctx, ByteBuf data) {
+    private void handleList(ChannelHandlerContext ctx, ByteBuf data) {
         if (data.isReadable()) {
             replyError(
                     ctx,
                     NbdConstants.OPT_LIST,
                     NbdConstants.REP_ERR_INVALID,
-                    "this option has no data");
+                    "this option takes no data");
             return;
         }
         for (Export export : exports.all()) {
@@ -154,11 +159,11 @@
         reply(ctx, NbdConstants.OPT_LIST, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
     }
 
-    /** 'NBD_OPT_INFO' and 'NBD_OPT_GO'. */
-    private void info(ChannelHandlerContext ctx, int code, ByteBuf data) {
-        String name = string(data);
+    /** Handles NBD_OPT_INFO and NBD_OPT_GO. */
+    private void handleInfo(ChannelHandlerContext ctx, int code, ByteBuf data) {
+        String name = readString(data);
         if (name == null || data.readableBytes() < 2) {
-            replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "the option's data is cut off");
+            replyError(ctx, code, NbdConstants.REP_ERR_INVALID, "option data is truncated");
             return;
         }
         int count = data.readUnsignedShort();
@@ -167,22 +172,22 @@
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
-                    "the number of information requests is wrong");
+                    "number of information requests does not match the data length");
             return;
         }
-        Export export = exports.named(name);
+        Export export = exports.findByName(name);
         if (export == null) {
-            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
+            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "unknown export");
             return;
         }
-        replyInfo(ctx, code, export, data);
+        replyExportInfo(ctx, code, export, data);
         reply(ctx, code, NbdConstants.REP_ACK, Unpooled.EMPTY_BUFFER);
         if (code == NbdConstants.OPT_GO) {
             attach(ctx, export);
         }
     }
 
-    private void replyInfo(
+    private void replyExportInfo(
             ChannelHandlerContext ctx, int code, Export export, ByteBuf requestedTypes) {
         boolean wantsName = false;
         boolean wantsDescription = false;
@@ -198,7 +203,8 @@
                         .writeLong(export.size())
                         .writeShort(export.flags(structured));
         reply(ctx, code, NbdConstants.REP_INFO, size);
-        // A server with limits should tell them even when not asked; it then serves any client.
+        // Block size constraints are sent even if not requested, so that any client can respect
+        // them.
         ByteBuf blockSizes =
                 ctx.alloc()
                         .ioBuffer()
@@ -208,35 +214,33 @@
                         .writeInt(export.maxBlockSize());
         reply(ctx, code, NbdConstants.REP_INFO, blockSizes);
         if (wantsName) {
-            ByteBuf name = text(ctx, NbdConstants.INFO_NAME, export.name());
+            ByteBuf name = infoWithText(ctx, NbdConstants.INFO_NAME, export.name());
             reply(ctx, code, NbdConstants.REP_INFO, name);
         }
         if (wantsDescription) {
-            ByteBuf description = text(ctx, NbdConstants.INFO_DESCRIPTION, export.description());
+            ByteBuf description =
+                    infoWithText(ctx, NbdConstants.INFO_DESCRIPTION, export.description());
             reply(ctx, code, NbdConstants.REP_INFO, description);
         }
     }
 
-    private static ByteBuf text(ChannelHandlerContext ctx, int kind, String text) {
+    private static ByteBuf infoWithText(ChannelHandlerContext ctx, int kind, String text) {
         ByteBuf reply = ctx.alloc().ioBuffer().writeShort(kind);
         ByteBufUtil.writeUtf8(reply, text);
         return reply;
     }
 
-    /** 'NBD_OPT_LIST_META_CONTEXT' and 'NBD_OPT_SET_META_CONTEXT'. */
-    private void metaContext(ChannelHandlerContext ctx, int code, ByteBuf data) {
-        boolean set = code == NbdConstants.OPT_SET_META_CONTEXT;
-        if (set) {
-            baseAllocationExport = null; // whatever the answer, an earlier choice is gone
+    /** Handles NBD_OPT_LIST_META_CONTEXT and NBD_OPT_SET_META_CONTEXT. */
+    private void handleMetaContext(ChannelHandlerContext ctx, int code, ByteBuf data) {
+        boolean isSet = code == NbdConstants.OPT_SET_META_CONTEXT;
+        if (isSet) {
+            baseAllocationExport = null; // voids any earlier selection
         }
-        String name = string(data);
-        List<String> queries = name == null ? null : queries(data);
+        String name = readString(data);
+        List<String> queries = name == null ? null : readQueries(data);
         if (queries == null) {
             replyError(
-                    ctx,
-                    code,
-                    NbdConstants.REP_ERR_INVALID,
-                    "the option's data is cut off or too long");
+                    ctx, code, NbdConstants.REP_ERR_INVALID, "option data has an invalid length");
             return;
         }
         if (!structured) {
@@ -244,20 +248,20 @@
                     ctx,
                     code,
                     NbdConstants.REP_ERR_INVALID,
-                    "structured replies must be chosen first");
+                    "structured replies must be negotiated first");
             return;
         }
-        Export export = exports.named(name);
+        Export export = exports.findByName(name);
         if (export == null) {
-            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "no such export");
+            replyError(ctx, code, NbdConstants.REP_ERR_UNKNOWN, "unknown export");
             return;
         }
         boolean matches =
                 queries.contains(NbdConstants.BASE_ALLOCATION)
-                        || (!set && (queries.isEmpty() || queries.contains("base:")));
+                        || (!isSet && (queries.isEmpty() || queries.contains("base:")));
         if (matches) {
-            replyBaseAllocation(ctx, code, set ? NbdConstants.BASE_ALLOCATION_ID : 0);
-            if (set) {
+            replyBaseAllocation(ctx, code, isSet ? NbdConstants.BASE_ALLOCATION_ID : 0);
+            if (isSet) {
                 baseAllocationExport = export.name();
             }
         }
@@ -270,15 +274,17 @@
         reply(ctx, code, NbdConstants.REP_META_CONTEXT, reply);
     }
 
-    /** The queries that fill the rest of the data; null if they don't fit it. */
-    private static List<String> queries(ByteBuf data) {
+    /**
+     * Reads the queries up to the end of the data; returns null if they do not match its length.
+     */
+    private static List<String> readQueries(ByteBuf data) {
         if (data.readableBytes() < 4) {
             return null;
         }
         long count = data.readUnsignedInt();
         List<String> queries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            String query = string(data);
+            String query = readString(data);
             if (query == null) {
                 return null;
             }
@@ -295,9 +301,10 @@
     }
 
     /**
-     * A string with its length before it; null where it is cut off or longer than the text allows.
+     * Reads a length-prefixed string; returns null if it is truncated or longer than the protocol
+     * allows.
      */
-    private static String string(ByteBuf data) {
+    private static String readString(ByteBuf data) {
         if (data.readableBytes() < 4) {
             return null;
         }
@@ -308,8 +315,9 @@
         return data.readCharSequence((int) length, StandardCharsets.UTF_8).toString();
     }
 
-    private static void replyError(ChannelHandlerContext ctx, int option, int error, String why) {
-        reply(ctx, option, error, ByteBufUtil.writeUtf8(ctx.alloc(), why));
+    private static void replyError(
+            ChannelHandlerContext ctx, int option, int error, String message) {
+        reply(ctx, option, error, ByteBufUtil.writeUtf8(ctx.alloc(), message));
     }
 
     private static ChannelFuture reply(
--- a/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
+++ b/src/main/java/sagepulley/codec/nbd/NbdServerDecoder.java
@@ -7,20 +7,24 @@
 import sagepulley.codec.frame.SegmentDecoder;
 
 /**
- * Decodes what a client sends: its flags, options, then requests. Reads no payload before the gate
- * admits it, and stops reading from the socket until then. Data passes on with its ownership.
+ * Decodes the messages of a client: flags, options, then requests. Halts reading from the socket
+ * until the gate admits a request, before its payload is decoded. The receiver of a message owns
+ * its data.
  */
 final class NbdServerDecoder extends SegmentDecoder {
-    /** Counted for a request besides its data, so that the budget bounds their number too. */
+    /**
+     * Counted for each request in addition to its data, so that the budget also limits the number
+     * of requests.
+     */
     static final int REQUEST_OVERHEAD_BYTES = 1024;
 
     private static final int OPTION_HEAD_BYTES = 16;
     private static final int REQUEST_HEAD_BYTES = 28;
 
-    /** Longer options are skipped and refused. */
+    /** The maximum length of option data that is decoded; longer data is skipped and rejected. */
     private static final int MAX_OPTION_BYTES = 64 << 10;
 
-    /** Longer options end the connection. */
+    /** The maximum length of skipped option data; longer data ends the connection. */
     private static final int MAX_SKIPPED_OPTION_BYTES = 1 << 20;
 
     private enum Phase {
@@ -45,14 +49,14 @@
         expect(4);
     }
 
-    /** The handshake has ended: requests come next, with writes of up to so many bytes. */
+    /** Starts the transmission phase, with writes of up to {@code maxBlockSize} bytes. */
     void startTransmission(int maxBlockSize) {
         this.maxBlockSize = maxBlockSize;
         phase = Phase.REQUEST;
         expect(REQUEST_HEAD_BYTES);
     }
 
-    /** Whether a message has begun that has not fully come. */
+    /** Returns whether the handshake is incomplete or a message has been received only in part. */
     boolean isInsideMessage() {
         return phase != Phase.REQUEST || isInsideSegment();
     }
@@ -67,7 +71,7 @@
                 expectOption();
                 ctx.fireChannelRead(flags);
             }
-            case OPTION -> optionCode(segment);
+            case OPTION -> readOptionHead(segment);
             case OPTION_DATA -> {
                 expectOption();
                 ctx.fireChannelRead(new NbdOption(optionCode, segment));
@@ -76,7 +80,7 @@
                 expectOption();
                 ctx.fireChannelRead(new NbdOption(optionCode, null));
             }
-            case REQUEST -> request(ctx, segment);
+            case REQUEST -> readRequestHead(ctx, segment);
             case PAYLOAD -> {
                 expectRequest();
                 NbdRequest complete =
@@ -108,17 +112,18 @@
         expect(REQUEST_HEAD_BYTES);
     }
 
-    private void optionCode(ByteBuf segment) throws MalformedMessageException {
+    private void readOptionHead(ByteBuf segment) throws MalformedMessageException {
         long magic = segment.readLong();
         optionCode = segment.readInt();
         long length = segment.readUnsignedInt();
         segment.release();
         if (magic != NbdConstants.IHAVEOPT) {
-            throw new MalformedMessageException("option starts with 0x" + Long.toHexString(magic));
+            throw new MalformedMessageException(
+                    "unknown option magic 0x" + Long.toHexString(magic));
         }
         if (length > MAX_SKIPPED_OPTION_BYTES) {
             throw new MalformedMessageException(
-                    "option of " + length + " bytes, at most " + MAX_SKIPPED_OPTION_BYTES);
+                    "option of " + length + " bytes, expected at most " + MAX_SKIPPED_OPTION_BYTES);
         }
         if (length > MAX_OPTION_BYTES) {
             phase = Phase.SKIPPED_OPTION_DATA;
@@ -129,7 +134,7 @@
         }
     }
 
-    private void request(ChannelHandlerContext ctx, ByteBuf segment)
+    private void readRequestHead(ChannelHandlerContext ctx, ByteBuf segment)
             throws MalformedMessageException {
         int magic = segment.readInt();
         int flags = segment.readUnsignedShort();
@@ -140,30 +145,30 @@
         segment.release();
         if (magic != NbdConstants.REQUEST_MAGIC) {
             throw new MalformedMessageException(
-                    "request starts with 0x" + Integer.toHexString(magic));
+                    "unknown request magic 0x" + Integer.toHexString(magic));
         }
         long bytes = Integer.toUnsignedLong(length);
         request = new NbdRequest(flags, command, cookie, offset, length, Unpooled.EMPTY_BUFFER, 0);
         if (command == NbdConstants.CMD_WRITE && bytes > maxBlockSize) {
-            // The text lets the server end the connection, or read it all and answer EINVAL: the
-            // second, while it is not out of all proportion.
+            // The protocol allows to end the connection, or to read the payload and reply EINVAL.
+            // The payload is read if it is at most four times the limit.
             if (bytes > 4L * maxBlockSize) {
                 throw new MalformedMessageException(
-                        "write of " + bytes + " bytes, at most " + maxBlockSize);
+                        "write of " + bytes + " bytes, expected at most " + maxBlockSize);
             }
             phase = Phase.SKIPPED_PAYLOAD;
             skip(bytes);
             return;
         }
-        boolean movesData =
+        boolean carriesData =
                 command == NbdConstants.CMD_WRITE
                         || (command == NbdConstants.CMD_READ && bytes <= maxBlockSize);
         phase = Phase.PAYLOAD;
         expect(command == NbdConstants.CMD_WRITE ? length : 0);
-        admit(ctx, (movesData ? bytes : 0) + REQUEST_OVERHEAD_BYTES);
+        admitRequest(ctx, (carriesData ? bytes : 0) + REQUEST_OVERHEAD_BYTES);
     }
 
-    private void admit(ChannelHandlerContext ctx, long bytes) {
+    private void admitRequest(ChannelHandlerContext ctx, long bytes) {
         Runnable retry =
                 () ->
                         ctx.channel()
@@ -173,7 +178,7 @@
                                             if (ctx.isRemoved() || !ctx.channel().isActive()) {
                                                 return;
                                             }
-                                            admit(ctx, bytes);
+                                            admitRequest(ctx, bytes);
                                         });
         if (gate.admit(bytes, retry)) {
             admittedBytes = bytes;
--- a/src/main/java/sagepulley/codec/resp/RespDecoder.java
+++ b/src/main/java/sagepulley/codec/resp/RespDecoder.java
@@ -9,10 +9,12 @@
 import java.util.List;
 
 /**
- * Decodes RESP2 strictly. A length over its limit is an error as soon as it is read, and memory is
- * only taken for bytes that have come. The first error is reported once, as a {@link
- * CorruptedFrameException}; the rest of the input is dropped. The messages of the exceptions are
- * sent to clients, and so part of the wire.
+ * Decodes RESP2 strictly.
+ *
+ * <p>A length over its limit is an error as soon as it is read, and bulk strings are allocated only
+ * once their bytes have arrived. The first error is reported once, as a {@link
+ * CorruptedFrameException}; all later input is dropped. The exception messages are sent to clients,
+ * so they contain numbers but no text from the input.
  */
 public final class RespDecoder extends ByteToMessageDecoder {
     private static final int NO_BULK = -1;
@@ -21,20 +23,22 @@
     private final RespLimits limits;
     private List<Resp> items;
     private int remainingItems;
+
+    /** Total length of the bulk strings of the current array in bytes. */
     private int arrayBytes;
 
-    /** Length of the bulk string under way, in bytes. */
+    /** Length of the current bulk string in bytes; {@link #NO_BULK} if there is none. */
     private int bulkLength = NO_BULK;
 
     private boolean failed;
 
-    /** A decoder that fails on any value over these limits. */
+    /** Creates a decoder that fails on any value over these limits. */
     public RespDecoder(RespLimits limits) {
         this.limits = limits;
     }
 
-    /** Whether some of a value has come, but not all of it. */
-    public boolean isMidValue() {
+    /** Returns whether a value has been received in part. */
+    public boolean hasPartialValue() {
         return items != null || bulkLength != NO_BULK || actualReadableBytes() > 0;
     }
 
@@ -75,13 +79,17 @@
         byte[] bytes = new byte[bulkLength];
         in.readBytes(bytes);
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new CorruptedFrameException("a bulk string does not end where its length says");
+            throw new CorruptedFrameException(
+                    "expected CR LF after a bulk string of " + bulkLength + " bytes");
         }
         bulkLength = NO_BULK;
         return new Resp.Bulk(bytes);
     }
 
-    /** Decodes a header line, and its value if that is there; null if more must come. */
+    /**
+     * Decodes a header line, and its value if that has arrived; returns null if more input is
+     * needed.
+     */
     private Resp decodeHeader(ByteBuf in) {
         if (!in.isReadable()) {
             return null;
@@ -90,7 +98,13 @@
         if (limits.commandsOnly()
                 ? kind != (items == null ? '*' : '$')
                 : "+-:$*".indexOf(kind) < 0) {
-            throw new CorruptedFrameException("a value starts with byte " + (int) kind);
+            throw new CorruptedFrameException(
+                    "value starts with byte "
+                            + (int) kind
+                            + ", expected "
+                            + (limits.commandsOnly()
+                                    ? (items == null ? "*" : "$")
+                                    : "one of +-:$*"));
         }
         String text = readLine(in);
         if (text == null) {
@@ -102,7 +116,10 @@
                 arrayBytes += Math.max(0, bulkLength);
                 if (arrayBytes > limits.maxArrayBytes()) {
                     throw new CorruptedFrameException(
-                            "an array of over " + limits.maxArrayBytes() + " bytes");
+                            "array items total "
+                                    + arrayBytes
+                                    + " bytes so far, expected at most "
+                                    + limits.maxArrayBytes());
                 }
                 yield bulkLength == NO_BULK ? new Resp.Bulk(null) : decodeBulk(in);
             }
@@ -117,11 +134,13 @@
 
     private Resp beginArray(int count) {
         if (items != null) {
-            throw new CorruptedFrameException("an array inside an array");
+            throw new CorruptedFrameException(
+                    "nested array, expected only lines and bulk strings as array items");
         }
         if (count <= 0) {
             if (limits.commandsOnly()) {
-                throw new CorruptedFrameException("a command of " + count + " words");
+                throw new CorruptedFrameException(
+                        "array of " + count + " items, expected at least the command name");
             }
             return new Resp.Array(count < 0 ? null : List.of());
         }
@@ -131,7 +150,7 @@
         return null;
     }
 
-    /** The line behind its first byte, without CR LF; null if they have not come. */
+    /** Reads a line without its first byte and CR LF; returns null if the line is incomplete. */
     private String readLine(ByteBuf in) {
         int end =
                 in.indexOf(
@@ -141,17 +160,17 @@
         if (end < 0) {
             if (in.readableBytes() > limits.maxLineBytes() + 2) {
                 throw new CorruptedFrameException(
-                        "a line of over " + limits.maxLineBytes() + " bytes");
+                        "line is longer than the limit of " + limits.maxLineBytes() + " bytes");
             }
             return null;
         }
         int length = end - in.readerIndex() - 2;
         if (length < 0 || in.getByte(end - 1) != '\r') {
-            throw new CorruptedFrameException("a line that does not end in CR LF");
+            throw new CorruptedFrameException("line ends in LF without CR, expected CR LF");
         }
         String text = in.toString(in.readerIndex() + 1, length, StandardCharsets.ISO_8859_1);
         if (text.indexOf('\r') >= 0) {
-            throw new CorruptedFrameException("a line with a CR inside");
+            throw new CorruptedFrameException("CR inside a line, expected only at its end");
         }
         in.readerIndex(end + 1);
         return text;
@@ -160,7 +179,13 @@
     private int parseLength(String text, int max) {
         long value = parseNumber(text);
         if (value > max || (value < 0 && (limits.commandsOnly() || value != NO_BULK))) {
-            throw new CorruptedFrameException("a length of " + text + ", at most " + max);
+            throw new CorruptedFrameException(
+                    "length is "
+                            + value
+                            + ", expected at "
+                            + (value > max
+                                    ? "most " + max
+                                    : "least " + (limits.commandsOnly() ? 0 : NO_BULK)));
         }
         if (items == null) {
             arrayBytes = 0;
@@ -175,7 +200,10 @@
             valid = text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
         if (!valid) {
-            throw new CorruptedFrameException("a number that cannot be read");
+            throw new CorruptedFrameException(
+                    "invalid number, expected 1 to "
+                            + MAX_DIGITS
+                            + " digits after an optional minus sign");
         }
         return Long.parseLong(text);
     }
--- a/src/main/java/sagepulley/config/IniReader.java
+++ b/src/main/java/sagepulley/config/IniReader.java
@@ -14,21 +14,21 @@
 import org.apache.commons.configuration2.SubnodeConfiguration;
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
-/** An INI file's sections; every mistake in it is noted, and all are reported together. */
+/** Reads the sections of an INI file. Collects all errors and reports them together. */
 final class IniReader {
     private static final int MAX_FILE_BYTES = 1 << 20;
 
     private final String file;
     private final Map<String, Map<String, String>> sections = new LinkedHashMap<>();
     private final Set<String> keysRead = new HashSet<>();
-    private final List<String> mistakes = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
 
-    /** Reads a file; fails if that cannot be read or is no INI file. */
+    /** Reads a file; throws if it cannot be read or is not an INI file. */
     IniReader(Path path) throws SiteConfigException {
         file = path.toString();
         try {
             if (Files.size(path) > MAX_FILE_BYTES) {
-                throw new SiteConfigException(file + ": is longer than 1 MiB");
+                throw new SiteConfigException(file + ": file is larger than 1 MiB");
             }
         } catch (IOException e) {
             throw new SiteConfigException(file + ": cannot be read: " + e);
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Reads text; the name stands in errors. */
+    /** Reads from a reader; error messages contain the given name. */
     IniReader(String name, Reader reader) throws SiteConfigException {
         file = name;
         load(reader);
@@ -51,7 +51,7 @@
         try {
             ini.read(reader);
         } catch (ConfigurationException | IOException | RuntimeException e) {
-            throw new SiteConfigException(file + ": is no INI file: " + e.getMessage());
+            throw new SiteConfigException(file + ": not a valid INI file: " + e.getMessage());
         }
         for (String name : ini.getSections()) {
             Map<String, String> values = values(name, ini.getSection(name));
@@ -60,7 +60,7 @@
                 continue;
             }
             for (String key : values.keySet()) {
-                mistakes.add(file + ": " + key + ": stands before the first section");
+                errors.add(file + ": " + key + ": key before the first section");
             }
         }
     }
@@ -70,36 +70,40 @@
         section.getKeys()
                 .forEachRemaining(
                         key -> {
-                            List<Object> all = section.getList(key);
-                            String plainKey = key.replace("..", "."); // as the library escapes dots
-                            if (all.size() > 1) {
-                                mistake(
+                            List<Object> keyValues = section.getList(key);
+                            // the library escapes dots in keys
+                            String unescapedKey = key.replace("..", ".");
+                            if (keyValues.size() > 1) {
+                                addError(
                                         name,
-                                        plainKey,
-                                        "stands there " + all.size() + " times, once is allowed");
+                                        unescapedKey,
+                                        "occurs " + keyValues.size() + " times, expected once");
                             }
-                            values.put(plainKey, String.valueOf(all.get(0)).trim());
+                            values.put(unescapedKey, String.valueOf(keyValues.get(0)).trim());
                         });
         return values;
     }
 
-    /** A section by its full name, whether it is in the file or not. */
+    /** Returns a section by its full name, whether or not the file contains it. */
     IniSection section(String name) {
         return new IniSection(this, name);
     }
 
-    /** What follows the word in the names of sections that start with it, in the file's order. */
-    List<String> namesOf(String word) {
+    /**
+     * Returns the names of all sections whose first word is the prefix, without that word and in
+     * file order.
+     */
+    List<String> sectionNames(String prefix) {
         List<String> names = new ArrayList<>();
         for (String section : sections.keySet()) {
-            if (section.startsWith(word + " ")) {
-                names.add(section.substring(word.length() + 1).trim());
+            if (section.startsWith(prefix + " ")) {
+                names.add(section.substring(prefix.length() + 1).trim());
             }
         }
         return names;
     }
 
-    /** A value's text; null if it is not in the file. */
+    /** Returns the value of a key, or null if the file does not contain it. */
     String value(String section, String key) {
         return sections.containsKey(section) ? sections.get(section).get(key) : null;
     }
@@ -108,37 +112,40 @@
         keysRead.add(section + "\n" + key);
     }
 
-    void mistake(String section, String key, String what) {
-        mistakes.add(file + ": [" + section + "] " + key + ": " + what);
+    void addError(String section, String key, String problem) {
+        errors.add(file + ": [" + section + "] " + key + ": " + problem);
     }
 
     /**
-     * Ends the reading.
+     * Checks that the file has no errors and that all of its sections and keys were read.
      *
-     * @param words with which section names may start
-     * @throws SiteConfigException if there are mistakes, or sections or keys that nothing read
+     * @param allowedPrefixes the first words that section names may have
+     * @throws SiteConfigException if there are errors, or sections or keys that were not read
      */
-    void finish(Set<String> words) throws SiteConfigException {
+    void finish(Set<String> allowedPrefixes) throws SiteConfigException {
         sections.forEach(
                 (section, values) -> {
-                    if (!words.contains(section.split(" ")[0])) {
-                        mistakes.add(
-                                "%s: [%s]: is not known, allowed are %s"
+                    if (!allowedPrefixes.contains(section.split(" ")[0])) {
+                        errors.add(
+                                "%s: [%s]: unknown section, expected one of %s"
                                         .formatted(
                                                 file,
                                                 section,
                                                 String.join(
-                                                        ", ", words.stream().sorted().toList())));
+                                                        ", ",
+                                                        allowedPrefixes.stream()
+                                                                .sorted()
+                                                                .toList())));
                         return;
                     }
                     for (String key : values.keySet()) {
                         if (!keysRead.contains(section + "\n" + key)) {
-                            mistake(section, key, "is not known");
+                            addError(section, key, "unknown key");
                         }
                     }
                 });
-        if (!mistakes.isEmpty()) {
-            throw new SiteConfigException(String.join("\n", mistakes));
+        if (!errors.isEmpty()) {
+            throw new SiteConfigException(String.join("\n", errors));
         }
     }
 }
--- a/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryRequest.java
@@ -26,25 +26,27 @@
 import sagepulley.transport.Transport;
 
 /**
- * One HTTP request to discovery and its response: endpoint lists as JSON values, in any pieces and
- * with any white space between. Reports what came and how it ended, each once, and knows of no
- * other request. Runs on the event loop; times are milliseconds on the monotonic clock.
+ * Handles one HTTP request to discovery and its response: endpoint lists as JSON values in
+ * arbitrary chunks and white space.
+ *
+ * <p>Reports each event once, independently of other requests. Runs on the event loop; times are in
+ * milliseconds on the monotonic clock.
  */
 final class DiscoveryRequest extends SimpleChannelInboundHandler<HttpObject> {
     /** An indented list of 3,200 endpoints takes about 1 MB. */
     private static final int MAX_LIST_BYTES = 8 << 20;
 
-    /** What a request is to its listener. */
+    /** Role of a request at its listener. */
     enum Role {
-        /** Its first list is awaited, or its lists are relied on. */
+        /** Waits for its first list, or supplies the current lists. */
         CURRENT,
-        /** It counts as failed, and is kept open all the same. */
+        /** Counts as failed, but stays open. */
         OVERDUE,
-        /** It was the watch at an address that discovery has left. */
-        FORMER
+        /** Watch at an address that discovery has left. */
+        FORMER_ADDRESS
     }
 
-    private enum Progress {
+    private enum State {
         WAITING,
         ANSWERED,
         CLOSED
@@ -65,12 +67,15 @@
     private ScheduledFuture<?> timeoutTask;
     private long receivedBytes;
     private int receivedLists;
-    private boolean informational;
-    private Progress progress = Progress.WAITING;
+
+    /** Whether the status received last is informational (1xx), so that a final one follows. */
+    private boolean isInformational;
+
+    private State state = State.WAITING;
     private Role role = Role.CURRENT;
 
     /**
-     * @param requestNumber names the request in the log
+     * @param requestNumber identifies the request in the log
      */
     DiscoveryRequest(
             Transport transport,
@@ -114,15 +119,16 @@
                         .handler(pipeline())
                         .connect(query.address());
         channel = Transport.channelOf(connecting);
-        scheduleTimeout(timeouts.firstListMillis());
+        scheduleTimeout(timeouts.firstListTimeoutMillis());
         Transport.onConnectFailure(connecting, loop, this::onConnectFailure);
     }
 
     private ChannelInitializer<Channel> pipeline() {
         return new ChannelInitializer<>() {
             @Override
-            protected void initChannel(Channel fresh) {
-                fresh.pipeline()
+            protected void initChannel(Channel newChannel) {
+                newChannel
+                        .pipeline()
                         .addLast(
                                 new HttpClientCodec(),
                                 DiscoveryRequest.this,
@@ -139,7 +145,7 @@
         fail("connect failed: " + Transport.systemMessage(cause));
     }
 
-    /** Ends the request; the listener is not called. */
+    /** Closes the request without notifying the listener. */
     void close(String reason) {
         LogWriter.info(
                 "endpoint list request ended",
@@ -153,7 +159,7 @@
                 receivedLists,
                 "reason",
                 reason);
-        progress = Progress.CLOSED;
+        state = State.CLOSED;
         timeoutTask.cancel(false);
         if (channel != null) {
             channel.close();
@@ -182,7 +188,7 @@
         return query.isWatch();
     }
 
-    /** The revision that was known when this request was opened. */
+    /** Returns the revision that was known when the request was opened. */
     long afterRevision() {
         return query.afterRevision();
     }
@@ -195,12 +201,12 @@
         role = newRole;
     }
 
-    /** Whether a list has come, and more may. */
+    /** Returns whether the request has received a list and is still open. */
     boolean isAnswered() {
-        return progress == Progress.ANSWERED;
+        return state == State.ANSWERED;
     }
 
-    /** Whether the list that came last is the only one so far. */
+    /** Returns whether exactly one list has been received. */
     boolean hasOneList() {
         return receivedLists == 1;
     }
@@ -209,20 +215,23 @@
         return clock.getAsDouble() - startedAt;
     }
 
-    /** Since its last byte; infinite where none has come. */
+    /** Returns the time since the last byte was received; infinite if there was none. */
     double idleMillis() {
         return timing.idleMillis(clock.getAsDouble());
     }
 
     private boolean isClosed() {
-        return progress == Progress.CLOSED;
+        return state == State.CLOSED;
     }
 
     private long roundedOpenMillis() {
         return Math.round(openMillis());
     }
 
-    /** Once it has passed, the request counts as failed, but what still comes is taken. */
+    /**
+     * Restarts the timeout after which the request is reported overdue. Data received later is
+     * still used.
+     */
     private void scheduleTimeout(long timeoutMillis) {
         if (timeoutTask != null) {
             timeoutTask.cancel(false);
@@ -236,9 +245,9 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private void restartSilenceTimeout() {
-        if (query.isWatch() && role != Role.FORMER) {
-            scheduleTimeout(timeouts.silenceMillis());
+    private void restartIdleTimeout() {
+        if (query.isWatch() && role != Role.FORMER_ADDRESS) {
+            scheduleTimeout(timeouts.idleTimeoutMillis());
         }
     }
 
@@ -260,14 +269,14 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (!informational && !response.status().equals(HttpResponseStatus.OK)) {
+            isInformational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (!isInformational && !response.status().equals(HttpResponseStatus.OK)) {
                 fail("HTTP status " + response.status().code());
                 return;
             }
         }
-        if (informational) {
-            return; // the final response is yet to come
+        if (isInformational) {
+            return; // the final response follows
         }
         if (message instanceof HttpContent content) {
             onContent(ctx, content.content());
@@ -281,32 +290,35 @@
         receivedBytes += content.readableBytes();
         double now = clock.getAsDouble();
         timing.onBytes(now);
-        boolean endsLine =
+        boolean hasLineEnd =
                 content.indexOf(content.readerIndex(), content.writerIndex(), (byte) '\n') >= 0;
         double receivedAt =
-                now - receiveTime.millisSinceReceived(channel, (double) timeouts.silenceMillis());
-        if (!valueDecoder.isMidValue()) {
+                now
+                        - receiveTime.millisSinceReceived(
+                                channel, (double) timeouts.idleTimeoutMillis());
+        if (!valueDecoder.hasPartialValue()) {
             timing.onListStarted(receivedAt);
         }
         int listsBefore = receivedLists;
         ctx.fireChannelRead(content.retain());
         if (receivedLists > listsBefore) {
-            timing.onListStarted(receivedAt); // of the next list, if it is under way
+            timing.onListStarted(receivedAt); // start of the next list, if any of it has arrived
         }
-        // Part of a list is no heartbeat: a list that trickles is silence too.
+        // Bytes of an incomplete list do not count as a heartbeat, even if it contains line ends,
+        // so a list that arrives too slowly still reaches the idle timeout.
         if (isAnswered()
-                && endsLine
-                && !valueDecoder.isMidValue()
+                && hasLineEnd
+                && !valueDecoder.hasPartialValue()
                 && timing.isHeartbeat(receivedAt)) {
-            restartSilenceTimeout();
-            listener.onHeartbeat(this, timing.writtenAfter(receivedAt));
+            restartIdleTimeout();
+            listener.onHeartbeat(this, timing.earliestWriteTime(receivedAt));
         }
     }
 
     private void onBodyEnd() {
         if (query.isWatch()) {
             fail("watch closed by discovery");
-        } else if (!isAnswered() || valueDecoder.isMidValue()) {
+        } else if (!isAnswered() || valueDecoder.hasPartialValue()) {
             fail("response without a complete list");
         } else {
             close("completed");
@@ -332,9 +344,9 @@
                     "elapsed-ms",
                     roundedOpenMillis());
             timing.onFirstListEnded();
-            progress = Progress.ANSWERED;
+            state = State.ANSWERED;
         }
-        restartSilenceTimeout();
+        restartIdleTimeout();
         listener.onEndpointList(this, update, timing.listCurrentAsOf(hasOneList()));
     }
 
@@ -353,13 +365,13 @@
     }
 
     private void onConnectionLost(String reason) {
-        if (isAnswered() && !valueDecoder.isMidValue()) {
-            listener.onCleanClose(this, timing.writtenAfter(clock.getAsDouble()));
+        if (isAnswered() && !valueDecoder.hasPartialValue()) {
+            listener.onCleanClose(this, timing.earliestWriteTime(clock.getAsDouble()));
         }
         fail(reason);
     }
 
-    /** Takes each JSON value that is complete. */
+    /** Handles each complete JSON value of the response. */
     private final class JsonValueHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf value) {
--- a/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
+++ b/src/main/java/sagepulley/discovery/http/DiscoveryTimeouts.java
@@ -3,12 +3,12 @@
 import sagepulley.membership.EndpointPollPolicy;
 
 /**
- * How long discovery may take, in milliseconds.
+ * Timeouts of requests to discovery, in milliseconds.
  *
- * @param firstListMillis for the first list of a request
- * @param silenceMillis between two lists or heartbeats of a watch
+ * @param firstListTimeoutMillis maximum wait for the first list of a request
+ * @param idleTimeoutMillis maximum time between two lists or heartbeats of a watch
  */
-record DiscoveryTimeouts(long firstListMillis, long silenceMillis) {
+record DiscoveryTimeouts(long firstListTimeoutMillis, long idleTimeoutMillis) {
     static final DiscoveryTimeouts DEFAULT =
             new DiscoveryTimeouts(
                     EndpointPollPolicy.FIRST_LIST_TIMEOUT_MILLIS,
--- a/src/main/java/sagepulley/faultinjection/AnswerRule.java
+++ b/src/main/java/sagepulley/faultinjection/AnswerRule.java
@@ -7,42 +7,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The rules on answers and attempts, judged from what passed on the sockets: each request that a
- * gateway took gets one final answer in time, with the value that a store made for it; what may not
- * run twice is sent once; a store gets no later deadline than the client's; and nothing begins for
- * a client that has disconnected.
+ * Checks answers and attempts against the traffic seen on the sockets.
+ *
+ * <p>Each request that a gateway accepted gets one final answer in time, with the value that a
+ * store made for it. A request that is not idempotent is sent at most once, a store gets no later
+ * deadline than the client's, and no attempt begins after its client has disconnected.
  */
 final class AnswerRule {
     private static final long MAX_LATE_MILLIS = 500;
     private static final long MAX_EXTRA_DEADLINE_MILLIS = 150;
     private static final long MAX_AFTER_DISCONNECT_MILLIS = 100;
 
-    /** What a busy machine adds between two of this program's own threads. */
+    /** Allowance for scheduling delays between two threads of this program on a busy machine. */
     private static final long SLACK_MILLIS = 150;
 
-    /** A request that comes so long after SIGTERM is lost where SIGKILL finds it unanswered. */
+    /** A request sent at least this long after SIGTERM is lost if SIGKILL finds it unanswered. */
     private static final long MIN_STOP_NOTICE_MILLIS = 700;
 
     /**
-     * When a gateway process was sent SIGTERM, when SIGKILL, and when it had ended; one that was
-     * not sent SIGTERM has 0 for the first.
+     * Times at which a gateway process was sent SIGTERM and SIGKILL and at which it had exited;
+     * termSentAt is 0 if it was not sent SIGTERM.
      */
-    record Ending(int gateway, long termSentAt, long killSentAt, long goneAt) {
+    record Termination(int gateway, long termSentAt, long killSentAt, long exitedAt) {
         boolean isPlanned() {
             return termSentAt != 0;
         }
     }
 
-    private final List<Ending> endings;
+    private final List<Termination> terminations;
     private final boolean descriptorsExhausted;
 
-    /** Where idle clients fill the descriptors, a new connection may be shut unread. */
-    AnswerRule(List<Ending> endings, boolean descriptorsExhausted) {
-        this.endings = endings;
+    /**
+     * Creates the rule.
+     *
+     * @param descriptorsExhausted whether idle clients may have used up the descriptors, so that a
+     *     new connection may be closed without being read
+     */
+    AnswerRule(List<Termination> terminations, boolean descriptorsExhausted) {
+        this.terminations = terminations;
         this.descriptorsExhausted = descriptorsExhausted;
     }
 
-    /** Sentences for what broke the rules. */
+    /** Returns a description of each violation. */
     List<String> violations(List<StoreServer.Arrival> arrivals, List<Request> requests) {
         Map<String, List<StoreServer.Arrival>> attempts = new HashMap<>();
         for (StoreServer.Arrival arrival : arrivals) {
@@ -50,14 +56,18 @@
         }
         List<String> violations = new ArrayList<>();
         for (Request request : requests) {
-            List<StoreServer.Arrival> own = attempts.getOrDefault(request.id, List.of());
-            checkEnd(request, own, violations);
-            for (StoreServer.Arrival arrival : own) {
+            List<StoreServer.Arrival> requestAttempts =
+                    attempts.getOrDefault(request.id, List.of());
+            checkEnd(request, requestAttempts, violations);
+            for (StoreServer.Arrival arrival : requestAttempts) {
                 checkAttempt(request, arrival, violations);
             }
-            if (!request.idempotent && own.size() > 1) {
+            if (!request.idempotent && requestAttempts.size() > 1) {
                 violations.add(
-                        request + " may not run twice, and was sent " + own.size() + " times");
+                        request
+                                + " is not idempotent but was sent "
+                                + requestAttempts.size()
+                                + " times");
             }
         }
         return violations;
@@ -66,7 +76,7 @@
     private void checkEnd(
             Request request, List<StoreServer.Arrival> attempts, List<String> violations) {
         if (request.end == null) {
-            return; // the run ended first
+            return; // the run ended before the request
         }
         switch (request.end) {
             case WRONG_VALUE -> violations.add(request + " got a value that no store made for it");
@@ -89,13 +99,15 @@
                                     + request.answeredBeforeOnConnection
                                     + " on its connection, attempts "
                                     + attempts.size()
-                                    + endingText(request));
+                                    + terminationText(request));
                 }
             }
             case SERVED, REJECTED, FAILED -> {
-                long late = toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
-                if (late > MAX_LATE_MILLIS + SLACK_MILLIS) {
-                    violations.add(request + " was answered " + late + " ms after its deadline");
+                long lateMillis =
+                        toMillis(request.endedAt - request.sentAt) - request.deadlineMillis;
+                if (lateMillis > MAX_LATE_MILLIS + SLACK_MILLIS) {
+                    violations.add(
+                            request + " was answered " + lateMillis + " ms after its deadline");
                 }
             }
             case CANCELLED -> {}
@@ -103,49 +115,53 @@
     }
 
     /**
-     * On a connection that was at rest it may have crossed the end unread; then its client sends it
-     * once more.
+     * Returns whether a request whose connection was closed without an answer counts as lost.
+     *
+     * <p>If SIGKILL ended its gateway while it was open, it counts only if it was sent at least
+     * MIN_STOP_NOTICE_MILLIS after SIGTERM. Otherwise it counts if an attempt was sent for it, or
+     * if it was the first on its connection and descriptors were not exhausted; a later one may
+     * have crossed the close unread, in which case a client may send it again.
      */
     private boolean isLost(Request request, List<StoreServer.Arrival> attempts) {
-        Ending ending = killedWhileOpen(request);
-        if (ending != null && !ending.isPlanned()) {
+        Termination termination = killedWhileOpen(request);
+        if (termination != null && !termination.isPlanned()) {
             return false;
         }
-        if (ending != null
-                && request.sentAt - ending.termSentAt()
+        if (termination != null
+                && request.sentAt - termination.termSentAt()
                         < TimeUnit.MILLISECONDS.toNanos(MIN_STOP_NOTICE_MILLIS)) {
             return false;
         }
         return (request.answeredBeforeOnConnection == 0 && !descriptorsExhausted)
                 || !attempts.isEmpty()
-                || ending != null;
+                || termination != null;
     }
 
-    /** How its gateway ended by SIGKILL while it was open; null if it did not. */
-    private Ending killedWhileOpen(Request request) {
-        return endings.stream()
+    /** Returns the termination of the request's gateway while the request was open, or null. */
+    private Termination killedWhileOpen(Request request) {
+        return terminations.stream()
                 .filter(
-                        ending ->
-                                ending.gateway() == request.gateway
-                                        && ending.goneAt() >= request.sentAt
-                                        && ending.killSentAt() <= request.endedAt)
+                        termination ->
+                                termination.gateway() == request.gateway
+                                        && termination.exitedAt() >= request.sentAt
+                                        && termination.killSentAt() <= request.endedAt)
                 .findFirst()
                 .orElse(null);
     }
 
-    private String endingText(Request request) {
-        return endings.stream()
+    private String terminationText(Request request) {
+        return terminations.stream()
                 .filter(
-                        ending ->
-                                ending.gateway() == request.gateway
-                                        && ending.isPlanned()
-                                        && ending.termSentAt() <= request.endedAt
-                                        && ending.killSentAt() + TimeUnit.SECONDS.toNanos(1)
+                        termination ->
+                                termination.gateway() == request.gateway
+                                        && termination.isPlanned()
+                                        && termination.termSentAt() <= request.endedAt
+                                        && termination.killSentAt() + TimeUnit.SECONDS.toNanos(1)
                                                 >= request.sentAt)
                 .map(
-                        ending ->
+                        termination ->
                                 ", sent "
-                                        + toMillis(request.sentAt - ending.termSentAt())
+                                        + toMillis(request.sentAt - termination.termSentAt())
                                         + " ms after SIGTERM")
                 .findFirst()
                 .orElse("");
@@ -153,14 +169,15 @@
 
     private static void checkAttempt(
             Request request, StoreServer.Arrival arrival, List<String> violations) {
-        long left = request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
-        if (arrival.deadlineMillis() > left + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
+        long remainingMillis =
+                request.deadlineMillis - toMillis(arrival.firstByteAt() - request.sentAt);
+        if (arrival.deadlineMillis() > remainingMillis + MAX_EXTRA_DEADLINE_MILLIS + SLACK_MILLIS) {
             violations.add(
                     request
-                            + " told a store "
+                            + " gave a store a deadline of "
                             + arrival.deadlineMillis()
                             + " ms with "
-                            + left
+                            + remainingMillis
                             + " ms left");
         }
         if (request.end == Request.End.CANCELLED
@@ -170,7 +187,7 @@
                     request
                             + " was sent "
                             + toMillis(arrival.firstByteAt() - request.endedAt)
-                            + " ms after its client had gone");
+                            + " ms after its client disconnected");
         }
     }
 
--- a/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
+++ b/src/main/java/sagepulley/faultinjection/DiscoveryServer.java
@@ -21,8 +21,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A discovery service on loopback that misbehaves on demand. Each gateway has a port of its own, so
- * that what was written to whom is known. All times are System.nanoTime.
+ * A discovery service on loopback with injectable faults. Each gateway uses its own port, so that
+ * the lists written to it are known. All times are System.nanoTime.
  */
 final class DiscoveryServer implements Closeable {
     private static final Pattern WATCH =
@@ -31,12 +31,12 @@
     private static final long POLL_INTERVAL_MILLIS = 10;
     private static final int BACKLOG = 200;
 
-    /** A backlog of one is full with two connections that nobody accepts. */
-    private static final int FULL_BACKLOG = 1;
+    /** Two unaccepted connections fill this backlog, so that further ones are not established. */
+    private static final int UNREACHABLE_BACKLOG = 1;
 
     private static final int FILLER_CONNECTIONS = 2;
 
-    /** A former address closes the connections that it has so long after the move. */
+    /** Time after a move until the former address closes its connections. */
     private static final long FORMER_ADDRESS_MILLIS = 1_500;
 
     private static final long NO_END = Long.MAX_VALUE;
@@ -48,48 +48,52 @@
     }
 
     /**
-     * That a gateway was written the complete list up to a revision at a time, on a connection made
-     * at another.
+     * A write that brought a gateway's list up to a revision.
+     *
+     * @param at when it was written
+     * @param connectedAt when its connection was accepted
      */
     record WrittenList(long at, int gateway, long revision, long connectedAt) {}
 
-    /** A time during which nobody could reach discovery; one that lasts ends at Long.MAX_VALUE. */
+    /** A period during which discovery was unreachable; until is Long.MAX_VALUE while it lasts. */
     record Outage(long from, long until) {}
 
     final EndpointHistory endpoints = new EndpointHistory();
 
-    /** How calls are answered from now on. */
+    /** Behaviour of calls that arrive from now on, and of later list writes to open watches. */
     volatile DiscoveryBehaviour behaviour = DiscoveryBehaviour.HEALTHY;
 
-    /** Watches that stand say nothing while this is set: neither changes nor empty lines. */
+    /** Open watches get neither changes nor heartbeats while this is set. */
     volatile boolean watchesSilent;
 
     private final Map<Integer, ServerSocket> listeners = new ConcurrentHashMap<>();
     private final Map<Integer, Integer> ports = new ConcurrentHashMap<>();
-    private final Map<Integer, List<Socket>> fillers = new ConcurrentHashMap<>();
+    private final Map<Integer, List<Socket>> backlogFillers = new ConcurrentHashMap<>();
     private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final List<WrittenList> written = new ArrayList<>();
     private final List<Outage> outages = new ArrayList<>();
-    private final Semaphore turn = new Semaphore(1, true);
+    private final Semaphore callPermit = new Semaphore(1, true);
     private final AtomicInteger waitingCalls = new AtomicInteger();
     private Reachability reachability = Reachability.REACHABLE;
     private volatile boolean closed;
 
-    /** What was written to gateways so far. */
+    /** Returns the lists written to gateways so far. */
     synchronized List<WrittenList> written() {
         return new ArrayList<>(written);
     }
 
-    /** The times at which it could not be reached, in order. */
+    /** Returns the outages in order. */
     synchronized List<Outage> outages() {
         return new ArrayList<>(outages);
     }
 
     // ---- addresses ----
 
-    /** An address for one gateway, which is listened at while discovery can be reached. */
+    /**
+     * Allocates an address for one gateway and listens on it according to the present reachability.
+     */
     synchronized InetSocketAddress listenFor(int gateway) throws IOException {
-        int port = Ports.free().getPort();
+        int port = Ports.allocate().getPort();
         ports.put(gateway, port);
         switch (reachability) {
             case REACHABLE -> bind(gateway, port);
@@ -100,23 +104,23 @@
     }
 
     /**
-     * Another address for one gateway. The former one accepts nothing more, and soon closes what it
-     * has.
+     * Moves one gateway to another address. The former one accepts no more connections and soon
+     * closes the open ones.
      */
     synchronized InetSocketAddress moveFor(int gateway) throws IOException {
         BackgroundTasks.close(listeners.get(gateway));
-        fillers.getOrDefault(gateway, List.of()).forEach(BackgroundTasks::reset);
-        int former = ports.get(gateway);
-        InetSocketAddress fresh = listenFor(gateway);
+        backlogFillers.getOrDefault(gateway, List.of()).forEach(BackgroundTasks::reset);
+        int formerPort = ports.get(gateway);
+        InetSocketAddress newAddress = listenFor(gateway);
         BackgroundTasks.run(
                 "discovery-move",
                 () -> {
                     Thread.sleep(FORMER_ADDRESS_MILLIS);
                     connections.stream()
-                            .filter(socket -> socket.getLocalPort() == former)
+                            .filter(socket -> socket.getLocalPort() == formerPort)
                             .forEach(BackgroundTasks::close);
                 });
-        return fresh;
+        return newAddress;
     }
 
     private void bind(int gateway, int port) throws IOException {
@@ -126,12 +130,12 @@
     }
 
     private void bindUnreachable(int gateway, int port) throws IOException {
-        listeners.put(gateway, Ports.listen(port, FULL_BACKLOG));
+        listeners.put(gateway, Ports.listen(port, UNREACHABLE_BACKLOG));
         List<Socket> filling = new ArrayList<>();
         for (int i = 0; i < FILLER_CONNECTIONS; i++) {
             filling.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
-        fillers.put(gateway, filling);
+        backlogFillers.put(gateway, filling);
     }
 
     private void accept(int gateway, ServerSocket listener) throws IOException {
@@ -150,100 +154,103 @@
         }
     }
 
-    // ---- whether it can be reached ----
+    // ---- reachability ----
 
-    /** Its process has ended: connections are reset, new ones refused. */
-    synchronized void goDown() {
+    /** Simulates the end of the process: connections are reset and new ones refused. */
+    synchronized void stop() {
         beginOutage(Reachability.DOWN);
         listeners.values().forEach(BackgroundTasks::close);
         connections.forEach(BackgroundTasks::reset);
     }
 
-    /** It is cut off: connections stay open and silent, new ones never come up. */
+    /**
+     * Simulates a network partition: connections stay open but silent, and new ones are not
+     * established.
+     */
     synchronized void cutOff() throws IOException {
         beginOutage(Reachability.CUT_OFF);
         watchesSilent = true;
-        for (Map.Entry<Integer, ServerSocket> each : List.copyOf(listeners.entrySet())) {
-            BackgroundTasks.close(each.getValue());
-            bindUnreachable(each.getKey(), ports.get(each.getKey()));
+        for (Map.Entry<Integer, ServerSocket> entry : List.copyOf(listeners.entrySet())) {
+            BackgroundTasks.close(entry.getValue());
+            bindUnreachable(entry.getKey(), ports.get(entry.getKey()));
         }
     }
 
-    /** It can be reached again; connections that were cut are reset. */
-    synchronized void comeBack() throws IOException {
+    /** Ends the outage; connections from before are reset. */
+    synchronized void restore() throws IOException {
         connections.forEach(BackgroundTasks::reset);
         reachability = Reachability.REACHABLE;
         watchesSilent = false;
-        for (Map.Entry<Integer, Integer> each : ports.entrySet()) {
-            BackgroundTasks.close(listeners.get(each.getKey()));
-            fillers.getOrDefault(each.getKey(), List.of()).forEach(BackgroundTasks::reset);
-            bind(each.getKey(), each.getValue());
+        for (Map.Entry<Integer, Integer> entry : ports.entrySet()) {
+            BackgroundTasks.close(listeners.get(entry.getKey()));
+            backlogFillers.getOrDefault(entry.getKey(), List.of()).forEach(BackgroundTasks::reset);
+            bind(entry.getKey(), entry.getValue());
         }
-        fillers.clear();
+        backlogFillers.clear();
         int last = outages.size() - 1;
         outages.set(last, new Outage(outages.get(last).from(), System.nanoTime()));
     }
 
-    /** Ends all connections that stand, and goes on. */
-    void resetAll() {
+    /** Resets all connections and keeps serving. */
+    void resetConnections() {
         connections.forEach(BackgroundTasks::reset);
     }
 
-    private void beginOutage(Reachability now) {
+    private void beginOutage(Reachability outage) {
         outages.add(new Outage(System.nanoTime(), NO_END));
-        reachability = now;
+        reachability = outage;
     }
 
     // ---- one call ----
 
     private void answer(int gateway, Socket socket) throws IOException, InterruptedException {
         long connectedAt = System.nanoTime();
-        String call = readCall(socket);
-        if (call == null) {
+        String requestLine = readRequestLine(socket);
+        if (requestLine == null) {
             return;
         }
-        DiscoveryBehaviour now = behaviour;
-        if (now.mode() == DiscoveryBehaviour.Mode.UNRESPONSIVE) {
+        DiscoveryBehaviour current = behaviour;
+        if (current.mode() == DiscoveryBehaviour.Mode.UNRESPONSIVE) {
             socket.getInputStream().read();
             return;
         }
         TricklingOutput out = new TricklingOutput(socket);
-        if (now.mode() == DiscoveryBehaviour.Mode.REJECTS || !waitForTurn(now.queue())) {
+        if (current.mode() == DiscoveryBehaviour.Mode.REJECTS || !waitInQueue(current.queue())) {
             out.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
-        Thread.sleep(now.firstByteDelayMillis());
-        Matcher watch = WATCH.matcher(call);
-        boolean watches = watch.matches();
-        long after = watches ? Long.parseLong(watch.group(1)) : -1;
+        Thread.sleep(current.firstByteDelayMillis());
+        Matcher watch = WATCH.matcher(requestLine);
+        boolean isWatch = watch.matches();
+        long after = isWatch ? Long.parseLong(watch.group(1)) : -1;
         long revision = endpoints.revision();
         String list = endpoints.json(after, behaviour.indented());
-        if (!watches) {
+        if (!isWatch) {
             out.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
-            out.write(list, now.trickleMillis());
+            out.write(list, current.trickleMillis());
             recordWritten(gateway, revision, connectedAt);
             return;
         }
         out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        out.writeChunk(list, now.trickleMillis());
+        out.writeChunk(list, current.trickleMillis());
         recordWritten(gateway, revision, connectedAt);
-        follow(gateway, out, revision, connectedAt);
+        writeChanges(gateway, out, revision, connectedAt);
     }
 
-    /** The first line of a call, whose headers are skipped; null where the connection ended. */
-    private static String readCall(Socket socket) throws IOException {
+    /** Reads a call and returns its request line; null if the connection ended. */
+    private static String readRequestLine(Socket socket) throws IOException {
         BufferedReader reader =
                 new BufferedReader(
                         new InputStreamReader(
                                 socket.getInputStream(), StandardCharsets.ISO_8859_1));
-        String call = reader.readLine();
+        String requestLine = reader.readLine();
         for (String header = reader.readLine(); header != null && !header.isEmpty(); ) {
             header = reader.readLine();
         }
-        return call;
+        return requestLine;
     }
 
-    private boolean waitForTurn(DiscoveryBehaviour.CallQueue queue) throws InterruptedException {
+    private boolean waitInQueue(DiscoveryBehaviour.CallQueue queue) throws InterruptedException {
         if (queue == null) {
             return true;
         }
@@ -252,13 +259,13 @@
         }
         waitingCalls.incrementAndGet();
         try {
-            if (!turn.tryAcquire(queue.timeoutMillis(), TimeUnit.MILLISECONDS)) {
+            if (!callPermit.tryAcquire(queue.timeoutMillis(), TimeUnit.MILLISECONDS)) {
                 return false;
             }
             try {
                 Thread.sleep(queue.serviceMillis());
             } finally {
-                turn.release();
+                callPermit.release();
             }
             return true;
         } finally {
@@ -266,8 +273,10 @@
         }
     }
 
-    /** Writes each change to a watch, or an empty line where there is none for a while. */
-    private void follow(int gateway, TricklingOutput out, long from, long connectedAt)
+    /**
+     * Writes each change to a watch, and a heartbeat line if there is none for HEARTBEAT_MILLIS.
+     */
+    private void writeChanges(int gateway, TricklingOutput out, long from, long connectedAt)
             throws IOException, InterruptedException {
         long revision = from;
         long lastLine = System.nanoTime();
@@ -278,8 +287,9 @@
             }
             long next = endpoints.revision();
             if (next > revision) {
-                DiscoveryBehaviour now = behaviour;
-                out.writeChunk(endpoints.json(revision, now.indented()), now.trickleMillis());
+                DiscoveryBehaviour current = behaviour;
+                out.writeChunk(
+                        endpoints.json(revision, current.indented()), current.trickleMillis());
                 recordWritten(gateway, next, connectedAt);
                 revision = next;
                 lastLine = System.nanoTime();
@@ -299,7 +309,7 @@
     public void close() {
         closed = true;
         listeners.values().forEach(BackgroundTasks::close);
-        fillers.values().forEach(sockets -> sockets.forEach(BackgroundTasks::close));
+        backlogFillers.values().forEach(sockets -> sockets.forEach(BackgroundTasks::close));
         connections.forEach(BackgroundTasks::close);
     }
 }
--- a/src/main/java/sagepulley/faultinjection/Ports.java
+++ b/src/main/java/sagepulley/faultinjection/Ports.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * Ports on loopback for listeners that are closed and opened again: below the range from which the
- * system gives connections theirs, and none twice in one program.
+ * Allocates loopback ports for listeners that are closed and reopened. They lie below the ephemeral
+ * port range and are never allocated twice in one JVM.
  */
 final class Ports {
     private static final int FIRST = 12_000;
@@ -19,23 +19,23 @@
     private static final int MAX_BIND_ATTEMPTS = 100;
     private static final long BIND_RETRY_MILLIS = 10;
     private static final Random RANDOM = new Random();
-    private static final Set<Integer> TAKEN = new HashSet<>();
+    private static final Set<Integer> ALLOCATED = new HashSet<>();
 
     private Ports() {}
 
-    /** An address whose port nobody uses. */
-    static synchronized InetSocketAddress free() {
+    /** Returns a loopback address with an unused port. */
+    static synchronized InetSocketAddress allocate() {
         while (true) {
             int port = FIRST + RANDOM.nextInt(COUNT);
-            if (TAKEN.add(port) && isFree(port)) {
+            if (ALLOCATED.add(port) && isFree(port)) {
                 return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             }
         }
     }
 
     /**
-     * Listens where another listener was just closed: the system may need a moment to let the port
-     * go.
+     * Listens on a port whose former listener was just closed, and retries while the port is still
+     * in use.
      */
     static ServerSocket listen(int port, int backlog) throws IOException {
         for (int attempts = 0; ; attempts++) {
@@ -66,7 +66,7 @@
     private static boolean isFree(int port) {
         try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
             return probe.isBound();
-        } catch (IOException taken) {
+        } catch (IOException inUse) {
             return false;
         }
     }
--- a/src/main/java/sagepulley/faultinjection/SoakOperator.java
+++ b/src/main/java/sagepulley/faultinjection/SoakOperator.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Does to a fleet what a soak run's plan says, as an operator, a network or a machine would. Called
- * on the run's thread; restarts of gateways go on beside it, one at a time for each gateway.
+ * Performs the actions of a soak run's plan on a fleet. Called on the run's thread; restarts of
+ * gateways run in the background, one at a time for each gateway.
  */
 final class SoakOperator implements SoakActions, Closeable {
     private static final int IDLE_CONNECTIONS_PER_GATEWAY = 130;
@@ -24,10 +24,10 @@
     private static final long PING_INTERVAL_MILLIS = 100;
     private static final long RESTART_POLL_MILLIS = 50;
 
-    /** SIGKILL comes no sooner after SIGTERM than the longest deadline and this. */
+    /** SIGKILL follows SIGTERM after the longest deadline plus this delay. */
     private static final long KILL_DELAY_MILLIS = 700;
 
-    /** So long after SIGTERM new connections keep coming. */
+    /** Time after SIGTERM during which clients still open new connections. */
     private static final long NEW_CONNECTIONS_MILLIS = 400;
 
     private final long seed;
@@ -36,18 +36,18 @@
     private final Map<Integer, GatewayProcess> running = new ConcurrentHashMap<>();
     private final Set<Integer> restarting = ConcurrentHashMap.newKeySet();
     private final List<Socket> idleConnections = new CopyOnWriteArrayList<>();
-    private final List<AnswerRule.Ending> endings = new CopyOnWriteArrayList<>();
+    private final List<AnswerRule.Termination> terminations = new CopyOnWriteArrayList<>();
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private long runStartedAt;
 
-    /** An operator of a fleet; the shim is null where system calls can't be made to fail. */
+    /** Creates an operator of a fleet; the shim is null if system calls cannot be made to fail. */
     SoakOperator(long seed, TestFleet fleet, SystemCallShim shim) {
         this.seed = seed;
         this.fleet = fleet;
         this.shim = shim;
     }
 
-    /** Starts so many gateways and waits until they are ready. */
+    /** Starts a number of gateways and waits until they are ready. */
     void startGateways(int count) throws IOException, InterruptedException {
         for (int i = 0; i < count; i++) {
             running.put(i, fleet.start(i));
@@ -58,27 +58,27 @@
         runStartedAt = System.nanoTime();
     }
 
-    /** When all gateways had started. */
+    /** Returns the time at which all gateways were ready. */
     long runStartedAt() {
         return runStartedAt;
     }
 
-    /** How gateways have ended by SIGKILL so far. */
-    List<AnswerRule.Ending> endings() {
-        return endings;
+    /** Returns the terminations of gateways by SIGKILL so far. */
+    List<AnswerRule.Termination> terminations() {
+        return terminations;
     }
 
-    /** Sentences for gateways that crashed or did not start again. */
+    /** Returns a description of each gateway that crashed or did not restart. */
     List<String> failures() {
         return failures;
     }
 
-    /** Whether idle connections may have used up the gateways' descriptors. */
+    /** Returns whether idle connections may have used up the gateways' descriptors. */
     boolean openedIdleConnections() {
         return !idleConnections.isEmpty();
     }
 
-    /** The last lines of a gateway's log. */
+    /** Returns the last lines of a gateway's log. */
     String logTail(int gateway) {
         return logTail(running.get(gateway));
     }
@@ -96,7 +96,7 @@
     public void setDiscoveryBehaviour(DiscoveryBehaviour behaviour, boolean resetWatches) {
         fleet.discovery.behaviour = behaviour;
         if (resetWatches) {
-            fleet.discovery.resetAll();
+            fleet.discovery.resetConnections();
         }
     }
 
@@ -107,7 +107,7 @@
 
     @Override
     public void stopDiscovery() {
-        fleet.discovery.goDown();
+        fleet.discovery.stop();
     }
 
     @Override
@@ -117,7 +117,7 @@
 
     @Override
     public void restoreDiscovery() throws IOException {
-        fleet.discovery.comeBack();
+        fleet.discovery.restore();
     }
 
     // ---- stores ----
@@ -135,7 +135,7 @@
 
     @Override
     public void resetStore(int store) {
-        fleet.stores.get(store).resetAll();
+        fleet.stores.get(store).resetConnections();
     }
 
     // ---- gateways ----
@@ -143,7 +143,7 @@
     @Override
     public void restartGateway(int gateway, boolean planned) {
         if (!restarting.add(gateway)) {
-            return; // it is on its way down already
+            return; // a restart is already in progress
         }
         BackgroundTasks.run(
                 "operator",
@@ -164,7 +164,8 @@
     }
 
     @Override
-    public void moveDiscoveryUnreadably(int gateway) throws IOException, InterruptedException {
+    public void moveDiscoveryWithUnreadableConfig(int gateway)
+            throws IOException, InterruptedException {
         if (!restarting.contains(gateway)) {
             fleet.moveDiscovery(gateway);
             fleet.makeConfigUnreadable(gateway);
@@ -188,8 +189,8 @@
     }
 
     @Override
-    public void stepWallClock(long millis) throws IOException {
-        shim.step(millis);
+    public void setWallClockOffset(long millis) throws IOException {
+        shim.setWallClockOffset(millis);
     }
 
     @Override
@@ -208,8 +209,8 @@
     }
 
     /**
-     * SIGKILL at the earliest moment that the page allows, or at once; then the same gateway starts
-     * anew.
+     * Sends SIGKILL, after SIGTERM and the shortest permitted delay if planned, and starts the
+     * gateway again.
      */
     private void restart(int gateway, boolean planned) throws IOException, InterruptedException {
         GatewayProcess process = running.get(gateway);
@@ -222,11 +223,12 @@
         }
         long killSentAt = System.nanoTime();
         process.kill();
-        endings.add(new AnswerRule.Ending(gateway, termSentAt, killSentAt, System.nanoTime()));
-        GatewayProcess fresh = fleet.start(gateway);
-        running.put(gateway, fresh);
-        fleet.loads.get(gateway).connectElsewhere(false);
-        awaitPing(gateway, fresh);
+        terminations.add(
+                new AnswerRule.Termination(gateway, termSentAt, killSentAt, System.nanoTime()));
+        GatewayProcess replacement = fleet.start(gateway);
+        running.put(gateway, replacement);
+        fleet.loads.get(gateway).suspendNewConnections(false);
+        awaitPing(gateway, replacement);
     }
 
     private void terminate(int gateway, GatewayProcess process, long termSentAt)
@@ -236,14 +238,14 @@
             process.signal("TERM");
         }
         Thread.sleep(NEW_CONNECTIONS_MILLIS);
-        fleet.loads.get(gateway).connectElsewhere(true);
+        fleet.loads.get(gateway).suspendNewConnections(true);
         long killAfter = TestFleet.MAX_DEADLINE_MILLIS + KILL_DELAY_MILLIS;
         Thread.sleep(Math.max(0, killAfter - millisSince(termSentAt)));
     }
 
-    private void awaitPing(int gateway, GatewayProcess fresh) throws InterruptedException {
+    private void awaitPing(int gateway, GatewayProcess replacement) throws InterruptedException {
         long since = System.nanoTime();
-        while (!fresh.answersPing()) {
+        while (!replacement.answersPing()) {
             if (TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - since) > MAX_RESTART_SECONDS) {
                 failures.add(
                         "gateway "
@@ -251,7 +253,7 @@
                                 + " is not ready "
                                 + MAX_RESTART_SECONDS
                                 + " s after its restart: "
-                                + logTail(fresh));
+                                + logTail(replacement));
                 return;
             }
             Thread.sleep(PING_INTERVAL_MILLIS);
--- a/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
+++ b/src/main/java/sagepulley/frontend/nbd/HolderPreloader.java
@@ -9,7 +9,7 @@
 import sagepulley.placement.ExtentHolders;
 
 /**
- * Looks up the holders of all extents of the volumes at the start, some at a time. Confined to the
+ * Looks up the holders of all extents in batches at the start of the gateway. Confined to the
  * engine's event loop.
  */
 final class HolderPreloader {
@@ -18,28 +18,28 @@
     private final DirectoryClient directory;
     private final ExtentLocator locator;
     private final Deque<ExportedVolume> remaining;
-    private final Runnable done;
+    private final Runnable onCompleted;
     private long nextExtent;
 
     /**
-     * @param done runs once all holders are known, or at once if a lookup fails: what is not known
-     *     then is looked up when it is needed
+     * @param onCompleted runs once all holders are loaded or a lookup has failed; the holders that
+     *     are missing then are looked up on demand
      */
     HolderPreloader(
             DirectoryClient directory,
             ExtentLocator locator,
             Collection<ExportedVolume> volumes,
-            Runnable done) {
+            Runnable onCompleted) {
         this.directory = directory;
         this.locator = locator;
         this.remaining = new ArrayDeque<>(volumes);
-        this.done = done;
+        this.onCompleted = onCompleted;
     }
 
-    /** Begins, or goes on with, the lookups. */
+    /** Looks up the next batch; runs the callback if no batch is left. */
     void run() {
         if (remaining.isEmpty()) {
-            done.run();
+            onCompleted.run();
             return;
         }
         ExportedVolume volume = remaining.peek();
@@ -54,11 +54,11 @@
                     if (cells == null) {
                         LOG.atWarn()
                                 .addKeyValue("why", failure)
-                                .log("extent holders not loaded at start");
-                        done.run();
+                                .log("preloading extent holders failed");
+                        onCompleted.run();
                         return;
                     }
-                    learn(volume.settings.id(), first, cells);
+                    recordHolders(volume.settings.id(), first, cells);
                     nextExtent = first + count;
                     if (nextExtent >= extents) {
                         remaining.remove();
@@ -68,10 +68,10 @@
                 });
     }
 
-    private void learn(int volumeId, long first, int[] cells) {
+    private void recordHolders(int volumeId, long first, int[] cells) {
         for (int i = 0; i < cells.length; i++) {
             if (cells[i] >= 0) {
-                locator.learned(ExtentHolders.key(volumeId, first + i), cells[i]);
+                locator.holderFound(ExtentHolders.key(volumeId, first + i), cells[i]);
             }
         }
     }
--- a/src/main/java/sagepulley/frontend/nbd/NbdSession.java
+++ b/src/main/java/sagepulley/frontend/nbd/NbdSession.java
@@ -16,8 +16,9 @@
 import sagepulley.codec.nbd.NbdServer;
 
 /**
- * One client's connection in the transmission phase: passes its requests to the engine, and writes
- * each one's reply. Confined to the client's event loop, but for {@link #answer}.
+ * Handles one client connection in the transmission phase: validates requests, passes them to the
+ * engine and writes their replies. Confined to the client's event loop, except for {@link
+ * #sendReply}.
  */
 final class NbdSession extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger(NbdSession.class);
@@ -54,23 +55,25 @@
                     .addKeyValue("structured", structured)
                     .log("client attached");
         } else if (event instanceof IdleStateEvent idle) {
-            closeIfStuck(idle.state());
+            closeIfStalled(idle.state());
         }
     }
 
     /**
-     * A client that stops in the middle of a message, or reads no replies, holds what others could
-     * use.
+     * Closes the connection if the client stalls within a message or does not read replies, because
+     * it holds buffer budget that other clients need.
      */
-    private void closeIfStuck(IdleState state) {
-        boolean stuckReading =
+    private void closeIfStalled(IdleState state) {
+        boolean readStalled =
                 state == IdleState.READER_IDLE
                         && NbdServer.isInsideMessage(channel.pipeline())
                         && channel.config().isAutoRead();
-        boolean stuckWriting = state == IdleState.WRITER_IDLE && !channel.isWritable();
-        if (stuckReading || stuckWriting) {
+        boolean writeStalled = state == IdleState.WRITER_IDLE && !channel.isWritable();
+        if (readStalled || writeStalled) {
             String reason =
-                    stuckReading ? "client stopped inside a message" : "client reads no replies";
+                    readStalled
+                            ? "client connection closed, incomplete message"
+                            : "client connection closed, replies not read";
             LOG.atInfo().addKeyValue("client", channel.remoteAddress()).log(reason);
             channel.close();
         }
@@ -100,7 +103,10 @@
         writeReply(request);
     }
 
-    /** 'Terminating the transmission phase': requests in flight may be answered first. */
+    /**
+     * Handles NBD_CMD_DISC: stops reading, and closes the connection once the requests in flight
+     * are answered ('Terminating the transmission phase').
+     */
     private void disconnect(NbdRequest command) {
         budget.release(command.admitted());
         disconnecting = true;
@@ -110,8 +116,11 @@
         }
     }
 
-    /** Writes the one reply of a request. From any loop. */
-    void answer(PendingRequest request) {
+    /**
+     * Sends the reply of a request, or only releases its data and budget if the connection has
+     * closed. May be called from any event loop.
+     */
+    void sendReply(PendingRequest request) {
         if (channel.eventLoop().inEventLoop()) {
             writeReply(request);
         } else {
--- a/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
+++ b/src/main/java/sagepulley/frontend/resp/AttemptDispatcher.java
@@ -14,11 +14,11 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Outcome;
 import sagepulley.upstream.resp.EndpointConnectionPool;
-import sagepulley.upstream.resp.EndpointResponse;
+import sagepulley.upstream.resp.EndpointReply;
 
 /**
- * Sends the attempts and health checks that the engine decides on to their endpoints, and reports
- * how each ended to the engine. Runs on the event loop; times are milliseconds.
+ * Sends attempts and health checks to endpoints as decided by the engine, and reports each result
+ * to the engine. Runs on the event loop; times are in milliseconds.
  */
 final class AttemptDispatcher {
     private static final double HEALTH_CHECK_TIMEOUT_MILLIS = 250;
@@ -34,7 +34,7 @@
     private final Runnable onEngineEvent;
 
     /**
-     * @param onEngineEvent is run when the engine has been given something
+     * @param onEngineEvent runs after each event that is passed to the engine
      */
     AttemptDispatcher(
             Deployment deployment,
@@ -57,7 +57,7 @@
         this.onEngineEvent = onEngineEvent;
     }
 
-    /** Sends an attempt, which ends after the timeout at the latest. */
+    /** Sends an attempt that ends no later than the timeout. */
     void send(Attempt attempt, double timeoutMillis) {
         metrics.attempts++;
         if (attempt.number > 0) {
@@ -88,34 +88,39 @@
         attempt.outcome = outcome;
         attempt.duration = receivedAt - attempt.sentAt;
         metrics.onAttemptEnded(outcome, attempt.node);
-        EndpointResponse.recordIn(attempt, reply, deployment.reportFields());
-        boolean settled = operation.ended;
-        if (outcome == Outcome.SERVED && !settled) {
-            settled = true;
+        EndpointReply.recordIn(attempt, reply, deployment.reportFields());
+        boolean operationEnded = operation.ended;
+        if (outcome == Outcome.SERVED && !operationEnded) {
+            operationEnded = true;
             metrics.onServed(operation, now);
             operation.ended = true;
-            requests.replyServed(operation, EndpointResponse.value(reply));
+            requests.replyServed(operation, EndpointReply.value(reply));
         }
-        engine.onAttemptEnded(attempt, settled, now);
+        engine.onAttemptEnded(attempt, operationEnded, now);
         onEngineEvent.run();
     }
 
-    /** Cancels an attempt that nobody waits for any longer. */
+    /** Cancels an attempt whose result is no longer needed. */
     void cancel(Attempt attempt) {
         connections.cancel(attempt);
     }
 
-    /** Cancels those of an operation's attempts that have not been written to their endpoint. */
+    /** Cancels the operation's attempts whose command has not been written in full. */
     void cancelUnwritten(Operation operation) {
         operation.attempts.forEach(connections::cancelUnwritten);
     }
 
-    /** Checks an endpoint's health; asks for its load report where the deployment has one. */
+    /**
+     * Sends a health check to an endpoint: INFO load if the deployment defines load report fields,
+     * otherwise PING.
+     */
     void checkHealth(Node node) {
         boolean hasLoadReport = !deployment.reportFields().isEmpty();
         List<byte[]> arguments =
                 (hasLoadReport ? List.of("INFO", "load") : List.of("PING"))
-                        .stream().map(word -> word.getBytes(StandardCharsets.US_ASCII)).toList();
+                        .stream()
+                                .map(argument -> argument.getBytes(StandardCharsets.US_ASCII))
+                                .toList();
         double sentAt = clock.now();
         connections.sendHealthCheck(
                 endpoints.address(node),
@@ -131,7 +136,7 @@
                         || (reply instanceof Resp.Line line && !line.isError());
         double[] report =
                 reply instanceof Resp.Bulk bulk
-                        ? EndpointResponse.parseReport(bulk, deployment.reportFields())
+                        ? EndpointReply.parseReport(bulk, deployment.reportFields())
                         : null;
         engine.onHealthCheck(
                 node.id, healthy ? Outcome.SERVED : outcome, duration, report, clock.now());
--- a/src/main/java/sagepulley/frontend/resp/BadCommandException.java
+++ b/src/main/java/sagepulley/frontend/resp/BadCommandException.java
@@ -1,10 +1,13 @@
 package sagepulley.frontend.resp;
 
-/** An invalid command. The message is sent to the client, and so part of the wire. */
+/**
+ * Reports an invalid command. The message is sent to the client in the error reply. It may contain
+ * the operation id and numbers from the command, but no other client input.
+ */
 final class BadCommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadCommandException(String what) {
-        super(what, null, false, false);
+    BadCommandException(String message) {
+        super(message, null, false, false);
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/BlockCommand.java
+++ b/src/main/java/sagepulley/frontend/resp/BlockCommand.java
@@ -12,20 +12,23 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * A client's read or write of an extent, checked field by field, and the arguments that are
- * forwarded to an endpoint.
+ * A validated read or write command of a client, which also supplies the arguments to forward to an
+ * endpoint.
  */
 public final class BlockCommand {
-    /** Name of the command that reads. */
+    /** Name of the read command. */
     public static final String READ = "BLK.READ";
 
-    /** Name of the command that writes. */
+    /** Name of the write command. */
     public static final String WRITE = "BLK.WRITE";
 
     static final int MAX_FIELDS_BYTES = 1024;
 
     private static final int MAX_FIELDS = 32;
+
+    /** Number of arguments of a read, including the command name. A write has one more. */
     private static final int READ_ARGUMENTS = 4;
+
     private static final int EXTENT_ARGUMENT = 1;
     private static final int ID_ARGUMENT = 2;
     private static final int FIELDS_ARGUMENT = 3;
@@ -45,21 +48,21 @@
     final boolean clientRetry;
     private final List<byte[]> arguments;
 
-    /** The list of fields as received, before and behind the deadline's value. */
+    /** The field list as received, split around the value of the deadline field. */
     private final String fieldsBeforeDeadline;
 
     private final String fieldsAfterDeadline;
 
     private BlockCommand(List<byte[]> arguments, Deployment deployment) throws BadCommandException {
         this.arguments = arguments;
-        this.extent = parseId(text(arguments.get(EXTENT_ARGUMENT)), "the piece");
-        this.id = parseId(text(arguments.get(ID_ARGUMENT)), "the id");
+        this.extent = parseId(text(arguments.get(EXTENT_ARGUMENT)), "extent");
+        this.id = parseId(text(arguments.get(ID_ARGUMENT)), "operation id");
         String fieldList = text(arguments.get(FIELDS_ARGUMENT));
         Map<String, String> fields = parseFields(fieldList);
         this.trafficClass = findTrafficClass(required(fields, "c"), deployment);
         this.plan = findPlan(required(fields, "t"), deployment);
         this.deadlineMillis = parsePositive(required(fields, "d"), "d", MAX_DEADLINE_MILLIS);
-        this.volume = parseId(required(fields, "volume"), "volume");
+        this.volume = parseId(required(fields, "volume"), "field volume");
         this.units = parsePositive(required(fields, "units"), "units", deployment.maxUnits());
         this.shard = parseShard(required(fields, "shard"), deployment.shards());
         this.gatewayCount = (int) parsePositive(required(fields, "hosts"), "hosts", MAX_GATEWAYS);
@@ -74,25 +77,33 @@
     }
 
     /**
-     * Parses a command whose name is one of the two.
+     * Parses and validates a command whose name is {@link #READ} or {@link #WRITE}.
      *
      * @throws BadCommandException if an argument or a field is missing or invalid
      */
     static BlockCommand parse(List<byte[]> arguments, Deployment deployment)
             throws BadCommandException {
         boolean isWrite = text(arguments.get(0)).equals(WRITE);
-        if (arguments.size() != (isWrite ? READ_ARGUMENTS + 1 : READ_ARGUMENTS)) {
-            throw new BadCommandException("wrong number of words");
+        int expectedArguments = isWrite ? READ_ARGUMENTS + 1 : READ_ARGUMENTS;
+        if (arguments.size() != expectedArguments) {
+            throw new BadCommandException(
+                    (isWrite ? WRITE : READ)
+                            + " with "
+                            + (arguments.size() - 1)
+                            + " arguments, expected "
+                            + (expectedArguments - 1));
         }
         BlockCommand command = new BlockCommand(arguments, deployment);
         if (command.trafficClass.writes() != isWrite) {
             throw new BadCommandException(
-                    "c=" + command.trafficClass.name() + " does not go with the command");
+                    isWrite
+                            ? "field c: " + WRITE + " requires a traffic class that writes"
+                            : "field c: " + READ + " requires a traffic class that does not write");
         }
         return command;
     }
 
-    /** The arguments of a decoded command, its name first. */
+    /** Returns the arguments of a decoded command, starting with its name. */
     static List<byte[]> arguments(Resp.Array command) {
         List<byte[]> arguments = new ArrayList<>(command.items().size());
         for (Resp item : command.items()) {
@@ -101,12 +112,12 @@
         return arguments;
     }
 
-    /** An argument as ISO-8859-1, one character a byte. */
+    /** Decodes an argument as ISO-8859-1, one character per byte. */
     static String text(byte[] argument) {
         return new String(argument, StandardCharsets.ISO_8859_1);
     }
 
-    /** Bytes of all arguments together. */
+    /** Returns the total size of all arguments in bytes. */
     int sizeBytes() {
         int bytes = 0;
         for (byte[] argument : arguments) {
@@ -115,7 +126,10 @@
         return bytes;
     }
 
-    /** The arguments for an endpoint that has this long, in whole milliseconds of at least 1. */
+    /**
+     * Returns the arguments to forward, with the deadline field set to the timeout in whole
+     * milliseconds, at least 1.
+     */
     List<byte[]> withTimeout(double timeoutMillis) {
         List<byte[]> forwarded = new ArrayList<>(arguments);
         String fieldList =
@@ -126,26 +140,37 @@
 
     private static Map<String, String> parseFields(String fieldList) throws BadCommandException {
         if (fieldList.length() > MAX_FIELDS_BYTES) {
-            throw new BadCommandException("fields of over " + MAX_FIELDS_BYTES + " bytes");
+            throw new BadCommandException(
+                    "field list of "
+                            + fieldList.length()
+                            + " bytes, expected at most "
+                            + MAX_FIELDS_BYTES);
         }
         Map<String, String> fields = new HashMap<>();
-        String[] parts = fieldList.split(",", -1);
-        if (parts.length > MAX_FIELDS) {
-            throw new BadCommandException("over " + MAX_FIELDS + " fields");
-        }
-        for (String part : parts) {
-            int sign = part.indexOf('=');
-            if (sign <= 0 || !isPlain(part)) {
-                throw new BadCommandException("a field that is no name=value");
+        String[] fieldTexts = fieldList.split(",", -1);
+        if (fieldTexts.length > MAX_FIELDS) {
+            throw new BadCommandException(
+                    fieldTexts.length + " fields, expected at most " + MAX_FIELDS);
+        }
+        for (String fieldText : fieldTexts) {
+            int position = fields.size() + 1;
+            int separator = fieldText.indexOf('=');
+            if (separator <= 0 || !isPrintableAscii(fieldText)) {
+                throw new BadCommandException(
+                        "field "
+                                + position
+                                + ": expected name=value in printable ASCII without spaces");
             }
-            if (fields.put(part.substring(0, sign), part.substring(sign + 1)) != null) {
-                throw new BadCommandException("a field that stands twice");
+            if (fields.put(fieldText.substring(0, separator), fieldText.substring(separator + 1))
+                    != null) {
+                throw new BadCommandException(
+                        "field " + position + ": duplicate name, expected each name once");
             }
         }
         return fields;
     }
 
-    private static boolean isPlain(String text) {
+    private static boolean isPrintableAscii(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) > '~') {
                 return false;
@@ -158,14 +183,14 @@
             throws BadCommandException {
         String value = fields.get(name);
         if (value == null || value.isEmpty()) {
-            throw new BadCommandException(name + " is missing");
+            throw new BadCommandException("field " + name + " is missing or empty");
         }
         return value;
     }
 
     private static long parseId(String text, String description) throws BadCommandException {
         if (!NumberParser.isId(text)) {
-            throw new BadCommandException(description + " has not 16 hex digits");
+            throw new BadCommandException(description + ": expected 16 hex digits in lower case");
         }
         return Long.parseUnsignedLong(text, 16);
     }
@@ -174,10 +199,21 @@
             throws BadCommandException {
         double value = NumberParser.parseDecimal(text);
         if (Double.isNaN(value)) {
-            throw new BadCommandException(name + " is no number");
+            throw new BadCommandException(
+                    "field "
+                            + name
+                            + ": expected an unsigned decimal number with at most "
+                            + NumberParser.MAX_DIGITS
+                            + " digits before and after the point");
         }
         if (!(value > 0) || value > max) {
-            throw new BadCommandException(name + " is out of range");
+            throw new BadCommandException(
+                    "field "
+                            + name
+                            + " is "
+                            + value
+                            + ", expected a number greater than 0 and at most "
+                            + max);
         }
         return value;
     }
@@ -188,7 +224,13 @@
         }
         int shard = NumberParser.parseInteger(text);
         if (shard < 0 || (shards > 0 && shard >= shards)) {
-            throw new BadCommandException("there is no such shard");
+            throw new BadCommandException(
+                    "field shard"
+                            + (shard < 0 ? ":" : " is " + shard + ",")
+                            + " expected -1 or "
+                            + (shards > 0
+                                    ? "0 to " + (shards - 1)
+                                    : "an integer of 1 to 9 digits"));
         }
         return shard;
     }
@@ -200,7 +242,7 @@
                 return trafficClass;
             }
         }
-        throw new BadCommandException("there is no such class");
+        throw new BadCommandException("field c: expected the name of a traffic class");
     }
 
     private static TenantPlan findPlan(String name, Deployment deployment)
@@ -210,6 +252,6 @@
                 return plan;
             }
         }
-        throw new BadCommandException("there is no such plan");
+        throw new BadCommandException("field t: expected the name of a tenant plan");
     }
 }
--- a/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
+++ b/src/main/java/sagepulley/frontend/resp/EndpointRegistry.java
@@ -14,16 +14,16 @@
 import sagepulley.model.Operation;
 
 /**
- * Maps discovery's ids of endpoints to the numbers that the engine uses, and knows each endpoint's
- * address. Runs on the event loop.
+ * Maps the endpoint ids of discovery to the numbers that the engine uses, and holds the address of
+ * each endpoint. Runs on the event loop.
  */
 final class EndpointRegistry {
     private final List<String> zones;
     private final List<String> kinds;
     private final Clock clock;
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final Map<Integer, String> names = new HashMap<>();
-    private final Map<Integer, SocketAddress> addresses = new HashMap<>();
+    private final Map<String, Integer> numberById = new HashMap<>();
+    private final Map<Integer, String> idByNumber = new HashMap<>();
+    private final Map<Integer, SocketAddress> addressByNumber = new HashMap<>();
     private int lastNumber;
 
     EndpointRegistry(List<String> zones, List<String> kinds, Clock clock) {
@@ -32,72 +32,76 @@
         this.clock = clock;
     }
 
-    /** The entries in the engine's form; start times become those of the gateway's clock. */
+    /**
+     * Converts the members of a list to engine entries with start times on the gateway's clock.
+     * Skips removed endpoints that are unknown.
+     */
     List<EndpointEntry> entries(EndpointListUpdate update) {
         return update.members().stream()
                 .filter(
                         member ->
                                 member.phase() != Node.Phase.REMOVED
-                                        || numbers.containsKey(member.id()))
-                .map(this::entry)
+                                        || numberById.containsKey(member.id()))
+                .map(this::toEngineEntry)
                 .toList();
     }
 
-    /** Where a list differs from the phases known so far, for the log. */
-    List<String> changes(EndpointListUpdate update, Function<Integer, Node> known) {
+    /** Describes how the listed phases differ from the phases known so far, for the log. */
+    List<String> describePhaseChanges(
+            EndpointListUpdate update, Function<Integer, Node> nodeLookup) {
         List<String> changes = new ArrayList<>();
         for (EndpointListUpdate.Member member : update.members()) {
-            Integer number = numbers.get(member.id());
-            Node node = number == null ? null : known.apply(number);
-            Object before = node == null ? "unknown" : node.phase;
-            if (before != member.phase()) {
-                changes.add(member.id() + ":" + before + "->" + member.phase());
+            Integer number = numberById.get(member.id());
+            Node node = number == null ? null : nodeLookup.apply(number);
+            Object previousPhase = node == null ? "unknown" : node.phase;
+            if (previousPhase != member.phase()) {
+                changes.add(member.id() + ":" + previousPhase + "->" + member.phase());
             }
         }
         return changes;
     }
 
-    private EndpointEntry entry(EndpointListUpdate.Member member) {
-        int number = numbers.computeIfAbsent(member.id(), any -> ++lastNumber);
-        names.put(number, member.id());
+    private EndpointEntry toEngineEntry(EndpointListUpdate.Member member) {
+        int number = numberById.computeIfAbsent(member.id(), id -> ++lastNumber);
+        idByNumber.put(number, member.id());
         if (member.address() != null) {
-            addresses.put(number, member.address());
+            addressByNumber.put(number, member.address());
         }
         return new EndpointEntry(
                 zones.indexOf(member.locality()),
                 member.cell(),
                 number,
                 member.phase(),
-                clock.atWall(member.startedAtMillis()),
+                clock.fromWallClock(member.startedAtMillis()),
                 kinds.indexOf(member.flavor()),
                 member.weight());
     }
 
-    /** Where the endpoint listens; null if that was never known. */
+    /** Returns the address of the endpoint; null if it is unknown. */
     SocketAddress address(Node node) {
-        return addresses.get(node.id);
+        return addressByNumber.get(node.id);
     }
 
-    /** The endpoint's id at discovery. */
-    String name(Node node) {
-        return names.getOrDefault(node.id, "node " + node.id);
+    /** Returns the id of the endpoint at discovery, or a placeholder if it is unknown. */
+    String discoveryId(Node node) {
+        return idByNumber.getOrDefault(node.id, "node " + node.id);
     }
 
-    /** Where an operation was sent and how each attempt ended, for the log. */
+    /** Describes the endpoint and the outcome of each attempt of an operation, for the log. */
     String describeAttempts(Operation operation) {
         StringBuilder text = new StringBuilder();
         for (Attempt attempt : operation.attempts) {
             text.append(text.isEmpty() ? "" : ",")
-                    .append(name(attempt.node))
+                    .append(discoveryId(attempt.node))
                     .append(':')
                     .append(attempt.outcome == null ? "IN_FLIGHT" : attempt.outcome);
         }
         return text.toString();
     }
 
-    /** Removes an endpoint that is gone for good; its id gets a new number if it comes back. */
+    /** Removes an endpoint permanently. Its id gets a new number if it is listed again. */
     void remove(Node node) {
-        numbers.remove(names.remove(node.id));
-        addresses.remove(node.id);
+        numberById.remove(idByNumber.remove(node.id));
+        addressByNumber.remove(node.id);
     }
 }
--- a/src/main/java/sagepulley/lifecycle/ConfigReloader.java
+++ b/src/main/java/sagepulley/lifecycle/ConfigReloader.java
@@ -19,13 +19,15 @@
 import sagepulley.logging.LogWriter;
 
 /**
- * Reads the configuration file again at SIGHUP, and repeatedly for as long as it is invalid. A
- * process that was started with SIGHUP ignored, as nohup does, receives no signal: it polls the
- * file instead. Reads on one thread of its own, so that the configuration read last is also applied
+ * Reloads the configuration file on SIGHUP, and retries for as long as the file is unreadable or
+ * invalid.
+ *
+ * <p>A process that was started with SIGHUP ignored, as by nohup, receives no signal and polls the
+ * file instead. All reads run on one thread, so that the configuration read last is also applied
  * last.
  */
 final class ConfigReloader implements Closeable {
-    private static final String HANG_UP = "HUP";
+    private static final String HANGUP_SIGNAL = "HUP";
     private static final long RETRY_DELAY_MILLIS = 500;
     private static final long FILE_CHECK_INTERVAL_MILLIS = 500;
 
@@ -34,12 +36,12 @@
     private final ScheduledExecutorService executor =
             Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("reload", true));
 
-    /** The file's bytes when it was last checked; empty where it could not be read. */
+    /** Contents of the file at the last check; empty if it could not be read. */
     private byte[] contents = {};
 
     private double checkedAt;
 
-    /** Why the file was invalid, as it was last logged; null if it was valid. */
+    /** Failure logged last; null if the last read succeeded. */
     private String lastFailure;
 
     private boolean retryScheduled;
@@ -49,16 +51,16 @@
         this.gateway = gateway;
     }
 
-    /** Begins to follow the file. */
+    /** Sets the SIGHUP handler, or starts polling the file if the signal is ignored. */
     void start() {
-        if (!SignalHandlers.isIgnored(HANG_UP)) {
-            SignalHandlers.on(HANG_UP, () -> onReloadRequested(gateway.now()));
+        if (!SignalHandlers.isIgnored(HANGUP_SIGNAL)) {
+            SignalHandlers.setHandler(HANGUP_SIGNAL, () -> onReloadRequested(gateway.now()));
             return;
         }
         LogWriter.warn("SIGHUP is ignored, polling the configuration file instead");
         contents = readContents();
         checkedAt = gateway.now();
-        onReloadRequested(checkedAt); // the file may have changed since the start read it
+        onReloadRequested(checkedAt); // the file may have changed since the first read
         executor.scheduleWithFixedDelay(
                 this::checkFile,
                 FILE_CHECK_INTERVAL_MILLIS,
@@ -76,12 +78,12 @@
     }
 
     private void checkFile() {
-        double lastCheckedAt = checkedAt;
+        double previousCheckAt = checkedAt;
         checkedAt = gateway.now();
         byte[] newContents = readContents();
         if (!Arrays.equals(newContents, contents)) {
             contents = newContents;
-            onReloadRequested(lastCheckedAt);
+            onReloadRequested(previousCheckAt);
         }
     }
 
@@ -93,21 +95,24 @@
         }
     }
 
-    /** Reads the file now; an invalid one changes nothing, and is read again later. */
+    /**
+     * Reads and applies the file. If it is unreadable or invalid, the previous configuration stays
+     * in effect and the file is read again later.
+     */
     void reload() {
         double readAt = gateway.now();
         try {
             gateway.onConfigurationRead(GatewayConfig.read(environment), readAt);
             lastFailure = null;
         } catch (UnreadableConfigException unreadable) {
-            retryAfter(unreadable);
+            scheduleRetry(unreadable);
         } catch (ConfigException invalid) {
             gateway.onConfigurationUnusable(readAt);
-            retryAfter(invalid);
+            scheduleRetry(invalid);
         }
     }
 
-    private void retryAfter(ConfigException failure) {
+    private void scheduleRetry(ConfigException failure) {
         if (!failure.getMessage().equals(lastFailure)) {
             lastFailure = failure.getMessage();
             LogWriter.warn("configuration reload failed", "reason", lastFailure);
--- a/src/main/java/sagepulley/logging/LogWriter.java
+++ b/src/main/java/sagepulley/logging/LogWriter.java
@@ -7,12 +7,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes log lines of names and values to standard error from a thread of its own: callers never
- * block, and lines that find the queue full are counted. Used instead of Logback, whose classes
- * would slow the start of a gateway.
+ * Writes log lines of names and values to standard error on a separate thread.
+ *
+ * <p>Callers never block; lines that find the queue full are dropped and counted. Used instead of
+ * Logback, whose classes would slow down the start of a gateway.
  */
 public final class LogWriter {
-    /** Threads whose name starts with this log nothing: they run a gateway inside the program. */
+    /**
+     * Name prefix of threads whose log calls are ignored, because they run an in-process warm-up.
+     */
     public static final String WARM_UP_THREAD_PREFIX = "rehearsal";
 
     private static final int MAX_QUEUED_LINES = 1000;
@@ -32,23 +35,23 @@
     /** Logs an event with alternating names and values. */
     public static void info(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
-            offer("INFO", event, namesAndValues);
+            enqueue("INFO", event, namesAndValues);
         }
     }
 
     /** Logs an event that an operator should look into. */
     public static void warn(String event, Object... namesAndValues) {
         if (!isWarmUpThread()) {
-            offer("WARN", event, namesAndValues);
+            enqueue("WARN", event, namesAndValues);
         }
     }
 
-    /** A gateway that warms up inside the program is quiet; the real one beside it is not. */
+    /** Returns whether the current thread belongs to an in-process warm-up, which does not log. */
     private static boolean isWarmUpThread() {
         return Thread.currentThread().getName().startsWith(WARM_UP_THREAD_PREFIX);
     }
 
-    private static void offer(String level, String event, Object... namesAndValues) {
+    private static void enqueue(String level, String event, Object... namesAndValues) {
         StringBuilder line =
                 new StringBuilder(200)
                         .append(Instant.now())
@@ -60,7 +63,7 @@
             line.append(' ')
                     .append(namesAndValues[i])
                     .append('=')
-                    .append(value(namesAndValues[i + 1]));
+                    .append(formatValue(namesAndValues[i + 1]));
         }
         UNWRITTEN.incrementAndGet();
         if (!LINES.offer(line.toString())) {
@@ -69,30 +72,30 @@
         }
     }
 
-    /** A value on one line, quoted where it has blanks or is empty. */
-    private static String value(Object value) {
+    /** Formats a value on one line, quoted if it contains blanks or is empty. */
+    private static String formatValue(Object value) {
         String text = String.valueOf(value);
         if (text.length() > MAX_VALUE_CHARS) {
             text = text.substring(0, MAX_VALUE_CHARS);
         }
-        StringBuilder clean = new StringBuilder(text.length());
+        StringBuilder cleanText = new StringBuilder(text.length());
         boolean quoted = text.isEmpty();
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             quoted |= c == ' ';
-            clean.append(c < ' ' || c == '"' || c == 127 ? '?' : c);
+            cleanText.append(c < ' ' || c == '"' || c == 127 ? '?' : c);
         }
-        return quoted ? "\"" + clean + "\"" : clean.toString();
+        return quoted ? "\"" + cleanText + "\"" : cleanText.toString();
     }
 
-    private static void write(PrintStream to) {
+    private static void write(PrintStream out) {
         try {
             while (true) {
-                to.println(LINES.take());
+                out.println(LINES.take());
                 UNWRITTEN.decrementAndGet();
                 long dropped = DROPPED.getAndSet(0);
                 if (dropped > 0) {
-                    to.println(Instant.now() + " WARN log lines dropped count=" + dropped);
+                    out.println(Instant.now() + " WARN log lines dropped count=" + dropped);
                 }
             }
         } catch (InterruptedException e) {
@@ -100,7 +103,7 @@
         }
     }
 
-    /** Waits until all lines are written, for this many milliseconds at most. */
+    /** Waits until all lines are written, or until the timeout. */
     public static void flush(long timeoutMillis) {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000;
         while (UNWRITTEN.get() > 0 && System.nanoTime() < deadlineNanos) {
--- a/src/main/java/sagepulley/membership/RecordSource.java
+++ b/src/main/java/sagepulley/membership/RecordSource.java
@@ -1,8 +1,8 @@
 package sagepulley.membership;
 
-/** Where an endpoint record came from. */
+/** The origin of an endpoint record. */
 public enum RecordSource {
-    /** A directory, in this process's life. */
+    /** A directory, since this process started. */
     DIRECTORY,
     /** The endpoint list file. */
     DISK,
--- a/src/main/java/sagepulley/persistence/AccountFile.java
+++ b/src/main/java/sagepulley/persistence/AccountFile.java
@@ -10,9 +10,7 @@
 import org.slf4j.LoggerFactory;
 import sagepulley.accounts.LatencyAccount;
 
-/**
- * The file in which a gateway's latency accounts survive its restarts, with one earlier generation.
- */
+/** Stores a gateway's latency accounts across restarts (CBOR), with one earlier generation. */
 public final class AccountFile {
     private static final String KIND = "accounts";
     private static final int FORMAT = 1;
@@ -22,23 +20,24 @@
     private static final ObjectReader READER = CBOR.readerFor(GatewayAccounts.class);
     private static final Logger LOG = LoggerFactory.getLogger(AccountFile.class);
 
-    /** What a file holds: as it is stored, and its account with every figure checked. */
+    /** The content of a file: the stored form, and the account restored from it and validated. */
     public record Loaded(GatewayAccounts stored, LatencyAccount account) {}
 
     private final SnapshotFile snapshots;
 
-    /** Of this gateway; an empty name reads any gateway's. */
+    /** Creates the file of a gateway; with an empty name, files of any gateway are read. */
     public AccountFile(Path file, String gateway) {
         this.snapshots = new SnapshotFile(file, KIND, FORMAT, gateway, EARLIER_GENERATIONS);
     }
 
-    /** Puts new accounts in place. */
+    /** Replaces the stored accounts. */
     public void write(GatewayAccounts accounts) throws IOException {
         snapshots.write(WRITER.writeValueAsBytes(accounts), accounts.writtenAt());
     }
 
     /**
-     * The newest valid accounts, or null; invalid files are logged and set aside.
+     * Returns the newest valid accounts, or null if there are none. Logs invalid files and sets
+     * them aside.
      *
      * @throws IOException if a file cannot be set aside
      */
@@ -60,18 +59,18 @@
     }
 
     /**
-     * A file's accounts, for a report: nothing is changed on the disk.
+     * Returns the accounts in the newest valid snapshot, of any gateway, without changing any file.
      *
-     * @throws IOException if there are no valid ones
+     * @throws IOException if there is no valid snapshot or the newest one has no valid accounts
      */
-    public static Loaded report(Path file) throws IOException {
+    public static Loaded inspect(Path file) throws IOException {
         SnapshotFile.ReadResult result =
                 new SnapshotFile(file, KIND, FORMAT, "", EARLIER_GENERATIONS).read();
         if (result.snapshot() != null) {
             return decode(result.snapshot());
         }
         if (result.rejected().isEmpty()) {
-            throw new InvalidSnapshotException(file, "is not there");
+            throw new InvalidSnapshotException(file, "file does not exist");
         }
         SnapshotFile.Rejected first = result.rejected().get(0);
         throw new InvalidSnapshotException(first.file(), first.reason());
@@ -81,7 +80,8 @@
         try {
             GatewayAccounts stored = READER.readValue(snapshot.body());
             if (stored == null || !stored.isComplete()) {
-                throw new InvalidSnapshotException(snapshot.file(), "has no accounts in it");
+                throw new InvalidSnapshotException(
+                        snapshot.file(), "body contains no complete accounts");
             }
             return new Loaded(stored, stored.accounts().toAccount());
         } catch (JsonProcessingException e) {
--- a/src/main/java/sagepulley/persistence/HolderCodec.java
+++ b/src/main/java/sagepulley/persistence/HolderCodec.java
@@ -9,30 +9,32 @@
 import java.util.Map;
 
 /**
- * The body of a holder file, compressed with zstd: the number of volumes; for each its id, the
- * number of its extents and the number of runs; for each run of extents with the same holder the
- * cell and its length. All are 32-bit integers, big-endian.
+ * Encodes and decodes the body of a holder file.
+ *
+ * <p>The body is compressed with zstd and consists of big-endian 32-bit integers: the number of
+ * volumes; for each volume its id, its number of extents and its number of runs; for each run of
+ * consecutive extents with the same holder, the cell and the length of the run.
  */
 final class HolderCodec {
     static final int MAX_EXTENTS = 1 << 22;
 
     private static final int MAX_VOLUMES = 1 << 16;
     private static final int COMPRESSION_LEVEL = 3;
-    private static final int FILE_HEADER_BYTES = Integer.BYTES;
+    private static final int BODY_HEADER_BYTES = Integer.BYTES;
     private static final int VOLUME_HEADER_BYTES = 3 * Integer.BYTES;
     private static final int RUN_BYTES = 2 * Integer.BYTES;
     private static final long MAX_BYTES =
-            FILE_HEADER_BYTES
+            BODY_HEADER_BYTES
                     + (long) VOLUME_HEADER_BYTES * MAX_VOLUMES
                     + (long) RUN_BYTES * MAX_EXTENTS;
 
-    /** What a cell that is not known is written as. */
+    /** Stored in place of an unknown cell. */
     private static final int UNKNOWN_CELL = -1;
 
     private HolderCodec() {}
 
     static byte[] encode(Map<Integer, int[]> volumes) {
-        int length = FILE_HEADER_BYTES;
+        int length = BODY_HEADER_BYTES;
         for (int[] cells : volumes.values()) {
             length += VOLUME_HEADER_BYTES + RUN_BYTES * countRuns(cells);
         }
@@ -66,30 +68,39 @@
     }
 
     /**
-     * The cells by volume.
+     * Returns the cells of each volume's extents, by volume id.
      *
-     * @param file named in the exception
-     * @throws InvalidSnapshotException if the body is none that {@link #encode} makes
+     * @param file the file that an exception names
+     * @throws InvalidSnapshotException if the body is malformed
      */
     static Map<Integer, int[]> decode(byte[] body, Path file) throws InvalidSnapshotException {
         ByteBuffer buffer = ByteBuffer.wrap(decompress(body, file));
         Map<Integer, int[]> volumes = new LinkedHashMap<>();
-        int count = buffer.getInt();
-        long extents = 0;
-        for (int i = 0; i < count; i++) {
+        int volumeCount = buffer.getInt();
+        long totalExtents = 0;
+        for (int i = 0; i < volumeCount; i++) {
             if (buffer.remaining() < VOLUME_HEADER_BYTES) {
-                throw new InvalidSnapshotException(file, "holders are cut off");
+                throw new InvalidSnapshotException(
+                        file,
+                        "holders are truncated after " + i + " of " + volumeCount + " volumes");
             }
             int volume = buffer.getInt();
             int length = buffer.getInt();
             int runs = buffer.getInt();
-            extents += length;
+            totalExtents += length;
             if (length < 0
-                    || extents > MAX_EXTENTS
+                    || totalExtents > MAX_EXTENTS
                     || runs < 0
                     || buffer.remaining() < (long) RUN_BYTES * runs) {
                 throw new InvalidSnapshotException(
-                        file, "holders of volume " + volume + " do not fit");
+                        file,
+                        "invalid holders of volume "
+                                + volume
+                                + ": "
+                                + length
+                                + " extents in "
+                                + runs
+                                + " runs");
             }
             volumes.put(volume, readRuns(buffer, volume, length, runs, file));
         }
@@ -98,14 +109,21 @@
 
     private static byte[] decompress(byte[] body, Path file) throws InvalidSnapshotException {
         long size = Zstd.getFrameContentSize(body);
-        if (size < FILE_HEADER_BYTES || size > MAX_BYTES) {
-            throw new InvalidSnapshotException(file, "holders of " + size + " bytes can be none");
+        if (size < BODY_HEADER_BYTES || size > MAX_BYTES) {
+            throw new InvalidSnapshotException(
+                    file,
+                    "uncompressed size of the holders is "
+                            + size
+                            + " bytes, expected "
+                            + BODY_HEADER_BYTES
+                            + " to "
+                            + MAX_BYTES);
         }
         try {
             return Zstd.decompress(body, (int) size);
         } catch (ZstdException e) {
             throw new InvalidSnapshotException(
-                    file, "holders cannot be unpacked: " + e.getMessage(), e);
+                    file, "decompression of the holders failed: " + e.getMessage(), e);
         }
     }
 
@@ -118,14 +136,21 @@
             int run = buffer.getInt();
             if (run < 1 || run > length - start || cell < UNKNOWN_CELL) {
                 throw new InvalidSnapshotException(
-                        file, "holders of volume " + volume + " do not fit");
+                        file,
+                        "invalid run of volume "
+                                + volume
+                                + ": "
+                                + run
+                                + " extents in cell "
+                                + cell);
             }
             Arrays.fill(cells, start, start + run, cell);
             start += run;
         }
         if (start != length) {
             throw new InvalidSnapshotException(
-                    file, "holders of volume " + volume + " are cut off");
+                    file,
+                    "runs of volume " + volume + " cover " + start + " of " + length + " extents");
         }
         return cells;
     }
--- a/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
+++ b/src/main/java/sagepulley/scenario/ColdStartReadLoad.java
@@ -11,8 +11,8 @@
 import sagepulley.codec.nbd.NbdReply;
 
 /**
- * Reads of random extents through all gateways of a cold start, at Poisson arrivals, and what came
- * of them. One thread sends; replies are counted on the event loops of the clients. Times are
+ * Sends reads of random extents to all gateways of a cold start, at Poisson arrivals, and counts
+ * the replies. One thread sends; replies arrive on the event loops of the clients. Times are
  * System.nanoTime.
  */
 final class ColdStartReadLoad {
@@ -47,11 +47,13 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Sends for a duration; without clients the requests only count as not served. */
+    /** Sends reads for a duration. Without clients, each read counts as not served. */
     void send(List<NbdClient> clients, long durationMillis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(durationMillis);
-        for (long next = System.nanoTime(); next < end; next += nextGapNanos()) {
-            sleepUntil.accept(next);
+        for (long nextAtNanos = System.nanoTime();
+                nextAtNanos < end;
+                nextAtNanos += nextGapNanos()) {
+            sleepUntil.accept(nextAtNanos);
             long extent = random.nextInt(extents);
             requests++;
             if (!clients.isEmpty()) {
@@ -73,10 +75,10 @@
                 extent * extentBytes,
                 READ_BYTES,
                 Unpooled.EMPTY_BUFFER,
-                (reply, failure) -> replied(reply, failure, sentAt));
+                (reply, failure) -> recordReply(reply, failure, sentAt));
     }
 
-    private void replied(NbdReply reply, Throwable failure, long sentAt) {
+    private void recordReply(NbdReply reply, Throwable failure, long sentAt) {
         long now = System.nanoTime();
         if (failure == null && reply.error == 0) {
             firstServedAt.compareAndSet(0, now);
@@ -88,20 +90,20 @@
         inFlight.decrementAndGet();
     }
 
-    /** Waits until every request has its reply, or for the time in which it must have come. */
+    /** Waits until every request has a reply, at most 10 s. */
     void awaitReplies() {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(REPLY_TIMEOUT_SECONDS);
-        while (inFlight.get() > 0 && System.nanoTime() < until) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(REPLY_TIMEOUT_SECONDS);
+        while (inFlight.get() > 0 && System.nanoTime() < deadlineNanos) {
             sleepUntil.accept(System.nanoTime() + REPLY_POLL_NANOS);
         }
     }
 
-    /** When the first read was served; 0 if none was. */
+    /** Returns the time at which the first read was served, or 0 if none was. */
     long firstServedAt() {
         return firstServedAt.get();
     }
 
-    /** The share of all requests that were served within the latency objective. */
+    /** Returns the share of all requests that were served within the latency objective. */
     double service() {
         return (double) withinObjective.get() / Math.max(1, requests);
     }
--- a/src/main/java/sagepulley/scenario/DirectClient.java
+++ b/src/main/java/sagepulley/scenario/DirectClient.java
@@ -13,11 +13,11 @@
 import sagepulley.upstream.frame.NodeConnection;
 import sagepulley.upstream.frame.StoreMessages;
 
-/** A client with connections of its own to the nodes, past any gateway. Used on one loop. */
+/** Sends reads and writes to the nodes directly, without a gateway. Confined to one event loop. */
 final class DirectClient {
     private static final long CLIENT_ID = 99;
 
-    /** A volume of its own, so that its write tokens are not the gateway's. */
+    /** Differs from the gateway's volume, so that the write tokens do not conflict. */
     private static final int VOLUME = 2;
 
     private final List<NodeLink> links = new ArrayList<>();
@@ -29,21 +29,21 @@
         }
     }
 
-    /** Sends one read or write; its end is reported as success or failure. */
+    /** Sends one read or write. The callback receives whether it was served. */
     void send(
-            boolean reads,
+            boolean isRead,
             int extent,
             int offset,
             int bytes,
             ByteBuf data,
-            Consumer<Boolean> ended) {
+            Consumer<Boolean> onEnd) {
         NodeLink link = links.get(extent % links.size());
         long attempt = ++attempts;
-        link.waiting.put(attempt, ended);
+        link.callbacks.put(attempt, onEnd);
         link.connection.send(
                 attempt,
                 new StoreMessages.Send(
-                        reads ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE,
+                        isRead ? StoreMessages.Kind.READ : StoreMessages.Kind.WRITE,
                         0,
                         false,
                         0,
@@ -55,12 +55,12 @@
                         bytes,
                         1,
                         0),
-                reads ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate());
+                isRead ? Unpooled.EMPTY_BUFFER : data.retainedDuplicate());
     }
 
     private static final class NodeLink implements NodeConnection.Listener {
         final NodeConnection connection;
-        final Map<Long, Consumer<Boolean>> waiting = new HashMap<>();
+        final Map<Long, Consumer<Boolean>> callbacks = new HashMap<>();
 
         NodeLink(StandInNode node, int extentBytes, EventLoop loop) {
             connection =
@@ -77,22 +77,22 @@
         @Override
         public void answered(long attempt, StoreMessages.Answer answer, ByteBuf payload) {
             payload.release();
-            waiting.remove(attempt).accept(answer.code() == StoreMessages.Code.SERVED);
+            callbacks.remove(attempt).accept(answer.code() == StoreMessages.Code.SERVED);
         }
 
         @Override
-        public void failed(long attempt, NodeConnection.ConnectionFailure how) {
-            waiting.remove(attempt).accept(false);
+        public void failed(long attempt, NodeConnection.ConnectionFailure failure) {
+            callbacks.remove(attempt).accept(false);
         }
 
         @Override
-        public void healthReported(long id, float[] report) {
-            // no health check is sent
+        public void healthReported(long id, float[] loadReport) {
+            // This client sends no health checks.
         }
 
         @Override
         public boolean handshakeCompleted(StoreMessages.HandshakeReply reply) {
-            // whoever answers at the node's address is used
+            // Accepts any node that answers at the address.
             return true;
         }
     }
--- a/src/main/java/sagepulley/scenario/FinalAnswerRule.java
+++ b/src/main/java/sagepulley/scenario/FinalAnswerRule.java
@@ -7,58 +7,66 @@
 import sagepulley.upstream.frame.StoreMessages;
 
 /**
- * Rule 1: each request gets one final answer before its deadline, and no attempt comes after it.
+ * Rule 1: each request gets exactly one final answer before its deadline, and no attempt arrives at
+ * a node after that answer.
  */
 final class FinalAnswerRule implements Rule {
     private record GatewayExtent(long gateway, int volume, long extent) {}
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         Findings findings = new Findings();
-        double minLeftMillis = Double.POSITIVE_INFINITY;
-        int due = 0;
+        double minRemainingMillis = Double.POSITIVE_INFINITY;
+        int expectedAnswers = 0;
         for (SocketEventLog.ClientRequest request : evidence.log.requests) {
             if (request.connectionLost) {
                 continue;
             }
-            due++;
+            expectedAnswers++;
             if (request.replies != 1) {
-                findings.breach(
+                findings.addBreach(
                         request.replies
                                 + " final answers to a "
                                 + request.kind
-                                + " at "
+                                + " request at offset "
                                 + request.offset);
             } else {
-                minLeftMillis = Math.min(minLeftMillis, checkTime(request, evidence, findings));
+                minRemainingMillis =
+                        Math.min(minRemainingMillis, checkDeadline(request, evidence, findings));
             }
         }
         checkAttempts(evidence, findings);
         return findings.verdict(
                 "1 one final answer, in time",
-                due + " owed, at least " + Findings.round(minLeftMillis) + " ms of patience left",
+                expectedAnswers
+                        + " answers due, at least "
+                        + Findings.format(minRemainingMillis)
+                        + " ms before the deadline",
                 "0 ms");
     }
 
-    /** Checks when a request was answered; the milliseconds that were left to its deadline. */
-    private static double checkTime(
+    /** Checks the time of an answer. Returns the milliseconds left until the deadline. */
+    private static double checkDeadline(
             SocketEventLog.ClientRequest request, Evidence evidence, Findings findings) {
-        double deadline =
+        double deadlineMillis =
                 evidence.site.deployment().trafficClasses().get(request.trafficClass).deadline();
-        double took = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
-        if (took > deadline + evidence.policy().answerGrace() + evidence.allowanceMillis) {
-            findings.breach(
+        double elapsedMillis = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
+        if (elapsedMillis
+                > deadlineMillis + evidence.policy().answerGrace() + evidence.toleranceMillis) {
+            findings.addBreach(
                     "answered after "
-                            + Findings.round(took)
-                            + " ms of "
-                            + Findings.round(deadline));
+                            + Findings.format(elapsedMillis)
+                            + " ms, deadline "
+                            + Findings.format(deadlineMillis)
+                            + " ms");
         }
-        return deadline - took;
+        return deadlineMillis - elapsedMillis;
     }
 
-    /** Every attempt must be for a request that is still open. */
+    /** Checks that every attempt belongs to a request that was still open. */
     private static void checkAttempts(Evidence evidence, Findings findings) {
-        Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests = byExtent(evidence);
+        Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requests =
+                requestsByExtent(evidence);
         for (SocketEventLog.AttemptReceived attempt : evidence.log.received) {
             StoreMessages.Send send = attempt.send();
             if (send.kind() == StoreMessages.Kind.FLUSH) {
@@ -66,23 +74,23 @@
             }
             GatewayExtent extent =
                     new GatewayExtent(attempt.gateway(), send.volume(), send.extent());
-            boolean open =
+            boolean isOpen =
                     requests.getOrDefault(extent, List.of()).stream()
-                            .anyMatch(request -> mayCause(request, attempt, evidence));
-            if (!open) {
-                findings.breach(
-                        "hop "
+                            .anyMatch(request -> mayBelongTo(request, attempt, evidence));
+            if (!isOpen) {
+                findings.addBreach(
+                        "attempt "
                                 + send.attemptNumber()
                                 + " of operation "
                                 + send.operationId()
-                                + " came to node "
+                                + " reached node "
                                 + attempt.node()
-                                + " with nobody waiting for it");
+                                + " without an open client request");
             }
         }
     }
 
-    private static Map<GatewayExtent, List<SocketEventLog.ClientRequest>> byExtent(
+    private static Map<GatewayExtent, List<SocketEventLog.ClientRequest>> requestsByExtent(
             Evidence evidence) {
         int extentBytes = evidence.site.extentBytes();
         Map<GatewayExtent, List<SocketEventLog.ClientRequest>> byExtent = new HashMap<>();
@@ -91,14 +99,14 @@
             for (long extent = request.offset / extentBytes; extent <= last; extent++) {
                 byExtent.computeIfAbsent(
                                 new GatewayExtent(request.gateway, request.volume, extent),
-                                any -> new ArrayList<>())
+                                key -> new ArrayList<>())
                         .add(request);
             }
         }
         return byExtent;
     }
 
-    private static boolean mayCause(
+    private static boolean mayBelongTo(
             SocketEventLog.ClientRequest request,
             SocketEventLog.AttemptReceived attempt,
             Evidence evidence) {
@@ -109,6 +117,6 @@
                 && offset < request.offset + request.length
                 && request.sentAt <= attempt.at()
                 && (request.replies == 0
-                        || attempt.at() <= request.endedAt + evidence.allowanceNanos());
+                        || attempt.at() <= request.endedAt + evidence.toleranceNanos());
     }
 }
