--- a/src/main/java/sagepulley/scenario/ReconnectStorm.java
+++ b/src/main/java/sagepulley/scenario/ReconnectStorm.java
@@ -9,15 +9,18 @@
 import sagepulley.membership.ReconnectBackoff;
 
 /**
- * Gateways that lost one directory together and poll it until it answers.
+ * The result of a simulated reconnect storm: many gateways lose one directory at the same time and
+ * call it until each has its endpoint list.
  *
- * @param spread whether they back off as the gateway does, or poll every 250 ms
- * @param maxCallsInTenthSecond the most calls in a tenth of a second, the first second left out
- * @param allListedMillis how long after the directory's return all of them had a list
+ * @param usesBackoff whether the gateways use {@link ReconnectBackoff}; otherwise they call every
+ *     250 ms
+ * @param maxCallsInTenthSecond the most calls in a tenth of a second, after the first second
+ * @param calls the total number of calls
+ * @param allListedMillis the time from the directory's recovery until every gateway has a list
  */
 public record ReconnectStorm(
         int gateways,
-        boolean spread,
+        boolean usesBackoff,
         int maxCallsInTenthSecond,
         long calls,
         double allListedMillis) {
@@ -28,52 +31,59 @@
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double TENTH_MILLIS = 100;
 
-    /** All lose the directory in the first second, so that calls then are the same either way. */
+    /** The peak excludes the first second, in which all gateways call at once in either case. */
     private static final double FIRST_COUNTED_MILLIS = 1_000;
 
     private record Call(double atMillis, int gateway) {}
 
     /**
-     * Simulates a storm in one thread: the directory is down for so long, and then serves so many
-     * calls a second, one after another, with a queue of so many; the rest time out.
+     * Simulates a storm.
+     *
+     * @param downMillis how long the directory is down
+     * @param callsPerSecond the rate at which the directory then serves calls, one after another
+     * @param queue the number of calls that may wait at the directory; further calls time out
      */
     public static ReconnectStorm simulate(
             int gateways,
-            boolean spread,
+            boolean usesBackoff,
             double downMillis,
             double callsPerSecond,
             int queue,
             long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Queue<Call> due = new PriorityQueue<>(Comparator.comparingDouble(Call::atMillis));
+        Queue<Call> pendingCalls = new PriorityQueue<>(Comparator.comparingDouble(Call::atMillis));
         ReconnectBackoff[] backoffs = new ReconnectBackoff[gateways];
         for (int i = 0; i < gateways; i++) {
             backoffs[i] =
                     new ReconnectBackoff(MIN_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS, random.split());
-            due.add(new Call(random.nextDouble(), i));
+            pendingCalls.add(new Call(random.nextDouble(), i));
         }
         Map<Long, Integer> callsByTenth = new HashMap<>();
-        double busyUntil = downMillis;
-        double last = 0;
+        double busyUntilMillis = downMillis;
+        double lastServedAtMillis = 0;
         long calls = 0;
-        while (!due.isEmpty()) {
-            Call call = due.poll();
-            double now = call.atMillis();
+        while (!pendingCalls.isEmpty()) {
+            Call call = pendingCalls.poll();
+            double nowMillis = call.atMillis();
             calls++;
-            if (now >= FIRST_COUNTED_MILLIS) {
-                callsByTenth.merge((long) (now / TENTH_MILLIS), 1, Integer::sum);
+            if (nowMillis >= FIRST_COUNTED_MILLIS) {
+                callsByTenth.merge((long) (nowMillis / TENTH_MILLIS), 1, Integer::sum);
             }
-            double pause = spread ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
-            if (now < downMillis) {
-                due.add(new Call(now + pause, call.gateway()));
-            } else if (busyUntil - now > queue * MILLIS_PER_SECOND / callsPerSecond) {
-                due.add(new Call(now + CALL_TIMEOUT_MILLIS + pause, call.gateway()));
+            double pauseMillis =
+                    usesBackoff ? backoffs[call.gateway()].nextDelayMillis() : FIXED_PAUSE_MILLIS;
+            if (nowMillis < downMillis) {
+                pendingCalls.add(new Call(nowMillis + pauseMillis, call.gateway()));
+            } else if (busyUntilMillis - nowMillis > queue * MILLIS_PER_SECOND / callsPerSecond) {
+                pendingCalls.add(
+                        new Call(nowMillis + CALL_TIMEOUT_MILLIS + pauseMillis, call.gateway()));
             } else {
-                busyUntil = Math.max(busyUntil, now) + MILLIS_PER_SECOND / callsPerSecond;
-                last = Math.max(last, busyUntil);
+                busyUntilMillis =
+                        Math.max(busyUntilMillis, nowMillis) + MILLIS_PER_SECOND / callsPerSecond;
+                lastServedAtMillis = Math.max(lastServedAtMillis, busyUntilMillis);
             }
         }
         int maxCalls = callsByTenth.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        return new ReconnectStorm(gateways, spread, maxCalls, calls, last - downMillis);
+        return new ReconnectStorm(
+                gateways, usesBackoff, maxCalls, calls, lastServedAtMillis - downMillis);
     }
 }
--- a/src/main/java/sagepulley/scenario/RuleChecker.java
+++ b/src/main/java/sagepulley/scenario/RuleChecker.java
@@ -9,9 +9,9 @@
 import sagepulley.standin.NodeProfile;
 
 /**
- * Judges how a run kept the seven rules (WIRE 9) from what was recorded at the sockets alone. Where
- * a time is judged that was taken at another socket, the way between and the stalls of the machine
- * are allowed for.
+ * Checks from the traffic recorded at the sockets whether the gateways followed the seven rules in
+ * a finished run. Comparisons of times taken at different sockets include a tolerance for network
+ * delay and stalls of the test process.
  */
 public final class RuleChecker {
     private static final List<Rule> RULES =
@@ -27,9 +27,9 @@
     private final Evidence evidence;
 
     /**
-     * A checker for a run that is over.
+     * Creates a checker for a finished run.
      *
-     * @param stallMillis how long the machine stalled
+     * @param stallMillis the stalls of the run, see {@link StallDetector#worstStallMillis}
      */
     public RuleChecker(
             SocketEventLog eventLog,
@@ -39,42 +39,43 @@
         this.evidence = new Evidence(eventLog, site, profiles, stallMillis);
     }
 
-    /** The verdicts of all seven rules, in order. */
+    /** Returns the verdicts on all seven rules, in order. */
     public List<RuleVerdict> verdicts() {
-        return RULES.stream().map(rule -> rule.judge(evidence)).toList();
+        return RULES.stream().map(rule -> rule.evaluate(evidence)).toList();
     }
 
     /**
-     * For each volume, the share of its requests, 0 to 1, that were served within their latency
-     * objective; weighted by priority, with part of the weight for those served later.
+     * Returns for each volume the share of its requests that were served within their latency
+     * objective, 0 to 1. Requests are weighted by priority, and a request served later counts with
+     * a fraction of its weight.
      */
     public Map<String, Double> service() {
         Map<String, Double> shares = new TreeMap<>();
         for (VolumeSettings volume : evidence.site.volumes()) {
-            double due = 0;
-            double earned = 0;
+            double totalWeight = 0;
+            double servedWeight = 0;
             for (SocketEventLog.ClientRequest request : evidence.log.requests) {
                 if (request.volume == volume.id()) {
                     TrafficClass trafficClass =
                             evidence.site.deployment().trafficClasses().get(request.trafficClass);
-                    due += trafficClass.priorityWeight();
-                    earned += earnedWeight(request, trafficClass);
+                    totalWeight += trafficClass.priorityWeight();
+                    servedWeight += servedPriorityWeight(request, trafficClass);
                 }
             }
-            if (due > 0) {
-                shares.put(volume.name(), earned / due);
+            if (totalWeight > 0) {
+                shares.put(volume.name(), servedWeight / totalWeight);
             }
         }
         return shares;
     }
 
-    private static double earnedWeight(
+    private static double servedPriorityWeight(
             SocketEventLog.ClientRequest request, TrafficClass trafficClass) {
         if (request.replies != 1 || request.error != 0) {
             return 0;
         }
-        double took = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
-        return took <= trafficClass.latencyObjective()
+        double elapsedMillis = (request.endedAt - request.sentAt) / Evidence.NANOS_PER_MILLI;
+        return elapsedMillis <= trafficClass.latencyObjective()
                 ? trafficClass.priorityWeight()
                 : trafficClass.priorityWeight() * trafficClass.lateWeightFraction();
     }
--- a/src/main/java/sagepulley/scenario/ScenarioRunner.java
+++ b/src/main/java/sagepulley/scenario/ScenarioRunner.java
@@ -22,52 +22,64 @@
 import sagepulley.standin.NodeProfile;
 
 /**
- * Plays a scripted scenario through real gateways on loopback and judges it by what passed on the
- * sockets. Scripted events happen on one thread of its own.
+ * Runs a scripted scenario through real gateways on loopback and checks the traffic that was
+ * recorded at the sockets. Scripted events run on a dedicated thread.
  */
 public final class ScenarioRunner {
     private static final int CLUSTER_LOOPS = 3;
-    private static final long MAX_END_WAIT_MILLIS = 30_000;
-    private static final long END_POLL_MILLIS = 10;
+    private static final long MAX_OPEN_REQUEST_WAIT_MILLIS = 30_000;
+    private static final long OPEN_REQUEST_POLL_MILLIS = 10;
 
     /**
-     * The result of a scenario.
+     * The result of a scenario run. The components are the fields of the JSON output.
      *
-     * @param service for each volume, the share of its requests served within their objective
-     * @param unmet sentences for the expectations that were not met
-     * @param stallMillis how long the machine stalled at the worst
+     * @param scenario the name of the scenario
+     * @param verdicts the verdict on each rule and on the data that reads returned
+     * @param service for each volume, the weighted share of its requests served within their
+     *     latency objective, 0 to 1
+     * @param unmetExpectations descriptions of the expectations that were not met
+     * @param requests the number of requests that clients sent
+     * @param attempts the number of attempts that reached a node
+     * @param stallMillis the stalls of the run, see {@link StallDetector#worstStallMillis}
      */
     public record Result(
-            String day,
+            @JsonProperty("day") String scenario,
             List<RuleVerdict> verdicts,
             Map<String, Double> service,
-            List<String> unmet,
+            @JsonProperty("unmet") List<String> unmetExpectations,
             long requests,
             long attempts,
             @JsonProperty("stoodStill") double stallMillis) {
-        /** Whether every rule and promise was kept, and every expectation met. */
-        public boolean good() {
-            return unmet.isEmpty() && verdicts.stream().allMatch(RuleVerdict::satisfied);
+        /** Returns whether every verdict is satisfied and every expectation was met. */
+        public boolean passed() {
+            return unmetExpectations.isEmpty()
+                    && verdicts.stream().allMatch(RuleVerdict::satisfied);
         }
     }
 
-    /** Opens a gateway; tests put a broken one in its place. */
-    public interface Opener {
-        /** A running gateway: where clients connect, its end as by a kill, and its accounts. */
-        record Opened(
+    /** Starts the gateways of a scenario. Tests substitute gateways that break the rules. */
+    public interface GatewayLauncher {
+        /**
+         * A running gateway.
+         *
+         * @param address the address that clients connect to
+         * @param kill ends the gateway without a graceful shutdown
+         * @param accounts takes a snapshot of the gateway's latency accounts
+         */
+        record RunningGateway(
                 InetSocketAddress address, Runnable kill, Supplier<GatewayAccounts> accounts) {}
 
-        /** Opens a gateway; the seed is also the number of its incarnation. */
-        Opened open(SiteConfig site, long seed);
+        /** Starts a gateway. The seed also identifies its incarnation. */
+        RunningGateway launch(SiteConfig site, long seed);
     }
 
     private final Scenario scenario;
-    private final Opener opener;
+    private final GatewayLauncher launcher;
     private final SocketEventLog eventLog = new SocketEventLog();
     private final BlockHistory history = new BlockHistory();
     private final List<LoadGenerator> loads = new ArrayList<>();
     private final List<GatewayAccounts> accounts = new ArrayList<>();
-    private final ScheduledExecutorService script =
+    private final ScheduledExecutorService scriptExecutor =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
                         Thread thread = new Thread(task, "script");
@@ -75,26 +87,26 @@
                         return thread;
                     });
 
-    /** A run of a scenario through this program's own gateways. */
+    /** Creates a run of a scenario through the gateways of this program. */
     public ScenarioRunner(Scenario scenario) {
-        this(scenario, ScenarioRunner::openGateway);
+        this(scenario, ScenarioRunner::launchGateway);
     }
 
-    /** A run of a scenario through gateways of another kind. */
-    public ScenarioRunner(Scenario scenario, Opener opener) {
+    /** Creates a run of a scenario through the gateways that a launcher starts. */
+    public ScenarioRunner(Scenario scenario, GatewayLauncher launcher) {
         this.scenario = scenario;
-        this.opener = opener;
+        this.launcher = launcher;
     }
 
-    private static Opener.Opened openGateway(SiteConfig site, long seed) {
+    private static GatewayLauncher.RunningGateway launchGateway(SiteConfig site, long seed) {
         NbdGateway gateway = LocalCluster.await(new NbdGateway(site, seed).start());
-        return new Opener.Opened(
+        return new GatewayLauncher.RunningGateway(
                 gateway.address(),
                 () -> LocalCluster.await(gateway.kill()),
                 () -> LocalCluster.await(gateway.accountSnapshot()));
     }
 
-    /** Plays the scenario to its end. */
+    /** Runs the scenario to its end and returns the result. */
     public Result run() throws SiteConfigException {
         SiteConfig site = ScenarioGateways.site(scenario, 0, new InetSocketAddress("127.0.0.1", 1));
         List<NodeProfile> profiles = profiles(site);
@@ -102,32 +114,33 @@
                 LocalCluster cluster = LocalCluster.start(profiles, eventLog, CLUSTER_LOOPS)) {
             stalls.watch(cluster.loops());
             ScenarioGateways gateways =
-                    new ScenarioGateways(scenario, opener, eventLog, cluster.directory().address());
+                    new ScenarioGateways(
+                            scenario, launcher, eventLog, cluster.directory().address());
             gateways.openAll();
             for (Scenario.Load load : scenario.loads()) {
                 loads.add(
                         new LoadGenerator(
                                 load,
                                 site,
-                                volume(site, load),
+                                findVolume(site, load),
                                 gateways.targets(),
                                 eventLog,
                                 history,
                                 cluster.loops(),
                                 scenario.seed() * 31 + loads.size()));
             }
-            play(new FaultInjector(cluster, gateways, loads));
+            runScript(new FaultInjector(cluster, gateways, loads));
             accounts.addAll(gateways.closeAll());
             synchronized (eventLog) {
                 double stallMillis = stalls.worstStallMillis();
                 return result(new RuleChecker(eventLog, site, profiles, stallMillis), stallMillis);
             }
         } finally {
-            script.shutdownNow();
+            scriptExecutor.shutdownNow();
         }
     }
 
-    /** The accounts of the gateways that stood at the end, as they would go to disk. */
+    /** Returns the accounts of the gateways that ran at the end, in their stored form. */
     public List<GatewayAccounts> accounts() {
         return accounts;
     }
@@ -160,7 +173,7 @@
         return profiles;
     }
 
-    private static VolumeSettings volume(SiteConfig site, Scenario.Load load)
+    private static VolumeSettings findVolume(SiteConfig site, Scenario.Load load)
             throws SiteConfigException {
         return site.volumes().stream()
                 .filter(volume -> volume.name().equals(load.volume()))
@@ -170,36 +183,37 @@
                                 new SiteConfigException(
                                         "load "
                                                 + load.name()
-                                                + ": no volume is called "
+                                                + ": no volume is named "
                                                 + load.volume()));
     }
 
-    private void play(FaultInjector faults) {
+    private void runScript(FaultInjector faults) {
         long start = System.nanoTime();
         for (Scenario.Event event : scenario.events()) {
-            script.schedule(
+            scriptExecutor.schedule(
                     () -> faults.begin(event), (long) event.atMillis(), TimeUnit.MILLISECONDS);
             if (!Double.isNaN(event.untilMillis())) {
-                script.schedule(
+                scriptExecutor.schedule(
                         () -> faults.end(event), (long) event.untilMillis(), TimeUnit.MILLISECONDS);
             }
         }
         loads.forEach(load -> load.start(start));
-        CompletableFuture<Void> over = new CompletableFuture<>();
-        script.schedule(
-                () -> over.complete(null), (long) scenario.endMillis(), TimeUnit.MILLISECONDS);
-        over.join();
+        CompletableFuture<Void> ended = new CompletableFuture<>();
+        scriptExecutor.schedule(
+                () -> ended.complete(null), (long) scenario.endMillis(), TimeUnit.MILLISECONDS);
+        ended.join();
         loads.forEach(LoadGenerator::stop);
         awaitOpenRequests();
         loads.forEach(LoadGenerator::close);
     }
 
     private void awaitOpenRequests() {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_END_WAIT_MILLIS);
+        long deadlineNanos =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_OPEN_REQUEST_WAIT_MILLIS);
         while (loads.stream().anyMatch(load -> load.openRequests() > 0)
-                && System.nanoTime() < until) {
+                && System.nanoTime() < deadlineNanos) {
             try {
-                Thread.sleep(END_POLL_MILLIS);
+                Thread.sleep(OPEN_REQUEST_POLL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -213,26 +227,26 @@
                 new RuleVerdict(
                         "reads show the last acknowledged write",
                         history.breaches().isEmpty(),
-                        history.checkedBlocks() + " blocks read",
-                        "all of them",
+                        history.checkedBlocks() + " blocks checked",
+                        "every block",
                         history.breaches()));
         Map<String, Double> service = checker.service();
         return new Result(
                 scenario.name(),
                 verdicts,
                 service,
-                unmet(service),
+                unmetExpectations(service),
                 eventLog.requests.size(),
                 eventLog.received.size(),
                 stallMillis);
     }
 
-    private List<String> unmet(Map<String, Double> service) {
-        List<String> unmet = new ArrayList<>();
+    private List<String> unmetExpectations(Map<String, Double> service) {
+        List<String> descriptions = new ArrayList<>();
         for (Scenario.Expectation expected : scenario.expectations()) {
             double share = service.getOrDefault(expected.volume(), 0.0);
             if (!(share > expected.minService())) {
-                unmet.add(
+                descriptions.add(
                         "service of "
                                 + expected.volume()
                                 + " is "
@@ -242,23 +256,24 @@
                                 + " %");
             }
         }
-        return unmet;
+        return descriptions;
     }
 
-    /** The script of a scenario that comes with the program. */
+    /** Returns the script of a built-in scenario. */
     public static String builtIn(String name) throws ScenarioException {
         return readResource(name + ".day");
     }
 
-    /** A file from the program's scenarios. */
+    /** Returns the text of a file in the resource directory of the built-in scenarios. */
     static String readResource(String name) throws ScenarioException {
         try (InputStream from = ScenarioRunner.class.getResourceAsStream("/days/" + name)) {
             if (from == null) {
-                throw new ScenarioException(name + ": no such file comes with the program");
+                throw new ScenarioException(name + ": not found among the built-in scenarios");
             }
             return new String(from.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new ScenarioException(name + ": cannot be read: " + e.getMessage());
+            throw new ScenarioException(
+                    name + ": failed to read the built-in file: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/sagepulley/scenario/SlowStartRule.java
+++ b/src/main/java/sagepulley/scenario/SlowStartRule.java
@@ -10,7 +10,7 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     @Override
-    public RuleVerdict judge(Evidence evidence) {
+    public RuleVerdict evaluate(Evidence evidence) {
         double maxShare = 0;
         for (SocketEventLog.NodeStarted start : evidence.log.nodeStarts) {
             if (Double.isFinite(start.unitsPerSecond())) {
@@ -19,15 +19,19 @@
         }
         Findings findings = new Findings();
         for (SocketEventLog.NodeCollapsed collapse : evidence.log.collapses) {
-            findings.breach("node " + collapse.node() + " was pushed over");
+            findings.addBreach(
+                    "node " + collapse.node() + " collapsed under overload during its slow start");
         }
         return findings.verdict(
                 "4 no cold node pushed over",
-                "at most " + Findings.round(100 * maxShare) + " % of what it bears",
+                "at most " + Findings.format(100 * maxShare) + " % of the collapse threshold",
                 "100 %");
     }
 
-    /** The highest load of a node after a start, as a share of what it bears at that time. */
+    /**
+     * Returns the highest load of a node during a slow start, as a share of the load at which it
+     * collapses at that time.
+     */
     private static double maxLoadShare(Evidence evidence, SocketEventLog.NodeStarted start) {
         ServicePolicy policy = evidence.policy();
         NodeProfile node = evidence.profile(start.node());
@@ -46,14 +50,15 @@
             while (millisBetween(window.peek().at(), attempt.at()) > policy.overloadWindow()) {
                 units -= window.poll().send().units();
             }
-            double bearable = bearableUnits(policy, node, start.unitsPerSecond(), ageMillis);
-            max = Math.max(max, units / bearable);
+            double thresholdUnits =
+                    collapseThresholdUnits(policy, node, start.unitsPerSecond(), ageMillis);
+            max = Math.max(max, units / thresholdUnits);
         }
         return max;
     }
 
-    /** Units within the overload window that a node bears at an age. */
-    private static double bearableUnits(
+    /** Returns the units within the overload window above which a node of that age collapses. */
+    private static double collapseThresholdUnits(
             ServicePolicy policy, NodeProfile node, double unitsPerSecond, double ageMillis) {
         double capacityShare =
                 Math.min(
--- a/src/main/java/sagepulley/scheduler/EndpointLatencies.java
+++ b/src/main/java/sagepulley/scheduler/EndpointLatencies.java
@@ -5,32 +5,33 @@
 import sagepulley.model.Attempt;
 
 /**
- * How slow each endpoint is against the others: its latency ratio, and the ratio of its write to
- * its read service time against theirs. Both are 1 on average, and are taken anew at each refresh.
+ * Compares the service times of the endpoints. Maintains each endpoint's latency ratio and its
+ * ratio of write to read service time, both relative to the mean of all endpoints, and recomputes
+ * them at each refresh.
  */
 final class EndpointLatencies {
     private static final int READS = 0;
     private static final int WRITES = 1;
 
-    /** What stays of a service time at each refresh. */
+    /** The weight of the previous service time at each refresh. */
     private static final double SMOOTHING = 0.5;
 
     private EndpointLatencies() {}
 
-    /** Counts a served attempt. */
+    /** Records the duration and units of a served attempt. */
     static void onServed(Attempt attempt, EndpointState endpoint) {
         int direction = attempt.operation.trafficClass.writes() ? WRITES : READS;
         endpoint.responseMillis[direction] += attempt.duration;
         endpoint.servedUnits[direction] += attempt.operation.units;
     }
 
-    /** Takes the ratios of all endpoints anew from what was served since the last refresh. */
+    /** Recomputes the ratios of all endpoints from the attempts served since the last refresh. */
     static void refresh(List<EndpointState> endpoints) {
         for (EndpointState endpoint : endpoints) {
-            takeServiceTimes(endpoint);
+            updateServiceTimes(endpoint);
         }
         double meanServiceTime = mean(endpoints, endpoint -> endpoint.smoothedServiceTime);
-        double meanWriteToRead = mean(endpoints, EndpointLatencies::countedWriteToRead);
+        double meanWriteToRead = mean(endpoints, EndpointLatencies::writeToReadOrNaN);
         for (EndpointState endpoint : endpoints) {
             endpoint.latencyRatio =
                     Double.isNaN(endpoint.smoothedServiceTime) || !(meanServiceTime > 0)
@@ -43,15 +44,15 @@
         }
     }
 
-    /** The mean of the values that are not NaN; NaN if there is none. */
+    /** Returns the mean of the values that are not NaN, or NaN if there is none. */
     private static double mean(
             List<EndpointState> endpoints, ToDoubleFunction<EndpointState> value) {
         double sum = 0;
         int count = 0;
         for (EndpointState endpoint : endpoints) {
-            double each = value.applyAsDouble(endpoint);
-            if (!Double.isNaN(each)) {
-                sum += each;
+            double sample = value.applyAsDouble(endpoint);
+            if (!Double.isNaN(sample)) {
+                sum += sample;
                 count++;
             }
         }
@@ -67,13 +68,13 @@
         return endpoint.serviceTimes[WRITES] / endpoint.serviceTimes[READS];
     }
 
-    private static double countedWriteToRead(EndpointState endpoint) {
+    private static double writeToReadOrNaN(EndpointState endpoint) {
         return hasReadsAndWrites(endpoint) && endpoint.serviceTimes[READS] > 0
                 ? writeToRead(endpoint)
                 : Double.NaN;
     }
 
-    private static void takeServiceTimes(EndpointState endpoint) {
+    private static void updateServiceTimes(EndpointState endpoint) {
         double units = endpoint.servedUnits[READS] + endpoint.servedUnits[WRITES];
         if (units > 0) {
             double millis = endpoint.responseMillis[READS] + endpoint.responseMillis[WRITES];
@@ -89,7 +90,7 @@
         }
     }
 
-    private static double smooth(double old, double latest) {
-        return Double.isNaN(old) ? latest : SMOOTHING * old + (1 - SMOOTHING) * latest;
+    private static double smooth(double previous, double latest) {
+        return Double.isNaN(previous) ? latest : SMOOTHING * previous + (1 - SMOOTHING) * latest;
     }
 }
--- a/src/main/java/sagepulley/scheduler/Router.java
+++ b/src/main/java/sagepulley/scheduler/Router.java
@@ -6,9 +6,9 @@
 import sagepulley.model.Node;
 
 /**
- * Where a new object goes: to the eligible endpoint with the lowest placement score, a weighted sum
- * of its recent placements, its load, its write to read ratio and the deployment's preference. Each
- * term is 1 on average.
+ * Places new objects at the eligible endpoint with the lowest placement score: a weighted sum of
+ * its recent placements, its load, its write to read ratio and the deployment's preference. Each
+ * term is about 1 for an average idle endpoint.
  */
 final class Router {
     private static final double PLACEMENTS_WEIGHT = 1;
@@ -16,8 +16,8 @@
     private static final double WRITE_READ_WEIGHT = 0.2;
     private static final double PREFERENCE_WEIGHT = 0.2;
 
-    /** What each attempt in flight adds to an endpoint's load. */
-    private static final double IN_FLIGHT_FRACTION = 0.5;
+    /** The load of one attempt in flight, as a fraction of the latency ratio. */
+    private static final double LOAD_PER_ATTEMPT = 0.5;
 
     private final Deployment deployment;
 
@@ -25,17 +25,20 @@
         this.deployment = deployment;
     }
 
-    /** The eligible endpoint with the lowest score, the first of equals; null if there is none. */
+    /**
+     * Returns the eligible endpoint with the lowest score, the first of equals, or null if there is
+     * none.
+     */
     EndpointState lowestScore(
             List<EndpointState> endpoints, Predicate<EndpointState> isEligible, double now) {
         double placements = 0;
-        double weight = 0;
-        int ready = 0;
+        double totalWeight = 0;
+        int readyCount = 0;
         for (EndpointState endpoint : endpoints) {
             if (endpoint.node.phase == Node.Phase.READY) {
                 placements += endpoint.placements.sumOverestimate(now);
-                weight += endpoint.node.weight;
-                ready++;
+                totalWeight += endpoint.node.weight;
+                readyCount++;
             }
         }
         EndpointState best = null;
@@ -47,10 +50,10 @@
             double score =
                     PLACEMENTS_WEIGHT
                                     * (endpoint.placements.sumOverestimate(now) + 1)
-                                    / (placements / ready + 1)
-                            + LOAD_WEIGHT * load(endpoint)
+                                    / (placements / readyCount + 1)
+                            + LOAD_WEIGHT * currentLoad(endpoint)
                             + WRITE_READ_WEIGHT * endpoint.writeReadRatio
-                            + PREFERENCE_WEIGHT * preference(endpoint, weight, ready);
+                            + PREFERENCE_WEIGHT * preference(endpoint, totalWeight, readyCount);
             if (score < lowest) {
                 lowest = score;
                 best = endpoint;
@@ -60,18 +63,19 @@
     }
 
     /**
-     * A latency ratio as old as the last refresh sends all new objects one way until the next: what
-     * is in flight now, and the queue that the latest answers showed, count with it.
+     * Returns the load of an endpoint: its latency ratio, scaled by its attempts in flight, plus
+     * its queue estimate. The latency ratio changes only at a refresh and would, on its own, send
+     * all new objects to one endpoint until the next.
      */
-    private static double load(EndpointState endpoint) {
-        return endpoint.latencyRatio * (1 + IN_FLIGHT_FRACTION * endpoint.inFlight.size())
+    private static double currentLoad(EndpointState endpoint) {
+        return endpoint.latencyRatio * (1 + LOAD_PER_ATTEMPT * endpoint.inFlight.size())
                 + endpoint.queueEstimate;
     }
 
-    private double preference(EndpointState endpoint, double totalWeight, int ready) {
+    private double preference(EndpointState endpoint, double totalWeight, int readyCount) {
         double preference =
                 deployment.hasNodeWeights() && endpoint.node.weight > 0
-                        ? totalWeight / ready / endpoint.node.weight
+                        ? totalWeight / readyCount / endpoint.node.weight
                         : 1;
         if (deployment.crossZonePrice() > 0 && endpoint.node.zone != deployment.zone()) {
             preference += 1;
--- a/src/main/java/sagepulley/scheduler/Scheduler.java
+++ b/src/main/java/sagepulley/scheduler/Scheduler.java
@@ -18,19 +18,21 @@
 import sagepulley.model.ServicePolicy;
 
 /**
- * Decides for one gateway which operation goes to which endpoint, when, and which is given up. It
- * composes the concerns, each a class of this package with state of its own, and keeps the order in
- * which they are called; the order of random draws is part of its behaviour.
+ * Decides for one gateway which operation is sent to which endpoint and when, and which operations
+ * are rejected or abandoned. It composes the classes of this package and fixes the order of their
+ * calls, and with it the order of random draws.
  *
- * <p>Its caller keeps the operations and the timer, and calls from one thread:
+ * <p>The caller owns the operations and the timer, and makes all calls from one thread:
  *
  * <ul>
- *   <li>{@link #route}: where to send an operation, or not yet, or never; it has added the attempt
- *       that is to be sent
- *   <li>{@link #onAttemptEnded}: what to do for the operation of an attempt with an outcome
- *   <li>{@link #nextTurn}: how long to wait, and what is due now; asked again until no operation is
- *       due
- *   <li>the other methods tell it of events and have no answer
+ *   <li>{@link #route} decides whether an operation is sent now, waits, or is given up (rejected or
+ *       abandoned); if it is sent, the attempt has already been added to it
+ *   <li>{@link #onAttemptEnded} records the outcome of an attempt and returns what to do for its
+ *       operation
+ *   <li>{@link #nextTurn} returns what is due now and the delay until the next turn; the caller
+ *       routes the due operations and repeats the call until none of them stops waiting
+ *   <li>{@link #mayStart} returns whether an attempt that is not written yet may still start
+ *   <li>the other methods report events
  * </ul>
  *
  * <p>Times are milliseconds on the caller's monotonic clock.
@@ -48,7 +50,7 @@
     private final RetryBudget retryBudget;
     private final ClientRetryTracker clientRetries;
 
-    // The views of this package read these.
+    // Package-private for WaitExplainer and the views.
     final EndpointLease lease;
     final EndpointTable endpoints;
     final DispatchRules rules;
@@ -59,12 +61,12 @@
     final ConcurrencyLimiter concurrency;
     final AdmissionController admission;
 
-    /** Attempts in flight whose client has cancelled, until the next turn. */
-    private final List<Attempt> cancellations = new ArrayList<>();
+    /** Attempts whose client has cancelled; the next turn returns them. */
+    private final List<Attempt> pendingCancellations = new ArrayList<>();
 
     private double nextRefreshAt = Double.NEGATIVE_INFINITY;
 
-    /** A scheduler without endpoints; the seed makes its random draws repeatable. */
+    /** Creates a scheduler without endpoints; the seed makes its random draws repeatable. */
     public Scheduler(Deployment deployment, long seed) {
         ServicePolicy policy = deployment.policy();
         this.deployment = deployment;
@@ -99,97 +101,100 @@
         this.clientRetries = new ClientRetryTracker(deployment.trafficClasses().size());
     }
 
-    /** Takes over the endpoint list; an endpoint that is gone from it has the phase REMOVED. */
+    /** Applies a new endpoint list; endpoints that are no longer listed have the phase REMOVED. */
     public void onEndpointList(List<Node> nodes, double now) {
-        boolean first = !endpoints.hasList();
+        boolean isFirstList = !endpoints.hasList();
         endpoints.update(nodes, now);
         queues.markChanged();
-        if (first) {
+        if (isFirstList) {
             slowStart.onGatewayStarted(now);
             discovery.started(now);
         } else if (!lease.isBounded()) {
-            // With a bounded lease onListConfirmed says so: a list may also come from an address
-            // that discovery has left, which answers no poll.
+            // With a bounded lease only onListConfirmed counts as a successful poll: a list may
+            // also come from a former discovery address, which does not respond to polls of the
+            // current one.
             discovery.pollSucceeded();
         }
         queues.onEndpointList();
     }
 
-    /** The endpoint list is known to have been current at a time. */
+    /** Records that the endpoint list is known to have been current at a time. */
     public void onListConfirmed(double asOf) {
         lease.confirmed(asOf);
         queues.markChanged();
         discovery.pollSucceeded();
     }
 
-    /** Nobody could reach discovery at a time. */
+    /** Records that discovery refused connections at a time, so that no gateway could reach it. */
     public void onDiscoveryUnreachable(double at) {
         lease.unreachable(at);
     }
 
-    /** A poll of the endpoint list failed, or its watch ended. */
+    /** Records that a poll of the endpoint list failed or its watch ended. */
     public void onPollFailed(double now) {
         discovery.pollFailed(now);
     }
 
-    /** A new configuration, which may move discovery, was notified at a time. */
+    /**
+     * Records that a new configuration, which may change the discovery address, was notified at a
+     * time.
+     */
     public void onReloadNotified(double at) {
         lease.reloadNotified(at);
     }
 
-    /** A configuration whose reading began at a time is known, or known to be of no use. */
+    /**
+     * Records that a configuration whose reading began at a time is known, or known to be unusable.
+     */
     public void onConfigurationRead(double readAt) {
         lease.reloadCompleted(readAt);
     }
 
-    /** Discovery is at another address from now on, and was not polled there yet. */
+    /** Records that discovery has a new address, which has not been polled yet. */
     public void onDiscoveryMoved(double now) {
         discovery.addressChanged(now);
     }
 
-    /** A health check ended; none is asked for yet, so nothing is learned. */
+    /** Ignores the outcome of a health check, as the scheduler requests none. */
     public void onHealthCheck(
-            Node node, Outcome outcome, double took, double[] report, double now) {}
+            Node node, Outcome outcome, double durationMillis, double[] report, double now) {}
 
     /**
-     * The client has cancelled an operation: what is in flight for it is cancelled at the next
-     * turn.
+     * Removes an operation that its client has cancelled. Its attempts in flight are cancelled at
+     * the next turn if the deployment allows cancellation.
      */
     public void onClientCancelled(Operation operation, double now) {
-        remove(operation);
+        removeFromQueues(operation);
         clientRetries.onUnserved(operation);
         latencies.onCancelled(operation, now);
         for (Attempt attempt : operation.attempts) {
             if (attempt.outcome == null && deployment.mayCancel()) {
-                cancellations.add(attempt);
+                pendingCancellations.add(attempt);
             }
         }
     }
 
-    /**
-     * The cell of an operation's extent became known (-1: it is a new object) while it waits or is
-     * in flight.
-     */
+    /** Sets the cell of an operation that waits or is in flight; -1 stands for a new object. */
     public void onExtentLocated(Operation operation, int cell) {
         queues.relocate(operation, cell);
     }
 
-    /** The operation has ended without an endpoint, as there is nothing to read or to do. */
+    /** Removes an operation that has ended without needing an endpoint. */
     public void onEndedWithoutNode(Operation operation) {
-        remove(operation);
+        removeFromQueues(operation);
     }
 
-    /** Where to send this operation, or not yet, or never. */
+    /** Decides whether an operation is sent now, waits, or is given up. */
     public RoutingDecision route(Operation operation, double now) {
-        QueuedRequest request = request(operation, now);
+        QueuedRequest request = requestFor(operation, now);
         if (operation.ended) {
-            remove(operation);
-            return RoutingDecision.NOT_YET;
+            removeFromQueues(operation);
+            return RoutingDecision.WAITING;
         }
         if (!request.queued) {
             queues.enqueue(operation);
             if (operation.attempts.isEmpty()) {
-                countArrival(request, now);
+                recordArrival(request, now);
             }
         }
         boolean mayAttempt = operation.attempts.isEmpty() || mayRetry(operation, now);
@@ -199,35 +204,35 @@
         }
         if (!mayAttempt
                 || rules.isPastDeadline(operation, now)
-                || latencies.lateAt(operation) <= now) {
+                || latencies.latestStartAt(operation) <= now) {
             return giveUp(operation, now);
         }
-        return RoutingDecision.NOT_YET;
+        return RoutingDecision.WAITING;
     }
 
-    private void countArrival(QueuedRequest request, double now) {
+    private void recordArrival(QueuedRequest request, double now) {
         admission.onArrival(request.endpoint, now);
         if (request.endpoint != null) {
             quota.onDemand(request.operation, request.endpoint, now);
         }
     }
 
-    /** Learns from the outcome of an attempt, and says what to do for its operation. */
+    /** Records the outcome of an attempt and returns what to do for its operation. */
     public FollowUp onAttemptEnded(Attempt attempt, double now) {
         Operation operation = attempt.operation;
         EndpointState endpoint = EndpointState.of(attempt.node);
         endpoint.inFlight.remove(attempt);
         queues.markChanged();
-        learn(attempt, endpoint, now);
+        recordOutcome(attempt, endpoint, now);
         keyOrdering.onAttemptEnded(attempt, now);
         if (operation.ended) {
-            remove(operation);
+            removeFromQueues(operation);
             return FollowUp.NONE;
         }
         return operation.isInFlight() ? FollowUp.NONE : FollowUp.ROUTE_AGAIN;
     }
 
-    /** How long to wait before asking again, and what is due now. */
+    /** Returns what is due now and the delay until the next turn. */
     public SchedulerTurn nextTurn(double now) {
         wakeUp.reset();
         queues.markChanged();
@@ -238,24 +243,24 @@
                         ? SchedulerTurn.EndpointPoll.SUBSCRIBE
                         : SchedulerTurn.EndpointPoll.NONE;
         wakeUp.noLaterThan(discovery.nextAt());
-        List<Attempt> cancelled = List.copyOf(cancellations);
-        cancellations.clear();
+        List<Attempt> cancelled = List.copyOf(pendingCancellations);
+        pendingCancellations.clear();
         return new SchedulerTurn(wakeUp.delay(now), due, List.of(), cancelled, poll);
     }
 
-    /** Whether an attempt that was not written yet may begin at its endpoint now. */
+    /** Returns whether an attempt that is not written yet may start at its endpoint now. */
     public boolean mayStart(Attempt attempt, double now) {
         return rules.mayStart(attempt, now);
     }
 
     private RoutingDecision send(Operation operation, EndpointState endpoint, double now) {
-        boolean first = operation.attempts.isEmpty();
+        boolean isFirstAttempt = operation.attempts.isEmpty();
         queues.dequeue(operation);
         Attempt attempt = new Attempt(operation, endpoint.node, operation.attempts.size(), now);
         operation.attempts.add(attempt);
         endpoint.onSent(attempt, now);
         attempt.quotaTier = quota.tier(operation, endpoint, now);
-        if (first) {
+        if (isFirstAttempt) {
             if (operation.shard < 0) {
                 quota.onDemand(operation, endpoint, now);
             }
@@ -269,9 +274,9 @@
 
     private RoutingDecision giveUp(Operation operation, double now) {
         if (operation.isInFlight()) {
-            return RoutingDecision.NOT_YET;
+            return RoutingDecision.WAITING;
         }
-        remove(operation);
+        removeFromQueues(operation);
         clientRetries.onUnserved(operation);
         operation.ended = true;
         latencies.onGivenUp(operation.trafficClass);
@@ -291,30 +296,37 @@
         if (rules.isPastDeadline(operation, now)) {
             return Reason.DEADLINE;
         }
-        return latencies.lateAt(operation) <= now ? Reason.OBJECTIVE_MISSED : Reason.NO_RETRY;
+        return latencies.latestStartAt(operation) <= now
+                ? Reason.OBJECTIVE_MISSED
+                : Reason.NO_RETRY;
     }
 
-    /** Whether a retry is wanted at all; whether the rules allow it is asked for each endpoint. */
+    /**
+     * Returns whether the operation may be retried at all; {@link DispatchRules} then checks the
+     * endpoint.
+     */
     private boolean mayRetry(Operation operation, double now) {
         return rules.retryPolicy().hasAttemptsLeft(operation)
                 && !isOverloaded(QueuedRequest.of(operation).endpoint, now)
                 && !operation.isInFlight()
-                && latencies.lateAt(operation) > now;
+                && latencies.latestStartAt(operation) > now;
     }
 
     /**
-     * Whether more waits for an endpoint than it can have in flight, or too much was rejected. An
-     * overload of one endpoint forbids no retry at another.
+     * Returns whether more operations wait for an endpoint than its concurrency limit, or too many
+     * of its arrivals were rejected. With a null endpoint, all waiting operations are compared with
+     * the number of endpoints. Overload is judged per endpoint, so that it does not prevent retries
+     * elsewhere.
      */
     private boolean isOverloaded(EndpointState endpoint, double now) {
-        boolean queueIsLong =
+        boolean queueExceedsLimit =
                 endpoint == null
                         ? queues.size() > endpoints.size()
                         : endpoint.waitQueue.size() > (int) endpoint.concurrencyLimit;
-        return queueIsLong || admission.rejectsTooMuch(endpoint, now);
+        return queueExceedsLimit || admission.exceedsRejectionRatio(endpoint, now);
     }
 
-    /** Lets the statistics of all concerns fade and be taken anew, once a period. */
+    /** Refreshes the latency, admission and endpoint statistics once per refresh period. */
     private void refresh(double now) {
         if (now < nextRefreshAt) {
             return;
@@ -329,7 +341,7 @@
         EndpointLatencies.refresh(endpoints.all());
     }
 
-    private void learn(Attempt attempt, EndpointState endpoint, double now) {
+    private void recordOutcome(Attempt attempt, EndpointState endpoint, double now) {
         Operation operation = attempt.operation;
         if (attempt.otherGatewaysUnits > 0) {
             quota.onOtherGatewaysUsage(operation.volume, endpoint, attempt.otherGatewaysUnits, now);
@@ -350,26 +362,29 @@
         latencies.onServed(attempt);
         slowStart.onServed(operation.units);
         EndpointLatencies.onServed(attempt, endpoint);
-        double queued = latencies.queuedTime(attempt);
-        admission.onServed(attempt, endpoint, queued, now);
-        concurrency.onServed(attempt, endpoint, queued, now);
+        double queueingDelay = latencies.queueingDelay(attempt);
+        admission.onServed(attempt, endpoint, queueingDelay, now);
+        concurrency.onServed(attempt, endpoint, queueingDelay, now);
     }
 
-    /** The state of an operation, which has just arrived if it has none. */
-    private QueuedRequest request(Operation operation, double now) {
+    /** Returns the state of an operation, which counts as an arrival on the first call. */
+    private QueuedRequest requestFor(Operation operation, double now) {
         if (operation.schedulerState != null) {
             return QueuedRequest.of(operation);
         }
         QueuedRequest request = new QueuedRequest(operation, random.nextDouble());
         operation.schedulerState = request;
         retryBudget.onArrival(now);
-        request.objectiveAt = clientRetries.objectiveAt(operation, now);
+        request.objectiveEndsAt = clientRetries.objectiveEndsAt(operation, now);
         keyOrdering.onArrival(request);
         return request;
     }
 
-    /** Takes an operation that has ended out of its queue, and out of its key's once it may. */
-    private void remove(Operation operation) {
+    /**
+     * Removes an operation from its wait queue, and from its key's queue unless an attempt is in
+     * flight.
+     */
+    private void removeFromQueues(Operation operation) {
         queues.dequeue(operation);
         keyOrdering.onOperationEnded(operation);
     }
--- a/src/main/java/sagepulley/scheduler/WaitExplainer.java
+++ b/src/main/java/sagepulley/scheduler/WaitExplainer.java
@@ -4,12 +4,12 @@
 import sagepulley.model.Operation;
 import sagepulley.model.Reason;
 
-/** Why an operation waits, for accounts and tracing; nothing is decided by it. */
+/** Determines why an operation waits, for accounts and tracing; no decision depends on it. */
 public final class WaitExplainer {
     private WaitExplainer() {}
 
-    /** The first of the scheduler's concerns that holds the operation back now. */
-    public static Reason why(Scheduler scheduler, Operation operation, double now) {
+    /** Returns the first reason that applies to an operation that waits now. */
+    public static Reason reasonFor(Scheduler scheduler, Operation operation, double now) {
         if (!scheduler.lease.holds(now)) {
             return Reason.NO_LEASE;
         }
@@ -32,6 +32,7 @@
         if (operation.attempts.isEmpty() && !scheduler.rules.fitsLimit(operation, now)) {
             return Reason.LIMIT;
         }
+        // Besides the end and the deadline of the operation, only rules on retries are left.
         if (!scheduler.rules.isAllowed(operation, endpoint, now)) {
             return Reason.RETRY_BUDGET;
         }
@@ -41,6 +42,6 @@
         if (scheduler.concurrency.hasCapacity(endpoint, now)) {
             return Reason.LOWER_PRIORITY;
         }
-        return scheduler.quota.tier(operation, endpoint, now).full();
+        return scheduler.quota.tier(operation, endpoint, now).fullReason();
     }
 }
--- a/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointConnection.java
@@ -27,62 +27,62 @@
 import sagepulley.upstream.resp.EndpointConnectionPool.ResultListener;
 
 /**
- * One connection to an endpoint, with at most one request under way. Each request ends in exactly
- * one outcome. Runs on the event loop; times are milliseconds.
+ * A connection to an endpoint with at most one request in flight. Each request ends in exactly one
+ * outcome. Runs on the event loop; times are in milliseconds.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
     private static final int MAX_LINE_BYTES = 512;
-    private static final int REPLY_ITEMS = 3;
+    private static final int REPLY_ITEM_COUNT = 3;
     private static final int MAX_OTHER_ITEMS_BYTES = 2048;
     private static final RespLimits LIMITS =
             RespLimits.replies(
                     MAX_LINE_BYTES,
                     RespLimits.MAX_VALUE_BYTES,
                     RespLimits.MAX_VALUE_BYTES + MAX_OTHER_ITEMS_BYTES,
-                    REPLY_ITEMS);
+                    REPLY_ITEM_COUNT);
 
-    /** A timeout on the wire is in whole milliseconds: with less left, nothing is sent. */
+    /** Timeouts on the wire are whole milliseconds, so nothing is sent with less time remaining. */
     private static final double MIN_TIMEOUT_MILLIS = 1;
 
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** What a connection tells its pool. */
+    /** Receives the events of a connection. */
     interface PoolListener {
-        /** The connection has no request under way and may take the next one. */
+        /** Called when the connection has no request in flight and can take the next one. */
         void onIdle(EndpointConnection connection);
 
-        /** The connection is closed; the reason is for the log. */
+        /** Called when the connection is closed; the reason is for the log. */
         void onClosed(EndpointConnection connection, String reason);
 
-        /** A reply could not be used. */
-        void onInvalidReply(String what);
+        /** Called for a reply that cannot be used; the reason describes its defect. */
+        void onInvalidReply(String reason);
     }
 
     /**
-     * What all connections of a pool share.
+     * Resources shared by all connections of a pool.
      *
-     * @param stallTimeoutMillis a reply that has begun and pauses for this long is invalid
-     * @param receiveTime tells when bytes came to this machine
-     * @param probe takes the byte by which the state of an idle connection is read
+     * @param stallTimeoutMillis maximum pause within a reply before it counts as invalid
+     * @param receiveTime determines when bytes arrived at this host
+     * @param staleCheckBuffer receives the byte read to check an idle connection
      */
-    record Shared(
+    record SharedResources(
             Transport transport,
             EventLoop loop,
             double connectTimeoutMillis,
             double stallTimeoutMillis,
             DoubleSupplier clock,
             KernelReceiveTime receiveTime,
-            ByteBuffer probe) {}
+            ByteBuffer staleCheckBuffer) {}
 
     private final SocketAddress address;
-    private final Shared shared;
+    private final SharedResources shared;
     private final PoolListener pool;
     private final RespDecoder decoder = new RespDecoder(LIMITS);
     private Channel channel;
     private CommandSource command;
     private double deadline;
 
-    /** Who waits for the request under way; null while there is none. */
+    /** Listener of the request in flight; null if there is none. */
     private ResultListener listener;
 
     private ScheduledFuture<?> timeoutTask;
@@ -93,7 +93,7 @@
     private double idleSince = Double.NaN;
     private double startedAt;
 
-    EndpointConnection(SocketAddress address, Shared shared, PoolListener pool) {
+    EndpointConnection(SocketAddress address, SharedResources shared, PoolListener pool) {
         this.address = address;
         this.shared = shared;
         this.pool = pool;
@@ -103,19 +103,19 @@
         return address;
     }
 
-    /** When the last reply was read; NaN while a request is under way. */
+    /** Returns the time at which the last reply was read; NaN while a request is in flight. */
     double idleSince() {
         return idleSince;
     }
 
-    /** Whether all of the request's command has been given to the system. */
+    /** Returns whether the request's command has been written in full. */
     boolean isCommandWritten() {
         return commandWritten;
     }
 
     // ---- requests ----
 
-    /** Begins a request, which ends after the timeout at the latest. Connects if need be. */
+    /** Starts a request that ends no later than the timeout, and connects first if necessary. */
     void start(CommandSource commandToSend, double timeoutMillis, ResultListener resultListener) {
         command = commandToSend;
         startedAt = now();
@@ -141,8 +141,10 @@
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
-                                    protected void initChannel(Channel fresh) {
-                                        fresh.pipeline().addLast(decoder, EndpointConnection.this);
+                                    protected void initChannel(Channel newChannel) {
+                                        newChannel
+                                                .pipeline()
+                                                .addLast(decoder, EndpointConnection.this);
                                     }
                                 })
                         .connect(address);
@@ -150,7 +152,7 @@
         Transport.onConnectFailure(connecting, shared.loop(), cause -> end(Outcome.NO_CONNECTION));
     }
 
-    /** The endpoint learns the time that is left now, however long connecting took. */
+    /** Writes the command with the time that remains until the deadline after connecting. */
     private void write() {
         double remainingMillis = deadline - now();
         if (remainingMillis < MIN_TIMEOUT_MILLIS) {
@@ -171,19 +173,19 @@
                         });
     }
 
-    /** Ends the connection, and the request under way, if any, without a reply. */
+    /** Closes the connection and ends its request, if any, without a reply. */
     void end(Outcome outcome) {
-        ResultListener finished = takeListener();
+        ResultListener endedRequest = clearRequest();
         close(outcome.name());
-        if (finished != null) {
+        if (endedRequest != null) {
             double endedAt = now();
-            // A task later: the listener is never called from within the call that ends it.
-            shared.loop().execute(() -> finished.onResult(outcome, null, endedAt));
+            // Runs as a separate task, so that no listener is called from within start or cancel.
+            shared.loop().execute(() -> endedRequest.onResult(outcome, null, endedAt));
         }
     }
 
-    private ResultListener takeListener() {
-        ResultListener finished = listener;
+    private ResultListener clearRequest() {
+        ResultListener endedRequest = listener;
         listener = null;
         command = null;
         if (timeoutTask != null) {
@@ -194,10 +196,10 @@
             stallTask.cancel(false);
             stallTask = null;
         }
-        return finished;
+        return endedRequest;
     }
 
-    /** Closes the connection, which has no request under way; the reason is for the log. */
+    /** Closes the connection, which has no request in flight; the reason is for the log. */
     void close(String reason) {
         if (closed) {
             return;
@@ -210,16 +212,16 @@
     }
 
     /**
-     * Whether the kernel holds something that has not been read here: the peer's end, or bytes that
-     * belong to no request.
+     * Returns whether the idle connection has unread input: a FIN, a reset, or bytes that belong to
+     * no request. Always false on transports other than native sockets.
      */
     boolean isStale() {
         if (!(channel instanceof UnixChannel socket)) {
             return false;
         }
         try {
-            return socket.fd().read(shared.probe(), 0, 1) != 0;
-        } catch (IOException reset) {
+            return socket.fd().read(shared.staleCheckBuffer(), 0, 1) != 0;
+        } catch (IOException failed) {
             return true;
         }
     }
@@ -237,29 +239,29 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (listener == null) {
-            // Nothing that follows a reply may meet the next request.
+            // Bytes after a reply must not be taken for the reply to the next request.
             close("unexpected bytes");
             return;
         }
         Resp reply = (Resp) message;
         Outcome outcome = outcomeOf(reply);
-        ResultListener finished = takeListener();
-        // Offered to the pool once all that came with the reply has been read.
+        ResultListener endedRequest = clearRequest();
+        // channelReadComplete returns the connection to the pool once all input has been read.
         idleSince = now();
         double sinceReceived =
                 shared.receiveTime().millisSinceReceived(channel, idleSince - startedAt);
-        finished.onResult(outcome, reply, idleSince - sinceReceived);
+        endedRequest.onResult(outcome, reply, idleSince - sinceReceived);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (listener != null && !closed && decoder.isMidValue()) {
+        if (listener != null && !closed && decoder.hasPartialValue()) {
             restartStallTimeout();
         }
         if (listener != null || closed || Double.isNaN(idleSince)) {
             return;
         }
-        if (decoder.isMidValue()) {
+        if (decoder.hasPartialValue()) {
             close("bytes after a reply");
         } else {
             pool.onIdle(this);
@@ -281,7 +283,10 @@
         }
     }
 
-    /** A command that was not written in full has not been executed. */
+    /**
+     * Ends the request when the connection is lost. A command that was not written in full has not
+     * been executed.
+     */
     private void onConnectionLost() {
         end(commandWritten ? Outcome.RESET : Outcome.NO_CONNECTION);
     }
@@ -289,7 +294,7 @@
     private Outcome outcomeOf(Resp reply) {
         if (reply instanceof Resp.Array array
                 && array.items() != null
-                && array.items().size() == REPLY_ITEMS
+                && array.items().size() == REPLY_ITEM_COUNT
                 && array.items().get(0) instanceof Resp.Bulk value
                 && !value.isNull()) {
             return Outcome.SERVED;
@@ -303,7 +308,10 @@
 
     // ---- timeouts ----
 
-    /** A reply that pauses inside does not go on as a rule; one that trickles does. */
+    /**
+     * Restarts the stall timeout at each read of an incomplete reply. A slow reply may still
+     * complete; one that pauses for longer than the timeout usually does not.
+     */
     private void restartStallTimeout() {
         if (stallTask != null) {
             stallTask.cancel(false);
@@ -316,9 +324,12 @@
         end(Outcome.FAILED);
     }
 
-    /** An endpoint that has begun its reply is not unresponsive. */
+    /**
+     * Ends the request at its timeout. An endpoint that has started its reply counts as failed, not
+     * as unresponsive.
+     */
     private void onTimeout() {
-        if (decoder.isMidValue()) {
+        if (decoder.hasPartialValue()) {
             onStalled();
         } else {
             end(commandWritten ? Outcome.TIMED_OUT : Outcome.NO_CONNECTION);
--- a/src/main/java/sagepulley/upstream/resp/EndpointResponse.java
+++ b/src/main/java/sagepulley/upstream/resp/EndpointReply.java
@@ -5,21 +5,23 @@
 import sagepulley.codec.resp.Resp;
 import sagepulley.model.Attempt;
 
-/** What an endpoint's reply holds: a value, usage figures, and a report of its load. */
-public final class EndpointResponse {
+/** Extracts the value, the usage fields and the load report from an endpoint's reply. */
+public final class EndpointReply {
     private static final int VALUE_ITEM = 0;
     private static final int USAGE_ITEM = 1;
     private static final int REPORT_ITEM = 2;
-    private static final double MAX_FIGURE = 1e9;
+    private static final double MAX_FIELD_VALUE = 1e9;
 
-    private EndpointResponse() {}
+    private EndpointReply() {}
 
-    /** The value of a reply whose outcome is SERVED. */
+    /** Returns the value of a reply whose outcome is SERVED. */
     public static byte[] value(Resp reply) {
         return ((Resp.Bulk) ((Resp.Array) reply).items().get(VALUE_ITEM)).bytes();
     }
 
-    /** Records a reply's usage figures and load report; what cannot be read is left out. */
+    /**
+     * Records the usage fields and the load report of a reply in its attempt; ignores invalid ones.
+     */
     public static void recordIn(Attempt attempt, Resp reply, List<String> reportFields) {
         if (reply instanceof Resp.Array array
                 && array.items() != null
@@ -36,17 +38,20 @@
     }
 
     private static void recordUsage(Attempt attempt, String text) {
-        double used = parseFigure(text, "used");
+        double used = parseField(text, "used");
         if (used >= 0) {
             attempt.planUsagePercent = used;
         }
-        double cost = parseFigure(text, "cost");
+        double cost = parseField(text, "cost");
         if (cost >= 0) {
             attempt.otherGatewaysUnits = cost;
         }
     }
 
-    /** A load report in the order of its fields; null if one is missing. */
+    /**
+     * Parses a load report in the order of the fields; returns null if one is missing or invalid,
+     * or if there are no fields.
+     */
     public static double[] parseReport(Resp item, List<String> fields) {
         return parseReport(text(item), fields);
     }
@@ -57,7 +62,7 @@
         }
         double[] values = new double[fields.size()];
         for (int i = 0; i < values.length; i++) {
-            values[i] = parseFigure(text, fields.get(i));
+            values[i] = parseField(text, fields.get(i));
             if (!(values[i] >= 0)) {
                 return null;
             }
@@ -69,12 +74,12 @@
         return item instanceof Resp.Bulk bulk && !bulk.isNull() ? bulk.text() : "";
     }
 
-    /** The figure of this name in a list of names and values; NaN if there is none. */
-    private static double parseFigure(String text, String name) {
-        for (String part : text.split(",")) {
-            if (part.startsWith(name + "=")) {
-                double figure = NumberParser.parseDecimal(part.substring(name.length() + 1));
-                return figure <= MAX_FIGURE ? figure : Double.NaN;
+    /** Returns the named field of a list of name=value pairs; NaN if it is missing or invalid. */
+    private static double parseField(String text, String name) {
+        for (String field : text.split(",")) {
+            if (field.startsWith(name + "=")) {
+                double value = NumberParser.parseDecimal(field.substring(name.length() + 1));
+                return value <= MAX_FIELD_VALUE ? value : Double.NaN;
             }
         }
         return Double.NaN;
--- a/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
+++ b/src/test/java/sagepulley/config/resp/GatewayConfigTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import sagepulley.lifecycle.WarmUpConfig;
 
-/** The configuration file of a gateway, and what is reported of an invalid one. */
+/** Tests reading of the configuration file and the messages of its errors. */
 class GatewayConfigTest {
     @TempDir private Path folder;
 
     @Test
-    void nestedSettingsAreReadAsTheFirstMessageIs() throws Exception {
+    void nestedSettingsAreFlattenedToPaths() throws Exception {
         GatewayConfig config = GatewayConfig.read(write(WarmUpConfig.text()));
         assertEquals("put", config.deployment().trafficClasses().get(1).name());
         assertTrue(config.deployment().trafficClasses().get(1).writes());
@@ -43,14 +43,15 @@
                 "{\"name\" | [{\"name\" | not a JSON object",
                 "\"discovery\": \"127.0.0.1:1\", | '' | discovery is missing"
             })
-    void invalidFileIsReportedInOneLine(String good, String bad, String what) throws Exception {
+    void invalidFileIsReportedInOneLine(String validPart, String replacement, String expected)
+            throws Exception {
         String text = WarmUpConfig.text();
-        assertTrue(text.contains(good));
+        assertTrue(text.contains(validPart));
         ConfigException error =
                 assertThrows(
                         ConfigException.class,
-                        () -> GatewayConfig.read(write(text.replace(good, bad))));
-        assertTrue(error.getMessage().contains(what), error.getMessage());
+                        () -> GatewayConfig.read(write(text.replace(validPart, replacement))));
+        assertTrue(error.getMessage().contains(expected), error.getMessage());
         assertTrue(error.getMessage().contains("config.json"), error.getMessage());
         assertEquals(1, error.getMessage().lines().count());
     }
--- a/src/test/java/sagepulley/config/resp/SettingNamesTest.java
+++ b/src/test/java/sagepulley/config/resp/SettingNamesTest.java
@@ -26,14 +26,14 @@
 import sagepulley.model.TrafficClass;
 
 /**
- * Keys of settings: each key of the committed files has a value that is not its default, and what
- * is read from them is compared as a whole.
+ * Keys of settings are part of the file formats: each key in the committed files has a value other
+ * than its default, and the result is compared as a whole.
  */
 class SettingNamesTest {
     private static final Path FOLDER = Path.of("src/test/resources/external");
     @TempDir private Path folder;
 
-    /** What first-message.txt and config.json both contain. */
+    /** The deployment that first-message.txt and config.json both describe. */
     private static Deployment expectedDeployment() {
         return new Deployment(
                 2,
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void pathsOfTheFirstMessage() throws IOException {
+    void settingsTextIsReadIntoDeployment() throws IOException {
         String text = Files.readString(FOLDER.resolve("first-message.txt"));
         assertEquals(expectedDeployment(), SettingsReader.ofLines(text).deployment());
     }
@@ -151,7 +151,7 @@
                                 member("two", Node.Phase.DRAINING, 82),
                                 member("three", Node.Phase.REMOVED, 83)),
                         List.of()),
-                expectedDeployment().onWatch(6_000),
+                expectedDeployment().withWatch(6_000),
                 List.of("here", "there"),
                 List.of("plain", "fast"),
                 91,
@@ -172,14 +172,14 @@
     }
 
     @Test
-    void keysOfTheConfiguration() throws Exception {
+    void configurationFileKeysAreRead() throws Exception {
         Map<String, String> environment =
                 Map.of("GW_CONFIG", FOLDER.resolve("config.json").toString());
         assertEquals(config("gw-1", "127.0.0.1:101", 102), GatewayConfig.read(environment));
     }
 
     @Test
-    void variablesOfTheEnvironment() throws Exception {
+    void environmentReplacesMissingKeys() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(
                 file,
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void keysOfTheSiteFile() throws Exception {
+    void siteFileKeysAreRead() throws Exception {
         Deployment deployment =
                 new Deployment(
                         2,
--- a/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
+++ b/src/test/java/sagepulley/discovery/http/DiscoveryClientTest.java
@@ -29,11 +29,14 @@
 import sagepulley.testing.ScriptedPeers;
 import sagepulley.transport.Transport;
 
-/** Requests to discovery: what is reported, and that each failure is reported once. */
+/**
+ * Tests what the client reports for each response of discovery, and that it reports each failure
+ * once.
+ */
 @Timeout(60)
 class DiscoveryClientTest {
     private static final String CHANGE = "{\"revision\":%d,\"complete\":false,\"members\":[%s]}";
-    private static final long NEVER = 600_000;
+    private static final long LONG_MILLIS = 600_000;
     private final List<EndpointListUpdate> updates = new CopyOnWriteArrayList<>();
     private final List<String> failures = new CopyOnWriteArrayList<>();
     private final List<Double> confirmations = new CopyOnWriteArrayList<>();
@@ -41,17 +44,20 @@
     private final Clock clock = new Clock();
     private EventLoop loop;
 
-    /** Where the client connects; the peers' gateway has a discovery of its own. */
+    /**
+     * Address that the tested client connects to; the gateway of the peers uses another discovery.
+     */
     private SocketAddress discovery;
 
     private DiscoveryClient openClient(ScriptedPeers peers) throws Exception {
-        return openClient(peers, NEVER, NEVER);
+        return openClient(peers, LONG_MILLIS, LONG_MILLIS);
     }
 
-    private DiscoveryClient openClient(ScriptedPeers peers, long answerMs, long silenceMs)
+    private DiscoveryClient openClient(
+            ScriptedPeers peers, long firstListTimeoutMillis, long idleTimeoutMillis)
             throws Exception {
         Transport transport = Transport.sockets();
-        discovery = peers.discovery();
+        discovery = peers.startDiscovery();
         DiscoveryClient client =
                 new DiscoveryClient(
                         transport,
@@ -59,8 +65,8 @@
                         41,
                         new DiscoveryClient.Listener() {
                             @Override
-                            public void onEndpointList(EndpointListUpdate listing) {
-                                updates.add(listing);
+                            public void onEndpointList(EndpointListUpdate update) {
+                                updates.add(update);
                             }
 
                             @Override
@@ -74,12 +80,12 @@
                             }
 
                             @Override
-                            public void onPollFailed(String why) {
-                                failures.add(why);
+                            public void onPollFailed(String reason) {
+                                failures.add(reason);
                             }
                         },
                         clock::now,
-                        new DiscoveryTimeouts(answerMs, silenceMs));
+                        new DiscoveryTimeouts(firstListTimeoutMillis, idleTimeoutMillis));
         loop = transport.eventLoops().next();
         loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
         return client;
@@ -89,7 +95,7 @@
     void watchReportsEachChangeAndSkipsHeartbeatsAndUnreadableEntries() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             await().until(() -> peers.watches.size() == 1);
             openClient(peers);
             await().until(() -> updates.size() == 1);
@@ -124,11 +130,11 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"broken\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n0\r\n\r\n"
             })
-    void failureIsReportedOnce(String answer) throws Exception {
+    void failureIsReportedOnce(String response) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
-            peers.endpointList = answer;
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            peers.endpointList = response;
             openClient(peers);
             await().until(() -> !failures.isEmpty());
             peers.gateway.stopNow();
@@ -139,28 +145,28 @@
     }
 
     @Test
-    void silentDiscoveryIsOverdue() throws Exception {
+    void requestWithoutResponseIsReportedOverdue() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList = null;
-            openClient(peers, 100, NEVER);
+            openClient(peers, 100, LONG_MILLIS);
             await().atMost(20, TimeUnit.SECONDS).until(() -> failures.size() == 1);
         }
     }
 
     @Test
-    void newAddressIsRequestedAndTheFormerWatchsEndIsNoFailure() throws Exception {
+    void watchOpensAtTheNewAddressAfterAMoveWithoutReportingAFailure() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
-            var second = peers.discovery();
+            var newAddress = peers.startDiscovery();
             loop.submit(
                             () -> {
-                                assertTrue(client.moveTo(second));
-                                assertFalse(client.moveTo(second), "it is there already");
+                                assertTrue(client.moveTo(newAddress));
+                                assertFalse(client.moveTo(newAddress), "the address is unchanged");
                                 client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
@@ -170,72 +176,73 @@
     }
 
     /**
-     * The watch is silent, and each new request takes longer than its timeout: the response is
-     * taken all the same.
+     * The watch is idle and each new request exceeds its timeout, but its response is still
+     * accepted.
      */
     @Test
-    void slowResponseIsTakenBesideASilentWatch() throws Exception {
+    void lateResponseIsAcceptedWhileTheWatchIsIdle() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers, 300, 200);
             await().until(() -> failures.size() == 1);
             peers.endpointList = null;
             Thread.sleep(2_600);
             loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
             await().until(() -> failures.size() == 2);
-            ScriptedPeers.Connection slow = last(peers.unansweredRequests);
+            ScriptedPeers.Connection overdueRequest = last(peers.unansweredRequests);
             loop.submit(client::openWatch).get(10, TimeUnit.SECONDS);
-            slow.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
+            overdueRequest.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
             await().until(() -> updates.size() == 2);
             assertEquals(44, client.revision());
         }
     }
 
-    /** A watch that is reset was current up to its end, unless a list was under way. */
+    /** A watch that is reset was current up to its end, unless a list was incomplete. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void resetWatchWasCurrentUnlessAListWasUnderWay(boolean underWay) throws Exception {
+    void resetOfWatchConfirmsListUnlessOneIsIncomplete(boolean listIncomplete) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             openClient(peers);
             await().until(() -> confirmations.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
-            if (underWay) {
+            if (listIncomplete) {
                 watch.send("4\r\n{\"re\r\n");
             }
             Thread.sleep(1_500);
-            double reset = clock.now();
+            double resetAt = clock.now();
             watch.socket.setSoLinger(true, 0);
             watch.socket.close();
             await().until(() -> failures.size() == 1);
-            assertEquals(!underWay, confirmations.stream().anyMatch(asOf -> asOf > reset - 1_100));
+            assertEquals(
+                    !listIncomplete,
+                    confirmations.stream().anyMatch(asOf -> asOf > resetAt - 1_100));
         }
     }
 
     /**
-     * What the former address still sends is reported; it confirms nothing once discovery has
-     * moved.
+     * Lists from the former address are reported, but no longer confirmed once discovery has moved.
      */
     @Test
-    void formerAddressConfirmsNothingAndIsTakenUntilTheNewOneResponds() throws Exception {
+    void formerAddressReportsListsWithoutConfirmationUntilTheNewOneResponds() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
-            ScriptedPeers.Connection former = lastWatch(peers);
+            ScriptedPeers.Connection formerWatch = lastWatch(peers);
             peers.endpointList = null;
-            var second = peers.discovery();
+            var newAddress = peers.startDiscovery();
             loop.submit(
                             () -> {
-                                assertTrue(client.moveTo(second));
+                                assertTrue(client.moveTo(newAddress));
                                 client.openWatch();
                             })
                     .get(10, TimeUnit.SECONDS);
             int confirmed = confirmations.size();
-            ScriptedPeers.sendChunk(former, CHANGE.formatted(60, ""));
+            ScriptedPeers.sendChunk(formerWatch, CHANGE.formatted(60, ""));
             await().until(() -> updates.size() == 2);
             assertEquals(confirmed, confirmations.size());
             await().until(
@@ -246,32 +253,33 @@
                                                             connection
                                                                     .socket
                                                                     .getLocalSocketAddress()
-                                                                    .equals(second)));
-            ScriptedPeers.Connection fresh =
+                                                                    .equals(newAddress)));
+            ScriptedPeers.Connection newWatch =
                     peers.unansweredRequests.get(peers.unansweredRequests.size() - 1);
-            fresh.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
+            newWatch.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(61, "") + "\n");
             await().until(() -> updates.size() == 3);
             assertTrue(confirmations.size() > confirmed);
-            assertEquals(-1, former.input.read(), "the old watch is needless now");
+            assertEquals(-1, formerWatch.input.read(), "the former watch is still open");
             assertEquals(List.of(), failures);
         }
     }
 
-    /** A gateway whose requests fail connects to the new address soon. */
+    /** A gateway whose requests fail connects to the new address without a long delay. */
     @Test
-    void newAddressIsRequestedSoonWithoutARequestUnderWay() throws Exception {
+    void newAddressIsRequestedWithoutARequestInFlight() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             await().until(() -> peers.watches.size() == 1);
             peers.endpointList = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
             peers.watches.get(0).socket.close();
             await().until(() -> peers.discoveryRequests.size() >= 2);
             peers.endpointList = "{\"revision\":7,\"complete\":false,\"members\":[]}";
-            var first = peers.discovery();
-            var second = peers.discovery();
-            peers.gateway.onConfigurationRead(peers.configAt(first), peers.gateway.now());
-            peers.gateway.onConfigurationRead(peers.configAt(second), peers.gateway.now());
+            var intermediateAddress = peers.startDiscovery();
+            var newAddress = peers.startDiscovery();
+            peers.gateway.onConfigurationRead(
+                    peers.configAt(intermediateAddress), peers.gateway.now());
+            peers.gateway.onConfigurationRead(peers.configAt(newAddress), peers.gateway.now());
             await().until(
                             () ->
                                     peers.watches.stream()
@@ -279,23 +287,23 @@
                                                     watch ->
                                                             watch.socket
                                                                     .getLocalSocketAddress()
-                                                                    .equals(second)));
+                                                                    .equals(newAddress)));
         }
     }
 
     @Test
-    void listIsReadInAnyPiecesAndWhiteSpace() throws Exception {
+    void listIsParsedForAnyChunkingAndWhiteSpace() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             openClient(peers);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             String indented =
                     "\n{\n  \"revision\": 50,\r\n\n  \"complete\": false,\n  \"members\": [\n"
                             + "    {\n      \"id\": \"br}ace\\\"{\",\n      \"phase\": \"DELETED\"\n    }\n  ]\n}\n\n";
-            for (char each : indented.toCharArray()) {
-                watch.send("1\r\n" + each + "\r\n");
+            for (char character : indented.toCharArray()) {
+                watch.send("1\r\n" + character + "\r\n");
             }
             await().until(() -> updates.size() == 2);
             assertEquals(50, updates.get(1).revision());
@@ -307,7 +315,7 @@
         }
     }
 
-    /** After an informational response, in chunks, with or without a length: all are HTTP. */
+    /** Covers HTTP responses without a length and after an informational response. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -315,17 +323,20 @@
                 "HTTP/1.1 100 Continue\r\n\r\n",
                 "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
             })
-    void responseWithoutLengthOrAfterAnInformationalOneIsRead(String ahead) throws Exception {
+    void responseWithoutLengthOrAfterAnInformationalOneIsRead(String prefix) throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList = null;
             openClient(peers);
-            await().until(() -> isSilent(peers));
-            String answer =
-                    ahead + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n" + CHANGE.formatted(44, "") + "\n";
-            for (char each : answer.toCharArray()) {
-                last(peers.unansweredRequests).send(String.valueOf(each));
+            await().until(() -> hasUnansweredRequest(peers));
+            String response =
+                    prefix
+                            + "HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n"
+                            + CHANGE.formatted(44, "")
+                            + "\n";
+            for (char character : response.toCharArray()) {
+                last(peers.unansweredRequests).send(String.valueOf(character));
             }
             await().until(() -> updates.size() == 1);
             assertEquals(List.of(), failures);
@@ -333,15 +344,15 @@
     }
 
     @Test
-    void tricklingPartOfAListIsNoHeartbeat() throws Exception {
+    void partialListBytesDoNotCountAsHeartbeats() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
-            openClient(peers, NEVER, 500);
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+            openClient(peers, LONG_MILLIS, 500);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             watch.send("1\r\n{\r\n");
-            // It goes on for as long as it counts as a heartbeat.
+            // Continues until the failure is reported, which heartbeats would prevent.
             while (failures.isEmpty()) {
                 try {
                     watch.send("1\r\n\n\r\n");
@@ -354,30 +365,31 @@
         }
     }
 
-    /** The largest fleet that is promised, in either form; indented it takes over 1 MiB. */
+    /** The compact list takes less than 1 MiB, the indented one more. */
     @ParameterizedTest
     @ValueSource(strings = {"", "\n                              "})
-    void aListOf3200EndpointsIsTakenCompactAndIndented(String space) throws Exception {
+    void listOf3200EndpointsIsAcceptedCompactAndIndented(String indent) throws Exception {
         StringBuilder members = new StringBuilder();
         for (int i = 0; i < 3_200; i++) {
             members.append(i == 0 ? "" : ",")
                     .append(
                             "{%s\"id\":\"s-%08x\",%s\"host_port\":\"10.1.%d.%d:6379\","
-                                    .formatted(space, i, space, i / 256, i % 256))
+                                    .formatted(indent, i, indent, i / 256, i % 256))
                     .append(
                             ("%s\"locality\":\"a\",%s\"flavor\":\"m2\",%s\"cell\":%d,"
                                             + "%s\"phase\":\"SERVING\",%s\"size\":1.0,%s\"up_since_ms\":0}")
-                                    .formatted(space, space, space, i, space, space, space));
+                                    .formatted(indent, indent, indent, i, indent, indent, indent));
         }
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList =
                     "{\"revision\":44,\"complete\":true,\"members\":[" + members + "]}";
             assertEquals(
-                    space.isEmpty(),
+                    indent.isEmpty(),
                     peers.endpointList.length() < 1 << 20,
-                    "bytes " + peers.endpointList.length());
+                    "expected only the compact list to be below 1 MiB, bytes: "
+                            + peers.endpointList.length());
             openClient(peers);
             await().until(() -> updates.size() == 1);
             assertEquals(3_200, updates.get(0).members().size());
@@ -386,41 +398,42 @@
     }
 
     /**
-     * However long a list is on its way, it is what discovery had when it was begun, and its line
-     * end confirms no more.
+     * A list is current as of its start, however long its transfer takes, and its line end confirms
+     * nothing later.
      */
     @Test
-    void slowListConfirmsNothingLaterThanItsBeginning() throws Exception {
+    void slowListIsConfirmedAsOfItsStart() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             peers.endpointList = null;
             openClient(peers);
-            await().until(() -> isSilent(peers));
-            double asked = clock.now();
+            await().until(() -> hasUnansweredRequest(peers));
+            double requestedAt = clock.now();
             ScriptedPeers.Connection connection = last(peers.unansweredRequests);
-            slowly(connection, "HTTP/1.1 200 OK\r\n\r\n", CHANGE.formatted(44, "") + "\n");
+            sendInTwoParts(connection, "HTTP/1.1 200 OK\r\n\r\n", CHANGE.formatted(44, "") + "\n");
             await().until(() -> updates.size() == 1);
             Thread.sleep(100);
             assertTrue(
-                    confirmations.stream().allMatch(asOf -> asOf <= asked),
-                    "as of " + confirmations);
-            double begun = clock.now();
-            slowly(connection, "", CHANGE.formatted(45, "") + "\n\n");
+                    confirmations.stream().allMatch(asOf -> asOf <= requestedAt),
+                    "expected confirmations as of the request at the latest: " + confirmations);
+            double listStartedAt = clock.now();
+            sendInTwoParts(connection, "", CHANGE.formatted(45, "") + "\n\n");
             await().until(() -> updates.size() == 2);
             assertTrue(
-                    confirmations.stream().allMatch(asOf -> asOf <= begun + 100),
-                    "as of " + confirmations);
+                    confirmations.stream().allMatch(asOf -> asOf <= listStartedAt + 100),
+                    "expected confirmations as of the start of the list at the latest: "
+                            + confirmations);
             Thread.sleep(700);
-            double resting = clock.now();
+            double idleAt = clock.now();
             connection.send("\n");
-            await().until(() -> confirmations.stream().anyMatch(asOf -> asOf > resting - 1_100));
+            await().until(() -> confirmations.stream().anyMatch(asOf -> asOf > idleAt - 1_100));
         }
     }
 
-    /** Sends half of a list, and after a pause the rest, with its line end by itself. */
-    private static void slowly(ScriptedPeers.Connection connection, String head, String list)
-            throws Exception {
+    /** Sends half of a list and, after a pause, the rest, with its line end as a separate write. */
+    private static void sendInTwoParts(
+            ScriptedPeers.Connection connection, String head, String list) throws Exception {
         int middle = list.length() / 2;
         int end = list.lastIndexOf('}') + 1;
         connection.send(head + list.substring(0, middle));
@@ -434,7 +447,7 @@
     void olderListIsNotReportedUnlessDiscoveryRestarted() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.sendChunk(lastWatch(peers), CHANGE.formatted(60, ""));
@@ -453,24 +466,28 @@
         }
     }
 
-    /** A poll whose response comes late, after a newer line of the watch. */
+    /** The response of a poll arrives after a newer list on the watch. */
     @Test
-    void completeListThatANewerOneHasOvertakenIsNotReported() throws Exception {
+    void pollResultOlderThanTheWatchIsNotReported() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
             ScriptedPeers.Connection watch = lastWatch(peers);
             peers.endpointList = null;
             loop.submit(client::poll).get(10, TimeUnit.SECONDS);
-            await().until(() -> isSilent(peers));
+            await().until(() -> hasUnansweredRequest(peers));
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(70, ""));
             await().until(() -> updates.size() == 2);
-            ScriptedPeers.Connection late = last(peers.unansweredRequests);
-            String whole = "{\"revision\":8,\"complete\":true,\"members\":[]}";
-            late.send("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
-            assertEquals(-1, late.input.read(), "the request has ended");
+            ScriptedPeers.Connection pollConnection = last(peers.unansweredRequests);
+            String completeList = "{\"revision\":8,\"complete\":true,\"members\":[]}";
+            pollConnection.send(
+                    "HTTP/1.1 200 OK\r\nContent-Length: "
+                            + completeList.length()
+                            + "\r\n\r\n"
+                            + completeList);
+            assertEquals(-1, pollConnection.input.read(), "the request is still open");
             ScriptedPeers.sendChunk(watch, CHANGE.formatted(71, ""));
             await().until(() -> updates.size() == 3);
             assertEquals(71, client.revision());
@@ -479,15 +496,15 @@
     }
 
     @Test
-    void responseWithoutLengthThatIsResetInsideIsNoList() throws Exception {
+    void resetInsideAResponseWithoutLengthIsAFailure() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             DiscoveryClient client = openClient(peers);
             await().until(() -> updates.size() == 1);
             peers.endpointList = null;
             loop.submit(client::poll).get(10, TimeUnit.SECONDS);
-            await().until(() -> isSilent(peers));
+            await().until(() -> hasUnansweredRequest(peers));
             ScriptedPeers.Connection connection = last(peers.unansweredRequests);
             connection.send(
                     "HTTP/1.1 200 OK\r\n\r\n{\"revision\":90,\"complete\":true,\"members\":[");
@@ -499,32 +516,36 @@
     }
 
     /**
-     * Pushed or polled, a list counts as notified 6 s after discovery had it, for a process that
-     * has just started too.
+     * A new gateway must know the changes that already count as notified, so it accepts clients
+     * only after the first list or a timeout, in either discovery mode.
      */
     @ParameterizedTest
     @ValueSource(strings = {"subscribe", "automatic"})
-    void nobodyIsServedBeforeTheFirstList(String how) throws Exception {
+    void gatewayListensOnlyAfterTheFirstList(String discoveryMode) throws Exception {
         Transport transport = Transport.sockets();
-        try (ServerSocket late = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket discoveryServer =
+                new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             GatewayConfig config =
                     GatewayConfig.parse(
                                     JsonReader.readObject(
                                             WarmUpConfig.text()
-                                                    .replace("\"subscribe\"", "\"" + how + "\"")
+                                                    .replace(
+                                                            "\"subscribe\"",
+                                                            "\"" + discoveryMode + "\"")
                                                     .getBytes(StandardCharsets.UTF_8)),
                                     Map.of())
                             .withAddresses(
                                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                                    late.getLocalSocketAddress(),
-                                    late.getLocalSocketAddress());
+                                    discoveryServer.getLocalSocketAddress(),
+                                    discoveryServer.getLocalSocketAddress());
             RespGateway gateway = new RespGateway(config, transport);
             gateway.connectToDiscovery();
             CompletableFuture<SocketAddress> ready = gateway.start();
-            ScriptedPeers.Connection call = new ScriptedPeers.Connection(late.accept());
-            assertTrue(call.readLine().contains("watch=1"));
+            ScriptedPeers.Connection request =
+                    new ScriptedPeers.Connection(discoveryServer.accept());
+            assertTrue(request.readLine().contains("watch=1"));
             assertFalse(ready.isDone());
-            call.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
+            request.send("HTTP/1.1 200 OK\r\n\r\n" + CHANGE.formatted(44, "") + "\n");
             new Socket().connect(ready.get());
             gateway.stopNow();
             gateway.stopped().join();
@@ -534,10 +555,10 @@
     }
 
     @Test
-    void pushedListIsWatchedAndKnownBeforeAnybodyIsServed() throws Exception {
+    void automaticDiscoveryOpensAWatchBeforeServing() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY),
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY),
                         text ->
                                 text.replace(
                                         "\"discovery\": \"subscribe\"",
@@ -551,18 +572,18 @@
         return last(peers.watches);
     }
 
-    /** The last one that the client opened. */
-    private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> talks) {
-        List<ScriptedPeers.Connection> own =
-                talks.stream()
+    /** Returns the connection that the tested client opened last. */
+    private ScriptedPeers.Connection last(List<ScriptedPeers.Connection> connections) {
+        List<ScriptedPeers.Connection> matching =
+                connections.stream()
                         .filter(
                                 connection ->
                                         connection.socket.getLocalSocketAddress().equals(discovery))
                         .toList();
-        return own.get(own.size() - 1);
+        return matching.get(matching.size() - 1);
     }
 
-    private boolean isSilent(ScriptedPeers peers) {
+    private boolean hasUnansweredRequest(ScriptedPeers peers) {
         return peers.unansweredRequests.stream()
                 .anyMatch(
                         connection -> connection.socket.getLocalSocketAddress().equals(discovery));
--- a/src/test/java/sagepulley/engine/GatewayEngineTest.java
+++ b/src/test/java/sagepulley/engine/GatewayEngineTest.java
@@ -12,7 +12,7 @@
 import sagepulley.model.Outcome;
 import sagepulley.model.RoutingDecision;
 
-/** What a gateway keeps of endpoints that are removed and listed again. */
+/** Checks the state kept for endpoints that are removed and listed again. */
 class GatewayEngineTest {
     private static final String SETTINGS =
             """
@@ -46,37 +46,40 @@
 
                         @Override
                         public void endUnserved(Operation operation, RoutingDecision decision) {
-                            throw new AssertionError("given up: " + decision.reason());
+                            throw new AssertionError(
+                                    "unexpectedly rejected or abandoned: " + decision.reason());
                         }
 
                         @Override
                         public void cancel(Attempt attempt) {
-                            throw new AssertionError("called off");
+                            throw new AssertionError("unexpected cancellation");
                         }
 
                         @Override
                         public void checkHealth(Node node) {
-                            throw new AssertionError("probed");
+                            throw new AssertionError("unexpected health check");
                         }
 
                         @Override
                         public void openWatch() {
-                            throw new AssertionError("this site pushes its list");
+                            throw new AssertionError(
+                                    "unexpected watch: the endpoint list is pushed");
                         }
 
                         @Override
                         public void pollEndpointList() {
-                            throw new AssertionError("this site pushes its list");
+                            throw new AssertionError(
+                                    "unexpected poll: the endpoint list is pushed");
                         }
 
                         @Override
-                        public void scheduleWakeUp(double pause, double now) {
-                            // Time is driven by hand.
+                        public void scheduleWakeUp(double delay, double now) {
+                            // The test advances the time itself.
                         }
                     });
 
     @Test
-    void removedEndpointsAreForgottenOnceTheirLastAttemptHasEnded() {
+    void removedEndpointIsPrunedAfterItsLastAttemptEnded() {
         engine.onEndpointList(List.of(entry(1, 0), entry(2, 1)), true, 0);
         Operation operation =
                 new Operation(
@@ -98,7 +101,7 @@
         assertEquals(
                 List.of(),
                 engine.onEndpointList(List.of(entry(3, 0)), false, 40_000),
-                "its hop is still out");
+                "its attempt is still in flight");
         attempt.outcome = Outcome.SERVED;
         engine.onAttemptEnded(attempt, true, 40_000);
         assertEquals(
@@ -107,7 +110,7 @@
     }
 
     @Test
-    void anEndpointThatIsListedAgainSoonIsTheSame() {
+    void endpointListedAgainWithinThirtySecondsKeepsItsNode() {
         engine.onEndpointList(List.of(entry(1, 0)), true, 0);
         Node node = engine.nodes().iterator().next();
         engine.onEndpointList(List.of(), true, 1000);
@@ -117,7 +120,7 @@
         assertEquals(Node.Phase.READY, node.phase);
     }
 
-    private static EndpointEntry entry(int store, int cell) {
-        return new EndpointEntry(0, cell, store, Node.Phase.READY, Double.NEGATIVE_INFINITY, 0, 1);
+    private static EndpointEntry entry(int node, int cell) {
+        return new EndpointEntry(0, cell, node, Node.Phase.READY, Double.NEGATIVE_INFINITY, 0, 1);
     }
 }
--- a/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
+++ b/src/test/java/sagepulley/faultinjection/DescriptorsTest.java
@@ -15,46 +15,45 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * A process whose descriptors run out: it may have fewer than its configuration says, and idle
- * clients take them all.
+ * Guards against a gateway that stops following discovery or configuration changes when idle
+ * clients use up its descriptors.
  */
 @Timeout(120)
 @Execution(ExecutionMode.CONCURRENT)
 class DescriptorsTest {
-    /** The program's own files take some 90 where its libraries are files of their own. */
+    /** The JVM itself may use about 90 when its libraries are separate files. */
     private static final int DESCRIPTORS = 160;
 
     private static final int IDLE_CLIENTS = 150;
 
-    /** Longer than 6 s, the grace of 1 s, and some seconds of sending. */
-    private static final long WATCHED_MS = 12_000;
+    /** Covers the 6 s until notified, the drain grace of 1 s, and some seconds of sending. */
+    private static final long OBSERVED_MILLIS = 12_000;
 
     @TempDir Path folder;
 
     @Test
-    void whileIdleClientsHoldThemAllTheListIsStillBoundedAndANewConfigurationIsStillActedOn()
-            throws Exception {
+    void keepsDrainGraceAndReloadsWhileIdleClientsHoldAllDescriptors() throws Exception {
         List<Socket> idle = new ArrayList<>();
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            fleet.launchThrough("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
+            fleet.setLauncher("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$0\" \"$@\"");
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 11);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 11);
             Thread.sleep(1_000);
-            fillWith(idle, gateway);
-            fleet.discovery.goDown();
+            openIdleConnections(idle, gateway);
+            fleet.discovery.stop();
             FleetChecks.drain(fleet, 0);
             Thread.sleep(1_000);
             fleet.moveDiscovery(gateway);
             await().until(() -> gateway.logText().contains("Too many open files"));
-            fleet.discovery.comeBack();
+            fleet.discovery.restore();
             FleetChecks.drain(fleet, 1);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
             idle.forEach(BackgroundTasks::close);
             Thread.sleep(3_000);
             FleetChecks.assertServedAgain(fleet);
             FleetChecks.drain(fleet, 2);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
             assertTrue(gateway.isAlive(), gateway::logText);
         } finally {
@@ -62,7 +61,7 @@
         }
     }
 
-    private static void fillWith(List<Socket> idle, GatewayProcess gateway)
+    private static void openIdleConnections(List<Socket> idle, GatewayProcess gateway)
             throws InterruptedException {
         for (int i = 0; i < IDLE_CLIENTS; i++) {
             Socket socket = new Socket();
--- a/src/test/java/sagepulley/faultinjection/ReloadTest.java
+++ b/src/test/java/sagepulley/faultinjection/ReloadTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * New configurations on a real process: each one is acted on, whatever stands in its way, and the
- * list follows it.
+ * Guards against reloads of a real process that are lost, and against sends to drained endpoints
+ * after a reload.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
@@ -23,66 +23,66 @@
     private static final int SIGNALS = 20;
     private static final int FAILURES_IN_TEN_THOUSAND = 45;
     private static final long SHIM_SEED = 7;
-    private static final long HOUR_MS = 3_600_000;
-    private static final long ACTED_ON_WITHIN_S = 5;
+    private static final long HOUR_MILLIS = 3_600_000;
+    private static final long MAX_RELOAD_SECONDS = 5;
 
-    /** Longer than a reload's 4 s, the grace of 1 s, and some seconds of sending. */
-    private static final long WATCHED_MS = 10_000;
+    /** Covers the 4 s of a reload, the drain grace of 1 s, and some seconds of sending. */
+    private static final long OBSERVED_MILLIS = 10_000;
 
     @TempDir Path folder;
 
     @Test
-    void eachSignalIsActedOnWhileSystemCallsFailAndTheWallClockSteps() throws Exception {
+    void reloadsOnEachSignalWhileSystemCallsFailAndTheWallClockSteps() throws Exception {
         SystemCallShim shim = SystemCallShim.in(folder);
-        assumeTrue(shim != null, "there is no C compiler");
+        assumeTrue(shim != null, "no working C compiler");
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            shim.environment(SHIM_SEED, FAILURES_IN_TEN_THOUSAND).forEach(fleet::environment);
+            shim.environment(SHIM_SEED, FAILURES_IN_TEN_THOUSAND).forEach(fleet::setEnvironment);
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 7);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 7);
             for (int i = 0; i < SIGNALS; i++) {
-                shim.step((i % 3 - 1) * HOUR_MS);
+                shim.setWallClockOffset((i % 3 - 1) * HOUR_MILLIS);
                 boolean isDown = i % 5 == 2;
                 if (isDown) {
-                    fleet.discovery.goDown();
+                    fleet.discovery.stop();
                 }
                 gateway.suspend("0.05");
                 fleet.moveDiscovery(gateway);
-                awaitActedOn(fleet, gateway);
+                awaitReloaded(fleet, gateway);
                 if (isDown) {
-                    fleet.discovery.comeBack();
+                    fleet.discovery.restore();
                 }
             }
         }
     }
 
-    /** As under nohup: the JVM leaves a signal ignored that was ignored at its start. */
+    /** The JVM keeps a signal ignored that was ignored at its start, as under nohup. */
     @Test
-    void aProcessThatWasStartedWithHangupsIgnoredFollowsItsFile() throws Exception {
+    void reloadsWhenStartedWithSighupIgnored() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
-            fleet.launchThrough("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
+            fleet.setLauncher("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 8);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 8);
             Thread.sleep(1_000);
-            fleet.discovery.goDown();
+            fleet.discovery.stop();
             FleetChecks.drain(fleet, 0);
             fleet.moveDiscovery(gateway);
-            fleet.discovery.comeBack();
-            Thread.sleep(WATCHED_MS);
+            fleet.discovery.restore();
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
-            awaitActedOn(fleet, gateway);
+            awaitReloaded(fleet, gateway);
             FleetChecks.assertServedAgain(fleet);
         }
     }
 
     /**
-     * The file is no text for a while: what discovery has at its new address counts as notified all
-     * the same.
+     * Changes that discovery has at its new address count as notified although the file cannot be
+     * read.
      */
     @Test
-    void aConfigurationThatCannotBeReadAtFirstStopsTheLeaseAndIsReadAgain() throws Exception {
+    void unreadableConfigurationEndsTheLeaseAndIsReadAgain() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 9);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 9);
             Thread.sleep(1_000);
             fleet.discovery.watchesSilent = true;
             FleetChecks.drain(fleet, 0);
@@ -90,40 +90,40 @@
             fleet.makeConfigUnreadable(0);
             fleet.signalReload(gateway);
             FleetChecks.drain(fleet, 1);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertNoSendAfterGrace(fleet);
             fleet.discovery.watchesSilent = false;
             fleet.moveDiscovery(0);
-            awaitActedOn(fleet, gateway);
+            awaitReloaded(fleet, gateway);
             FleetChecks.assertServedAgain(fleet);
         }
     }
 
     /**
-     * A file that is wrong leaves all as it was; the next one that is right is taken without
+     * An invalid file leaves the configuration unchanged; the next valid one is loaded without
      * another signal.
      */
     @Test
-    void aConfigurationThatIsWrongLeavesAllAsItWasUntilItIsMended() throws Exception {
+    void invalidConfigurationChangesNothingAndTheCorrectedFileIsLoaded() throws Exception {
         try (TestFleet fleet = new TestFleet(folder, 1, 4)) {
             GatewayProcess gateway = fleet.start(0).awaitReady();
-            fleet.load(0, 6, ClientLoad.ClientBehaviour.STEADY, 10);
+            fleet.startLoad(0, 6, ClientLoad.ClientBehaviour.STEADY, 10);
             Thread.sleep(1_000);
             Files.writeString(fleet.configFile(0), "{\"name\": \"n0\"}");
             fleet.signalReload(gateway);
-            Thread.sleep(WATCHED_MS);
+            Thread.sleep(OBSERVED_MILLIS);
             FleetChecks.assertServedAgain(fleet);
             fleet.moveDiscovery(0);
-            awaitActedOn(fleet, gateway);
+            awaitReloaded(fleet, gateway);
             FleetChecks.assertServedAgain(fleet);
         }
     }
 
-    private static void awaitActedOn(TestFleet fleet, GatewayProcess gateway) {
+    private static void awaitReloaded(TestFleet fleet, GatewayProcess gateway) {
         String line =
                 "configuration reloaded discovery=/127.0.0.1:"
                         + fleet.discoveryAddress(0).getPort();
-        await().atMost(ACTED_ON_WITHIN_S, TimeUnit.SECONDS)
+        await().atMost(MAX_RELOAD_SECONDS, TimeUnit.SECONDS)
                 .untilAsserted(
                         () ->
                                 assertTrue(
--- a/src/test/java/sagepulley/faultinjection/SoakPlanTest.java
+++ b/src/test/java/sagepulley/faultinjection/SoakPlanTest.java
@@ -9,7 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A seed gives the same faults at the same times in every version of the program. */
+/**
+ * Guards against a change of the random draws: a seed gives the same faults at the same times in
+ * every version.
+ */
 class SoakPlanTest {
     private static final long LENGTH_MILLIS = 24_000;
     private static final int GATEWAYS = 3;
@@ -19,7 +22,7 @@
             "da923f71f2ec1621ed3c155bd366fc9911203cce8d32a50414e297760b7338c2";
 
     @Test
-    void aSeedGivesTheSamePlanAsEver() throws Exception {
+    void sameSeedGivesSamePlanAcrossVersions() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
         for (long seed = 1; seed <= SEEDS; seed++) {
             Random random = new Random(seed);
--- a/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
+++ b/src/test/java/sagepulley/frontend/resp/ClientListenerTest.java
@@ -28,14 +28,14 @@
 import sagepulley.transport.Transport;
 
 /**
- * How clients' connections on real sockets end. The test holds the event loop, so that what it puts
- * into the kernel meanwhile is there, unread, when draining begins; the listener's clock is the
- * test's own.
+ * Guards against lost replies and resets when client connections end. The test blocks the event
+ * loop, so that what it sends meanwhile is unread when draining begins, and sets the listener's
+ * clock.
  */
 @Timeout(60)
 class ClientListenerTest {
     private static final int MAX_CONNECTIONS = 40;
-    private static final int BIG_VALUE_BYTES = 60_000;
+    private static final int LARGE_VALUE_BYTES = 60_000;
 
     private final Transport transport = Transport.sockets();
     private final EventLoop loop = transport.eventLoops().next();
@@ -59,9 +59,9 @@
                             public void onRequest(
                                     ClientConnection connection,
                                     ClientConnection.PendingReply pendingReply,
-                                    List<byte[]> words) {
+                                    List<byte[]> arguments) {
                                 connection.hasSentCommand = true;
-                                pendingReply.attachment = words;
+                                pendingReply.attachment = arguments;
                                 connections.add(connection);
                                 requests.add(pendingReply);
                                 if (connection.isDraining() || listener.isDraining()) {
@@ -112,36 +112,36 @@
     }
 
     /**
-     * Runs the first step while the event loop is held, then the second on the loop before it
+     * Runs the first step while the event loop is blocked, then the second on the loop before it
      * reads.
      */
-    private void whileLoopIsHeld(Step meanwhile, Step then) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+    private void runWhileLoopIsBlocked(Step whileBlocked, Step afterwards) throws Exception {
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        CountDownLatch releaseLoop = new CountDownLatch(1);
         var done =
                 loop.submit(
                         () -> {
-                            held.countDown();
-                            go.await();
-                            then.run();
+                            loopBlocked.countDown();
+                            releaseLoop.await();
+                            afterwards.run();
                             return null;
                         });
-        held.await();
+        loopBlocked.await();
         try {
-            meanwhile.run();
+            whileBlocked.run();
         } finally {
-            go.countDown();
+            releaseLoop.countDown();
         }
         done.get();
     }
 
-    private void onLoop(Step step) throws Exception {
-        whileLoopIsHeld(() -> {}, step);
+    private void runOnLoop(Step step) throws Exception {
+        runWhileLoopIsBlocked(() -> {}, step);
     }
 
-    private void passTime(double length) throws Exception {
-        now += length;
-        onLoop(listener::closeExpired);
+    private void advanceTime(double millis) throws Exception {
+        now += millis;
+        runOnLoop(listener::closeExpired);
     }
 
     @Test
@@ -149,16 +149,16 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
-        whileLoopIsHeld(
+        runWhileLoopIsBlocked(
                 () -> client.send("*4\r\n$8\r\nBLK.RE"),
                 () -> {
-                    requests.get(0).reply(RespEncoder.bulk(new byte[BIG_VALUE_BYTES]));
+                    requests.get(0).reply(RespEncoder.bulk(new byte[LARGE_VALUE_BYTES]));
                     listener.drain();
                 });
-        assertEquals("$" + BIG_VALUE_BYTES, client.readLine());
-        assertEquals(BIG_VALUE_BYTES, client.input.readNBytes(BIG_VALUE_BYTES).length);
+        assertEquals("$" + LARGE_VALUE_BYTES, client.readLine());
+        assertEquals(LARGE_VALUE_BYTES, client.input.readNBytes(LARGE_VALUE_BYTES).length);
         assertEquals("", client.readLine());
-        assertNull(client.readLine(), "an end, and no reset");
+        assertNull(client.readLine(), "expected end of stream without a reset");
         client.socket.close();
         await().until(() -> listener.isDrained());
         assertEquals(1, requests.size());
@@ -169,8 +169,8 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
-        onLoop(listener::drain);
-        assertNull(client.readReply(), "an end");
+        runOnLoop(listener::drain);
+        assertNull(client.readReply(), "expected end of stream");
         client.sendCommand(ScriptedPeers.readCommand(1));
         client.sendCommand(ScriptedPeers.readCommand(2));
         client.socket.shutdownOutput();
@@ -183,9 +183,10 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand(ScriptedPeers.readCommand(1));
         await().until(() -> requests.size() == 1);
-        whileLoopIsHeld(() -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
+        runWhileLoopIsBlocked(
+                () -> client.sendCommand(ScriptedPeers.readCommand(2)), listener::drain);
         await().until(() -> requests.size() == 2);
-        onLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
+        runOnLoop(() -> requests.get(0).reply(RespEncoder.simple("FIRST")));
         assertEquals("+FIRST", client.readReply());
         assertEquals("-BUSY", client.readReply());
         assertNull(client.readReply());
@@ -194,7 +195,7 @@
     @Test
     void connectionsInTheBacklogAreRepliedToBeforeTheListenerCloses() throws Exception {
         List<ScriptedPeers.Connection> clients = new ArrayList<>();
-        whileLoopIsHeld(
+        runWhileLoopIsBlocked(
                 () -> {
                     for (int i = 0; i < 20; i++) {
                         ScriptedPeers.Connection client = client();
@@ -206,15 +207,15 @@
         for (ScriptedPeers.Connection client : clients) {
             assertEquals("-BUSY", client.readReply());
         }
-        passTime(200);
+        advanceTime(200);
         for (ScriptedPeers.Connection client : clients) {
-            assertNull(client.readReply(), "an end");
+            assertNull(client.readReply(), "expected end of stream");
             client.socket.close();
         }
         await().until(() -> listener.isDrained());
     }
 
-    /** How a client disconnects. */
+    /** Ways in which a client disconnects. */
     enum DisconnectKind {
         FIN,
         HALF_CLOSE,
@@ -223,15 +224,15 @@
 
     @ParameterizedTest
     @EnumSource(DisconnectKind.class)
-    void disconnectIsSeenWhileReadingIsPaused(DisconnectKind way) throws Exception {
+    void disconnectIsDetectedWhileReadingIsPaused(DisconnectKind kind) throws Exception {
         ScriptedPeers.Connection client = client();
-        StringBuilder many = new StringBuilder();
+        StringBuilder commands = new StringBuilder();
         for (int i = 0; i < 100; i++) {
-            many.append(ScriptedPeers.command(ScriptedPeers.readCommand(i)));
+            commands.append(ScriptedPeers.command(ScriptedPeers.readCommand(i)));
         }
-        client.send(many.toString());
+        client.send(commands.toString());
         await().until(() -> requests.size() >= 64);
-        switch (way) {
+        switch (kind) {
             case FIN -> client.socket.close();
             case HALF_CLOSE -> client.socket.shutdownOutput();
             case RESET -> {
@@ -240,33 +241,33 @@
             }
         }
         await().until(() -> listener.connectionCount() == 0);
-        assertEquals(requests.size(), cancelled.get(), "all requests are cancelled");
+        assertEquals(requests.size(), cancelled.get(), "not every request was cancelled");
     }
 
     @Test
-    void slowCommandIsAwaitedAndStalledCommandIsNot() throws Exception {
+    void slowCommandIsServedAndStalledCommandTimesOut() throws Exception {
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
-        passTime(3_000);
+        advanceTime(3_000);
         String command = ScriptedPeers.command(ScriptedPeers.readCommand(1));
         int half = command.length() / 2;
         client.send(command.substring(0, half));
-        awaitPartial();
-        passTime(1_900);
+        awaitPartialCommand();
+        advanceTime(1_900);
         client.send(command.substring(half, half + 1));
         client.send(command.substring(half + 1));
         await().until(() -> requests.size() == 1);
-        onLoop(() -> requests.get(0).reply(RespEncoder.simple("DONE")));
+        runOnLoop(() -> requests.get(0).reply(RespEncoder.simple("DONE")));
         assertEquals("+DONE", client.readReply());
         client.send(command.substring(0, half));
-        awaitPartial();
-        passTime(2_100);
+        awaitPartialCommand();
+        advanceTime(2_100);
         assertNull(client.readReply());
     }
 
     /** Waits until part of a command has been read. */
-    private void awaitPartial() {
+    private void awaitPartialCommand() {
         await().until(() -> loop.submit(() -> listener.isReadingCommand()).get());
     }
 
@@ -275,16 +276,16 @@
         ScriptedPeers.Connection client = client();
         client.sendCommand("PING");
         assertEquals("+PONG", client.readReply());
-        onLoop(listener::drain);
+        runOnLoop(listener::drain);
         assertNull(client.readReply());
-        passTime(900);
+        advanceTime(900);
         assertEquals(1, listener.connectionCount());
-        passTime(200);
+        advanceTime(200);
         await().until(() -> listener.isDrained());
     }
 
     @Test
-    void connectionsGiveWayByFinAndNotByReset() throws Exception {
+    void connectionsClosedAtCapacityEndWithFinNotReset() throws Exception {
         List<ScriptedPeers.Connection> clients = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS * 2; i++) {
             ScriptedPeers.Connection client = client();
@@ -294,16 +295,16 @@
             now += 10;
         }
         await().until(() -> listener.connectionCount() <= MAX_CONNECTIONS);
-        int ended = 0;
-        // The oldest of those that linger is closed, with nothing unread on it.
+        int drainedClients = 0;
+        // The oldest lingering connection is closed with nothing unread on it.
         for (ScriptedPeers.Connection client : clients.subList(0, MAX_CONNECTIONS)) {
             assertNull(client.readReply());
-            ended++;
+            drainedClients++;
         }
-        assertEquals(MAX_CONNECTIONS, ended);
+        assertEquals(MAX_CONNECTIONS, drainedClients);
         ScriptedPeers.Connection last = clients.get(clients.size() - 1);
         last.sendCommand("PING");
         assertEquals("+PONG", last.readReply());
-        assertTrue(listener.rejected() == 0, "no connection was rejected");
+        assertTrue(listener.rejected() == 0, "connections were rejected");
     }
 }
--- a/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
+++ b/src/test/java/sagepulley/frontend/resp/RespGatewayTest.java
@@ -26,14 +26,17 @@
 import sagepulley.testing.ScriptedPeers;
 import sagepulley.transport.Transport;
 
-/** The way of a request on sockets: client, gateway, scripted endpoint, scripted discovery. */
+/**
+ * Tests requests over sockets between a client, the gateway, a scripted endpoint and a scripted
+ * discovery.
+ */
 @Timeout(60)
 class RespGatewayTest {
     private static final ScriptedPeers.Script SERVING_ENDPOINT =
-            (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
+            (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY);
 
     @Test
-    void readsAndWritesAreForwardedUnchangedButForTheDeadline() throws Exception {
+    void readsAndWritesAreForwardedWithOnlyTheDeadlineChanged() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand("PING");
@@ -48,28 +51,32 @@
                     "bytes");
             assertEquals("$5 value", client.readReply());
             assertEquals("BLK.READ", peers.commands.get(0).get(0));
-            String sent = peers.commands.get(1).get(3);
+            String forwardedFields = peers.commands.get(1).get(3);
             assertEquals(
                     ScriptedPeers.fields("put", 9000, -1).replaceAll(",d=\\d+", "") + ",k=9",
-                    sent.replaceAll(",d=\\d+", ""));
-            int patience = Integer.parseInt(sent.replaceAll(".*,d=(\\d+),.*", "$1"));
-            assertTrue(patience > 0 && patience < 9000, "told " + patience);
+                    forwardedFields.replaceAll(",d=\\d+", ""));
+            int forwardedDeadline =
+                    Integer.parseInt(forwardedFields.replaceAll(".*,d=(\\d+),.*", "$1"));
+            assertTrue(
+                    forwardedDeadline > 0 && forwardedDeadline < 9000,
+                    "expected a forwarded deadline of 1 to 8999 ms, got " + forwardedDeadline);
             assertEquals("bytes", peers.commands.get(1).get(4));
         }
     }
 
     @Test
-    void repliesKeepTheOrderOfTheCommands() throws Exception {
-        CountDownLatch later = new CountDownLatch(1);
+    void repliesAreSentInCommandOrder() throws Exception {
+        CountDownLatch secondReplied = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
-                            if (words.get(2).equals(NumberParser.formatId(1))) {
-                                awaitQuietly(later);
+                        (arguments, connection) -> {
+                            if (arguments.get(2).equals(NumberParser.formatId(1))) {
+                                awaitLatch(secondReplied);
                             }
-                            connection.send("*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n");
-                            if (words.get(2).equals(NumberParser.formatId(2))) {
-                                later.countDown();
+                            connection.send(
+                                    "*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n");
+                            if (arguments.get(2).equals(NumberParser.formatId(2))) {
+                                secondReplied.countDown();
                             }
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
@@ -116,16 +123,16 @@
             client.sendCommand("FLUSHALL");
             assertTrue(client.readReply().startsWith("-ERR"));
             client.sendCommand(ScriptedPeers.readCommand(5));
-            assertEquals("$5 value", client.readReply(), "the connection goes on");
+            assertEquals("$5 value", client.readReply(), "the connection stays open");
             assertEquals(1, peers.commands.size());
         }
     }
 
     @Test
-    void malformedInputEndsItsOwnConnectionOnly() throws Exception {
+    void malformedInputClosesOnlyItsOwnConnection() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection good = peers.connectClient();
-            for (String bad :
+            ScriptedPeers.Connection otherClient = peers.connectClient();
+            for (String malformedInput :
                     new String[] {
                         "GET / HTTP/1.1\r\n",
                         "*1\r\n$-7\r\n",
@@ -133,49 +140,49 @@
                         "*1\r\n$4\r\nPINGPING"
                     }) {
                 ScriptedPeers.Connection client = peers.connectClient();
-                client.send(bad);
+                client.send(malformedInput);
                 assertTrue(client.readReply().startsWith("-ERR protocol error"));
                 assertNull(client.readReply(), "closed");
             }
-            good.sendCommand(ScriptedPeers.readCommand(5));
-            assertEquals("$5 value", good.readReply());
+            otherClient.sendCommand(ScriptedPeers.readCommand(5));
+            assertEquals("$5 value", otherClient.readReply());
         }
     }
 
     @Test
     void idInFlightIsRejectedAndTheFirstRequestIsServed() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch releaseEndpoint = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
-                            awaitQuietly(go);
+                        (arguments, connection) -> {
+                            awaitLatch(releaseEndpoint);
                             connection.send(ScriptedPeers.VALUE_REPLY);
                         })) {
-            ScriptedPeers.Connection first = peers.connectClient();
-            first.sendCommand(ScriptedPeers.readCommand(1));
+            ScriptedPeers.Connection firstClient = peers.connectClient();
+            firstClient.sendCommand(ScriptedPeers.readCommand(1));
             await().until(() -> peers.commands.size() == 1);
-            ScriptedPeers.Connection second = peers.connectClient();
-            second.sendCommand(ScriptedPeers.readCommand(1));
-            assertTrue(second.readReply().startsWith("-ERR"));
-            go.countDown();
-            assertEquals("$5 value", first.readReply());
+            ScriptedPeers.Connection secondClient = peers.connectClient();
+            secondClient.sendCommand(ScriptedPeers.readCommand(1));
+            assertTrue(secondClient.readReply().startsWith("-ERR"));
+            releaseEndpoint.countDown();
+            assertEquals("$5 value", firstClient.readReply());
             assertEquals(1, peers.commands.size());
         }
     }
 
     @Test
-    void connectionWithoutACommandIsClosedAndOneWithACommandStays() throws Exception {
+    void connectionWithoutACompleteCommandIsClosedAndOthersStayOpen() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection commandCount = peers.connectClient();
-            commandCount.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", commandCount.readReply());
-            ScriptedPeers.Connection silent = peers.connectClient();
-            ScriptedPeers.Connection half = peers.connectClient();
-            half.send("*4\r\n$8\r\nBLK.RE");
-            assertNull(silent.readReply());
-            assertNull(half.readReply());
-            commandCount.sendCommand(ScriptedPeers.readCommand(2));
-            assertEquals("$5 value", commandCount.readReply());
+            ScriptedPeers.Connection activeClient = peers.connectClient();
+            activeClient.sendCommand(ScriptedPeers.readCommand(1));
+            assertEquals("$5 value", activeClient.readReply());
+            ScriptedPeers.Connection idleClient = peers.connectClient();
+            ScriptedPeers.Connection partialCommandClient = peers.connectClient();
+            partialCommandClient.send("*4\r\n$8\r\nBLK.RE");
+            assertNull(idleClient.readReply());
+            assertNull(partialCommandClient.readReply());
+            activeClient.sendCommand(ScriptedPeers.readCommand(2));
+            assertEquals("$5 value", activeClient.readReply());
         }
     }
 
@@ -197,14 +204,14 @@
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) ->
+                        (arguments, connection) ->
                                 connection.send(
                                         commandCount.getAndIncrement() == 0
                                                 ? invalidReply
                                                 : ScriptedPeers.VALUE_REPLY))) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", client.readReply(), "by a second attempt");
+            assertEquals("$5 value", client.readReply(), "served by a second attempt");
             assertEquals(2, peers.commands.size());
         }
     }
@@ -214,7 +221,7 @@
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) ->
+                        (arguments, connection) ->
                                 connection.send(
                                         commandCount.getAndIncrement() == 0
                                                 ? ScriptedPeers.VALUE_REPLY.substring(0, 9)
@@ -227,12 +234,13 @@
     }
 
     @Test
-    void duplicateReplyIsNotTakenForTheNext() throws Exception {
+    void duplicateReplyIsNotUsedForTheNextRequest() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
-                            String answer = "*3\r\n$16\r\n" + words.get(2) + "\r\n$-1\r\n$-1\r\n";
-                            connection.send(answer + answer);
+                        (arguments, connection) -> {
+                            String reply =
+                                    "*3\r\n$16\r\n" + arguments.get(2) + "\r\n$-1\r\n$-1\r\n";
+                            connection.send(reply + reply);
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
             for (long id = 1; id <= 20; id++) {
@@ -243,10 +251,10 @@
     }
 
     @Test
-    void unreadableFiguresLeaveAReplyValid() throws Exception {
+    void replyWithInvalidUsageFieldsIsServed() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) ->
+                        (arguments, connection) ->
                                 connection.send(
                                         "*3\r\n$5\r\nvalue\r\n$12\r\ncost=,used=x\r\n$3\r\n???\r\n"))) {
             ScriptedPeers.Connection client = peers.connectClient();
@@ -257,59 +265,60 @@
 
     @Test
     void attemptIsCancelledWhenItsClientDisconnects() throws Exception {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch endpointConnectionClosed = new CountDownLatch(1);
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
+                        (arguments, connection) -> {
                             if (connection.readLine() == null) {
-                                ended.countDown();
+                                endpointConnectionClosed.countDown();
                             }
                         })) {
             ScriptedPeers.Connection client = peers.connectClient();
             client.sendCommand(ScriptedPeers.readCommand(1));
             await().until(() -> peers.commands.size() == 1);
             client.socket.close();
-            ended.await();
+            endpointConnectionClosed.await();
         }
     }
 
     /**
-     * Command and FIN lie in the kernel together, and an idle connection to the endpoint is open.
+     * The command and the FIN are both unread in the kernel, and an idle endpoint connection is
+     * open.
      */
     @Test
     void commandOfADisconnectedClientIsNotForwarded() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection good = peers.connectClient();
-            good.sendCommand(ScriptedPeers.readCommand(1));
-            assertEquals("$5 value", good.readReply());
+            ScriptedPeers.Connection otherClient = peers.connectClient();
+            otherClient.sendCommand(ScriptedPeers.readCommand(1));
+            assertEquals("$5 value", otherClient.readReply());
             for (int id = 10; id < 20; id++) {
-                ScriptedPeers.Connection gone = peers.connectClient();
-                CountDownLatch held = new CountDownLatch(1);
-                CountDownLatch go = new CountDownLatch(1);
+                ScriptedPeers.Connection disconnected = peers.connectClient();
+                CountDownLatch loopBlocked = new CountDownLatch(1);
+                CountDownLatch releaseLoop = new CountDownLatch(1);
                 peers.transport
                         .eventLoops()
                         .next()
                         .execute(
                                 () -> {
-                                    held.countDown();
+                                    loopBlocked.countDown();
                                     try {
-                                        go.await();
+                                        releaseLoop.await();
                                     } catch (InterruptedException e) {
                                         throw new IllegalStateException(e);
                                     }
                                 });
-                held.await();
-                int port = gone.socket.getLocalPort();
-                gone.sendCommand(ScriptedPeers.readCommand(id));
-                gone.socket.close();
-                KernelTcpTable.awaitFin(gone.socket.getPort(), port);
-                go.countDown();
+                loopBlocked.await();
+                int port = disconnected.socket.getLocalPort();
+                disconnected.sendCommand(ScriptedPeers.readCommand(id));
+                disconnected.socket.close();
+                KernelTcpTable.awaitFin(disconnected.socket.getPort(), port);
+                releaseLoop.countDown();
             }
-            good.sendCommand(ScriptedPeers.readCommand(2));
-            assertEquals("$5 value", good.readReply());
+            otherClient.sendCommand(ScriptedPeers.readCommand(2));
+            assertEquals("$5 value", otherClient.readReply());
             assertEquals(
                     List.of(NumberParser.formatId(1), NumberParser.formatId(2)),
-                    peers.commands.stream().map(words -> words.get(2)).toList());
+                    peers.commands.stream().map(arguments -> arguments.get(2)).toList());
         }
     }
 
@@ -318,21 +327,28 @@
         Transport transport = Transport.sockets();
         try {
             int port = WarmUpConfig.freePort();
-            InetSocketAddress nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-            InetSocketAddress front = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+            InetSocketAddress unusedAddress =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+            InetSocketAddress listenAddress =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
             RespGateway gateway =
-                    new RespGateway(WarmUpConfig.at(front, nobody, nobody), transport);
+                    new RespGateway(
+                            WarmUpConfig.at(listenAddress, unusedAddress, unusedAddress),
+                            transport);
             gateway.stop();
             gateway.connectToDiscovery();
             gateway.start().join();
             gateway.stopped().join();
-            assertThrows(ConnectException.class, () -> new Socket().connect(front));
+            assertThrows(ConnectException.class, () -> new Socket().connect(listenAddress));
         } finally {
             transport.eventLoops().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** The scheduler requests no health check yet: what is sent, and that no reply does harm. */
+    /**
+     * Sends health checks directly, because the scheduler requests none yet; no reply may affect
+     * other requests.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -343,16 +359,16 @@
                 "$3\r\n???\r\n",
                 "noise\r\n"
             })
-    void healthCheckFollowsTheSettingsAndItsReplyIsNotTakenForAnother(String answer)
+    void healthCheckCommandFollowsSettingsAndItsReplyIsNotUsedForARequest(String reply)
             throws Exception {
         for (String fields : List.of("[]", "[\"mean_ms\"]")) {
             try (ScriptedPeers peers =
                     new ScriptedPeers(
-                            (words, connection) ->
+                            (arguments, connection) ->
                                     connection.send(
-                                            words.get(0).startsWith("BLK")
+                                            arguments.get(0).startsWith("BLK")
                                                     ? ScriptedPeers.VALUE_REPLY
-                                                    : answer),
+                                                    : reply),
                             text ->
                                     text.replace(
                                             "\"how\": \"silent\", \"fields\": []",
@@ -378,7 +394,7 @@
         AtomicInteger commandCount = new AtomicInteger();
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> {
+                        (arguments, connection) -> {
                             if (commandCount.getAndIncrement() == 0) {
                                 connection.socket.close();
                             } else {
@@ -400,15 +416,15 @@
             peers.gateway.stop();
             client.sendCommand(ScriptedPeers.readCommand(2));
             assertEquals("$5 value", client.readReply());
-            assertNull(client.readReply(), "closed when the time is up");
+            assertNull(client.readReply(), "closed at the end of the shutdown");
             peers.gateway.stopped().join();
         }
     }
 
     @Test
-    void silentConnectionsGiveWayToActiveClients() throws Exception {
+    void idleConnectionsAreClosedForActiveClients() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            // The configuration has 256 descriptors in all.
+            // The configuration allows 256 file descriptors in total.
             for (int i = 0; i < 400; i++) {
                 peers.connectClient();
             }
@@ -418,7 +434,7 @@
                                 try {
                                     client.sendCommand(ScriptedPeers.readCommand(1));
                                     return "$5 value".equals(client.readReply());
-                                } catch (IOException turnedAway) {
+                                } catch (IOException rejected) {
                                     return false;
                                 }
                             });
@@ -426,29 +442,29 @@
     }
 
     @Test
-    void sixtyMegabytesAtFullSpeedEndTheirOwnConnectionOnly() throws Exception {
+    void oversizedCommandClosesOnlyItsOwnConnection() throws Exception {
         try (ScriptedPeers peers = new ScriptedPeers(SERVING_ENDPOINT)) {
-            ScriptedPeers.Connection good = peers.connectClient();
-            ScriptedPeers.Connection bad = peers.connectClient();
+            ScriptedPeers.Connection otherClient = peers.connectClient();
+            ScriptedPeers.Connection oversizedClient = peers.connectClient();
             byte[] chunk = new byte[1 << 20];
             try {
-                bad.send(
+                oversizedClient.send(
                         "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n"
                                 + NumberParser.formatId(7)
                                 + "\r\n$16\r\n"
                                 + NumberParser.formatId(1)
                                 + "\r\n$1\r\nx\r\n$62914560\r\n");
                 for (int i = 0; i < 60; i++) {
-                    bad.socket.getOutputStream().write(chunk);
+                    oversizedClient.socket.getOutputStream().write(chunk);
                 }
-                while (bad.input.read() >= 0) {
+                while (oversizedClient.input.read() >= 0) {
                     continue;
                 }
             } catch (IOException closed) {
                 // Unread bytes turn the close into a reset.
             }
-            good.sendCommand(ScriptedPeers.readCommand(5));
-            assertEquals("$5 value", good.readReply());
+            otherClient.sendCommand(ScriptedPeers.readCommand(5));
+            assertEquals("$5 value", otherClient.readReply());
             assertEquals(1, peers.commands.size());
         }
     }
@@ -457,29 +473,31 @@
     void clientThatReadsNothingIsPausedAndThenClosed() throws Exception {
         String value = "*3\r\n$60000\r\n" + "v".repeat(60_000) + "\r\n$-1\r\n$-1\r\n";
         try (ScriptedPeers peers =
-                new ScriptedPeers((words, connection) -> connection.send(value))) {
-            ScriptedPeers.Connection deaf = peers.connectClient();
+                new ScriptedPeers((arguments, connection) -> connection.send(value))) {
+            ScriptedPeers.Connection nonReadingClient = peers.connectClient();
             int commandCount = 0;
             try {
                 while (true) {
-                    deaf.sendCommand(ScriptedPeers.readCommand(++commandCount));
+                    nonReadingClient.sendCommand(ScriptedPeers.readCommand(++commandCount));
                     if (commandCount % 64 == 0) {
-                        deaf.socket.getOutputStream().flush();
+                        nonReadingClient.socket.getOutputStream().flush();
                     }
                 }
             } catch (IOException closed) {
-                // By the gateway, after the write timeout.
+                // The gateway closes the connection after the write timeout.
             }
             assertTrue(
                     peers.commands.size() < commandCount,
-                    peers.commands.size() + " of " + commandCount);
-            ScriptedPeers.Connection good = peers.connectClient();
-            good.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
-            assertTrue(good.readReply().startsWith("$60000 "));
+                    peers.commands.size()
+                            + " commands forwarded, expected fewer than "
+                            + commandCount);
+            ScriptedPeers.Connection otherClient = peers.connectClient();
+            otherClient.sendCommand(ScriptedPeers.readCommand(Long.MAX_VALUE));
+            assertTrue(otherClient.readReply().startsWith("$60000 "));
         }
     }
 
-    private static void awaitQuietly(CountDownLatch latch) throws IOException {
+    private static void awaitLatch(CountDownLatch latch) throws IOException {
         try {
             latch.await();
         } catch (InterruptedException e) {
--- a/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
+++ b/src/test/java/sagepulley/lifecycle/GatewayServerTest.java
@@ -20,82 +20,83 @@
 import sagepulley.frontend.resp.RespGateway;
 import sagepulley.testing.ScriptedPeers;
 
-/** A gateway as `run` starts it: from a file, with the operating system's signals. */
+/** Tests a gateway that is started from a file and receives signals of the operating system. */
 @Timeout(60)
 class GatewayServerTest {
     @TempDir Path folder;
 
-    /** The first file is a pipe whose reading is held up until the second signal is on its way. */
+    /** The first file is a pipe that delays its reader until the second signal has been sent. */
     @Test
-    void fileOfTheLastHangUpAppliesThoughAnEarlierOneIsReadSlowly() throws Exception {
+    void lastReloadAppliesWhenAnEarlierOneIsReadSlowly() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
-            Files.writeString(file, config(port, peers.discovery()));
+            Files.writeString(file, config(port, peers.startDiscovery()));
             CompletableFuture<RespGateway> ready = new CompletableFuture<>();
             CompletableFuture<Void> ended = serve(Map.of("GW_CONFIG", file.toString()), ready);
             RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
-            SocketAddress early = peers.discovery();
-            SocketAddress late = peers.discovery();
+            SocketAddress firstDiscovery = peers.startDiscovery();
+            SocketAddress lastDiscovery = peers.startDiscovery();
             Files.delete(file);
             assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-            hangUp();
-            try (OutputStream pipe = Files.newOutputStream(file)) { // once somebody reads
+            sendHangup();
+            // Opening the pipe blocks until the reload opens it for reading.
+            try (OutputStream pipe = Files.newOutputStream(file)) {
                 Files.delete(file);
-                Files.writeString(file, config(port, late));
-                hangUp();
-                // If nothing kept the order, the second file would have been applied by then.
-                for (int i = 0; i < 50 && !watched(peers, late); i++) {
+                Files.writeString(file, config(port, lastDiscovery));
+                sendHangup();
+                // Without ordered reads, the second file would have been applied by then.
+                for (int i = 0; i < 50 && !isWatched(peers, lastDiscovery); i++) {
                     Thread.sleep(10);
                 }
-                pipe.write(config(port, early).getBytes(StandardCharsets.UTF_8));
+                pipe.write(config(port, firstDiscovery).getBytes(StandardCharsets.UTF_8));
             }
             await().until(() -> gateway.reloads() == 2);
-            assertEquals(late, gateway.discoveryAddress());
-            await().until(() -> watched(peers, late));
+            assertEquals(lastDiscovery, gateway.discoveryAddress());
+            await().until(() -> isWatched(peers, lastDiscovery));
             gateway.stopNow();
             ended.get();
         }
     }
 
-    /** Runs a gateway on a thread of its own; completes when it has stopped. */
+    /** Runs a gateway on a separate thread; the future completes when it has stopped. */
     private static CompletableFuture<Void> serve(
             Map<String, String> environment, CompletableFuture<RespGateway> ready) {
         return CompletableFuture.runAsync(
                 () -> {
                     try {
                         GatewayServer.run(environment, ready::complete);
-                    } catch (ConfigException bad) {
-                        throw new IllegalStateException(bad);
+                    } catch (ConfigException failure) {
+                        throw new IllegalStateException(failure);
                     }
                 });
     }
 
-    private static boolean watched(ScriptedPeers peers, SocketAddress discovery) {
+    private static boolean isWatched(ScriptedPeers peers, SocketAddress discovery) {
         return peers.watches.stream()
                 .anyMatch(watch -> watch.socket.getLocalSocketAddress().equals(discovery));
     }
 
     @Test
-    void discoveryMovesAtHangUpAndAnInvalidFileChangesNothing() throws Exception {
+    void reloadMovesDiscoveryAndAnInvalidFileChangesNothing() throws Exception {
         try (ScriptedPeers peers =
                 new ScriptedPeers(
-                        (words, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
+                        (arguments, connection) -> connection.send(ScriptedPeers.VALUE_REPLY))) {
             int port = WarmUpConfig.freePort();
             Path file = folder.resolve("config.json");
-            Files.writeString(file, config(port, peers.discovery()));
+            Files.writeString(file, config(port, peers.startDiscovery()));
             Map<String, String> environment = Map.of("GW_CONFIG", file.toString());
             CompletableFuture<RespGateway> ready = new CompletableFuture<>();
             CompletableFuture<Void> ended = serve(environment, ready);
             RespGateway gateway = ready.get();
             await().until(() -> peers.watches.size() == 2);
 
-            Files.writeString(file, config(port, peers.discovery()));
-            hangUp();
+            Files.writeString(file, config(port, peers.startDiscovery()));
+            sendHangup();
             await().until(() -> peers.watches.size() == 3);
 
             Files.writeString(file, "{\"listen\":");
@@ -123,7 +124,7 @@
                                 + "\"");
     }
 
-    private static void hangUp() throws Exception {
+    private static void sendHangup() throws Exception {
         Process kill =
                 new ProcessBuilder("kill", "-HUP", Long.toString(ProcessHandle.current().pid()))
                         .start();
--- a/src/test/java/sagepulley/scenario/JsonNamesTest.java
+++ b/src/test/java/sagepulley/scenario/JsonNamesTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 import sagepulley.accounts.LatencyReport;
 
-/** What the commands print with --json keeps its names and their order. */
+/** Guards the field names and their order in the output of the commands with --json. */
 class JsonNamesTest {
     private final JsonMapper mapper = new JsonMapper();
 
     @Test
-    void theResultOfAScenario() throws Exception {
+    void scenarioResultKeepsJsonNamesAndOrder() throws Exception {
         RuleVerdict verdict = new RuleVerdict("a rule", true, "3", "4", List.of());
         ScenarioRunner.Result result =
                 new ScenarioRunner.Result(
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aRowOfTheAttributionExperiment() throws Exception {
+    void attributionRowKeepsJsonNamesAndOrder() throws Exception {
         AttributionExperiment.Row row =
                 new AttributionExperiment.Row(
                         "flood",
--- a/src/test/java/sagepulley/scheduler/SchedulerHarness.java
+++ b/src/test/java/sagepulley/scheduler/SchedulerHarness.java
@@ -16,13 +16,11 @@
 import sagepulley.model.TrafficClass;
 import sagepulley.model.Volume;
 
-/**
- * The smallest host of a scheduler: a clock moved by hand, idle nodes, and a log of what was sent.
- */
+/** Runs a scheduler with a manual clock and passive nodes, and records its decisions. */
 final class SchedulerHarness {
     /**
-     * Traffic classes by index: read, write, bulk read, deduplicated within a cell, non-idempotent,
-     * ordered by key.
+     * Indexes of the traffic classes: read, write, bulk read, deduplicated within a cell,
+     * non-idempotent, ordered by key.
      */
     static final int READ = 0;
 
@@ -38,19 +36,19 @@
     final List<Operation> rejected = new ArrayList<>();
     final List<Operation> abandoned = new ArrayList<>();
     final List<Attempt> cancelled = new ArrayList<>();
-    final List<Operation> taken = new ArrayList<>();
+    final List<Operation> submitted = new ArrayList<>();
     final Scheduler scheduler;
     final Deployment deployment;
 
-    /** The Retry-After of the client that was rejected last, in milliseconds. */
+    /** The Retry-After of the latest rejection, in milliseconds. */
     double retryAfter = Double.NaN;
 
     int polls;
     int healthChecks;
     double now = 100_000;
-    private long ids;
+    private long lastId;
 
-    /** Of a typical operation by the settings. */
+    /** The units of a typical operation. */
     static final double UNITS = 2;
 
     SchedulerHarness(int nodeCount) {
@@ -72,7 +70,10 @@
                 Double.POSITIVE_INFINITY);
     }
 
-    /** The same where a change of the endpoint list counts as notified within a span. */
+    /**
+     * Creates a harness in which a change of the endpoint list counts as notified within a time in
+     * milliseconds.
+     */
     SchedulerHarness(
             int nodeCount,
             int gatewayIndex,
@@ -169,7 +170,7 @@
             double priorityWeight) {
         return new TrafficClass(
                 index,
-                "band " + index,
+                "class " + index,
                 idempotency,
                 TrafficClass.DeduplicationScope.CELL,
                 1000,
@@ -189,19 +190,19 @@
     }
 
     Volume volume(int plan) {
-        return new Volume(++ids, deployment.plans().get(plan));
+        return new Volume(++lastId, deployment.plans().get(plan));
     }
 
     /**
-     * An operation of two units on a shard, of a volume with a reservation and an extent of its
-     * own.
+     * Submits an operation of two units on a shard, with a new extent on a new volume that has a
+     * reservation.
      */
-    Operation take(int classIndex, int shard) {
-        return take(classIndex, volume(1), ++ids, UNITS, shard);
+    Operation submit(int classIndex, int shard) {
+        return submit(classIndex, volume(1), ++lastId, UNITS, shard);
     }
 
-    Operation take(int classIndex, Volume volume, long extent, double units, int shard) {
-        return take(
+    Operation submit(int classIndex, Volume volume, long extent, double units, int shard) {
+        return submit(
                 classIndex,
                 volume,
                 extent,
@@ -210,12 +211,12 @@
                 deployment.trafficClasses().get(classIndex).deadline());
     }
 
-    /** An operation whose deadline is only so many milliseconds away. */
-    Operation takeWithDeadline(int classIndex, long extent, int shard, double deadlineMillis) {
-        return take(classIndex, volume(1), extent, 2, shard, deadlineMillis);
+    /** Submits an operation whose deadline is the given number of milliseconds away. */
+    Operation submitWithDeadline(int classIndex, long extent, int shard, double deadlineMillis) {
+        return submit(classIndex, volume(1), extent, 2, shard, deadlineMillis);
     }
 
-    private Operation take(
+    private Operation submit(
             int classIndex,
             Volume volume,
             long extent,
@@ -224,7 +225,7 @@
             double deadlineMillis) {
         Operation operation =
                 new Operation(
-                        ++ids,
+                        ++lastId,
                         deployment.trafficClasses().get(classIndex),
                         volume,
                         extent,
@@ -233,29 +234,29 @@
                         now,
                         now + deadlineMillis,
                         false);
-        taken.add(operation);
-        carryOut(operation, scheduler.route(operation, now));
+        submitted.add(operation);
+        applyDecision(operation, scheduler.route(operation, now));
         runDueWork();
         return operation;
     }
 
-    /** Ends an attempt and carries out what follows. */
-    void end(Attempt attempt, Outcome outcome) {
+    /** Ends an attempt and applies the scheduler's follow-up. */
+    void endAttempt(Attempt attempt, Outcome outcome) {
         attempt.outcome = outcome;
         attempt.duration = now - attempt.sentAt;
         attempt.operation.ended |= outcome == Outcome.SERVED;
         if (scheduler.onAttemptEnded(attempt, now) == FollowUp.ROUTE_AGAIN) {
-            carryOut(attempt.operation, scheduler.route(attempt.operation, now));
+            applyDecision(attempt.operation, scheduler.route(attempt.operation, now));
         }
         runDueWork();
     }
 
-    /** Serves every attempt that is in flight now. */
+    /** Serves all attempts in flight. */
     void serveAllInFlight() {
         sent.stream()
                 .filter(attempt -> attempt.outcome == null)
                 .toList()
-                .forEach(attempt -> end(attempt, Outcome.SERVED));
+                .forEach(attempt -> endAttempt(attempt, Outcome.SERVED));
     }
 
     void cancel(Operation operation) {
@@ -264,9 +265,9 @@
         runDueWork();
     }
 
-    /** Moves the clock in small steps, and runs what is due after each. */
-    void passTime(double length) {
-        double until = now + length;
+    /** Advances the clock in steps of up to 2 ms, and runs the due work after each. */
+    void advanceClock(double millis) {
+        double until = now + millis;
         while (now < until) {
             now = Math.min(until, now + 2);
             runDueWork();
@@ -290,12 +291,12 @@
                 return;
             }
             for (Operation operation : turn.due()) {
-                carryOut(operation, scheduler.route(operation, now));
+                applyDecision(operation, scheduler.route(operation, now));
             }
         }
     }
 
-    /** The timeout of the operation's latest attempt, in milliseconds. */
+    /** Returns the timeout of the operation's latest attempt, in milliseconds. */
     double timeoutOf(Operation operation) {
         return timeouts.get(lastAttempt(operation));
     }
@@ -304,7 +305,7 @@
         return operation.attempts.get(operation.attempts.size() - 1);
     }
 
-    private void carryOut(Operation operation, RoutingDecision decision) {
+    private void applyDecision(Operation operation, RoutingDecision decision) {
         switch (decision.kind()) {
             case SEND -> {
                 sent.add(lastAttempt(operation));
--- a/src/test/java/sagepulley/testing/KernelTcpTable.java
+++ b/src/test/java/sagepulley/testing/KernelTcpTable.java
@@ -9,10 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The kernel's table of TCP connections, by which a test knows what lies unread at the receiving
- * end.
- */
+/** Reads the kernel's table of TCP connections, which shows what is unread at the receiving end. */
 public final class KernelTcpTable {
     private static final List<Path> TABLES =
             List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
@@ -20,51 +17,53 @@
 
     private KernelTcpTable() {}
 
-    /** Waits until the FIN of the far port has arrived at the near one. */
-    public static void awaitFin(int near, int far) {
+    /** Waits until the FIN of the remote port has arrived at the local port. */
+    public static void awaitFin(int localPort, int remotePort) {
         await().until(
                         () ->
-                                lines(near, far).stream()
+                                findConnections(localPort, remotePort).stream()
                                         .anyMatch(
                                                 fields ->
                                                         Integer.parseInt(fields[3], 16)
                                                                 == CLOSE_WAIT));
     }
 
-    /** Waits until bytes lie unread at the near port. */
-    public static void awaitUnread(int near, int far) {
+    /** Waits until bytes are unread at the local port. */
+    public static void awaitUnread(int localPort, int remotePort) {
         await().until(
                         () ->
-                                lines(near, far).stream()
+                                findConnections(localPort, remotePort).stream()
                                         .anyMatch(
                                                 fields ->
                                                         Long.parseLong(fields[4].split(":")[1], 16)
                                                                 > 0));
     }
 
-    /** Waits until the near port's connection is gone. */
-    public static void awaitGone(int near, int far) {
-        await().until(() -> lines(near, far).isEmpty());
+    /** Waits until the local port's connection no longer exists. */
+    public static void awaitClosed(int localPort, int remotePort) {
+        await().until(() -> findConnections(localPort, remotePort).isEmpty());
     }
 
-    private static List<String[]> lines(int near, int far) throws IOException {
-        assumeTrue(Files.isReadable(TABLES.get(0)), "only Linux has this book");
-        List<String[]> found = new ArrayList<>();
-        for (Path book : TABLES) {
-            if (!Files.isReadable(book)) {
+    private static List<String[]> findConnections(int localPort, int remotePort)
+            throws IOException {
+        assumeTrue(Files.isReadable(TABLES.get(0)), "needs the TCP table of Linux");
+        List<String[]> connections = new ArrayList<>();
+        for (Path table : TABLES) {
+            if (!Files.isReadable(table)) {
                 continue;
             }
-            for (String line : Files.readAllLines(book)) {
+            for (String line : Files.readAllLines(table)) {
                 String[] fields = line.trim().split("\\s+");
-                if (fields[1].endsWith(":" + port(near)) && fields[2].endsWith(":" + port(far))) {
-                    found.add(fields);
+                if (fields[1].endsWith(":" + hexPort(localPort))
+                        && fields[2].endsWith(":" + hexPort(remotePort))) {
+                    connections.add(fields);
                 }
             }
         }
-        return found;
+        return connections;
     }
 
-    private static String port(int port) {
+    private static String hexPort(int port) {
         return String.format("%04X", port);
     }
 }
